--- a/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -10,9 +10,9 @@
 use crate::sums::{Sum, Sums, Taken};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::collector::Report;
-use whinwall_governor::protocol::discovery::List;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::Report;
+use whinwall_protocol::discovery::List;
 use whinwall_subsetting::{Planner, Replica};
 
 /// What is counted since the start.
--- a/aggregation/src/bin/aggregation-bench/in_process.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/in_process.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use whinwall::time::{Moment, Span};
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::configuration::{Configuration, GovernorMember};
 use whinwall_aggregation::limits::{HEARTBEAT, TICK};
 use whinwall_aggregation::messages::{ConnectionId, Effect, Event};
-use whinwall_governor::protocol::{collector, discovery};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::{collector, discovery};
 use whinwall_subsetting::Parameters;
 
 /// Until it is ready and has what it serves.
--- a/aggregation/src/budget.rs
+++ b/crates/aggregation/src/budget.rs
@@ -3,7 +3,7 @@
 //! Where all fit, all go. Else the oldest go first, as many as have to so that each goes once within the maximum
 //! window, and the rest of the budget is for those that changed most.
 
-use whinwall::time::Moment;
+use whinwall_policy::time::Moment;
 
 /// A line that could go.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/aggregation/src/coverage.rs
+++ b/crates/aggregation/src/coverage.rs
@@ -4,7 +4,7 @@
 use crate::limits;
 use crate::messages::{ConnectionId, Note};
 use std::collections::BTreeMap;
-use whinwall::time::Moment;
+use whinwall_policy::time::Moment;
 
 /// One zone. Owned by [`Coverage`], which has no more than `MAX_ZONES`; it ends when it is missing for
 /// `ZONE_FORGOTTEN`.
--- a/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 /// A key has its turn within so many report periods; one less than the maximum window has, as a turn is rounded.
 const PERIODS: usize = (limits::MAX_WINDOW.as_ns() / limits::REPORT_PERIOD.as_ns()) as usize - 1;
--- a/aggregation/src/limits.rs
+++ b/crates/aggregation/src/limits.rs
@@ -1,6 +1,6 @@
 //! Times and sizes of an aggregator. Sizes bound what others may cost it.
 
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 /// Collectors report each second, and a governor is told each second while the budget allows it.
 pub const REPORT_PERIOD: Span = Span::ms(1000);
--- a/aggregation/src/membership.rs
+++ b/crates/aggregation/src/membership.rs
@@ -4,7 +4,7 @@
 use crate::messages::Note;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall::time::Moment;
+use whinwall_policy::time::Moment;
 use whinwall_subsetting::rendezvous;
 
 const STALE_MS: u64 = limits::REGISTRY_STALE.as_ns() / 1_000_000;
--- a/aggregation/src/messages.rs
+++ b/crates/aggregation/src/messages.rs
@@ -4,8 +4,8 @@
 use crate::membership::Heartbeat;
 use std::fmt;
 use std::net::SocketAddr;
-use whinwall_governor::protocol::collector::Report;
-use whinwall_governor::protocol::discovery::List;
+use whinwall_protocol::collector::Report;
+use whinwall_protocol::discovery::List;
 
 /// One connection to the aggregator's address.
 pub type ConnectionId = u64;
--- a/aggregation/src/program/configuration.rs
+++ b/crates/aggregation/src/program/configuration.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use thiserror::Error;
 use whinwall_aggregation::configuration::{Configuration, ConfigurationError, GovernorMember};
-use whinwall_operators::file::{self, LARGEST};
-use whinwall_operators::{SubsettingConfig, Wrong};
+use whinwall_operator_config::file::{self, LARGEST};
+use whinwall_operator_config::{SubsettingConfig, Wrong};
 
 /// What the file says.
 pub struct Members {
--- a/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -12,17 +12,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{self, Receiver};
 use tokio::time::{interval, MissedTickBehavior};
-use whinwall::time::{Moment, Span};
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::limits::TICK;
 use whinwall_aggregation::messages::{ConnectionId, Effect, Event};
 use whinwall_aggregation::wire;
-use whinwall_governor::program::clock::Clock;
-use whinwall_governor::program::signals::{Signal, Signals};
-use whinwall_governor::program::task::Task;
-use whinwall_governor::protocol::collector::{self, Message, Reply, Report};
-use whinwall_governor::protocol::{discovery, InvalidMessage};
-use whinwall_governor::transport::{limits, listener, watch, Back, FollowId, Inbox, Input};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::{self, Message, Reply, Report};
+use whinwall_protocol::{discovery, InvalidMessage};
+use whinwall_runtime::clock::Clock;
+use whinwall_runtime::signals::{Signal, Signals};
+use whinwall_runtime::task::Task;
+use whinwall_transport::{limits, listener, watch, Back, FollowId, Inbox, Input};
 
 /// Connections to our address: collectors of all zones and the other aggregators, each more than once.
 const CONNECTIONS: usize = 512;
--- a/aggregation/src/program/governors.rs
+++ b/crates/aggregation/src/program/governors.rs
@@ -7,7 +7,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use whinwall_governor::transport;
 
 /// What waits for one governor; a turn a second is written, so a governor that takes this long reads nothing.
 const UNWRITTEN: usize = 4;
@@ -122,7 +121,7 @@
     mut lines: mpsc::Receiver<String>,
     say: &impl AsyncFn(Happened) -> bool,
 ) -> Result<(), String> {
-    let mut stream = transport::connect(address).await.map_err(|why| why.to_string())?;
+    let mut stream = whinwall_transport::connect(address).await.map_err(|why| why.to_string())?;
     if !say(Happened::Connected).await {
         return Ok(());
     }
--- a/aggregation/src/program/mod.rs
+++ b/crates/aggregation/src/program/mod.rs
@@ -12,8 +12,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
-use whinwall_governor::program::logger;
-use whinwall_governor::program::signals::Signals;
+use whinwall_runtime::logger;
+use whinwall_runtime::signals::Signals;
 
 /// Log lines of one kind a second.
 const LOG_LINES_A_SECOND: u32 = 20;
--- a/aggregation/src/program/peers.rs
+++ b/crates/aggregation/src/program/peers.rs
@@ -7,7 +7,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
-use whinwall_governor::transport;
 
 /// Before the next dial: a peer that starts is to hear from us before it decides who is there.
 const PAUSE: Duration = Duration::from_millis(500);
@@ -63,7 +62,7 @@
 }
 
 async fn converse(address: SocketAddr, latest: &mut watch::Receiver<String>) -> Result<(), String> {
-    let mut stream = transport::connect(address).await.map_err(|why| why.to_string())?;
+    let mut stream = whinwall_transport::connect(address).await.map_err(|why| why.to_string())?;
     let (mut reads, mut writes) = stream.split();
     let mut piece = [0; PIECE];
     loop {
--- a/aggregation/src/registry.rs
+++ b/crates/aggregation/src/registry.rs
@@ -2,8 +2,8 @@
 
 use crate::limits;
 use std::collections::BTreeMap;
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::discovery::{Entry, List, State};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::discovery::{Entry, List, State};
 
 /// Replicas by name: no more than `MAX_REPLICAS`; one ends when the list says that it has left.
 #[derive(Clone, Debug, Default)]
--- a/aggregation/src/sums.rs
+++ b/crates/aggregation/src/sums.rs
@@ -13,7 +13,7 @@
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 /// One mark a report period, as far back as a late start reaches, and the one before.
 const MARKS: usize = (limits::LATE_START.as_ns() / limits::REPORT_PERIOD.as_ns()) as usize + 1;
--- a/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -4,7 +4,7 @@
 use crate::membership::Heartbeat;
 use crate::sums::Sum;
 use serde::{Deserialize, Serialize};
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 /// A collector's or an aggregator's first line.
 #[derive(Serialize)]
--- a/aggregation/tests/bounds.rs
+++ b/crates/aggregation/tests/bounds.rs
@@ -3,13 +3,13 @@
 mod virtual_fleet;
 
 use virtual_fleet::{moment, replica, Fleet};
-use whinwall::time::Moment;
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::limits::{CLASS_IDLE, MAX_CLASSES, MAX_NAME, MAX_ZONES};
 use whinwall_aggregation::messages::{Effect, Event, Note};
 use whinwall_aggregation::registry::Registry;
-use whinwall_governor::protocol::collector::Report;
-use whinwall_governor::protocol::discovery::{Entry, List, State};
+use whinwall_policy::time::Moment;
+use whinwall_protocol::collector::Report;
+use whinwall_protocol::discovery::{Entry, List, State};
 
 const START_MS: f64 = 10_000.0;
 
--- a/aggregation/tests/program.rs
+++ b/crates/aggregation/tests/program.rs
@@ -6,7 +6,7 @@
 use stand_ins::{get, Collector, Discovery, Governor, Line, Program};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use whinwall_governor::protocol::collector::{quick, Report};
+use whinwall_protocol::collector::{quick, Report};
 
 const LIST: &str = r#"{"version":41,"full":true,"servers":[
     {"id":"s-0","addr":"127.0.0.9:1","zone":"a","kind":"m","cell":1,"state":"active","weight":1.0,"started_ms":0},
--- a/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -4,12 +4,12 @@
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use whinwall::time::{Moment, Span};
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::configuration::{Configuration, GovernorMember};
 use whinwall_aggregation::messages::{Effect, Event, Note};
-use whinwall_governor::protocol::collector::Report;
-use whinwall_governor::protocol::discovery::{Entry, List, State};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::Report;
+use whinwall_protocol::discovery::{Entry, List, State};
 use whinwall_subsetting::Parameters;
 
 /// Ticks of the harness and of each aggregator.
--- a/aggregation/tests/wire.rs
+++ b/crates/aggregation/tests/wire.rs
@@ -1,10 +1,10 @@
 //! Lines as the protocol has them.
 
-use whinwall::time::Span;
 use whinwall_aggregation::membership::Heartbeat;
 use whinwall_aggregation::sums::Sum;
 use whinwall_aggregation::wire::{self, Covered};
-use whinwall_governor::protocol::collector::{decode, quick, Message, Report};
+use whinwall_policy::time::Span;
+use whinwall_protocol::collector::{decode, quick, Message, Report};
 
 fn covered(missing: usize) -> Covered {
     let sum = Sum { tries: 212.0, failed: 3.0, answered_ms: 209.0 * 41.7, lines: 9 };
--- a/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -2,10 +2,10 @@
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
-use whinwall::interface::SliceId;
-use whinwall::time::Span;
-use whinwall_management::client::Place;
+use whinwall_management_api::client::Place;
 use whinwall_overrides::{words, Kind};
+use whinwall_policy::interface::SliceId;
+use whinwall_policy::time::Span;
 
 /// Speaks to running whinwall governors, and checks their files
 #[derive(Parser)]
--- a/cli/src/calls.rs
+++ b/crates/cli/src/calls.rs
@@ -7,12 +7,12 @@
 use futures_util::future::join_all;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall::chance::Chance;
-use whinwall::time::Span;
-use whinwall_governor::program::configuration::{self, Surroundings};
-use whinwall_management::client::{Client, Failure};
-use whinwall_management::wire::{self, Outcome};
+use whinwall_controller::program::configuration::{self, Surroundings};
+use whinwall_management_api::client::{Client, Failure};
+use whinwall_management_api::wire::{self, Outcome};
 use whinwall_overrides::record;
+use whinwall_policy::chance::Chance;
+use whinwall_policy::time::Span;
 
 fn seed() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/cli/src/repeats.rs
+++ b/crates/cli/src/repeats.rs
@@ -1,7 +1,7 @@
 //! When a call that failed is made again: no clock and no socket here, so that it can be tested closely.
 
-use whinwall::chance::Chance;
-use whinwall::time::Span;
+use whinwall_policy::chance::Chance;
+use whinwall_policy::time::Span;
 
 pub const FIRST: Span = Span::ms(100);
 pub const LONGEST: Span = Span::ms(3000);
--- a/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -2,10 +2,10 @@
 
 use crate::answers::Said;
 use std::collections::BTreeMap;
-use whinwall::time::Span;
-use whinwall_management::client::Place;
-use whinwall_management::wire::{Item, KindName, List, Outcome, Reports, State, Subsetting};
+use whinwall_management_api::client::Place;
+use whinwall_management_api::wire::{Item, KindName, List, Outcome, Reports, State, Subsetting};
 use whinwall_overrides::words;
+use whinwall_policy::time::Span;
 
 /// One override at all governors that answered; none where one lacks it.
 pub struct Row {
--- a/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use whinwall::interface::Heeded;
-use whinwall::time::{Moment, Span};
-use whinwall_management::ask::{Reply, Request, Shown, Status};
-use whinwall_management::server::{self, Asked, Doors, Serving};
+use whinwall_management_api::ask::{Reply, Request, Shown, Status};
+use whinwall_management_api::server::{self, Asked, Doors, Serving};
 use whinwall_overrides::{Act, Bounds, Clerk, Reading};
+use whinwall_policy::interface::Heeded;
+use whinwall_policy::time::{Moment, Span};
 
 /// A governor whose front is there or away; its clerk goes on while it is away.
 struct Governor {
@@ -206,7 +206,7 @@
 #[test]
 fn files_are_checked_by_kind_and_completions_printed() {
     let folder = tempfile::tempdir().unwrap();
-    let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
+    let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let check = |files: &[PathBuf]| {
         let files: Vec<_> = files.iter().map(|file| file.to_str().unwrap()).collect();
         said(&whinwall(&[], &[&["check"], files.as_slice()].concat()))
--- a/cli/tests/repeats.rs
+++ b/crates/cli/tests/repeats.rs
@@ -1,7 +1,7 @@
 //! Pauses between attempts.
 
-use whinwall::time::Span;
 use whinwall_cli::repeats::*;
+use whinwall_policy::time::Span;
 
 #[test]
 fn pauses_grow_to_their_bound_and_end_in_time() {
--- a/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -2,8 +2,8 @@
 
 use whinwall_cli::answers::Said;
 use whinwall_cli::tables::*;
-use whinwall_management::client::Failure;
-use whinwall_management::wire::{Item, KindName, List, Reports, State, Subsetting};
+use whinwall_management_api::client::Failure;
+use whinwall_management_api::wire::{Item, KindName, List, Reports, State, Subsetting};
 
 fn item(id: &str, state: &str, left_s: f64) -> Item {
     Item {
--- a/governor/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -5,13 +5,13 @@
 use divan::Bencher;
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::{collector, discovery};
-use whinwall_governor::routing::report_coverage::{Line, ReportCoverage, Subject};
-use whinwall_governor::routing::subset::Fleet;
-use whinwall_governor::routing::{Event, Reducer};
-use whinwall_governor::transport::Targets;
-use whinwall_operators::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::{collector, discovery};
+use whinwall_routing::report_coverage::{Line, ReportCoverage, Subject};
+use whinwall_routing::subset::Fleet;
+use whinwall_routing::{Event, Reducer};
+use whinwall_transport::Targets;
 
 const REPLICAS: u32 = 2200;
 
@@ -38,7 +38,7 @@
 }
 
 fn governor(replicas: u32, fleet: Option<Fleet>) -> (Reducer, Moment) {
-    let example = include_str!("../../deploy/example.json");
+    let example = include_str!("../../../deploy/example.json");
     let example: serde_json::Value = serde_json::from_str(example).unwrap();
     let settings = whinwall_settings::read(&example["settings"]).unwrap();
     let now = Moment::default() + Span::ms(1_800_000_000_000);
--- a/governor/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::collector::{Message, Met};
-use whinwall_governor::protocol::discovery;
-use whinwall_governor::protocol::relay::{decode_news, Answer};
-use whinwall_governor::routing::{Effect, Event, Reducer};
-use whinwall_governor::transport::Targets;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::{Message, Met};
+use whinwall_protocol::discovery;
+use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_transport::Targets;
 
 const DAYS: [&str; 4] = ["quiet", "zone-lost", "replaced", "joined"];
 const PLACES: usize = 3;
@@ -90,7 +90,7 @@
 fn play(times: usize, day: &str) {
     let (servers, proxies, slices) = (120 * times, 1600 * times, 660 * times);
     let mut settings: serde_json::Value =
-        serde_json::from_str::<serde_json::Value>(include_str!("../../deploy/example.json")).unwrap()
+        serde_json::from_str::<serde_json::Value>(include_str!("../../../deploy/example.json")).unwrap()
             ["settings"]
             .take();
     let pace = 150_000.0 * times as f64;
@@ -142,7 +142,7 @@
             }
             for slice in &held {
                 let line = json!({"@type": "SHARD", "partition": slice, "kind": "lookup", "n": 1 + slice % 5, "bad": 0, "window": 1000.0});
-                let message = whinwall_governor::protocol::collector::decode(&line.to_string()).unwrap();
+                let message = whinwall_protocol::collector::decode(&line.to_string()).unwrap();
                 events.push(Event::Message { from: 0, message });
             }
         }
--- a/governor/benches/subsets.rs
+++ b/crates/controller/benches/subsets.rs
@@ -5,13 +5,13 @@
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::discovery;
-use whinwall_governor::protocol::relay::decode_news;
-use whinwall_governor::routing::subset::Fleet;
-use whinwall_governor::routing::{Effect, Event, Reducer};
-use whinwall_governor::transport::Targets;
-use whinwall_operators::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::discovery;
+use whinwall_protocol::relay::decode_news;
+use whinwall_routing::subset::Fleet;
+use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_transport::Targets;
 
 const REPLICAS: usize = 2200;
 const ZONES: usize = 9;
@@ -51,7 +51,7 @@
 
 impl Governor {
     fn new(governors: usize) -> Self {
-        let example: Value = serde_json::from_str(include_str!("../../deploy/example.json")).unwrap();
+        let example: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
         let mut settings = example["settings"].clone();
         settings["zones"] = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
         let settings = whinwall_settings::read(&settings).unwrap();
--- a/governor/benches/turn.rs
+++ b/crates/controller/benches/turn.rs
@@ -5,14 +5,14 @@
 use divan::Bencher;
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::relay::{decode_news, Answer};
-use whinwall_governor::protocol::{collector, discovery};
-use whinwall_governor::routing::overrides::OverrideConfig;
-use whinwall_governor::routing::{Effect, Event, Reducer};
-use whinwall_governor::transport::Targets;
-use whinwall_management::ask::Request;
+use whinwall_management_api::ask::Request;
 use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::{collector, discovery};
+use whinwall_routing::overrides::OverrideConfig;
+use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_transport::Targets;
 
 const SERVERS: u32 = 2000;
 /// Slices a server.
@@ -33,7 +33,7 @@
     }
 
     fn of(servers: u32, overrides: u32) -> Self {
-        let example = include_str!("../../deploy/example.json");
+        let example = include_str!("../../../deploy/example.json");
         let example: serde_json::Value = serde_json::from_str(example).unwrap();
         let settings = whinwall_settings::read(&example["settings"]).unwrap();
         let now = Moment::default() + Span::ms(1_800_000_000_000);
--- a/governor/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,6 +4,3 @@
 #![forbid(unsafe_code)]
 
 pub mod program;
-pub mod protocol;
-pub mod routing;
-pub mod transport;
--- a/governor/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -5,5 +5,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    whinwall_governor::program::run()
+    whinwall_controller::program::run()
 }
--- a/governor/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -1,16 +1,16 @@
 //! The one place where configuration is read, checked and given defaults. A message names the faulty key.
 
-use crate::protocol::discovery::List;
-use crate::routing::subset::Fleet;
-use crate::transport::{limits, Targets};
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::level_filters::LevelFilter;
-use whinwall_operators::{file, OperatorsFile};
+use whinwall_operator_config::{file, OperatorsFile};
+use whinwall_protocol::discovery::List;
+use whinwall_routing::subset::Fleet;
 use whinwall_settings::Settings;
+use whinwall_transport::{limits, Targets};
 
 const LOG_LINES: u32 = 40;
 /// What a running program can't change.
--- a/governor/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -1,19 +1,9 @@
 //! The loop: takes all that has arrived, decodes it, feeds the reducer, and carries out what it asks for.
 
-use super::clock::Clock;
 use super::configuration::Start;
 use super::fronts::{self, Fronts};
-use super::logger::Form;
 use super::meters::{self, Meters, ReportFigures};
 use super::readers::{self, Batch, Hand, Heard, Item, Pool};
-use super::signals::{Signal, Signals};
-use super::task::Task;
-use crate::protocol::collector;
-use crate::protocol::{discovery, relay, Malformed};
-use crate::routing::overrides::OverrideConfig;
-use crate::routing::{Effect, Event, Reducer};
-use crate::transport::{calls, limits, listener, news, watch as watch_list};
-use crate::transport::{Back, CallError, ConnectionId, FollowId, Inbox, Input, StreamError};
 use actix_rt::net::TcpListener;
 use actix_rt::time::sleep;
 use futures_util::FutureExt;
@@ -28,13 +18,23 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout_at, Instant};
 use tracing::{debug_span, Span};
-use whinwall::time::Moment;
-use whinwall_cores::sequence::Due;
-use whinwall_keeper::desk::Word;
-use whinwall_keeper::Job;
-use whinwall_management::ask::{Reply, Request};
-use whinwall_management::server::Asked;
+use whinwall_ingest::sequence::Due;
+use whinwall_management_api::ask::{Reply, Request};
+use whinwall_management_api::server::Asked;
+use whinwall_override_store::desk::Word;
+use whinwall_override_store::Job;
 use whinwall_overrides::{saved, Stamp, WallWatch};
+use whinwall_policy::time::Moment;
+use whinwall_protocol::collector;
+use whinwall_protocol::{discovery, relay, Malformed};
+use whinwall_routing::overrides::OverrideConfig;
+use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_runtime::clock::Clock;
+use whinwall_runtime::logger::Form;
+use whinwall_runtime::signals::{Signal, Signals};
+use whinwall_runtime::task::Task;
+use whinwall_transport::{calls, limits, listener, news, watch as watch_list};
+use whinwall_transport::{Back, CallError, ConnectionId, FollowId, Inbox, Input, StreamError};
 
 /// Wakes so often at least, whatever the reducer asks for.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
@@ -535,7 +535,7 @@
             pool.borrow().publish(known);
         }
         let now = self.clock.now();
-        if now - self.looked < whinwall::time::Span::ns(LOOK_EACH.as_nanos() as u64) {
+        if now - self.looked < whinwall_policy::time::Span::ns(LOOK_EACH.as_nanos() as u64) {
             return;
         }
         self.looked = now;
--- a/governor/src/program/fronts.rs
+++ b/crates/controller/src/program/fronts.rs
@@ -1,17 +1,17 @@
 //! What the operators' file switches on: the keeper of overrides and the management front, each on a thread
 //! of its own, and who waits for a reply of the governor's.
 
-use super::logger::Form;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::sync::oneshot;
-use whinwall_keeper::desk::{Desk, Word};
-use whinwall_keeper::{Job, Keeper};
-use whinwall_management::ask::Reply;
-use whinwall_management::server::{self, Asked, Serving};
-use whinwall_operators::{Doors, LogForm, OperatorsFile};
+use whinwall_management_api::ask::Reply;
+use whinwall_management_api::server::{self, Asked, Serving};
+use whinwall_operator_config::{Doors, LogForm, OperatorsFile};
+use whinwall_override_store::desk::{Desk, Word};
+use whinwall_override_store::{Job, Keeper};
 use whinwall_overrides::Ticket;
+use whinwall_runtime::logger::Form;
 
 /// Requests that wait for the loop; more are told to come again.
 pub const ROOM: usize = 64;
--- a/governor/src/program/meters.rs
+++ b/crates/controller/src/program/meters.rs
@@ -9,9 +9,9 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 use std::time::{Duration, Instant};
-use whinwall_cores::watch::Found;
-use whinwall_cores::CoreId;
-use whinwall_management::ask::ReportFreshness;
+use whinwall_ingest::watch::Found;
+use whinwall_ingest::CoreId;
+use whinwall_management_api::ask::ReportFreshness;
 
 type OfCore = [(&'static str, String); 1];
 
--- a/governor/src/program/mod.rs
+++ b/crates/controller/src/program/mod.rs
@@ -1,26 +1,23 @@
 //! Starts and ends the governor.
 
-pub mod clock;
 pub mod configuration;
 mod event_loop;
 mod fronts;
-pub mod logger;
+
 pub mod meters;
 pub mod readers;
-pub mod signals;
-pub mod task;
 
 use clap::Parser;
 use configuration::Surroundings;
-use signals::Signals;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
+use whinwall_runtime::signals::Signals;
 
 /// What the command line says; all else is in the environment and the files that it names.
 #[derive(Parser)]
 #[command(
-    name = "whinwall-governor",
+    name = "whinwall-controller",
     version,
     about = "One governor of a proxy fleet: collectors, relay and discovery in, orders out",
     after_help = "PROXY_CONFIG names its configuration file. SIGHUP has it read its files anew, SIGTERM ends it.\n\
@@ -42,7 +39,7 @@
     around.operators = arguments.operators.or(around.operators);
     let logging = around.logging();
     let (level, lines) = logging.clone().unwrap_or((LevelFilter::INFO, u32::MAX));
-    let form = logger::start(level, lines);
+    let form = whinwall_runtime::logger::start(level, lines);
     if arguments.check {
         return match logging.and_then(|_| configuration::read(around)) {
             Ok(start) => {
--- a/governor/src/program/readers.rs
+++ b/crates/controller/src/program/readers.rs
@@ -3,13 +3,7 @@
 //! loop's thread, puts the chunks of each connection in order, looks after the readers, and ends what one
 //! that stopped has left.
 
-use super::clock::Clock;
 use super::meters::Meters;
-use crate::protocol::collector::{self, Message};
-use crate::protocol::InvalidMessage;
-use crate::routing::known::Known;
-use crate::transport::listener::{self, Arrival, Bounds, Bulk};
-use crate::transport::{limits, Back, Chunk, ConnectionId, Inbox, Told};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::Shutdown;
@@ -20,13 +14,19 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch, OwnedSemaphorePermit};
-use whinwall::interface::Report;
-use whinwall::time::{Moment, Span};
-use whinwall_cores::sequence::{Due, Sequence};
-use whinwall_cores::spread::Spread;
-use whinwall_cores::sums::Sums;
-use whinwall_cores::watch::{Found, Watch};
-use whinwall_cores::CoreId;
+use whinwall_ingest::sequence::{Due, Sequence};
+use whinwall_ingest::spread::Spread;
+use whinwall_ingest::sums::Sums;
+use whinwall_ingest::watch::{Found, Watch};
+use whinwall_ingest::CoreId;
+use whinwall_policy::interface::Report;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::{self, Message};
+use whinwall_protocol::InvalidMessage;
+use whinwall_routing::known::Known;
+use whinwall_runtime::clock::Clock;
+use whinwall_transport::listener::{self, Arrival, Bounds, Bulk};
+use whinwall_transport::{limits, Back, Chunk, ConnectionId, Inbox, Told};
 
 /// How often a reader says that it goes on.
 const FIGURE: Duration = Duration::from_millis(100);
--- a/governor/tests/crossings.rs
+++ b/crates/controller/tests/crossings.rs
@@ -6,11 +6,11 @@
 use serde_json::json;
 use stand_ins::rig::*;
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::discovery;
-use whinwall_governor::protocol::relay::Answer;
-use whinwall_governor::routing::{Effect, Event};
-use whinwall_governor::transport::{StreamError, Targets};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::discovery;
+use whinwall_protocol::relay::Answer;
+use whinwall_routing::{Effect, Event};
+use whinwall_transport::{StreamError, Targets};
 
 /// Drains a server under a message cap, and gives each call this answer, so long after it: no more calls than the window
 /// allows, and more than one window's.
--- a/governor/tests/faults.rs
+++ b/crates/controller/tests/faults.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use whinwall_faults::forward::{forward, Log, Source};
-use whinwall_faults::schedule;
+use whinwall_fault_injection::forward::{forward, Log, Source};
+use whinwall_fault_injection::schedule;
 
 /// The tool on a thread of its own; its address.
 fn between(target: SocketAddr, rules: &str) -> SocketAddr {
--- a/governor/tests/fleet.rs
+++ b/crates/controller/tests/fleet.rs
@@ -4,11 +4,11 @@
 
 use serde_json::json;
 use stand_ins::{command, configuration, ConfigurationFile, Program};
-use whinwall::time::Span;
-use whinwall_fleet::day::Outcome;
-use whinwall_fleet::live::Stages;
-use whinwall_fleet::sizes::Sizes;
-use whinwall_fleet::trouble::{at, Trouble, What};
+use whinwall_emulator::day::Outcome;
+use whinwall_emulator::live::Stages;
+use whinwall_emulator::sizes::Sizes;
+use whinwall_emulator::trouble::{at, Trouble, What};
+use whinwall_policy::time::Span;
 
 fn played(sizes: &Sizes, troubles: &[Trouble]) -> Outcome {
     let stages = Stages::open(sizes.governors).unwrap();
--- a/governor/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -10,8 +10,8 @@
 use std::process::Stdio;
 use std::thread;
 use std::time::{Duration, Instant};
-use whinwall_management::client::Failure;
-use whinwall_management::wire::{KindName, Set};
+use whinwall_management_api::client::Failure;
+use whinwall_management_api::wire::{KindName, Set};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -21,7 +21,7 @@
 
 fn until(file: &str, server: &str, in_s: u64) -> String {
     let end = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs() + in_s;
-    let end = whinwall::time::Moment::at_ns(end * 1_000_000_000);
+    let end = whinwall_policy::time::Moment::at_ns(end * 1_000_000_000);
     let end = whinwall_overrides::words::write_wall(end);
     format!("<out id=\"{file}\" server=\"{server}\" author=\"mb\" reason=\"disk\" until=\"{end}\"/>")
 }
@@ -277,8 +277,8 @@
             let socket = socket.clone();
             thread::spawn(move || {
                 actix_rt::System::new().block_on(async {
-                    let place = whinwall_management::client::Place::Socket(socket);
-                    let client = whinwall_management::client::Client::new(place, None);
+                    let place = whinwall_management_api::client::Place::Socket(socket);
+                    let client = whinwall_management_api::client::Client::new(place, None);
                     for _ in 0..300 {
                         _ = client.list().await;
                     }
@@ -339,6 +339,6 @@
     assert!(code == Some(2) && said.contains("operators.xml: line 1"), "{said}");
     let (code, said) = run(&["--help"], "");
     assert!(code == Some(0) && said.contains("--check"), "{said}");
-    assert!(run(&["--version"], "").1.contains("whinwall-governor 0."));
+    assert!(run(&["--version"], "").1.contains("whinwall-controller 0."));
     assert_eq!(run(&["--listen"], "").0, Some(2));
 }
--- a/governor/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -11,15 +11,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use whinwall::interface::Reported;
-use whinwall_cores::sequence::Due;
-use whinwall_governor::program::clock::Clock;
-use whinwall_governor::program::meters::Meters;
-use whinwall_governor::program::readers::{Batch, Hand, Heard, Hook, Item, Pool, Stage};
-use whinwall_governor::protocol::collector::Message;
-use whinwall_governor::routing::known::Known;
-use whinwall_governor::transport::listener::{self, Bounds};
-use whinwall_governor::transport::{Back, ConnectionId, Input};
+use whinwall_controller::program::meters::Meters;
+use whinwall_controller::program::readers::{Batch, Hand, Heard, Hook, Item, Pool, Stage};
+use whinwall_ingest::sequence::Due;
+use whinwall_policy::interface::Reported;
+use whinwall_protocol::collector::Message;
+use whinwall_routing::known::Known;
+use whinwall_runtime::clock::Clock;
+use whinwall_transport::listener::{self, Bounds};
+use whinwall_transport::{Back, ConnectionId, Input};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/governor/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -7,15 +7,15 @@
 use stand_ins::rig::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use whinwall::interface::{Asked, Met, Report, Reported};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::relay::{decode_answer, decode_news, Answer};
-use whinwall_governor::protocol::{collector, discovery};
-use whinwall_governor::routing::overrides::OverrideConfig;
-use whinwall_governor::routing::{Effect, Event};
-use whinwall_governor::transport::{CallError, StreamError, Targets};
-use whinwall_management::ask::{Reply, Request};
+use whinwall_management_api::ask::{Reply, Request};
 use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
+use whinwall_policy::interface::{Asked, Met, Report, Reported};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::relay::{decode_answer, decode_news, Answer};
+use whinwall_protocol::{collector, discovery};
+use whinwall_routing::overrides::OverrideConfig;
+use whinwall_routing::{Effect, Event};
+use whinwall_transport::{CallError, StreamError, Targets};
 
 #[test]
 fn orders_rest_on_whole_tables() {
@@ -817,7 +817,7 @@
     fn holds(seeds: Vec<u64>) -> bool {
         let many = chunks().len();
         let shuffled = |seed: u64| {
-            let mut chance = whinwall::chance::Chance::from_seed(seed);
+            let mut chance = whinwall_policy::chance::Chance::from_seed(seed);
             let mut order: Vec<_> = (0..many).collect();
             (1..many).for_each(|at| order.swap(at, (chance.draw() * (at + 1) as f64) as usize));
             order
--- a/governor/tests/size.rs
+++ b/crates/controller/tests/size.rs
@@ -7,11 +7,11 @@
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::discovery;
-use whinwall_governor::protocol::relay::{decode_news, Answer};
-use whinwall_governor::routing::{Effect, Event, Reducer};
-use whinwall_governor::transport::Targets;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::discovery;
+use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_transport::Targets;
 
 const MANY: usize = 1024;
 const PLACES: usize = 300;
--- a/governor/tests/stand_ins/managed.rs
+++ b/crates/controller/tests/stand_ins/managed.rs
@@ -3,8 +3,8 @@
 use super::world::World;
 use super::*;
 use std::path::PathBuf;
-use whinwall_management::client::{Client, Failure, Place};
-use whinwall_management::wire::{Item, KindName, Outcome, Set};
+use whinwall_management_api::client::{Client, Failure, Place};
+use whinwall_management_api::wire::{Item, KindName, Outcome, Set};
 
 pub struct Managed {
     pub folder: tempfile::TempDir,
--- a/governor/tests/stand_ins/mod.rs
+++ b/crates/controller/tests/stand_ins/mod.rs
@@ -247,13 +247,13 @@
 }
 
 pub fn configuration() -> Value {
-    let mut file: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
+    let mut file: Value = serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap();
     file["listen"] = json!("127.0.0.1:0");
     file
 }
 
 pub fn command(file: &ConfigurationFile) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_whinwall-governor"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_whinwall-controller"));
     command.env_clear().env("PROXY_CONFIG", &file.0).stderr(Stdio::piped()).stdin(Stdio::null());
     command
 }
--- a/governor/tests/stand_ins/rig.rs
+++ b/crates/controller/tests/stand_ins/rig.rs
@@ -3,12 +3,12 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::relay::{decode_news, Answer};
-use whinwall_governor::protocol::{collector, discovery};
-use whinwall_governor::routing::{Effect, Event, Reducer};
-use whinwall_governor::transport::{CallError, StreamError, Targets};
-use whinwall_management::ask::Reply;
+use whinwall_management_api::ask::Reply;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::{collector, discovery};
+use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_transport::{CallError, StreamError, Targets};
 
 pub type Store = BTreeMap<u32, BTreeMap<String, f64>>;
 
@@ -44,7 +44,7 @@
     }
 
     pub fn with_seed(slices: u32, seed: u64, change: impl Fn(&mut serde_json::Value)) -> Self {
-        let example = include_str!("../../../deploy/example.json");
+        let example = include_str!("../../../../deploy/example.json");
         let mut example: serde_json::Value = serde_json::from_str(example).unwrap();
         change(&mut example["settings"]);
         let settings = whinwall_settings::read(&example["settings"]).unwrap();
--- a/governor/tests/transport.rs
+++ b/crates/controller/tests/transport.rs
@@ -8,9 +8,9 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use whinwall_governor::program::configuration::{self, Surroundings};
-use whinwall_governor::transport::listener::{self, Bounds, Here};
-use whinwall_governor::transport::{calls, earliest, limits, CallError, Input, StreamError};
+use whinwall_controller::program::configuration::{self, Surroundings};
+use whinwall_transport::listener::{self, Bounds, Here};
+use whinwall_transport::{calls, earliest, limits, CallError, Input, StreamError};
 
 fn run<T>(work: impl Future<Output = T>) -> T {
     actix_rt::System::new().block_on(work)
@@ -117,7 +117,7 @@
 #[test]
 fn a_life_after_a_panic_draws_anew() {
     let file = std::env::temp_dir().join(format!("whinwall-life-{}.json", std::process::id()));
-    std::fs::write(&file, include_str!("../../deploy/example.json")).unwrap();
+    std::fs::write(&file, include_str!("../../../deploy/example.json")).unwrap();
     let read = configuration::read(Surroundings { file: Some(file.clone()), ..Surroundings::default() });
     std::fs::remove_file(&file).unwrap();
     let mut start = read.unwrap();
--- a/fleet/src/channel.rs
+++ b/crates/emulator/src/channel.rs
@@ -5,7 +5,7 @@
 use crate::{ProxyIx, ServerIx, SliceIx};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 /// What one proxy is sent at once.
 #[derive(Clone, Debug)]
--- a/fleet/src/day/checks.rs
+++ b/crates/emulator/src/day/checks.rs
@@ -3,7 +3,7 @@
 use super::{Day, Step};
 use crate::policy::Policy;
 use crate::server::{Server, State};
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 impl Day {
     pub(super) fn watch(&mut self) {
--- a/fleet/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -4,11 +4,11 @@
 use crate::server::State;
 use crate::trouble::{Trouble, What};
 use crate::{ProxyIx, ServerIx};
-use whinwall::time::Span;
-use whinwall_governor::routing::Event;
-use whinwall_governor::transport::StreamError;
-use whinwall_management::ask::Request;
+use whinwall_management_api::ask::Request;
 use whinwall_overrides::{Ask, Kind, Order};
+use whinwall_policy::time::Span;
+use whinwall_routing::Event;
+use whinwall_transport::StreamError;
 
 impl Day {
     pub(super) fn excuse(&mut self, after: Span) {
--- a/fleet/src/day/governors.rs
+++ b/crates/emulator/src/day/governors.rs
@@ -5,13 +5,13 @@
 use crate::{subsets, ProxyIx, SliceIx};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::collector::Message;
-use whinwall_governor::protocol::discovery;
-use whinwall_governor::routing::overrides::OverrideConfig;
-use whinwall_governor::routing::{Effect, Event, Reducer};
-use whinwall_governor::transport::{StreamError, Targets};
 use whinwall_overrides::{Bounds, Reading};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::Message;
+use whinwall_protocol::discovery;
+use whinwall_routing::overrides::OverrideConfig;
+use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_transport::{StreamError, Targets};
 
 impl Day {
     pub(super) fn start(&mut self, at: usize) {
--- a/fleet/src/day/mod.rs
+++ b/crates/emulator/src/day/mod.rs
@@ -23,11 +23,11 @@
 use crate::{ProxyIx, ServerIx, SliceIx};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use whinwall::chance::Chance;
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::discovery;
-use whinwall_governor::routing::{Event, Reducer};
-use whinwall_governor::transport::StreamError;
+use whinwall_policy::chance::Chance;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::discovery;
+use whinwall_routing::{Event, Reducer};
+use whinwall_transport::StreamError;
 
 /// The wall's time at which a day begins.
 const MORNING: Span = Span::ms(1_800_000_000_000);
--- a/fleet/src/day/real_time.rs
+++ b/crates/emulator/src/day/real_time.rs
@@ -1,11 +1,11 @@
 //! A day played in real time against governors that are programs of their own.
 
 use super::{Day, Outcome};
-use whinwall::time::Moment;
-use whinwall_governor::protocol::collector::{Asked, Message, Met};
-use whinwall_governor::protocol::relay::Answer;
-use whinwall_governor::routing::Event;
-use whinwall_governor::transport::StreamError;
+use whinwall_policy::time::Moment;
+use whinwall_protocol::collector::{Asked, Message, Met};
+use whinwall_protocol::relay::Answer;
+use whinwall_routing::Event;
+use whinwall_transport::StreamError;
 
 /// Where a governor is a program of its own: what is said to it goes out as lines, on whatever ways there
 /// are.
--- a/fleet/src/day/registry.rs
+++ b/crates/emulator/src/day/registry.rs
@@ -4,9 +4,9 @@
 use crate::trouble::Odd;
 use crate::ServerIx;
 use std::collections::BTreeSet;
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::discovery;
-use whinwall_governor::routing::Event;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::discovery;
+use whinwall_routing::Event;
 
 impl Day {
     pub(super) fn list(&self) -> discovery::List {
--- a/fleet/src/day/relay.rs
+++ b/crates/emulator/src/day/relay.rs
@@ -4,9 +4,9 @@
 use crate::channel;
 use crate::proxy::Obeyed;
 use std::sync::Arc;
-use whinwall_governor::protocol::relay::{decode_news, Answer};
-use whinwall_governor::routing::Event;
-use whinwall_governor::transport::{CallError, StreamError};
+use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_routing::Event;
+use whinwall_transport::{CallError, StreamError};
 
 impl Day {
     pub(super) fn news(&mut self, at: usize, line: &str) {
--- a/fleet/src/day/reports.rs
+++ b/crates/emulator/src/day/reports.rs
@@ -4,10 +4,10 @@
 use crate::policy::Policy;
 use crate::{ServerIx, SliceIx};
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall::interface::Share;
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::collector::{Asked, Message, Met};
-use whinwall_governor::routing::{Event, Reducer};
+use whinwall_policy::interface::Share;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::{Asked, Message, Met};
+use whinwall_routing::{Event, Reducer};
 
 /// What an aggregator makes of the places' reports: one sum for each replica, told as of the replica's own place.
 fn summed_over_places(
--- a/fleet/src/day/requests.rs
+++ b/crates/emulator/src/day/requests.rs
@@ -5,7 +5,7 @@
 use crate::server::{Job, Offer, State};
 use crate::sizes::{Care, OpKind};
 use crate::{ProxyIx, ServerIx};
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 impl Day {
     pub(super) fn arrive(&mut self) {
--- a/fleet/src/live.rs
+++ b/crates/emulator/src/live.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 /// How long anybody may leave unread what it is told.
 const READS: Duration = Duration::from_secs(1);
--- a/fleet/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -3,7 +3,7 @@
 
 use crate::server::{Server, State};
 use crate::ServerIx;
-use whinwall::chance::Chance;
+use whinwall_policy::chance::Chance;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
--- a/fleet/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -4,8 +4,8 @@
 use crate::{ServerIx, SliceIx};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use whinwall::chance::Chance;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::chance::Chance;
+use whinwall_policy::time::{Moment, Span};
 
 /// An order as a proxy obeys it.
 #[derive(Clone, Debug, PartialEq)]
--- a/fleet/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -2,7 +2,7 @@
 //! orders led to it.
 
 use std::collections::{BTreeMap, VecDeque};
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
--- a/fleet/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -3,9 +3,9 @@
 use crate::sizes::Sizes;
 use crate::ProxyIx;
 use std::collections::{BTreeMap, VecDeque};
-use whinwall::chance::Chance;
-use whinwall::ring::Ring;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::chance::Chance;
+use whinwall_policy::ring::Ring;
+use whinwall_policy::time::{Moment, Span};
 
 /// An op at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/fleet/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -1,6 +1,6 @@
 //! How large a day is, and the figures of what is emulated. All of them are our own.
 
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 /// What may be done again, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/fleet/src/subsets.rs
+++ b/crates/emulator/src/subsets.rs
@@ -4,8 +4,8 @@
 use crate::sizes::Sizes;
 use crate::SliceIx;
 use std::collections::BTreeMap;
-use whinwall_governor::routing::subset::Fleet;
-use whinwall_operators::{GovernorMember, SubsettingConfig};
+use whinwall_operator_config::{GovernorMember, SubsettingConfig};
+use whinwall_routing::subset::Fleet;
 use whinwall_subsetting::{Assignment, Parameters, Replica};
 
 /// Reports are chosen by replica here, never cut down to a number of bytes.
--- a/fleet/src/trouble.rs
+++ b/crates/emulator/src/trouble.rs
@@ -2,8 +2,8 @@
 
 use crate::sizes::Sizes;
 use crate::{ServerIx, SliceIx};
-use whinwall::chance::Chance;
-use whinwall::time::Span;
+use whinwall_policy::chance::Chance;
+use whinwall_policy::time::Span;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
--- a/fleet/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,11 +1,11 @@
 //! Days of the emulator: the same for the same seed, rules kept by the real governors whatever happens, and
 //! each checker speaks up where its rule is broken on purpose.
 
-use whinwall::time::Span;
-use whinwall_fleet::day::{play, play_meddled, Outcome};
-use whinwall_fleet::policy::Policy;
-use whinwall_fleet::sizes::Sizes;
-use whinwall_fleet::trouble::{at, drawn, Odd, Trouble, What};
+use whinwall_emulator::day::{play, play_meddled, Outcome};
+use whinwall_emulator::policy::Policy;
+use whinwall_emulator::sizes::Sizes;
+use whinwall_emulator::trouble::{at, drawn, Odd, Trouble, What};
+use whinwall_policy::time::Span;
 
 fn short() -> Sizes {
     Sizes { lasts: Span::ms(40_000), ..Sizes::small() }
@@ -256,9 +256,9 @@
 #[test]
 fn queues_agree_with_closed_forms() {
     use std::collections::BTreeMap;
-    use whinwall::chance::Chance;
-    use whinwall::time::Moment;
-    use whinwall_fleet::server::{Job, Offer, Server};
+    use whinwall_emulator::server::{Job, Offer, Server};
+    use whinwall_policy::chance::Chance;
+    use whinwall_policy::time::Moment;
     let run = |cores: usize, load: f64| {
         let sizes = Sizes { cores, queue: usize::MAX, cold_factor: 1.0, ..Sizes::small() };
         let (mut server, mut chance) = (Server::new(), Chance::from_seed(11));
--- a/fleet/tests/subsets.rs
+++ b/crates/emulator/tests/subsets.rs
@@ -1,10 +1,10 @@
 //! Days on which each governor steers a subset of the replicas.
 
-use whinwall::time::Span;
-use whinwall_fleet::day::{play, Outcome};
-use whinwall_fleet::policy::Policy;
-use whinwall_fleet::sizes::Sizes;
-use whinwall_fleet::trouble::{at, Trouble, What};
+use whinwall_emulator::day::{play, Outcome};
+use whinwall_emulator::policy::Policy;
+use whinwall_emulator::sizes::Sizes;
+use whinwall_emulator::trouble::{at, Trouble, What};
+use whinwall_policy::time::Span;
 
 fn sizes(governors: usize, subset: usize) -> Sizes {
     let lasts = Span::ms(30_000);
--- a/lab/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -2,12 +2,12 @@
 //! XML by the same elements that know their place as the operators' file; written again by `search`.
 
 use std::fmt::Write;
-use whinwall::time::Span;
-use whinwall_fleet::policy::Policy;
-use whinwall_fleet::sizes::Sizes;
-use whinwall_fleet::trouble::{drawn, Odd, Trouble, What};
-use whinwall_operators::tree::{self, Element, Wrong};
+use whinwall_emulator::policy::Policy;
+use whinwall_emulator::sizes::Sizes;
+use whinwall_emulator::trouble::{drawn, Odd, Trouble, What};
+use whinwall_operator_config::tree::{self, Element, Wrong};
 use whinwall_overrides::words;
+use whinwall_policy::time::Span;
 
 const VERSION: &str = "1";
 /// Plays at the most, all together: a slip of the pen must not take days.
--- a/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! The `whinwall-lab` command.
+//! The `whinwall-experiments` command.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -7,11 +7,11 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use whinwall_fleet::day::play;
-use whinwall_fleet::policy::Policy;
-use whinwall_lab::experiment::{self, Case, Experiment, Troubles};
-use whinwall_lab::results::{self, Row};
-use whinwall_lab::{figures, report, search};
+use whinwall_emulator::day::play;
+use whinwall_emulator::policy::Policy;
+use whinwall_experiments::experiment::{self, Case, Experiment, Troubles};
+use whinwall_experiments::results::{self, Row};
+use whinwall_experiments::{figures, report, search};
 
 /// Plays experiments on the emulator of a fleet, and shows what came of them
 #[derive(Parser)]
@@ -19,11 +19,11 @@
     version,
     after_help = "Exit codes: 0 well; 1 a rule was broken, or a difference stands out for the worse; 2 a file or argument is faulty.\n\n\
         Examples:\n  \
-        whinwall-lab run lab/examples/failures.xml --out results/failures\n  \
-        whinwall-lab report lab/examples/failures.xml --results results/failures --out results/failures\n  \
-        whinwall-lab compare results/before results/after\n  \
-        whinwall-lab worst lab/examples/failures.xml --days 500 --out worst.xml\n  \
-        whinwall-lab explain worst.xml --server 3"
+        whinwall-experiments run lab/examples/failures.xml --out results/failures\n  \
+        whinwall-experiments report lab/examples/failures.xml --results results/failures --out results/failures\n  \
+        whinwall-experiments compare results/before results/after\n  \
+        whinwall-experiments worst lab/examples/failures.xml --days 500 --out worst.xml\n  \
+        whinwall-experiments explain worst.xml --server 3"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -53,10 +53,10 @@
     },
     /// Pairs the plays of two runs and says where a difference stands out of the spread
     Compare { first: PathBuf, second: PathBuf },
-    /// Plays an experiment with another build's whinwall-lab and with this one, and compares
+    /// Plays an experiment with another build's whinwall-experiments and with this one, and compares
     Against {
         experiment: PathBuf,
-        /// The other build's whinwall-lab: the first of the comparison
+        /// The other build's whinwall-experiments: the first of the comparison
         #[arg(long)]
         other: PathBuf,
         /// The folder for the rows of both
@@ -111,7 +111,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(wrong) => {
-            eprintln!("whinwall-lab: {wrong}");
+            eprintln!("whinwall-experiments: {wrong}");
             ExitCode::from(2)
         }
     }
@@ -240,7 +240,7 @@
             && seed.is_none_or(|seed| play.seed == seed)
     };
     let one = plays.iter().find(fits).ok_or("no governed day of the experiment fits")?;
-    let (day, line) = whinwall_fleet::day::play_told(&one.sizes, &one.troubles, one.seed, about);
+    let (day, line) = whinwall_emulator::day::play_told(&one.sizes, &one.troubles, one.seed, about);
     println!(
         "case {}, seed {}: service {:.3}, rules broken {:?}",
         one.case, one.seed, day.service, day.broken
--- a/lab/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -6,7 +6,7 @@
 use parquet::record::RowAccessor;
 use std::fs::File;
 use std::path::{Path, PathBuf};
-use whinwall_fleet::day::Outcome;
+use whinwall_emulator::day::Outcome;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
--- a/lab/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -1,11 +1,11 @@
 //! The day that does worst, and the least that still shows it.
 
 use rayon::prelude::*;
-use whinwall::time::Span;
-use whinwall_fleet::day::{play, Outcome};
-use whinwall_fleet::policy::Policy;
-use whinwall_fleet::sizes::Sizes;
-use whinwall_fleet::trouble::{drawn, Trouble};
+use whinwall_emulator::day::{play, Outcome};
+use whinwall_emulator::policy::Policy;
+use whinwall_emulator::sizes::Sizes;
+use whinwall_emulator::trouble::{drawn, Trouble};
+use whinwall_policy::time::Span;
 
 /// How bad a day is: a broken rule is worse than any loss of service.
 #[derive(Clone, Debug, PartialEq)]
--- a/lab/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -3,9 +3,9 @@
 
 use std::path::Path;
 use std::process::{Command, Output};
-use whinwall_lab::experiment;
-use whinwall_lab::figures::{mean, pairs};
-use whinwall_lab::results::{append, read, Row};
+use whinwall_experiments::experiment;
+use whinwall_experiments::figures::{mean, pairs};
+use whinwall_experiments::results::{append, read, Row};
 
 const SMALL: &str = r#"<experiment name="small" version="1">
   <world size="small" lasts="15s" load="0.4"/>
@@ -17,7 +17,7 @@
 </experiment>"#;
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_whinwall-lab")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_whinwall-experiments")).args(arguments).output().unwrap()
 }
 
 fn said(output: &Output) -> String {
@@ -56,7 +56,7 @@
     let again = experiment::read(&experiment.write()).unwrap();
     assert_eq!((again.write(), again.hash()), (experiment.write(), experiment.hash()));
     assert_eq!(again.cases, experiment.cases);
-    let drawn = whinwall_fleet::trouble::drawn(9, 40, &experiment.sizes);
+    let drawn = whinwall_emulator::trouble::drawn(9, 40, &experiment.sizes);
     let all = experiment::Experiment {
         cases: vec![experiment::Case { name: "all".into(), troubles: experiment::Troubles::Given(drawn) }],
         ..experiment.clone()
@@ -136,7 +136,8 @@
     assert!(same.status.success() && said(&same).contains("within the spread"), "{}", said(&same));
     // Another build, played from the same file: this one, for want of one.
     let both = path(folder.path(), "both");
-    let against = lab(&["against", &file, "--other", env!("CARGO_BIN_EXE_whinwall-lab"), "--out", &both]);
+    let against =
+        lab(&["against", &file, "--other", env!("CARGO_BIN_EXE_whinwall-experiments"), "--out", &both]);
     assert!(against.status.success() && said(&against).contains("0.000 ± 0.000"), "{}", said(&against));
     assert_eq!(lab(&["against", &file, "--other", "/nowhere", "--out", &both]).status.code(), Some(2));
 }
--- a/faults/src/decide.rs
+++ b/crates/fault-injection/src/decide.rs
@@ -6,8 +6,8 @@
 use crate::{Direction, Number};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, VecDeque};
-use whinwall::chance::Chance;
-use whinwall::time::Span;
+use whinwall_policy::chance::Chance;
+use whinwall_policy::time::Span;
 
 /// A line that has not ended may be held back for a rule about lines up to this size.
 const LONGEST: usize = 1 << 20;
--- a/faults/src/forward.rs
+++ b/crates/fault-injection/src/forward.rs
@@ -12,7 +12,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Semaphore};
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 /// Connections at once; more wait to be taken.
 const CONNECTIONS: usize = 256;
--- a/faults/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,4 +1,4 @@
-//! The `whinwall-faults` command.
+//! The `whinwall-fault-proxy` command.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
@@ -7,16 +7,16 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use tokio::net::TcpListener;
-use whinwall_faults::forward::{forward, Log, Source};
-use whinwall_faults::{record, schedule};
+use whinwall_fault_injection::forward::{forward, Log, Source};
+use whinwall_fault_injection::{record, schedule};
 
 /// Stands between two loopback sockets and delays, cuts, half-closes or garbles what passes
 #[derive(Parser)]
 #[command(
     version,
     after_help = "Ends with Ctrl-C, and writes its record then. Exit codes: 0 ended; 1 an address can't be had; 2 a file is faulty.\n\n\
-        Example:\n  whinwall-faults run relay.faults --listen 127.0.0.1:6401 --target 127.0.0.1:6400 --record night.wwf\n  \
-        whinwall-faults replay night.wwf --listen 127.0.0.1:6401 --target 127.0.0.1:6400"
+        Example:\n  whinwall-fault-proxy run relay.faults --listen 127.0.0.1:6401 --target 127.0.0.1:6400 --record night.wwf\n  \
+        whinwall-fault-proxy replay night.wwf --listen 127.0.0.1:6401 --target 127.0.0.1:6400"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -57,7 +57,7 @@
 
 fn main() -> ExitCode {
     let faulty = |wrong: String| {
-        eprintln!("whinwall-faults: {wrong}");
+        eprintln!("whinwall-fault-proxy: {wrong}");
         ExitCode::from(2)
     };
     let read = |path: &Path| std::fs::read(path).map_err(|why| format!("{}: {why}", path.display()));
@@ -92,7 +92,7 @@
     match serve(source, &ways, out.as_deref()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("whinwall-faults: {why}");
+            eprintln!("whinwall-fault-proxy: {why}");
             ExitCode::FAILURE
         }
     }
--- a/faults/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -7,7 +7,7 @@
 use crate::{Direction, Number};
 use prost::Message;
 use std::collections::BTreeMap;
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 const HEAD: &[u8; 8] = b"wwfault1";
 
--- a/faults/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -15,7 +15,7 @@
 
 use crate::{Direction, Number};
 use std::fmt;
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 use winnow::ascii::{dec_uint, space0, space1};
 use winnow::combinator::{alt, delimited, empty, eof, opt, preceded, separated_pair, seq, terminated};
 use winnow::error::{ContextError, StrContext, StrContextValue};
--- a/faults/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use whinwall::time::Span;
-use whinwall_faults::decide::{Act, Lane};
-use whinwall_faults::forward::{forward, Log, Source};
-use whinwall_faults::record::{self, Faults};
-use whinwall_faults::schedule::{self, Garble, Rule, Schedule, What, When};
-use whinwall_faults::Direction::{Down, Up};
+use whinwall_fault_injection::decide::{Act, Lane};
+use whinwall_fault_injection::forward::{forward, Log, Source};
+use whinwall_fault_injection::record::{self, Faults};
+use whinwall_fault_injection::schedule::{self, Garble, Rule, Schedule, What, When};
+use whinwall_fault_injection::Direction::{Down, Up};
+use whinwall_policy::time::Span;
 
 fn read(text: &str) -> Schedule {
     schedule::read(text).unwrap_or_else(|wrong| panic!("{wrong}"))
@@ -109,7 +109,7 @@
     mut lane: Lane,
     cuts: &[usize],
     replays: bool,
-) -> (Vec<u8>, Vec<whinwall_faults::decide::Injected>) {
+) -> (Vec<u8>, Vec<whinwall_fault_injection::decide::Injected>) {
     let mut acts = if replays { lane.starts_again() } else { lane.starts() };
     let (mut rest, mut sizes) = (TEXT, cuts.iter().cycle());
     while !rest.is_empty() {
@@ -294,7 +294,7 @@
     let tool =
         scheduled("on line 1: garble flip 9, always\non line ~ \"a\": swap, always\non offset 100: pieces 7");
     for seed in 0..20u64 {
-        let mut chance = whinwall::chance::Chance::from_seed(seed);
+        let mut chance = whinwall_policy::chance::Chance::from_seed(seed);
         let bytes: Vec<u8> = (0..20_000).map(|_| (chance.draw() * 256.0) as u8).collect();
         let (heard, _) = tool.says(&bytes, true);
         assert!(heard.len() > 15_000, "{} of 20,000 bytes", heard.len());
--- a/cores/src/sequence.rs
+++ b/crates/ingest/src/sequence.rs
@@ -3,7 +3,7 @@
 
 use crate::ConnectionId;
 use std::collections::BTreeMap;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 /// What one connection said, in order.
 #[derive(Debug)]
--- a/cores/src/sums.rs
+++ b/crates/ingest/src/sums.rs
@@ -2,8 +2,8 @@
 //! windows of the same length, told at the same time. In an ordinary second no two lines are alike; where a
 //! collector catches up, or several speak for one place, most are.
 
-use whinwall::interface::{Asked, Met, Report, Reported};
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::{Asked, Met, Report, Reported};
+use whinwall_policy::time::{Moment, Span};
 
 /// The lines of one chunk, all told at one time.
 #[derive(Debug)]
--- a/cores/src/watch.rs
+++ b/crates/ingest/src/watch.rs
@@ -1,7 +1,7 @@
 //! Notices readers that stopped. Each says that it goes on by a figure that grows; the owner looks at it.
 
 use crate::CoreId;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 /// A reader whose figure stands for so long has stopped: it grows ten times as often.
 const PATIENCE: Span = Span::ms(1000);
--- a/cores/tests/cores.rs
+++ b/crates/ingest/tests/cores.rs
@@ -2,13 +2,13 @@
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall::interface::{Asked, Met, Reported};
-use whinwall::ring::Ring;
-use whinwall::time::{Moment, Span};
-use whinwall_cores::sequence::Sequence;
-use whinwall_cores::spread::Spread;
-use whinwall_cores::sums::{asked, met, Sums};
-use whinwall_cores::watch::{Found, Watch};
+use whinwall_ingest::sequence::Sequence;
+use whinwall_ingest::spread::Spread;
+use whinwall_ingest::sums::{asked, met, Sums};
+use whinwall_ingest::watch::{Found, Watch};
+use whinwall_policy::interface::{Asked, Met, Reported};
+use whinwall_policy::ring::Ring;
+use whinwall_policy::time::{Moment, Span};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ns((1_800_000_000_000 + ms) * 1_000_000)
--- a/management/src/ask.rs
+++ b/crates/management-api/src/ask.rs
@@ -1,8 +1,8 @@
 //! What is asked of a governor, and what it replies: checked values, no HTTP.
 
-use whinwall::interface::Heeded;
-use whinwall::time::{Moment, Span};
 use whinwall_overrides::{Answer, Ask, Kept, Override, Refused};
+use whinwall_policy::interface::Heeded;
+use whinwall_policy::time::{Moment, Span};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
--- a/management/src/server.rs
+++ b/crates/management-api/src/server.rs
@@ -20,7 +20,7 @@
 use subtle::ConstantTimeEq;
 use tokio::sync::{mpsc, oneshot, Semaphore};
 use tokio::time::timeout;
-use whinwall::time::Moment;
+use whinwall_policy::time::Moment;
 
 /// Connections at once; more are closed unheard.
 const CONNECTIONS: usize = 64;
--- a/management/src/wire.rs
+++ b/crates/management-api/src/wire.rs
@@ -2,9 +2,9 @@
 
 use crate::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
 use serde::{Deserialize, Serialize};
-use whinwall::interface::Heeded;
-use whinwall::time::{Moment, Span};
 use whinwall_overrides::{words, Ask, Kept, Kind, Order, Origin, Refused};
+use whinwall_policy::interface::Heeded;
+use whinwall_policy::time::{Moment, Span};
 
 /// What sets an override; its id stands in the path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/management/tests/front.rs
+++ b/crates/management-api/tests/front.rs
@@ -8,13 +8,13 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use whinwall::interface::Heeded;
-use whinwall::time::{Moment, Span};
-use whinwall_management::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
-use whinwall_management::client::{Client, Failure, Place};
-use whinwall_management::server::{self, Asked, Doors, Serving};
-use whinwall_management::wire::{KindName, Set};
+use whinwall_management_api::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
+use whinwall_management_api::client::{Client, Failure, Place};
+use whinwall_management_api::server::{self, Asked, Doors, Serving};
+use whinwall_management_api::wire::{KindName, Set};
 use whinwall_overrides::{Ask, Kept, Kind, Order, Origin, Override, Refused};
+use whinwall_policy::interface::Heeded;
+use whinwall_policy::time::{Moment, Span};
 
 const TOKEN: &str = "a-token-of-some-length";
 
--- a/operators/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -2,12 +2,12 @@
 
 use quickcheck::{Arbitrary, Gen};
 use regex::Regex;
-use whinwall_operators::file::{self, Doors, LogForm};
-use whinwall_operators::tree::{self, Element};
+use whinwall_operator_config::file::{self, Doors, LogForm};
+use whinwall_operator_config::tree::{self, Element};
 use whinwall_overrides::Kind;
 
-const SCHEMA: &str = include_str!("../../deploy/operators.xsd");
-const EXAMPLE: &str = include_str!("../../deploy/operators.xml");
+const SCHEMA: &str = include_str!("../../../deploy/operators.xsd");
+const EXAMPLE: &str = include_str!("../../../deploy/operators.xml");
 
 /// As much of XML Schema as ours is written in.
 struct Schema(Element);
--- a/operators/tests/subsetting.rs
+++ b/crates/operator-config/tests/subsetting.rs
@@ -1,7 +1,7 @@
 //! The element `<subsetting>`: what it says, and errors that name the place.
 
-use whinwall_operators::file;
-use whinwall_operators::{AggregatorMember, GovernorMember, SubsettingConfig, UnknownMember};
+use whinwall_operator_config::file;
+use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig, UnknownMember};
 
 const MEMBERS: &str = r#"
     <governor name="n1" address="127.0.0.1:8443" slices="0-19,40"/>
--- a/keeper/tests/keeper.rs
+++ b/crates/override-store/tests/keeper.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::Duration;
-use whinwall_keeper::desk::{Desk, Word};
-use whinwall_keeper::{Job, Keeper};
+use whinwall_override_store::desk::{Desk, Word};
+use whinwall_override_store::{Job, Keeper};
 
 fn put(number: u64, text: &str) -> Job {
     Job { puts: vec![(number, text.into())], drops: vec![], stamp: b"stamp".to_vec() }
--- a/overrides/src/book.rs
+++ b/crates/overrides/src/book.rs
@@ -6,8 +6,8 @@
 use crate::{saved, words};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
-use whinwall::interface::WishId;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::WishId;
+use whinwall_policy::time::{Moment, Span};
 
 /// How much there may be; the operators' file can say otherwise.
 #[derive(Clone, Debug, PartialEq)]
--- a/overrides/src/clerk.rs
+++ b/crates/overrides/src/clerk.rs
@@ -7,8 +7,8 @@
 use crate::timeline::{Reading, Timeline};
 use std::collections::VecDeque;
 use std::mem::take;
-use whinwall::interface::WishId;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::WishId;
+use whinwall_policy::time::{Moment, Span};
 
 /// Whoever waits for an answer.
 pub type Ticket = u64;
--- a/overrides/src/record.rs
+++ b/crates/overrides/src/record.rs
@@ -1,8 +1,8 @@
 //! One override, and what is asked for when one is set.
 
 use std::fmt;
-use whinwall::interface::{SliceId, WishId};
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::{SliceId, WishId};
+use whinwall_policy::time::{Moment, Span};
 
 /// What it does. Servers go by name: a number is the program's own and may change.
 #[derive(Clone, Debug, PartialEq)]
--- a/overrides/src/saved.rs
+++ b/crates/overrides/src/saved.rs
@@ -4,7 +4,7 @@
 use crate::record::{End, Kind, Origin, Override};
 use crate::timeline::{Reading, Stamp, Timeline};
 use prost::Message;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 /// Of the whole file: one that is newer is not read.
 pub const FORM: u64 = 1;
--- a/overrides/src/timeline.rs
+++ b/crates/overrides/src/timeline.rs
@@ -1,7 +1,7 @@
 //! A line of time that goes on over restarts of the program and steps of the wall's clock. Ends are kept on
 //! it: neither may prolong an override.
 
-use whinwall::time::{Moment, Span};
+use whinwall_policy::time::{Moment, Span};
 
 /// What the machine's clocks say at one moment.
 #[derive(Clone, Debug, PartialEq)]
--- a/overrides/src/words.rs
+++ b/crates/overrides/src/words.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
-use whinwall::interface::SliceId;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::SliceId;
+use whinwall_policy::time::{Moment, Span};
 use winnow::ascii::{dec_uint, digit1};
 use winnow::combinator::{eof, opt, preceded, repeat, terminated};
 use winnow::error::ContextError;
--- a/overrides/tests/book.rs
+++ b/crates/overrides/tests/book.rs
@@ -2,11 +2,11 @@
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
-use whinwall::time::{Moment, Span};
 use whinwall_overrides::book::FileOrder;
 use whinwall_overrides::{
     saved, words, Book, Bounds, Change, End, Kind, Order, Proposal, Reading, Refused, Stamp, Timeline,
 };
+use whinwall_policy::time::{Moment, Span};
 
 const START_S: u64 = 1_800_000_000;
 
--- a/overrides/tests/clerk.rs
+++ b/crates/overrides/tests/clerk.rs
@@ -2,11 +2,11 @@
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
-use whinwall::time::{Moment, Span};
 use whinwall_overrides::book::FileOrder;
 use whinwall_overrides::{
     saved, Act, Answer, Ask, Bounds, Clerk, Kept, Kind, Order, Reading, Refused, Stamp,
 };
+use whinwall_policy::time::{Moment, Span};
 
 fn at(ms: u64) -> Moment {
     Moment::at_ns((1_800_000_000_000 + ms) * 1_000_000)
--- a/tests/cases.rs
+++ b/crates/policy/tests/cases.rs
@@ -5,10 +5,10 @@
 use fleet::{at, listing, site, Fleet};
 use std::collections::BTreeMap;
 use std::ops::Range;
-use whinwall::deployment::Deployment;
-use whinwall::interface::*;
-use whinwall::logic::Governor;
-use whinwall::time::Span;
+use whinwall_policy::deployment::Deployment;
+use whinwall_policy::interface::*;
+use whinwall_policy::logic::Governor;
+use whinwall_policy::time::Span;
 
 /// A fleet whose servers 0, 1, .. hold slices of these loads, numbered through.
 fn holding(single_writer: bool, loads: &[&[f64]]) -> Fleet {
@@ -364,7 +364,7 @@
 }
 
 /// Tries at each of six servers in a second, all answered in 100 ms, and what came for its slice.
-fn report(governor: &mut Governor, now: whinwall::time::Moment, of: impl Fn(u32) -> (f64, f64)) {
+fn report(governor: &mut Governor, now: whinwall_policy::time::Moment, of: impl Fn(u32) -> (f64, f64)) {
     for s in 0..6 {
         let ((tries, came), covers, mean_latency) = (of(s), Span::ms(1000), Span::ms(100));
         governor.met(now, s, Met { place: 0, covers, tries, aborted: 0.0, mean_latency });
@@ -373,7 +373,7 @@
 }
 
 /// The reply of this second, its mark acked at once by the one proxy.
-fn acked_reply(governor: &mut Governor, now: whinwall::time::Moment) -> Vec<Step> {
+fn acked_reply(governor: &mut Governor, now: whinwall_policy::time::Moment) -> Vec<Step> {
     governor.woken(now, 0);
     let reply = governor.collect(now);
     if let Some(Step::Mark { number }) = reply.last() {
--- a/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -2,10 +2,10 @@
 #![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use whinwall::deployment::{Deployment, OpType};
-use whinwall::interface::*;
-use whinwall::logic::Governor;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::deployment::{Deployment, OpType};
+use whinwall_policy::interface::*;
+use whinwall_policy::logic::Governor;
+use whinwall_policy::time::{Moment, Span};
 
 pub const GRACE_MS: u64 = 2500;
 const BARE_MS: u64 = 5000;
--- a/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -4,9 +4,9 @@
 
 use fleet::{at, listing, site, Fleet};
 use quickcheck::{Arbitrary, Gen};
-use whinwall::interface::*;
-use whinwall::logic::Governor;
-use whinwall::time::Span;
+use whinwall_policy::interface::*;
+use whinwall_policy::logic::Governor;
+use whinwall_policy::time::Span;
 
 /// What happens, drawn as a number of these, and to which server, proxy or slice.
 const DEEDS: [&str; 13] = [
@@ -65,7 +65,8 @@
         // A change of charge mid-way is another governor's doing, of which a lone writer's test knows
         // nothing.
         deeds.retain(|deed| !(single_writer && ["hand", "restart", "join", "part"].contains(&name(deed))));
-        let mut fleet = Fleet::new(whinwall::deployment::Deployment { single_writer, ..site() }, 10, 40, 5);
+        let mut fleet =
+            Fleet::new(whinwall_policy::deployment::Deployment { single_writer, ..site() }, 10, 40, 5);
         fleet.advance(4000);
         deeds.iter().for_each(|deed| play(&mut fleet, deed));
         log.extend(fleet.log);
--- a/tests/sharing.rs
+++ b/crates/policy/tests/sharing.rs
@@ -4,10 +4,10 @@
 
 use fleet::{at, site, Fleet};
 use std::collections::BTreeSet;
-use whinwall::deployment::Deployment;
-use whinwall::interface::*;
-use whinwall::sharing::{claimant, EPOCH};
-use whinwall::time::{Moment, Span};
+use whinwall_policy::deployment::Deployment;
+use whinwall_policy::interface::*;
+use whinwall_policy::sharing::{claimant, EPOCH};
+use whinwall_policy::time::{Moment, Span};
 
 fn subset(governors: u32, position: u32) -> Share {
     Share::Subset { governors, position }
--- a/tests/wishes.rs
+++ b/crates/policy/tests/wishes.rs
@@ -4,8 +4,8 @@
 
 use fleet::{at, site, Fleet};
 use quickcheck::{Arbitrary, Gen};
-use whinwall::deployment::Deployment;
-use whinwall::interface::*;
+use whinwall_policy::deployment::Deployment;
+use whinwall_policy::interface::*;
 use Heeded::{Absent, InForce, Suspended, Waiting};
 
 const OUT_OF_0: [(WishId, Wish); 1] = [(1, Wish::Out { server: 0 })];
--- a/governor/src/protocol/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::{is_sane, Malformed};
 use serde::Deserialize;
-use whinwall::interface::Standing;
+use whinwall_policy::interface::Standing;
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct List {
--- a/governor/src/protocol/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -2,7 +2,7 @@
 
 use super::{is_sane, Malformed};
 use std::str::FromStr;
-use whinwall::interface::{ProxyId, SliceId};
+use whinwall_policy::interface::{ProxyId, SliceId};
 
 /// A call holds so many bytes of orders at the most.
 pub const CALL_LIMIT: usize = 60_000;
--- a/governor/src/routing/events.rs
+++ b/crates/routing/src/events.rs
@@ -2,16 +2,16 @@
 
 use super::overrides::OverrideConfig;
 use super::subset::Fleet;
-use crate::protocol::collector::Message;
-use crate::protocol::discovery::List;
-use crate::protocol::relay::{Answer, News};
-use crate::protocol::InvalidMessage;
-use crate::transport::{CallError, ConnectionId, StreamError, Targets};
 use std::net::SocketAddr;
-use whinwall::interface::{Report, WishId};
-use whinwall::time::Moment;
-use whinwall_management::ask::{Reply, Request};
+use whinwall_management_api::ask::{Reply, Request};
 use whinwall_overrides::{Reading, Ticket, Timeline};
+use whinwall_policy::interface::{Report, WishId};
+use whinwall_policy::time::Moment;
+use whinwall_protocol::collector::Message;
+use whinwall_protocol::discovery::List;
+use whinwall_protocol::relay::{Answer, News};
+use whinwall_protocol::InvalidMessage;
+use whinwall_transport::{CallError, ConnectionId, StreamError, Targets};
 
 /// What the program tells the reducer.
 #[derive(Debug)]
--- a/governor/src/routing/known.rs
+++ b/crates/routing/src/known.rs
@@ -1,10 +1,10 @@
 //! What a reader has to know to take reports apart: numbers for names, as they were when it was made. It may
 //! be behind: a number is never given to another, and a name that it lacks is left to the reducer.
 
-use crate::protocol::collector::Report;
 use std::collections::BTreeMap;
-use whinwall::interface::{Asked, Met, PlaceId, Reported, ServerId};
-use whinwall::time::Span;
+use whinwall_policy::interface::{Asked, Met, PlaceId, Reported, ServerId};
+use whinwall_policy::time::Span;
+use whinwall_protocol::collector::Report;
 
 #[derive(Clone, Debug, Default)]
 pub struct Known {
--- a/governor/src/routing/names.rs
+++ b/crates/routing/src/names.rs
@@ -1,7 +1,7 @@
 //! The decisions know servers by number; discovery, collectors and the relay by name.
 
 use std::collections::BTreeMap;
-use whinwall::interface::ServerId;
+use whinwall_policy::interface::ServerId;
 
 pub struct Names {
     numbers: BTreeMap<String, ServerId>,
--- a/governor/src/routing/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -1,8 +1,8 @@
 //! Orders on their way to the relay: calls in order, one at a time, each until its outcome is known.
 
-use crate::protocol::relay::{self, Order};
 use std::collections::{BTreeSet, VecDeque};
-use whinwall::interface::SliceId;
+use whinwall_policy::interface::SliceId;
+use whinwall_protocol::relay::{self, Order};
 
 #[derive(Default)]
 pub struct Outbox {
--- a/governor/src/routing/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -1,12 +1,12 @@
 //! What operators want, between its book, which knows servers by name, and the decisions, which know numbers.
 
 use super::names::Names;
-use whinwall::interface::{Heeded, Wish, WishId};
-use whinwall::logic::Governor;
-use whinwall::time::Moment;
-use whinwall_management::ask::Shown;
+use whinwall_management_api::ask::Shown;
 use whinwall_overrides::book::FileOrder;
 use whinwall_overrides::{Bounds, Clerk, Kind, Override, Reading};
+use whinwall_policy::interface::{Heeded, Wish, WishId};
+use whinwall_policy::logic::Governor;
+use whinwall_policy::time::Moment;
 
 /// What the operators' file says of overrides.
 #[derive(Clone, Debug)]
--- a/governor/src/routing/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -2,17 +2,17 @@
 //! is covered already.
 
 use super::Reducer;
-use crate::protocol::collector;
-use crate::routing::events::Effect;
-use crate::routing::known::span;
-use crate::routing::report_coverage::{Before, Counted, Line, ReportCoverage, Subject};
-use crate::routing::report_feed::{FeedChange, ReportFeed};
-use crate::transport::ConnectionId;
+use crate::events::Effect;
+use crate::known::span;
+use crate::report_coverage::{Before, Counted, Line, ReportCoverage, Subject};
+use crate::report_feed::{FeedChange, ReportFeed};
 use std::fmt;
-use whinwall::interface::{Asked, Met, Report, ReportFlow, Reported, ReportedOn, SliceId};
-use whinwall::logic::Governor;
-use whinwall::time::Moment;
-use whinwall_management::ask::ReportFreshness;
+use whinwall_management_api::ask::ReportFreshness;
+use whinwall_policy::interface::{Asked, Met, Report, ReportFlow, Reported, ReportedOn, SliceId};
+use whinwall_policy::logic::Governor;
+use whinwall_policy::time::Moment;
+use whinwall_protocol::collector;
+use whinwall_transport::ConnectionId;
 
 /// What is kept where aggregators report; it ends when that is switched off.
 pub(super) struct Aggregated {
--- a/governor/src/routing/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -1,13 +1,13 @@
 //! The reducer's part of subsetting: the decisions are told which governors steer each replica.
 
 use super::{Due, Reducer};
-use crate::protocol::discovery::{List, State};
-use crate::routing::names::Names;
-use crate::routing::subset::{Fleet, Subsets};
+use crate::names::Names;
+use crate::subset::{Fleet, Subsets};
 use std::collections::BTreeMap;
-use whinwall::interface::{ServerId, Share};
-use whinwall::logic::Governor;
-use whinwall::time::Moment;
+use whinwall_policy::interface::{ServerId, Share};
+use whinwall_policy::logic::Governor;
+use whinwall_policy::time::Moment;
+use whinwall_protocol::discovery::{List, State};
 use whinwall_subsetting::Replica;
 
 impl Reducer {
--- a/governor/src/routing/report_coverage.rs
+++ b/crates/routing/src/report_coverage.rs
@@ -2,10 +2,10 @@
 //! governor for a while, and one may take over from another: of a line only what nobody told before counts, and what
 //! nobody told is known as a gap. No input, output or clock; why it is so is in `docs/design/report-coverage.md`.
 
-use crate::transport::ConnectionId;
 use std::collections::BTreeMap;
-use whinwall::interface::{ServerId, SliceId};
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::{ServerId, SliceId};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_transport::ConnectionId;
 
 /// The longest time that one line may cover. The decisions keep figures of twenty seconds, and loads are over eight that end
 /// with the newest line, which may be a window and a second old: 8 s + 8 s + 1 s, and half-second buckets at both ends.
--- a/governor/src/routing/report_feed.rs
+++ b/crates/routing/src/report_feed.rs
@@ -2,9 +2,9 @@
 //! hold on to what they have, and beyond three times that somebody has to be told. No input, output or clock.
 
 use super::report_coverage::LONGEST_WINDOW;
-use whinwall::interface::ReportFlow;
-use whinwall::ring::Ring;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::ReportFlow;
+use whinwall_policy::ring::Ring;
+use whinwall_policy::time::{Moment, Span};
 
 /// How much longer than the longest pause of late one between two lines may be. The decisions hold their figures for a
 /// second longer than lines cover; a beat of theirs, 250 ms, may pass before they hear of it. So figures never fall because
--- a/governor/src/routing/snapshot.rs
+++ b/crates/routing/src/snapshot.rs
@@ -2,8 +2,8 @@
 //! not marked, and neither is that of a table.
 
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall::interface::{ProxyId, ServerId, SliceId};
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::{ProxyId, ServerId, SliceId};
+use whinwall_policy::time::{Moment, Span};
 
 pub type Table = BTreeMap<ServerId, f64>;
 
--- a/governor/src/routing/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -2,10 +2,10 @@
 //! fleet's names and the registry alone, so that all governors that know the same compute the same.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
-use whinwall::interface::Share;
-use whinwall::time::{Moment, Span};
-use whinwall_management::ask::SubsettingStatus;
-use whinwall_operators::{SubsettingConfig, UnknownMember};
+use whinwall_management_api::ask::SubsettingStatus;
+use whinwall_operator_config::{SubsettingConfig, UnknownMember};
+use whinwall_policy::interface::Share;
+use whinwall_policy::time::{Moment, Span};
 use whinwall_subsetting::{Assignment, Membership, MembershipError, Parameters, Planner, Position, Replica};
 
 /// Changes of the registry are taken together for so long after a computation, which takes some 10 ms at 650
--- a/governor/src/program/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -2,8 +2,8 @@
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall::time::{Moment, Span};
 use whinwall_overrides::Reading;
+use whinwall_policy::time::{Moment, Span};
 
 #[derive(Clone, Copy)]
 pub struct Clock {
--- a/scale/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -11,9 +11,9 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 use thiserror::Error;
-use whinwall_fleet::day::play;
-use whinwall_fleet::policy::Policy;
-use whinwall_lab::results::{self, Row};
+use whinwall_emulator::day::play;
+use whinwall_emulator::policy::Policy;
+use whinwall_experiments::results::{self, Row};
 
 /// Why a sweep could not be played.
 #[derive(Debug, Error)]
--- a/scale/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -3,9 +3,9 @@
 use super::{Args, SweepError};
 use clap::ValueEnum;
 use std::fmt;
-use whinwall::time::Span;
-use whinwall_fleet::sizes::Sizes;
-use whinwall_fleet::trouble::{at, Trouble, What};
+use whinwall_emulator::sizes::Sizes;
+use whinwall_emulator::trouble::{at, Trouble, What};
+use whinwall_policy::time::Span;
 
 /// What happens on a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
--- a/scale/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -3,9 +3,9 @@
 use super::{DayKind, PlannedDay};
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use whinwall_fleet::day::Outcome;
-use whinwall_lab::figures::mean;
-use whinwall_lab::results::Row;
+use whinwall_emulator::day::Outcome;
+use whinwall_experiments::figures::mean;
+use whinwall_experiments::results::Row;
 
 /// A day of the plan, and what it came to.
 #[derive(Clone, Debug)]
--- a/scale/src/main.rs
+++ b/crates/scale-tests/src/main.rs
@@ -1,10 +1,10 @@
-//! `whinwall-scale`: runs the scale tests; each subcommand writes its results as Parquet, a table and a chart.
+//! `whinwall-scale-tests`: runs the scale tests; each subcommand writes its results as Parquet, a table and a chart.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
 use std::error::Error;
 use std::process::ExitCode;
-use whinwall_scale::{decisions, many, one};
+use whinwall_scale_tests::{decisions, many, one};
 
 /// Measures what governors cost at the size of a large fleet
 #[derive(Parser)]
@@ -36,7 +36,7 @@
     match run(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            eprintln!("whinwall-scale: {failure}");
+            eprintln!("whinwall-scale-tests: {failure}");
             ExitCode::from(2)
         }
     }
--- a/scale/src/many/catalog.rs
+++ b/crates/scale-tests/src/many/catalog.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
-use whinwall_governor::protocol::discovery::{self, List};
+use whinwall_protocol::discovery::{self, List};
 
 /// A replica that finishes what it has and wants nothing new.
 pub const LEAVING: &str = "leaving";
--- a/scale/src/many/hollow.rs
+++ b/crates/scale-tests/src/many/hollow.rs
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall::interface::Report;
-use whinwall::time::{Moment, Span};
-use whinwall_governor::protocol::collector::{Message, Report as ReportLine};
-use whinwall_governor::protocol::discovery::List;
-use whinwall_governor::protocol::relay::{decode_news, Answer};
-use whinwall_governor::routing::known::Known;
-use whinwall_governor::routing::{Effect, Event, Reducer};
-use whinwall_governor::transport::{limits, CallError, ConnectionId, StreamError, Targets};
+use whinwall_policy::interface::Report;
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::collector::{Message, Report as ReportLine};
+use whinwall_protocol::discovery::List;
+use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_routing::known::Known;
+use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_settings::Settings;
+use whinwall_transport::{limits, CallError, ConnectionId, StreamError, Targets};
 
 /// The one connection that its reports come on.
 const COLLECTOR: ConnectionId = 1;
--- a/scale/src/many/mod.rs
+++ b/crates/scale-tests/src/many/mod.rs
@@ -87,7 +87,9 @@
 #[derive(Debug, Error)]
 pub enum ManyError {
     /// The governor program was not built.
-    #[error("no whinwall-governor beside this program: cargo build --release --locked -p whinwall-governor")]
+    #[error(
+        "no whinwall-controller beside this program: cargo build --release --locked -p whinwall-controller"
+    )]
     NoProgram,
     /// It can't be started.
     #[error("{}: {why}", program.display())]
--- a/scale/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -108,7 +108,7 @@
     /// The configuration file of a governor, but for its addresses.
     pub fn configuration(&self, governor: GovernorId) -> Value {
         let mut file: Value =
-            serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap_or_default();
+            serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap_or_default();
         file["name"] = json!(format!("n{governor}"));
         file["listen"] = json!("127.0.0.1:0");
         file["settings"]["zones"] = (0..self.zones).map(|zone| self.zone(zone)).collect();
--- a/scale/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 /// The name of the governor program.
-const PROGRAM: &str = "whinwall-governor";
+const PROGRAM: &str = "whinwall-controller";
 /// A governor that has not ended so long after SIGTERM gets SIGKILL.
 const GRACE: Duration = Duration::from_secs(5);
 /// Before a governor that does not answer yet is asked again.
--- a/scale/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -23,7 +23,7 @@
     /// The folder for rows, tables and charts
     #[arg(long)]
     pub out: PathBuf,
-    /// The governor's program [default: whinwall-governor beside this one, built first under cargo]
+    /// The governor's program [default: whinwall-controller beside this one, built first under cargo]
     #[arg(long)]
     pub program: Option<PathBuf>,
     /// Seconds before each measurement
--- a/scale/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
-use whinwall_governor::protocol::collector;
+use whinwall_protocol::collector;
 
 /// A setup, and which sweep it is a point of.
 #[derive(Clone, Debug)]
--- a/scale/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -14,7 +14,7 @@
 /// Far longer than a start takes, also on a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const PING_TIMEOUT: Duration = Duration::from_secs(30);
-const GOVERNOR: &str = "whinwall-governor";
+const GOVERNOR: &str = "whinwall-controller";
 /// What a program of whinwall's logs once it listens; its address follows.
 const SERVES: &str = "serves at ";
 
--- a/scale/src/results.rs
+++ b/crates/scale-tests/src/results.rs
@@ -3,7 +3,7 @@
 use crate::fit::LinearFit;
 use plotters::prelude::*;
 use std::path::{Path, PathBuf};
-pub use whinwall_lab::columns::{markdown, write_parquet, Column, Values};
+pub use whinwall_experiments::columns::{markdown, write_parquet, Column, Values};
 
 const CHART_SIZE: (u32, u32) = (900, 480);
 const COLOURS: [RGBColor; 5] = [
--- a/scale/tests/aggregated.rs
+++ b/crates/scale-tests/tests/aggregated.rs
@@ -2,11 +2,11 @@
 //! in lines that it reads, and by both programs as their file says. Nothing here depends on how fast the machine is.
 
 use std::time::Duration;
-use whinwall_scale::one::aggregated::{measure, Subsetting};
-use whinwall_scale::one::rig::Setup;
-use whinwall_scale::one::steady::Times;
-use whinwall_scale::process::{governor_program, program};
-use whinwall_scale::stand_ins::fleet::FleetSize;
+use whinwall_scale_tests::one::aggregated::{measure, Subsetting};
+use whinwall_scale_tests::one::rig::Setup;
+use whinwall_scale_tests::one::steady::Times;
+use whinwall_scale_tests::process::{governor_program, program};
+use whinwall_scale_tests::stand_ins::fleet::FleetSize;
 
 const MEMORY_BOUND: u64 = 64 << 20;
 const TIMES: Times = Times { warm_up: Duration::from_secs(2), measured: Duration::from_secs(4) };
--- a/scale/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! The sweep of the number of governors, at small size.
 
-use whinwall::time::Span;
-use whinwall_fleet::sizes::Sizes;
-use whinwall_scale::decisions::{paired_differences, play_all, table, DayKind, Plan};
+use whinwall_emulator::sizes::Sizes;
+use whinwall_policy::time::Span;
+use whinwall_scale_tests::decisions::{paired_differences, play_all, table, DayKind, Plan};
 
 fn plan(kinds: Vec<DayKind>) -> Plan {
     let sizes =
@@ -24,7 +24,7 @@
 fn a_sweep_is_the_same_each_time_and_breaks_no_rule() {
     let plan = plan(vec![DayKind::Replaced, DayKind::Zone]);
     let (first, again) = (play_all(&plan, 2).unwrap(), play_all(&plan, 1).unwrap());
-    let outcomes = |played: &[whinwall_scale::decisions::Played]| {
+    let outcomes = |played: &[whinwall_scale_tests::decisions::Played]| {
         played.iter().map(|one| one.outcome.clone()).collect::<Vec<_>>()
     };
     assert!(outcomes(&first) == outcomes(&again), "two plays of one plan differ");
--- a/scale/tests/fit.rs
+++ b/crates/scale-tests/tests/fit.rs
@@ -1,6 +1,6 @@
 //! Least squares against lines that are known.
 
-use whinwall_scale::fit::{FitError, LinearFit, Point};
+use whinwall_scale_tests::fit::{FitError, LinearFit, Point};
 
 fn point(regressors: &[f64], measured: f64) -> Point {
     Point { regressors: regressors.to_vec(), measured }
--- a/scale/tests/many.rs
+++ b/crates/scale-tests/tests/many.rs
@@ -2,7 +2,7 @@
 //! are measured and printed, and not judged.
 
 use std::time::Duration;
-use whinwall_scale::many::{find_program, play, table, Plan, Results, Traffic};
+use whinwall_scale_tests::many::{find_program, play, table, Plan, Results, Traffic};
 
 fn plan() -> Plan {
     Plan {
@@ -53,9 +53,9 @@
 
 #[test]
 fn a_program_that_is_missing_is_named() {
-    let plan = Plan { program: "/nowhere/whinwall-governor".into(), ..plan() };
+    let plan = Plan { program: "/nowhere/whinwall-controller".into(), ..plan() };
     let failure = play(&plan).unwrap_err().to_string();
-    assert!(failure.contains("/nowhere/whinwall-governor"), "{failure}");
+    assert!(failure.contains("/nowhere/whinwall-controller"), "{failure}");
 }
 
 #[test]
--- a/scale/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -5,15 +5,15 @@
 use std::path::PathBuf;
 use std::sync::OnceLock;
 use std::time::Duration;
-use whinwall_scale::fit::{LinearFit, Point};
-use whinwall_scale::one::events::{self, Event};
-use whinwall_scale::one::report;
-use whinwall_scale::one::rig::{Rig, Setup};
-use whinwall_scale::one::steady::{self, Case, Times};
-use whinwall_scale::process::{governor_program, Usage};
-use whinwall_scale::results::Folder;
-use whinwall_scale::stand_ins::collectors::{flood, join};
-use whinwall_scale::stand_ins::fleet::{Draw, FleetSize, ReportShape};
+use whinwall_scale_tests::fit::{LinearFit, Point};
+use whinwall_scale_tests::one::events::{self, Event};
+use whinwall_scale_tests::one::report;
+use whinwall_scale_tests::one::rig::{Rig, Setup};
+use whinwall_scale_tests::one::steady::{self, Case, Times};
+use whinwall_scale_tests::process::{governor_program, Usage};
+use whinwall_scale_tests::results::Folder;
+use whinwall_scale_tests::stand_ins::collectors::{flood, join};
+use whinwall_scale_tests::stand_ins::fleet::{Draw, FleetSize, ReportShape};
 
 /// What a small governor never needs, in a debug build with much room.
 const MEMORY_BOUND: u64 = 64 << 20;
--- a/scale/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -4,13 +4,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
-use whinwall_governor::protocol::{collector, discovery as list, relay as news};
-use whinwall_scale::stand_ins::collectors::Schedule;
-use whinwall_scale::stand_ins::discovery::{Discovery, Listed};
-use whinwall_scale::stand_ins::fleet::{Draw, FleetSize, ReportShape};
-use whinwall_scale::stand_ins::relay::Relay;
-use whinwall_scale::stand_ins::tap::Tap;
-use whinwall_scale::stand_ins::{Counter, Traffic};
+use whinwall_protocol::{collector, discovery as list, relay as news};
+use whinwall_scale_tests::stand_ins::collectors::Schedule;
+use whinwall_scale_tests::stand_ins::discovery::{Discovery, Listed};
+use whinwall_scale_tests::stand_ins::fleet::{Draw, FleetSize, ReportShape};
+use whinwall_scale_tests::stand_ins::relay::Relay;
+use whinwall_scale_tests::stand_ins::tap::Tap;
+use whinwall_scale_tests::stand_ins::{Counter, Traffic};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -63,7 +63,7 @@
     let lines = |writes| {
         let schedule = Schedule::of(&size, &ReportShape::whole(&size), 0, writes);
         let blocks = |period: &Vec<_>| {
-            period.iter().map(|b: &whinwall_scale::stand_ins::collectors::Block| b.lines).sum()
+            period.iter().map(|b: &whinwall_scale_tests::stand_ins::collectors::Block| b.lines).sum()
         };
         schedule.periods.iter().map(blocks).collect::<Vec<usize>>()
     };
--- a/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,8 +6,8 @@
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
-use whinwall::deployment::{Deployment, OpType};
-use whinwall::time::Span;
+use whinwall_policy::deployment::{Deployment, OpType};
+use whinwall_policy::time::Span;
 
 /// The most request classes of one deployment: the decisions address them by the bits of one `u64`.
 const MAX_REQUEST_CLASSES: usize = 64;
--- a/adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,9 +2,9 @@
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use whinwall::interface::*;
-use whinwall::logic::Governor;
-use whinwall::time::{Moment, Span};
+use whinwall_policy::interface::*;
+use whinwall_policy::logic::Governor;
+use whinwall_policy::time::{Moment, Span};
 
 /// The wire's table number that stands for all tables.
 const EVERY_TABLE: u64 = 65535;
--- a/governor/src/transport/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -1,7 +1,7 @@
 //! The network's time-outs and sizes. They bound what others may cost; nothing is decided by them.
 
 use std::time::Duration;
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 
 /// All parties are on the same network, a few milliseconds away: a dial that takes longer may be lost, and another
 /// is begun. It may also be slow, so those before go on.
