--- /dev/null
+++ b/governor/tests/store_file.rs
@@ -0,0 +1,142 @@
+//! A store file written by the release of commit f5ac591 (tests/fixtures/overrides.redb), and what has to be
+//! read from it: file name, tables, keys, record encoding and stamp. A later release must read it as this one
+//! does.
+
+use std::path::{Path, PathBuf};
+use whinwall::time::{Moment, Span};
+use whinwall_keeper::{Found, Keeper};
+use whinwall_overrides::{saved, Book, Bounds, End, Kind, Origin, Override, Reading, Stamp, Timeline};
+
+/// The name of the store's file within its folder.
+const STORE_FILE: &str = "overrides.redb";
+/// Wall time of the stamp, in seconds since the epoch.
+const STAMP_WALL_S: u64 = 1_800_000_000;
+/// Uptime of the machine at the stamp.
+const STAMP_SINCE_BOOT_S: u64 = 5_000;
+/// How far the persistent timeline was ahead of the wall clock at the stamp.
+const TIMELINE_AHEAD_S: u64 = 7;
+
+fn at_s(seconds: u64) -> Moment {
+    Moment::at_ns(seconds * 1_000_000_000)
+}
+
+fn seconds(seconds: u64) -> Span {
+    Span::ns(seconds * 1_000_000_000)
+}
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(STORE_FILE)
+}
+
+/// A copy, as opening a store may write to it.
+fn open_copy() -> Found {
+    let folder = tempfile::tempdir().unwrap();
+    std::fs::copy(fixture(), folder.path().join(STORE_FILE)).unwrap();
+    Keeper::at(folder.path().to_path_buf()).open().unwrap()
+}
+
+fn stamp() -> Stamp {
+    let reading = Reading {
+        boot: "2d9f6c1e-boot".into(),
+        since_boot: seconds(STAMP_SINCE_BOOT_S),
+        wall: at_s(STAMP_WALL_S),
+    };
+    Stamp { reading, line: at_s(STAMP_WALL_S + TIMELINE_AHEAD_S) }
+}
+
+/// The clocks of the same boot at the moment of the stamp, in a process that counts from the stamp's line.
+fn timeline() -> Timeline {
+    let stamp = stamp();
+    Timeline::resume(stamp.line, &stamp.reading, Some(&stamp)).0
+}
+
+fn record(number: u64, id: &str, kind: Kind, ended: Option<End>) -> Override {
+    let set = at_s(STAMP_WALL_S - 1_000 + number);
+    Override {
+        number,
+        id: id.into(),
+        kind,
+        author: format!("author-{number}"),
+        reason: format!("reason {number}: käse"),
+        origin: Origin::Request,
+        set,
+        ends: set + seconds(3_600),
+        until_wall: None,
+        ended: ended.map(|end| (set + seconds(60), end)),
+    }
+}
+
+fn weight(factor: f64) -> Kind {
+    Kind::Weight { server: "s-1".into(), factor }
+}
+
+fn out(server: &str) -> Kind {
+    Kind::Out { server: server.into() }
+}
+
+fn pin(first: u32, last: u32) -> Kind {
+    Kind::Pin { first, last, server: "s-4".into() }
+}
+
+fn expected_records() -> Vec<Override> {
+    let from_file = Override {
+        origin: Origin::File,
+        until_wall: Some(at_s(STAMP_WALL_S + 9_000)),
+        ..record(3, "f-pin", pin(4, 9), None)
+    };
+    vec![
+        record(1, "w-1", weight(0.5), None),
+        record(2, "o-1", out("s-2"), None),
+        from_file,
+        record(4, "w-2", weight(2.25), Some(End::Replaced { by: "w-1".into() })),
+        record(5, "o-2", out("s-3"), Some(End::Cleared { by: "on-call".into() })),
+        record(6, "p-2", pin(17, 17), Some(End::Expired)),
+        record(8, "o-3", out("s-5"), Some(End::ClockWentBack)),
+    ]
+}
+
+#[test]
+fn store_file_of_an_earlier_release_is_read() {
+    let found = open_copy();
+    assert_eq!(found.set_aside, None);
+    let timeline = timeline();
+    let read = found.records.iter().map(|(_, bytes)| saved::read(bytes, &timeline).unwrap());
+    assert_eq!(read.collect::<Vec<_>>(), expected_records());
+}
+
+#[test]
+fn store_file_of_an_earlier_release_has_its_records_under_their_numbers() {
+    let numbers: Vec<u64> = open_copy().records.iter().map(|(number, _)| *number).collect();
+    assert_eq!(numbers, [1, 2, 3, 4, 5, 6, 8]);
+}
+
+#[test]
+fn stamp_of_an_earlier_release_is_read() {
+    let bytes = open_copy().stamp.unwrap();
+    assert_eq!(saved::read_stamp(&bytes).unwrap(), stamp());
+}
+
+#[test]
+fn records_of_an_earlier_release_are_written_again_byte_for_byte() {
+    let found = open_copy();
+    let timeline = timeline();
+    let written = expected_records().into_iter().map(|one| (one.number, saved::write(&one, &timeline)));
+    assert_eq!(written.collect::<Vec<_>>(), found.records);
+    assert_eq!(saved::write_stamp(&stamp()), found.stamp.unwrap());
+}
+
+#[test]
+fn book_is_restored_from_a_store_file_of_an_earlier_release() {
+    let found = open_copy();
+    let stamp = saved::read_stamp(&found.stamp.unwrap()).unwrap();
+    let (_, wrong) =
+        Book::restore(Bounds::default(), stamp.line, &stamp.reading, Some(&stamp), &found.records);
+    assert_eq!(wrong, Vec::<String>::new());
+}
+
+#[test]
+fn new_store_has_the_file_name_of_an_earlier_release() {
+    let folder = tempfile::tempdir().unwrap();
+    Keeper::at(folder.path().to_path_buf()).open().unwrap();
+    assert!(folder.path().join(STORE_FILE).is_file());
+}
--- /dev/null
+++ b/overrides/tests/words.rs
@@ -0,0 +1,110 @@
+//! How spans, ranges of slices, wall times and overrides are written by and for people, and the messages for what
+//! is written wrongly.
+
+use whinwall::time::{Moment, Span};
+use whinwall_overrides::{record, words, End, Kind, Refused};
+
+const DAY_S: u64 = 86_400;
+
+fn seconds(seconds: u64) -> Span {
+    Span::ns(seconds * 1_000_000_000)
+}
+
+#[test]
+fn spans_are_read_in_days_hours_minutes_and_seconds() {
+    assert_eq!(words::span("90s"), Ok(seconds(90)));
+    assert_eq!(words::span("30m"), Ok(seconds(1_800)));
+    assert_eq!(words::span("1h30m"), Ok(seconds(5_400)));
+    assert_eq!(words::span("2d3h4m5s"), Ok(seconds(2 * DAY_S + 3 * 3_600 + 4 * 60 + 5)));
+}
+
+#[test]
+fn spans_are_written_in_days_hours_minutes_and_seconds() {
+    assert_eq!(words::write_span(seconds(2 * DAY_S + 3 * 3_600 + 4 * 60 + 5)), "2d3h4m5s");
+    assert_eq!(words::write_span(seconds(90)), "1m30s");
+    assert_eq!(words::write_span(Span::ms(999)), "0s");
+}
+
+#[test]
+fn wrong_span_is_refused_with_its_message() {
+    let expected = "\"30m1h\" is no span of time; write it like 90s, 30m, 1h30m or 2d";
+    assert_eq!(words::span("30m1h"), Err(expected.into()));
+}
+
+#[test]
+fn slices_are_read_as_one_or_as_a_range() {
+    assert_eq!(words::slices("17"), Ok((17, 17)));
+    assert_eq!(words::slices("4-9"), Ok((4, 9)));
+}
+
+#[test]
+fn slices_are_written_as_one_or_as_a_range() {
+    assert_eq!(words::write_slices(17, 17), "17");
+    assert_eq!(words::write_slices(4, 9), "4-9");
+}
+
+#[test]
+fn wrong_slices_are_refused_with_their_messages() {
+    let no_range = "\"x\" is no slice or range of slices; write it like 17 or 4-9";
+    assert_eq!(words::slices("x"), Err(no_range.into()));
+    assert_eq!(words::slices("9-4"), Err("\"9-4\" ends before it begins".into()));
+}
+
+#[test]
+fn wall_time_is_read_and_written_as_rfc_3339() {
+    let at = Moment::at_ns(1_796_162_400_000_000_000);
+    assert_eq!(words::wall("2026-12-01T22:00:00Z"), Ok(at));
+    assert_eq!(words::wall("2026-12-01T23:00:00+01:00"), Ok(at));
+    assert_eq!(words::write_wall(at), "2026-12-01T22:00:00Z");
+}
+
+#[test]
+fn wrong_wall_time_is_refused_with_its_message() {
+    let message = words::wall("tomorrow").unwrap_err();
+    assert!(message.starts_with("\"tomorrow\" is no point in time like 2026-12-01T22:00:00Z: "), "{message}");
+    assert_eq!(words::wall("1960-01-01T00:00:00Z"), Err("\"1960-01-01T00:00:00Z\" is out of range".into()));
+}
+
+#[test]
+fn kinds_are_shown_in_words() {
+    let server = || "s-3".to_string();
+    assert_eq!(Kind::Weight { server: server(), factor: 0.5 }.to_string(), "weight 0.5 on s-3");
+    assert_eq!(Kind::Out { server: server() }.to_string(), "s-3 out of service");
+    assert_eq!(Kind::Pin { first: 4, last: 9, server: server() }.to_string(), "slices 4-9 pinned to s-3");
+}
+
+#[test]
+fn ends_are_shown_in_words() {
+    assert_eq!(End::Expired.to_string(), "expired");
+    assert_eq!(End::Cleared { by: "jo".into() }.to_string(), "cleared by jo");
+    assert_eq!(End::Replaced { by: "b-2".into() }.to_string(), "replaced by b-2");
+    assert_eq!(End::ClockWentBack.to_string(), "the clock went back over a restart");
+}
+
+#[test]
+fn refusals_are_shown_in_words() {
+    let id = || "a".to_string();
+    assert_eq!(Refused::Wrong { part: "for", why: "too long".into() }.to_string(), "for: too long");
+    assert_eq!(Refused::Taken { id: id() }.to_string(), "a is another override already");
+    assert_eq!(Refused::Full { most: 3 }.to_string(), "3 overrides stand already, which is the most");
+    assert_eq!(Refused::Unknown { id: id() }.to_string(), "there is no override a");
+}
+
+#[test]
+fn wrong_parts_are_refused_with_their_names_and_messages() {
+    let out = Kind::Out { server: "s".into() };
+    let refused = |part, why: &str| Err((part, why.to_string()));
+    let id = "\"a b\" is not 1 to 64 letters, digits, dots, dashes or underscores";
+    assert_eq!(record::check("a b", &out, "mb", "disk"), refused("id", id));
+    let no_server = Kind::Out { server: String::new() };
+    let server = "it must have 1 to 128 bytes and no control characters";
+    assert_eq!(record::check("a", &no_server, "mb", "disk"), refused("server", server));
+    let author = "it must have 1 to 64 bytes and no control characters";
+    assert_eq!(record::check("a", &out, "", "disk"), refused("author", author));
+    let reason = "it must have 1 to 200 bytes and no control characters";
+    assert_eq!(record::check("a", &out, "mb", ""), refused("reason", reason));
+    let heavy = Kind::Weight { server: "s".into(), factor: 101.0 };
+    assert_eq!(record::check("a", &heavy, "mb", "disk"), refused("factor", "101 is not from 0.01 to 100"));
+    let backward = Kind::Pin { first: 9, last: 4, server: "s".into() };
+    assert_eq!(record::check("a", &backward, "mb", "disk"), refused("slices", "9-4 ends before it begins"));
+}
