--- /dev/null
+++ b/aggregation/tests/help.rs
@@ -0,0 +1,20 @@
+//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
+//! name may change; it reads `PROGRAM` here.
+
+#[path = "../../tests/shared/help_text.rs"]
+mod help_text;
+
+use help_text::help_text;
+
+const AGGREGATOR: &str = env!("CARGO_BIN_EXE_whinwall-aggregator");
+const BENCH: &str = env!("CARGO_BIN_EXE_aggregation-bench");
+
+#[test]
+fn help_of_the_aggregator_program() {
+    assert_eq!(help_text(AGGREGATOR, ""), include_str!("fixtures/help/aggregator.txt"));
+}
+
+#[test]
+fn help_of_the_bench_program() {
+    assert_eq!(help_text(BENCH, ""), include_str!("fixtures/help/bench.txt"));
+}
--- /dev/null
+++ b/cli/tests/help.rs
@@ -0,0 +1,67 @@
+//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
+//! name may change; it reads `PROGRAM` here.
+
+#[path = "../../tests/shared/help_text.rs"]
+mod help_text;
+
+use help_text::help_text;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_whinwall");
+
+#[test]
+fn help_of_the_program() {
+    assert_eq!(help_text(PROGRAM, ""), include_str!("fixtures/help/command.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_override() {
+    assert_eq!(help_text(PROGRAM, "override"), include_str!("fixtures/help/override.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_override_set() {
+    assert_eq!(help_text(PROGRAM, "override set"), include_str!("fixtures/help/override-set.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_override_set_weight() {
+    assert_eq!(
+        help_text(PROGRAM, "override set weight"),
+        include_str!("fixtures/help/override-set-weight.txt")
+    );
+}
+
+#[test]
+fn help_of_the_subcommand_override_set_out() {
+    assert_eq!(help_text(PROGRAM, "override set out"), include_str!("fixtures/help/override-set-out.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_override_set_pin() {
+    assert_eq!(help_text(PROGRAM, "override set pin"), include_str!("fixtures/help/override-set-pin.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_override_clear() {
+    assert_eq!(help_text(PROGRAM, "override clear"), include_str!("fixtures/help/override-clear.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_override_list() {
+    assert_eq!(help_text(PROGRAM, "override list"), include_str!("fixtures/help/override-list.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_status() {
+    assert_eq!(help_text(PROGRAM, "status"), include_str!("fixtures/help/status.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_check() {
+    assert_eq!(help_text(PROGRAM, "check"), include_str!("fixtures/help/check.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_completions() {
+    assert_eq!(help_text(PROGRAM, "completions"), include_str!("fixtures/help/completions.txt"));
+}
--- /dev/null
+++ b/cli/tests/table_forms.rs
@@ -0,0 +1,143 @@
+//! The words and columns of the tables for people, and the JSON for scripts, to the letter.
+
+use whinwall_cli::answers::Said;
+use whinwall_cli::tables;
+use whinwall_management::client::Failure;
+use whinwall_management::wire::{Failing, Item, KindName, List, Outcome, Reports, State, Subsetting};
+
+fn item(id: &str, kind: KindName) -> Item {
+    Item {
+        id: id.into(),
+        kind,
+        server: "s-1".into(),
+        factor: (kind == KindName::Weight).then_some(0.5),
+        slices: (kind == KindName::Pin).then(|| "4-9".into()),
+        author: "mb".into(),
+        reason: "disk is failing".into(),
+        origin: "request".into(),
+        set: "2026-12-01T21:30:00Z".into(),
+        ends: "2026-12-01T22:00:00Z".into(),
+        left_s: 1_800.0,
+        state: "in force".into(),
+        cause: None,
+    }
+}
+
+fn suspended(id: &str) -> Item {
+    let cause = Some("no other server is well".into());
+    Item { state: "suspended".into(), cause, ..item(id, KindName::Out) }
+}
+
+fn said(lists: &[&[Item]]) -> Said<List> {
+    let list = |(n, items): (usize, &&[Item])| {
+        let place = format!("127.0.0.1:{}", 8600 + n).parse().unwrap();
+        (place, Ok(List { overrides: items.to_vec() }))
+    };
+    lists.iter().enumerate().map(list).collect()
+}
+
+#[test]
+fn table_of_overrides_has_its_headings_and_cells() {
+    let items = [item("w", KindName::Weight), suspended("out-1"), item("p", KindName::Pin)];
+    let rows = tables::rows(&said(&[&items]), false);
+    assert_eq!(tables::list(&rows, 1), include_str!("fixtures/override-list.txt"));
+}
+
+#[test]
+fn table_of_overrides_notes_where_governors_disagree() {
+    let rows = tables::rows(&said(&[&[suspended("a")], &[]]), false);
+    assert_eq!(tables::list(&rows, 2), include_str!("fixtures/override-list-disagreement.txt"));
+}
+
+#[test]
+fn empty_table_of_overrides_says_so() {
+    assert_eq!(tables::list(&[], 1), "no overrides\n");
+}
+
+#[test]
+fn overrides_have_their_json_form() {
+    let rows = tables::rows(&said(&[&[suspended("a")], &[]]), false);
+    let item = r#"{"author":"mb","cause":"no other server is well","ends":"2026-12-01T22:00:00Z","id":"a","kind":"out","left_s":1800.0,"origin":"request","reason":"disk is failing","server":"s-1","set":"2026-12-01T21:30:00Z","state":"suspended"}"#;
+    let expected = format!(
+        r#"{{"overrides":[{{"agrees":false,"governors":{{"127.0.0.1:8600":{item},"127.0.0.1:8601":null}},"id":"a"}}]}}"#
+    );
+    assert_eq!(tables::json(&rows), expected);
+}
+
+fn outcome(kept: &str, item: Item) -> String {
+    tables::outcome(&Outcome { outcome: "set".into(), kept: kept.into(), item })
+}
+
+#[test]
+fn outcome_of_an_override_on_disk_has_its_words() {
+    let expected = "a set: s-1 out of service, ends 2026-12-01T22:00:00Z (30m); in force";
+    assert_eq!(outcome("on disk", item("a", KindName::Out)), expected);
+}
+
+#[test]
+fn outcome_of_an_override_that_is_not_on_disk_has_its_words() {
+    let expected = "a set: s-1 out of service, ends 2026-12-01T22:00:00Z (30m); in force";
+    let nowhere = format!("{expected}; kept nowhere: it ends with the governor");
+    assert_eq!(outcome("nowhere", item("a", KindName::Out)), nowhere);
+    let not_yet = format!("{expected}; not on disk yet: full");
+    assert_eq!(outcome("not on disk yet: full", item("a", KindName::Out)), not_yet);
+}
+
+#[test]
+fn outcome_of_an_override_that_has_ended_has_its_words() {
+    let cause = Some("expired at 2026-12-01T22:00:00Z".into());
+    let ended = Item { state: "ended".into(), cause, ..item("a", KindName::Out) };
+    let expected = "a set: s-1 out of service; ended: expired at 2026-12-01T22:00:00Z";
+    assert_eq!(outcome("on disk", ended), expected);
+}
+
+fn state() -> State {
+    State {
+        name: "n1".into(),
+        version: "0.1.0".into(),
+        up_s: 65.0,
+        proxies: 3,
+        slices: 6,
+        servers: 2200,
+        orders_open: true,
+        failing: vec![Failing { what: "discovery".into(), times: 4 }],
+        overrides_standing: 1,
+        overrides_listed: 2,
+        subsetting: Some(Subsetting {
+            governors: 650,
+            aggregators: 4,
+            subset: 48,
+            own_replicas: 51,
+            listed_replicas: 2200,
+            budget_bytes_per_s: 27_000,
+        }),
+        reports: Some(Reports { bytes_per_s: 21_300.4, age_s: Some(0.84), stale: true, partial_replicas: 7 }),
+    }
+}
+
+#[test]
+fn status_with_every_part_has_its_words() {
+    let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 servers; 1 overrides stand, 2 listed; \
+                    failing: discovery (4 times); orders are open; steers 51 of 2200 replicas (48 wished) \
+                    among 650 governors; 4 aggregators may tell it 27000 bytes a second; told 21300 bytes a \
+                    second, the latest report 0.8 s old, STALE: no replica is judged, 7 replicas reported in \
+                    part";
+    assert_eq!(tables::status(&state()), expected);
+}
+
+#[test]
+fn status_where_nothing_fails_has_its_words() {
+    let state = State { orders_open: false, failing: vec![], subsetting: None, reports: None, ..state() };
+    let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 servers; 1 overrides stand, 2 listed; \
+                    nothing fails";
+    assert_eq!(tables::status(&state), expected);
+}
+
+#[test]
+fn failures_of_calls_have_their_words() {
+    let problem = whinwall_management::wire::Problem::new("no such override");
+    assert_eq!(Failure::NotSent("away".into()).to_string(), "not sent: away");
+    assert_eq!(Failure::OutcomeUnknown("cut off".into()).to_string(), "outcome unknown: cut off");
+    assert_eq!(Failure::NotNow("busy".into()).to_string(), "not now: busy");
+    assert_eq!(Failure::Refused { code: 404, problem }.to_string(), "refused: no such override");
+}
--- /dev/null
+++ b/faults/tests/help.rs
@@ -0,0 +1,29 @@
+//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
+//! name may change; it reads `PROGRAM` here.
+
+#[path = "../../tests/shared/help_text.rs"]
+mod help_text;
+
+use help_text::help_text;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_whinwall-faults");
+
+#[test]
+fn help_of_the_program() {
+    assert_eq!(help_text(PROGRAM, ""), include_str!("fixtures/help/faults.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_check() {
+    assert_eq!(help_text(PROGRAM, "check"), include_str!("fixtures/help/check.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_run() {
+    assert_eq!(help_text(PROGRAM, "run"), include_str!("fixtures/help/run.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_replay() {
+    assert_eq!(help_text(PROGRAM, "replay"), include_str!("fixtures/help/replay.txt"));
+}
--- /dev/null
+++ b/lab/tests/help.rs
@@ -0,0 +1,44 @@
+//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
+//! name may change; it reads `PROGRAM` here.
+
+#[path = "../../tests/shared/help_text.rs"]
+mod help_text;
+
+use help_text::help_text;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_whinwall-lab");
+
+#[test]
+fn help_of_the_program() {
+    assert_eq!(help_text(PROGRAM, ""), include_str!("fixtures/help/lab.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_run() {
+    assert_eq!(help_text(PROGRAM, "run"), include_str!("fixtures/help/run.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_report() {
+    assert_eq!(help_text(PROGRAM, "report"), include_str!("fixtures/help/report.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_compare() {
+    assert_eq!(help_text(PROGRAM, "compare"), include_str!("fixtures/help/compare.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_against() {
+    assert_eq!(help_text(PROGRAM, "against"), include_str!("fixtures/help/against.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_worst() {
+    assert_eq!(help_text(PROGRAM, "worst"), include_str!("fixtures/help/worst.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_explain() {
+    assert_eq!(help_text(PROGRAM, "explain"), include_str!("fixtures/help/explain.txt"));
+}
--- /dev/null
+++ b/scale/tests/help.rs
@@ -0,0 +1,29 @@
+//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
+//! name may change; it reads `PROGRAM` here.
+
+#[path = "../../tests/shared/help_text.rs"]
+mod help_text;
+
+use help_text::help_text;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_whinwall-scale");
+
+#[test]
+fn help_of_the_program() {
+    assert_eq!(help_text(PROGRAM, ""), include_str!("fixtures/help/scale.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_one() {
+    assert_eq!(help_text(PROGRAM, "one"), include_str!("fixtures/help/one.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_many() {
+    assert_eq!(help_text(PROGRAM, "many"), include_str!("fixtures/help/many.txt"));
+}
+
+#[test]
+fn help_of_the_subcommand_decisions() {
+    assert_eq!(help_text(PROGRAM, "decisions"), include_str!("fixtures/help/decisions.txt"));
+}
