--- /dev/null
+++ b/governor/tests/discovery_wire.rs
@@ -0,0 +1,78 @@
+//! The exact text between the governor and discovery's agent. Each line has every field, with a value that is
+//! not its default, so that a renamed field or word fails here.
+
+use whinwall_governor::protocol::discovery::{decode, watch_path, Entry, List, State};
+
+const ALL_FIELDS: &str = r#"{"version":41,"full":true,"servers":[{"id":"s-5be2a07c","zone":"b","kind":"m-large","state":"active","weight":2.5,"started_ms":1700000000123}]}"#;
+const REQUIRED_FIELDS: &str =
+    r#"{"version":42,"full":false,"servers":[{"id":"s-1","zone":"a","state":"left"}]}"#;
+
+fn why_refused(line: &str) -> String {
+    decode(line).unwrap_err().to_string()
+}
+
+#[test]
+fn a_whole_list_is_decoded_with_every_field() {
+    let entry = Entry {
+        server: "s-5be2a07c".into(),
+        place: "b".into(),
+        machine: "m-large".into(),
+        state: State::Ready,
+        size: 2.5,
+        started_ms: 1_700_000_000_123,
+    };
+    let expected = List { version: 41, whole: true, entries: vec![entry] };
+    assert_eq!(decode(ALL_FIELDS), Ok(Some(expected)));
+}
+
+#[test]
+fn a_list_of_changes_is_decoded_with_defaults() {
+    let entry = Entry {
+        server: "s-1".into(),
+        place: "a".into(),
+        machine: String::new(),
+        state: State::Gone,
+        size: 1.0,
+        started_ms: 0,
+    };
+    let expected = List { version: 42, whole: false, entries: vec![entry] };
+    assert_eq!(decode(REQUIRED_FIELDS), Ok(Some(expected)));
+}
+
+#[test]
+fn each_state_word_is_decoded() {
+    for (word, state) in [("active", State::Ready), ("leaving", State::Draining), ("left", State::Gone)] {
+        let line = ALL_FIELDS.replace("active", word);
+        let list = decode(&line).unwrap().unwrap();
+        assert_eq!(list.entries[0].state, state, "{word}");
+    }
+    assert!(why_refused(&ALL_FIELDS.replace("active", "ready"))
+        .starts_with("unknown variant `ready`, expected one of `active`, `leaving`, `left`"));
+}
+
+#[test]
+fn required_fields_are_named_where_they_are_missing() {
+    for field in ["version", "full", "servers", "id", "zone", "state"] {
+        let line = REQUIRED_FIELDS.replace(&format!("\"{field}\":"), "\"renamed\":");
+        let why = why_refused(&line);
+        assert!(why.starts_with(&format!("missing field `{field}`")), "{why}");
+    }
+}
+
+#[test]
+fn an_absurd_weight_is_refused() {
+    let line = ALL_FIELDS.replace("2.5", "-1");
+    assert!(why_refused(&line).starts_with("an absurd size, in "));
+}
+
+#[test]
+fn an_empty_line_is_a_sign_of_life() {
+    assert_eq!(decode(""), Ok(None));
+    assert_eq!(decode(" \r"), Ok(None));
+}
+
+#[test]
+fn the_path_of_a_watch_is_written_to_the_letter() {
+    assert_eq!(watch_path(0), "/registry/instances?follow=1&since=0");
+    assert_eq!(watch_path(41), "/registry/instances?follow=1&since=41");
+}
