--- /dev/null
+++ b/governor/tests/request_bytes.rs
@@ -0,0 +1,86 @@
+//! The exact bytes that the governor's transport writes to discovery and the relay, read from a plain socket.
+
+use std::io::Read;
+use std::net::{SocketAddr, TcpListener};
+use std::thread::{self, JoinHandle};
+use std::time::Duration;
+use tokio::sync::{mpsc, watch as at};
+use whinwall_governor::protocol::discovery::watch_path;
+use whinwall_governor::protocol::relay::{encode_call, WATCH};
+use whinwall_governor::transport::{calls, news, watch};
+
+/// Far longer than a request takes.
+const PATIENCE: Duration = Duration::from_secs(20);
+
+/// Takes one connection, and returns what is written to it until its last bytes are these.
+fn listen(until: &'static str) -> (SocketAddr, JoinHandle<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let read = move || {
+        let (mut stream, _) = listener.accept().unwrap();
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let (mut text, mut byte) = (Vec::new(), [0]);
+        while !text.ends_with(until.as_bytes()) && stream.read(&mut byte).is_ok_and(|read| read > 0) {
+            text.extend(byte);
+        }
+        String::from_utf8(text).unwrap()
+    };
+    (address, thread::spawn(read))
+}
+
+/// The lines of a request's head with its header fields in order, because the client writes them in no certain
+/// one, and without the value of the date.
+fn lines_in_order(head: &str) -> Vec<&str> {
+    let without_date = |line| if str::starts_with(line, "date: ") { "date: _" } else { line };
+    let mut lines: Vec<_> = head.split("\r\n").map(without_date).collect();
+    lines[1..].sort_unstable();
+    lines
+}
+
+#[test]
+fn discoverys_watch_is_one_get_request() {
+    let (discovery, heard) = listen("\r\n\r\n");
+    let head = actix_rt::System::new().block_on(async {
+        let (inbox, _arrived) = mpsc::channel(1);
+        let url = format!("http://{discovery}{}", watch_path(41));
+        actix_rt::spawn(watch::follow(1, awc::Client::builder().disable_timeout().finish(), url, inbox));
+        actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
+    });
+    let host = format!("host: {discovery}");
+    let expected = [
+        "GET /registry/instances?follow=1&since=41 HTTP/1.1",
+        // The empty lines that end the head.
+        "",
+        "",
+        "accept-encoding: identity",
+        "content-length: 0",
+        "date: _",
+        host.as_str(),
+    ];
+    assert_eq!(lines_in_order(&head), expected, "{head:?}");
+}
+
+#[test]
+fn the_relays_watch_is_one_line() {
+    let (relay, heard) = listen("\n");
+    let line = actix_rt::System::new().block_on(async {
+        let (inbox, _arrived) = mpsc::channel(1);
+        actix_rt::spawn(news::follow(1, relay, WATCH, inbox));
+        actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
+    });
+    assert_eq!(line, "WATCH\r\n");
+}
+
+#[test]
+fn a_call_on_the_relay_is_one_line() {
+    let (relay, heard) = listen("\n");
+    let line = actix_rt::System::new().block_on(async {
+        let ((make, to_make), (inbox, _arrived)) = (mpsc::channel(1), mpsc::channel(1));
+        let (_at, at_relay) = at::channel(Some(relay));
+        actix_rt::spawn(calls::serve(to_make, at_relay, inbox));
+        let line = encode_call(&["SET,1,s-1,1", "SYNC,9,0"]);
+        make.send(calls::Call { relay, line, afresh: false }).await.unwrap();
+        actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
+    });
+    assert_eq!(line, "APPLY SET,1,s-1,1;SYNC,9,0\r\n");
+}
--- /dev/null
+++ b/governor/tests/start_configuration.rs
@@ -0,0 +1,215 @@
+//! The exact names of the keys of the file that `PROXY_CONFIG` names, and of the environment variables. The fixture
+//! has every key, each with a value that is not its default; operator mistakes are answered with the key's name.
+
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::Command;
+use tracing::level_filters::LevelFilter;
+use whinwall_governor::program::configuration::{read, Start, Surroundings};
+use whinwall_governor::protocol::discovery::{Entry, List, State};
+
+fn fixture(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn every_key() -> Value {
+    serde_json::from_slice(&std::fs::read(fixture("config.json")).unwrap()).unwrap()
+}
+
+/// What starts from the fixture's file, with a second file of the operators.
+fn surroundings() -> Surroundings {
+    let operators = Some(fixture("operators.xml"));
+    Surroundings { file: Some(fixture("config.json")), operators, ..Surroundings::default() }
+}
+
+fn start_from(file: &Value) -> Result<Start, String> {
+    let written = tempfile::NamedTempFile::new().unwrap();
+    std::fs::write(written.path(), file.to_string()).unwrap();
+    read(Surroundings { file: Some(written.path().into()), ..Surroundings::default() })
+}
+
+/// The error where the value at `pointer` is another.
+fn error_with(pointer: &str, value: Value) -> String {
+    let mut file = every_key();
+    *file.pointer_mut(pointer).unwrap() = value;
+    start_from(&file).unwrap_err()
+}
+
+/// The file without a key of the object at `pointer`.
+fn without(pointer: &str, key: &str) -> Value {
+    let mut file = every_key();
+    file.pointer_mut(pointer).unwrap().as_object_mut().unwrap().remove(key).unwrap();
+    file
+}
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+#[test]
+fn every_key_of_the_file_is_read() {
+    let start = read(surroundings()).unwrap();
+    assert_eq!(start.name, "g0");
+    assert_eq!(start.listen, address(7101));
+    assert_eq!(start.targets.discovery, address(7102));
+    assert_eq!(start.targets.relay, address(7103));
+    assert_eq!(start.seed, 255);
+    assert_eq!(start.cores, 2, "the fewer of the file's limits and the operators' most");
+    assert_eq!(start.settings.request_classes, ["lookup"]);
+    let entry = Entry {
+        server: "s-1".into(),
+        place: "a".into(),
+        machine: "m".into(),
+        state: State::Ready,
+        size: 2.5,
+        started_ms: 7,
+    };
+    assert_eq!(start.known, List { version: 41, whole: true, entries: vec![entry] });
+}
+
+#[test]
+fn the_operators_file_is_taken_along() {
+    let start = read(surroundings()).unwrap();
+    assert_eq!(start.operators.as_ref().and_then(|file| file.cores), Some(8));
+    assert!(start.fleet.is_some());
+}
+
+#[test]
+fn limits_of_sockets_and_memory_are_read() {
+    let one_core = without("/limits", "cores");
+    let start = start_from(&one_core).unwrap();
+    assert_eq!(start.line_bytes, 64_000_000 / whinwall_governor::transport::limits::LINES_PART);
+    assert_eq!(start.connections, 500 - whinwall_governor::transport::limits::RESERVED);
+}
+
+#[test]
+fn keys_that_are_left_out_have_defaults() {
+    let start = start_from(&without("", "limits")).unwrap();
+    assert_eq!(start.line_bytes, 192_000_000 / whinwall_governor::transport::limits::LINES_PART);
+    assert_eq!(start.connections, 1024 - whinwall_governor::transport::limits::RESERVED);
+    assert_eq!(start_from(&without("", "known")).unwrap().known, List::default());
+    let seeds = [json!(255), json!("ff")].map(|seed| {
+        let mut file = every_key();
+        file["seed"] = seed;
+        start_from(&file).unwrap().seed
+    });
+    assert_eq!(seeds, [255, 255]);
+}
+
+#[test]
+fn variables_win_over_the_file() {
+    let start = read(Surroundings {
+        name: Some("g1".into()),
+        listen: Some("127.0.0.1:8101".into()),
+        discovery: Some("127.0.0.1:8102".into()),
+        ..surroundings()
+    });
+    let start = start.unwrap();
+    assert_eq!(start.name, "g1");
+    assert_eq!(start.listen, address(8101));
+    assert_eq!(start.targets.discovery, address(8102));
+}
+
+#[test]
+fn required_keys_are_named_where_they_are_missing() {
+    let missing = |pointer, key| start_from(&without(pointer, key)).unwrap_err();
+    assert_eq!(missing("", "name"), "name is given neither in the file nor as PROXY_NAME");
+    assert_eq!(missing("", "listen"), "listen is given neither in the file nor as PROXY_LISTEN");
+    assert_eq!(missing("", "discovery"), "discovery is given neither in the file nor as PROXY_DISCOVERY");
+    assert_eq!(missing("", "distributor"), "missing field `distributor`");
+    assert_eq!(missing("", "settings"), "missing field `settings`");
+    assert_eq!(missing("/distributor", "address"), "distributor: missing field `address`");
+}
+
+#[test]
+fn faulty_values_are_named_by_their_key() {
+    let no_address = |key: &str| format!("{key}: \"x\" is no address: invalid socket address syntax");
+    assert_eq!(error_with("/listen", json!("x")), no_address("listen"));
+    assert_eq!(error_with("/discovery", json!("x")), no_address("discovery"));
+    assert_eq!(error_with("/distributor/address", json!("x")), no_address("distributor.address"));
+    assert_eq!(error_with("/limits/sockets", json!(0)), "limits.sockets: 0 are too few");
+    let wrong_type = error_with("/limits/memory_mb", json!("x"));
+    assert_eq!(wrong_type, "limits.memory_mb: invalid type: string \"x\", expected f64");
+    let wrong_type = error_with("/limits/cores", json!("x"));
+    assert_eq!(wrong_type, "limits.cores: invalid type: string \"x\", expected f64");
+    assert_eq!(error_with("/seed", json!("x")), "seed: invalid digit found in string");
+}
+
+#[test]
+fn errors_of_the_files_name_the_variable_or_the_file() {
+    let why = read(Surroundings::default()).unwrap_err();
+    assert_eq!(why, "PROXY_CONFIG is not set; it names the configuration file");
+    let why = read(Surroundings { file: Some("/absent/file".into()), ..Surroundings::default() });
+    assert!(why.unwrap_err().starts_with("PROXY_CONFIG: /absent/file: "));
+    let why = read(Surroundings { operators: Some("/absent/operators".into()), ..surroundings() });
+    assert!(why.unwrap_err().starts_with("/absent/operators: "));
+}
+
+#[test]
+fn keys_that_need_a_new_start_are_named_to_the_letter() {
+    let written = tempfile::NamedTempFile::new().unwrap();
+    let mut file = every_key();
+    std::fs::write(written.path(), file.to_string()).unwrap();
+    let around = Surroundings { file: Some(written.path().into()), ..Surroundings::default() };
+    let mut start = read(around).unwrap();
+    file["name"] = json!("g1");
+    file["listen"] = json!("127.0.0.1:9101");
+    file["limits"]["sockets"] = json!(400);
+    file["settings"]["membershipMode"] = json!("ask");
+    std::fs::write(written.path(), file.to_string()).unwrap();
+    assert_eq!(start.read_anew().unwrap(), ["name", "listen", "limits", "settings"]);
+}
+
+#[test]
+fn log_variables_are_read_and_named_where_they_are_faulty() {
+    let logging = |level: Option<&str>, lines: Option<&str>| {
+        let (log_level, log_lines) = (level.map(str::to_string), lines.map(str::to_string));
+        Surroundings { log_level, log_lines, ..Surroundings::default() }.logging()
+    };
+    assert_eq!(logging(None, None), Ok((LevelFilter::INFO, 40)));
+    assert_eq!(logging(Some("debug"), Some("7")), Ok((LevelFilter::DEBUG, 7)));
+    let why = logging(Some("loud"), None).unwrap_err();
+    assert_eq!(why, "WHINWALL_LOG: no level (error, warn, info, debug)");
+    let why = logging(None, Some("x")).unwrap_err();
+    assert_eq!(why, "WHINWALL_LOG_LINES: invalid digit found in string");
+}
+
+/// Set for the process that only shows what it finds around it.
+const SHOW: &str = "TEST_SHOWS_ITS_SURROUNDINGS";
+
+/// Does nothing but in a process that the next test starts: variables of this one are shared by all tests.
+#[test]
+fn surroundings_of_a_process_are_shown() {
+    if std::env::var_os(SHOW).is_some() {
+        println!("{:?}", Surroundings::of_process());
+    }
+}
+
+#[test]
+fn environment_variables_are_read_by_their_names() {
+    let output = Command::new(std::env::current_exe().unwrap())
+        .args(["--exact", "surroundings_of_a_process_are_shown", "--nocapture"])
+        .env_clear()
+        .env(SHOW, "1")
+        .env("PROXY_NAME", "the-name")
+        .env("PROXY_LISTEN", "the-listen")
+        .env("PROXY_DISCOVERY", "the-discovery")
+        .env("PROXY_CONFIG", "the-config")
+        .env("WHINWALL_LOG", "the-level")
+        .env("WHINWALL_LOG_LINES", "the-lines")
+        .env("WHINWALL_OPERATORS", "the-operators")
+        .output()
+        .unwrap();
+    let expected = Surroundings {
+        name: Some("the-name".into()),
+        listen: Some("the-listen".into()),
+        discovery: Some("the-discovery".into()),
+        file: Some("the-config".into()),
+        log_level: Some("the-level".into()),
+        log_lines: Some("the-lines".into()),
+        operators: Some("the-operators".into()),
+    };
+    let shown = String::from_utf8(output.stdout).unwrap();
+    assert!(shown.contains(&format!("{expected:?}")), "{shown}");
+}
--- /dev/null
+++ b/settings/tests/every_key.rs
@@ -0,0 +1,158 @@
+//! The exact names of the keys of the deployment settings, and of the words among their values. The fixture has
+//! every key that the parser reads, each with a value that is not its default.
+
+use serde_json::Value;
+use whinwall::time::Span;
+use whinwall_settings::{read, Settings};
+
+fn every_key() -> Value {
+    serde_json::from_str(include_str!("fixtures/every_key.json")).unwrap()
+}
+
+/// The settings of the fixture with one value changed.
+fn with(pointer: &str, value: Value) -> Value {
+    let mut settings = every_key();
+    *settings.pointer_mut(pointer).unwrap() = value;
+    settings
+}
+
+/// The settings of the fixture with one key of the object at `pointer` left out.
+fn without(pointer: &str, key: &str) -> Value {
+    let mut settings = every_key();
+    let object = settings.pointer_mut(pointer).and_then(Value::as_object_mut).unwrap();
+    object.remove(key).unwrap_or_else(|| panic!("the fixture has no {key} in {pointer:?}"));
+    settings
+}
+
+fn parsed(settings: &Value) -> Settings {
+    read(settings).unwrap()
+}
+
+#[test]
+fn keys_of_the_document_are_read() {
+    let Settings { deployment, request_classes, zones } = parsed(&every_key());
+    assert_eq!(request_classes, ["lookup", "write"]);
+    assert_eq!(zones, ["a", "b", "c"]);
+    assert_eq!(deployment.governors, 5);
+    assert_eq!(deployment.number, 3);
+    assert!(deployment.list_pushed);
+    assert!(deployment.sizes_known);
+}
+
+#[test]
+fn keys_of_request_classes_are_read() {
+    let deployment = parsed(&every_key()).deployment;
+    let classes: Vec<_> =
+        deployment.op_types.iter().map(|class| (class.payoff, class.target_latency)).collect();
+    assert_eq!(classes, [(1.5, Span::ms(20)), (4.0, Span::ms(45))]);
+}
+
+#[test]
+fn keys_of_family_info_are_read() {
+    let deployment = parsed(&every_key()).deployment;
+    assert_eq!(deployment.report_period, Span::ms(250));
+    assert!(deployment.levels_followed);
+    assert_eq!(deployment.slices, 96);
+    assert!(deployment.single_writer);
+    assert_eq!(deployment.tenure, Span::ms(3000));
+    assert_eq!(deployment.write_life, Span::ms(1100));
+    assert_eq!(deployment.message_head, 12.5);
+    assert_eq!(deployment.pace, 800.0);
+    assert_eq!(deployment.queue_cap, 640.0);
+    assert_eq!(deployment.message_cap, 7);
+    assert_eq!(deployment.message_window, Span::ms(60_000));
+}
+
+#[test]
+fn keys_of_obligations_are_read() {
+    let deployment = parsed(&every_key()).deployment;
+    assert!(deployment.gone_is_advice);
+    assert_eq!(deployment.cold_share, 0.3);
+    assert_eq!(deployment.warm_after, Span::ms(9000));
+    assert_eq!(deployment.fall_multiple, 2.5);
+    assert_eq!(deployment.drain_grace, Span::ms(5000));
+}
+
+#[test]
+fn optional_keys_have_defaults() {
+    let deployment_without = |pointer, key| parsed(&without(pointer, key)).deployment;
+    assert_eq!(deployment_without("", "peersTotal").governors, 1);
+    assert_eq!(deployment_without("", "me").number, u32::MAX);
+    assert!(!deployment_without("", "weights").sizes_known);
+    assert!(parsed(&without("", "zones")).zones.is_empty());
+    assert_eq!(deployment_without("/familyInfo", "periodNs").report_period, Span::default());
+    assert!(!deployment_without("/familyInfo", "levelKind").levels_followed);
+    assert_eq!(deployment_without("/familyInfo", "partitionsN").slices, 0);
+    assert!(!deployment_without("/familyInfo", "singleWriter").single_writer);
+    assert_eq!(deployment_without("/familyInfo", "tenureNs").tenure, Span::default());
+    assert_eq!(deployment_without("/familyInfo", "writeLifeNs").write_life, Span::default());
+    assert_eq!(deployment_without("/familyInfo", "updateCap").message_cap, 0);
+    assert_eq!(deployment_without("/familyInfo", "reloadSpanNs").message_window, Span::default());
+    assert!(!deployment_without("/obligations", "goneIsAdvice").gone_is_advice);
+    assert_eq!(deployment_without("/obligations", "drainGraceNs").drain_grace, Span::default());
+}
+
+#[test]
+fn required_keys_are_named_where_they_are_missing() {
+    let required = [
+        ("", "classes", ""),
+        ("", "familyInfo", ""),
+        ("", "obligations", ""),
+        ("", "membershipMode", ""),
+        ("/classes/0", "name", "classes[0]: "),
+        ("/classes/0", "value", "classes[0]: "),
+        ("/classes/0", "targetNs", "classes[0]: "),
+        ("/familyInfo", "fixedCost", "familyInfo: "),
+        ("/familyInfo", "pushRate", "familyInfo: "),
+        ("/familyInfo", "queueCap", "familyInfo: "),
+        ("/obligations", "coldFrom", "obligations: "),
+        ("/obligations", "warmAfterNs", "obligations: "),
+        ("/obligations", "fallMultiple", "obligations: "),
+    ];
+    for (pointer, key, place) in required {
+        let error = read(&without(pointer, key)).unwrap_err();
+        assert_eq!(error, format!("{place}missing field `{key}`"));
+    }
+}
+
+#[test]
+fn a_value_of_the_wrong_type_is_named_by_its_path() {
+    let error = read(&with("/familyInfo/pushRate", "fast".into())).unwrap_err();
+    assert_eq!(error, r#"familyInfo.pushRate: invalid type: string "fast", expected f64"#);
+    let error = read(&with("/obligations/coldFrom", (-1).into())).unwrap_err();
+    assert_eq!(error, "obligations.coldFrom: -1 is below 0");
+    let error = read(&with("/peersTotal", 1.5.into())).unwrap_err();
+    assert_eq!(error, "peersTotal: 1.5 is no count");
+}
+
+#[test]
+fn the_words_of_the_registry_mode_are_push_and_ask() {
+    assert!(parsed(&with("/membershipMode", "push".into())).deployment.list_pushed);
+    assert!(!parsed(&with("/membershipMode", "ask".into())).deployment.list_pushed);
+    let error = read(&with("/membershipMode", "pull".into())).unwrap_err();
+    assert_eq!(error, "membershipMode: unknown variant `pull`, expected `push` or `ask`");
+}
+
+#[test]
+fn sizes_count_where_weights_are_nominal_or_rough() {
+    for (word, known) in [("nominal", true), ("rough", true), ("none", false), ("", false)] {
+        assert_eq!(parsed(&with("/weights", word.into())).deployment.sizes_known, known, "{word:?}");
+    }
+}
+
+#[test]
+fn levels_are_followed_where_their_kind_is_fraction() {
+    for (word, followed) in [("fraction", true), ("rate", false), ("", false)] {
+        let deployment = parsed(&with("/familyInfo/levelKind", word.into())).deployment;
+        assert_eq!(deployment.levels_followed, followed, "{word:?}");
+    }
+}
+
+#[test]
+fn settings_without_classes_or_with_too_many_are_refused() {
+    let error = read(&with("/classes", Value::Array(Vec::new()))).unwrap_err();
+    assert_eq!(error, "classes: 0 op types, not 1 to 64");
+    let class = every_key()["classes"][0].clone();
+    let error = read(&with("/classes", Value::Array(vec![class; 65]))).unwrap_err();
+    assert_eq!(error, "classes: 65 op types, not 1 to 64");
+}
