--- a/adapter/tests/batch_lines.rs
+++ b/adapter/tests/batch_lines.rs
@@ -78,6 +78,13 @@
         (r#"["charge",true,1],["recorded",1,"x",1]"#, "recorded", "weight"),
         (r#"["installed"]"#, "installed", "number"),
         (r#"["installed","x",1]"#, "installed", "clientLb"),
+        (r#"["installed",0,70000]"#, "installed", "number"),
+        (r#"["members","whole",1]"#, "members", "sheet"),
+        (r#"["list",5,[["x"]]],["members","whole",1,5]"#, "members", "sheet"),
+        (r#"["sliceLoad",1,"what",1,1,1]"#, "sliceLoad", "category"),
+        (r#"["sliceLoad",1,"lookup","x",1,1]"#, "sliceLoad", "many"),
+        (r#"["sliceLoad",1,"lookup",1,"x",1]"#, "sliceLoad", "bad"),
+        (r#"["charge",true]"#, "charge", "mapId"),
     ];
     for (event, name, field) in malformed {
         let expected = format!("instance 1: event {name}: field {field} is missing or malformed\n");
@@ -88,9 +95,22 @@
 #[test]
 fn a_line_that_is_no_batch_ends_the_adapter_with_the_key_that_it_lacks() {
     let why = |line: &str| run(&format!("{line}\n")).1;
-    assert!(why(r#"{"parts":[]}"#).contains("line 1: nowNs is missing or no whole number"));
-    assert!(why(r#"{"nowNs":1}"#).contains("line 1: parts is missing or no array"));
-    assert!(why(r#"{"nowNs":1,"parts":[{}]}"#).contains("line 1: a part has no governorId"));
-    let no_input = why(r#"{"nowNs":1,"parts":[{"governorId":3}]}"#);
-    assert!(no_input.contains("line 1: the part of instance 3 has no input"));
+    let lacks = |line: &str, expected: &str| {
+        let log = why(line);
+        assert!(log.contains(&format!("\"line 1: {expected}\"")), "{log}");
+    };
+    lacks(r#"{"parts":[]}"#, "nowNs is missing or no whole number");
+    lacks(r#"{"nowNs":1}"#, "parts is missing or no array");
+    lacks(r#"{"nowNs":1,"parts":[{}]}"#, "a part has no governorId");
+    lacks(r#"{"nowNs":1,"parts":[{"governorId":3}]}"#, "the part of instance 3 has no input");
+    lacks("x", "no JSON: expected value at line 1 column 1");
+}
+
+#[test]
+fn events_without_their_form_are_logged() {
+    assert_eq!(log_of("1"), "instance 1: an event is not an array\n");
+    assert_eq!(log_of("[]"), "instance 1: an event has no name\n");
+    let unknown_mode = "instance 1: event members: field mode is unknown: part\n";
+    assert_eq!(log_of(r#"["members","part",1,1]"#), unknown_mode);
+    assert_eq!(log_of(r#"["recorded",1,1,1]"#), "instance 1: event recorded: it follows no charge\n");
 }
