--- a/crates/aggregation/tests/line_bytes.rs
+++ b/crates/aggregation/tests/line_bytes.rs
@@ -1,10 +1,10 @@
 //! The exact text between aggregators, governors and collectors. Each line is written out, so that a renamed
 //! field or another number format fails here.
 
-use whinwall::time::Span;
 use whinwall_aggregation::membership::Heartbeat;
 use whinwall_aggregation::sums::Sum;
 use whinwall_aggregation::wire::{self, Covered};
+use whinwall_policy::time::Span;
 
 const HEARTBEAT: &str =
     r#"{"@type":"HEARTBEAT","name":"m1","ready":true,"list_age_ms":700,"version":41,"zones":["a","b"]}"#;
--- a/crates/cli/tests/help.rs
+++ b/crates/cli/tests/help.rs
@@ -1,10 +1,7 @@
 //! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
 //! name may change; it reads `PROGRAM` here.
 
-#[path = "../../tests/shared/help_text.rs"]
-mod help_text;
-
-use help_text::help_text;
+use whinwall_test_support::help_text::help_text;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_whinwall");
 
--- a/crates/cli/tests/table_forms.rs
+++ b/crates/cli/tests/table_forms.rs
@@ -2,8 +2,8 @@
 
 use whinwall_cli::answers::Said;
 use whinwall_cli::tables;
-use whinwall_management::client::Failure;
-use whinwall_management::wire::{Failing, Item, KindName, List, Outcome, Reports, State, Subsetting};
+use whinwall_management_api::client::Failure;
+use whinwall_management_api::wire::{Failing, Item, KindName, List, Outcome, Reports, State, Subsetting};
 
 fn item(id: &str, kind: KindName) -> Item {
     Item {
@@ -135,7 +135,7 @@
 
 #[test]
 fn failures_of_calls_have_their_words() {
-    let problem = whinwall_management::wire::Problem::new("no such override");
+    let problem = whinwall_management_api::wire::Problem::new("no such override");
     assert_eq!(Failure::NotSent("away".into()).to_string(), "not sent: away");
     assert_eq!(Failure::OutcomeUnknown("cut off".into()).to_string(), "outcome unknown: cut off");
     assert_eq!(Failure::NotNow("busy".into()).to_string(), "not now: busy");
--- a/crates/controller/tests/collector_wire.rs
+++ b/crates/controller/tests/collector_wire.rs
@@ -4,11 +4,11 @@
 mod stand_ins;
 
 use stand_ins::rig::Rig;
-use whinwall_governor::protocol::collector::{
+use whinwall_protocol::collector::{
     decode, decode_slowly, encode, quick, Asked, Message, Met, Reply, Report,
 };
-use whinwall_governor::protocol::InvalidMessage;
-use whinwall_governor::routing::Effect;
+use whinwall_protocol::InvalidMessage;
+use whinwall_routing::Effect;
 
 const LOAD: &str = r#"{"@type":"LOAD","az":"b","host":"s-5be2a07c","n":212,"bad":3,"avg":41.7,"window":250.5,"missing":2,"report":{"inflight":9}}"#;
 const SHARD: &str =
--- a/crates/controller/tests/discovery_wire.rs
+++ b/crates/controller/tests/discovery_wire.rs
@@ -1,7 +1,7 @@
 //! The exact text between the governor and discovery's agent. Each line has every field, with a value that is
 //! not its default, so that a renamed field or word fails here.
 
-use whinwall_governor::protocol::discovery::{decode, watch_path, Entry, List, State};
+use whinwall_protocol::discovery::{decode, watch_path, Entry, List, State};
 
 const ALL_FIELDS: &str = r#"{"version":41,"full":true,"servers":[{"id":"s-5be2a07c","zone":"b","kind":"m-large","state":"active","weight":2.5,"started_ms":1700000000123}]}"#;
 const REQUIRED_FIELDS: &str =
--- a/crates/controller/tests/metrics_text.rs
+++ b/crates/controller/tests/metrics_text.rs
@@ -2,10 +2,10 @@
 //! The fixture is the exposition text with each value replaced by `_`.
 
 use std::time::{Duration, Instant};
-use whinwall::time::Span;
-use whinwall_cores::watch::Found;
-use whinwall_governor::program::meters::{text, Meters, ReportFigures};
-use whinwall_management::ask::ReportFreshness;
+use whinwall_controller::program::meters::{text, Meters, ReportFigures};
+use whinwall_ingest::watch::Found;
+use whinwall_management_api::ask::ReportFreshness;
+use whinwall_policy::time::Span;
 
 /// The text with `_` in place of each sample's value.
 fn without_values(text: &str) -> String {
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -1,7 +1,7 @@
 //! The exact text between the governor and the relay. Each expected line is written out, so that a renamed
 //! word, a moved field or another separator fails here.
 
-use whinwall_governor::protocol::relay::{
+use whinwall_protocol::relay::{
     decode_answer, decode_news, encode_call, Answer, News, Order, CALL_LIMIT, WATCH,
 };
 
--- a/crates/controller/tests/request_bytes.rs
+++ b/crates/controller/tests/request_bytes.rs
@@ -5,9 +5,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch as at};
-use whinwall_governor::protocol::discovery::watch_path;
-use whinwall_governor::protocol::relay::{encode_call, WATCH};
-use whinwall_governor::transport::{calls, news, watch};
+use whinwall_protocol::discovery::watch_path;
+use whinwall_protocol::relay::{encode_call, WATCH};
+use whinwall_transport::{calls, news, watch};
 
 /// Far longer than a request takes.
 const PATIENCE: Duration = Duration::from_secs(20);
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 use std::process::Command;
 use tracing::level_filters::LevelFilter;
-use whinwall_governor::program::configuration::{read, Start, Surroundings};
-use whinwall_governor::protocol::discovery::{Entry, List, State};
+use whinwall_controller::program::configuration::{read, Start, Surroundings};
+use whinwall_protocol::discovery::{Entry, List, State};
 
 fn fixture(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -79,15 +79,15 @@
 fn limits_of_sockets_and_memory_are_read() {
     let one_core = without("/limits", "cores");
     let start = start_from(&one_core).unwrap();
-    assert_eq!(start.line_bytes, 64_000_000 / whinwall_governor::transport::limits::LINES_PART);
-    assert_eq!(start.connections, 500 - whinwall_governor::transport::limits::RESERVED);
+    assert_eq!(start.line_bytes, 64_000_000 / whinwall_transport::limits::LINES_PART);
+    assert_eq!(start.connections, 500 - whinwall_transport::limits::RESERVED);
 }
 
 #[test]
 fn keys_that_are_left_out_have_defaults() {
     let start = start_from(&without("", "limits")).unwrap();
-    assert_eq!(start.line_bytes, 192_000_000 / whinwall_governor::transport::limits::LINES_PART);
-    assert_eq!(start.connections, 1024 - whinwall_governor::transport::limits::RESERVED);
+    assert_eq!(start.line_bytes, 192_000_000 / whinwall_transport::limits::LINES_PART);
+    assert_eq!(start.connections, 1024 - whinwall_transport::limits::RESERVED);
     assert_eq!(start_from(&without("", "known")).unwrap().known, List::default());
     let seeds = [json!(255), json!("ff")].map(|seed| {
         let mut file = every_key();
--- a/crates/controller/tests/store_file.rs
+++ b/crates/controller/tests/store_file.rs
@@ -3,9 +3,9 @@
 //! does.
 
 use std::path::{Path, PathBuf};
-use whinwall::time::{Moment, Span};
-use whinwall_keeper::{Found, Keeper};
+use whinwall_override_store::{Found, Keeper};
 use whinwall_overrides::{saved, Book, Bounds, End, Kind, Origin, Override, Reading, Stamp, Timeline};
+use whinwall_policy::time::{Moment, Span};
 
 /// The name of the store's file within its folder.
 const STORE_FILE: &str = "overrides.redb";
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -19,10 +19,10 @@
     version,
     after_help = "Exit codes: 0 well; 1 a rule was broken, or a difference stands out for the worse; 2 a file or argument is faulty.\n\n\
         Examples:\n  \
-        whinwall-experiments run lab/examples/failures.xml --out results/failures\n  \
-        whinwall-experiments report lab/examples/failures.xml --results results/failures --out results/failures\n  \
+        whinwall-experiments run crates/experiments/examples/failures.xml --out results/failures\n  \
+        whinwall-experiments report crates/experiments/examples/failures.xml --results results/failures --out results/failures\n  \
         whinwall-experiments compare results/before results/after\n  \
-        whinwall-experiments worst lab/examples/failures.xml --days 500 --out worst.xml\n  \
+        whinwall-experiments worst crates/experiments/examples/failures.xml --days 500 --out worst.xml\n  \
         whinwall-experiments explain worst.xml --server 3"
 )]
 struct Arguments {
--- a/crates/management-api/tests/http_text.rs
+++ b/crates/management-api/tests/http_text.rs
@@ -7,12 +7,12 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use whinwall::time::Span;
-use whinwall_management::ask::{Reply, Request};
-use whinwall_management::client::{Client, Failure, Place};
-use whinwall_management::server::{self, Asked, Doors, Serving};
-use whinwall_management::wire;
+use whinwall_management_api::ask::{Reply, Request};
+use whinwall_management_api::client::{Client, Failure, Place};
+use whinwall_management_api::server::{self, Asked, Doors, Serving};
+use whinwall_management_api::wire;
 use whinwall_overrides::{Ask, Kind};
+use whinwall_policy::time::Span;
 
 const TOKEN: &str = "a-token-of-some-length";
 const SET_OUT: &str = r#"{"kind":"out","server":"s-3","author":"mb","reason":"disk","for":"30m"}"#;
--- a/crates/management-api/tests/wire_text.rs
+++ b/crates/management-api/tests/wire_text.rs
@@ -3,13 +3,13 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
-use whinwall::interface::Heeded;
-use whinwall::time::{Moment, Span};
-use whinwall_management::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
-use whinwall_management::wire::{
+use whinwall_management_api::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
+use whinwall_management_api::wire::{
     self, Clear, Failing, Item, KindName, List, Outcome, Problem, Reports, Set, State, Subsetting,
 };
 use whinwall_overrides::{Ask, End, Kept, Kind, Order, Origin, Override, Refused};
+use whinwall_policy::interface::Heeded;
+use whinwall_policy::time::{Moment, Span};
 
 /// 2026-12-01T22:00:00Z.
 const WALL: Moment = Moment::at_ns(1_796_162_400_000_000_000);
--- a/crates/operator-config/tests/every_part.rs
+++ b/crates/operator-config/tests/every_part.rs
@@ -2,11 +2,11 @@
 //! from it, and what happens when a name is spelt differently.
 
 use std::path::PathBuf;
-use whinwall::time::{Moment, Span};
-use whinwall_operators::file::{self, Doors, LogForm, OperatorsFile};
-use whinwall_operators::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_operator_config::file::{self, Doors, LogForm, OperatorsFile};
+use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
 use whinwall_overrides::book::FileOrder;
 use whinwall_overrides::{Bounds, Kind};
+use whinwall_policy::time::{Moment, Span};
 
 const EVERY_PART: &str = include_str!("fixtures/every-part.xml");
 
--- a/crates/overrides/tests/saved_bytes.rs
+++ b/crates/overrides/tests/saved_bytes.rs
@@ -1,8 +1,8 @@
 //! The encoded form of each record and of the stamp, byte for byte: a checksum, then a protobuf message. Stores
 //! of installed releases hold these bytes.
 
-use whinwall::time::{Moment, Span};
 use whinwall_overrides::{saved, End, Kind, Origin, Override, Reading, Stamp, Timeline};
+use whinwall_policy::time::{Moment, Span};
 
 /// Process time and persistent timeline are the same here.
 fn timeline() -> Timeline {
--- a/crates/overrides/tests/words.rs
+++ b/crates/overrides/tests/words.rs
@@ -1,8 +1,8 @@
 //! How spans, ranges of slices, wall times and overrides are written by and for people, and the messages for what
 //! is written wrongly.
 
-use whinwall::time::{Moment, Span};
 use whinwall_overrides::{record, words, End, Kind, Refused};
+use whinwall_policy::time::{Moment, Span};
 
 const DAY_S: u64 = 86_400;
 
--- a/settings/tests/every_key.rs
+++ b/crates/settings/tests/every_key.rs
@@ -2,7 +2,7 @@
 //! every key that the parser reads, each with a value that is not its default.
 
 use serde_json::Value;
-use whinwall::time::Span;
+use whinwall_policy::time::Span;
 use whinwall_settings::{read, Settings};
 
 fn every_key() -> Value {
--- a/adapter/tests/batch_lines.rs
+++ b/crates/simulator-adapter/tests/batch_lines.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-const ADAPTER: &str = env!("CARGO_BIN_EXE_whinwall-adapter");
+const ADAPTER: &str = env!("CARGO_BIN_EXE_whinwall-simulator-adapter");
 
 /// What the adapter writes to its output and to its log when these lines are its input.
 fn run(batches: &str) -> (String, String) {
