--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -20,11 +20,11 @@
 pub struct Counters {
     /// Reports summed.
     pub reports: u64,
-    /// Reports of a replica that the registry lacks, or of a slice that no governor has.
+    /// Reports of a replica that the registry lacks, or of a slice that no controller has.
     pub reports_unknown: u64,
     /// Reports for which there was no room.
     pub reports_dropped: u64,
-    /// Lines to governors.
+    /// Lines to controllers.
     pub lines_sent: u64,
     /// Their bytes.
     pub bytes_sent: u64,
@@ -41,10 +41,10 @@
 pub struct State {
     /// It passes reports on.
     pub ready: bool,
-    /// Governors that are its to serve.
-    pub governors_owned: usize,
-    /// Governors that it is connected to.
-    pub governors_connected: usize,
+    /// Controllers that are its to serve.
+    pub controllers_owned: usize,
+    /// Controllers that it is connected to.
+    pub controllers_connected: usize,
     /// Other aggregators that are alive.
     pub peers_alive: usize,
     /// Zones that are known.
@@ -93,7 +93,7 @@
 
 impl Aggregator {
     /// One that has just started. `zone` is what its lines name as their zone: one of the settings' zones, as
-    /// governors read no other; without one it is the first by name of those heard when the first line goes.
+    /// controllers read no other; without one it is the first by name of those heard when the first line goes.
     pub fn new(now: Moment, configuration: Configuration, zone: Option<String>) -> Self {
         let planner = Planner::new(configuration.membership.clone(), configuration.parameters);
         let mut aggregator = Aggregator {
@@ -134,7 +134,7 @@
             Event::CollectorJoined { connection, zone } => {
                 self.collector_joined(now, connection, zone, &mut effects);
             }
-            Event::Reported { connection, report } => self.reported(now, connection, report, &mut effects),
+            Event::ReportBody { connection, report } => self.reported(now, connection, report, &mut effects),
             Event::ConnectionEnded(connection) => {
                 effects.extend(self.coverage.end(connection).map(Effect::Log));
             }
@@ -142,11 +142,13 @@
             Event::RegistryAlive => self.registry.alive(now),
             Event::RegistryLost => self.follow_at = Some(now + limits::RETRY),
             Event::HeartbeatReceived(heartbeat) => self.heartbeat(now, heartbeat, &mut effects),
-            Event::GovernorConnected(governor) => self.governor_connected(now, governor, &mut effects),
-            Event::GovernorAnswered(governor) => {
-                self.feeds.get_mut(governor).into_iter().for_each(|feed| feed.answered = now);
+            Event::ControllerConnected(controller) => {
+                self.controller_connected(now, controller, &mut effects)
             }
-            Event::GovernorLost(governor) => self.governor_lost(now, governor, &mut effects),
+            Event::ControllerAnswered(controller) => {
+                self.feeds.get_mut(controller).into_iter().for_each(|feed| feed.answered = now);
+            }
+            Event::ControllerLost(controller) => self.controller_lost(now, controller, &mut effects),
             Event::Tick => self.tick(now, &mut effects),
         }
         effects
@@ -162,8 +164,8 @@
         let connected = self.feeds.values().filter(|feed| feed.link == Link::Connected).count();
         State {
             ready: self.is_ready(self.called),
-            governors_owned: self.feeds.values().filter(|feed| feed.owned).count(),
-            governors_connected: connected,
+            controllers_owned: self.feeds.values().filter(|feed| feed.owned).count(),
+            controllers_connected: connected,
             peers_alive: self.peers.alive(),
             zones: self.coverage.len(),
             zones_missing: self.coverage.missing(),
@@ -178,12 +180,12 @@
         name != self.configuration.own && self.configuration.aggregators.contains(name)
     }
 
-    /// The governors that are its to serve.
+    /// The controllers that are its to serve.
     pub fn owned(&self) -> impl Iterator<Item = &str> {
         self.feeds.iter().filter(|(_, feed)| feed.owned).map(|(name, _)| name.as_str())
     }
 
-    /// Whoever did not run for a while holds partial sums: it starts anew, and governors go to others meanwhile.
+    /// Whoever did not run for a while holds partial sums: it starts anew, and controllers go to others meanwhile.
     fn stalled(&mut self, now: Moment, effects: &mut Vec<Effect>) {
         self.counters.stalls += 1;
         let paused_ms = (now - self.called).as_ns() / Span::ms(1).as_ns();
@@ -200,11 +202,11 @@
         self.planner = Planner::new(configuration.membership.clone(), configuration.parameters);
         self.configuration = configuration;
         let members: BTreeMap<_, _> =
-            self.configuration.governors.iter().map(|one| (&one.name, one)).collect();
+            self.configuration.controllers.iter().map(|one| (&one.name, one)).collect();
         self.feeds.retain(|name, feed| {
             let stays = members.get(name).is_some_and(|member| member.address == feed.address);
             if !stays && feed.link != Link::Idle {
-                effects.push(Effect::Disconnect { governor: name.clone() });
+                effects.push(Effect::Disconnect { controller: name.clone() });
             }
             stays
         });
@@ -216,14 +218,14 @@
         let configuration = &self.configuration;
         self.peers.configure(&configuration.own, &configuration.aggregators);
         let mut slices = BTreeSet::new();
-        for member in &configuration.governors {
+        for member in &configuration.controllers {
             let feed = self.feeds.entry(member.name.clone()).or_insert_with(|| Feed::of(member));
             feed.slices = member.slices.clone();
             slices.extend(member.slices.iter().flat_map(|(first, last)| *first..=*last));
         }
         self.sums.keep_slices(now, &slices);
         self.subsets_due = true;
-        // Who serves a new governor is decided with the next tick.
+        // Who serves a new controller is decided with the next tick.
         self.sharing.clear();
     }
 
@@ -256,13 +258,13 @@
             }
         }
         let taken = match report {
-            Report::Met { server, tries, aborted, mean_latency_ms, covers_ms, .. } => {
-                let sum = Sum::of(tries, aborted, mean_latency_ms);
-                self.sums.add_load(now, server, Span::ms(1).times(covers_ms), sum)
+            Report::EndpointReport { replica, attempts, failed, mean_latency_ms, covers_ms, .. } => {
+                let sum = Sum::of(attempts, failed, mean_latency_ms);
+                self.sums.add_load(now, replica, Span::ms(1).times(covers_ms), sum)
             }
-            Report::Asked { slice, op_type, came, aborted, covers_ms, .. } => {
-                let sum = Sum::of(came, aborted, 0.0);
-                self.sums.add_shard(now, slice, op_type, Span::ms(1).times(covers_ms), sum)
+            Report::DemandReport { slice, request_class, came, failed, covers_ms, .. } => {
+                let sum = Sum::of(came, failed, 0.0);
+                self.sums.add_shard(now, slice, request_class, Span::ms(1).times(covers_ms), sum)
             }
         };
         match taken {
@@ -294,29 +296,29 @@
         effects.extend(self.peers.heard(now, heartbeat).map(Effect::Log));
     }
 
-    fn governor_connected(&mut self, now: Moment, governor: &str, effects: &mut Vec<Effect>) {
-        let index = self.configuration.membership.index(governor).unwrap_or_default();
+    fn controller_connected(&mut self, now: Moment, controller: &str, effects: &mut Vec<Effect>) {
+        let index = self.configuration.membership.index(controller).unwrap_or_default();
         let phase = limits::REPORT_PERIOD.times(index as f64 / self.configuration.membership.len() as f64);
         let Some(zone) = self.zone.clone().or_else(|| self.coverage.first().map(str::to_string)) else {
-            effects.push(Effect::Disconnect { governor: governor.into() });
-            return self.governor_lost(now, governor, effects);
+            effects.push(Effect::Disconnect { controller: controller.into() });
+            return self.controller_lost(now, controller, effects);
         };
-        let Some(feed) = self.feeds.get_mut(governor).filter(|feed| feed.owned) else { return };
+        let Some(feed) = self.feeds.get_mut(controller).filter(|feed| feed.owned) else { return };
         if feed.pause > limits::RETRY {
-            let governor = governor.to_string();
-            effects.push(Effect::Log(Note::GovernorReachable { governor, reachable: true }));
+            let controller = controller.to_string();
+            effects.push(Effect::Log(Note::ControllerReachable { controller, reachable: true }));
         }
         feed.connected(now, phase);
         let lines = crate::wire::source(&zone);
         self.zone = Some(zone);
-        effects.push(Effect::Send { governor: governor.into(), lines });
+        effects.push(Effect::Send { controller: controller.into(), lines });
     }
 
-    fn governor_lost(&mut self, now: Moment, governor: &str, effects: &mut Vec<Effect>) {
-        let Some(feed) = self.feeds.get_mut(governor).filter(|feed| feed.owned) else { return };
+    fn controller_lost(&mut self, now: Moment, controller: &str, effects: &mut Vec<Effect>) {
+        let Some(feed) = self.feeds.get_mut(controller).filter(|feed| feed.owned) else { return };
         if feed.pause == limits::RETRY {
-            let governor = governor.to_string();
-            effects.push(Effect::Log(Note::GovernorReachable { governor, reachable: false }));
+            let controller = controller.to_string();
+            effects.push(Effect::Log(Note::ControllerReachable { controller, reachable: false }));
         }
         feed.lost(now);
     }
@@ -347,9 +349,9 @@
     fn drop_silent(&mut self, now: Moment, effects: &mut Vec<Effect>) {
         let silent = self.feeds.iter().filter(|(_, feed)| feed.is_silent(now));
         let silent: Vec<_> = silent.map(|(name, _)| name.clone()).collect();
-        for governor in silent {
-            effects.push(Effect::Disconnect { governor: governor.clone() });
-            self.governor_lost(now, &governor, effects);
+        for controller in silent {
+            effects.push(Effect::Disconnect { controller: controller.clone() });
+            self.controller_lost(now, &controller, effects);
         }
     }
 
@@ -384,22 +386,22 @@
         let replicas: Vec<_> = entries
             .iter()
             .map(|entry| Replica {
-                id: &entry.server,
-                zone: &entry.place,
+                id: &entry.replica,
+                zone: &entry.zone,
                 group: &entry.machine,
                 weight: entry.size,
             })
             .collect();
         let assignment = self.planner.assign(&replicas);
-        let names = entries.iter().map(|entry| Arc::from(entry.server.as_str())).collect();
+        let names = entries.iter().map(|entry| Arc::from(entry.replica.as_str())).collect();
         self.sums.keep_replicas(now, &names);
         for feed in self.feeds.values_mut() {
             feed.subset.clear();
         }
         let membership = assignment.membership();
-        for (replica, governors) in assignment.replicas() {
+        for (replica, controllers) in assignment.replicas() {
             let replica: Arc<str> = replica.into();
-            for name in governors.iter().filter_map(|index| membership.name(*index as usize)) {
+            for name in controllers.iter().filter_map(|index| membership.name(*index as usize)) {
                 if let Some(feed) = self.feeds.get_mut(name) {
                     feed.subset.push(replica.clone());
                 }
@@ -421,7 +423,7 @@
         }
     }
 
-    /// Decides which governors are this one's to serve, where those who share them have changed.
+    /// Decides which controllers are this one's to serve, where those who share them have changed.
     fn share_out(&mut self, now: Moment, effects: &mut Vec<Effect>) {
         let own = self.own_heartbeat(now);
         let sharing = self.peers.sharing(&own);
@@ -434,7 +436,7 @@
             owned += usize::from(is_owner);
             if feed.owned && !is_owner {
                 if feed.link != Link::Idle {
-                    effects.push(Effect::Disconnect { governor: name.clone() });
+                    effects.push(Effect::Disconnect { controller: name.clone() });
                 }
                 feed.released();
             }
@@ -442,7 +444,7 @@
         }
         let sharing: Vec<_> = sharing.into_iter().map(str::to_string).collect();
         if self.sharing != sharing {
-            effects.push(Effect::Log(Note::Serving { governors: owned, aggregators: sharing.len() }));
+            effects.push(Effect::Log(Note::Serving { controllers: owned, aggregators: sharing.len() }));
         }
         self.sharing = sharing;
     }
@@ -456,7 +458,7 @@
             };
             if let (true, Some(address)) = (is_due, feed.address) {
                 feed.link = Link::Dialing;
-                effects.push(Effect::Connect { governor: name.clone(), address });
+                effects.push(Effect::Connect { controller: name.clone(), address });
             }
         }
     }
@@ -468,12 +470,12 @@
             let turn = feed.turn(now, zone, budget, &self.sums, &self.coverage);
             self.counters.budget_stretches += u64::from(turn.is_stretched);
             if turn.is_overdue && !feed.overdue {
-                effects.push(Effect::Log(Note::BudgetTooSmall { governor: name.clone() }));
+                effects.push(Effect::Log(Note::BudgetTooSmall { controller: name.clone() }));
             }
             feed.overdue = turn.is_overdue;
             self.counters.lines_sent += turn.lines;
             self.counters.bytes_sent += turn.text.len() as u64;
-            effects.push(Effect::Send { governor: name.clone(), lines: turn.text });
+            effects.push(Effect::Send { controller: name.clone(), lines: turn.text });
         }
     }
 }
@@ -482,6 +484,6 @@
 /// be counted twice.
 fn is_partial(report: &Report) -> bool {
     match report {
-        Report::Met { missing, .. } | Report::Asked { missing, .. } => *missing > 0,
+        Report::EndpointReport { missing, .. } | Report::DemandReport { missing, .. } => *missing > 0,
     }
 }
--- a/crates/aggregation/src/bin/aggregation-bench/in_process.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/in_process.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use whinwall_aggregation::aggregator::Aggregator;
-use whinwall_aggregation::configuration::{Configuration, GovernorMember};
+use whinwall_aggregation::configuration::{Configuration, ControllerMember};
 use whinwall_aggregation::limits::{HEARTBEAT, TICK};
 use whinwall_aggregation::messages::{ConnectionId, Effect, Event};
 use whinwall_policy::time::{Moment, Span};
@@ -44,12 +44,12 @@
         self.answer(effects);
     }
 
-    /// Governors take a connection at once, and answer each sign of life.
+    /// Controllers take a connection at once, and answer each sign of life.
     fn answer(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Connect { governor, .. } => self.apply(Event::GovernorConnected(&governor)),
-                Effect::Send { governor, .. } => self.apply(Event::GovernorAnswered(&governor)),
+                Effect::Connect { controller, .. } => self.apply(Event::ControllerConnected(&controller)),
+                Effect::Send { controller, .. } => self.apply(Event::ControllerAnswered(&controller)),
                 _ => {}
             }
         }
@@ -59,7 +59,7 @@
         let began = processor();
         for line in text.lines() {
             if let Some(report) = collector::quick(line) {
-                _ = self.aggregator.apply(self.now, Event::Reported { connection, report });
+                _ = self.aggregator.apply(self.now, Event::ReportBody { connection, report });
             }
         }
         self.busy += processor() - began;
@@ -67,14 +67,14 @@
     }
 }
 
-fn members(size: &Size) -> Vec<GovernorMember> {
+fn members(size: &Size) -> Vec<ControllerMember> {
     let address = |n: usize| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1 + n as u16);
-    let member = |n: usize| GovernorMember {
-        name: size.governor(n),
+    let member = |n: usize| ControllerMember {
+        name: size.controller(n),
         address: Some(address(n)),
         slices: vec![size.slices_of(n)],
     };
-    (0..size.governors).map(member).collect()
+    (0..size.controllers).map(member).collect()
 }
 
 /// Measures it.
@@ -110,10 +110,10 @@
         memory_peak_mb: memory_mb("self", "VmHWM")?,
         lines_in_per_second: (counters.reports - before.2.reports) as f64 / each,
         kb_in_per_second: (bench.bytes_in - before.1) as f64 / each / 1000.0,
-        governors_served: state.governors_connected,
+        controllers_served: state.controllers_connected,
         lines_out_per_second: (counters.lines_sent - before.2.lines_sent) as f64 / each,
         kb_out_per_second: bytes_out,
-        kb_out_per_second_each: bytes_out / state.governors_connected.max(1) as f64,
+        kb_out_per_second_each: bytes_out / state.controllers_connected.max(1) as f64,
         budget_stretches: counters.budget_stretches - before.2.budget_stretches,
         longest_tick_ms: Some(bench.longest_tick.as_secs_f64() * 1000.0),
         longest_start_tick_ms: Some(start_tick.as_secs_f64() * 1000.0),
--- a/crates/aggregation/src/bin/aggregation-bench/load.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/load.rs
@@ -10,9 +10,9 @@
     pub replicas: usize,
     /// Zones with a collector each.
     pub zones: usize,
-    /// Governors.
-    pub governors: usize,
-    /// Slices of each governor.
+    /// Controllers.
+    pub controllers: usize,
+    /// Slices of each controller.
     pub slices: usize,
     /// Classes of each slice.
     pub classes: usize,
@@ -43,13 +43,13 @@
     pub lines_in_per_second: f64,
     /// Their bytes.
     pub kb_in_per_second: f64,
-    /// Governors served.
-    pub governors_served: usize,
-    /// Report lines to governors a second.
+    /// Controllers served.
+    pub controllers_served: usize,
+    /// Report lines to controllers a second.
     pub lines_out_per_second: f64,
     /// Bytes to them.
     pub kb_out_per_second: f64,
-    /// Of these to one governor, on average.
+    /// Of these to one controller, on average.
     pub kb_out_per_second_each: f64,
     /// Turns in which a budget was short.
     pub budget_stretches: u64,
@@ -83,14 +83,14 @@
         format!("s-{:08x}", (n as u32).wrapping_mul(0x9E37_79B9))
     }
 
-    /// The name of a governor.
-    pub fn governor(&self, n: usize) -> String {
+    /// The name of a controller.
+    pub fn controller(&self, n: usize) -> String {
         format!("g{n}")
     }
 
-    /// The slices of a governor, both ends included.
-    pub fn slices_of(&self, governor: usize) -> (u32, u32) {
-        let first = governor * self.slices;
+    /// The slices of a controller, both ends included.
+    pub fn slices_of(&self, controller: usize) -> (u32, u32) {
+        let first = controller * self.slices;
         (first as u32, (first + self.slices - 1) as u32)
     }
 
@@ -98,15 +98,15 @@
     pub fn second(&self, zone: usize, second: u64) -> String {
         let mut text = String::new();
         for n in 0..self.replicas {
-            let tries = 100 + (n as u64 * 7 + second * 13 + zone as u64) % 200;
-            let (place, host, mean) = (self.zone(zone), self.replica(n), 20.0 + (tries % 37) as f64 / 3.0);
+            let attempts = 100 + (n as u64 * 7 + second * 13 + zone as u64) % 200;
+            let (zone, host, mean) = (self.zone(zone), self.replica(n), 20.0 + (attempts % 37) as f64 / 3.0);
             text.push_str(&format!(
-                "{{\"@type\":\"LOAD\",\"az\":\"{place}\",\"host\":\"{host}\",\"n\":{tries},\"bad\":{},\"avg\":{mean:.1},\
+                "{{\"@type\":\"LOAD\",\"az\":\"{zone}\",\"host\":\"{host}\",\"n\":{attempts},\"bad\":{},\"avg\":{mean:.1},\
                  \"window\":1000.0,\"report\":{{\"inflight\":7,\"util\":0.61}}}}\n",
-                tries % 4
+                attempts % 4
             ));
         }
-        let shards = self.governors * self.slices * self.classes;
+        let shards = self.controllers * self.slices * self.classes;
         for shard in (zone..shards).step_by(self.zones) {
             let (slice, class) = (shard / self.classes, shard % self.classes);
             let came = 1 + (shard as u64 + second * 11) % 60;
--- a/crates/aggregation/src/bin/aggregation-bench/main.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/main.rs
@@ -33,8 +33,8 @@
     #[arg(long, default_value_t = 9)]
     zones: usize,
     /// Governors of the fleet
-    #[arg(long, default_value_t = 650)]
-    governors: usize,
+    #[arg(long = "governors", value_name = "GOVERNORS", default_value_t = 650)]
+    controllers: usize,
     /// Slices of each governor
     #[arg(long, default_value_t = 20)]
     slices: usize,
@@ -63,7 +63,7 @@
     let size = Size {
         replicas: all.replicas,
         zones: all.zones,
-        governors: all.governors,
+        controllers: all.controllers,
         slices: all.slices,
         classes: all.classes,
         subset: all.subset,
--- a/crates/aggregation/src/bin/aggregation-bench/sockets.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/sockets.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback sockets: collectors, the other aggregators' heartbeats and all governors are tasks of
+//! The real program on loopback sockets: collectors, the other aggregators' heartbeats and all controllers are tasks of
 //! this process, whose own cost is not counted.
 
 use crate::load::{memory_mb, Figures, Size};
@@ -25,7 +25,7 @@
 /// The unit of processor time in `/proc`, in seconds: the kernel's interface has it fixed.
 const CLOCK_TICK: f64 = 0.01;
 
-/// What governors got, all together.
+/// What controllers got, all together.
 #[derive(Default)]
 struct Got {
     bytes: Cell<u64>,
@@ -51,10 +51,10 @@
 async fn run(size: &Size, seconds: u64, program: &Path) -> Result<Figures, Box<dyn std::error::Error>> {
     let got = Rc::new(Got::default());
     let mut members = String::new();
-    for n in 0..size.governors {
+    for n in 0..size.controllers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (first, last) = size.slices_of(n);
-        let (name, address) = (size.governor(n), listener.local_addr()?);
+        let (name, address) = (size.controller(n), listener.local_addr()?);
         members += &format!("<governor name=\"{name}\" address=\"{address}\" slices=\"{first}-{last}\"/>");
         actix_rt::spawn(govern(listener, got.clone()));
     }
@@ -97,7 +97,7 @@
         memory_peak_mb: memory_mb(&process, "VmHWM")?,
         lines_in_per_second: seconds_of_lines.iter().map(|text| text.lines().count()).sum::<usize>() as f64,
         kb_in_per_second: seconds_of_lines.iter().map(String::len).sum::<usize>() as f64 / 1000.0,
-        governors_served: got.connections.get(),
+        controllers_served: got.connections.get(),
         lines_out_per_second: (got.lines.get() - before.2) as f64 / took,
         kb_out_per_second: kb_out,
         kb_out_per_second_each: kb_out / got.connections.get().max(1) as f64,
--- a/crates/aggregation/src/budget.rs
+++ b/crates/aggregation/src/budget.rs
@@ -1,4 +1,4 @@
-//! Which lines go to a governor in a report period, where not all of them fit into its byte budget.
+//! Which lines go to a controller in a report period, where not all of them fit into its byte budget.
 //!
 //! Where all fit, all go. Else the oldest go first, as many as have to so that each goes once within the maximum
 //! window, and the rest of the budget is for those that changed most.
--- a/crates/aggregation/src/configuration.rs
+++ b/crates/aggregation/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The checked configuration of an aggregator: the fleet's members and the byte budget of a governor.
+//! The checked configuration of an aggregator: the fleet's members and the byte budget of a controller.
 
 use crate::limits;
 use crate::wire;
@@ -7,9 +7,9 @@
 use thiserror::Error;
 use whinwall_subsetting::{Membership, MembershipError, Parameters};
 
-/// A governor of the fleet.
+/// A controller of the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GovernorMember {
+pub struct ControllerMember {
     /// Its name.
     pub name: String,
     /// Where it listens; without an address it is in the membership, and is not served.
@@ -24,7 +24,7 @@
     pub(crate) own: String,
     pub(crate) parameters: Parameters,
     pub(crate) bytes_per_period: usize,
-    pub(crate) governors: Vec<GovernorMember>,
+    pub(crate) controllers: Vec<ControllerMember>,
     pub(crate) membership: Membership,
     pub(crate) aggregators: BTreeSet<String>,
 }
@@ -41,16 +41,16 @@
     /// More aggregators than peers are kept for.
     #[error("{0} aggregators are more than {max}", max = limits::MAX_AGGREGATORS)]
     TooManyAggregators(usize),
-    /// A governor is to be served, and nothing says which slices it is told of.
+    /// A controller is to be served, and nothing says which slices it is told of.
     #[error("governor {0:?} has an address and no slices: the protocol does not tell which ones it has")]
     SlicesMissing(String),
-    /// A governor has no usable slices.
+    /// A controller has no usable slices.
     #[error("the slices of governor {0:?} go from {1} to {2}")]
     SlicesReversed(String, u32, u32),
     /// More slices than there is room for.
     #[error("{0} slices are more than {max}", max = limits::MAX_SLICES)]
     TooManySlices(usize),
-    /// A governor's budget for one report period does not hold the longest line.
+    /// A controller's budget for one report period does not hold the longest line.
     #[error("a budget of {budget} bytes a report period is less than {line}, what one line may take")]
     BudgetTooSmall {
         /// Bytes of one report period.
@@ -58,9 +58,9 @@
         /// Bytes of the longest line, and of what else a period has.
         line: usize,
     },
-    /// The governors are no usable membership.
+    /// The controllers are no usable membership.
     #[error("governors: {0}")]
-    Governors(#[from] MembershipError),
+    Controllers(#[from] MembershipError),
 }
 
 impl Configuration {
@@ -69,7 +69,7 @@
         own: &str,
         parameters: Parameters,
         bytes_per_second: u64,
-        governors: Vec<GovernorMember>,
+        controllers: Vec<ControllerMember>,
         aggregators: &[String],
     ) -> Result<Self, ConfigurationError> {
         let mut names = BTreeSet::new();
@@ -84,34 +84,34 @@
         if names.len() > limits::MAX_AGGREGATORS {
             return Err(ConfigurationError::TooManyAggregators(names.len()));
         }
-        check_slices(&governors)?;
+        check_slices(&controllers)?;
         let bytes = bytes_per_second as f64 * limits::REPORT_PERIOD.seconds();
         let (budget, line) = (bytes as usize, wire::overhead() + wire::longest_line());
         if budget < line {
             return Err(ConfigurationError::BudgetTooSmall { budget, line });
         }
-        let membership = Membership::new(governors.iter().map(|governor| governor.name.clone()))?;
+        let membership = Membership::new(controllers.iter().map(|controller| controller.name.clone()))?;
         let own = own.to_string();
         Ok(Configuration {
             own,
             parameters,
             bytes_per_period: budget,
-            governors,
+            controllers,
             membership,
             aggregators: names,
         })
     }
 }
 
-fn check_slices(governors: &[GovernorMember]) -> Result<(), ConfigurationError> {
+fn check_slices(controllers: &[ControllerMember]) -> Result<(), ConfigurationError> {
     let mut slices = 0;
-    for governor in governors {
-        if governor.address.is_some() && governor.slices.is_empty() {
-            return Err(ConfigurationError::SlicesMissing(governor.name.clone()));
+    for controller in controllers {
+        if controller.address.is_some() && controller.slices.is_empty() {
+            return Err(ConfigurationError::SlicesMissing(controller.name.clone()));
         }
-        for (first, last) in &governor.slices {
+        for (first, last) in &controller.slices {
             if first > last {
-                return Err(ConfigurationError::SlicesReversed(governor.name.clone(), *first, *last));
+                return Err(ConfigurationError::SlicesReversed(controller.name.clone(), *first, *last));
             }
             slices += (last - first) as usize + 1;
         }
--- a/crates/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -1,7 +1,7 @@
-//! What one governor is told: its keys, how far it has read each, and when it is its turn.
+//! What one controller is told: its keys, how far it has read each, and when it is its turn.
 
 use crate::budget::{self, Candidate};
-use crate::configuration::GovernorMember;
+use crate::configuration::ControllerMember;
 use crate::coverage::Coverage;
 use crate::limits;
 use crate::sums::{Cursor, Portion, Series, Sum, Sums};
@@ -33,8 +33,8 @@
 
 impl Told {
     fn of(sum: &Sum, window: Span) -> Self {
-        let per_second = sum.tries / window.seconds().max(f64::MIN_POSITIVE);
-        let failed_share = if sum.tries > 0.0 { sum.failed / sum.tries } else { 0.0 };
+        let per_second = sum.attempts / window.seconds().max(f64::MIN_POSITIVE);
+        let failed_share = if sum.attempts > 0.0 { sum.failed / sum.attempts } else { 0.0 };
         Told { per_second, failed_share, mean_latency_ms: sum.mean_latency_ms() }
     }
 
@@ -46,14 +46,14 @@
     }
 }
 
-/// How far the governor has read a key.
+/// How far the controller has read a key.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     cursor: Cursor,
     told: Told,
 }
 
-/// The connection to the governor.
+/// The connection to the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Link {
     /// There is none, and none is wanted.
@@ -87,7 +87,7 @@
     pub is_overdue: bool,
 }
 
-/// One governor. Owned by the aggregator, one for each governor of the configuration, and ends with it; its
+/// One controller. Owned by the aggregator, one for each controller of the configuration, and ends with it; its
 /// readings are bounded by its subset and its slices' classes (and what left them of late), and end with the
 /// connection.
 #[derive(Clone, Debug)]
@@ -108,7 +108,7 @@
 }
 
 impl Feed {
-    pub fn of(member: &GovernorMember) -> Self {
+    pub fn of(member: &ControllerMember) -> Self {
         Feed {
             address: member.address,
             slices: member.slices.clone(),
@@ -152,7 +152,7 @@
 
     /// It is connected and gives no sign of life.
     pub fn is_silent(&self, now: Moment) -> bool {
-        self.link == Link::Connected && now - self.answered > limits::GOVERNOR_SILENT
+        self.link == Link::Connected && now - self.answered > limits::CONTROLLER_SILENT
     }
 
     pub fn is_due(&self, now: Moment) -> bool {
--- a/crates/aggregation/src/lib.rs
+++ b/crates/aggregation/src/lib.rs
@@ -1,4 +1,4 @@
-//! Aggregation of collector reports: what each governor's subset needs, summed over zones, within a byte budget.
+//! Aggregation of collector reports: what each controller's subset needs, summed over zones, within a byte budget.
 //!
 //! [`aggregator::Aggregator`] is the reducer: it has all state, and neither input, output nor a clock. The other
 //! modules are its parts, each with one job. `program` is the process around it: sockets, signals, log and metrics.
--- a/crates/aggregation/src/limits.rs
+++ b/crates/aggregation/src/limits.rs
@@ -2,17 +2,17 @@
 
 use whinwall_policy::time::Span;
 
-/// Collectors report each second, and a governor is told each second while the budget allows it.
+/// Collectors report each second, and a controller is told each second while the budget allows it.
 pub const REPORT_PERIOD: Span = Span::ms(1000);
 /// No key that has news waits longer than this for its line.
 pub const MAX_WINDOW: Span = Span::ms(5000);
-/// A replica that no collector speaks of for so long gets a line that says so, with a count of 0: a governor takes no
+/// A replica that no collector speaks of for so long gets a line that says so, with a count of 0: a controller takes no
 /// silence for a verdict. Two reports that are late are no silence.
 pub const IDLE_REPLICA: Span = Span::ms(2500);
 /// The first line about a key on a new connection reaches back at most this far: past the suspicion of a dead
 /// owner, and the dial.
 pub const LATE_START: Span = Span::ms(5000);
-/// The reducer is to be called with a tick this often; a governor's turn is late by no more.
+/// The reducer is to be called with a tick this often; a controller's turn is late by no more.
 pub const TICK: Span = Span::ms(25);
 /// Aggregators tell each other this often that they are alive.
 pub const HEARTBEAT: Span = Span::ms(500);
@@ -20,7 +20,7 @@
 pub const SUSPECT_AFTER: Span = Span::ms(2000);
 /// A peer that was suspected, or is new, is alive again after so many heartbeats in time.
 pub const HEARTBEATS_TO_RETURN: u32 = 3;
-/// After a start, and after a stall, no governor is served for so long: collectors connect anew each at its own
+/// After a start, and after a stall, no controller is served for so long: collectors connect anew each at its own
 /// time, and sums of the first few would look like half of the traffic.
 pub const START_HOLD: Span = Span::ms(3000);
 /// Whoever was not called for so long was stopped or starved: what it holds is partial.
@@ -35,12 +35,12 @@
 pub const REGISTRY_BEHIND: Span = Span::ms(6000);
 /// A watch that told no change for so long is asked for anew: it may have missed one.
 pub const REGISTRY_RENEWED: Span = Span::ms(30_000);
-/// Before discovery is asked again, and before the first new dial to a governor.
+/// Before discovery is asked again, and before the first new dial to a controller.
 pub const RETRY: Span = Span::ms(1000);
-/// The longest pause between dials to a governor that can't be reached.
+/// The longest pause between dials to a controller that can't be reached.
 pub const MAX_RETRY: Span = Span::ms(5000);
-/// A governor is asked for a sign of life in each of its turns, and is lost where it gives none for so long.
-pub const GOVERNOR_SILENT: Span = Span::ms(5000);
+/// A controller is asked for a sign of life in each of its turns, and is lost where it gives none for so long.
+pub const CONTROLLER_SILENT: Span = Span::ms(5000);
 /// Subsets are computed anew at most this often, however many changes the registry tells.
 pub const SUBSETS_EVERY: Span = Span::ms(1000);
 /// A slice's class that no collector speaks of for so long is forgotten.
@@ -48,7 +48,7 @@
 
 /// Replicas in the registry; more are left out.
 pub const MAX_REPLICAS: usize = 16_384;
-/// Slices that are named for governors, all together.
+/// Slices that are named for controllers, all together.
 pub const MAX_SLICES: usize = 65_536;
 /// Request classes of one slice.
 pub const MAX_CLASSES: usize = 64;
--- a/crates/aggregation/src/main.rs
+++ b/crates/aggregation/src/main.rs
@@ -1,4 +1,4 @@
-//! The aggregator program: collectors' lines of all zones in, what each governor's subset needs out.
+//! The aggregator program: collectors' lines of all zones in, what each controller's subset needs out.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/aggregation/src/membership.rs
+++ b/crates/aggregation/src/membership.rs
@@ -1,4 +1,4 @@
-//! The aggregators of the fleet: heartbeats, suspicion, and which of them serves a governor.
+//! The aggregators of the fleet: heartbeats, suspicion, and which of them serves a controller.
 
 use crate::limits;
 use crate::messages::Note;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The aggregators that share the governors: those that are ready, but for those whose list is older than
+    /// The aggregators that share the controllers: those that are ready, but for those whose list is older than
     /// another's by more than [`limits::REGISTRY_STALE`]. Where discovery is silent to all, all lists grow old alike.
     /// `own` is what this one would tell.
     pub fn sharing<'a>(&'a self, own: &'a Heartbeat) -> Vec<&'a str> {
@@ -107,7 +107,7 @@
     }
 }
 
-/// Which of those that share the governors serves this one.
-pub fn owner<'a>(governor: &str, sharing: &[&'a str]) -> Option<&'a str> {
-    rendezvous(governor, sharing.iter().copied())
+/// Which of those that share the controllers serves this one.
+pub fn owner<'a>(controller: &str, sharing: &[&'a str]) -> Option<&'a str> {
+    rendezvous(controller, sharing.iter().copied())
 }
--- a/crates/aggregation/src/messages.rs
+++ b/crates/aggregation/src/messages.rs
@@ -23,7 +23,7 @@
         zone: &'a str,
     },
     /// A collector's line, decoded.
-    Reported {
+    ReportBody {
         /// The connection that it came on.
         connection: ConnectionId,
         /// The line.
@@ -39,12 +39,12 @@
     RegistryLost,
     /// Another aggregator is alive.
     HeartbeatReceived(Heartbeat),
-    /// The connection to a governor is there.
-    GovernorConnected(&'a str),
-    /// A governor gave a sign of life.
-    GovernorAnswered(&'a str),
+    /// The connection to a controller is there.
+    ControllerConnected(&'a str),
+    /// A controller gave a sign of life.
+    ControllerAnswered(&'a str),
     /// A dial failed, or the connection ended.
-    GovernorLost(&'a str),
+    ControllerLost(&'a str),
     /// Some time passed; expected each [`crate::limits::TICK`].
     Tick,
 }
@@ -52,22 +52,22 @@
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Dial a governor. The answer is `GovernorConnected` or `GovernorLost`.
+    /// Dial a controller. The answer is `ControllerConnected` or `ControllerLost`.
     Connect {
-        /// The governor's name.
-        governor: String,
+        /// The controller's name.
+        controller: String,
         /// Where it listens.
         address: SocketAddr,
     },
     /// End the connection, or the dial; no event follows.
     Disconnect {
-        /// The governor's name.
-        governor: String,
+        /// The controller's name.
+        controller: String,
     },
-    /// Write lines to a governor.
+    /// Write lines to a controller.
     Send {
-        /// The governor's name.
-        governor: String,
+        /// The controller's name.
+        controller: String,
         /// Whole lines, each with its end.
         lines: String,
     },
@@ -94,11 +94,11 @@
         /// Whether it is alive now.
         alive: bool,
     },
-    /// The number of governors that this aggregator serves has changed.
+    /// The number of controllers that this aggregator serves has changed.
     Serving {
-        /// Governors served.
-        governors: usize,
-        /// Aggregators that share the governors.
+        /// Controllers served.
+        controllers: usize,
+        /// Aggregators that share the controllers.
         aggregators: usize,
     },
     /// A zone that was heard before is not heard any more.
@@ -118,17 +118,17 @@
         /// The peer's.
         peer: u64,
     },
-    /// A governor is out of reach, or within it again.
-    GovernorReachable {
+    /// A controller is out of reach, or within it again.
+    ControllerReachable {
         /// Its name.
-        governor: String,
+        controller: String,
         /// Whether it is reached now.
         reachable: bool,
     },
-    /// A governor has keys that waited longer than the maximum window: its budget is too small for its subset.
+    /// A controller has keys that waited longer than the maximum window: its budget is too small for its subset.
     BudgetTooSmall {
         /// Its name.
-        governor: String,
+        controller: String,
     },
     /// More replicas, classes or zones than there is room for.
     BoundReached(&'static str),
@@ -139,7 +139,7 @@
     pub fn is_warning(&self) -> bool {
         match self {
             Note::PeerAlive { alive, .. } => !alive,
-            Note::GovernorReachable { reachable, .. } => !reachable,
+            Note::ControllerReachable { reachable, .. } => !reachable,
             Note::RegistryStale(stale) => *stale,
             Note::Serving { .. } | Note::ZoneBack(_) => false,
             _ => true,
@@ -152,8 +152,8 @@
         match self {
             Note::PeerAlive { peer, alive: true } => write!(f, "aggregator {peer} is alive"),
             Note::PeerAlive { peer, alive: false } => write!(f, "aggregator {peer} is not heard any more"),
-            Note::Serving { governors, aggregators } => {
-                write!(f, "serves {governors} governors, as one of {aggregators} aggregators")
+            Note::Serving { controllers, aggregators } => {
+                write!(f, "serves {controllers} governors, as one of {aggregators} aggregators")
             }
             Note::ZoneMissing(zone) => write!(f, "zone {zone} is missing: its collectors are not heard"),
             Note::ZoneBack(zone) => write!(f, "zone {zone} is heard again"),
@@ -164,14 +164,14 @@
             Note::RegistryBehind { own, peer } => {
                 write!(f, "the list has version {own}, a peer's has {peer}")
             }
-            Note::GovernorReachable { governor, reachable: true } => {
-                write!(f, "governor {governor} is reached")
+            Note::ControllerReachable { controller, reachable: true } => {
+                write!(f, "governor {controller} is reached")
             }
-            Note::GovernorReachable { governor, reachable: false } => {
-                write!(f, "governor {governor} is out of reach")
+            Note::ControllerReachable { controller, reachable: false } => {
+                write!(f, "governor {controller} is out of reach")
             }
-            Note::BudgetTooSmall { governor } => {
-                write!(f, "the byte budget of governor {governor} is too small for its subset")
+            Note::BudgetTooSmall { controller } => {
+                write!(f, "the byte budget of governor {controller} is too small for its subset")
             }
             Note::BoundReached(what) => write!(f, "more {what} than there is room for; the rest is left out"),
         }
--- a/crates/aggregation/src/program/configuration.rs
+++ b/crates/aggregation/src/program/configuration.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use thiserror::Error;
-use whinwall_aggregation::configuration::{Configuration, ConfigurationError, GovernorMember};
+use whinwall_aggregation::configuration::{Configuration, ConfigurationError, ControllerMember};
 use whinwall_operator_config::file::{self, LARGEST};
 use whinwall_operator_config::{SubsettingConfig, Wrong};
 
@@ -49,14 +49,14 @@
 fn members(subsetting: SubsettingConfig, own: &str) -> Result<Members, Unusable> {
     let parameters = subsetting.parameters();
     let names: Vec<_> = subsetting.aggregators.iter().map(|member| member.name.clone()).collect();
-    let governors = subsetting.governors.into_iter();
-    let governors = governors.map(|member| GovernorMember {
+    let controllers = subsetting.controllers.into_iter();
+    let controllers = controllers.map(|member| ControllerMember {
         name: member.name,
         address: member.address,
         slices: member.slices,
     });
-    let (bytes, governors) = (subsetting.bytes_per_second, governors.collect());
-    let configuration = Configuration::new(own, parameters, bytes, governors, &names)?;
+    let (bytes, controllers) = (subsetting.bytes_per_second, controllers.collect());
+    let configuration = Configuration::new(own, parameters, bytes, controllers, &names)?;
     let aggregators = subsetting.aggregators.into_iter();
     let peers = aggregators.filter(|member| member.name != own).map(|member| (member.name, member.address));
     Ok(Members { configuration, peers: peers.collect() })
--- a/crates/aggregation/src/program/governors.rs
+++ b/crates/aggregation/src/program/controllers.rs
@@ -1,4 +1,4 @@
-//! Connections to governors: each has a task that dials, writes what is to be said, and notes signs of life.
+//! Connections to controllers: each has a task that dials, writes what is to be said, and notes signs of life.
 
 use actix_rt::task::JoinHandle;
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// What waits for one governor; a turn a second is written, so a governor that takes this long reads nothing.
+/// What waits for one controller; a turn a second is written, so a controller that takes this long reads nothing.
 const UNWRITTEN: usize = 4;
-/// What waits for the loop, of all governors.
+/// What waits for the loop, of all controllers.
 const EVENTS: usize = 1024;
 /// A write that takes longer is given up.
 const WRITE: Duration = Duration::from_secs(5);
@@ -22,7 +22,7 @@
 pub enum Happened {
     /// The dial succeeded.
     Connected,
-    /// The governor said something: it is alive.
+    /// The controller said something: it is alive.
     Answered,
     /// The dial failed, or the connection ended.
     Lost,
@@ -42,7 +42,7 @@
 
 type LinkEvent = (String, u64, Happened);
 
-/// All connections to governors; each ends with its entry.
+/// All connections to controllers; each ends with its entry.
 pub struct Links {
     links: BTreeMap<String, Link>,
     events: mpsc::Sender<LinkEvent>,
@@ -60,27 +60,27 @@
     }
 
     /// Begins to dial; a former connection ends.
-    pub fn connect(&mut self, governor: &str, address: SocketAddr) {
+    pub fn connect(&mut self, controller: &str, address: SocketAddr) {
         self.next += 1;
         let (number, events) = (self.next, self.events.clone());
         let (to, lines) = mpsc::channel(UNWRITTEN);
-        let task = actix_rt::spawn(serve(governor.to_string(), number, address, lines, events));
-        self.links.insert(governor.into(), Link { number, to, task });
+        let task = actix_rt::spawn(serve(controller.to_string(), number, address, lines, events));
+        self.links.insert(controller.into(), Link { number, to, task });
     }
 
     /// Ends a connection or a dial.
-    pub fn disconnect(&mut self, governor: &str) {
-        self.links.remove(governor);
+    pub fn disconnect(&mut self, controller: &str) {
+        self.links.remove(controller);
     }
 
-    /// Writes lines; false where the governor reads too slowly, and its connection is ended.
-    pub fn send(&mut self, governor: &str, lines: String) -> bool {
-        let Some(link) = self.links.get(governor) else { return true };
+    /// Writes lines; false where the controller reads too slowly, and its connection is ended.
+    pub fn send(&mut self, controller: &str, lines: String) -> bool {
+        let Some(link) = self.links.get(controller) else { return true };
         if link.to.try_send(lines).is_ok() {
             return true;
         }
         self.dropped += 1;
-        self.links.remove(governor);
+        self.links.remove(controller);
         false
     }
 
@@ -88,30 +88,30 @@
     pub async fn happens(&mut self) -> (String, Happened) {
         loop {
             // This end has a sender, so there is always a next one.
-            let Some((governor, number, happened)) = self.happened.recv().await else {
+            let Some((controller, number, happened)) = self.happened.recv().await else {
                 std::future::pending().await
             };
-            if self.links.get(&governor).is_none_or(|link| link.number != number) {
+            if self.links.get(&controller).is_none_or(|link| link.number != number) {
                 continue;
             }
             if happened == Happened::Lost {
-                self.links.remove(&governor);
+                self.links.remove(&controller);
             }
-            return (governor, happened);
+            return (controller, happened);
         }
     }
 }
 
 async fn serve(
-    governor: String,
+    controller: String,
     number: u64,
     address: SocketAddr,
     lines: mpsc::Receiver<String>,
     events: mpsc::Sender<LinkEvent>,
 ) {
-    let say = async |happened| events.send((governor.clone(), number, happened)).await.is_ok();
+    let say = async |happened| events.send((controller.clone(), number, happened)).await.is_ok();
     if let Err(why) = converse(address, lines, &say).await {
-        tracing::debug!("governor {governor}: {why}");
+        tracing::debug!("governor {controller}: {why}");
     }
     say(Happened::Lost).await;
 }
--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -1,7 +1,7 @@
 //! The loop: what arrives becomes events, what the reducer asks for is done.
 
 use super::configuration::{self, Members};
-use super::governors::{Happened, Links};
+use super::controllers::{Happened, Links};
 use super::metrics::{self, Figures, Shared, Traffic};
 use super::peers::Senders;
 use actix_rt::net::TcpListener;
@@ -89,7 +89,7 @@
                 Signal::ReadAnew => turn.read_anew(&start),
             },
             _ = ticks.tick() => turn.tick(),
-            (governor, happened) = turn.links.happens() => turn.link(&governor, happened),
+            (controller, happened) = turn.links.happens() => turn.link(&controller, happened),
             Some(input) = lists.recv() => turn.input(input),
             Some(input) = lines.recv() => turn.take_all(input, &mut lines),
         }
@@ -147,8 +147,8 @@
             self.next_summary = self.clock.now() + SUMMARY_EACH;
             tracing::info!(
                 "{} of {} governors connected, {} peers, {} of {} zones missing, {} replicas, {} lines in, {} out",
-                state.governors_connected,
-                state.governors_owned,
+                state.controllers_connected,
+                state.controllers_owned,
                 state.peers_alive,
                 state.zones_missing,
                 state.zones,
@@ -159,11 +159,11 @@
         }
     }
 
-    fn link(&mut self, governor: &str, happened: Happened) {
+    fn link(&mut self, controller: &str, happened: Happened) {
         self.apply(match happened {
-            Happened::Connected => Event::GovernorConnected(governor),
-            Happened::Answered => Event::GovernorAnswered(governor),
-            Happened::Lost => Event::GovernorLost(governor),
+            Happened::Connected => Event::ControllerConnected(controller),
+            Happened::Answered => Event::ControllerAnswered(controller),
+            Happened::Lost => Event::ControllerLost(controller),
         });
     }
 
@@ -190,7 +190,7 @@
                 self.apply(Event::RegistryLost);
             }
             // Aggregators have no relay.
-            Input::News(..) | Input::Answer(_) | Input::Surplus => {}
+            Input::RelayEvent(..) | Input::Answer(_) | Input::Surplus => {}
         }
     }
 
@@ -214,30 +214,30 @@
         }
         match collector::decode_slowly(line) {
             Ok(Message::Ping) => say(speaker, Back::Say(collector::encode(Reply::Pong))),
-            Ok(Message::Source { place }) => {
+            Ok(Message::Source { zone }) => {
                 self.keep(speaker);
-                let joined = Event::CollectorJoined { connection: speaker.id, zone: &place };
+                let joined = Event::CollectorJoined { connection: speaker.id, zone: &zone };
                 self.apply_for(joined, Some(speaker));
             }
-            Ok(Message::Met(met)) => self.report(
+            Ok(Message::EndpointReport(met)) => self.report(
                 speaker,
-                Report::Met {
-                    place: &met.place,
-                    server: &met.server,
-                    tries: met.tries,
-                    aborted: met.aborted,
+                Report::EndpointReport {
+                    zone: &met.zone,
+                    replica: &met.replica,
+                    attempts: met.attempts,
+                    failed: met.failed,
                     mean_latency_ms: met.mean_latency_ms,
                     covers_ms: met.covers_ms,
                     missing: met.missing,
                 },
             ),
-            Ok(Message::Asked(asked)) => self.report(
+            Ok(Message::DemandReport(asked)) => self.report(
                 speaker,
-                Report::Asked {
+                Report::DemandReport {
                     slice: asked.slice,
-                    op_type: &asked.op_type,
+                    request_class: &asked.request_class,
                     came: asked.came,
-                    aborted: asked.aborted,
+                    failed: asked.failed,
                     covers_ms: asked.covers_ms,
                     missing: asked.missing,
                 },
@@ -258,7 +258,7 @@
     }
 
     fn report(&mut self, speaker: &Speaker, report: Report) {
-        self.apply_for(Event::Reported { connection: speaker.id, report }, Some(speaker));
+        self.apply_for(Event::ReportBody { connection: speaker.id, report }, Some(speaker));
     }
 
     fn keep(&mut self, speaker: &Speaker) {
@@ -287,11 +287,11 @@
 
     fn carry_out(&mut self, effect: Effect, speaker: Option<&Speaker>) {
         match effect {
-            Effect::Connect { governor, address } => self.links.connect(&governor, address),
-            Effect::Disconnect { governor } => self.links.disconnect(&governor),
-            Effect::Send { governor, lines } => {
-                if !self.links.send(&governor, lines) {
-                    self.apply(Event::GovernorLost(&governor));
+            Effect::Connect { controller, address } => self.links.connect(&controller, address),
+            Effect::Disconnect { controller } => self.links.disconnect(&controller),
+            Effect::Send { controller, lines } => {
+                if !self.links.send(&controller, lines) {
+                    self.apply(Event::ControllerLost(&controller));
                 }
             }
             Effect::SendHeartbeat(heartbeat) => self.senders.send(wire::heartbeat(&heartbeat)),
--- a/crates/aggregation/src/program/metrics.rs
+++ b/crates/aggregation/src/program/metrics.rs
@@ -26,7 +26,7 @@
     pub bytes_in: u64,
     /// Lines that were no usable messages.
     pub lines_spoilt: u64,
-    /// Batches for governors that read too slowly.
+    /// Batches for controllers that read too slowly.
     pub batches_dropped: u64,
 }
 
@@ -72,8 +72,8 @@
     }
     let levels = [
         ("ready", "Whether it passes reports on", usize::from(state.ready)),
-        ("governors_owned", "Governors that are its to serve", state.governors_owned),
-        ("governors_connected", "Governors that it is connected to", state.governors_connected),
+        ("governors_owned", "Governors that are its to serve", state.controllers_owned),
+        ("governors_connected", "Governors that it is connected to", state.controllers_connected),
         ("peers_alive", "Other aggregators that are alive", state.peers_alive),
         ("zones", "Zones that are known", state.zones),
         ("zones_missing", "Zones that are missing", state.zones_missing),
--- a/crates/aggregation/src/program/mod.rs
+++ b/crates/aggregation/src/program/mod.rs
@@ -1,8 +1,8 @@
 //! The aggregator's process: sockets, signals, log and metrics around the reducer.
 
 mod configuration;
+mod controllers;
 mod event_loop;
-mod governors;
 mod metrics;
 mod peers;
 
--- a/crates/aggregation/src/registry.rs
+++ b/crates/aggregation/src/registry.rs
@@ -52,15 +52,15 @@
     /// False where there is no room for it.
     fn take(&mut self, entry: Entry, changed: &mut bool) -> bool {
         if entry.state == State::Gone {
-            *changed |= self.replicas.remove(&entry.server).is_some();
+            *changed |= self.replicas.remove(&entry.replica).is_some();
             return true;
         }
-        let known = self.replicas.contains_key(&entry.server);
-        if !known && (self.replicas.len() >= limits::MAX_REPLICAS || entry.server.len() > limits::MAX_NAME) {
+        let known = self.replicas.contains_key(&entry.replica);
+        if !known && (self.replicas.len() >= limits::MAX_REPLICAS || entry.replica.len() > limits::MAX_NAME) {
             return false;
         }
-        *changed |= self.replicas.get(&entry.server) != Some(&entry);
-        self.replicas.insert(entry.server.clone(), entry);
+        *changed |= self.replicas.get(&entry.replica) != Some(&entry);
+        self.replicas.insert(entry.replica.clone(), entry);
         true
     }
 
--- a/crates/aggregation/src/sums.rs
+++ b/crates/aggregation/src/sums.rs
@@ -8,7 +8,7 @@
 //! | series of a replica | `Sums` | `MAX_REPLICAS` | the replica leaves the registry |
 //! | series of a slice and class | `Sums` | slices configured, `MAX_CLASSES` each | `CLASS_IDLE`, or the configuration |
 //! | mark | its series | `MARKS` | `LATE_START` |
-//! | cursor | the feed of a governor | its subset and slices | the connection, or the series |
+//! | cursor | the feed of a controller | its subset and slices | the connection, or the series |
 
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sum {
     /// Tries at a replica, or requests for a slice.
-    pub tries: f64,
+    pub attempts: f64,
     /// Those of them that failed.
     pub failed: f64,
     /// The answered ones' time, added up.
@@ -33,14 +33,14 @@
 
 impl Sum {
     /// What one line says.
-    pub fn of(tries: f64, failed: f64, mean_latency_ms: f64) -> Self {
-        let answered = (tries - failed).max(0.0);
-        Sum { tries, failed, answered_ms: answered * mean_latency_ms, lines: 1 }
+    pub fn of(attempts: f64, failed: f64, mean_latency_ms: f64) -> Self {
+        let answered = (attempts - failed).max(0.0);
+        Sum { attempts, failed, answered_ms: answered * mean_latency_ms, lines: 1 }
     }
 
     /// The mean time of tries that were answered; 0 where none was.
     pub fn mean_latency_ms(&self) -> f64 {
-        let answered = self.tries - self.failed;
+        let answered = self.attempts - self.failed;
         match answered > 0.0 {
             true => (self.answered_ms / answered).max(0.0),
             false => 0.0,
@@ -48,7 +48,7 @@
     }
 
     fn add(&mut self, more: Sum) {
-        self.tries += more.tries;
+        self.attempts += more.attempts;
         self.failed += more.failed;
         self.answered_ms += more.answered_ms;
         self.lines += more.lines;
@@ -56,7 +56,7 @@
 
     fn less(&self, earlier: &Sum) -> Sum {
         Sum {
-            tries: self.tries - earlier.tries,
+            attempts: self.attempts - earlier.attempts,
             failed: self.failed - earlier.failed,
             answered_ms: self.answered_ms - earlier.answered_ms,
             lines: self.lines - earlier.lines,
@@ -180,7 +180,7 @@
 pub enum Taken {
     /// It is in a sum.
     Summed,
-    /// It is of a replica that the registry lacks, or of a slice that no governor has.
+    /// It is of a replica that the registry lacks, or of a slice that no controller has.
     Unknown,
     /// There is no room for one more class.
     NoRoom,
--- a/crates/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -1,4 +1,4 @@
-//! Lines as governors read them, and the heartbeat between aggregators.
+//! Lines as controllers read them, and the heartbeat between aggregators.
 
 use crate::limits;
 use crate::membership::Heartbeat;
@@ -38,7 +38,7 @@
     missing: usize,
 }
 
-/// Asks a governor for a sign of life, in a line with its end.
+/// Asks a controller for a sign of life, in a line with its end.
 pub const PING: &str = "{\"@type\":\"PING\"}\n";
 
 /// A count as the protocol writes it: whole where it is whole.
@@ -101,7 +101,7 @@
 /// A `LOAD` line with its end.
 pub fn load(zone: &str, replica: &str, covered: &Covered) -> String {
     let Covered { sum, window, missing } = *covered;
-    let (n, bad) = (sum.tries.into(), sum.failed.min(sum.tries).into());
+    let (n, bad) = (sum.attempts.into(), sum.failed.min(sum.attempts).into());
     let (avg, window) = (rounded(sum.mean_latency_ms()), ms(window));
     let mut text = String::new();
     line(&Load { az: zone, host: replica, n, bad, avg, window, missing }, &mut text);
@@ -111,7 +111,7 @@
 /// A `SHARD` line with its end.
 pub fn shard(slice: u32, class: &str, covered: &Covered) -> String {
     let Covered { sum, window, missing } = *covered;
-    let (n, bad, window) = (sum.tries.into(), sum.failed.into(), ms(window));
+    let (n, bad, window) = (sum.attempts.into(), sum.failed.into(), ms(window));
     let mut text = String::new();
     line(&Shard { partition: slice, kind: class, n, bad, window, missing }, &mut text);
     text
--- a/crates/aggregation/tests/bounds.rs
+++ b/crates/aggregation/tests/bounds.rs
@@ -26,11 +26,18 @@
 }
 
 fn shard(slice: u32, class: &str) -> Report<'_> {
-    Report::Asked { slice, op_type: class, came: 1.0, aborted: 0.0, covers_ms: 1000.0, missing: 0 }
+    Report::DemandReport {
+        slice,
+        request_class: class,
+        came: 1.0,
+        failed: 0.0,
+        covers_ms: 1000.0,
+        missing: 0,
+    }
 }
 
 fn report<'a>(aggregator: &mut Aggregator, now: Moment, report: Report<'a>) -> Vec<Effect> {
-    aggregator.apply(now, Event::Reported { connection: 1, report })
+    aggregator.apply(now, Event::ReportBody { connection: 1, report })
 }
 
 #[test]
@@ -43,7 +50,7 @@
     report(&mut aggregator, now, shard(1, &"x".repeat(MAX_NAME + 1)));
     assert_eq!(aggregator.state().series, 2 + MAX_CLASSES);
     assert_eq!(aggregator.counters().reports_dropped, 1000 - MAX_CLASSES as u64 + 1);
-    // A slice that no governor has is in no sum at all.
+    // A slice that no controller has is in no sum at all.
     report(&mut aggregator, now, shard(77, "lookup"));
     assert_eq!((aggregator.state().series, aggregator.counters().reports_unknown), (2 + MAX_CLASSES, 1));
     for _ in 0..3 * CLASS_IDLE.as_ns() / 1_000_000_000 {
@@ -74,8 +81,14 @@
 #[test]
 fn sums_of_another_aggregator_are_not_counted_again() {
     let mut aggregator = aggregator();
-    let partial =
-        Report::Asked { slice: 0, op_type: "lookup", came: 1.0, aborted: 0.0, covers_ms: 1000.0, missing: 2 };
+    let partial = Report::DemandReport {
+        slice: 0,
+        request_class: "lookup",
+        came: 1.0,
+        failed: 0.0,
+        covers_ms: 1000.0,
+        missing: 2,
+    };
     let effects = report(&mut aggregator, moment(START_MS + 100.0), partial);
     assert_eq!(effects, vec![Effect::RefuseCollector(1)]);
     assert_eq!(aggregator.counters().reports, 0);
@@ -84,14 +97,14 @@
 #[test]
 fn whoever_reports_without_a_zone_is_let_go() {
     let mut aggregator = aggregator();
-    let event = Event::Reported { connection: 9, report: shard(0, "lookup") };
+    let event = Event::ReportBody { connection: 9, report: shard(0, "lookup") };
     let effects = aggregator.apply(moment(START_MS + 100.0), event);
     assert_eq!(effects, vec![Effect::RefuseCollector(9)]);
     assert_eq!(aggregator.counters().reports, 0);
 }
 
 fn entries(registry: &Registry) -> Vec<&str> {
-    registry.replicas().map(|entry| entry.server.as_str()).collect()
+    registry.replicas().map(|entry| entry.replica.as_str()).collect()
 }
 
 fn list(version: u64, whole: bool, entries: Vec<Entry>) -> List {
@@ -130,7 +143,7 @@
 }
 
 #[test]
-fn a_governor_that_gives_no_sign_of_life_is_dialed_anew() {
+fn a_controller_that_gives_no_sign_of_life_is_dialed_anew() {
     let mut aggregator = aggregator();
     let (mut dials, mut lost, mut at) = (0, 0, 100.0);
     while at < 30_000.0 {
@@ -141,12 +154,12 @@
         for effect in aggregator.apply(now, Event::Tick) {
             match effect {
                 // It takes the connection, and never says a word.
-                Effect::Connect { governor, .. } => {
+                Effect::Connect { controller, .. } => {
                     dials += 1;
-                    aggregator.apply(now, Event::GovernorConnected(&governor));
+                    aggregator.apply(now, Event::ControllerConnected(&controller));
                 }
                 Effect::Disconnect { .. } => lost += 1,
-                Effect::Log(Note::GovernorReachable { reachable, .. }) => assert!(!reachable || dials > 0),
+                Effect::Log(Note::ControllerReachable { reachable, .. }) => assert!(!reachable || dials > 0),
                 _ => {}
             }
         }
--- a/crates/aggregation/tests/budget.rs
+++ b/crates/aggregation/tests/budget.rs
@@ -4,7 +4,7 @@
 
 use virtual_fleet::{member, moment};
 use whinwall_aggregation::budget::{choose, Candidate};
-use whinwall_aggregation::configuration::{Configuration, ConfigurationError, GovernorMember};
+use whinwall_aggregation::configuration::{Configuration, ConfigurationError, ControllerMember};
 use whinwall_aggregation::wire;
 use whinwall_subsetting::Parameters;
 
@@ -56,10 +56,10 @@
     }
 }
 
-fn configured(own: &str, bytes: u64, governors: Vec<GovernorMember>) -> Result<(), ConfigurationError> {
+fn configured(own: &str, bytes: u64, controllers: Vec<ControllerMember>) -> Result<(), ConfigurationError> {
     let aggregators = ["m0".to_string(), "m1".to_string()];
     let parameters = Parameters::new(4).unwrap();
-    Configuration::new(own, parameters, bytes, governors, &aggregators).map(|_| ())
+    Configuration::new(own, parameters, bytes, controllers, &aggregators).map(|_| ())
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let many = configured("m0", 27_000, vec![member("g0", &[(0, 65_536)])]);
     assert_eq!(many, Err(ConfigurationError::TooManySlices(65_537)));
     let twice = configured("m0", 27_000, vec![member("g0", &[(0, 1)]), member("g0", &[(0, 1)])]);
-    assert!(matches!(twice, Err(ConfigurationError::Governors(_))), "{twice:?}");
+    assert!(matches!(twice, Err(ConfigurationError::Controllers(_))), "{twice:?}");
     let none = configured("m0", 27_000, vec![]);
-    assert!(matches!(none, Err(ConfigurationError::Governors(_))), "{none:?}");
+    assert!(matches!(none, Err(ConfigurationError::Controllers(_))), "{none:?}");
 }
--- a/crates/aggregation/tests/configuration_text.rs
+++ b/crates/aggregation/tests/configuration_text.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Command, Output};
-use whinwall_aggregation::configuration::{Configuration, ConfigurationError, GovernorMember};
+use whinwall_aggregation::configuration::{Configuration, ConfigurationError, ControllerMember};
 use whinwall_subsetting::Parameters;
 
 const FILE: &str = include_str!("fixtures/operators.xml");
@@ -40,16 +40,16 @@
     assert_eq!(check(&changed, "m0").status.code(), Some(2), "{name}");
 }
 
-fn governor(address: Option<&str>, slices: &[(u32, u32)]) -> GovernorMember {
+fn controller(address: Option<&str>, slices: &[(u32, u32)]) -> ControllerMember {
     let address = address.map(|address| address.parse::<SocketAddr>().unwrap());
-    GovernorMember { name: "g0".into(), address, slices: slices.to_vec() }
+    ControllerMember { name: "g0".into(), address, slices: slices.to_vec() }
 }
 
-fn why_refused(own: &str, bytes: u64, governors: Vec<GovernorMember>, aggregators: &[&str]) -> String {
+fn why_refused(own: &str, bytes: u64, controllers: Vec<ControllerMember>, aggregators: &[&str]) -> String {
     let names: Vec<_> = aggregators.iter().map(|name| name.to_string()).collect();
     let parameters = Parameters { subset_size: 20 };
     let refused: ConfigurationError =
-        Configuration::new(own, parameters, bytes, governors, &names).unwrap_err();
+        Configuration::new(own, parameters, bytes, controllers, &names).unwrap_err();
     refused.to_string()
 }
 
@@ -83,10 +83,10 @@
 
 #[test]
 fn mistakes_in_the_membership_are_worded_to_the_letter() {
-    let served = || vec![governor(Some("127.0.0.1:1"), &[(0, 4)])];
+    let served = || vec![controller(Some("127.0.0.1:1"), &[(0, 4)])];
     assert_eq!(why_refused("m9", 27_000, served(), &["m0"]), "\"m9\" is not among the aggregators");
     assert_eq!(why_refused("m0", 27_000, served(), &["m0", "m0"]), "aggregator \"m0\" is there twice");
-    let reversed = vec![governor(None, &[(4, 0)])];
+    let reversed = vec![controller(None, &[(4, 0)])];
     assert_eq!(why_refused("m0", 27_000, reversed, &["m0"]), "the slices of governor \"g0\" go from 4 to 0");
     let small = why_refused("m0", 0, served(), &["m0"]);
     assert!(small.starts_with("a budget of 0 bytes a report period is less than "), "{small}");
--- a/crates/aggregation/tests/failures.rs
+++ b/crates/aggregation/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What governors are told while aggregators, zones, discovery or members fail, in virtual time. The times to
+//! What controllers are told while aggregators, zones, discovery or members fail, in virtual time. The times to
 //! recover that `docs/design/aggregation.md` has are printed by `cargo test -p whinwall-aggregation --test failures
 //! -- --nocapture`.
 
@@ -9,7 +9,7 @@
 use whinwall_aggregation::messages::Note;
 
 const BUDGET: u64 = 27_000;
-/// Suspicion, the dial, and the governor's turn.
+/// Suspicion, the dial, and the controller's turn.
 const TAKEN_OVER_MS: f64 = 3_500.0;
 /// Heartbeats until an aggregator counts as alive again, the hold after a start, the dial, and the turn.
 const RETURNED_MS: f64 = 6_500.0;
@@ -31,7 +31,7 @@
     assert!(fleet.most_bytes_within(1000.0) <= BUDGET as usize);
 }
 
-/// The governors that a machine serves.
+/// The controllers that a machine serves.
 fn served_by(fleet: &Fleet, machine: usize) -> BTreeSet<String> {
     fleet.aggregator(machine).owned().map(str::to_string).collect()
 }
@@ -50,15 +50,15 @@
     assert!(gap < 0.01, "{gap} ms are in no line");
     assert_exact(&fleet);
     assert_budget(&fleet);
-    // Only the dead one's governors changed hands.
-    let others = fleet.governors.iter().filter(|governor| !lost.contains(&governor.name));
-    for governor in others {
+    // Only the dead one's controllers changed hands.
+    let others = fleet.controllers.iter().filter(|controller| !lost.contains(&controller.name));
+    for controller in others {
         let by: BTreeSet<_> = fleet
-            .reports(&governor.name)
+            .reports(&controller.name)
             .filter(|(heard, _)| heard.at_ms > from as f64)
             .map(|(heard, _)| heard.connection)
             .collect();
-        assert_eq!(by.len(), 1, "{} was handed over", governor.name);
+        assert_eq!(by.len(), 1, "{} was handed over", controller.name);
     }
 }
 
@@ -136,16 +136,16 @@
     fleet.silence_list(1, true);
     fleet.list(|replicas| _ = replicas.insert("s-new".into(), replica("s-new", 0)));
     fleet.run(12_000);
-    // Those with a fresh list serve its governors, so that all are told of the new replica.
+    // Those with a fresh list serve its controllers, so that all are told of the new replica.
     assert!(served_by(&fleet, 1).is_empty());
     assert!(fleet.notes(1).contains(&Note::RegistryStale(true)));
     assert!(fleet.notes(1).iter().any(|note| matches!(note, Note::RegistryBehind { .. })));
     let recovered = fleet.served_alone_at_ms(from) - from as f64;
     record("one of four sees an old list", recovered);
     assert!(recovered <= 9_000.0, "{recovered} ms");
-    for governor in &fleet.governors {
-        let told = fleet.reports(&governor.name).any(|(_, told)| told.host.as_deref() == Some("s-new"));
-        assert_eq!(told, fleet.subset(&governor.name).contains("s-new"), "{}", governor.name);
+    for controller in &fleet.controllers {
+        let told = fleet.reports(&controller.name).any(|(_, told)| told.host.as_deref() == Some("s-new"));
+        assert_eq!(told, fleet.subset(&controller.name).contains("s-new"), "{}", controller.name);
     }
     let back = fleet.now_ms;
     fleet.silence_list(1, false);
@@ -161,12 +161,12 @@
     let mut fleet = fleet();
     let from = fleet.now_ms as f64;
     fleet.list(|replicas| _ = replicas.insert("s-new".into(), replica("s-new", 0)));
-    let new = fleet.governors.iter().find(|governor| fleet.subset(&governor.name).contains("s-new"));
+    let new = fleet.controllers.iter().find(|controller| fleet.subset(&controller.name).contains("s-new"));
     let serves_it = fleet.owners(&new.unwrap().name)[0];
     fleet.stick_list(serves_it);
     fleet.run(15_000);
-    let told = fleet.governors.iter().flat_map(|governor| {
-        let own = fleet.subset(&governor.name).contains("s-new").then_some(&governor.name);
+    let told = fleet.controllers.iter().flat_map(|controller| {
+        let own = fleet.subset(&controller.name).contains("s-new").then_some(&controller.name);
         own.map(|name| {
             let mut reports = fleet.reports(name);
             let first = reports.find(|(_, told)| told.host.as_deref() == Some("s-new"));
@@ -187,8 +187,8 @@
         fleet.stranger(machine, "a-zone-that-is-none");
     }
     fleet.run(5_000);
-    for governor in &fleet.governors {
-        let mut after = fleet.reports(&governor.name).filter(|(heard, _)| heard.at_ms > from);
+    for controller in &fleet.controllers {
+        let mut after = fleet.reports(&controller.name).filter(|(heard, _)| heard.at_ms > from);
         assert!(after.all(|(_, told)| told.missing == 0));
     }
 }
@@ -206,13 +206,13 @@
 }
 
 #[test]
-fn two_that_serve_the_same_governor_say_so_by_their_windows() {
+fn two_that_serve_the_same_controller_say_so_by_their_windows() {
     let mut fleet = Fleet::settled(24, 60, 3, 10, BUDGET);
     // Neither hears the other, and the other two hear both.
     fleet.deafen(0, 1);
     fleet.deafen(1, 0);
     fleet.run(10_000);
-    let twice = fleet.governors.iter().filter(|governor| fleet.owners(&governor.name).len() == 2);
+    let twice = fleet.controllers.iter().filter(|controller| fleet.owners(&controller.name).len() == 2);
     assert!(twice.count() > 0);
     // Each connection's lines are exact and whole by themselves; what two say overlaps, and can be told by time.
     assert_exact(&fleet);
@@ -247,9 +247,9 @@
     fleet.silent_zones.insert(2);
     fleet.run(HOUR_MS);
     let during = |fleet: &Fleet, missing: usize, from: f64, to: f64| {
-        let governors = fleet.governors.iter().map(|governor| governor.name.clone());
-        let mut lines = governors.flat_map(|governor| {
-            let lines = fleet.reports(&governor).filter(|(heard, _)| (from..to).contains(&heard.at_ms));
+        let controllers = fleet.controllers.iter().map(|controller| controller.name.clone());
+        let mut lines = controllers.flat_map(|controller| {
+            let lines = fleet.reports(&controller).filter(|(heard, _)| (from..to).contains(&heard.at_ms));
             lines.map(|(_, told)| told.missing).collect::<Vec<_>>()
         });
         lines.all(|marked| marked == missing)
@@ -261,8 +261,8 @@
     fleet.silent_zones.remove(&2);
     fleet.run(10_000);
     assert!(fleet.notes(0).contains(&Note::ZoneBack("z2".into())));
-    let last_marked = fleet.governors.iter().flat_map(|governor| {
-        let lines = fleet.reports(&governor.name).filter(|(_, told)| told.missing > 0);
+    let last_marked = fleet.controllers.iter().flat_map(|controller| {
+        let lines = fleet.reports(&controller.name).filter(|(_, told)| told.missing > 0);
         lines.map(|(heard, _)| heard.at_ms).collect::<Vec<_>>()
     });
     let recovered = last_marked.fold(0.0, f64::max) - back as f64;
@@ -271,9 +271,9 @@
     assert_exact(&fleet);
 }
 
-/// Two regions: the first has half of the machines, zone 0 and half of the governors, the second has the rest.
+/// Two regions: the first has half of the machines, zone 0 and half of the controllers, the second has the rest.
 fn set_regions_apart(fleet: &mut Fleet, apart: bool) {
-    let names: Vec<_> = fleet.governors.iter().map(|governor| governor.name.clone()).collect();
+    let names: Vec<_> = fleet.controllers.iter().map(|controller| controller.name.clone()).collect();
     for machine in 0..4 {
         let region = machine / 2;
         for zone in (0..fleet.zones).filter(|zone| (*zone).min(1) != region) {
@@ -300,20 +300,20 @@
     let cut = fleet.now_ms as f64;
     set_regions_apart(&mut fleet, true);
     fleet.run(3_600_000);
-    // Each governor is told all the time, by its own side alone and of what that hears: the rest is marked.
-    for (n, governor) in fleet.governors.iter().enumerate() {
-        let during = fleet.reports(&governor.name).filter(|(heard, _)| heard.at_ms > cut + 10_000.0);
+    // Each controller is told all the time, by its own side alone and of what that hears: the rest is marked.
+    for (n, controller) in fleet.controllers.iter().enumerate() {
+        let during = fleet.reports(&controller.name).filter(|(heard, _)| heard.at_ms > cut + 10_000.0);
         let during: Vec<_> = during.collect();
         let lacks = if n % 2 == 0 { 2 } else { 1 };
         assert!(during.iter().all(|(heard, told)| heard.aggregator / 2 == n % 2 && told.missing == lacks));
-        assert!(during.len() > 3_500 * 4, "{} is told too little", governor.name);
+        assert!(during.len() > 3_500 * 4, "{} is told too little", controller.name);
     }
     let back = fleet.now_ms;
     set_regions_apart(&mut fleet, false);
     fleet.run(15_000);
     let alone = fleet.served_alone_at_ms(back);
-    let last_marked = fleet.governors.iter().flat_map(|governor| {
-        let lines = fleet.reports(&governor.name).filter(|(_, told)| told.missing > 0);
+    let last_marked = fleet.controllers.iter().flat_map(|controller| {
+        let lines = fleet.reports(&controller.name).filter(|(_, told)| told.missing > 0);
         lines.map(|(heard, _)| heard.at_ms).collect::<Vec<_>>()
     });
     let recovered = last_marked.fold(alone, f64::max) - back as f64;
@@ -344,11 +344,12 @@
     fleet.run(5_000);
     assert_eq!(fleet.last_silent_lack_ms(), None);
     let marked = |fleet: &Fleet, by: usize| {
-        let governors = fleet.governors.iter().map(|governor| governor.name.clone());
-        governors
-            .flat_map(|governor| {
-                let lines =
-                    fleet.reports(&governor).filter(|(heard, _)| heard.aggregator == by && heard.at_ms > cut);
+        let controllers = fleet.controllers.iter().map(|controller| controller.name.clone());
+        controllers
+            .flat_map(|controller| {
+                let lines = fleet
+                    .reports(&controller)
+                    .filter(|(heard, _)| heard.aggregator == by && heard.at_ms > cut);
                 lines.map(|(_, told)| told.missing).collect::<Vec<_>>()
             })
             .filter(|missing| *missing > 0)
@@ -370,7 +371,7 @@
 }
 
 #[test]
-fn a_governor_is_cut_off_and_comes_back() {
+fn a_controller_is_cut_off_and_comes_back() {
     let mut fleet = fleet();
     let cut = fleet.now_ms as f64;
     fleet.set_reachable("g3", false);
@@ -403,7 +404,7 @@
         });
         fleet.run(300);
     }
-    fleet.list(|replicas| replicas.retain(|_, entry| entry.place != "z1"));
+    fleet.list(|replicas| replicas.retain(|_, entry| entry.zone != "z1"));
     fleet.run(5_000);
     fleet.list(|replicas| {
         (0..20).map(|n| format!("s-b{n}")).for_each(|id| _ = replicas.insert(id.clone(), replica(&id, 1)));
@@ -416,22 +417,22 @@
         assert_eq!(state.series, state.replicas + 12 * 2 * 2, "series that nobody needs");
     }
     let after = fleet.now_ms as f64 - 1_100.0;
-    for governor in &fleet.governors {
-        let told = fleet.reports(&governor.name).filter(|(heard, _)| heard.at_ms > after);
+    for controller in &fleet.controllers {
+        let told = fleet.reports(&controller.name).filter(|(heard, _)| heard.at_ms > after);
         let told: BTreeSet<_> = told.filter_map(|(_, told)| told.host.clone()).collect();
-        assert_eq!(told, fleet.subset(&governor.name), "{}", governor.name);
+        assert_eq!(told, fleet.subset(&controller.name), "{}", controller.name);
     }
 }
 
 #[test]
-fn governors_come_and_go() {
+fn controllers_come_and_go() {
     let mut fleet = fleet();
     for round in 0..40 {
         match round % 2 {
-            0 => _ = fleet.governors.remove(round % 11),
+            0 => _ = fleet.controllers.remove(round % 11),
             _ => {
                 let slice = 100 + round as u32;
-                fleet.governors.push(member(&format!("h{round}"), &[(slice, slice)]));
+                fleet.controllers.push(member(&format!("h{round}"), &[(slice, slice)]));
             }
         }
         fleet.reconfigure();
@@ -440,10 +441,10 @@
     fleet.run(5_000);
     assert_exact(&fleet);
     assert_budget(&fleet);
-    for governor in &fleet.governors {
-        assert_eq!(fleet.owners(&governor.name).len(), 1);
+    for controller in &fleet.controllers {
+        assert_eq!(fleet.owners(&controller.name).len(), 1);
         let told =
-            fleet.reports(&governor.name).any(|(heard, _)| heard.at_ms > fleet.now_ms as f64 - 1_100.0);
-        assert!(told, "{} hears nothing", governor.name);
+            fleet.reports(&controller.name).any(|(heard, _)| heard.at_ms > fleet.now_ms as f64 - 1_100.0);
+        assert!(told, "{} hears nothing", controller.name);
     }
 }
--- a/crates/aggregation/tests/line_bytes.rs
+++ b/crates/aggregation/tests/line_bytes.rs
@@ -1,4 +1,4 @@
-//! The exact text between aggregators, governors and collectors. Each line is written out, so that a renamed
+//! The exact text between aggregators, controllers and collectors. Each line is written out, so that a renamed
 //! field or another number format fails here.
 
 use whinwall_aggregation::membership::Heartbeat;
@@ -14,8 +14,8 @@
     Heartbeat { name: "m1".into(), ready: true, list_age_ms: 700, version: 41, zones }
 }
 
-fn covered(tries: f64, failed: f64, missing: usize) -> Covered {
-    let sum = Sum { tries, failed, answered_ms: (tries - failed) * 41.7, lines: 9 };
+fn covered(attempts: f64, failed: f64, missing: usize) -> Covered {
+    let sum = Sum { attempts, failed, answered_ms: (attempts - failed) * 41.7, lines: 9 };
     Covered { sum, window: Span::ms(1500), missing }
 }
 
--- a/crates/aggregation/tests/note_text.rs
+++ b/crates/aggregation/tests/note_text.rs
@@ -17,7 +17,7 @@
     let alive = |alive| Note::PeerAlive { peer: "m1".into(), alive };
     assert_eq!(info(alive(true)), "aggregator m1 is alive");
     assert_eq!(warning(alive(false)), "aggregator m1 is not heard any more");
-    let serving = Note::Serving { governors: 3, aggregators: 2 };
+    let serving = Note::Serving { controllers: 3, aggregators: 2 };
     assert_eq!(info(serving), "serves 3 governors, as one of 2 aggregators");
 }
 
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn notes_on_governors_are_worded_to_the_letter() {
-    let reachable = |reachable| Note::GovernorReachable { governor: "g0".into(), reachable };
+fn notes_on_controllers_are_worded_to_the_letter() {
+    let reachable = |reachable| Note::ControllerReachable { controller: "g0".into(), reachable };
     assert_eq!(info(reachable(true)), "governor g0 is reached");
     assert_eq!(warning(reachable(false)), "governor g0 is out of reach");
-    let small = warning(Note::BudgetTooSmall { governor: "g0".into() });
+    let small = warning(Note::BudgetTooSmall { controller: "g0".into() });
     assert_eq!(small, "the byte budget of governor g0 is too small for its subset");
 }
 
--- a/crates/aggregation/tests/program.rs
+++ b/crates/aggregation/tests/program.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use rustix::process::Signal;
-use stand_ins::{get, Collector, Discovery, Governor, Line, Program};
+use stand_ins::{get, Collector, Controller, Discovery, Line, Program};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use whinwall_protocol::collector::{quick, Report};
@@ -13,23 +13,23 @@
     {"id":"s-1","addr":"127.0.0.9:1","zone":"b","kind":"m","cell":1,"state":"active","weight":1.0,"started_ms":0}]}"#;
 
 /// In one report of a zone's collector.
-const TRIES_OF_A: u64 = 10;
-const TRIES_OF_B: u64 = 100_000;
+const ATTEMPTS_OF_A: u64 = 10;
+const ATTEMPTS_OF_B: u64 = 100_000;
 
 fn discovery() -> Discovery {
     Discovery::start(&LIST.replace('\n', ""))
 }
 
-/// The operators' file: each governor with two slices of its own.
-fn file(governors: &[SocketAddr], aggregators: &[(String, SocketAddr)]) -> String {
-    let governors = governors.iter().enumerate().map(|(n, address)| {
+/// The operators' file: each controller with two slices of its own.
+fn file(controllers: &[SocketAddr], aggregators: &[(String, SocketAddr)]) -> String {
+    let controllers = controllers.iter().enumerate().map(|(n, address)| {
         let (first, last) = (2 * n, 2 * n + 1);
         format!("<governor name=\"g{n}\" address=\"{address}\" slices=\"{first}-{last}\"/>")
     });
     let aggregators = aggregators
         .iter()
         .map(|(name, address)| format!("<aggregator name=\"{name}\" address=\"{address}\"/>"));
-    let members: String = governors.chain(aggregators).collect();
+    let members: String = controllers.chain(aggregators).collect();
     let subsetting = format!("<subsetting subset=\"2\" bytes-per-second=\"27000\">{members}</subsetting>");
     format!("<operators version=\"1\">{subsetting}</operators>")
 }
@@ -41,11 +41,11 @@
 
 /// What a zone's collector says, again and again; of replicas in figures by which the zone can be told in a sum.
 fn reports(zone: &str, slices: u32) -> Vec<String> {
-    let tries = if zone == "a" { TRIES_OF_A } else { TRIES_OF_B };
+    let attempts = if zone == "a" { ATTEMPTS_OF_A } else { ATTEMPTS_OF_B };
     let load = |host: &str| {
-        let failed = tries / 10;
+        let failed = attempts / 10;
         format!(
-            "{{\"@type\":\"LOAD\",\"az\":\"{zone}\",\"host\":\"{host}\",\"n\":{tries},\"bad\":{failed},\"avg\":5.0,\
+            "{{\"@type\":\"LOAD\",\"az\":\"{zone}\",\"host\":\"{host}\",\"n\":{attempts},\"bad\":{failed},\"avg\":5.0,\
              \"window\":250.0}}"
         )
     };
@@ -61,29 +61,34 @@
 }
 
 #[test]
-fn one_alone_sums_zones_and_tells_each_governor_of_its_own_slices() {
-    let (discovery, mut governors) = (discovery(), [Governor::start(), Governor::start()]);
-    let addresses = governors.each_ref().map(|governor| governor.address);
+fn one_alone_sums_zones_and_tells_each_controller_of_its_own_slices() {
+    let (discovery, mut controllers) = (discovery(), [Controller::start(), Controller::start()]);
+    let addresses = controllers.each_ref().map(|controller| controller.address);
     let mut program = Program::start("m0", &file(&addresses, &[absent("m0", 7)]), &discovery, &[]);
     let _collectors = collectors(&[program.address], 6);
-    for (number, governor) in governors.iter_mut().enumerate() {
-        governor.hears(r#"{"@type":"SOURCE","az":"a"}"#);
+    for (number, controller) in controllers.iter_mut().enumerate() {
+        controller.hears(r#"{"@type":"SOURCE","az":"a"}"#);
         // One that has at least one report of each zone, and lacks none.
         let has_both = |line: &Line| {
-            let Some(Report::Met { server: "s-0", tries, .. }) = quick(&line.text) else { return false };
-            let tries = tries as u64;
-            !line.text.contains("missing") && tries >= TRIES_OF_B && tries % TRIES_OF_B >= TRIES_OF_A
+            let Some(Report::EndpointReport { replica: "s-0", attempts, .. }) = quick(&line.text) else {
+                return false;
+            };
+            let attempts = attempts as u64;
+            !line.text.contains("missing")
+                && attempts >= ATTEMPTS_OF_B
+                && attempts % ATTEMPTS_OF_B >= ATTEMPTS_OF_A
         };
-        let line = governor.heard.wait("a line of s-0 with both zones", has_both).text;
-        let Some(Report::Met { place, tries, aborted, mean_latency_ms, .. }) = quick(&line) else {
+        let line = controller.heard.wait("a line of s-0 with both zones", has_both).text;
+        let Some(Report::EndpointReport { zone, attempts, failed, mean_latency_ms, .. }) = quick(&line)
+        else {
             panic!("{line}")
         };
-        assert_eq!((place, mean_latency_ms), ("a", 5.0));
-        let (of_a, of_b) = (tries as u64 % TRIES_OF_B / TRIES_OF_A, tries as u64 / TRIES_OF_B);
-        assert_eq!(tries as u64, of_a * TRIES_OF_A + of_b * TRIES_OF_B, "{line}");
-        assert_eq!(aborted * 10.0, tries, "{line}");
-        let own = governor.hears("SHARD").text;
-        let Some(Report::Asked { slice, .. }) = quick(&own) else { panic!("{own}") };
+        assert_eq!((zone, mean_latency_ms), ("a", 5.0));
+        let (of_a, of_b) = (attempts as u64 % ATTEMPTS_OF_B / ATTEMPTS_OF_A, attempts as u64 / ATTEMPTS_OF_B);
+        assert_eq!(attempts as u64, of_a * ATTEMPTS_OF_A + of_b * ATTEMPTS_OF_B, "{line}");
+        assert_eq!(failed * 10.0, attempts, "{line}");
+        let own = controller.hears("SHARD").text;
+        let Some(Report::DemandReport { slice, .. }) = quick(&own) else { panic!("{own}") };
         assert_eq!(slice as usize / 2, number);
     }
     program.signal(Signal::TERM);
@@ -91,11 +96,11 @@
 }
 
 #[test]
-fn four_share_the_governors_and_take_over_from_one_that_dies_or_hangs() {
-    const GOVERNORS: usize = 8;
-    let (discovery, mut governors) = (discovery(), Vec::new());
-    governors.resize_with(GOVERNORS, Governor::start);
-    let addresses: Vec<_> = governors.iter().map(|governor| governor.address).collect();
+fn four_share_the_controllers_and_take_over_from_one_that_dies_or_hangs() {
+    const CONTROLLERS: usize = 8;
+    let (discovery, mut controllers) = (discovery(), Vec::new());
+    controllers.resize_with(CONTROLLERS, Controller::start);
+    let addresses: Vec<_> = controllers.iter().map(|controller| controller.address).collect();
     let names = ["m0", "m1", "m2", "m3"];
     let unknown: Vec<_> = names.iter().zip(1..).map(|(name, port)| absent(name, port)).collect();
     let mut programs: Vec<_> =
@@ -107,14 +112,14 @@
         program.reads_anew(&file(&addresses, &known));
     }
     let to: Vec<_> = programs.iter().map(|program| program.address).collect();
-    let _collectors = collectors(&to, 2 * GOVERNORS as u32);
-    let expect_all = |governors: &mut Vec<Governor>| {
-        for governor in governors.iter_mut() {
-            governor.heard.forget();
-            governor.hears("s-0");
+    let _collectors = collectors(&to, 2 * CONTROLLERS as u32);
+    let expect_all = |controllers: &mut Vec<Controller>| {
+        for controller in controllers.iter_mut() {
+            controller.heard.forget();
+            controller.hears("s-0");
         }
     };
-    expect_all(&mut governors);
+    expect_all(&mut controllers);
     for program in &mut programs {
         program.logs("as one of 4 aggregators");
     }
@@ -122,7 +127,7 @@
     for one in [0, 2, 3] {
         programs[one].logs("aggregator m1 is not heard");
     }
-    expect_all(&mut governors);
+    expect_all(&mut controllers);
     programs[1].signal(Signal::CONT);
     programs[1].logs("was not running for");
     programs[0].logs("as one of 4 aggregators");
@@ -130,22 +135,22 @@
     for one in [0, 1, 3] {
         programs[one].logs("aggregator m2 is not heard");
     }
-    expect_all(&mut governors);
+    expect_all(&mut controllers);
 }
 
 #[test]
 fn what_is_missing_is_marked_and_shown_in_metrics() {
-    let (discovery, mut governor) = (discovery(), Governor::start());
-    let file = file(&[governor.address], &[absent("m0", 7)]);
+    let (discovery, mut controller) = (discovery(), Controller::start());
+    let file = file(&[controller.address], &[absent("m0", 7)]);
     let mut program = Program::start("m0", &file, &discovery, &["--metrics", "127.0.0.1:0"]);
     let metrics = program.logs("metrics at").rsplit(' ').next().unwrap().to_string();
     let mut all = collectors(&[program.address], 2);
-    governor.heard.wait("a whole line", |line| line.text.contains("s-0") && !line.text.contains("missing"));
+    controller.heard.wait("a whole line", |line| line.text.contains("s-0") && !line.text.contains("missing"));
     drop(all.pop());
     program.logs("zone b is missing");
     // Lines of the start were marked too; one of now is written in the same beat as the figures.
-    governor.heard.forget();
-    governor.hears(r#""missing":1"#);
+    controller.heard.forget();
+    controller.hears(r#""missing":1"#);
     let text = get(&metrics, "/metrics");
     let figures: BTreeMap<_, _> = text.lines().filter_map(|line| line.split_once(' ')).collect();
     let figure = |name: &str| figures[format!("whinwall_aggregator_{name}").as_str()];
@@ -157,12 +162,12 @@
 }
 
 #[test]
-fn strangers_are_let_go_and_cost_no_collector_its_place() {
-    let (discovery, mut governor) = (discovery(), Governor::start());
-    let file = file(&[governor.address], &[absent("m0", 7)]);
+fn strangers_are_let_go_and_cost_no_collector_its_zone() {
+    let (discovery, mut controller) = (discovery(), Controller::start());
+    let file = file(&[controller.address], &[absent("m0", 7)]);
     let program = Program::start("m0", &file, &discovery, &[]);
     let _collectors = collectors(&[program.address], 2);
-    governor.hears("s-0");
+    controller.hears("s-0");
     let mut asks = program.connect();
     asks.says(r#"{"@type":"PING"}"#);
     assert_eq!(asks.hears(), "{\"@type\":\"PONG\"}\n");
@@ -182,15 +187,15 @@
         .says(r#"{"@type":"HEARTBEAT","name":"m9","ready":true,"list_age_ms":0,"version":1,"zones":["x"]}"#);
     assert!(unknown.is_let_go());
     // The zone that it names is not waited for.
-    governor.heard.forget();
-    governor.heard.wait("a whole line", |line| line.text.contains("s-0") && !line.text.contains("missing"));
+    controller.heard.forget();
+    controller.heard.wait("a whole line", |line| line.text.contains("s-0") && !line.text.contains("missing"));
 }
 
 #[test]
 fn a_faulty_file_is_refused_and_one_read_anew_leaves_the_former_in_force() {
     let discovery = discovery();
-    let governor = Governor::start();
-    let good = file(&[governor.address], &[absent("m0", 7)]);
+    let controller = Controller::start();
+    let good = file(&[controller.address], &[absent("m0", 7)]);
     let mut program = Program::launch("m9", &good, &discovery, &[]);
     program.logs("\"m9\" is not among the aggregators");
     assert_eq!(program.ends().code(), Some(2));
--- a/crates/aggregation/tests/stand_ins/mod.rs
+++ b/crates/aggregation/tests/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery, collectors and governors, and the program itself, on loopback sockets.
+//! Stand-ins for discovery, collectors and controllers, and the program itself, on loopback sockets.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::VecDeque;
@@ -124,18 +124,18 @@
     }
 }
 
-/// A line that came to a governor.
+/// A line that came to a controller.
 pub struct Line {
     pub text: String,
 }
 
-/// A governor: it answers signs of life, and keeps what it is told.
-pub struct Governor {
+/// A controller: it answers signs of life, and keeps what it is told.
+pub struct Controller {
     pub address: SocketAddr,
     pub heard: Heard<Line>,
 }
 
-impl Governor {
+impl Controller {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -156,7 +156,7 @@
                 });
             }
         });
-        Governor { address, heard: Heard::new(heard) }
+        Controller { address, heard: Heard::new(heard) }
     }
 
     pub fn hears(&mut self, what: &str) -> Line {
--- a/crates/aggregation/tests/steady.rs
+++ b/crates/aggregation/tests/steady.rs
@@ -1,4 +1,4 @@
-//! What governors are told while nothing fails.
+//! What controllers are told while nothing fails.
 
 mod virtual_fleet;
 
@@ -9,15 +9,15 @@
 const BUDGET: u64 = 27_000;
 
 #[test]
-fn each_governor_is_told_by_one_aggregator_of_its_subset_and_slices_alone() {
+fn each_controller_is_told_by_one_aggregator_of_its_subset_and_slices_alone() {
     let mut fleet = Fleet::settled(12, 60, 3, 10, BUDGET);
     fleet.run(5_000);
-    for governor in fleet.governors.clone() {
-        assert_eq!(fleet.owners(&governor.name).len(), 1);
-        let loads = fleet.reports(&governor.name).filter_map(|(_, told)| told.host.clone());
-        assert_eq!(loads.collect::<BTreeSet<_>>(), fleet.subset(&governor.name));
-        let slices = fleet.reports(&governor.name).filter_map(|(_, told)| told.partition);
-        let (first, last) = governor.slices[0];
+    for controller in fleet.controllers.clone() {
+        assert_eq!(fleet.owners(&controller.name).len(), 1);
+        let loads = fleet.reports(&controller.name).filter_map(|(_, told)| told.host.clone());
+        assert_eq!(loads.collect::<BTreeSet<_>>(), fleet.subset(&controller.name));
+        let slices = fleet.reports(&controller.name).filter_map(|(_, told)| told.partition);
+        let (first, last) = controller.slices[0];
         assert_eq!(slices.collect::<BTreeSet<_>>(), (first..=last).collect());
     }
 }
@@ -51,8 +51,8 @@
     fleet.run(3_000);
     let gone_at = fleet.now_ms as f64;
     fleet.run(5_000);
-    for governor in 0..4 {
-        let mut reports = fleet.reports(&format!("g{governor}")).filter(|(heard, _)| heard.at_ms > gone_at);
+    for controller in 0..4 {
+        let mut reports = fleet.reports(&format!("g{controller}")).filter(|(heard, _)| heard.at_ms > gone_at);
         assert!(reports.all(|(_, told)| told.host.as_deref() != Some("s-3")));
     }
 }
@@ -86,8 +86,8 @@
     fleet.run(8_000);
     let from = fleet.now_ms as f64;
     fleet.run(20_000);
-    for governor in 0..4 {
-        let after = fleet.reports(&format!("g{governor}")).filter(|(heard, _)| heard.at_ms > from);
+    for controller in 0..4 {
+        let after = fleet.reports(&format!("g{controller}")).filter(|(heard, _)| heard.at_ms > from);
         assert_eq!(after.count(), 0);
     }
 }
@@ -104,8 +104,8 @@
         let most = fleet.most_bytes_within(seconds as f64 * 1000.0);
         assert!(most <= seconds * budget as usize, "{most} bytes in {seconds} s");
     }
-    let longest = (0..6).map(|one| format!("g{one}")).flat_map(|governor| {
-        let windows = fleet.reports(&governor).filter(|(heard, _)| heard.at_ms > 22_000.0);
+    let longest = (0..6).map(|one| format!("g{one}")).flat_map(|controller| {
+        let windows = fleet.reports(&controller).filter(|(heard, _)| heard.at_ms > 22_000.0);
         windows.map(|(_, told)| told.window).collect::<Vec<_>>()
     });
     let longest = longest.fold(0.0, f64::max);
--- a/crates/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -1,11 +1,11 @@
-//! Aggregators, collectors, discovery and governors in virtual time: the real reducers, and no sockets.
+//! Aggregators, collectors, discovery and controllers in virtual time: the real reducers, and no sockets.
 #![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
 
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use whinwall_aggregation::aggregator::Aggregator;
-use whinwall_aggregation::configuration::{Configuration, GovernorMember};
+use whinwall_aggregation::configuration::{Configuration, ControllerMember};
 use whinwall_aggregation::messages::{Effect, Event, Note};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::Report;
@@ -19,7 +19,7 @@
 /// Windows have a tenth of a microsecond.
 const CLOSE_MS: f64 = 0.01;
 
-/// A line as a governor heard it.
+/// A line as a controller heard it.
 #[derive(Clone, Debug)]
 pub struct Heard {
     pub at_ms: f64,
@@ -30,7 +30,7 @@
     pub report: Option<Told>,
 }
 
-/// A report as a governor reads it, with the optional field.
+/// A report as a controller reads it, with the optional field.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Told {
     #[serde(rename = "@type")]
@@ -85,14 +85,14 @@
     cut_zones: BTreeSet<usize>,
     /// Peers whose heartbeats do not reach it.
     deaf_to: BTreeSet<usize>,
-    /// Governors that it can't reach.
+    /// Controllers that it can't reach.
     unreachable: BTreeSet<String>,
     /// Discovery's watch tells it nothing.
     list_silent: bool,
     /// Discovery's watch gives signs of life and tells no change, until it is asked anew.
     list_stuck: bool,
     list_version: u64,
-    /// Open connections to governors.
+    /// Open connections to controllers.
     connections: BTreeMap<String, u64>,
     /// Events for its next step.
     queue: Vec<Answer>,
@@ -105,7 +105,7 @@
     Alive(String),
 }
 
-/// One thing that collectors said, for comparison with what governors heard.
+/// One thing that collectors said, for comparison with what controllers heard.
 #[derive(Clone, Copy, Debug)]
 pub struct Said {
     pub at_ms: f64,
@@ -118,7 +118,7 @@
 pub struct Fleet {
     pub now_ms: u64,
     pub zones: usize,
-    pub governors: Vec<GovernorMember>,
+    pub controllers: Vec<ControllerMember>,
     pub subset_size: usize,
     pub budget: u64,
     machines: Vec<Machine>,
@@ -142,15 +142,15 @@
     Moment::at_ns(0) + Span::ms(1).times(ms)
 }
 
-pub fn member(name: &str, slices: &[(u32, u32)]) -> GovernorMember {
+pub fn member(name: &str, slices: &[(u32, u32)]) -> ControllerMember {
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    GovernorMember { name: name.into(), address: Some(address), slices: slices.to_vec() }
+    ControllerMember { name: name.into(), address: Some(address), slices: slices.to_vec() }
 }
 
 pub fn replica(id: &str, zone: usize) -> Entry {
     Entry {
-        server: id.into(),
-        place: zone_name(zone),
+        replica: id.into(),
+        zone: zone_name(zone),
         machine: "m".into(),
         state: State::Ready,
         size: 1.0,
@@ -177,14 +177,14 @@
 }
 
 impl Fleet {
-    pub fn new(governors: usize, replicas: usize, zones: usize, subset_size: usize, budget: u64) -> Self {
+    pub fn new(controllers: usize, replicas: usize, zones: usize, subset_size: usize, budget: u64) -> Self {
         let slice = |n: usize| (2 * n as u32, 2 * n as u32 + 1);
-        let governors = (0..governors).map(|n| member(&format!("g{n}"), &[slice(n)])).collect();
+        let controllers = (0..controllers).map(|n| member(&format!("g{n}"), &[slice(n)])).collect();
         let replicas = (0..replicas).map(|n| (format!("s-{n}"), replica(&format!("s-{n}"), n % zones)));
         let mut fleet = Fleet {
             now_ms: 10_000,
             zones,
-            governors,
+            controllers,
             subset_size,
             budget,
             machines: Vec::new(),
@@ -219,8 +219,8 @@
     }
 
     /// One that has run for a while with all four.
-    pub fn settled(governors: usize, replicas: usize, zones: usize, subset: usize, budget: u64) -> Self {
-        let mut fleet = Fleet::new(governors, replicas, zones, subset, budget);
+    pub fn settled(controllers: usize, replicas: usize, zones: usize, subset: usize, budget: u64) -> Self {
+        let mut fleet = Fleet::new(controllers, replicas, zones, subset, budget);
         (0..4).for_each(|machine| fleet.start(machine));
         fleet.run(12_000);
         fleet
@@ -229,8 +229,8 @@
     pub fn configuration(&self, own: usize) -> Configuration {
         let aggregators: Vec<_> = (0..4).map(aggregator_name).collect();
         let parameters = Parameters::new(self.subset_size).unwrap();
-        let governors = self.governors.clone();
-        Configuration::new(&aggregator_name(own), parameters, self.budget, governors, &aggregators).unwrap()
+        let controllers = self.controllers.clone();
+        Configuration::new(&aggregator_name(own), parameters, self.budget, controllers, &aggregators).unwrap()
     }
 
     /// Starts a machine's process.
@@ -298,19 +298,19 @@
         }
     }
 
-    pub fn set_reachable(&mut self, governor: &str, reachable: bool) {
-        (0..self.machines.len()).for_each(|machine| self.set_reachable_from(machine, governor, reachable));
+    pub fn set_reachable(&mut self, controller: &str, reachable: bool) {
+        (0..self.machines.len()).for_each(|machine| self.set_reachable_from(machine, controller, reachable));
     }
 
-    /// Whether a machine reaches a governor; where it does not, what is open is reset.
-    pub fn set_reachable_from(&mut self, index: usize, governor: &str, reachable: bool) {
+    /// Whether a machine reaches a controller; where it does not, what is open is reset.
+    pub fn set_reachable_from(&mut self, index: usize, controller: &str, reachable: bool) {
         let machine = &mut self.machines[index];
         match reachable {
-            true => _ = machine.unreachable.remove(governor),
-            false => _ = machine.unreachable.insert(governor.into()),
+            true => _ = machine.unreachable.remove(controller),
+            false => _ = machine.unreachable.insert(controller.into()),
         }
-        if !reachable && machine.connections.remove(governor).is_some() {
-            machine.queue.push(Answer::Lost(governor.into()));
+        if !reachable && machine.connections.remove(controller).is_some() {
+            machine.queue.push(Answer::Lost(controller.into()));
         }
     }
 
@@ -330,7 +330,7 @@
         self.version += 1;
     }
 
-    /// The governors change; machines reread their file.
+    /// The controllers change; machines reread their file.
     pub fn reconfigure(&mut self) {
         for index in 0..self.machines.len() {
             let configuration = self.configuration(index);
@@ -345,31 +345,31 @@
         }
     }
 
-    pub fn owners(&self, governor: &str) -> Vec<usize> {
+    pub fn owners(&self, controller: &str) -> Vec<usize> {
         let owns = |index: &usize| {
             let aggregator = self.machines[*index].aggregator.as_ref();
-            aggregator.is_some_and(|aggregator| aggregator.owned().any(|name| name == governor))
+            aggregator.is_some_and(|aggregator| aggregator.owned().any(|name| name == controller))
         };
         (0..self.machines.len()).filter(owns).collect()
     }
 
-    /// A governor's subset, as the aggregators should see it.
-    pub fn subset(&self, governor: &str) -> BTreeSet<String> {
-        let membership = self.governors.iter().map(|one| one.name.clone());
+    /// A controller's subset, as the aggregators should see it.
+    pub fn subset(&self, controller: &str) -> BTreeSet<String> {
+        let membership = self.controllers.iter().map(|one| one.name.clone());
         let membership = whinwall_subsetting::Membership::new(membership).unwrap();
         let replicas: Vec<_> = self
             .replicas
             .values()
             .map(|entry| whinwall_subsetting::Replica {
-                id: &entry.server,
-                zone: &entry.place,
+                id: &entry.replica,
+                zone: &entry.zone,
                 group: &entry.machine,
                 weight: entry.size,
             })
             .collect();
         let parameters = Parameters::new(self.subset_size).unwrap();
         let assignment = whinwall_subsetting::Assignment::compute(&membership, &replicas, &parameters);
-        assignment.subset_of(governor).into_iter().map(str::to_string).collect()
+        assignment.subset_of(controller).into_iter().map(str::to_string).collect()
     }
 
     pub fn run(&mut self, ms: u64) {
@@ -405,18 +405,18 @@
     }
 
     fn zone_reports(&mut self, zone: usize, at_ms: f64) {
-        let place = zone_name(zone);
+        let zone_name = zone_name(zone);
         let tried: Vec<_> = self.replicas.keys().filter(|id| !self.untried.contains(*id)).cloned().collect();
         for id in tried {
             let (n, avg) = (1.0 + self.draw(500) as f64, 1.0 + self.draw(400) as f64 / 8.0);
             let bad = self.draw(n as u64 + 1) as f64;
             let said = Said { at_ms, zone, n, bad, avg };
             self.said.entry(id.clone()).or_default().push(said);
-            let report = Report::Met {
-                place: &place,
-                server: &id,
-                tries: n,
-                aborted: bad,
+            let report = Report::EndpointReport {
+                zone: &zone_name,
+                replica: &id,
+                attempts: n,
+                failed: bad,
                 mean_latency_ms: avg,
                 covers_ms: PERIOD_MS as f64,
                 missing: 0,
@@ -428,15 +428,21 @@
             let said = Said { at_ms, zone, n, bad, avg: 0.0 };
             self.said.entry(format!("{slice}/{class}")).or_default().push(said);
             let covers_ms = PERIOD_MS as f64;
-            let report =
-                Report::Asked { slice, op_type: class, came: n, aborted: bad, covers_ms, missing: 0 };
+            let report = Report::DemandReport {
+                slice,
+                request_class: class,
+                came: n,
+                failed: bad,
+                covers_ms,
+                missing: 0,
+            };
             self.tell_all(zone, at_ms, report);
         }
     }
 
-    /// The slices of all governors, each with each class.
+    /// The slices of all controllers, each with each class.
     fn shards(&self) -> Vec<(u32, &'static str)> {
-        let ranges = self.governors.iter().flat_map(|one| one.slices.iter());
+        let ranges = self.controllers.iter().flat_map(|one| one.slices.iter());
         let slices = ranges.flat_map(|(first, last)| *first..=*last);
         slices.flat_map(|slice| self.classes.iter().map(move |class| (slice, *class))).collect()
     }
@@ -446,7 +452,7 @@
             if self.machines[index].cut_zones.contains(&zone) {
                 continue;
             }
-            let event = Event::Reported { connection: connection_of(zone), report };
+            let event = Event::ReportBody { connection: connection_of(zone), report };
             self.event_at(index, at_ms, event);
         }
     }
@@ -461,9 +467,9 @@
         let queue = std::mem::take(&mut machine.queue);
         for answer in queue {
             match answer {
-                Answer::Connected(governor) => self.event(index, Event::GovernorConnected(&governor)),
-                Answer::Lost(governor) => self.event(index, Event::GovernorLost(&governor)),
-                Answer::Alive(governor) => self.event(index, Event::GovernorAnswered(&governor)),
+                Answer::Connected(controller) => self.event(index, Event::ControllerConnected(&controller)),
+                Answer::Lost(controller) => self.event(index, Event::ControllerLost(&controller)),
+                Answer::Alive(controller) => self.event(index, Event::ControllerAnswered(&controller)),
             }
         }
         if !self.machines[index].list_silent {
@@ -499,18 +505,18 @@
 
     fn carry_out(&mut self, index: usize, at_ms: f64, effect: Effect) {
         match effect {
-            Effect::Connect { governor, .. } => {
+            Effect::Connect { controller, .. } => {
                 let machine = &mut self.machines[index];
-                if machine.unreachable.contains(&governor) {
-                    machine.queue.push(Answer::Lost(governor));
+                if machine.unreachable.contains(&controller) {
+                    machine.queue.push(Answer::Lost(controller));
                     return;
                 }
                 self.next_connection += 1;
-                machine.connections.insert(governor.clone(), self.next_connection);
-                machine.queue.push(Answer::Connected(governor));
+                machine.connections.insert(controller.clone(), self.next_connection);
+                machine.queue.push(Answer::Connected(controller));
             }
-            Effect::Disconnect { governor } => _ = self.machines[index].connections.remove(&governor),
-            Effect::Send { governor, lines } => self.governor_hears(index, at_ms, &governor, &lines),
+            Effect::Disconnect { controller } => _ = self.machines[index].connections.remove(&controller),
+            Effect::Send { controller, lines } => self.controller_hears(index, at_ms, &controller, &lines),
             Effect::SendHeartbeat(heartbeat) => {
                 for peer in (0..self.machines.len()).filter(|peer| *peer != index) {
                     if !self.machines[peer].deaf_to.contains(&index) {
@@ -524,46 +530,47 @@
         }
     }
 
-    fn governor_hears(&mut self, index: usize, at_ms: f64, governor: &str, lines: &str) {
-        let Some(connection) = self.machines[index].connections.get(governor).copied() else { return };
+    fn controller_hears(&mut self, index: usize, at_ms: f64, controller: &str, lines: &str) {
+        let Some(connection) = self.machines[index].connections.get(controller).copied() else { return };
         for line in lines.split_inclusive('\n') {
             let told: Told = serde_json::from_str(line).unwrap();
             if told.kind == "PING" {
-                self.machines[index].queue.push(Answer::Alive(governor.into()));
+                self.machines[index].queue.push(Answer::Alive(controller.into()));
             }
             let report = matches!(told.kind.as_str(), "LOAD" | "SHARD").then_some(told);
             let heard = Heard { at_ms, aggregator: index, connection, bytes: line.len(), report };
-            self.heard.entry(governor.into()).or_default().push(heard);
+            self.heard.entry(controller.into()).or_default().push(heard);
         }
     }
 
-    /// Reports that a governor heard, with the time and connection of each.
-    pub fn reports(&self, governor: &str) -> impl Iterator<Item = (&Heard, &Told)> {
-        let heard = self.heard.get(governor).into_iter().flatten();
+    /// Reports that a controller heard, with the time and connection of each.
+    pub fn reports(&self, controller: &str) -> impl Iterator<Item = (&Heard, &Told)> {
+        let heard = self.heard.get(controller).into_iter().flatten();
         heard.filter_map(|heard| heard.report.as_ref().map(|told| (heard, told)))
     }
 
-    /// When, from this time on, each governor has been told by whoever serves it alone; the last of them.
+    /// When, from this time on, each controller has been told by whoever serves it alone; the last of them.
     pub fn served_alone_at_ms(&self, from_ms: u64) -> f64 {
-        let told_at = |governor: &GovernorMember| {
-            let owners = self.owners(&governor.name);
-            assert_eq!(owners.len(), 1, "{} is served by {owners:?}", governor.name);
-            let last_other = self.reports(&governor.name).filter(|(heard, _)| heard.aggregator != owners[0]);
+        let told_at = |controller: &ControllerMember| {
+            let owners = self.owners(&controller.name);
+            assert_eq!(owners.len(), 1, "{} is served by {owners:?}", controller.name);
+            let last_other =
+                self.reports(&controller.name).filter(|(heard, _)| heard.aggregator != owners[0]);
             let last_other = last_other.map(|(heard, _)| heard.at_ms).fold(from_ms as f64, f64::max);
-            let mut first = self.reports(&governor.name).map(|(heard, _)| heard);
+            let mut first = self.reports(&controller.name).map(|(heard, _)| heard);
             first.find(|heard| heard.aggregator == owners[0] && heard.at_ms >= last_other).unwrap().at_ms
         };
-        self.governors.iter().map(told_at).fold(0.0, f64::max)
+        self.controllers.iter().map(told_at).fold(0.0, f64::max)
     }
 
-    /// The longest time that no line covers, between this one and the last line, over all governors and keys that
+    /// The longest time that no line covers, between this one and the last line, over all controllers and keys that
     /// were told of before and after; and the longest time that more than one connection covers.
     pub fn gaps_and_overlaps_ms(&self, from_ms: u64) -> (f64, f64) {
         let (mut gap, mut overlap) = (0.0_f64, 0.0_f64);
-        for governor in &self.governors {
+        for controller in &self.controllers {
             let mut covered: BTreeMap<String, f64> = BTreeMap::new();
             for (heard, told) in
-                self.reports(&governor.name).filter(|(heard, _)| heard.at_ms >= from_ms as f64)
+                self.reports(&controller.name).filter(|(heard, _)| heard.at_ms >= from_ms as f64)
             {
                 let begins = heard.at_ms - told.window;
                 if let Some(until) = covered.get(&told.key()) {
@@ -576,7 +583,7 @@
         (gap, overlap)
     }
 
-    /// The most bytes that any governor got within any interval of this length, its start included and its end not.
+    /// The most bytes that any controller got within any interval of this length, its start included and its end not.
     pub fn most_bytes_within(&self, length_ms: f64) -> usize {
         let mut most = 0;
         for heard in self.heard.values() {
@@ -596,11 +603,11 @@
     /// Each line has the counts that were reported in the time which it covers, no more and no less; and no two lines
     /// of one key on one connection cover the same time.
     pub fn assert_counts_exact(&self, zones_of: impl Fn(usize) -> BTreeSet<usize>) {
-        for governor in &self.governors {
+        for controller in &self.controllers {
             let mut covered: BTreeMap<(u64, String), f64> = BTreeMap::new();
-            for (heard, told) in self.reports(&governor.name) {
+            for (heard, told) in self.reports(&controller.name) {
                 let (begins, key) = (heard.at_ms - told.window, told.key());
-                let place = format!("{} {key} at {}: {told:?}", governor.name, heard.at_ms);
+                let context = format!("{} {key} at {}: {told:?}", controller.name, heard.at_ms);
                 let zones = zones_of(heard.aggregator);
                 let said = self.said_within(&key, begins - CLOSE_MS, heard.at_ms);
                 let said = said.iter().filter(|said| zones.contains(&said.zone));
@@ -608,12 +615,12 @@
                 for one in said {
                     (n, bad, busy) = (n + one.n, bad + one.bad, busy + (one.n - one.bad) * one.avg);
                 }
-                assert_eq!((told.n, told.bad), (n, bad), "counts of {place}");
+                assert_eq!((told.n, told.bad), (n, bad), "counts of {context}");
                 let told_busy = (told.n - told.bad) * told.avg;
                 let close = (told_busy - busy).abs() <= 1e-3 * busy.max(1.0);
-                assert!(close || told.host.is_none(), "{told_busy} and {busy} ms of {place}");
+                assert!(close || told.host.is_none(), "{told_busy} and {busy} ms of {context}");
                 let before = covered.insert((heard.connection, key), heard.at_ms);
-                assert!(before.is_none_or(|before| begins >= before - CLOSE_MS), "twice in {place}");
+                assert!(before.is_none_or(|before| begins >= before - CLOSE_MS), "twice in {context}");
             }
         }
     }
@@ -630,8 +637,8 @@
     /// the latest of them, if any.
     pub fn last_silent_lack_ms(&self) -> Option<f64> {
         let mut last = None;
-        for governor in &self.governors {
-            for (heard, told) in self.reports(&governor.name).filter(|(_, told)| told.missing == 0) {
+        for controller in &self.controllers {
+            for (heard, told) in self.reports(&controller.name).filter(|(_, told)| told.missing == 0) {
                 let begins = heard.at_ms - told.window;
                 let said = self.said_within(&told.key(), begins + CLOSE_MS, heard.at_ms);
                 let said: f64 = said.iter().map(|said| said.n).sum();
--- a/crates/aggregation/tests/wire.rs
+++ b/crates/aggregation/tests/wire.rs
@@ -7,7 +7,7 @@
 use whinwall_protocol::collector::{decode, quick, Message, Report};
 
 fn covered(missing: usize) -> Covered {
-    let sum = Sum { tries: 212.0, failed: 3.0, answered_ms: 209.0 * 41.7, lines: 9 };
+    let sum = Sum { attempts: 212.0, failed: 3.0, answered_ms: 209.0 * 41.7, lines: 9 };
     Covered { sum, window: Span::ms(1000), missing }
 }
 
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn missing_zones_are_a_field_that_governors_read() {
+fn missing_zones_are_a_field_that_controllers_read() {
     let load = wire::load("a", "s-1", &covered(2));
     assert!(load.trim_end().ends_with(r#","missing":2}"#), "{load}");
-    let met = Report::Met {
-        place: "a",
-        server: "s-1",
-        tries: 212.0,
-        aborted: 3.0,
+    let met = Report::EndpointReport {
+        zone: "a",
+        replica: "s-1",
+        attempts: 212.0,
+        failed: 3.0,
         mean_latency_ms: 41.7,
         covers_ms: 1000.0,
         missing: 2,
@@ -42,12 +42,12 @@
     assert_eq!(quick(load.trim_end()), Some(met));
     let shard = wire::shard(1, "w", &covered(1));
     assert!(shard.trim_end().ends_with(r#","missing":1}"#), "{shard}");
-    assert!(matches!(quick(shard.trim_end()), Some(Report::Asked { slice: 1, missing: 1, .. })));
+    assert!(matches!(quick(shard.trim_end()), Some(Report::DemandReport { slice: 1, missing: 1, .. })));
 }
 
 #[test]
 fn the_first_line_and_the_request_for_a_sign_of_life_are_the_protocols() {
-    assert_eq!(decode(wire::source("a").trim_end()), Ok(Message::Source { place: "a".into() }));
+    assert_eq!(decode(wire::source("a").trim_end()), Ok(Message::Source { zone: "a".into() }));
     assert_eq!(decode(wire::PING.trim_end()), Ok(Message::Ping));
 }
 
--- a/crates/cli/src/answers.rs
+++ b/crates/cli/src/answers.rs
@@ -1,6 +1,6 @@
-//! What governors answered, as `calls` collects it and `tables` shows it.
+//! What controllers answered, as `calls` collects it and `tables` shows it.
 
-use whinwall_management_api::client::{Failure, Place};
+use whinwall_management_api::client::{Failure, ManagementAddress};
 
-/// The answer or failure of each governor, in the order in which they were named.
-pub type Said<T> = Vec<(Place, Result<T, Failure>)>;
+/// The answer or failure of each controller, in the order in which they were named.
+pub type Said<T> = Vec<(ManagementAddress, Result<T, Failure>)>;
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -2,9 +2,9 @@
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
-use whinwall_management_api::client::Place;
+use whinwall_management_api::client::ManagementAddress;
 use whinwall_overrides::{words, Kind};
-use whinwall_policy::interface::SliceId;
+use whinwall_policy::api::SliceId;
 use whinwall_policy::time::Span;
 
 /// Speaks to running whinwall governors, and checks their files
@@ -32,14 +32,14 @@
 pub struct Reach {
     /// A governor's management front: the path of its socket, or its address; may be given several times
     #[arg(
-        short,
-        long,
+        short = 'g',
+        long = "governor",
         global = true,
         env = "WHINWALL_GOVERNORS",
         value_delimiter = ',',
         value_name = "PLACE"
     )]
-    pub governor: Vec<Place>,
+    pub controller: Vec<ManagementAddress>,
     /// The file with the token, for fronts at an address
     #[arg(long, global = true, env = "WHINWALL_TOKEN_FILE", value_name = "FILE")]
     pub token_file: Option<PathBuf>,
@@ -96,7 +96,8 @@
         after_help = "Example: whinwall -g n0.sock override set weight s-3 0.5 --for 2h --reason 'half its memory'"
     )]
     Weight {
-        server: String,
+        #[arg(value_name = "SERVER")]
+        replica: String,
         factor: f64,
         #[command(flatten)]
         terms: Terms,
@@ -106,7 +107,8 @@
         after_help = "Example: whinwall -g n0.sock override set out s-3 --for 30m --reason 'disk is failing'"
     )]
     Out {
-        server: String,
+        #[arg(value_name = "SERVER")]
+        replica: String,
         #[command(flatten)]
         terms: Terms,
     },
@@ -118,7 +120,8 @@
         /// One slice, or the first and the last: 17, 40-47
         #[arg(value_parser = words::slices)]
         slices: (SliceId, SliceId),
-        server: String,
+        #[arg(value_name = "SERVER")]
+        replica: String,
         #[command(flatten)]
         terms: Terms,
     },
@@ -143,10 +146,10 @@
 impl SetCommand {
     pub fn parts(self) -> (Kind, Terms) {
         match self {
-            SetCommand::Weight { server, factor, terms } => (Kind::Weight { server, factor }, terms),
-            SetCommand::Out { server, terms } => (Kind::Out { server }, terms),
-            SetCommand::Pin { slices: (first, last), server, terms } => {
-                (Kind::Pin { first, last, server }, terms)
+            SetCommand::Weight { replica, factor, terms } => (Kind::Weight { replica, factor }, terms),
+            SetCommand::Out { replica, terms } => (Kind::Out { replica }, terms),
+            SetCommand::Pin { slices: (first, last), replica, terms } => {
+                (Kind::Pin { first, last, replica }, terms)
             }
         }
     }
--- a/crates/cli/src/calls.rs
+++ b/crates/cli/src/calls.rs
@@ -1,4 +1,4 @@
-//! Makes calls at each governor, all at once, and says how each went.
+//! Makes calls at each controller, all at once, and says how each went.
 
 use crate::answers::Said;
 use crate::arguments::{Reach, SetCommand};
@@ -11,7 +11,7 @@
 use whinwall_management_api::client::{Client, Failure};
 use whinwall_management_api::wire::{self, Outcome};
 use whinwall_overrides::record;
-use whinwall_policy::chance::Chance;
+use whinwall_policy::random::Random;
 use whinwall_policy::time::Span;
 
 fn seed() -> u64 {
@@ -21,9 +21,9 @@
 
 /// Eight characters that nobody has to think of.
 fn drawn_id() -> String {
-    let mut chance = Chance::from_seed(seed());
+    let mut random = Random::from_seed(seed());
     let letters = b"abcdefghjkmnpqrstuvwxyz23456789";
-    let draw = |_| char::from(letters[(chance.draw() * letters.len() as f64) as usize % letters.len()]);
+    let draw = |_| char::from(letters[(random.draw() * letters.len() as f64) as usize % letters.len()]);
     "o-".chars().chain((0..8).map(draw)).collect()
 }
 
@@ -51,15 +51,15 @@
     }
 }
 
-/// One call at each governor, made again where that may help.
+/// One call at each controller, made again where that may help.
 fn at_each<T>(reach: &Reach, call: impl AsyncFn(&Client) -> Result<T, Failure>) -> Result<Said<T>, String> {
-    if reach.governor.is_empty() {
+    if reach.controller.is_empty() {
         return Err("no governor is named: give --governor, or set WHINWALL_GOVERNORS".into());
     }
     let token = reach.token_file.as_deref().map(token).transpose()?;
     let seed = seed();
     Ok(actix_rt::System::new().block_on(async {
-        let calls = reach.governor.iter().enumerate().map(|(n, place)| {
+        let calls = reach.controller.iter().enumerate().map(|(n, place)| {
             let (client, call) = (Client::new(place.clone(), token.clone()), &call);
             async move {
                 let said =
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,5 +1,5 @@
 //! The parts of the `whinwall` command. `arguments` says what can be asked, `repeats` when a call is made again, `calls`
-//! makes it at each governor, `answers` holds what came back, `tables` shows it.
+//! makes it at each controller, `answers` holds what came back, `tables` shows it.
 #![forbid(unsafe_code)]
 
 pub mod answers;
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Went {
     Well = 0,
-    /// At some governors, or not for certain.
+    /// At some controllers, or not for certain.
     InPart = 1,
-    /// A file or an argument is faulty, or all governors refused.
+    /// A file or an argument is faulty, or all controllers refused.
     Refused = 2,
-    /// No governor could be reached.
+    /// No controller could be reached.
     Nowhere = 3,
-    /// Governors disagree on what stands.
+    /// Controllers disagree on what stands.
     Disagree = 4,
 }
 
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -1,18 +1,18 @@
-//! What governors said, as tables for people and JSON for scripts.
+//! What controllers said, as tables for people and JSON for scripts.
 
 use crate::answers::Said;
 use std::collections::BTreeMap;
-use whinwall_management_api::client::Place;
+use whinwall_management_api::client::ManagementAddress;
 use whinwall_management_api::wire::{Item, KindName, List, Outcome, Reports, State, Subsetting};
 use whinwall_overrides::words;
 use whinwall_policy::time::Span;
 
-/// One override at all governors that answered; none where one lacks it.
+/// One override at all controllers that answered; none where one lacks it.
 pub struct Row {
-    pub at: Vec<(Place, Option<Item>)>,
+    pub at: Vec<(ManagementAddress, Option<Item>)>,
 }
 
-/// Ends that lie closer together than this are one: each governor counts from when it was told.
+/// Ends that lie closer together than this are one: each controller counts from when it was told.
 const SAME_END_S: f64 = 15.0;
 
 impl Row {
@@ -30,7 +30,7 @@
         let what = |item: &Item| {
             (
                 item.kind,
-                item.server.clone(),
+                item.replica.clone(),
                 item.slices.clone(),
                 item.factor.map(f64::to_bits),
                 item.state == "ended",
@@ -44,7 +44,7 @@
     }
 }
 
-/// By id, the oldest first as the first governor has them.
+/// By id, the oldest first as the first controller has them.
 pub fn rows(said: &Said<List>, ended: bool) -> Vec<Row> {
     let answered: Vec<_> =
         said.iter().filter_map(|(place, said)| Some((place, said.as_ref().ok()?))).collect();
@@ -76,9 +76,9 @@
 
 fn what(item: &Item) -> String {
     match item.kind {
-        KindName::Weight => format!("weight {} on {}", item.factor.unwrap_or(1.0), item.server),
-        KindName::Out => format!("{} out of service", item.server),
-        KindName::Pin => format!("{} pinned to {}", item.slices.as_deref().unwrap_or("?"), item.server),
+        KindName::Weight => format!("weight {} on {}", item.factor.unwrap_or(1.0), item.replica),
+        KindName::Out => format!("{} out of service", item.replica),
+        KindName::Pin => format!("{} pinned to {}", item.slices.as_deref().unwrap_or("?"), item.replica),
     }
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-pub fn list(rows: &[Row], governors: usize) -> String {
+pub fn list(rows: &[Row], controllers: usize) -> String {
     if rows.is_empty() {
         return "no overrides\n".into();
     }
@@ -102,7 +102,7 @@
         let reason = item.reason.clone();
         let line = [item.id.clone(), what(item), state(item), left, ends, item.author.clone(), reason];
         lines.push(line.to_vec());
-        if governors > 1 && !row.agrees() {
+        if controllers > 1 && !row.agrees() {
             for (place, item) in &row.at {
                 let there = item.as_ref().map_or("missing".into(), |item| {
                     format!("{}, {}, ends {}", what(item), state(item), item.ends)
@@ -161,17 +161,17 @@
         words::write_span(Span::ms(1000).times(state.up_s)),
         state.proxies,
         state.slices,
-        state.servers,
+        state.replicas,
         state.overrides_standing,
         state.overrides_listed,
     )
 }
 
 fn subsetting(subsetting: &Subsetting) -> String {
-    let Subsetting { governors, aggregators, subset, own_replicas, listed_replicas, budget_bytes_per_s } =
+    let Subsetting { controllers, aggregators, subset, own_replicas, listed_replicas, budget_bytes_per_s } =
         subsetting;
     format!(
-        "; steers {own_replicas} of {listed_replicas} replicas ({subset} wished) among {governors} governors; \
+        "; steers {own_replicas} of {listed_replicas} replicas ({subset} wished) among {controllers} governors; \
          {aggregators} aggregators may tell it {budget_bytes_per_s} bytes a second"
     )
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as it is started, against governors whose clerks and fronts are the real ones.
+//! The command as it is started, against controllers whose clerks and fronts are the real ones.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -7,23 +7,23 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use whinwall_management_api::ask::{Reply, Request, Shown, Status};
-use whinwall_management_api::server::{self, Asked, Doors, Serving};
+use whinwall_management_api::server::{self, Doors, PendingRequest, Serving};
 use whinwall_overrides::{Act, Bounds, Clerk, Reading};
-use whinwall_policy::interface::Heeded;
+use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
-/// A governor whose front is there or away; its clerk goes on while it is away.
-struct Governor {
+/// A controller whose front is there or away; its clerk goes on while it is away.
+struct Controller {
     socket: PathBuf,
-    ask: mpsc::Sender<Asked>,
+    ask: mpsc::Sender<PendingRequest>,
     serving: Option<Serving>,
     /// So many answers are kept back: whoever asks does not know the outcome.
     swallow: Arc<AtomicU32>,
 }
 
-impl Governor {
+impl Controller {
     fn start(folder: &Path, name: &str) -> Self {
-        let (ask, mut asked) = mpsc::channel::<Asked>(16);
+        let (ask, mut asked) = mpsc::channel::<PendingRequest>(16);
         let swallow = Arc::new(AtomicU32::new(0));
         let swallows = swallow.clone();
         std::thread::spawn(move || {
@@ -37,7 +37,7 @@
                 clerk.tick(now);
                 let shown = |clerk: &Clerk, number| {
                     let one = clerk.book().number(number)?.clone();
-                    let heeded = one.stands().then_some(Heeded::InForce);
+                    let heeded = one.stands().then_some(OverrideStatus::InForce);
                     Some(Shown { one, heeded })
                 };
                 let reply = match request {
@@ -61,7 +61,7 @@
                         since: start,
                         proxies: 3,
                         slices: 6,
-                        servers: 3,
+                        replicas: 3,
                         failing: vec![("discovery's watch", 2)],
                         orders_open: true,
                         standing: clerk.book().standing().count(),
@@ -77,10 +77,10 @@
                 }
             }
         });
-        let mut governor =
-            Governor { socket: folder.join(format!("{name}.sock")), ask, serving: None, swallow };
-        governor.comes();
-        governor
+        let mut controller =
+            Controller { socket: folder.join(format!("{name}.sock")), ask, serving: None, swallow };
+        controller.comes();
+        controller
     }
 
     fn comes(&mut self) {
@@ -89,10 +89,10 @@
     }
 }
 
-fn whinwall(governors: &[&Governor], arguments: &[&str]) -> Output {
+fn whinwall(controllers: &[&Controller], arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinwall"));
     command.env_clear().env("USER", "mb").args(["--keep-trying", "2s"]);
-    governors.iter().for_each(|governor| _ = command.arg("-g").arg(&governor.socket));
+    controllers.iter().for_each(|controller| _ = command.arg("-g").arg(&controller.socket));
     command.args(arguments).output().unwrap()
 }
 
@@ -104,8 +104,8 @@
 #[test]
 fn what_is_set_is_listed_with_its_state_and_end_and_can_be_cleared() {
     let folder = tempfile::tempdir().unwrap();
-    let governor = Governor::start(folder.path(), "n0");
-    let run = |arguments: &[&str]| said(&whinwall(&[&governor], arguments));
+    let controller = Controller::start(folder.path(), "n0");
+    let run = |arguments: &[&str]| said(&whinwall(&[&controller], arguments));
     assert_eq!(run(&["override", "list"]), (Some(0), "no overrides\n".into()));
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk is failing", "--id", "a"];
     let (code, text) = run(&set);
@@ -139,9 +139,10 @@
 }
 
 #[test]
-fn of_two_governors_the_one_that_was_away_is_shown_until_it_has_it_too() {
+fn of_two_controllers_the_one_that_was_away_is_shown_until_it_has_it_too() {
     let folder = tempfile::tempdir().unwrap();
-    let (first, mut second) = (Governor::start(folder.path(), "n0"), Governor::start(folder.path(), "n1"));
+    let (first, mut second) =
+        (Controller::start(folder.path(), "n0"), Controller::start(folder.path(), "n1"));
     second.serving = None;
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
     let (code, text) = said(&whinwall(&[&first, &second], &set));
@@ -166,21 +167,21 @@
 #[test]
 fn an_unknown_outcome_is_asked_for_again_and_sets_nothing_twice() {
     let folder = tempfile::tempdir().unwrap();
-    let governor = Governor::start(folder.path(), "n0");
-    governor.swallow.store(1, Ordering::SeqCst);
+    let controller = Controller::start(folder.path(), "n0");
+    controller.swallow.store(1, Ordering::SeqCst);
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
-    let (code, text) = said(&whinwall(&[&governor], &set));
+    let (code, text) = said(&whinwall(&[&controller], &set));
     assert!(code == Some(0) && text.contains("a set before"), "{text}");
-    assert_eq!(said(&whinwall(&[&governor], &["override", "list"])).1.lines().count(), 2);
+    assert_eq!(said(&whinwall(&[&controller], &["override", "list"])).1.lines().count(), 2);
 }
 
 #[test]
 fn nobody_there_is_said_in_time() {
     let folder = tempfile::tempdir().unwrap();
-    let mut governor = Governor::start(folder.path(), "n0");
-    governor.serving = None;
+    let mut controller = Controller::start(folder.path(), "n0");
+    controller.serving = None;
     let began = Instant::now();
-    assert_eq!(said(&whinwall(&[&governor], &["status"])).0, Some(3));
+    assert_eq!(said(&whinwall(&[&controller], &["status"])).0, Some(3));
     assert!(began.elapsed() < Duration::from_secs(5));
     let (code, text) = said(&whinwall(&[], &["status"]));
     assert!(code == Some(2) && text.contains("--governor"), "{text}");
@@ -189,7 +190,7 @@
 #[test]
 fn wrong_words_are_refused_before_anybody_is_asked() {
     let folder = tempfile::tempdir().unwrap();
-    let governor = Governor::start(folder.path(), "n0");
+    let controller = Controller::start(folder.path(), "n0");
     for (arguments, expected) in [
         (&["override", "set", "out", "s-3", "--for", "soon", "--reason", "x"][..], "90s"),
         (&["override", "set", "out", "s-3", "--for", "30m"], "--reason"),
@@ -198,7 +199,7 @@
         (&["override", "set", "out", "s-3", "--for", "30m", "--reason", "x", "--id", "a b"], "id"),
         (&["override", "set", "out", "s-3", "--for", "9d", "--reason", "x"], "the longest"),
     ] {
-        let (code, text) = said(&whinwall(&[&governor], arguments));
+        let (code, text) = said(&whinwall(&[&controller], arguments));
         assert!(code == Some(2) && text.contains(expected), "{arguments:?}: {text}");
     }
 }
--- a/crates/cli/tests/table_forms.rs
+++ b/crates/cli/tests/table_forms.rs
@@ -9,7 +9,7 @@
     Item {
         id: id.into(),
         kind,
-        server: "s-1".into(),
+        replica: "s-1".into(),
         factor: (kind == KindName::Weight).then_some(0.5),
         slices: (kind == KindName::Pin).then(|| "4-9".into()),
         author: "mb".into(),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn table_of_overrides_notes_where_governors_disagree() {
+fn table_of_overrides_notes_where_controllers_disagree() {
     let rows = tables::rows(&said(&[&[suspended("a")], &[]]), false);
     assert_eq!(tables::list(&rows, 2), include_str!("fixtures/override-list-disagreement.txt"));
 }
@@ -98,13 +98,13 @@
         up_s: 65.0,
         proxies: 3,
         slices: 6,
-        servers: 2200,
+        replicas: 2200,
         orders_open: true,
         failing: vec![Failing { what: "discovery".into(), times: 4 }],
         overrides_standing: 1,
         overrides_listed: 2,
         subsetting: Some(Subsetting {
-            governors: 650,
+            controllers: 650,
             aggregators: 4,
             subset: 48,
             own_replicas: 51,
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -1,4 +1,4 @@
-//! What several governors said, side by side.
+//! What several controllers said, side by side.
 
 use whinwall_cli::answers::Said;
 use whinwall_cli::tables::*;
@@ -9,7 +9,7 @@
     Item {
         id: id.into(),
         kind: KindName::Out,
-        server: "s-1".into(),
+        replica: "s-1".into(),
         factor: None,
         slices: None,
         author: "mb".into(),
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn governors_that_hold_the_same_agree() {
+fn controllers_that_hold_the_same_agree() {
     let both = said(&[&[item("a", "in force", 600.0)], &[item("a", "waiting", 598.0)]]);
     assert!(rows(&both, false).iter().all(Row::agrees));
 }
 
 #[test]
-fn a_governor_that_was_away_when_it_was_set_or_cleared_is_shown() {
+fn a_controller_that_was_away_when_it_was_set_or_cleared_is_shown() {
     let missing = said(&[&[item("a", "in force", 600.0)], &[]]);
     let shown = rows(&missing, false);
     assert!(!shown[0].agrees());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn ended_ones_are_shown_on_request_and_a_silent_governor_is_no_disagreement() {
+fn ended_ones_are_shown_on_request_and_a_silent_controller_is_no_disagreement() {
     let mut both = said(&[&[item("a", "ended", 0.0), item("b", "in force", 9.0)]]);
     let silent = "127.0.0.1:8601".parse().unwrap();
     both.push((silent, Err(Failure::NotSent("away".into()))));
@@ -66,7 +66,7 @@
         up_s: 65.0,
         proxies: 3,
         slices: 6,
-        servers: 2200,
+        replicas: 2200,
         orders_open: false,
         failing: vec![],
         overrides_standing: 0,
@@ -81,7 +81,7 @@
     let plain = status(&state());
     assert!(plain.ends_with("0 overrides stand, 0 listed; nothing fails"), "{plain}");
     let subsetting = Subsetting {
-        governors: 650,
+        controllers: 650,
         aggregators: 4,
         subset: 48,
         own_replicas: 51,
--- a/crates/controller/benches/cores.rs
+++ b/crates/controller/benches/cores.rs
@@ -1,4 +1,4 @@
-//! What a governor takes at 1, 2, 4 and 8 cores: collectors flood it over loopback, then send at a part of
+//! What a controller takes at 1, 2, 4 and 8 cores: collectors flood it over loopback, then send at a part of
 //! that rate, and signs of life on the same connections tell how late what came before them was applied.
 //! Bounded in lines and time; ends by itself. `WHINWALL_FORMER` names another build to measure in turn with
 //! this one, on one core.
@@ -14,9 +14,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-const SERVERS: usize = 100;
+const REPLICAS: usize = 100;
 const SLICES: usize = 600;
-const PLACES: [&str; 3] = ["north", "south", "west"];
+const ZONES: [&str; 3] = ["north", "south", "west"];
 const RUNS: usize = 3;
 /// Processors here.
 const MACHINE: usize = 4;
@@ -26,15 +26,15 @@
 const STEADY_FOR: Duration = Duration::from_secs(2);
 const PING: &[u8] = b"{\"@type\":\"PING\"}\n";
 
-/// Lines as one period of a collector has them, a third of them of servers; many periods, one block each.
-fn blocks(place: &str) -> Vec<(Vec<u8>, usize)> {
+/// Lines as one period of a collector has them, a third of them of replicas; many periods, one block each.
+fn blocks(zone: &str) -> Vec<(Vec<u8>, usize)> {
     let mut block = (Vec::new(), 0);
     let mut blocks = Vec::new();
     for n in 0..3 * SLICES {
         let line = match n % 3 {
             0 => format!(
-                "{{\"@type\":\"LOAD\",\"az\":\"{place}\",\"host\":\"s-{}\",\"n\":{},\"bad\":0,\"avg\":41.{},\"window\":1000.0,\"report\":{{\"inflight\":3}}}}\n",
-                n % SERVERS, 9 + n % 7, n % 10
+                "{{\"@type\":\"LOAD\",\"az\":\"{zone}\",\"host\":\"s-{}\",\"n\":{},\"bad\":0,\"avg\":41.{},\"window\":1000.0,\"report\":{{\"inflight\":3}}}}\n",
+                n % REPLICAS, 9 + n % 7, n % 10
             ),
             _ => format!(
                 "{{\"@type\":\"SHARD\",\"partition\":{},\"kind\":\"{}\",\"n\":{},\"bad\":0,\"window\":1000.0}}\n",
@@ -57,7 +57,7 @@
 }
 
 impl Collector {
-    fn join(address: SocketAddr, place: &str) -> Self {
+    fn join(address: SocketAddr, zone: &str) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -65,7 +65,7 @@
         let mut collector = Collector { stream, reader };
         collector
             .stream
-            .write_all(format!("{{\"@type\":\"SOURCE\",\"az\":\"{place}\"}}\n").as_bytes())
+            .write_all(format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}\n").as_bytes())
             .unwrap();
         collector.ping();
         collector
@@ -103,7 +103,7 @@
             .map(|(n, collector)| {
                 let share = lines / many;
                 scope.spawn(move || {
-                    let (blocks, mut sent) = (blocks(PLACES[n % 3]), 0);
+                    let (blocks, mut sent) = (blocks(ZONES[n % 3]), 0);
                     for (bytes, many) in blocks.iter().cycle() {
                         collector.stream.write_all(bytes).unwrap();
                         sent += many;
@@ -131,7 +131,7 @@
             .enumerate()
             .map(|(n, collector)| {
                 scope.spawn(move || {
-                    let blocks = blocks(PLACES[n % 3]);
+                    let blocks = blocks(ZONES[n % 3]);
                     let (due, heard) = std::sync::mpsc::channel::<Instant>();
                     let reader = &mut collector.reader;
                     let listens = std::thread::scope(|inner| {
@@ -184,8 +184,8 @@
         Way::OnOneProcessor => (2, None),
         Way::Hot(cores) => (cores, None),
     };
-    let places = if matches!(way, Way::Hot(_)) { &PLACES[..1] } else { &PLACES[..] };
-    let mut managed = Managed::start(SERVERS, SLICES);
+    let zones = if matches!(way, Way::Hot(_)) { &ZONES[..1] } else { &ZONES[..] };
+    let mut managed = Managed::start(REPLICAS, SLICES);
     managed.program = None;
     managed.operators(&format!("<cores most=\"{cores}\"/><overrides/>"));
     let mut file = configuration();
@@ -212,7 +212,7 @@
     managed.program = Some(Program::spawn(command, file));
     managed.log("the relay's news stands");
     let (address, pid) = (managed.program().address, managed.program().child.id());
-    let mut collectors: Vec<_> = places.iter().map(|place| Collector::join(address, place)).collect();
+    let mut collectors: Vec<_> = zones.iter().map(|zone| Collector::join(address, zone)).collect();
     flood(&mut collectors, FLOOD / 10);
     let (before, own_before) = (cpu(pid), cpu(std::process::id()));
     let (sent, took) = flood(&mut collectors, FLOOD);
--- a/crates/controller/benches/lateness.rs
+++ b/crates/controller/benches/lateness.rs
@@ -1,4 +1,4 @@
-//! How late overrides revert: 200 servers out of service on a program of its own, over loopback; of each, the
+//! How late overrides revert: 200 replicas out of service on a program of its own, over loopback; of each, the
 //! time from its end to the order that lets it in again, as the relay sees it.
 
 #[path = "../tests/stand_ins/mod.rs"]
--- a/crates/controller/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -5,7 +5,7 @@
 use divan::Bencher;
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::report_coverage::{Line, ReportCoverage, Subject};
@@ -28,8 +28,8 @@
         seconds += 1;
         for from in 0..connections {
             let at = Moment::default() + Span::ms(1_000_000 + seconds * 1000 + from * 300);
-            for server in 0..REPLICAS {
-                let subject = Subject::Server(server);
+            for replica in 0..REPLICAS {
+                let subject = Subject::Replica(replica);
                 let line = Line { subject, from, at, window: Span::ms(1000), lines: 1.0 };
                 divan::black_box(coverage.take(&line));
             }
@@ -37,7 +37,7 @@
     });
 }
 
-fn governor(replicas: u32, fleet: Option<Fleet>) -> (Reducer, Moment) {
+fn controller(replicas: u32, fleet: Option<Fleet>) -> (Reducer, Moment) {
     let example = include_str!("../../../deploy/example.json");
     let example: serde_json::Value = serde_json::from_str(example).unwrap();
     let settings = whinwall_settings::read(&example["settings"]).unwrap();
@@ -51,23 +51,23 @@
     reducer.apply(now, Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
     reducer.apply(now, Event::SubsettingConfigured(fleet));
     for from in 0..2 {
-        let message = collector::Message::Source { place: "north".into() };
+        let message = collector::Message::Source { zone: "north".into() };
         reducer.apply(now, Event::Message { from, message });
     }
     (reducer, now)
 }
 
 fn alone() -> Fleet {
-    let governors = vec![GovernorMember { name: "n0".into(), address: None, slices: vec![] }];
+    let controllers = vec![ControllerMember { name: "n0".into(), address: None, slices: vec![] }];
     let aggregators = vec![AggregatorMember { name: "m1".into(), address: ([127, 0, 0, 1], 7001).into() }];
-    let config = SubsettingConfig { subset_size: 100, bytes_per_second: 27_000, governors, aggregators };
+    let config = SubsettingConfig { subset_size: 100, bytes_per_second: 27_000, controllers, aggregators };
     Fleet::new(&config, "n0").expect("it is one of the fleet")
 }
 
 /// Decoded lines on a hundred replicas, each second: 0 stands for collectors, else so many aggregators tell.
 #[divan::bench(args = [0, 1, 2])]
 fn line(bencher: Bencher, aggregators: u64) {
-    let (mut reducer, mut now) = governor(100, (aggregators > 0).then(alone));
+    let (mut reducer, mut now) = controller(100, (aggregators > 0).then(alone));
     let lines: Vec<_> = (0..100)
         .map(|n| {
             format!(
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -1,4 +1,4 @@
-//! One of five governors as its fleet grows: 1, 4 and 16 times 120 servers, 1,600 proxies and 660 slices. Each row is a
+//! One of five controllers as its fleet grows: 1, 4 and 16 times 120 replicas, 1,600 proxies and 660 slices. Each row is a
 //! process of its own, so that its memory can be read. The channel is a model: its pace and cap grow as the fleet.
 
 use serde_json::json;
@@ -6,15 +6,15 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::collector::{Message, Met};
+use whinwall_protocol::collector::{EndpointReport, Message};
 use whinwall_protocol::discovery;
-use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::relay::{decode_event, Answer};
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_transport::Targets;
 
 const DAYS: [&str; 4] = ["quiet", "zone-lost", "replaced", "joined"];
-const PLACES: usize = 3;
-const GOVERNORS: usize = 5;
+const ZONES: usize = 3;
+const CONTROLLERS: usize = 5;
 const HEAD: f64 = 8.0;
 /// From an order's way out of the channel to its ack.
 const WAY: Span = Span::ms(200);
@@ -31,7 +31,7 @@
     acks: BTreeMap<Moment, String>,
     turns: Vec<Duration>,
     lines: f64,
-    /// Servers that drain and that no order withdrew yet; and when the last proxy was told of the last.
+    /// Replicas that drain and that no order withdrew yet; and when the last proxy was told of the last.
     untold: Vec<String>,
     told: Moment,
 }
@@ -51,10 +51,12 @@
             self.lines += lines;
             self.free = self.free.max(self.now) + Span::ms(1000).times(lines / self.pace);
             let many = self.untold.len();
-            self.untold.retain(|server| !orders.contains(&format!("OUT,{server}").as_str()));
+            self.untold.retain(|replica| !orders.contains(&format!("OUT,{replica}").as_str()));
             self.told = if self.untold.len() < many { self.free + WAY } else { self.told };
-            let mark = orders.iter().find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
-            mark.into_iter().for_each(|mark| _ = self.acks.insert(self.free + WAY, mark.to_string()));
+            let version = orders.iter().find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
+            version
+                .into_iter()
+                .for_each(|version| _ = self.acks.insert(self.free + WAY, version.to_string()));
             self.turn(vec![Event::RelayReply(Ok(Answer::Taken(orders.len())))]);
         }
     }
@@ -63,10 +65,12 @@
         let later = self.acks.split_off(&(self.now + Span::ns(1)));
         let due = std::mem::replace(&mut self.acks, later);
         let proxies = 0..self.proxies;
-        let ack = |mark: &String| {
+        let ack = |version: &String| {
             let all = proxies.clone();
-            let mark = mark.clone();
-            all.map(move |proxy| Event::Relay(decode_news(&format!("* ACK {proxy} {mark} 200.0")).unwrap()))
+            let version = version.clone();
+            all.map(move |proxy| {
+                Event::Relay(decode_event(&format!("* ACK {proxy} {version} 200.0")).unwrap())
+            })
         };
         let acks = due.values().flat_map(ack);
         self.turn(acks.chain(more).collect());
@@ -75,20 +79,20 @@
 
 fn list(version: u64, whole: bool, entries: impl Iterator<Item = (usize, &'static str, u64)>) -> Event {
     let entry = |(n, state, started): (usize, &str, u64)| {
-        let zone = ["north", "south", "west"][n % PLACES];
+        let zone = ["north", "south", "west"][n % ZONES];
         json!({"id": format!("s-{n}"), "zone": zone, "state": state, "started_ms": started})
     };
-    let servers: Vec<_> = entries.map(entry).collect();
-    let list = json!({"version": version, "full": whole, "servers": servers});
+    let replicas: Vec<_> = entries.map(entry).collect();
+    let list = json!({"version": version, "full": whole, "servers": replicas});
     Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap())
 }
 
 fn news(lines: impl Iterator<Item = String>) -> Vec<Event> {
-    lines.map(|line| Event::Relay(decode_news(&line).unwrap())).collect()
+    lines.map(|line| Event::Relay(decode_event(&line).unwrap())).collect()
 }
 
 fn play(times: usize, day: &str) {
-    let (servers, proxies, slices) = (120 * times, 1600 * times, 660 * times);
+    let (replicas, proxies, slices) = (120 * times, 1600 * times, 660 * times);
     let mut settings: serde_json::Value =
         serde_json::from_str::<serde_json::Value>(include_str!("../../../deploy/example.json")).unwrap()
             ["settings"]
@@ -98,7 +102,7 @@
     let fleet = &mut settings["familyInfo"];
     (fleet["pushRate"], fleet["queueCap"], fleet["partitionsN"]) = (json!(pace), json!(cap), json!(slices));
     settings["obligations"]["drainGraceNs"] = json!(2_500_000_000u64);
-    (settings["me"], settings["peersTotal"]) = (json!(0), json!(GOVERNORS));
+    (settings["me"], settings["peersTotal"]) = (json!(0), json!(CONTROLLERS));
     let settings = whinwall_settings::read(&settings).unwrap();
     let now = Moment::default() + Span::ms(1_800_000_000_000);
     let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
@@ -106,19 +110,19 @@
     let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
     let (acks, turns, untold) = (BTreeMap::new(), Vec::new(), Vec::new());
     let mut rig = Rig { reducer, now, pace, proxies, free: now, acks, turns, lines: 0.0, untold, told: now };
-    rig.turn(vec![list(1, true, (0..servers).map(|n| (n, "active", 0)))]);
+    rig.turn(vec![list(1, true, (0..replicas).map(|n| (n, "active", 0)))]);
     let joins = |proxy: usize| format!("* SUBSCRIBE {proxy} north 1.0 1");
     let given = |slice: usize| {
-        [format!("* GRANT {slice} 1"), format!("* ROW {slice} s-{} 1", slice / GOVERNORS % servers)]
+        [format!("* GRANT {slice} 1"), format!("* ROW {slice} s-{} 1", slice / CONTROLLERS % replicas)]
     };
-    let (ours, others): (Vec<_>, Vec<_>) = (0..slices).partition(|slice| slice.is_multiple_of(GOVERNORS));
+    let (ours, others): (Vec<_>, Vec<_>) = (0..slices).partition(|slice| slice.is_multiple_of(CONTROLLERS));
     // On the day on which four others die their proxies come later.
-    rig.proxies = if day == "joined" { proxies / GOVERNORS } else { proxies };
+    rig.proxies = if day == "joined" { proxies / CONTROLLERS } else { proxies };
     let stands = std::iter::once("OK".to_string()).chain((0..rig.proxies).map(joins));
     rig.turn(news(stands.chain(ours.iter().copied().flat_map(given)).chain(["*".to_string()])));
-    let from: Vec<_> = (0..PLACES as u64).collect();
-    for (from, place) in from.iter().zip(["north", "south", "west"]) {
-        let message = Message::Source { place: place.into() };
+    let from: Vec<_> = (0..ZONES as u64).collect();
+    for (from, zone) in from.iter().zip(["north", "south", "west"]) {
+        let message = Message::Source { zone: zone.into() };
         rig.turn(vec![Event::Message { from: *from, message }]);
     }
     let mut held = ours;
@@ -128,17 +132,18 @@
         rig.now = began + TICK.times(tick as f64);
         let mut events = Vec::new();
         if tick % 20 == 0 {
-            for n in 0..servers {
-                let met = Met {
-                    place: ["north", "south", "west"][n % PLACES].into(),
-                    server: format!("s-{n}"),
-                    tries: 3.0,
-                    aborted: 0.0,
+            for n in 0..replicas {
+                let met = EndpointReport {
+                    zone: ["north", "south", "west"][n % ZONES].into(),
+                    replica: format!("s-{n}"),
+                    attempts: 3.0,
+                    failed: 0.0,
                     mean_latency_ms: 250.0,
                     covers_ms: 1000.0,
                     missing: 0,
                 };
-                events.push(Event::Message { from: (n % PLACES) as u64, message: Message::Met(met) });
+                events
+                    .push(Event::Message { from: (n % ZONES) as u64, message: Message::EndpointReport(met) });
             }
             for slice in &held {
                 let line = json!({"@type": "SHARD", "partition": slice, "kind": "lookup", "n": 1 + slice % 5, "bad": 0, "window": 1000.0});
@@ -152,14 +157,14 @@
             let unix = (rig.now - Moment::default()).as_ns() / 1_000_000;
             match day {
                 "zone-lost" => {
-                    let lost = (0..servers).step_by(PLACES);
+                    let lost = (0..replicas).step_by(ZONES);
                     rig.untold = lost.clone().map(|n| format!("s-{n}")).collect();
                     events.push(list(2, false, lost.map(|n| (n, "left", 0))));
                 }
                 "replaced" => {
-                    let new = servers..servers + servers * 6 / 10;
+                    let new = replicas..replicas + replicas * 6 / 10;
                     events.push(list(2, false, new.map(|n| (n, "active", unix))));
-                    let old = 0..servers * 6 / 10;
+                    let old = 0..replicas * 6 / 10;
                     rig.untold = old.clone().map(|n| format!("s-{n}")).collect();
                     events.push(list(3, false, old.map(|n| (n, "leaving", 0))));
                 }
@@ -174,7 +179,7 @@
         }
         if day == "zone-lost" && tick == 300 {
             let unix = (rig.now - Moment::default()).as_ns() / 1_000_000;
-            events.push(list(4, false, (0..servers).step_by(PLACES).map(|n| (n, "active", unix))));
+            events.push(list(4, false, (0..replicas).step_by(ZONES).map(|n| (n, "active", unix))));
         }
         rig.come(events);
     }
@@ -182,7 +187,7 @@
     let memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
     rig.turns.sort();
     let at = |part: f64| rig.turns[((rig.turns.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e3;
-    // A server that no table of ours names needs no order.
+    // A replica that no table of ours names needs no order.
     let told = (rig.told > drained).then(|| format!("{:.2} s", (rig.told - drained).seconds()));
     let told = told.unwrap_or("-".into());
     println!(
--- a/crates/controller/benches/subsets.rs
+++ b/crates/controller/benches/subsets.rs
@@ -1,14 +1,14 @@
 //! What subsetting adds to a change of the registry and of the fleet, in the reducer: 2,200 replicas in nine zones,
-//! 20 own slices, without a fleet (0) and with one of 650 governors.
+//! 20 own slices, without a fleet (0) and with one of 650 controllers.
 
 use divan::Bencher;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
-use whinwall_protocol::relay::decode_news;
+use whinwall_protocol::relay::decode_event;
 use whinwall_routing::subset::Fleet;
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_transport::Targets;
@@ -25,32 +25,32 @@
     divan::main();
 }
 
-struct Governor {
+struct Controller {
     reducer: Reducer,
     now: Moment,
     changes: usize,
 }
 
-fn fleet(governors: usize, change: usize) -> Option<Fleet> {
-    let governor = |number: usize| {
+fn fleet(controllers: usize, change: usize) -> Option<Fleet> {
+    let controller = |number: usize| {
         let name = if number == 1 { format!("replacement-{change}") } else { format!("n{number}") };
-        GovernorMember { name, address: None, slices: vec![] }
+        ControllerMember { name, address: None, slices: vec![] }
     };
     let config = SubsettingConfig {
         subset_size: SUBSET_SIZE,
         bytes_per_second: 27_000,
-        governors: (0..governors).map(governor).collect(),
+        controllers: (0..controllers).map(controller).collect(),
         aggregators: vec![AggregatorMember { name: "m1".into(), address: ([127, 0, 0, 1], 7001).into() }],
     };
-    (governors > 0).then(|| Fleet::new(&config, "n0").unwrap())
+    (controllers > 0).then(|| Fleet::new(&config, "n0").unwrap())
 }
 
 fn entry(id: &str, number: usize, state: &str) -> Value {
     json!({"id": id, "zone": format!("zone-{}", number % ZONES), "kind": "m2", "state": state})
 }
 
-impl Governor {
-    fn new(governors: usize) -> Self {
+impl Controller {
+    fn new(controllers: usize) -> Self {
         let example: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
         let mut settings = example["settings"].clone();
         settings["zones"] = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
@@ -59,27 +59,27 @@
         let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: here(8500), relay: here(6400) };
         let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
-        let mut governor = Governor { reducer, now, changes: 0 };
-        governor.tell(Event::SubsettingConfigured(fleet(governors, 0)));
+        let mut controller = Controller { reducer, now, changes: 0 };
+        controller.tell(Event::SubsettingConfigured(fleet(controllers, 0)));
         let entries = (0..REPLICAS).map(|number| entry(&format!("s-{number}"), number, "active"));
-        governor.list(1, true, entries.collect());
+        controller.list(1, true, entries.collect());
         let mut lines = vec!["OK".to_string(), "* SUBSCRIBE 0 zone-0 21.5 1".into()];
         for slice in 0..SLICES {
             lines.push(format!("* GRANT {slice} 1"));
             lines.push(format!("* ROW {slice} s-{slice} 1"));
         }
         lines.push("*".into());
-        lines.iter().for_each(|line| governor.tell(Event::Relay(decode_news(line).unwrap())));
-        governor.tell(Event::InputDrained);
-        governor
+        lines.iter().for_each(|line| controller.tell(Event::Relay(decode_event(line).unwrap())));
+        controller.tell(Event::InputDrained);
+        controller
     }
 
     fn tell(&mut self, event: Event) {
         let _: Vec<Effect> = self.reducer.apply(self.now, event);
     }
 
-    fn list(&mut self, version: usize, whole: bool, servers: Vec<Value>) {
-        let line = json!({"version": version, "full": whole, "servers": servers}).to_string();
+    fn list(&mut self, version: usize, whole: bool, replicas: Vec<Value>) {
+        let line = json!({"version": version, "full": whole, "servers": replicas}).to_string();
         self.tell(Event::Registry(discovery::decode(&line).unwrap().unwrap()));
     }
 
@@ -96,25 +96,25 @@
 }
 
 #[divan::bench(args = FLEETS, sample_count = 100, sample_size = 1)]
-fn a_replica_replaced(bencher: Bencher, governors: usize) {
-    let governor = RefCell::new(Governor::new(governors));
-    bencher.bench_local(|| governor.borrow_mut().replace_replica());
+fn a_replica_replaced(bencher: Bencher, controllers: usize) {
+    let controller = RefCell::new(Controller::new(controllers));
+    bencher.bench_local(|| controller.borrow_mut().replace_replica());
 }
 
 #[divan::bench(args = FLEETS, sample_count = 50, sample_size = 1)]
-fn a_governor_replaced(bencher: Bencher, governors: usize) {
-    let governor = RefCell::new(Governor::new(governors));
+fn a_controller_replaced(bencher: Bencher, controllers: usize) {
+    let controller = RefCell::new(Controller::new(controllers));
     bencher.bench_local(|| {
-        let mut governor = governor.borrow_mut();
-        governor.now = governor.now + PAUSE;
-        governor.changes += 1;
-        let fleet = fleet(governors, governor.changes);
-        governor.tell(Event::SubsettingConfigured(fleet));
-        governor.tell(Event::InputDrained);
+        let mut controller = controller.borrow_mut();
+        controller.now = controller.now + PAUSE;
+        controller.changes += 1;
+        let fleet = fleet(controllers, controller.changes);
+        controller.tell(Event::SubsettingConfigured(fleet));
+        controller.tell(Event::InputDrained);
     });
 }
 
 #[divan::bench(args = FLEETS, sample_count = 20, sample_size = 1)]
-fn a_start(bencher: Bencher, governors: usize) {
-    bencher.bench_local(|| Governor::new(governors));
+fn a_start(bencher: Bencher, controllers: usize) {
+    bencher.bench_local(|| Controller::new(controllers));
 }
--- a/crates/controller/benches/turn.rs
+++ b/crates/controller/benches/turn.rs
@@ -1,4 +1,4 @@
-//! What a turn costs with overrides: a fleet of 2,000 servers and 12,000 slices, one beat (250 ms) a turn,
+//! What a turn costs with overrides: a fleet of 2,000 replicas and 12,000 slices, one beat (250 ms) a turn,
 //! with the reports of a beat in it or without.
 
 use divan::counter::ItemsCount;
@@ -8,14 +8,14 @@
 use whinwall_management_api::ask::Request;
 use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::relay::{decode_event, Answer};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::overrides::OverrideConfig;
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_transport::Targets;
 
-const SERVERS: u32 = 2000;
-/// Slices a server.
+const REPLICAS: u32 = 2000;
+/// Slices a replica.
 const SLICES: u32 = 6;
 
 fn main() {
@@ -29,10 +29,10 @@
 
 impl Fleet {
     fn new(overrides: u32) -> Self {
-        Fleet::of(SERVERS, overrides)
+        Fleet::of(REPLICAS, overrides)
     }
 
-    fn of(servers: u32, overrides: u32) -> Self {
+    fn of(replicas: u32, overrides: u32) -> Self {
         let example = include_str!("../../../deploy/example.json");
         let example: serde_json::Value = serde_json::from_str(example).unwrap();
         let settings = whinwall_settings::read(&example["settings"]).unwrap();
@@ -50,22 +50,22 @@
         fleet.tell(Event::OperatorConfigChanged(wanted, reading));
         let entry = |n| json!({"id": format!("s-{n}"), "zone": "north", "state": "active"});
         let list =
-            json!({"version": 1, "full": true, "servers": (0..servers).map(entry).collect::<Vec<_>>()});
+            json!({"version": 1, "full": true, "servers": (0..replicas).map(entry).collect::<Vec<_>>()});
         fleet.tell(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..3).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
-        for slice in 0..servers * SLICES {
+        for slice in 0..replicas * SLICES {
             lines.push(format!("* GRANT {slice} 1"));
-            lines.push(format!("* ROW {slice} s-{} 1", slice % servers));
+            lines.push(format!("* ROW {slice} s-{} 1", slice % replicas));
         }
         lines.push("*".into());
-        lines.iter().for_each(|line| fleet.tell(Event::Relay(decode_news(line).unwrap())));
+        lines.iter().for_each(|line| fleet.tell(Event::Relay(decode_event(line).unwrap())));
         for n in 0..overrides {
-            let server = format!("s-{}", (n * 7) % servers);
+            let replica = format!("s-{}", (n * 7) % replicas);
             let kind = match n % 4 {
-                0 => Kind::Out { server },
-                1 => Kind::Weight { server, factor: 0.5 },
-                _ => Kind::Pin { first: n * 11, last: n * 11 + 5, server },
+                0 => Kind::Out { replica },
+                1 => Kind::Weight { replica, factor: 0.5 },
+                _ => Kind::Pin { first: n * 11, last: n * 11 + 5, replica },
             };
             let (id, author, reason) = (format!("o{n}"), "bench".into(), "bench".into());
             let order = Order { id, kind, author, reason, lasts: Span::ms(3_600_000) };
@@ -76,16 +76,17 @@
         fleet
     }
 
-    /// Each call is taken at once, its mark acked by all.
+    /// Each call is taken at once, its version acked by all.
     fn tell(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for effect in self.reducer.apply(self.now, event) {
                 let Effect::RelayRequest { line, .. } = effect else { continue };
                 for order in line.split(';') {
-                    if let Some(mark) = order.strip_prefix("SYNC,").and_then(|rest| rest.split(',').next()) {
+                    if let Some(version) = order.strip_prefix("SYNC,").and_then(|rest| rest.split(',').next())
+                    {
                         let ack =
-                            |proxy| Event::Relay(decode_news(&format!("* ACK {proxy} {mark}")).unwrap());
+                            |proxy| Event::Relay(decode_event(&format!("* ACK {proxy} {version}")).unwrap());
                         events.extend((0..3).map(ack));
                     }
                 }
@@ -100,7 +101,7 @@
     }
 
     fn report(&mut self) {
-        for n in 0..SERVERS / 4 {
+        for n in 0..REPLICAS / 4 {
             let line = format!(
                 r#"{{"@type":"LOAD","az":"north","host":"s-{n}","n":9,"bad":0,"avg":41.7,"window":1000.0}}"#
             );
@@ -118,8 +119,8 @@
 
 /// How the cost of a beat grows with the fleet.
 #[divan::bench(args = [125, 500, 2000], sample_count = 40, sample_size = 1)]
-fn a_beat_by_servers(bencher: Bencher, servers: u32) {
-    let mut fleet = Fleet::of(servers, 0);
+fn a_beat_by_replicas(bencher: Bencher, replicas: u32) {
+    let mut fleet = Fleet::of(replicas, 0);
     bencher.bench_local(|| fleet.beat());
 }
 
@@ -128,7 +129,7 @@
     let mut fleet = Fleet::new(overrides);
     let source = collector::decode(r#"{"@type":"SOURCE","az":"north"}"#).unwrap();
     fleet.tell(Event::Message { from: 1, message: source });
-    bencher.counter(ItemsCount::new(SERVERS / 4)).bench_local(|| {
+    bencher.counter(ItemsCount::new(REPLICAS / 4)).bench_local(|| {
         fleet.report();
         fleet.beat();
     });
--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// All that the governor is told before it starts.
+/// All that the controller is told before it starts.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub name: String,
@@ -68,7 +68,7 @@
     pub settings: Settings,
     /// What the operators' file says, where there is one.
     pub operators: Option<OperatorsFile>,
-    /// The fleet that the operators' file names, where each governor steers a subset of the replicas.
+    /// The fleet that the operators' file names, where each controller steers a subset of the replicas.
     pub fleet: Option<Fleet>,
     /// Threads for the way of reports: one, or one that decides and readers beside it.
     pub cores: usize,
@@ -134,8 +134,8 @@
 }
 
 impl Start {
-    /// A life after a panic draws anew: an ack of the former one's marks must not pass for one of this.
-    pub fn begin_new_life(&mut self) {
+    /// A life after a panic draws anew: an ack of the former one's versions must not pass for one of this.
+    pub fn begin_new_incarnation(&mut self) {
         self.seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(1);
     }
 
@@ -193,7 +193,7 @@
     })
 }
 
-/// The fleet that the operators' file names; this governor is one of it.
+/// The fleet that the operators' file names; this controller is one of it.
 fn fleet(operators: Option<&OperatorsFile>, name: &str) -> Result<Option<Fleet>, String> {
     let subsetting = operators.and_then(|file| file.subsetting.as_ref());
     let fleet = subsetting.map(|subsetting| Fleet::new(subsetting, name)).transpose();
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -20,7 +20,7 @@
 use tracing::{debug_span, Span};
 use whinwall_ingest::sequence::Due;
 use whinwall_management_api::ask::{Reply, Request};
-use whinwall_management_api::server::Asked;
+use whinwall_management_api::server::PendingRequest;
 use whinwall_override_store::desk::Word;
 use whinwall_override_store::Job;
 use whinwall_overrides::{saved, Stamp, WallWatch};
@@ -57,7 +57,7 @@
 
 /// Serves until a signal ends it.
 pub async fn serve(start: Start, signals: Signals, form: Form) -> Result<&'static str, String> {
-    match serve_lives(start, signals, form).await {
+    match serve_incarnations(start, signals, form).await {
         Over::Ended(why) => Ok(why),
         Over::Failed(why) => Err(why),
     }
@@ -65,7 +65,7 @@
 
 /// A panic costs what the reducer remembered, as a restart would, and not the process: the relay and discovery know
 /// all that stands.
-async fn serve_lives(mut start: Start, mut signals: Signals, form: Form) -> Over {
+async fn serve_incarnations(mut start: Start, mut signals: Signals, form: Form) -> Over {
     let listener = match bind(start.listen, &mut signals).await {
         Ok(listener) => Rc::new(listener),
         Err(over) => return over,
@@ -79,12 +79,12 @@
         Err(why) => return Over::Failed(why),
     };
     loop {
-        let life = live(&mut start, listener.clone(), &mut signals, &mut fronts);
-        match AssertUnwindSafe(life).catch_unwind().await {
+        let incarnation = live(&mut start, listener.clone(), &mut signals, &mut fronts);
+        match AssertUnwindSafe(incarnation).catch_unwind().await {
             Ok(why) => return Over::Ended(why),
             Err(_) => tracing::error!("a panic; starting again from what relay and discovery know"),
         }
-        start.begin_new_life();
+        start.begin_new_incarnation();
         if let Err(why) = signals.sleep(limits::PAUSE).await {
             return Over::Ended(why);
         }
@@ -382,7 +382,7 @@
         self.apply(event);
     }
 
-    fn asked(&mut self, (request, back): Asked) {
+    fn asked(&mut self, (request, back): PendingRequest) {
         let ticket = self.fronts.ticket(back);
         tracing::debug!("asked: {request:?}");
         if request == Request::Metrics {
@@ -454,15 +454,15 @@
                 }
                 Event::Disconnected(id)
             }
-            Input::News(id, _) if self.news.as_ref().is_none_or(|news| news.id != id) => return None,
+            Input::RelayEvent(id, _) if self.news.as_ref().is_none_or(|news| news.id != id) => return None,
             Input::List(id, Ok(_)) if self.renewed.as_ref().is_some_and(|renewed| renewed.id == id) => {
                 self.list = self.renewed.take();
                 return self.event(input);
             }
             Input::List(id, _) if self.list.as_ref().is_none_or(|list| list.id != id) => return None,
-            Input::News(_, Err(why)) => Event::WatchLost(why),
+            Input::RelayEvent(_, Err(why)) => Event::WatchLost(why),
             Input::List(_, Err(why)) => Event::RegistryLost(why),
-            Input::News(_, Ok(line)) => match relay::decode_news(&line) {
+            Input::RelayEvent(_, Ok(line)) => match relay::decode_event(&line) {
                 Ok(news) => {
                     tracing::debug!("news: {line}");
                     Event::Relay(news)
--- a/crates/controller/src/program/fronts.rs
+++ b/crates/controller/src/program/fronts.rs
@@ -1,12 +1,12 @@
 //! What the operators' file switches on: the keeper of overrides and the management front, each on a thread
-//! of its own, and who waits for a reply of the governor's.
+//! of its own, and who waits for a reply of the controller's.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::sync::oneshot;
 use whinwall_management_api::ask::Reply;
-use whinwall_management_api::server::{self, Asked, Serving};
+use whinwall_management_api::server::{self, PendingRequest, Serving};
 use whinwall_operator_config::{Doors, LogForm, OperatorsFile};
 use whinwall_override_store::desk::{Desk, Word};
 use whinwall_override_store::{Job, Keeper};
@@ -22,8 +22,8 @@
     keeper: Option<Desk>,
     pub words: Receiver<Word>,
     management: Option<(Doors, Serving)>,
-    ask: Sender<Asked>,
-    pub asked: Receiver<Asked>,
+    ask: Sender<PendingRequest>,
+    pub asked: Receiver<PendingRequest>,
     waiting: BTreeMap<Ticket, oneshot::Sender<Reply>>,
     tickets: Ticket,
     form: Form,
--- a/crates/controller/src/program/meters.rs
+++ b/crates/controller/src/program/meters.rs
@@ -128,7 +128,7 @@
 /// What becomes of aggregated reports.
 pub struct ReportFigures {
     pub freshness: ReportFreshness,
-    /// Requests a second that they show for the governor's slices.
+    /// Requests a second that they show for the controller's slices.
     pub measured_load: f64,
 }
 
--- a/crates/controller/src/program/readers.rs
+++ b/crates/controller/src/program/readers.rs
@@ -19,7 +19,7 @@
 use whinwall_ingest::sums::Sums;
 use whinwall_ingest::watch::{Found, Watch};
 use whinwall_ingest::CoreId;
-use whinwall_policy::interface::Report;
+use whinwall_policy::api::Report;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::{self, Message};
 use whinwall_protocol::InvalidMessage;
@@ -167,7 +167,7 @@
     fn take(&mut self, arrival: Arrival) -> bool {
         let id = arrival.id;
         let Ok(tap) = arrival.stream.try_clone() else { return false };
-        let Some(core) = self.spread.place(id) else { return false };
+        let Some(core) = self.spread.zone(id) else { return false };
         if self.readers[core].arrivals.try_send(arrival).is_err() {
             self.spread.ended(id);
             return false;
@@ -224,8 +224,9 @@
         let meters = self.shared.meters.clone();
         for core in 0..self.readers.len() {
             let reader = &self.readers[core];
-            let (figure, lives) = (reader.figure.load(Ordering::Relaxed), !reader.thread.is_finished());
-            match self.watch.look(now, core, figure, lives) {
+            let (figure, incarnations) =
+                (reader.figure.load(Ordering::Relaxed), !reader.thread.is_finished());
+            match self.watch.look(now, core, figure, incarnations) {
                 None => {}
                 Some(Found::Again) if !self.may_start() => {
                     // Where each one stands still, more of them are no help and would pile up.
--- a/crates/controller/tests/aggregated.rs
+++ b/crates/controller/tests/aggregated.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const SERVERS: u32 = 4;
+const REPLICAS: u32 = 4;
 const SLICES: u32 = 12;
 /// Requests a second for each slice.
 const RATE: f64 = 30.0;
@@ -17,10 +17,10 @@
 const PACE: Duration = Duration::from_millis(100);
 
 fn with_aggregators(cores: usize) -> Managed {
-    let mut managed = Managed::start(SERVERS as usize, SLICES as usize);
+    let mut managed = Managed::start(REPLICAS as usize, SLICES as usize);
     managed.program = None;
     managed.operators(&format!(
-        "<cores most=\"{cores}\"/><overrides/>\n<subsetting subset=\"{SERVERS}\" bytes-per-second=\"27000\">\
+        "<cores most=\"{cores}\"/><overrides/>\n<subsetting subset=\"{REPLICAS}\" bytes-per-second=\"27000\">\
          <governor name=\"n0\"/><aggregator name=\"m1\" address=\"127.0.0.1:7001\"/></subsetting>"
     ));
     managed.restart();
@@ -45,9 +45,9 @@
         self.told += window;
         let (seconds, ms) = (window.as_secs_f64(), window.as_secs_f64() * 1000.0);
         let mut lines = String::new();
-        for server in 0..SERVERS {
-            let tries = seconds * RATE * f64::from(SLICES / SERVERS);
-            lines += &format!("{{\"@type\":\"LOAD\",\"az\":\"north\",\"host\":\"s-{server}\",\"n\":{tries},\"bad\":0,\"avg\":41.7,\"window\":{ms}}}\n");
+        for replica in 0..REPLICAS {
+            let attempts = seconds * RATE * f64::from(SLICES / REPLICAS);
+            lines += &format!("{{\"@type\":\"LOAD\",\"az\":\"north\",\"host\":\"s-{replica}\",\"n\":{attempts},\"bad\":0,\"avg\":41.7,\"window\":{ms}}}\n");
         }
         for slice in 0..SLICES {
             let came = seconds * RATE;
@@ -79,7 +79,7 @@
 /// Tells on until all replicas are observed, and loads of eight seconds rest on what is told now.
 fn tell_until_observed(managed: &[&Managed], aggregators: &mut [&mut Aggregator]) {
     let end = Instant::now() + 2 * PATIENCE;
-    while managed.iter().any(|governor| metric(governor, "whinwall_partially_observed_replicas") > 0.0) {
+    while managed.iter().any(|controller| metric(controller, "whinwall_partially_observed_replicas") > 0.0) {
         assert!(Instant::now() < end, "some replica is not observed");
         tell_for(5 * PACE, aggregators);
     }
@@ -90,7 +90,7 @@
     (measured / ALL - 1.0).abs() < 0.15
 }
 
-/// Two serve at once, then one alone after a gap; beside it a governor that only ever has one.
+/// Two serve at once, then one alone after a gap; beside it a controller that only ever has one.
 fn two_count_as_one(cores: usize) {
     let (mut two, mut one) = (with_aggregators(cores), with_aggregators(cores));
     let (mut first, mut second) = (Aggregator::joins(&mut two), Aggregator::joins(&mut two));
--- a/crates/controller/tests/collector_wire.rs
+++ b/crates/controller/tests/collector_wire.rs
@@ -1,11 +1,11 @@
-//! The exact text between the governor and collectors or aggregators. Each line is written out, so that a
+//! The exact text between the controller and collectors or aggregators. Each line is written out, so that a
 //! renamed field, message or reason fails here.
 
 mod stand_ins;
 
 use stand_ins::rig::Rig;
 use whinwall_protocol::collector::{
-    decode, decode_slowly, encode, quick, Asked, Message, Met, Reply, Report,
+    decode, decode_slowly, encode, quick, DemandReport, EndpointReport, Message, Reply, Report,
 };
 use whinwall_protocol::InvalidMessage;
 use whinwall_routing::Effect;
@@ -41,16 +41,16 @@
 
 #[test]
 fn a_source_is_decoded() {
-    assert_eq!(decode(r#"{"@type":"SOURCE","az":"b"}"#), Ok(Message::Source { place: "b".into() }));
+    assert_eq!(decode(r#"{"@type":"SOURCE","az":"b"}"#), Ok(Message::Source { zone: "b".into() }));
 }
 
 #[test]
 fn a_load_report_is_decoded_with_every_field() {
-    let expected = Message::Met(Met {
-        place: "b".into(),
-        server: "s-5be2a07c".into(),
-        tries: 212.0,
-        aborted: 3.0,
+    let expected = Message::EndpointReport(EndpointReport {
+        zone: "b".into(),
+        replica: "s-5be2a07c".into(),
+        attempts: 212.0,
+        failed: 3.0,
         mean_latency_ms: 41.7,
         covers_ms: 250.5,
         missing: 2,
@@ -61,11 +61,11 @@
 
 #[test]
 fn a_load_report_is_taken_in_one_pass_with_every_field() {
-    let expected = Report::Met {
-        place: "b",
-        server: "s-5be2a07c",
-        tries: 212.0,
-        aborted: 3.0,
+    let expected = Report::EndpointReport {
+        zone: "b",
+        replica: "s-5be2a07c",
+        attempts: 212.0,
+        failed: 3.0,
         mean_latency_ms: 41.7,
         covers_ms: 250.5,
         missing: 2,
@@ -75,11 +75,11 @@
 
 #[test]
 fn a_shard_report_is_decoded_with_every_field() {
-    let expected = Message::Asked(Asked {
+    let expected = Message::DemandReport(DemandReport {
         slice: 88,
-        op_type: "lookup".into(),
+        request_class: "lookup".into(),
         came: 212.0,
-        aborted: 3.0,
+        failed: 3.0,
         covers_ms: 250.5,
         missing: 2,
     });
@@ -89,11 +89,11 @@
 
 #[test]
 fn a_shard_report_is_taken_in_one_pass_with_every_field() {
-    let expected = Report::Asked {
+    let expected = Report::DemandReport {
         slice: 88,
-        op_type: "lookup",
+        request_class: "lookup",
         came: 212.0,
-        aborted: 3.0,
+        failed: 3.0,
         covers_ms: 250.5,
         missing: 2,
     };
@@ -104,8 +104,8 @@
 fn no_zones_are_missing_where_nothing_is_said() {
     let load = r#"{"@type":"LOAD","az":"b","host":"s","n":1,"bad":0,"avg":1,"window":1}"#;
     let shard = r#"{"@type":"SHARD","partition":1,"kind":"w","n":1,"bad":0,"window":1}"#;
-    assert!(matches!(decode(load), Ok(Message::Met(Met { missing: 0, .. }))));
-    assert!(matches!(decode(shard), Ok(Message::Asked(Asked { missing: 0, .. }))));
+    assert!(matches!(decode(load), Ok(Message::EndpointReport(EndpointReport { missing: 0, .. }))));
+    assert!(matches!(decode(shard), Ok(Message::DemandReport(DemandReport { missing: 0, .. }))));
 }
 
 #[test]
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn what_a_server_says_of_itself_is_checked() {
+fn what_a_replica_says_of_itself_is_checked() {
     let absurd = LOAD.replace(r#""inflight":9"#, r#""inflight":-1"#);
     assert!(spoilt(&absurd).starts_with("an absurd figure, in "));
     assert!(decode(&renamed(&absurd, "inflight")).is_ok());
--- a/crates/controller/tests/cores.rs
+++ b/crates/controller/tests/cores.rs
@@ -25,8 +25,8 @@
 
 /// Reports of a second in which s-1 fails all that it is asked, quickly.
 fn failing() -> String {
-    let met = |server, aborted| {
-        format!("{{\"@type\":\"LOAD\",\"az\":\"north\",\"host\":\"s-{server}\",\"n\":9,\"bad\":{aborted},\"avg\":41.7,\"window\":100.0}}\n")
+    let met = |replica, failed| {
+        format!("{{\"@type\":\"LOAD\",\"az\":\"north\",\"host\":\"s-{replica}\",\"n\":9,\"bad\":{failed},\"avg\":41.7,\"window\":100.0}}\n")
     };
     [met(0, 0), met(1, 9), met(2, 0), met(3, 0)].concat()
 }
