--- a/crates/controller/tests/crossings.rs
+++ b/crates/controller/tests/crossings.rs
@@ -12,7 +12,7 @@
 use whinwall_routing::{Effect, Event};
 use whinwall_transport::{StreamError, Targets};
 
-/// Drains a server under a message cap, and gives each call this answer, so long after it: no more calls than the window
+/// Drains a replica under a message cap, and gives each call this answer, so long after it: no more calls than the window
 /// allows, and more than one window's.
 fn keeps_the_message_cap(slices: u32, pause: Span, answer: impl Fn() -> Event) {
     let (cap, window) = (10, Span::ms(10_000));
@@ -50,7 +50,7 @@
     keeps_the_message_cap(60, Span::ms(50), || Event::RelayReply(Ok(Answer::Taken(1))));
 }
 
-/// A proxy whose acks are held up holds the former table, and writes by it: no new owner before it has acked that its ops
+/// A proxy whose acks are held up holds the former table, and writes by it: no new owner before it has acked that its requests
 /// are held back, however long that takes (rule 2).
 #[test]
 fn a_single_writer_changes_hands_only_once_all_have_acked() {
@@ -68,7 +68,7 @@
     assert!(moved(&rig), "all have acked: {:?}", &rig.calls[before..]);
 }
 
-/// A proxy that we never met may have been joined to the former governor of a slice until it was given to us, and writes
+/// A proxy that we never met may have been joined to the former controller of a slice until it was given to us, and writes
 /// by its table for the tenure.
 #[test]
 fn a_single_writer_given_to_us_keeps_its_owner_for_the_tenure() {
@@ -90,7 +90,7 @@
 }
 
 /// Drain after drain, each of several stages, under a cap on messages: what drains is held back within the grace, though
-/// all other orders would use the cap up (kitchen-help, herd+mass 21: one governor said nothing for 4.8 s).
+/// all other orders would use the cap up (kitchen-help, herd+mass 21: one controller said nothing for 4.8 s).
 #[test]
 fn drains_that_follow_each_other_find_a_message_within_the_grace() {
     let grace = Span::ms(2000);
@@ -99,24 +99,24 @@
         settings["familyInfo"]["updateCap"] = json!(12);
         settings["obligations"]["drainGraceNs"] = json!(grace.as_ns());
     });
-    rig.servers = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
+    rig.replicas = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..60).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 20), 1.0)]))).collect();
     let mut rig = rig.set_going();
     rig.pass(20_000);
     for n in 0..14 {
-        let server = format!("s-{n}");
-        rig.drain(&server);
+        let replica = format!("s-{n}");
+        rig.drain(&replica);
         rig.pass(1500);
-        for slice in rig.store.iter().filter(|(_, table)| table.contains_key(&server)).map(|(n, _)| *n) {
+        for slice in rig.store.iter().filter(|(_, table)| table.contains_key(&replica)).map(|(n, _)| *n) {
             let start = format!("LIMIT,{slice},");
             let last =
                 rig.calls.iter().flat_map(|call| call.split([';', ' '])).rfind(|o| o.starts_with(&start));
-            assert!(last.is_some_and(|level| level.ends_with(",0,0")), "{slice} of {server}: {last:?}");
+            assert!(last.is_some_and(|level| level.ends_with(",0,0")), "{slice} of {replica}: {last:?}");
         }
     }
 }
 
-/// Where one owner writes nothing is ever withdrawn: to let all servers in after a restart took the channel from what
+/// Where one owner writes nothing is ever withdrawn: to let all replicas in after a restart took the channel from what
 /// had to be held back (kitchen-help, roll+mass 21: four messages of 80 lines).
 #[test]
 fn a_single_writers_restart_lets_in_nobody() {
@@ -131,7 +131,7 @@
 }
 
 /// Acks that come while the news is silent are told to nobody. The lines that they were for took the room of all further
-/// orders for ever (regina-rating, roll+silent+mass 524: a governor that had come back ordered nothing from 13.0 s to the
+/// orders for ever (regina-rating, roll+silent+mass 524: a controller that had come back ordered nothing from 13.0 s to the
 /// end of the day).
 #[test]
 fn acks_lost_with_the_news_leave_room_for_what_drains() {
@@ -143,8 +143,8 @@
     .set_going();
     rig.pass(20_000);
     let proxies = std::mem::take(&mut rig.proxies);
-    for server in ["s-0", "s-1", "s-2", "s-3"] {
-        rig.drain(server);
+    for replica in ["s-0", "s-1", "s-2", "s-3"] {
+        rig.drain(replica);
         rig.pass(600);
     }
     rig.proxies = proxies;
@@ -160,18 +160,18 @@
     assert_eq!(rig.owners().into_iter().collect::<Vec<_>>(), ["s-5"]);
 }
 
-/// A governor that comes back lifts what its former life withdrew. Before it has slices that reaches no proxy, and none
+/// A controller that comes back lifts what its former life withdrew. Before it has slices that reaches no proxy, and none
 /// acks it; a call for it whose outcome was unknown held up all orders for three seconds, for it did not fit twice any more
 /// once further proxies had joined (regina-rating, roll+silent+mass 524: no call from 15.8 s to 18.8 s).
 #[test]
-fn lifts_of_a_governor_without_slices_hold_up_no_drain() {
+fn lifts_of_a_controller_without_slices_hold_up_no_drain() {
     let grace = Span::ms(1500);
     let mut rig = Rig::with(20, |settings| {
         settings["familyInfo"]["partitionsN"] = json!(100);
         settings["familyInfo"]["queueCap"] = json!(150);
         settings["obligations"]["drainGraceNs"] = json!(grace.as_ns());
     });
-    rig.servers = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
+    rig.replicas = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..20).map(|n| (n, BTreeMap::from([(format!("s-{n}"), 1.0)]))).collect();
     rig.list();
     for line in ["OK", "* SUBSCRIBE 0 north 21.5 0", "*"] {
@@ -207,9 +207,9 @@
     assert!(rig.calls.iter().any(|call| call.contains("OUT,s-2")), "{:?}", rig.calls);
     let later = rig.now + Span::ms(10_000);
     step(&mut rig, later, false);
-    for server in (0..20).filter(|n| *n != 2) {
-        let lifts = |call: &String| call.contains(&format!("IN,s-{server};"));
-        assert!(rig.calls.iter().any(lifts), "s-{server} is let in: {:?}", rig.calls);
+    for replica in (0..20).filter(|n| *n != 2) {
+        let lifts = |call: &String| call.contains(&format!("IN,s-{replica};"));
+        assert!(rig.calls.iter().any(lifts), "s-{replica} is let in: {:?}", rig.calls);
     }
 }
 
@@ -217,13 +217,13 @@
     json!({"id": id, "zone": "north", "state": state, "started_ms": started_ms})
 }
 
-fn tell_list(rig: &mut Rig, version: u64, whole: bool, servers: Vec<serde_json::Value>) {
-    let list = json!({"version": version, "full": whole, "servers": servers});
+fn tell_list(rig: &mut Rig, version: u64, whole: bool, replicas: Vec<serde_json::Value>) {
+    let list = json!({"version": version, "full": whole, "servers": replicas});
     rig.tell(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
     rig.quiet();
 }
 
-/// After a move the agent is behind: its whole list is from before a drain and a new server.
+/// After a move the agent is behind: its whole list is from before a drain and a new replica.
 #[test]
 fn an_agent_that_is_behind_takes_nothing_back() {
     let mut rig = Rig::serving();
@@ -232,7 +232,7 @@
     rig.pass(1000);
     let new = vec![entry("s-7", "active", 1_700_000_000_000)];
     tell_list(&mut rig, 43, false, new);
-    rig.servers.insert("s-7".into(), "active");
+    rig.replicas.insert("s-7".into(), "active");
     rig.pass(1000);
     let before = rig.calls.len();
     let all = || (0..6).map(|n| entry(&format!("s-{n}"), "active", 0)).collect();
@@ -269,7 +269,7 @@
     assert!(rig.calls.iter().any(|call| call.contains("IN,s-2")));
 }
 
-/// Governors whose ways broke at the same instant must not come again together each time.
+/// Controllers whose ways broke at the same instant must not come again together each time.
 #[test]
 fn pauses_are_drawn_from_the_seed() {
     let wakes = |seed| {
@@ -289,48 +289,48 @@
     assert_ne!(wakes(1), wakes(2));
 }
 
-/// Another customer's words for op types, places and kinds of machine: the same happens, and the same is ordered.
+/// Another customer's words for request classes, places and kinds of machine: the same happens, and the same is ordered.
 #[test]
 fn names_decide_nothing() {
-    let played = |op_types: [&str; 2], places: [&str; 3], machine: &str| {
+    let played = |request_classes: [&str; 2], zones: [&str; 3], machine: &str| {
         let mut rig = Rig::with(12, |settings| {
-            settings["classes"][0]["name"] = json!(op_types[0]);
-            settings["classes"][1]["name"] = json!(op_types[1]);
-            settings["zones"] = json!(places);
+            settings["classes"][0]["name"] = json!(request_classes[0]);
+            settings["classes"][1]["name"] = json!(request_classes[1]);
+            settings["zones"] = json!(zones);
         });
         let list = |rig: &mut Rig, version: u64| {
-            let servers = rig.servers.iter().enumerate().map(
-                |(n, (id, state))| json!({"id": id, "zone": places[n % 3], "kind": machine, "state": state}),
+            let replicas = rig.replicas.iter().enumerate().map(
+                |(n, (id, state))| json!({"id": id, "zone": zones[n % 3], "kind": machine, "state": state}),
             );
-            let servers = servers.collect();
-            tell_list(rig, version, true, servers);
+            let replicas = replicas.collect();
+            tell_list(rig, version, true, replicas);
         };
         list(&mut rig, 41);
         rig.standing(&[]);
-        rig.says(1, &json!({"@type": "SOURCE", "az": places[0]}).to_string());
+        rig.says(1, &json!({"@type": "SOURCE", "az": zones[0]}).to_string());
         for second in 0..30 {
             for n in 0..6 {
                 let (bad, avg) =
                     if n == 4 && second > 8 { (9, 0.0) } else { (0, 300.0 + 400.0 * f64::from(n)) };
-                let met = json!({"@type": "LOAD", "az": places[n as usize % 3], "host": format!("s-{n}"), "n": 9,
+                let met = json!({"@type": "LOAD", "az": zones[n as usize % 3], "host": format!("s-{n}"), "n": 9,
                     "bad": bad, "avg": avg, "window": 1000.0});
                 rig.says(1, &met.to_string());
             }
             for slice in 0..12 {
-                let asked = json!({"@type": "SHARD", "partition": slice, "kind": op_types[slice % 2],
+                let asked = json!({"@type": "SHARD", "partition": slice, "kind": request_classes[slice % 2],
                     "n": 3 + slice * second / 9, "bad": slice / 9, "window": 1000.0});
                 rig.says(1, &asked.to_string());
             }
             if second == 15 {
-                rig.servers.insert("s-1".into(), "leaving");
+                rig.replicas.insert("s-1".into(), "leaving");
                 list(&mut rig, 42);
             }
             rig.pass(1000);
         }
         let calls = rig.calls.join("\n");
         calls
-            .replace(&format!(",{},", op_types[0]), ",first,")
-            .replace(&format!(",{},", op_types[1]), ",second,")
+            .replace(&format!(",{},", request_classes[0]), ",first,")
+            .replace(&format!(",{},", request_classes[1]), ",second,")
     };
     let ours = played(["lookup", "post"], ["north", "south", "west"], "m2");
     assert!(ours.contains("LIMIT,") && ours.contains("OUT,s-1"), "{ours}");
@@ -352,10 +352,10 @@
     rig: Rig,
     held: BTreeSet<u32>,
     seen: usize,
-    /// The orders of the last call while its outcome is not known to the governor, and whether it was carried out: then it
+    /// The orders of the last call while its outcome is not known to the controller, and whether it was carried out: then it
     /// may be said again or not.
     open: Option<(BTreeSet<String>, bool)>,
-    /// What stands withdrawn from all tables, and slices whose ops are held back: nothing is sent there.
+    /// What stands withdrawn from all tables, and slices whose requests are held back: nothing is sent there.
     shut: BTreeSet<String>,
     halted: BTreeSet<String>,
     version: u64,
@@ -364,15 +364,15 @@
 
 impl Played {
     /// Of each call made since the last look: orders only for slices held, nothing new while one is open, nothing put
-    /// on a server that leaves.
+    /// on a replica that leaves.
     fn look(&mut self) {
         let calls: Vec<String> = self.rig.calls[self.seen..].to_vec();
         self.seen = self.rig.calls.len();
         for call in calls {
             for order in call["APPLY ".len()..].split(';') {
                 match order.split(',').collect::<Vec<_>>()[..] {
-                    ["OUT", server] => _ = self.shut.insert(server.into()),
-                    ["IN", server] => _ = self.shut.remove(server),
+                    ["OUT", replica] => _ = self.shut.insert(replica.into()),
+                    ["IN", replica] => _ = self.shut.remove(replica),
                     ["LIMIT", slice, "*", "0", _] => _ = self.halted.insert(slice.into()),
                     ["LIMIT", slice, ..] => _ = self.halted.remove(slice),
                     _ => {}
@@ -390,10 +390,10 @@
 
     fn is_lawful(&self, order: &str) {
         match order.split(',').collect::<Vec<_>>()[..] {
-            ["SET", slice, server, weight] => {
+            ["SET", slice, replica, weight] => {
                 assert!(self.held.contains(&slice.parse().unwrap()), "of no slice of ours: {order}");
-                let none_goes_there = self.shut.contains(server) || self.halted.contains(slice);
-                let leaves = self.rig.servers[server] == "leaving" && !none_goes_there;
+                let none_goes_there = self.shut.contains(replica) || self.halted.contains(slice);
+                let leaves = self.rig.replicas[replica] == "leaving" && !none_goes_there;
                 assert!(!leaves || weight.parse::<f64>().unwrap() < 1.0, "to one that leaves: {order}");
             }
             ["LIMIT", slice, ..] if slice != "*" => {
@@ -425,21 +425,21 @@
     }
 
     fn list(&mut self, version: u64) {
-        let servers = self.rig.servers.iter().map(|(id, state)| entry(id, state, 0)).collect();
-        tell_list(&mut self.rig, version, true, servers);
+        let replicas = self.rig.replicas.iter().map(|(id, state)| entry(id, state, 0)).collect();
+        tell_list(&mut self.rig, version, true, replicas);
     }
 
     fn play(&mut self, event: u8, n: u32) {
-        let server = format!("s-{}", n % 6);
-        let stay = self.rig.servers.values().filter(|state| **state == "active").count();
+        let replica = format!("s-{}", n % 6);
+        let stay = self.rig.replicas.values().filter(|state| **state == "active").count();
         match event % 18 {
             0 if stay > 2 => {
-                self.rig.servers.insert(server, "leaving");
+                self.rig.replicas.insert(replica, "leaving");
                 self.version += 1;
                 self.list(self.version);
             }
             1 => {
-                self.rig.servers.insert(server, "active");
+                self.rig.replicas.insert(replica, "active");
                 self.version += 1;
                 self.list(self.version);
             }
@@ -522,7 +522,7 @@
         for (event, n) in &events.0 {
             played.play(*event, *n);
         }
-        let known = played.rig.reducer.known(None).unwrap().servers.len();
+        let known = played.rig.reducer.known(None).unwrap().replicas.len();
         assert!(known <= 6, "seed {seed}: {known} servers known of 6");
         // Once nothing fails any more, the store is as it believes, and what leaves has nothing.
         for proxy in 0..4 {
@@ -533,7 +533,7 @@
             played.rig.pass(1000);
         }
         let rig = &mut played.rig;
-        let drained = rig.owners().into_iter().find(|server| rig.servers[*server] == "leaving");
+        let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
         assert_eq!(drained, None, "seed {seed}: {events:?}");
         rig.tell(Event::WatchLost(StreamError::Closed));
         rig.pass(100);
@@ -604,12 +604,12 @@
         settings["familyInfo"]["fixedCost"] = json!(30);
         settings["familyInfo"]["queueCap"] = json!(525);
     });
-    rig.servers = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
+    rig.replicas = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..60).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 20), 1.0)]))).collect();
     let mut rig = rig.set_going();
     rig.pass(20_000);
-    // As large a call as fits twice: the drains of several servers.
-    (1..8).for_each(|n| _ = rig.servers.insert(format!("s-{n}"), "leaving"));
+    // As large a call as fits twice: the drains of several replicas.
+    (1..8).for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
     rig.list();
     rig.quiet();
     assert!(rig.open.take().is_some());
@@ -625,11 +625,11 @@
     }
 }
 
-/// The slices of governors that were killed come to us while one server after another drains, and hardly a message is
+/// The slices of controllers that were killed come to us while one replica after another drains, and hardly a message is
 /// left under the cap: what is held back for them, more each time than fits twice into the channel, is so within the
 /// grace (kitchen-help, herd+mass 501: 396 slices in 1.8 s at 94 a message, the last ones after 4.2 s of 3.7).
 #[test]
-fn drains_of_slices_that_killed_governors_leave_us_find_messages_within_the_grace() {
+fn drains_of_slices_that_killed_controllers_leave_us_find_messages_within_the_grace() {
     const OWN: u32 = 200;
     let grace = Span::ms(3700);
     let mut rig = Rig::with(600, |settings| {
@@ -638,25 +638,25 @@
         settings["familyInfo"]["queueCap"] = json!(1030);
         settings["obligations"]["drainGraceNs"] = json!(grace.as_ns());
     });
-    rig.servers = (0..60).map(|n| (format!("s-{n}"), "active")).collect();
+    rig.replicas = (0..60).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..600).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 60), 1.0)]))).collect();
     rig.list();
     rig.standing(&(OWN..600).collect::<Vec<_>>());
     rig.pass(20_000);
-    // Servers that drain one by one, each in several stages, use the messages up.
+    // Replicas that drain one by one, each in several stages, use the messages up.
     for n in 0..14 {
         rig.drain(&format!("s-{n}"));
         rig.pass(500);
     }
     for slice in OWN..600 {
-        let server = rig.store[&slice].keys().next().unwrap().clone();
+        let replica = rig.store[&slice].keys().next().unwrap().clone();
         rig.news(&format!("* GRANT {slice} 1"));
-        rig.news(&format!("* ROW {slice} {server} 1.0"));
+        rig.news(&format!("* ROW {slice} {replica} 1.0"));
     }
     rig.news("*");
     let mut due = Vec::new();
     for (drained, pause) in [(14..28, 800), (28..47, 1000), (47..54, 0)] {
-        drained.for_each(|n| _ = rig.servers.insert(format!("s-{n}"), "leaving"));
+        drained.for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
         due.push((rig.now + grace, rig.still_sent_to_leaving()));
         rig.list();
         rig.quiet();
@@ -670,7 +670,7 @@
 }
 
 /// Later stages of moves leave messages for drains: what drains is held back at once, also while these would fill each
-/// message that the cap allows (kitchen-help, herd+mass 501: three of twelve were left when the governors were killed).
+/// message that the cap allows (kitchen-help, herd+mass 501: three of twelve were left when the controllers were killed).
 #[test]
 fn what_can_wait_leaves_messages_for_drains() {
     for moving in [5000, 7000, 9000] {
@@ -680,26 +680,26 @@
             settings["familyInfo"]["queueCap"] = json!(1030);
             settings["obligations"]["drainGraceNs"] = json!(Span::ms(2000).as_ns());
         });
-        rig.servers = (0..60).map(|n| (format!("s-{n}"), "active")).collect();
+        rig.replicas = (0..60).map(|n| (format!("s-{n}"), "active")).collect();
         rig.store = (0..600).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 60), 1.0)]))).collect();
         let mut rig = rig.set_going();
         rig.pass(20_000);
         // Half of all slices are held back, then move, then are let in: many messages' worth.
-        (0..30).for_each(|n| _ = rig.servers.insert(format!("s-{n}"), "leaving"));
+        (0..30).for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
         rig.list();
         rig.quiet();
         rig.pass(moving);
-        for server in ["s-30", "s-31"] {
-            rig.drain(server);
+        for replica in ["s-30", "s-31"] {
+            rig.drain(replica);
             rig.pass(250);
             let late = rig.still_sent_to_leaving();
-            assert!(late.is_empty(), "{server} drains after {moving} ms: {late:?}");
+            assert!(late.is_empty(), "{replica} drains after {moving} ms: {late:?}");
             rig.pass(250);
         }
     }
 }
 
-/// After a restart, slices are granted whose servers drain, with all messages left: what is held back for them goes in
+/// After a restart, slices are granted whose replicas drain, with all messages left: what is held back for them goes in
 /// one message, not in small ones that are mostly heads and wait for each other (edge-meters, roll+mass at full size: 39
 /// orders in four messages 1.3 s apart).
 #[test]
@@ -712,7 +712,7 @@
         settings["familyInfo"]["queueCap"] = json!(340);
         settings["obligations"]["drainGraceNs"] = json!(Span::ms(3900).as_ns());
     });
-    rig.servers = (0..26).map(|n| (format!("s-{n}"), if n < 13 { "leaving" } else { "active" })).collect();
+    rig.replicas = (0..26).map(|n| (format!("s-{n}"), if n < 13 { "leaving" } else { "active" })).collect();
     rig.store = (0..78).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 26), 1.0)]))).collect();
     rig.list();
     rig.standing(&(0..78).collect::<Vec<_>>());
--- a/crates/controller/tests/discovery_wire.rs
+++ b/crates/controller/tests/discovery_wire.rs
@@ -1,4 +1,4 @@
-//! The exact text between the governor and discovery's agent. Each line has every field, with a value that is
+//! The exact text between the controller and discovery's agent. Each line has every field, with a value that is
 //! not its default, so that a renamed field or word fails here.
 
 use whinwall_protocol::discovery::{decode, watch_path, Entry, List, State};
@@ -14,8 +14,8 @@
 #[test]
 fn a_whole_list_is_decoded_with_every_field() {
     let entry = Entry {
-        server: "s-5be2a07c".into(),
-        place: "b".into(),
+        replica: "s-5be2a07c".into(),
+        zone: "b".into(),
         machine: "m-large".into(),
         state: State::Ready,
         size: 2.5,
@@ -28,8 +28,8 @@
 #[test]
 fn a_list_of_changes_is_decoded_with_defaults() {
     let entry = Entry {
-        server: "s-1".into(),
-        place: "a".into(),
+        replica: "s-1".into(),
+        zone: "a".into(),
         machine: String::new(),
         state: State::Gone,
         size: 1.0,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_empty_line_is_a_sign_of_life() {
+fn an_empty_line_is_a_sign_of_incarnation() {
     assert_eq!(decode(""), Ok(None));
     assert_eq!(decode(" \r"), Ok(None));
 }
--- a/crates/controller/tests/faults.rs
+++ b/crates/controller/tests/faults.rs
@@ -75,7 +75,7 @@
 /// rest is for a busy machine.
 const RECOVERED: Duration = Duration::from_secs(9);
 
-/// How long it took from the news of a drain until the server was left, with these faults on the ways.
+/// How long it took from the news of a drain until the replica was left, with these faults on the ways.
 fn recovers(at_relay: &str, at_discovery: &str) -> Duration {
     let world = World::start(4, 24, 3);
     let mut file = configuration();
--- a/crates/controller/tests/fleet.rs
+++ b/crates/controller/tests/fleet.rs
@@ -11,7 +11,7 @@
 use whinwall_policy::time::Span;
 
 fn played(sizes: &Sizes, troubles: &[Trouble]) -> Outcome {
-    let stages = Stages::open(sizes.governors).unwrap();
+    let stages = Stages::open(sizes.controllers).unwrap();
     let programs: Vec<_> = stages
         .stages
         .iter()
@@ -33,8 +33,8 @@
 fn a_day_with_drains_errors_and_a_silent_relay_keeps_the_rules() {
     let sizes = Sizes { lasts: Span::ms(16_000), ..Sizes::small() };
     let troubles = [
-        at(6000, 9000, What::Drain { server: 3 }),
-        at(7000, 6000, What::FastErrors { server: 5, share: 0.9 }),
+        at(6000, 9000, What::Drain { replica: 3 }),
+        at(7000, 6000, What::FastErrors { replica: 5, share: 0.9 }),
         at(9000, 1500, What::RelayMute),
     ];
     let day = played(&sizes, &troubles);
@@ -44,9 +44,9 @@
 
 #[test]
 fn two_programs_share_a_fleet_and_hand_slices_over() {
-    let sizes = Sizes { lasts: Span::ms(14_000), governors: 2, ..Sizes::small() };
+    let sizes = Sizes { lasts: Span::ms(14_000), controllers: 2, ..Sizes::small() };
     let troubles =
-        [at(6000, 4000, What::HandOver { from: 0, to: 20 }), at(7000, 6000, What::Crash { server: 2 })];
+        [at(6000, 4000, What::HandOver { from: 0, to: 20 }), at(7000, 6000, What::Crash { replica: 2 })];
     let day = played(&sizes, &troubles);
     assert!(day.broken.is_empty(), "{:?}", day.violations);
     assert!(day.orders > 60 && day.service > 0.9, "{day:?}");
--- a/crates/controller/tests/instants.rs
+++ b/crates/controller/tests/instants.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// A governor that serves, with a call made and not yet answered.
+/// A controller that serves, with a call made and not yet answered.
 fn with_an_open_call() -> (Relay, Discovery, Program, Watch, Said) {
     let (mut relay, mut discovery, program) = all();
     let watch = discovery.introduce();
@@ -119,7 +119,7 @@
 
 /// The watch is open and gives its signs of life, and the change is not told there.
 #[test]
-fn a_list_whose_signs_of_life_go_on_without_its_changes_is_asked_for_anew() {
+fn a_list_whose_signs_of_incarnation_go_on_without_its_changes_is_asked_for_anew() {
     let (mut relay, mut discovery, _program) = all();
     let deaf = discovery.introduce();
     let _news = relay.introduce();
--- a/crates/controller/tests/metrics_text.rs
+++ b/crates/controller/tests/metrics_text.rs
@@ -1,4 +1,4 @@
-//! The exact names, help texts, types and labels of the governor's metrics, as dashboards and alerts use them.
+//! The exact names, help texts, types and labels of the controller's metrics, as dashboards and alerts use them.
 //! The fixture is the exposition text with each value replaced by `_`.
 
 use std::time::{Duration, Instant};
@@ -75,6 +75,6 @@
 }
 
 #[test]
-fn the_text_ends_with_an_end_mark_also_where_it_has_no_metrics() {
+fn the_text_ends_with_an_end_version_also_where_it_has_no_metrics() {
     assert_eq!(text(None, None), "# EOF\n");
 }
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -15,15 +15,15 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn pin(slices: &str, server: &str, lasts: &str) -> Set {
-    Set { kind: KindName::Pin, slices: Some(slices.into()), ..out(server, lasts) }
+fn pin(slices: &str, replica: &str, lasts: &str) -> Set {
+    Set { kind: KindName::Pin, slices: Some(slices.into()), ..out(replica, lasts) }
 }
 
-fn until(file: &str, server: &str, in_s: u64) -> String {
+fn until(file: &str, replica: &str, in_s: u64) -> String {
     let end = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs() + in_s;
     let end = whinwall_policy::time::Moment::at_ns(end * 1_000_000_000);
     let end = whinwall_overrides::words::write_wall(end);
-    format!("<out id=\"{file}\" server=\"{server}\" author=\"mb\" reason=\"disk\" until=\"{end}\"/>")
+    format!("<out id=\"{file}\" server=\"{replica}\" author=\"mb\" reason=\"disk\" until=\"{end}\"/>")
 }
 
 #[test]
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_ends_while_its_server_drains_does_not_bring_it_back() {
+fn what_ends_while_its_replica_drains_does_not_bring_it_back() {
     let mut managed = Managed::start(4, 12);
     managed.set("a", &out("s-1", "2s")).unwrap();
     managed.world.order("OUT,s-1");
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_and_rejoins_under_its_name_is_out_still() {
+fn a_replica_that_leaves_and_rejoins_under_its_name_is_out_still() {
     let mut managed = Managed::start(4, 12);
     managed.set("a", &out("s-1", "1h")).unwrap();
     managed.world.order("OUT,s-1");
@@ -163,10 +163,10 @@
 }
 
 #[test]
-fn all_servers_of_a_slice_out_of_service_never_leave_it_bare() {
+fn all_replicas_of_a_slice_out_of_service_never_leave_it_bare() {
     let managed = Managed::start(3, 6);
-    for server in ["s-0", "s-1", "s-2"] {
-        managed.set(server, &out(server, "1h")).unwrap();
+    for replica in ["s-0", "s-1", "s-2"] {
+        managed.set(replica, &out(replica, "1h")).unwrap();
     }
     managed.becomes("s-0", |item| item.state == "in force");
     let second = managed.becomes("s-1", |item| item.state == "suspended");
@@ -237,7 +237,7 @@
     bounded.stderr(Stdio::piped()).stdin(Stdio::null());
     managed.spawn(bounded, file);
     managed.log("the store is read");
-    assert_eq!(managed.becomes("a", |item| item.state == "in force").server, "s-1", "what is kept is read");
+    assert_eq!(managed.becomes("a", |item| item.state == "in force").replica, "s-1", "what is kept is read");
     let mut kept = Vec::new();
     let (refused, why) = (0..1000)
         .find_map(|n| {
@@ -264,7 +264,7 @@
     managed.set(&refused, &out("s-2", "1h")).unwrap();
 }
 
-/// Many ask for a long list without end while a server drains: its orders are as quick as ever.
+/// Many ask for a long list without end while a replica drains: its orders are as quick as ever.
 #[test]
 fn a_flood_at_the_front_holds_up_no_orders() {
     let mut managed = Managed::start(40, 120);
@@ -277,8 +277,8 @@
             let socket = socket.clone();
             thread::spawn(move || {
                 actix_rt::System::new().block_on(async {
-                    let place = whinwall_management_api::client::Place::Socket(socket);
-                    let client = whinwall_management_api::client::Client::new(place, None);
+                    let address = whinwall_management_api::client::ManagementAddress::Socket(socket);
+                    let client = whinwall_management_api::client::Client::new(address, None);
                     for _ in 0..300 {
                         _ = client.list().await;
                     }
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -14,7 +14,7 @@
 use whinwall_controller::program::meters::Meters;
 use whinwall_controller::program::readers::{Batch, Hand, Heard, Hook, Item, Pool, Stage};
 use whinwall_ingest::sequence::Due;
-use whinwall_policy::interface::Reported;
+use whinwall_policy::api::ReportBody;
 use whinwall_protocol::collector::Message;
 use whinwall_routing::known::Known;
 use whinwall_runtime::clock::Clock;
@@ -27,8 +27,8 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Counted {
     /// So much came for a slice, by how many lines.
-    Asked(ConnectionId, u32, f64, f64),
-    Met(ConnectionId, u32, f64),
+    DemandReport(ConnectionId, u32, f64, f64),
+    EndpointReport(ConnectionId, u32, f64),
     Ping(ConnectionId),
     Lost(ConnectionId),
     Ended(ConnectionId),
@@ -57,10 +57,12 @@
                 match item {
                     Item::Reports(reports) => {
                         counted.extend(reports.iter().map(|report| match report.what {
-                            Reported::Asked { slice, asked } => {
-                                Counted::Asked(from, slice, asked.came, report.lines)
+                            ReportBody::DemandReport { slice, asked } => {
+                                Counted::DemandReport(from, slice, asked.came, report.lines)
+                            }
+                            ReportBody::EndpointReport { replica, met, .. } => {
+                                Counted::EndpointReport(from, replica, met.attempts)
                             }
-                            Reported::Met { server, met, .. } => Counted::Met(from, server, met.tries),
                         }))
                     }
                     Item::Message(Message::Source { .. }) => _ = batch.back.try_send(Back::Keep),
@@ -99,9 +101,9 @@
                 let (bounds, clock) = (Bounds::new(3000, 4 << 20), Clock::start());
                 let (pool, mut batches) =
                     Pool::start(readers, clock, bounds.clone(), inbox, counts, hook).unwrap();
-                let servers = (0..10).map(|n| (format!("s-{n}"), n)).collect();
-                let (places, op_types) = (vec!["north".into()], vec!["lookup".into()]);
-                pool.publish(Known { places, op_types, servers, changes: 1 });
+                let replicas = (0..10).map(|n| (format!("s-{n}"), n)).collect();
+                let (zones, request_classes) = (vec!["north".into()], vec!["lookup".into()]);
+                pool.publish(Known { zones, request_classes, replicas, changes: 1 });
                 let turn = Turn { pool: Rc::new(RefCell::new(pool)), counted: into_counted };
                 actix_rt::spawn(listener::listen(listener, bounds, Hand(turn.pool.clone())));
                 let mut looks = tokio::time::interval(Duration::from_millis(100));
@@ -204,7 +206,7 @@
 fn sums(counted: &[Counted], of: Option<ConnectionId>) -> BTreeMap<u32, f64> {
     let mut sums = BTreeMap::new();
     for one in counted {
-        if let Counted::Asked(from, slice, came, _) = one {
+        if let Counted::DemandReport(from, slice, came, _) = one {
             if of.is_none_or(|of| of == *from) {
                 *sums.entry(*slice).or_default() += came;
             }
@@ -235,7 +237,8 @@
     }
     assert!(collector.pings());
     let slices = |counted: &[Counted]| -> Vec<u32> {
-        let slice = |one: &Counted| if let Counted::Asked(_, slice, ..) = one { Some(*slice) } else { None };
+        let slice =
+            |one: &Counted| if let Counted::DemandReport(_, slice, ..) = one { Some(*slice) } else { None };
         counted.iter().filter_map(slice).collect()
     };
     assert_eq!(slices(&owner.counted()), (0..20_000).collect::<Vec<_>>());
@@ -260,8 +263,10 @@
             }
         });
         let counted = owner.counted();
-        let lines: f64 =
-            counted.iter().map(|one| if let Counted::Asked(.., lines) = one { *lines } else { 0.0 }).sum();
+        let lines: f64 = counted
+            .iter()
+            .map(|one| if let Counted::DemandReport(.., lines) = one { *lines } else { 0.0 })
+            .sum();
         assert_eq!(lines, 12_000.0, "over {readers}");
         let sums = sums(&counted, None);
         assert_eq!(*expected.get_or_insert_with(|| sums.clone()), sums, "over {readers}");
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use whinwall_management_api::ask::{Reply, Request};
 use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
-use whinwall_policy::interface::{Asked, Met, Report, Reported};
+use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::relay::{decode_answer, decode_news, Answer};
+use whinwall_protocol::relay::{decode_answer, decode_event, Answer};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::overrides::OverrideConfig;
 use whinwall_routing::{Effect, Event};
@@ -31,7 +31,7 @@
     rig.pass(3000);
     let made = rig.calls.join(" ");
     assert!(!made.contains("SET,3,s-3,") && made.contains("SET,3,"), "who stands by is all it lacks: {made}");
-    // A line that comes late is in the table all the same, and leaves it with its server.
+    // A line that comes late is in the table all the same, and leaves it with its replica.
     rig.news("* ROW 3 s-5 1.0");
     rig.news("*");
     rig.store.insert(3, BTreeMap::from([("s-3".into(), 1.0), ("s-5".into(), 1.0)]));
@@ -66,7 +66,7 @@
 /// Lists doubled, out of order, lower in version, empty, of places that nobody knows, with absurd starts: one that leaves
 /// gets nothing again until it is listed as active.
 #[test]
-fn odd_lists_bring_no_server_back_that_leaves() {
+fn odd_lists_bring_no_replica_back_that_leaves() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     rig.pass(1000);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn servers_are_replaced_without_end() {
+fn replicas_are_replaced_without_end() {
     let mut rig = Rig::serving();
     let known = |rig: &mut Rig| {
         rig.tell(Event::WatchLost(StreamError::Closed));
@@ -242,12 +242,12 @@
     for n in 0..2000 {
         // One drains, leaves, and is replaced; now and then one comes back whose name was heard before.
         let name = if n % 50 == 49 { format!("s-{}", 6 + n - 49) } else { format!("s-{}", 6 + n) };
-        let former = rig.servers.keys().nth(n % 6).unwrap().clone();
+        let former = rig.replicas.keys().nth(n % 6).unwrap().clone();
         rig.drain(&former);
         rig.pass(500);
         assert!(!rig.owners().contains(former.as_str()));
-        rig.servers.remove(&former);
-        rig.servers.insert(name, "active");
+        rig.replicas.remove(&former);
+        rig.replicas.insert(name, "active");
         rig.list();
         rig.pass(1500);
     }
@@ -274,8 +274,8 @@
         self.quiet();
     }
 
-    fn out(&mut self, server: &str, lasts_ms: u64) {
-        self.set(server, Kind::Out { server: server.into() }, lasts_ms);
+    fn out(&mut self, replica: &str, lasts_ms: u64) {
+        self.set(replica, Kind::Out { replica: replica.into() }, lasts_ms);
     }
 
     /// Those that are listed as standing, checked against the time.
@@ -312,22 +312,22 @@
 }
 
 #[test]
-fn an_override_follows_its_server_under_another_number() {
+fn an_override_follows_its_replica_under_another_number() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 3_600_000);
     rig.pass(1000);
     // It leaves, is forgotten, and its name returns.
-    rig.servers.remove("s-1");
+    rig.replicas.remove("s-1");
     rig.list();
     rig.pass(60_000);
-    rig.servers.insert("s-1".into(), "active");
+    rig.replicas.insert("s-1".into(), "active");
     rig.list();
     rig.pass(60_000);
     assert!(!rig.owners().contains("s-1"), "out of service still");
     assert_eq!(rig.standing_overrides(), ["s-1"]);
-    // One for a server that nobody has heard of waits for it.
+    // One for a replica that nobody has heard of waits for it.
     rig.out("s-77", 3_600_000);
-    rig.servers.insert("s-77".into(), "active");
+    rig.replicas.insert("s-77".into(), "active");
     rig.list();
     rig.pass(60_000);
     assert!(!rig.owners().contains("s-77"));
@@ -350,8 +350,8 @@
 fn a_thousand_that_end_in_the_same_second_end_in_one_turn() {
     let mut rig = Rig::serving().with_overrides();
     for n in 0..1000 {
-        let server = format!("s-{}", n % 6);
-        rig.set(&format!("p{n}"), Kind::Pin { first: n, last: n, server }, 60_000);
+        let replica = format!("s-{}", n % 6);
+        rig.set(&format!("p{n}"), Kind::Pin { first: n, last: n, replica }, 60_000);
     }
     rig.pass(30_000);
     assert_eq!(rig.standing_overrides().len(), 1000);
@@ -360,7 +360,7 @@
 }
 
 /// Lists, drains, overrides and their ends, calls lost and news broken off, drawn: the store has no bare
-/// table and no unknown server (the rig looks on), nothing stands after its end, and in the end what drains
+/// table and no unknown replica (the rig looks on), nothing stands after its end, and in the end what drains
 /// has nothing.
 #[derive(Clone, Debug)]
 struct Operated(Vec<(u8, u8)>);
@@ -376,18 +376,18 @@
     fn holds(days: Operated) -> bool {
         let mut rig = Rig::serving().with_overrides();
         for (n, (deed, figure)) in days.0.into_iter().enumerate() {
-            let (id, server) = (format!("o{n}"), format!("s-{}", figure % 6));
+            let (id, replica) = (format!("o{n}"), format!("s-{}", figure % 6));
             let lasts = 1000 + u64::from(figure) * 50;
             let first = u32::from(figure % 12);
             match deed % 8 {
-                0 => rig.set(&id, Kind::Out { server }, lasts),
-                1 => rig.set(&id, Kind::Weight { server, factor: f64::from(figure) / 20.0 + 0.05 }, lasts),
-                2 | 3 => rig.set(&id, Kind::Pin { first, last: first + 3, server }, lasts),
-                4 if rig.servers.values().filter(|state| **state == "leaving").count() < 2 => {
-                    rig.drain(&server)
+                0 => rig.set(&id, Kind::Out { replica }, lasts),
+                1 => rig.set(&id, Kind::Weight { replica, factor: f64::from(figure) / 20.0 + 0.05 }, lasts),
+                2 | 3 => rig.set(&id, Kind::Pin { first, last: first + 3, replica }, lasts),
+                4 if rig.replicas.values().filter(|state| **state == "leaving").count() < 2 => {
+                    rig.drain(&replica)
                 }
                 5 => {
-                    rig.servers.insert(server, "active");
+                    rig.replicas.insert(replica, "active");
                     rig.list();
                 }
                 6 => {
@@ -406,9 +406,9 @@
         }
         rig.pass(20_000);
         let gone: Vec<_> =
-            rig.servers.iter().filter(|(_, s)| **s == "leaving").map(|(n, _)| n.clone()).collect();
+            rig.replicas.iter().filter(|(_, s)| **s == "leaving").map(|(n, _)| n.clone()).collect();
         rig.standing_overrides().is_empty()
-            && gone.iter().all(|server| !rig.owners().contains(server.as_str()))
+            && gone.iter().all(|replica| !rig.owners().contains(replica.as_str()))
     }
     quickcheck::QuickCheck::new().tests(60).quickcheck(holds as fn(Operated) -> bool);
 }
@@ -443,7 +443,7 @@
     rig.pass(100);
     assert_eq!(rig.follows.last(), Some(&Effect::WatchRelay { relay: RELAY }));
     assert_eq!(rig.notes.len(), before, "half a snapshot was taken for all that stands");
-    // Meanwhile two proxies left, slice 4 went to another governor, and slice 5 to another server.
+    // Meanwhile two proxies left, slice 4 went to another controller, and slice 5 to another replica.
     rig.store.insert(5, BTreeMap::from([("s-0".into(), 1.0)]));
     rig.proxies = 2;
     rig.standing(&[4]);
@@ -476,7 +476,7 @@
 fn newer_orders_for_a_slice_that_changed_hands_are_made() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    // Another governor had it meanwhile; it comes back on a server that drains.
+    // Another controller had it meanwhile; it comes back on a replica that drains.
     rig.store.insert(8, BTreeMap::from([("s-2".into(), 1.0)]));
     for line in ["* GRANT 8 0", "* GRANT 8 1", "* ROW 8 s-2 1.0", "*"] {
         rig.news(line);
@@ -590,12 +590,12 @@
     for second in 0..30 {
         for rig in [&mut *rig, &mut *twin] {
             for n in 0..12 {
-                let (server, aborted) = (n % 6, if n == 1 && second > 9 { 9 } else { 0 });
+                let (replica, failed) = (n % 6, if n == 1 && second > 9 { 9 } else { 0 });
                 rig.says(1, &format!(
-                    r#"{{"@type":"LOAD","az":"north","host":"s-{server}","n":9,"bad":{aborted},"avg":41.7,"window":1000.0}}"#
+                    r#"{{"@type":"LOAD","az":"north","host":"s-{replica}","n":9,"bad":{failed},"avg":41.7,"window":1000.0}}"#
                 ));
                 rig.says(1, &format!(
-                    r#"{{"@type":"SHARD","partition":{n},"kind":"lookup","n":9,"bad":{aborted},"window":1000.0}}"#
+                    r#"{{"@type":"SHARD","partition":{n},"kind":"lookup","n":9,"bad":{failed},"window":1000.0}}"#
                 ));
             }
             rig.pass(1000);
@@ -622,7 +622,7 @@
         assert_eq!(rig.follows.len(), 2, "{line}: it has not joined any more");
     }
     for line in ["", "GRANT 1 1", "* GRANT", "* GRANT x 1", "* ROW 1 s-1 NaN", "* ACK 1 70000 1", "* NEWS"] {
-        assert!(decode_news(line).is_err(), "{line}");
+        assert!(decode_event(line).is_err(), "{line}");
     }
 }
 
@@ -648,7 +648,7 @@
 }
 
 /// What happens, in any order: every call is answered, lost before or after it was carried out, or turned
-/// away; news break off; servers drain and return; slices go and come.
+/// away; news break off; replicas drain and return; slices go and come.
 #[derive(Clone, Debug)]
 struct Deeds(Vec<(u8, u32)>);
 
@@ -664,13 +664,13 @@
         let deeds = Deeds::arbitrary(&mut Gen::from_size_and_seed(80, seed));
         let mut rig = Rig::serving();
         for (deed, n) in &deeds.0 {
-            let server = format!("s-{}", n % 6);
+            let replica = format!("s-{}", n % 6);
             match deed % 9 {
-                0 if rig.servers.values().filter(|state| **state == "active").count() > 2 => {
-                    rig.drain(&server)
+                0 if rig.replicas.values().filter(|state| **state == "active").count() > 2 => {
+                    rig.drain(&replica)
                 }
                 1 => {
-                    rig.servers.insert(server, "active");
+                    rig.replicas.insert(replica, "active");
                     rig.list();
                     rig.quiet();
                 }
@@ -716,7 +716,7 @@
         rig.standing(&[]);
         let stands = "the relay's news stands: 4 proxies, 12 slices, 0 new to us, 6 servers known";
         assert_eq!(rig.notes.last().unwrap(), stands, "seed {seed}: {deeds:?}");
-        let drained = rig.owners().into_iter().find(|server| rig.servers[*server] == "leaving");
+        let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
         assert_eq!(drained, None, "seed {seed}: {deeds:?}");
     }
 }
@@ -765,23 +765,27 @@
     quickcheck::QuickCheck::new().tests(20_000).quickcheck(holds as fn(Garbled) -> bool);
 }
 
-/// Reports of three places on all servers and slices, in chunks as readers make them; s-3 fails what it is
+/// Reports of three places on all replicas and slices, in chunks as readers make them; s-3 fails what it is
 /// asked.
 fn chunks() -> Vec<(u64, Vec<Report>)> {
     let covers = Span::ms(1000);
     let told = |what| Report { at: Moment::default(), lines: 1.0, what };
-    let met = |place, server: u32| {
-        let aborted = if server == 3 { 9.0 } else { 0.0 };
+    let met = |zone, replica: u32| {
+        let failed = if replica == 3 { 9.0 } else { 0.0 };
         let mean_latency = Span::ms(40);
-        let met = Met { place, covers, tries: 9.0, aborted, mean_latency };
-        told(Reported::Met { server, met, latest: mean_latency })
+        let met = EndpointReport { zone, covers, attempts: 9.0, failed, mean_latency };
+        told(ReportBody::EndpointReport { replica, met, latest: mean_latency })
     };
-    let asked = |slice, op_type| {
-        told(Reported::Asked { slice, asked: Asked { op_type, covers, came: 9.0, aborted: 0.0 } })
+    let asked = |slice, request_class| {
+        told(ReportBody::DemandReport {
+            slice,
+            asked: DemandReport { request_class, covers, came: 9.0, failed: 0.0 },
+        })
     };
     let chunk = |from: u64| {
-        let met = (0..6).map(move |server| met(from as usize, server));
-        let asked = (0..12).flat_map(move |slice| (0..2).map(move |op_type| asked(slice, op_type)));
+        let met = (0..6).map(move |replica| met(from as usize, replica));
+        let asked =
+            (0..12).flat_map(move |slice| (0..2).map(move |request_class| asked(slice, request_class)));
         met.chain(asked).collect::<Vec<_>>()
     };
     (0..3)
@@ -790,8 +794,8 @@
 }
 
 fn joined(rig: &mut Rig) {
-    for (from, place) in ["north", "south", "west"].iter().enumerate() {
-        rig.says(from as u64, &format!("{{\"@type\":\"SOURCE\",\"az\":\"{place}\"}}"));
+    for (from, zone) in ["north", "south", "west"].iter().enumerate() {
+        rig.says(from as u64, &format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}"));
     }
 }
 
@@ -817,9 +821,9 @@
     fn holds(seeds: Vec<u64>) -> bool {
         let many = chunks().len();
         let shuffled = |seed: u64| {
-            let mut chance = whinwall_policy::chance::Chance::from_seed(seed);
+            let mut random = whinwall_policy::random::Random::from_seed(seed);
             let mut order: Vec<_> = (0..many).collect();
-            (1..many).for_each(|at| order.swap(at, (chance.draw() * (at + 1) as f64) as usize));
+            (1..many).for_each(|at| order.swap(at, (random.draw() * (at + 1) as f64) as usize));
             order
         };
         let record: Vec<Vec<_>> =
@@ -838,8 +842,8 @@
     joined(&mut rig);
     rig.news("* GRANT 4 0");
     let fails = |slice| {
-        let asked = Asked { op_type: 0, covers: Span::ms(1000), came: 1e6, aborted: 1e6 };
-        vec![Report { at: Moment::default(), lines: 1.0, what: Reported::Asked { slice, asked } }]
+        let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1e6, failed: 1e6 };
+        vec![Report { at: Moment::default(), lines: 1.0, what: ReportBody::DemandReport { slice, asked } }]
     };
     let before = rig.calls.len();
     for _ in 0..5 {
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -1,16 +1,16 @@
-//! The exact text between the governor and the relay. Each expected line is written out, so that a renamed
+//! The exact text between the controller and the relay. Each expected line is written out, so that a renamed
 //! word, a moved field or another separator fails here.
 
 use whinwall_protocol::relay::{
-    decode_answer, decode_news, encode_call, Answer, News, Order, CALL_LIMIT, WATCH,
+    decode_answer, decode_event, encode_call, Answer, Order, RelayEvent, CALL_LIMIT, WATCH,
 };
 
-fn news(line: &str) -> News {
-    decode_news(line).unwrap_or_else(|why| panic!("{line:?}: {why}"))
+fn news(line: &str) -> RelayEvent {
+    decode_event(line).unwrap_or_else(|why| panic!("{line:?}: {why}"))
 }
 
 fn why_no_news(line: &str) -> String {
-    decode_news(line).unwrap_err().to_string()
+    decode_event(line).unwrap_err().to_string()
 }
 
 fn why_no_answer(line: &str) -> String {
@@ -19,19 +19,19 @@
 
 #[test]
 fn relay_commands_are_encoded_to_the_letter() {
-    let line = Order::Line { slice: 12, server: "s-5be2a07c".into(), weight: 0.25 };
+    let line = Order::Line { slice: 12, replica: "s-5be2a07c".into(), weight: 0.25 };
     assert_eq!(line.encode(false), "SET,12,s-5be2a07c,0.25");
-    let withdrawn = Order::Withdraw { server: "s-1".into(), out: true };
+    let withdrawn = Order::Withdraw { replica: "s-1".into(), out: true };
     assert_eq!(withdrawn.encode(false), "OUT,s-1");
-    let restored = Order::Withdraw { server: "s-1".into(), out: false };
+    let restored = Order::Withdraw { replica: "s-1".into(), out: false };
     assert_eq!(restored.encode(false), "IN,s-1");
 }
 
 #[test]
 fn limits_are_encoded_to_the_letter() {
-    let limit = |slice, op_types: &[&str], share, tries| {
-        let op_types = op_types.iter().map(|name| name.to_string()).collect();
-        Order::Level { slice, op_types, share, tries }.encode(false)
+    let limit = |slice, request_classes: &[&str], share, retries| {
+        let request_classes = request_classes.iter().map(|name| name.to_string()).collect();
+        Order::Level { slice, request_classes, share, retries }.encode(false)
     };
     assert_eq!(limit(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
     assert_eq!(limit(Some(7), &["lookup"], 0.5, 3), "LIMIT,7,lookup,0.5,3");
@@ -39,15 +39,15 @@
 }
 
 #[test]
-fn a_mark_is_encoded_with_whether_all_proxies_answer_it() {
-    let mark = Order::Mark { number: 65535 };
-    assert_eq!(mark.encode(true), "SYNC,65535,1");
-    assert_eq!(mark.encode(false), "SYNC,65535,0");
+fn a_version_is_encoded_with_whether_all_proxies_answer_it() {
+    let version = Order::Version { number: 65535 };
+    assert_eq!(version.encode(true), "SYNC,65535,1");
+    assert_eq!(version.encode(false), "SYNC,65535,0");
 }
 
 #[test]
 fn weights_are_encoded_without_needless_digits() {
-    let set = |weight| Order::Line { slice: 0, server: "s".into(), weight }.encode(false);
+    let set = |weight| Order::Line { slice: 0, replica: "s".into(), weight }.encode(false);
     assert_eq!(set(0.0), "SET,0,s,0");
     assert_eq!(set(1.0), "SET,0,s,1");
     assert_eq!(set(0.1), "SET,0,s,0.1");
@@ -71,47 +71,53 @@
 }
 
 #[test]
-fn the_first_news_and_a_sign_of_life_are_decoded() {
-    assert_eq!(news("OK"), News::Begins);
-    assert_eq!(news("*"), News::Alive);
+fn the_first_news_and_a_sign_of_incarnation_are_decoded() {
+    assert_eq!(news("OK"), RelayEvent::Begins);
+    assert_eq!(news("*"), RelayEvent::Alive);
 }
 
 #[test]
 fn a_proxy_that_joins_is_decoded_with_whether_it_has_no_table() {
     for set in ["1", "true", "yes"] {
-        assert_eq!(news(&format!("* SUBSCRIBE 4 a 120.5 {set}")), News::Joined { proxy: 4, bare: true });
+        assert_eq!(
+            news(&format!("* SUBSCRIBE 4 a 120.5 {set}")),
+            RelayEvent::Joined { proxy: 4, bare: true }
+        );
     }
     for unset in ["0", "false", "no"] {
-        assert_eq!(news(&format!("* SUBSCRIBE 4 a 120.5 {unset}")), News::Joined { proxy: 4, bare: false });
+        assert_eq!(
+            news(&format!("* SUBSCRIBE 4 a 120.5 {unset}")),
+            RelayEvent::Joined { proxy: 4, bare: false }
+        );
     }
 }
 
 #[test]
 fn a_proxy_that_leaves_is_decoded() {
-    assert_eq!(news("* CLOSED 4"), News::Left { proxy: 4 });
+    assert_eq!(news("* CLOSED 4"), RelayEvent::Left { proxy: 4 });
 }
 
 #[test]
-fn an_acknowledged_mark_is_decoded() {
-    assert_eq!(news("* ACK 4 65535"), News::Acked { proxy: 4, mark: 65535 });
+fn an_acknowledged_version_is_decoded() {
+    assert_eq!(news("* ACK 4 65535"), RelayEvent::Acked { proxy: 4, version: 65535 });
 }
 
 #[test]
 fn a_slice_granted_and_one_revoked_are_decoded() {
-    assert_eq!(news("* GRANT 31 1"), News::Granted { slice: 31 });
-    assert_eq!(news("* GRANT 31 0"), News::Revoked { slice: 31 });
+    assert_eq!(news("* GRANT 31 1"), RelayEvent::Granted { slice: 31 });
+    assert_eq!(news("* GRANT 31 0"), RelayEvent::Revoked { slice: 31 });
 }
 
 #[test]
 fn a_row_of_a_table_is_decoded() {
-    let row = News::Line { slice: 31, server: "s-5be2a07c".into(), weight: 0.75 };
+    let row = RelayEvent::Line { slice: 31, replica: "s-5be2a07c".into(), weight: 0.75 };
     assert_eq!(news("* ROW 31 s-5be2a07c 0.75"), row);
 }
 
 #[test]
 fn news_words_are_read_in_their_own_case_only() {
     for line in ["ok", "* subscribe 4 a 1 1", "* closed 4", "* ack 4 1", "* grant 31 1", "* row 31 s 1"] {
-        assert!(decode_news(line).is_err(), "{line}");
+        assert!(decode_event(line).is_err(), "{line}");
     }
 }
 
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -1,5 +1,5 @@
 //! Reports that aggregators make: what two of them tell counts once, what is missing is known as missing and no replica
-//! is judged by it, and where nothing comes the governor goes on with what it has.
+//! is judged by it, and where nothing comes the controller goes on with what it has.
 
 mod stand_ins;
 
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use whinwall_ingest::sums::Sums;
 use whinwall_management_api::ask::{Reply, ReportFreshness, Request};
-use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
-use whinwall_policy::interface::Report;
+use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
+use whinwall_policy::api::Report;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector;
 use whinwall_protocol::collector::Message;
@@ -69,22 +69,22 @@
         let seconds = self.window_ms as f64 / 1000.0;
         let ill = (ill_ms as f64 / self.window_ms as f64).min(1.0);
         let mut lines = Vec::new();
-        let servers: Vec<_> = rig.servers.iter().filter(|(_, state)| **state == "active").collect();
-        for (_, (server, _)) in servers.iter().enumerate().filter(|(at, _)| self.is_due(at_ms, *at)) {
+        let replicas: Vec<_> = rig.replicas.iter().filter(|(_, state)| **state == "active").collect();
+        for (_, (replica, _)) in replicas.iter().enumerate().filter(|(at, _)| self.is_due(at_ms, *at)) {
             let is_owner =
-                |table: &&BTreeMap<String, f64>| table.get(*server).is_some_and(|weight| *weight >= 1.0);
-            let tries = rig.store.values().filter(is_owner).count() as f64 * RATE * seconds;
-            let (tries, bad) = match fate(server) {
-                Fate::Answered => (tries, 0.0),
-                Fate::FailsQuickly => (tries, tries * ill),
-                Fate::Hangs => (tries * (1.0 - ill), 0.0),
+                |table: &&BTreeMap<String, f64>| table.get(*replica).is_some_and(|weight| *weight >= 1.0);
+            let attempts = rig.store.values().filter(is_owner).count() as f64 * RATE * seconds;
+            let (attempts, bad) = match fate(replica) {
+                Fate::Answered => (attempts, 0.0),
+                Fate::FailsQuickly => (attempts, attempts * ill),
+                Fate::Hangs => (attempts * (1.0 - ill), 0.0),
             };
             lines.push(self.line(
-                json!({"@type": "LOAD", "az": "north", "host": server, "n": tries, "bad": bad, "avg": self.mean_latency_ms}),
+                json!({"@type": "LOAD", "az": "north", "host": replica, "n": attempts, "bad": bad, "avg": self.mean_latency_ms}),
             ));
         }
         for (slice, table) in rig.store.iter().filter(|(slice, _)| self.is_due(at_ms, **slice as usize % 6)) {
-            let owner = table.iter().find(|(_, weight)| **weight >= 1.0).map_or("", |(server, _)| server);
+            let owner = table.iter().find(|(_, weight)| **weight >= 1.0).map_or("", |(replica, _)| replica);
             let came = RATE * seconds;
             let bad = if fate(owner) == Fate::Answered { 0.0 } else { came * ill };
             lines.push(
@@ -97,7 +97,7 @@
     }
 }
 
-/// A governor that aggregators report to, and the milliseconds since it began.
+/// A controller that aggregators report to, and the milliseconds since it began.
 struct Served {
     rig: Rig,
     at_ms: u64,
@@ -127,7 +127,7 @@
     fn step(&mut self, feeds: &[Feed], fate: impl Fn(&str) -> Fate + Copy) {
         self.rig.pass(STEP_MS);
         self.at_ms += STEP_MS;
-        let is_ill = self.rig.servers.keys().any(|server| fate(server) != Fate::Answered);
+        let is_ill = self.rig.replicas.keys().any(|replica| fate(replica) != Fate::Answered);
         self.ill_since = self.ill_since.or(Some(self.at_ms - STEP_MS)).filter(|_| is_ill);
         let ill_ms = self.ill_since.map_or(0, |since| self.at_ms - since);
         for feed in feeds {
@@ -139,8 +139,8 @@
     }
 
     fn loads(&self) -> Vec<f64> {
-        let active = self.rig.servers.iter().filter(|(_, state)| **state == "active");
-        active.map(|(server, _)| self.rig.reducer.measured_load(server).unwrap()).collect()
+        let active = self.rig.replicas.iter().filter(|(_, state)| **state == "active");
+        active.map(|(replica, _)| self.rig.reducer.measured_load(replica).unwrap()).collect()
     }
 
     /// The load of each active replica is what is asked of it, within this part.
@@ -169,11 +169,11 @@
     }
 }
 
-/// This governor alone, which steers all replicas.
+/// This controller alone, which steers all replicas.
 fn fleet() -> Fleet {
-    let governors = vec![GovernorMember { name: "n0".into(), address: None, slices: vec![] }];
+    let controllers = vec![ControllerMember { name: "n0".into(), address: None, slices: vec![] }];
     let aggregators = vec![AggregatorMember { name: "m1".into(), address: ([127, 0, 0, 1], 7001).into() }];
-    let config = SubsettingConfig { subset_size: 6, bytes_per_second: 27_000, governors, aggregators };
+    let config = SubsettingConfig { subset_size: 6, bytes_per_second: 27_000, controllers, aggregators };
     Fleet::new(&config, "n0").expect("it is one of the fleet")
 }
 
@@ -181,16 +181,16 @@
     Fate::Answered
 }
 
-fn third_fails(server: &str) -> Fate {
-    if server == "s-3" {
+fn third_fails(replica: &str) -> Fate {
+    if replica == "s-3" {
         Fate::FailsQuickly
     } else {
         Fate::Answered
     }
 }
 
-fn third_hangs(server: &str) -> Fate {
-    if server == "s-3" {
+fn third_hangs(replica: &str) -> Fate {
+    if replica == "s-3" {
         Fate::Hangs
     } else {
         Fate::Answered
@@ -202,7 +202,7 @@
 }
 
 fn line(from: u64, at_ms: u64, window_ms: u64) -> Line {
-    Line { subject: Subject::Server(7), from, at: at(at_ms), window: Span::ms(window_ms), lines: 1.0 }
+    Line { subject: Subject::Replica(7), from, at: at(at_ms), window: Span::ms(window_ms), lines: 1.0 }
 }
 
 #[test]
@@ -440,7 +440,7 @@
     }
 }
 
-/// Some slices are told of seconds after others: until all were, servers of the others only look light.
+/// Some slices are told of seconds after others: until all were, replicas of the others only look light.
 #[test]
 fn nothing_is_moved_at_a_cold_start() {
     for window in [1000, 5000, 8000] {
@@ -535,7 +535,7 @@
     assert_eq!(served.rig.reducer.covered_subjects(), 6 + 10);
     served.rig.drain("s-2");
     served.run(5, &[feed], well);
-    served.rig.servers.remove("s-2");
+    served.rig.replicas.remove("s-2");
     served.rig.list();
     served.run(30, &[feed], well);
     assert_eq!(served.rig.reducer.covered_subjects(), 5 + 10);
@@ -551,10 +551,10 @@
     assert_eq!(served.rig.reducer.covered_subjects(), 0);
 }
 
-/// As the rig's governor numbers its servers.
+/// As the rig's controller numbers its replicas.
 fn known() -> Known {
-    let servers: BTreeMap<_, _> = (0..6).map(|n| (format!("s-{n}"), n)).collect();
-    Known { places: vec!["north".into()], op_types: vec![CLASS.into()], servers, changes: 1 }
+    let replicas: BTreeMap<_, _> = (0..6).map(|n| (format!("s-{n}"), n)).collect();
+    Known { zones: vec!["north".into()], request_classes: vec![CLASS.into()], replicas, changes: 1 }
 }
 
 /// A reader's chunk is one connection's: what it adds up was told by one, and it counts as its lines do one by one.
@@ -612,8 +612,8 @@
             assert_eq!(known.numbered(&report).is_none(), lacks > 0, "{line}");
             assert_eq!(collector::decode_slowly(&line), collector::decode(&line));
             match collector::decode(&line).unwrap() {
-                Message::Met(met) => assert_eq!(met.missing, lacks),
-                Message::Asked(asked) => assert_eq!(asked.missing, lacks),
+                Message::EndpointReport(met) => assert_eq!(met.missing, lacks),
+                Message::DemandReport(asked) => assert_eq!(asked.missing, lacks),
                 other => panic!("{other:?}"),
             }
             fields.insert(lacks);
--- a/crates/controller/tests/request_bytes.rs
+++ b/crates/controller/tests/request_bytes.rs
@@ -1,4 +1,4 @@
-//! The exact bytes that the governor's transport writes to discovery and the relay, read from a plain socket.
+//! The exact bytes that the controller's transport writes to discovery and the relay, read from a plain socket.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/controller/tests/size.rs
+++ b/crates/controller/tests/size.rs
@@ -1,4 +1,4 @@
-//! As large as the operators' lists may get: 1,024 governors and 1,024 servers, hundreds of places.
+//! As large as the operators' lists may get: 1,024 controllers and 1,024 replicas, hundreds of places.
 
 mod stand_ins;
 
@@ -9,20 +9,20 @@
 use std::time::{Duration, Instant};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
-use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::relay::{decode_event, Answer};
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_transport::Targets;
 
 const MANY: usize = 1024;
-const PLACES: usize = 300;
+const ZONES: usize = 300;
 
-fn place(n: usize) -> String {
-    format!("p{}", n % PLACES)
+fn zone(n: usize) -> String {
+    format!("p{}", n % ZONES)
 }
 
 fn list(version: u64, states: impl Iterator<Item = (usize, &'static str)>) -> Value {
     let entry =
-        |(n, state)| json!({"id": format!("s-{n}"), "addr": "127.0.0.9:1", "zone": place(n), "state": state});
+        |(n, state)| json!({"id": format!("s-{n}"), "addr": "127.0.0.9:1", "zone": zone(n), "state": state});
     json!({"version": version, "full": version == 1, "servers": states.map(entry).collect::<Vec<_>>()})
 }
 
@@ -44,7 +44,7 @@
         file["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 512});
         file["peers"] = (0..MANY).map(|n| json!(format!("127.1.{}.{}:7946", n / 256, n % 256))).collect();
         file["known"] = list(1, (0..MANY).map(|n| (n, "active")));
-        file["settings"]["zones"] = (0..PLACES).map(place).collect();
+        file["settings"]["zones"] = (0..ZONES).map(zone).collect();
         file["settings"]["peersTotal"] = json!(MANY);
     });
     let watch = discovery.watch(1);
@@ -52,11 +52,11 @@
     say(list(1, (0..MANY).map(|n| (n, "active"))));
     let joined = |n| {
         let mut collector = program.connect();
-        collector.says(&json!({"@type": "SOURCE", "az": place(n)}).to_string());
+        collector.says(&json!({"@type": "SOURCE", "az": zone(n)}).to_string());
         collector.pings();
         collector
     };
-    let mut collectors: Vec<_> = (0..PLACES).map(joined).collect();
+    let mut collectors: Vec<_> = (0..ZONES).map(joined).collect();
     let mut news = relay.introduce_fleet(MANY, 2 * MANY, 3);
     // Signs of life, for as long as somebody listens.
     std::thread::spawn(move || {
@@ -73,9 +73,9 @@
 }
 
 /// A fleet in the reducer: half of it drains at once. The longest turn that this leads to.
-fn longest_turn(servers: usize) -> Duration {
+fn longest_turn(replicas: usize) -> Duration {
     let mut file = configuration();
-    file["settings"]["zones"] = (0..PLACES).map(place).collect();
+    file["settings"]["zones"] = (0..ZONES).map(zone).collect();
     file["settings"]["familyInfo"]["queueCap"] = json!(1e9);
     file["settings"]["familyInfo"]["pushRate"] = json!(1e9);
     let settings = whinwall_settings::read(&file["settings"]).unwrap();
@@ -84,7 +84,7 @@
     let targets = Targets { discovery: here(8500), relay: here(6400) };
     let mut reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
     let listed = |list: Value| Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap());
-    let news = |line: String| Event::Relay(decode_news(&line).unwrap());
+    let news = |line: String| Event::Relay(decode_event(&line).unwrap());
     let mut longest = Duration::ZERO;
     let mut tell = |now: Moment, events: Vec<Event>| {
         let mut events: Vec<_> = events.into_iter().rev().collect();
@@ -92,39 +92,40 @@
         while let Some(event) = events.pop() {
             for effect in reducer.apply(now, event) {
                 let Effect::RelayRequest { line, .. } = effect else { continue };
-                let mark = line.split(';').find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
-                let acks = mark
+                let version =
+                    line.split(';').find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
+                let acks = version
                     .into_iter()
-                    .flat_map(|mark| (0..3).map(move |proxy| format!("* ACK {proxy} {mark} 1")));
+                    .flat_map(|version| (0..3).map(move |proxy| format!("* ACK {proxy} {version} 1")));
                 events.extend(acks.map(news));
                 events.push(Event::RelayReply(Ok(Answer::Taken(line.split(';').count()))));
             }
         }
         longest = longest.max(began.elapsed());
     };
-    tell(now, vec![listed(list(1, (0..servers).map(|n| (n, "active"))))]);
+    tell(now, vec![listed(list(1, (0..replicas).map(|n| (n, "active"))))]);
     let mut stands = vec!["OK".to_string()];
     stands.extend((0..3).map(|proxy| format!("* SUBSCRIBE {proxy} p0 21.5 1")));
-    for slice in 0..servers * 6 {
-        stands.extend([format!("* GRANT {slice} 1"), format!("* ROW {slice} s-{} 1", slice % servers)]);
+    for slice in 0..replicas * 6 {
+        stands.extend([format!("* GRANT {slice} 1"), format!("* ROW {slice} s-{} 1", slice % replicas)]);
     }
     stands.push("*".into());
     tell(now, stands.into_iter().map(news).collect());
     for turn in 0..24 {
         now = now + Span::ms(250);
         if turn == 12 {
-            tell(now, vec![listed(list(2, (0..servers / 2).map(|n| (n, "leaving"))))]);
+            tell(now, vec![listed(list(2, (0..replicas / 2).map(|n| (n, "leaving"))))]);
         }
         tell(now, vec![Event::InputDrained]);
     }
     longest
 }
 
-/// A slice that must leave looks for another server in their order, and not at each: four times as many of all cost
+/// A slice that must leave looks for another replica in their order, and not at each: four times as many of all cost
 /// about five times as much in a release build, up to ten in a debug one.
 #[test]
 fn a_turn_grows_as_the_fleet_does() {
-    let turn = |servers| (0..3).map(|_| longest_turn(servers)).min().unwrap();
+    let turn = |replicas| (0..3).map(|_| longest_turn(replicas)).min().unwrap();
     let (small, large) = (turn(256), turn(MANY));
     println!("half of the servers leave: {small:?} a turn with 256 servers, {large:?} with {MANY}");
     assert!(large < small * 16, "{large:?} against {small:?}");
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn strangers_cost_nobody_else_a_place() {
+fn strangers_cost_nobody_else_a_zone() {
     let (relay, discovery) = (Relay::start(), Discovery::start());
     let program = Program::start_with(&relay, &discovery, |file| {
         file["limits"] = json!({"sockets": 128, "memory_mb": 31.5})
--- a/crates/controller/tests/stand_ins/managed.rs
+++ b/crates/controller/tests/stand_ins/managed.rs
@@ -3,7 +3,7 @@
 use super::world::World;
 use super::*;
 use std::path::PathBuf;
-use whinwall_management_api::client::{Client, Failure, Place};
+use whinwall_management_api::client::{Client, Failure, ManagementAddress};
 use whinwall_management_api::wire::{Item, KindName, Outcome, Set};
 
 pub struct Managed {
@@ -15,11 +15,11 @@
     pub memory_mb: f64,
 }
 
-pub fn out(server: &str, lasts: &str) -> Set {
+pub fn out(replica: &str, lasts: &str) -> Set {
     let (author, reason) = ("mb".into(), "disk".into());
     Set {
         kind: KindName::Out,
-        server: server.into(),
+        replica: replica.into(),
         factor: None,
         slices: None,
         author,
@@ -29,8 +29,8 @@
 }
 
 impl Managed {
-    pub fn start(servers: usize, slices: usize) -> Self {
-        let (folder, world) = (tempfile::tempdir().unwrap(), World::start(servers, slices, 3));
+    pub fn start(replicas: usize, slices: usize) -> Self {
+        let (folder, world) = (tempfile::tempdir().unwrap(), World::start(replicas, slices, 3));
         let mut managed = Managed { folder, world, program: None, lent: 8.0, memory_mb: 192.0 };
         managed.operators("<overrides/>");
         managed.restart();
@@ -86,8 +86,8 @@
     }
 
     pub fn ask<T>(&self, call: impl AsyncFn(&Client) -> T) -> T {
-        let place = Place::Socket(self.path("m.sock"));
-        actix_rt::System::new().block_on(async { call(&Client::new(place, None)).await })
+        let zone = ManagementAddress::Socket(self.path("m.sock"));
+        actix_rt::System::new().block_on(async { call(&Client::new(zone, None)).await })
     }
 
     pub fn set(&self, id: &str, set: &Set) -> Result<Outcome, Failure> {
--- a/crates/controller/tests/stand_ins/mod.rs
+++ b/crates/controller/tests/stand_ins/mod.rs
@@ -91,14 +91,14 @@
         Relay { address, heard: Heard::new(heard) }
     }
 
-    /// A fleet of this size: each slice on the server that has its number, by turns.
-    pub fn introduce_fleet(&mut self, servers: usize, slices: usize, proxies: usize) -> TcpStream {
+    /// A fleet of this size: each slice on the replica that has its number, by turns.
+    pub fn introduce_fleet(&mut self, replicas: usize, slices: usize, proxies: usize) -> TcpStream {
         let mut way = self.watcher();
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..proxies).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for slice in 0..slices {
             lines.push(format!("* GRANT {slice} 1"));
-            lines.push(format!("* ROW {slice} s-{} 1.0", slice % servers));
+            lines.push(format!("* ROW {slice} s-{} 1.0", slice % replicas));
         }
         lines.push("*".into());
         way.write_all(format!("{}\r\n", lines.join("\r\n")).as_bytes()).unwrap();
@@ -145,8 +145,8 @@
 }
 
 impl Said {
-    /// The mark that it asks proxies to answer.
-    pub fn mark(&self) -> Option<&str> {
+    /// The version that it asks proxies to answer.
+    pub fn version(&self) -> Option<&str> {
         self.line.split(';').find_map(|order| order.strip_prefix("SYNC,")?.split(',').next())
     }
 
@@ -214,8 +214,8 @@
             json!({"id": format!("s-{n}"), "addr": "127.0.0.9:1", "zone": "north", "kind": "m2", "cell": 3,
                 "state": state, "weight": 1.0, "started_ms": 0})
         };
-        let servers: Vec<_> = states.iter().enumerate().map(entry).collect();
-        let list = json!({"version": version, "full": whole, "servers": servers});
+        let replicas: Vec<_> = states.iter().enumerate().map(entry).collect();
+        let list = json!({"version": version, "full": whole, "servers": replicas});
         self.say.send(format!("{list}\n")).unwrap();
     }
 }
@@ -345,7 +345,7 @@
     }
 }
 
-/// Somebody at the governor's address.
+/// Somebody at the controller's address.
 pub struct Peer {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
--- a/crates/controller/tests/stand_ins/rig.rs
+++ b/crates/controller/tests/stand_ins/rig.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use whinwall_management_api::ask::Reply;
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::relay::{decode_event, Answer};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_transport::{CallError, StreamError, Targets};
@@ -18,7 +18,7 @@
     pub wake: Option<Moment>,
     pub store: Store,
     pub single_writer: bool,
-    pub servers: BTreeMap<String, &'static str>,
+    pub replicas: BTreeMap<String, &'static str>,
     pub proxies: u32,
     /// The call that waits for its answer, and all that were made.
     pub open: Option<String>,
@@ -34,7 +34,7 @@
 pub const UNKNOWN: Event = Event::RelayReply(Err(CallError::OutcomeUnknown(StreamError::Silent)));
 
 impl Rig {
-    /// Six servers, twelve slices, four proxies; nothing of it told yet.
+    /// Six replicas, twelve slices, four proxies; nothing of it told yet.
     pub fn new() -> Self {
         Rig::with(12, |_| {})
     }
@@ -56,7 +56,7 @@
             now,
             wake: None,
             store: (0..slices).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 6), 1.0)]))).collect(),
-            servers: (0..6).map(|n| (format!("s-{n}"), "active")).collect(),
+            replicas: (0..6).map(|n| (format!("s-{n}"), "active")).collect(),
             single_writer,
             proxies: 4,
             open: None,
@@ -104,7 +104,7 @@
     }
 
     pub fn news(&mut self, line: &str) {
-        self.tell(Event::Relay(decode_news(line).unwrap()));
+        self.tell(Event::Relay(decode_event(line).unwrap()));
     }
 
     pub fn says(&mut self, from: u64, line: &str) {
@@ -116,7 +116,7 @@
 
     pub fn list(&mut self) {
         let entry = |(id, state)| json!({"id": id, "zone": "north", "state": state});
-        let entries: Vec<_> = self.servers.iter().map(entry).collect();
+        let entries: Vec<_> = self.replicas.iter().map(entry).collect();
         let list = json!({"version": 41, "full": true, "servers": entries});
         self.tell(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
     }
@@ -127,33 +127,33 @@
         lines.extend((0..self.proxies).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for (slice, table) in self.store.iter().filter(|(slice, _)| !ungranted.contains(slice)) {
             lines.push(format!("* GRANT {slice} 1"));
-            lines.extend(table.iter().map(|(server, weight)| format!("* ROW {slice} {server} {weight}")));
+            lines.extend(table.iter().map(|(replica, weight)| format!("* ROW {slice} {replica} {weight}")));
         }
         lines.push("*".into());
         lines.iter().for_each(|line| self.news(line));
         self.quiet();
     }
 
-    /// Carries out what the call says, and acks its mark.
+    /// Carries out what the call says, and acks its version.
     pub fn carry_out(&mut self, call: &str) -> usize {
         let orders: Vec<_> = call.strip_prefix("APPLY ").unwrap().split(';').collect();
         for order in &orders {
             match order.split(',').collect::<Vec<_>>()[..] {
-                ["SET", slice, server, weight] => {
-                    assert!(self.servers.contains_key(server), "{order}");
+                ["SET", slice, replica, weight] => {
+                    assert!(self.replicas.contains_key(replica), "{order}");
                     let table = self.store.get_mut(&slice.parse().unwrap()).unwrap();
                     // A table has one owner there, and a new one takes the place of the former.
                     if self.single_writer {
                         table.clear();
                     }
                     match weight.parse().unwrap() {
-                        0.0 => _ = table.remove(server),
-                        weight => _ = table.insert(server.into(), weight),
+                        0.0 => _ = table.remove(replica),
+                        weight => _ = table.insert(replica.into(), weight),
                     }
                     assert!(!table.is_empty(), "{order} leaves a table empty");
                 }
-                ["SYNC", mark, _] => {
-                    (0..self.proxies).for_each(|proxy| self.news(&format!("* ACK {proxy} {mark} 90.5")))
+                ["SYNC", version, _] => {
+                    (0..self.proxies).for_each(|proxy| self.news(&format!("* ACK {proxy} {version} 90.5")))
                 }
                 _ => {}
             }
@@ -195,13 +195,13 @@
         asked
     }
 
-    pub fn drain(&mut self, server: &str) {
-        self.servers.insert(server.into(), "leaving");
+    pub fn drain(&mut self, replica: &str) {
+        self.replicas.insert(replica.into(), "leaving");
         self.list();
         self.quiet();
     }
 
-    /// Slices whose tables name a server that leaves, and whose ops are not halted.
+    /// Slices whose tables name a replica that leaves, and whose requests are not halted.
     pub fn still_sent_to_leaving(&self) -> BTreeSet<u32> {
         let mut halted = BTreeSet::new();
         let orders = self.calls.iter().flat_map(|call| call.trim_start_matches("APPLY ").split(';'));
@@ -212,15 +212,15 @@
                 _ => {}
             }
         }
-        let leaves = |server: &String| self.servers[server] == "leaving";
+        let leaves = |replica: &String| self.replicas[replica] == "leaving";
         let sent = self.store.iter().filter(|(_, table)| table.keys().any(leaves)).map(|(slice, _)| *slice);
         sent.filter(|slice| !halted.contains(slice)).collect()
     }
 
     pub fn owners(&self) -> BTreeSet<&str> {
         let whole =
-            |(server, weight): (&'_ String, &f64)| (*weight >= 1.0).then_some(server.as_str().to_owned());
+            |(replica, weight): (&'_ String, &f64)| (*weight >= 1.0).then_some(replica.as_str().to_owned());
         let all: Vec<String> = self.store.values().flat_map(|table| table.iter().filter_map(whole)).collect();
-        self.servers.keys().map(String::as_str).filter(|server| all.iter().any(|s| s == server)).collect()
+        self.replicas.keys().map(String::as_str).filter(|replica| all.iter().any(|s| s == replica)).collect()
     }
 }
--- a/crates/controller/tests/stand_ins/world.rs
+++ b/crates/controller/tests/stand_ins/world.rs
@@ -20,7 +20,7 @@
     pub relay: SocketAddr,
     pub discovery: SocketAddr,
     pub orders: Heard<(Instant, String)>,
-    /// Of each slice, the weights by server.
+    /// Of each slice, the weights by replica.
     pub tables: Arc<Mutex<BTreeMap<usize, BTreeMap<String, f64>>>>,
     manner: Arc<Mutex<Manner>>,
     list: Arc<Mutex<List>>,
@@ -31,7 +31,7 @@
 struct List {
     version: u64,
     /// State, and when it was started.
-    servers: Vec<(&'static str, u64)>,
+    replicas: Vec<(&'static str, u64)>,
 }
 
 impl List {
@@ -40,9 +40,9 @@
             json!({"id": format!("s-{n}"), "addr": "127.0.0.9:1", "zone": "north", "kind": "m2", "cell": 3,
                 "state": state, "weight": 1.0, "started_ms": started})
         };
-        let named = self.servers.iter().enumerate().filter(|(n, _)| only.is_none_or(|only| only == *n));
-        let servers: Vec<_> = named.map(entry).collect();
-        format!("{}\n", json!({"version": self.version, "full": whole, "servers": servers}))
+        let named = self.replicas.iter().enumerate().filter(|(n, _)| only.is_none_or(|only| only == *n));
+        let replicas: Vec<_> = named.map(entry).collect();
+        format!("{}\n", json!({"version": self.version, "full": whole, "servers": replicas}))
     }
 }
 
@@ -53,11 +53,11 @@
 }
 
 impl World {
-    pub fn start(servers: usize, slices: usize, proxies: usize) -> Self {
+    pub fn start(replicas: usize, slices: usize, proxies: usize) -> Self {
         let (relay, discovery) = (Relay::start(), Discovery::start());
         let (relay_address, discovery_address) = (relay.address, discovery.address);
         let tables =
-            (0..slices).map(|n| (n, BTreeMap::from([(format!("s-{}", n % servers), 1.0)]))).collect();
+            (0..slices).map(|n| (n, BTreeMap::from([(format!("s-{}", n % replicas), 1.0)]))).collect();
         let (say, orders) = channel();
         let world = World {
             relay: relay_address,
@@ -65,7 +65,7 @@
             orders: Heard::new(orders),
             tables: Arc::new(Mutex::new(tables)),
             manner: Arc::new(Mutex::new(Manner::Answers)),
-            list: Arc::new(Mutex::new(List { version: 1, servers: vec![("active", 0); servers] })),
+            list: Arc::new(Mutex::new(List { version: 1, replicas: vec![("active", 0); replicas] })),
             ends: Arc::default(),
         };
         let (tables, manner, ends) = (world.tables.clone(), world.manner.clone(), world.ends.clone());
@@ -97,11 +97,11 @@
         *self.manner.lock().unwrap() = manner;
     }
 
-    /// A server's state in the list, and when it was started.
-    pub fn relist(&self, server: usize, state: &'static str, started_ms: u64) {
+    /// A replica's state in the list, and when it was started.
+    pub fn relist(&self, replica: usize, state: &'static str, started_ms: u64) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
-        list.servers[server] = (state, started_ms);
+        list.replicas[replica] = (state, started_ms);
     }
 
     /// When this order came.
@@ -115,19 +115,19 @@
         self.orders.kept.iter().any(|(_, order)| order == text)
     }
 
-    /// Waits until no slice names a server; how long that took.
-    pub fn is_left(&self, server: &str) -> Duration {
+    /// Waits until no slice names a replica; how long that took.
+    pub fn is_left(&self, replica: &str) -> Duration {
         let began = Instant::now();
-        while self.named(server) > 0 {
-            assert!(began.elapsed() < PATIENCE, "{server} is still named");
+        while self.named(replica) > 0 {
+            assert!(began.elapsed() < PATIENCE, "{replica} is still named");
             thread::sleep(Duration::from_millis(10));
         }
         began.elapsed()
     }
 
-    /// How many slices name a server.
-    pub fn named(&self, server: &str) -> usize {
-        self.tables.lock().unwrap().values().filter(|table| table.contains_key(server)).count()
+    /// How many slices name a replica.
+    pub fn named(&self, replica: &str) -> usize {
+        self.tables.lock().unwrap().values().filter(|table| table.contains_key(replica)).count()
     }
 }
 
@@ -157,7 +157,9 @@
             lines.extend((0..proxies).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
             for (slice, table) in &*tables.lock().unwrap() {
                 lines.push(format!("* GRANT {slice} 1"));
-                lines.extend(table.iter().map(|(server, weight)| format!("* ROW {slice} {server} {weight}")));
+                lines.extend(
+                    table.iter().map(|(replica, weight)| format!("* ROW {slice} {replica} {weight}")),
+                );
             }
             lines.push("*".into());
             let mut way = said.way;
@@ -166,8 +168,8 @@
         }
         // What can't be read whole is refused whole, as the relay does.
         let readable = |order: &str| match order.split(',').collect::<Vec<_>>()[..] {
-            ["SET", slice, server, weight] => {
-                let known = server.strip_prefix("s-").is_some_and(|number| number.parse::<usize>().is_ok());
+            ["SET", slice, replica, weight] => {
+                let known = replica.strip_prefix("s-").is_some_and(|number| number.parse::<usize>().is_ok());
                 slice.parse::<usize>().is_ok() && weight.parse::<f64>().is_ok() && known
             }
             ["OUT" | "IN", _] | ["LIMIT", _, _, _, _] | ["SYNC", _, _] => true,
@@ -180,17 +182,17 @@
         let now = Instant::now();
         for order in call.split(';') {
             let parts: Vec<_> = order.split(',').collect();
-            if let ["SET", slice, server, weight] = parts[..] {
+            if let ["SET", slice, replica, weight] = parts[..] {
                 let mut tables = tables.lock().unwrap();
                 let table = tables.entry(slice.parse().unwrap()).or_default();
-                table.insert(server.into(), weight.parse().unwrap());
+                table.insert(replica.into(), weight.parse().unwrap());
                 table.retain(|_, weight| *weight > 0.0);
                 assert!(!table.is_empty(), "rule 1: slice {slice} is bare");
             }
             _ = say.send((now, order.to_string()));
         }
-        if let (Some(mark), Some(way)) = (said.mark(), &mut news) {
-            let acks: Vec<_> = (0..proxies).map(|proxy| format!("* ACK {proxy} {mark}\r\n")).collect();
+        if let (Some(version), Some(way)) = (said.version(), &mut news) {
+            let acks: Vec<_> = (0..proxies).map(|proxy| format!("* ACK {proxy} {version}\r\n")).collect();
             _ = way.write_all(acks.concat().as_bytes());
         }
         if manner == Manner::Answers {
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -58,8 +58,8 @@
     assert_eq!(start.cores, 2, "the fewer of the file's limits and the operators' most");
     assert_eq!(start.settings.request_classes, ["lookup"]);
     let entry = Entry {
-        server: "s-1".into(),
-        place: "a".into(),
+        replica: "s-1".into(),
+        zone: "a".into(),
         machine: "m".into(),
         state: State::Ready,
         size: 2.5,
--- a/crates/controller/tests/store_file.rs
+++ b/crates/controller/tests/store_file.rs
@@ -67,15 +67,15 @@
 }
 
 fn weight(factor: f64) -> Kind {
-    Kind::Weight { server: "s-1".into(), factor }
+    Kind::Weight { replica: "s-1".into(), factor }
 }
 
-fn out(server: &str) -> Kind {
-    Kind::Out { server: server.into() }
+fn out(replica: &str) -> Kind {
+    Kind::Out { replica: replica.into() }
 }
 
 fn pin(first: u32, last: u32) -> Kind {
-    Kind::Pin { first, last, server: "s-4".into() }
+    Kind::Pin { first, last, replica: "s-4".into() }
 }
 
 fn expected_records() -> Vec<Override> {
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -1,4 +1,4 @@
-//! Subsetting in the governor: the decisions are told what the pure package computes, for the registry and the fleet
+//! Subsetting in the controller: the decisions are told what the pure package computes, for the registry and the fleet
 //! as they are known; off where the operators' file does not name a fleet.
 
 mod stand_ins;
@@ -12,8 +12,8 @@
 use std::time::Instant;
 use whinwall_management_api::ask::{Reply, Request, SubsettingStatus};
 use whinwall_management_api::wire::Subsetting;
-use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
-use whinwall_policy::interface::Share;
+use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
+use whinwall_policy::api::SubsetMembership;
 use whinwall_policy::time::Span;
 use whinwall_protocol::discovery;
 use whinwall_routing::subset::Fleet;
@@ -22,20 +22,20 @@
 
 const OWN_NAME: &str = "n0";
 const SUBSET_SIZE: usize = 8;
-const GOVERNORS: usize = 10;
+const CONTROLLERS: usize = 10;
 const REPLICAS: usize = 60;
 const ZONES: [&str; 3] = ["north", "south", "west"];
 
-fn names(governors: usize) -> Vec<String> {
-    (0..governors).map(|number| format!("n{number}")).collect()
+fn names(controllers: usize) -> Vec<String> {
+    (0..controllers).map(|number| format!("n{number}")).collect()
 }
 
 fn config(names: &[String]) -> SubsettingConfig {
-    let governor = |name: &String| GovernorMember { name: name.clone(), address: None, slices: vec![] };
+    let controller = |name: &String| ControllerMember { name: name.clone(), address: None, slices: vec![] };
     SubsettingConfig {
         subset_size: SUBSET_SIZE,
         bytes_per_second: 27_000,
-        governors: names.iter().map(governor).collect(),
+        controllers: names.iter().map(controller).collect(),
         aggregators: vec![AggregatorMember { name: "m1".into(), address: ([127, 0, 0, 1], 7001).into() }],
     }
 }
@@ -75,28 +75,28 @@
         json!({"id": id, "zone": zone, "kind": "m2", "state": state, "weight": weight})
     };
     // The stand-in for the store takes lines on these only.
-    rig.servers.extend(registry.iter().map(|listed| (listed.id.clone(), listed.state)));
-    let servers: Vec<_> = registry.iter().map(entry).collect();
-    let line = json!({"version": version, "full": whole, "servers": servers}).to_string();
+    rig.replicas.extend(registry.iter().map(|listed| (listed.id.clone(), listed.state)));
+    let replicas: Vec<_> = registry.iter().map(entry).collect();
+    let line = json!({"version": version, "full": whole, "servers": replicas}).to_string();
     rig.tell(Event::Registry(discovery::decode(&line).expect("a list").expect("a change")));
 }
 
-/// What the pure package says of each replica for the governor under test.
-fn expected(names: &[String], registry: &[Listed]) -> BTreeMap<String, Share> {
+/// What the pure package says of each replica for the controller under test.
+fn expected(names: &[String], registry: &[Listed]) -> BTreeMap<String, SubsetMembership> {
     let there = registry.iter().filter(|listed| listed.state != "left");
     let replicas: Vec<_> = there.map(Listed::lend).collect();
     let membership = Membership::new(names.to_vec()).expect("names differ");
     let parameters = Parameters::new(SUBSET_SIZE).expect("not 0");
     let assignment = Assignment::compute(&membership, &replicas, &parameters);
     let share = |replica: &Replica| match assignment.position(replica.id, OWN_NAME) {
-        Some(place) => Share::Subset { governors: place.governors, position: place.position },
-        None => Share::Others,
+        Some(zone) => SubsetMembership::Subset { controllers: zone.controllers, position: zone.position },
+        None => SubsetMembership::Others,
     };
     replicas.iter().map(|replica| (replica.id.to_string(), share(replica))).collect()
 }
 
 /// What the decisions were told, of these replicas.
-fn told(rig: &Rig, of: &BTreeMap<String, Share>) -> BTreeMap<String, Share> {
+fn told(rig: &Rig, of: &BTreeMap<String, SubsetMembership>) -> BTreeMap<String, SubsetMembership> {
     let shares = rig.reducer.shares();
     of.keys().filter_map(|id| Some((id.clone(), *shares.get(id.as_str())?))).collect()
 }
@@ -122,19 +122,19 @@
     rig.tell(Event::SubsettingConfigured(None));
     rig.quiet();
     assert_eq!(rig.reducer.shares().len(), REPLICAS);
-    assert!(rig.reducer.shares().values().all(|share| *share == Share::Everyone));
+    assert!(rig.reducer.shares().values().all(|share| *share == SubsetMembership::Everyone));
     assert_eq!(status(&mut rig), None);
 }
 
 #[test]
 fn shares_are_what_the_pure_package_computes_whatever_comes_first() {
-    let expected = expected(&names(GOVERNORS), &registry());
-    assert!(expected.values().any(|share| *share == Share::Others));
+    let expected = expected(&names(CONTROLLERS), &registry());
+    assert!(expected.values().any(|share| *share == SubsetMembership::Others));
     let mut list_first = rig();
-    list_first.tell(Event::SubsettingConfigured(Some(fleet(&names(GOVERNORS)))));
+    list_first.tell(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     assert_eq!(told(&list_first, &expected), expected);
     let mut fleet_first = Rig::new();
-    fleet_first.tell(Event::SubsettingConfigured(Some(fleet(&names(GOVERNORS)))));
+    fleet_first.tell(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     list(&mut fleet_first, 41, true, &registry());
     fleet_first.quiet();
     assert_eq!(told(&fleet_first, &expected), expected);
@@ -143,11 +143,11 @@
 #[test]
 fn the_status_names_members_and_the_own_subset() {
     let mut rig = rig();
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&names(GOVERNORS)))));
-    let own = expected(&names(GOVERNORS), &registry());
-    let own = own.values().filter(|share| matches!(share, Share::Subset { .. })).count();
+    rig.tell(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
+    let own = expected(&names(CONTROLLERS), &registry());
+    let own = own.values().filter(|share| matches!(share, SubsetMembership::Subset { .. })).count();
     let expected = SubsettingStatus {
-        governors: GOVERNORS,
+        controllers: CONTROLLERS,
         aggregators: 1,
         subset_size: SUBSET_SIZE,
         own_replicas: own,
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_change_of_the_registry_changes_the_shares() {
-    let fleet_names = names(GOVERNORS);
+    let fleet_names = names(CONTROLLERS);
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     rig.pass(2000);
@@ -181,7 +181,7 @@
     registry.push(Listed { id: "s-newer".into(), ..registry[5].clone() });
     list(&mut rig, 43, false, &registry[registry.len() - 1..]);
     rig.quiet();
-    assert_eq!(rig.reducer.shares()["s-newer"], Share::Others);
+    assert_eq!(rig.reducer.shares()["s-newer"], SubsetMembership::Others);
     assert_eq!(told(&rig, &first), first);
     rig.pass(1000);
     let second = expected(&fleet_names, &registry);
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_small_change_does_not_put_off_a_large_one() {
-    let fleet_names = names(GOVERNORS);
+    let fleet_names = names(CONTROLLERS);
     let mut rig = Rig::new();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     let mut registry = registry();
@@ -213,7 +213,7 @@
         listed.zone = ["islands", "harbour", "valley", "coast", "hills"][number / 2 % 5];
     }
     list(&mut rig, 42, true, &replicas);
-    let names = names(GOVERNORS);
+    let names = names(CONTROLLERS);
     let mut together = replicas.clone();
     let unnamed = |listed: &&mut Listed| !ZONES.contains(&listed.zone);
     together.iter_mut().filter(unnamed).for_each(|listed| listed.zone = "");
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_zone_lost_and_back_leaves_the_shares_as_they_were() {
-    let fleet_names = names(GOVERNORS);
+    let fleet_names = names(CONTROLLERS);
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     let rest: Vec<_> = registry().into_iter().filter(|listed| listed.zone != "west").collect();
@@ -240,28 +240,31 @@
 #[test]
 fn a_change_of_the_fleet_changes_the_shares_at_once_and_none_switches_it_off() {
     let mut rig = rig();
-    for governors in [GOVERNORS, GOVERNORS - 1, 1] {
-        rig.tell(Event::SubsettingConfigured(Some(fleet(&names(governors)))));
-        let expected = expected(&names(governors), &registry());
+    for controllers in [CONTROLLERS, CONTROLLERS - 1, 1] {
+        rig.tell(Event::SubsettingConfigured(Some(fleet(&names(controllers)))));
+        let expected = expected(&names(controllers), &registry());
         assert_eq!(told(&rig, &expected), expected);
-        assert!(rig.notes.pop().is_some_and(|note| note.contains(&format!("one of {governors} governors"))));
+        assert!(rig
+            .notes
+            .pop()
+            .is_some_and(|note| note.contains(&format!("one of {controllers} governors"))));
     }
     rig.notes.clear();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&names(1)))));
     assert_eq!(rig.notes, [""; 0], "the same fleet again is no change");
     rig.tell(Event::SubsettingConfigured(None));
-    assert!(rig.reducer.shares().values().all(|share| *share == Share::Everyone));
+    assert!(rig.reducer.shares().values().all(|share| *share == SubsetMembership::Everyone));
 }
 
 #[test]
 fn a_day_of_changes_keeps_the_shares_exact() {
-    let (mut registry, mut fleet_names) = (registry(), names(GOVERNORS));
+    let (mut registry, mut fleet_names) = (registry(), names(CONTROLLERS));
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     for change in 0..470_usize {
         rig.now = rig.now + Span::ms(1000);
         if change % 3 == 0 {
-            fleet_names[1 + change % (GOVERNORS - 1)] = format!("replacement-{change}");
+            fleet_names[1 + change % (CONTROLLERS - 1)] = format!("replacement-{change}");
             rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
         } else {
             let at = change * 7 % registry.len();
@@ -275,20 +278,20 @@
 }
 
 fn element(names: &[&str]) -> String {
-    let governors: String = names.iter().map(|name| format!("<governor name=\"{name}\"/>")).collect();
+    let controllers: String = names.iter().map(|name| format!("<governor name=\"{name}\"/>")).collect();
     format!(
-        "<subsetting subset=\"4\" bytes-per-second=\"27000\">{governors}\
+        "<subsetting subset=\"4\" bytes-per-second=\"27000\">{controllers}\
          <aggregator name=\"m1\" address=\"127.0.0.1:7001\"/></subsetting>"
     )
 }
 
-/// Asks until the status shows so many governors.
-fn becomes(managed: &Managed, governors: Option<usize>) -> Option<Subsetting> {
+/// Asks until the status shows so many controllers.
+fn becomes(managed: &Managed, controllers: Option<usize>) -> Option<Subsetting> {
     let end = Instant::now() + PATIENCE;
     loop {
         let status = managed.ask(async |client| client.status().await).expect("a status");
         let listed = status.subsetting.as_ref().is_none_or(|subsetting| subsetting.listed_replicas == 12);
-        if status.subsetting.as_ref().map(|subsetting| subsetting.governors) == governors && listed {
+        if status.subsetting.as_ref().map(|subsetting| subsetting.controllers) == controllers && listed {
             return status.subsetting;
         }
         assert!(Instant::now() < end, "{status:?} stays as it is");
@@ -316,7 +319,7 @@
         let subsetting = becomes(&managed, Some(names.len())).expect("subsets");
         assert_eq!((subsetting.own_replicas, subsetting.aggregators), (own_subset(names), 1));
     }
-    // A fleet without this governor changes nothing.
+    // A fleet without this controller changes nothing.
     managed.operators(&element(&["n1", "n2"]));
     managed.program().signal(Signal::HUP);
     let refused = managed.log("all stays as it was");
@@ -340,7 +343,7 @@
 }
 
 #[test]
-fn a_start_refuses_a_fleet_without_this_governor() {
+fn a_start_refuses_a_fleet_without_this_controller() {
     let managed = Managed::start(3, 6);
     managed.operators(&element(&["n1", "n2"]));
     let (mut command, _file) = managed.command();
--- a/crates/controller/tests/transport.rs
+++ b/crates/controller/tests/transport.rs
@@ -84,10 +84,10 @@
 
 /// After a panic another life takes connections: those of the former one end, though they say nothing.
 #[test]
-fn connections_end_with_the_life_that_took_them() {
+fn connections_end_with_the_incarnation_that_took_them() {
     let (say, address) = channel();
     let (over, is_over) = tokio::sync::oneshot::channel::<()>();
-    let life = std::thread::spawn(move || {
+    let incarnation = std::thread::spawn(move || {
         run(async {
             let listener = Rc::new(actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
             say.send(listener.local_addr().unwrap()).unwrap();
@@ -110,20 +110,20 @@
         matches!(ended, Ok(0)) || ended.is_err_and(|why| why.kind() == std::io::ErrorKind::ConnectionReset)
     );
     over.send(()).unwrap();
-    life.join().unwrap();
+    incarnation.join().unwrap();
 }
 
 /// Marks begin at a number drawn from the seed: in a life after a panic no ack of the former one may pass for one of its.
 #[test]
-fn a_life_after_a_panic_draws_anew() {
+fn a_incarnation_after_a_panic_draws_anew() {
     let file = std::env::temp_dir().join(format!("whinwall-life-{}.json", std::process::id()));
     std::fs::write(&file, include_str!("../../../deploy/example.json")).unwrap();
     let read = configuration::read(Surroundings { file: Some(file.clone()), ..Surroundings::default() });
     std::fs::remove_file(&file).unwrap();
     let mut start = read.unwrap();
-    let mut marks = std::collections::BTreeSet::from([start.seed as u16]);
+    let mut versions = std::collections::BTreeSet::from([start.seed as u16]);
     for _ in 0..20 {
-        start.begin_new_life();
-        assert!(marks.insert(start.seed as u16), "a life begins where another did");
+        start.begin_new_incarnation();
+        assert!(versions.insert(start.seed as u16), "a life begins where another did");
     }
 }
--- a/crates/emulator/src/channel.rs
+++ b/crates/emulator/src/channel.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::{Obeyed, Table};
 use crate::sizes::Sizes;
-use crate::{ProxyIx, ServerIx, SliceIx};
+use crate::{ProxyIx, ReplicaIx, SliceIx};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use whinwall_policy::time::{Moment, Span};
@@ -12,11 +12,11 @@
 pub struct Message {
     pub proxy: ProxyIx,
     pub orders: Arc<Vec<Obeyed>>,
-    pub mark: Option<u16>,
+    pub version: Option<u16>,
     lines: f64,
 }
 
-/// One governor's part of the relay.
+/// One controller's part of the relay.
 #[derive(Default)]
 pub struct Channel {
     waiting: VecDeque<(Moment, Message)>,
@@ -39,14 +39,14 @@
         now: Moment,
         proxies: impl Iterator<Item = ProxyIx>,
         orders: &Arc<Vec<Obeyed>>,
-        mark: Option<u16>,
+        version: Option<u16>,
         sizes: &Sizes,
     ) -> Vec<String> {
         let mut broken = Vec::new();
-        let lines = sizes.head + orders.len() as f64 + f64::from(u8::from(mark.is_some()));
+        let lines = sizes.head + orders.len() as f64 + f64::from(u8::from(version.is_some()));
         for proxy in proxies {
             self.free = self.free.max(now) + Span::ms(1000).times(lines / (sizes.pace * self.slow));
-            self.waiting.push_back((self.free, Message { proxy, orders: orders.clone(), mark, lines }));
+            self.waiting.push_back((self.free, Message { proxy, orders: orders.clone(), version, lines }));
             self.lines += lines;
             let written = self.written.entry(proxy).or_default();
             written.push_back(now);
@@ -79,7 +79,7 @@
         self.lines = self.waiting.iter().map(|(_, message)| message.lines).sum();
     }
 
-    /// The governor is gone, and so is its queue.
+    /// The controller is gone, and so is its queue.
     pub fn lost(&mut self) {
         (self.waiting, self.lines) = (VecDeque::new(), 0.0);
     }
@@ -89,39 +89,41 @@
     }
 }
 
-/// The orders of a call as proxies obey them, and its mark; none where it can't be read.
+/// The orders of a call as proxies obey them, and its version; none where it can't be read.
 pub fn read(
     call: &str,
-    names: &BTreeMap<String, ServerIx>,
+    names: &BTreeMap<String, ReplicaIx>,
     kinds: &[&str],
 ) -> Option<(Vec<Obeyed>, Option<u16>)> {
-    let (mut orders, mut mark) = (Vec::new(), None);
+    let (mut orders, mut version) = (Vec::new(), None);
     for order in call.strip_prefix("APPLY ")?.split(';') {
         match order.split(',').collect::<Vec<_>>()[..] {
-            ["SET", slice, server, weight] => orders.push(Obeyed::Line {
+            ["SET", slice, replica, weight] => orders.push(Obeyed::Line {
                 slice: slice.parse().ok()?,
-                server: *names.get(server)?,
+                replica: *names.get(replica)?,
                 weight: weight.parse().ok()?,
             }),
-            ["OUT", server] => orders.push(Obeyed::Withdraw { server: *names.get(server)?, out: true }),
-            ["IN", server] => orders.push(Obeyed::Withdraw { server: *names.get(server)?, out: false }),
-            ["LIMIT", slice, op_types, share, tries] => {
+            ["OUT", replica] => orders.push(Obeyed::Withdraw { replica: *names.get(replica)?, out: true }),
+            ["IN", replica] => orders.push(Obeyed::Withdraw { replica: *names.get(replica)?, out: false }),
+            ["LIMIT", slice, request_classes, share, retries] => {
                 let slice = if slice == "*" { None } else { Some(slice.parse().ok()?) };
-                let meant = |kind: &&str| op_types == "*" || op_types.split('+').any(|named| named == *kind);
+                let meant = |kind: &&str| {
+                    request_classes == "*" || request_classes.split('+').any(|named| named == *kind)
+                };
                 let kinds =
                     kinds.iter().enumerate().filter(|(_, kind)| meant(kind)).map(|(n, _)| n).collect();
                 orders.push(Obeyed::Level {
                     slice,
                     kinds,
                     share: share.parse().ok()?,
-                    tries: tries.parse().ok()?,
+                    retries: retries.parse().ok()?,
                 });
             }
-            ["SYNC", number, _] => mark = Some(number.parse().ok()?),
+            ["SYNC", number, _] => version = Some(number.parse().ok()?),
             _ => return None,
         }
     }
-    Some((orders, mark))
+    Some((orders, version))
 }
 
 /// Tables as the store has them.
@@ -129,19 +131,19 @@
 pub struct Store(pub BTreeMap<SliceIx, Arc<Table>>);
 
 impl Store {
-    /// Whether an order gives a slice a whole line on a server that has none yet.
+    /// Whether an order gives a slice a whole line on a replica that has none yet.
     pub fn is_move(&self, order: &Obeyed) -> bool {
-        let Obeyed::Line { slice, server, weight } = order else { return false };
-        let held = self.0.get(slice).and_then(|table| table.get(server)).copied().unwrap_or(0.0);
+        let Obeyed::Line { slice, replica, weight } = order else { return false };
+        let held = self.0.get(slice).and_then(|table| table.get(replica)).copied().unwrap_or(0.0);
         *weight >= 1.0 && held < 1.0
     }
 
     pub fn carry_out(&mut self, order: &Obeyed) {
-        if let Obeyed::Line { slice, server, weight } = order {
+        if let Obeyed::Line { slice, replica, weight } = order {
             let table = Arc::make_mut(self.0.entry(*slice).or_default());
             match *weight > 0.0 {
-                true => _ = table.insert(*server, *weight),
-                false => _ = table.remove(server),
+                true => _ = table.insert(*replica, *weight),
+                false => _ = table.remove(replica),
             }
         }
     }
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -1,9 +1,9 @@
-//! Faults begin and end: replicas, zones, governors, relay, discovery and proxies are changed accordingly.
+//! Faults begin and end: replicas, zones, controllers, relay, discovery and proxies are changed accordingly.
 
-use super::{server_name, Day, Step, COME_OVER, GIVEN_BACK, SECOND_WAVE, TAKEN_OVER};
-use crate::server::State;
+use super::{replica_name, Day, Step, COME_OVER, GIVEN_BACK, SECOND_WAVE, TAKEN_OVER};
+use crate::replica::State;
 use crate::trouble::{Trouble, What};
-use crate::{ProxyIx, ServerIx};
+use crate::{ProxyIx, ReplicaIx};
 use whinwall_management_api::ask::Request;
 use whinwall_overrides::{Ask, Kind, Order};
 use whinwall_policy::time::Span;
@@ -21,27 +21,27 @@
         self.line(&about, || format!("trouble begins: {what:?}"));
         let aftermath = Span::ms(8000);
         match what {
-            What::Crash { server } => {
-                self.servers[server].falls();
+            What::Crash { replica } => {
+                self.replicas[replica].falls();
                 // The list says so as long as nobody is there.
-                self.relist(server, "left");
+                self.relist(replica, "left");
             }
-            What::Hang { server } => self.servers[server].state = State::Hung,
-            What::Silence { server } => self.servers[server].state = State::Silent,
-            What::Slow { server, factor } => self.servers[server].slow = factor,
-            What::FastErrors { server, share } => self.servers[server].failing = share,
-            What::Drain { server } => self.relist(server, "leaving"),
+            What::Hang { replica } => self.replicas[replica].state = State::Hung,
+            What::Silence { replica } => self.replicas[replica].state = State::Silent,
+            What::Slow { replica, factor } => self.replicas[replica].slow = factor,
+            What::FastErrors { replica, share } => self.replicas[replica].failing = share,
+            What::Drain { replica } => self.relist(replica, "leaving"),
             What::Release { from, to } => self.release(from, to, 0),
             What::Replaced { from, to } => {
-                for server in from..to {
-                    let wave = SECOND_WAVE.times(((server - from) % 2) as f64);
-                    self.after(wave, Step::Release { server, to: server + 1, stage: 0 });
+                for replica in from..to {
+                    let wave = SECOND_WAVE.times(((replica - from) % 2) as f64);
+                    self.after(wave, Step::Release { replica, to: replica + 1, stage: 0 });
                 }
             }
-            What::PlaceLost { place } => {
-                for server in self.place_servers(place) {
-                    self.servers[server].falls();
-                    self.listed[server] = "left";
+            What::ZoneLost { zone } => {
+                for replica in self.zone_replicas(zone) {
+                    self.replicas[replica].falls();
+                    self.listed[replica] = "left";
                 }
                 self.version += 1;
                 self.tell_list();
@@ -49,26 +49,26 @@
             What::OddList { how } => self.odd = Some(how),
             What::WrongList { from, to } => {
                 self.excuse(lasts + aftermath);
-                (from..to).for_each(|server| self.listed[server] = "left");
+                (from..to).for_each(|replica| self.listed[replica] = "left");
                 self.version += 1;
                 self.tell_list();
             }
             What::HotSlice { slice, factor } => self.heat[slice] *= factor,
             What::Burst { factor } => self.burst = factor,
-            What::PlaceCut { place } => {
+            What::ZoneCut { zone } => {
                 self.excuse(lasts + aftermath);
-                for server in self.place_servers(place) {
-                    self.servers[server].state = State::Silent;
+                for replica in self.zone_replicas(zone) {
+                    self.replicas[replica].state = State::Silent;
                 }
-                for proxy in (place..self.proxies.len()).step_by(self.sizes.places) {
+                for proxy in (zone..self.proxies.len()).step_by(self.sizes.zones) {
                     self.leaves(proxy);
                 }
             }
             What::RelayAway => {
                 self.excuse(lasts + aftermath);
                 self.relay_away = true;
-                for at in 0..self.governors.len() {
-                    self.governors[at].follows = false;
+                for at in 0..self.controllers.len() {
+                    self.controllers[at].follows = false;
                     self.tell(at, Event::WatchLost(StreamError::Silent));
                 }
             }
@@ -79,16 +79,16 @@
             What::DiscoveryAway => {
                 self.excuse(lasts + aftermath);
                 self.discovery_away = true;
-                (0..self.governors.len())
+                (0..self.controllers.len())
                     .for_each(|at| self.tell(at, Event::RegistryLost(StreamError::Silent)));
             }
-            What::GovernorKilled { governor } if self.governors[governor].wire.is_some() => {}
-            What::GovernorKilled { governor } => {
+            What::ControllerKilled { controller } if self.controllers[controller].wire.is_some() => {}
+            What::ControllerKilled { controller } => {
                 self.excuse(lasts + aftermath);
-                self.is_killed(governor);
+                self.is_killed(controller);
             }
-            What::Herd { governors } => {
-                for at in self.mortal(governors) {
+            What::Herd { controllers } => {
+                for at in self.mortal(controllers) {
                     self.is_killed(at);
                     self.proxies.iter_mut().for_each(|proxy| _ = proxy.away.insert(at));
                     self.after(TAKEN_OVER, Step::TakeOver(at));
@@ -96,25 +96,25 @@
             }
             What::SlowChannel { part } => {
                 self.excuse(lasts + aftermath);
-                self.governors.iter_mut().for_each(|governor| governor.channel.slow = part);
+                self.controllers.iter_mut().for_each(|controller| controller.channel.slow = part);
             }
             What::ProxiesLeave { many } => (0..many).for_each(|proxy| self.leaves(proxy)),
             What::HandOver { from, to } => {
                 for slice in from..to {
-                    let next = (self.holders[slice] + 1) % self.governors.len();
+                    let next = (self.holders[slice] + 1) % self.controllers.len();
                     self.hand_over(slice, next);
                 }
             }
             What::Garbled { share } => self.garbled = share,
-            What::OutOfService { server } => {
-                let kind = Kind::Out { server: server_name(server) };
+            What::OutOfService { replica } => {
+                let kind = Kind::Out { replica: replica_name(replica) };
                 let (id, author, reason) = (format!("t{at}"), "day".to_string(), "trouble".to_string());
-                for governor in 0..self.governors.len() {
+                for controller in 0..self.controllers.len() {
                     let (id, kind, author, reason) =
                         (id.clone(), kind.clone(), author.clone(), reason.clone());
                     let order = Order { id, kind, author, reason, lasts };
                     self.tell(
-                        governor,
+                        controller,
                         Event::ManagementRequest { ticket: 0, request: Request::Change(Ask::Set(order)) },
                     );
                 }
@@ -126,43 +126,43 @@
         let (about, what) = (self.about.clone().unwrap_or_default(), self.troubles[at].what.clone());
         self.line(&about, || format!("trouble ends: {what:?}"));
         match self.troubles[at].what.clone() {
-            What::Crash { server } => self.comes_back(server),
-            What::Hang { server } => {
-                let life = self.servers[server].life;
-                for (job, takes) in self.servers[server].wakes(self.now, &self.sizes, &mut self.chance) {
-                    self.after(takes, Step::Done { server, life, job });
+            What::Crash { replica } => self.comes_back(replica),
+            What::Hang { replica } => {
+                let incarnation = self.replicas[replica].incarnation;
+                for (job, takes) in self.replicas[replica].wakes(self.now, &self.sizes, &mut self.random) {
+                    self.after(takes, Step::Done { replica, incarnation, job });
                 }
             }
-            What::Silence { server } if self.servers[server].state == State::Silent => {
-                self.servers[server].state = State::Up;
+            What::Silence { replica } if self.replicas[replica].state == State::Silent => {
+                self.replicas[replica].state = State::Up;
             }
             What::Silence { .. } => {}
-            What::Slow { server, .. } => self.servers[server].slow = 1.0,
-            What::FastErrors { server, .. } => self.servers[server].failing = 0.0,
-            What::Drain { server } => self.comes_back(server),
+            What::Slow { replica, .. } => self.replicas[replica].slow = 1.0,
+            What::FastErrors { replica, .. } => self.replicas[replica].failing = 0.0,
+            What::Drain { replica } => self.comes_back(replica),
             What::Release { .. } | What::Replaced { .. } | What::OutOfService { .. } => {}
-            What::PlaceLost { place } => {
-                for server in self.place_servers(place) {
-                    if self.servers[server].state == State::Down {
-                        self.comes_back(server);
+            What::ZoneLost { zone } => {
+                for replica in self.zone_replicas(zone) {
+                    if self.replicas[replica].state == State::Down {
+                        self.comes_back(replica);
                     }
                 }
             }
             What::OddList { .. } => self.odd = None,
             What::WrongList { from, to } => {
-                (from..to).for_each(|server| self.listed[server] = "active");
+                (from..to).for_each(|replica| self.listed[replica] = "active");
                 self.version += 1;
                 self.tell_list();
             }
             What::HotSlice { slice, factor } => self.heat[slice] /= factor,
             What::Burst { .. } => self.burst = 1.0,
-            What::PlaceCut { place } => {
-                for server in self.place_servers(place) {
-                    if self.servers[server].state == State::Silent {
-                        self.servers[server].state = State::Up;
+            What::ZoneCut { zone } => {
+                for replica in self.zone_replicas(zone) {
+                    if self.replicas[replica].state == State::Silent {
+                        self.replicas[replica].state = State::Up;
                     }
                 }
-                (place..self.proxies.len()).step_by(self.sizes.places).for_each(|proxy| self.joins(proxy));
+                (zone..self.proxies.len()).step_by(self.sizes.zones).for_each(|proxy| self.joins(proxy));
             }
             What::RelayAway => self.relay_away = false,
             What::RelayMute => self.relay_mute = false,
@@ -170,27 +170,27 @@
                 self.discovery_away = false;
                 self.tell_list();
             }
-            What::GovernorKilled { governor } if self.governors[governor].wire.is_none() => {
-                self.start(governor)
+            What::ControllerKilled { controller } if self.controllers[controller].wire.is_none() => {
+                self.start(controller)
             }
-            What::GovernorKilled { .. } => {}
-            What::Herd { governors } => {
-                for governor in self.mortal(governors) {
-                    self.start(governor);
-                    self.after(GIVEN_BACK, Step::GiveBack(governor));
+            What::ControllerKilled { .. } => {}
+            What::Herd { controllers } => {
+                for controller in self.mortal(controllers) {
+                    self.start(controller);
+                    self.after(GIVEN_BACK, Step::GiveBack(controller));
                     for proxy in 0..self.proxies.len() {
-                        let pause = COME_OVER.times(self.chance.draw() * self.chance.draw());
-                        self.after(pause, Step::ComesOver { governor, proxy });
+                        let pause = COME_OVER.times(self.random.draw() * self.random.draw());
+                        self.after(pause, Step::ComesOver { controller, proxy });
                     }
                 }
             }
             What::SlowChannel { .. } => {
-                self.governors.iter_mut().for_each(|governor| governor.channel.slow = 1.0);
+                self.controllers.iter_mut().for_each(|controller| controller.channel.slow = 1.0);
             }
             What::ProxiesLeave { many } => (0..many).for_each(|proxy| self.joins(proxy)),
             What::HandOver { from, to } => {
                 for slice in from..to {
-                    let former = (self.holders[slice] + self.governors.len() - 1) % self.governors.len();
+                    let former = (self.holders[slice] + self.controllers.len() - 1) % self.controllers.len();
                     self.hand_over(slice, former);
                 }
             }
@@ -198,31 +198,31 @@
         }
     }
 
-    pub(super) fn place_servers(&self, place: usize) -> impl Iterator<Item = ServerIx> + use<> {
-        (place..self.servers.len()).step_by(self.sizes.places)
+    pub(super) fn zone_replicas(&self, zone: usize) -> impl Iterator<Item = ReplicaIx> + use<> {
+        (zone..self.replicas.len()).step_by(self.sizes.zones)
     }
 
-    pub(super) fn comes_back(&mut self, server: ServerIx) {
-        self.servers[server].restart(self.now);
-        self.relist(server, "active");
+    pub(super) fn comes_back(&mut self, replica: ReplicaIx) {
+        self.replicas[replica].restart(self.now);
+        self.relist(replica, "active");
     }
 
-    /// Stage 0 drains, 1 ends the process, 2 starts it again; then the next server's turn.
-    pub(super) fn release(&mut self, server: ServerIx, to: ServerIx, stage: u8) {
+    /// Stage 0 drains, 1 ends the process, 2 starts it again; then the next replica's turn.
+    pub(super) fn release(&mut self, replica: ReplicaIx, to: ReplicaIx, stage: u8) {
         match stage {
             0 => {
-                self.relist(server, "leaving");
-                self.after(Span::ms(4000), Step::Release { server, to, stage: 1 });
+                self.relist(replica, "leaving");
+                self.after(Span::ms(4000), Step::Release { replica, to, stage: 1 });
             }
             1 => {
-                self.servers[server].falls();
-                self.relist(server, "left");
-                self.after(self.sizes.restart, Step::Release { server, to, stage: 2 });
-                if server + 1 < to {
-                    self.after(Span::ms(500), Step::Release { server: server + 1, to, stage: 0 });
+                self.replicas[replica].falls();
+                self.relist(replica, "left");
+                self.after(self.sizes.restart, Step::Release { replica, to, stage: 2 });
+                if replica + 1 < to {
+                    self.after(Span::ms(500), Step::Release { replica: replica + 1, to, stage: 0 });
                 }
             }
-            _ if self.servers[server].state == State::Down => self.comes_back(server),
+            _ if self.replicas[replica].state == State::Down => self.comes_back(replica),
             _ => {}
         }
     }
@@ -231,9 +231,9 @@
         if !std::mem::replace(&mut self.proxies[proxy].joined, false) {
             return;
         }
-        for at in 0..self.governors.len() {
-            self.governors[at].channel.left(proxy);
-            if self.governors[at].follows {
+        for at in 0..self.controllers.len() {
+            self.controllers[at].channel.left(proxy);
+            if self.controllers[at].follows {
                 self.news(at, &format!("* CLOSED {proxy}"));
             }
         }
@@ -244,10 +244,10 @@
             return;
         }
         self.proxies[proxy].reads(&self.store.0);
-        for at in 0..self.governors.len() {
+        for at in 0..self.controllers.len() {
             self.proxies[proxy].since.insert(at, self.now);
-            if self.governors[at].follows && self.proxies[proxy].has_stream(at) {
-                self.news(at, &format!("* SUBSCRIBE {proxy} {} 1.0 0", self.sizes.place(proxy)));
+            if self.controllers[at].follows && self.proxies[proxy].has_stream(at) {
+                self.news(at, &format!("* SUBSCRIBE {proxy} {} 1.0 0", self.sizes.zone(proxy)));
             }
         }
     }
--- a/crates/emulator/src/day/mod.rs
+++ b/crates/emulator/src/day/mod.rs
@@ -2,8 +2,8 @@
 //! day.
 
 mod checks;
+mod controllers;
 mod faults;
-mod governors;
 mod real_time;
 mod registry;
 mod relay;
@@ -15,15 +15,15 @@
 use crate::channel::{Channel, Store};
 use crate::policy::Policy;
 use crate::proxy::Proxy;
+use crate::replica::{Job, Replica};
 use crate::rules::{Rules, Violation};
-use crate::server::{Job, Server};
 use crate::sizes::Sizes;
 use crate::subsets;
 use crate::trouble::{Odd, Trouble};
-use crate::{ProxyIx, ServerIx, SliceIx};
+use crate::{ProxyIx, ReplicaIx, SliceIx};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use whinwall_policy::chance::Chance;
+use whinwall_policy::random::Random;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
 use whinwall_routing::{Event, Reducer};
@@ -36,14 +36,14 @@
 const MUTE: Span = Span::ms(150);
 const AGAIN: Span = Span::ms(300);
 const COMEBACKS: u32 = 2;
-/// Until another governor is given the slices of one that was killed, and until one that is back has its own;
+/// Until another controller is given the slices of one that was killed, and until one that is back has its own;
 /// within which time proxies come over to it.
 const TAKEN_OVER: Span = Span::ms(1500);
 const GIVEN_BACK: Span = Span::ms(2000);
 const COME_OVER: Span = Span::ms(4000);
-/// Of servers that are replaced, half drain so much after the others.
+/// Of replicas that are replaced, half drain so much after the others.
 const SECOND_WAVE: Span = Span::ms(3000);
-/// The rules' time begins no sooner than so long after a governor's start.
+/// The rules' time begins no sooner than so long after a controller's start.
 const STARTING: Span = Span::ms(1000);
 /// Before figures count: the fleet finds its feet.
 const SETTLING: Span = Span::ms(5000);
@@ -53,11 +53,11 @@
 pub struct Outcome {
     /// Payoff served within its target, of all that was asked for.
     pub service: f64,
-    pub ops: u64,
+    pub requests: u64,
     pub acked: u64,
     pub late: u64,
     pub rejected: u64,
-    pub aborted: u64,
+    pub failed: u64,
     pub orders: u64,
     /// Orders that gave a slice another owner, or one more.
     pub moves: u64,
@@ -67,7 +67,7 @@
     pub broken: BTreeMap<u8, usize>,
 }
 
-struct Op {
+struct Request {
     slice: SliceIx,
     kind: usize,
     key: u32,
@@ -75,57 +75,57 @@
     came: Moment,
     /// Of the newest try: its number, and where it went.
     attempt: u32,
-    server: Option<ServerIx>,
+    replica: Option<ReplicaIx>,
     /// Further tries and comebacks that it had.
-    tries: u8,
+    attempts: u8,
     comebacks: u32,
 }
 
 enum Step {
     Arrive,
     Reaches {
-        server: ServerIx,
+        replica: ReplicaIx,
         job: Job,
     },
     Done {
-        server: ServerIx,
-        life: u64,
+        replica: ReplicaIx,
+        incarnation: u64,
         job: Job,
     },
     Back {
-        server: ServerIx,
+        replica: ReplicaIx,
         job: Job,
         answer: Back,
     },
     GivenUp {
-        op: u64,
+        request: u64,
         attempt: u32,
     },
     ComesAgain {
-        op: u64,
+        request: u64,
     },
     Report,
     Watch,
     Channel(usize),
     To(usize, u64, Box<Event>),
-    /// The list, to a governor of this life.
+    /// The list, to a controller of this life.
     Told(usize, u64, Box<discovery::List>),
-    News(usize, u64, String),
+    RelayEvent(usize, u64, String),
     Quiet(usize, u64),
     Call(usize, u64, String),
     Begins(usize),
     Ends(usize),
-    /// The next server of a release, and what is done with it.
+    /// The next replica of a release, and what is done with it.
     Release {
-        server: ServerIx,
-        to: ServerIx,
+        replica: ReplicaIx,
+        to: ReplicaIx,
         stage: u8,
     },
     Alive,
     TakeOver(usize),
     GiveBack(usize),
     ComesOver {
-        governor: usize,
+        controller: usize,
         proxy: ProxyIx,
     },
 }
@@ -137,23 +137,23 @@
     Failed,
 }
 
-struct Governor {
+struct Controller {
     reducer: Option<Reducer>,
     wire: Option<Box<dyn Wire>>,
     channel: Channel,
     follows: bool,
     /// Grows with each life; what was meant for an earlier one is lost.
-    life: u64,
+    incarnation: u64,
     quiet: Option<Moment>,
     born: Moment,
-    /// Since when it knows which servers drain.
-    told: BTreeMap<ServerIx, Moment>,
+    /// Since when it knows which replicas drain.
+    told: BTreeMap<ReplicaIx, Moment>,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Seen {
-    tries: f64,
-    aborted: f64,
+    attempts: f64,
+    failed: f64,
     busy: f64,
 }
 
@@ -161,26 +161,26 @@
     sizes: Sizes,
     policy: Policy,
     now: Moment,
-    chance: Chance,
+    random: Random,
     agenda: BTreeMap<(Moment, u64), Step>,
     steps: u64,
-    servers: Vec<Server>,
-    names: BTreeMap<String, ServerIx>,
+    replicas: Vec<Replica>,
+    names: BTreeMap<String, ReplicaIx>,
     proxies: Vec<Proxy>,
-    governors: Vec<Governor>,
+    controllers: Vec<Controller>,
     store: Store,
     /// By slice, whose it is.
     holders: Vec<usize>,
     given: Vec<Moment>,
     garbled: f64,
-    /// By server, as discovery lists it; its version.
+    /// By replica, as discovery lists it; its version.
     listed: Vec<&'static str>,
     version: u64,
     /// How the list is told now, and what was told last.
     odd: Option<Odd>,
     list_before: Option<discovery::List>,
-    ops: BTreeMap<u64, Op>,
-    next_op: u64,
+    requests: BTreeMap<u64, Request>,
+    next_request: u64,
     /// By slice, how much comes for it.
     heat: Vec<f64>,
     burst: f64,
@@ -188,20 +188,20 @@
     relay_away: bool,
     relay_mute: bool,
     discovery_away: bool,
-    /// Until then a governor, the relay or the list could not be heard: what follows from that is no fault.
+    /// Until then a controller, the relay or the list could not be heard: what follows from that is no fault.
     excused: Moment,
-    met: BTreeMap<(usize, ServerIx), Seen>,
+    met: BTreeMap<(usize, ReplicaIx), Seen>,
     /// Seconds that were reported so far.
     reports: u32,
     asked: BTreeMap<(SliceIx, usize), (f64, f64)>,
-    out: BTreeMap<(ProxyIx, ServerIx), u32>,
+    out: BTreeMap<(ProxyIx, ReplicaIx), u32>,
     meddler: Option<Meddler>,
     /// Whose time-line is kept.
     about: Option<String>,
     told: Vec<(Span, String)>,
     rules: Rules,
     outcome: Outcome,
-    payoff: (f64, f64),
+    priority_weight: (f64, f64),
 }
 
 pub fn play(sizes: &Sizes, policy: Policy, troubles: &[Trouble], seed: u64) -> Outcome {
@@ -210,7 +210,7 @@
     day.outcome
 }
 
-/// A day, and the time-line of one server or slice: what befell it, what was said of it, ordered for it and
+/// A day, and the time-line of one replica or slice: what befell it, what was said of it, ordered for it and
 /// decided about it, and what it did each second.
 pub fn play_told(
     sizes: &Sizes,
@@ -224,7 +224,7 @@
     (day.outcome, day.told)
 }
 
-/// What somebody makes of each order on its way to the proxies; the governors do not know of it.
+/// What somebody makes of each order on its way to the proxies; the controllers do not know of it.
 pub type Meddler = fn(&str) -> Vec<String>;
 
 /// A day on which orders are meddled with: the checkers are to notice.
@@ -235,17 +235,17 @@
     day.outcome
 }
 
-fn server_name(at: ServerIx) -> String {
+fn replica_name(at: ReplicaIx) -> String {
     format!("s-{at}")
 }
 
 impl Day {
     pub fn new(sizes: Sizes, policy: Policy, troubles: Vec<Trouble>, seed: u64) -> Self {
         let now = Moment::default() + MORNING;
-        let mut chance = Chance::from_seed(seed);
-        let heat = (0..sizes.slices).map(|_| 0.3 + chance.draw() * chance.draw() * 3.0).collect();
-        let names: Vec<_> = (0..sizes.servers).map(server_name).collect();
-        let holders: Vec<_> = (0..sizes.slices).map(|slice| slice % sizes.governors).collect();
+        let mut random = Random::from_seed(seed);
+        let heat = (0..sizes.slices).map(|_| 0.3 + random.draw() * random.draw() * 3.0).collect();
+        let names: Vec<_> = (0..sizes.replicas).map(replica_name).collect();
+        let holders: Vec<_> = (0..sizes.slices).map(|slice| slice % sizes.controllers).collect();
         let tables = subsets::first_tables(&sizes, &names, &holders);
         let store = Store(tables.into_iter().map(|(slice, table)| (slice, Arc::new(table))).collect());
         let mut proxies = vec![Proxy::default(); sizes.proxies];
@@ -253,35 +253,35 @@
             proxy.joined = true;
             proxy.reads(&store.0);
         }
-        let governor = |_| Governor {
+        let controller = |_| Controller {
             reducer: None,
             wire: None,
             channel: Channel::new(),
             follows: false,
-            life: 0,
+            incarnation: 0,
             quiet: None,
             born: now,
             told: BTreeMap::new(),
         };
         Day {
             now,
-            chance,
+            random,
             agenda: BTreeMap::new(),
             steps: 0,
-            servers: (0..sizes.servers).map(|_| Server::new()).collect(),
+            replicas: (0..sizes.replicas).map(|_| Replica::new()).collect(),
             names: names.into_iter().zip(0..).collect(),
             proxies,
-            governors: (0..sizes.governors).map(governor).collect(),
+            controllers: (0..sizes.controllers).map(controller).collect(),
             store,
             holders,
             given: vec![now; sizes.slices],
             garbled: 0.0,
             odd: None,
             list_before: None,
-            listed: vec!["active"; sizes.servers],
+            listed: vec!["active"; sizes.replicas],
             version: 1,
-            ops: BTreeMap::new(),
-            next_op: 0,
+            requests: BTreeMap::new(),
+            next_request: 0,
             heat,
             burst: 1.0,
             troubles,
@@ -298,7 +298,7 @@
             told: Vec::new(),
             rules: Rules::default(),
             outcome: Outcome::default(),
-            payoff: (0.0, 0.0),
+            priority_weight: (0.0, 0.0),
             policy,
             sizes,
         }
@@ -323,7 +323,7 @@
         let end = self.now + self.sizes.lasts;
         if self.policy == Policy::Governed {
             let here: Vec<_> =
-                (0..self.governors.len()).filter(|at| self.governors[*at].wire.is_none()).collect();
+                (0..self.controllers.len()).filter(|at| self.controllers[*at].wire.is_none()).collect();
             here.into_iter().for_each(|at| self.start(at));
         }
         self.after(WAY, Step::Arrive);
@@ -351,7 +351,7 @@
     }
 
     fn end(&mut self) {
-        self.outcome.service = self.payoff.0 / self.payoff.1.max(1.0);
+        self.outcome.service = self.priority_weight.0 / self.priority_weight.1.max(1.0);
         self.outcome.violations = std::mem::take(&mut self.rules.violations);
         self.outcome.broken = std::mem::take(&mut self.rules.counts);
     }
@@ -359,45 +359,53 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Arrive => self.arrive(),
-            Step::Reaches { server, job } => self.reaches(server, job),
-            Step::Done { server, life, job } => self.done(server, life, job),
-            Step::Back { server, job, answer } => self.back(server, job, answer),
-            Step::GivenUp { op, attempt } => self.given_up(op, attempt),
-            Step::ComesAgain { op } => self.attempt(op, None),
+            Step::Reaches { replica, job } => self.reaches(replica, job),
+            Step::Done { replica, incarnation, job } => self.done(replica, incarnation, job),
+            Step::Back { replica, job, answer } => self.back(replica, job, answer),
+            Step::GivenUp { request, attempt } => self.given_up(request, attempt),
+            Step::ComesAgain { request } => self.attempt(request, None),
             Step::Report => self.report(),
             Step::Watch => self.watch(),
             Step::Channel(at) => self.channel(at),
-            Step::To(at, life, event) if self.governors[at].life == life => self.tell(at, *event),
-            Step::Told(at, life, list) if self.governors[at].life == life => self.is_told(at, *list),
-            Step::Quiet(at, life) if self.governors[at].life == life => {
-                if self.governors[at].quiet.is_some_and(|due| due <= self.now) {
-                    self.governors[at].quiet = None;
+            Step::To(at, incarnation, event) if self.controllers[at].incarnation == incarnation => {
+                self.tell(at, *event)
+            }
+            Step::Told(at, incarnation, list) if self.controllers[at].incarnation == incarnation => {
+                self.is_told(at, *list)
+            }
+            Step::Quiet(at, incarnation) if self.controllers[at].incarnation == incarnation => {
+                if self.controllers[at].quiet.is_some_and(|due| due <= self.now) {
+                    self.controllers[at].quiet = None;
                     self.tell(at, Event::InputDrained);
                 }
             }
-            Step::Call(at, life, line) if self.governors[at].life == life => self.call(at, &line),
-            Step::News(at, life, line) if self.governors[at].life == life => self.news(at, &line),
-            Step::News(..) | Step::To(..) | Step::Told(..) | Step::Quiet(..) | Step::Call(..) => {}
+            Step::Call(at, incarnation, line) if self.controllers[at].incarnation == incarnation => {
+                self.call(at, &line)
+            }
+            Step::RelayEvent(at, incarnation, line) if self.controllers[at].incarnation == incarnation => {
+                self.news(at, &line)
+            }
+            Step::RelayEvent(..) | Step::To(..) | Step::Told(..) | Step::Quiet(..) | Step::Call(..) => {}
             Step::Begins(at) => self.begins(at),
             Step::Ends(at) => self.ends(at),
-            Step::Release { server, to, stage } => self.release(server, to, stage),
+            Step::Release { replica, to, stage } => self.release(replica, to, stage),
             Step::TakeOver(from) => {
-                let heir = (0..self.governors.len()).find(|at| self.governors[*at].reducer.is_some());
+                let heir = (0..self.controllers.len()).find(|at| self.controllers[*at].reducer.is_some());
                 self.hand_all(|_, holder| heir.filter(|_| holder == from));
             }
             Step::GiveBack(to) => {
-                let many = self.governors.len();
+                let many = self.controllers.len();
                 self.hand_all(|slice, _| (slice % many == to).then_some(to));
             }
-            Step::ComesOver { governor, proxy } => self.comes_over(governor, proxy),
+            Step::ComesOver { controller, proxy } => self.comes_over(controller, proxy),
             Step::Alive => {
                 self.after(Span::ms(1000), Step::Alive);
-                for at in 0..self.governors.len() {
-                    let garbled = self.garbled > 0.0 && self.chance.draw() < self.garbled;
-                    if garbled && self.governors[at].follows {
-                        self.governors[at].follows = false;
+                for at in 0..self.controllers.len() {
+                    let garbled = self.garbled > 0.0 && self.random.draw() < self.garbled;
+                    if garbled && self.controllers[at].follows {
+                        self.controllers[at].follows = false;
                         self.tell(at, Event::WatchLost(StreamError::Unreadable("garbled".into())));
-                    } else if self.governors[at].follows && !self.relay_away {
+                    } else if self.controllers[at].follows && !self.relay_away {
                         self.news(at, "*");
                     }
                 }
--- a/crates/emulator/src/day/real_time.rs
+++ b/crates/emulator/src/day/real_time.rs
@@ -1,20 +1,20 @@
-//! A day played in real time against governors that are programs of their own.
+//! A day played in real time against controllers that are programs of their own.
 
 use super::{Day, Outcome};
 use whinwall_policy::time::Moment;
-use whinwall_protocol::collector::{Asked, Message, Met};
+use whinwall_protocol::collector::{DemandReport, EndpointReport, Message};
 use whinwall_protocol::relay::Answer;
 use whinwall_routing::Event;
 use whinwall_transport::StreamError;
 
-/// Where a governor is a program of its own: what is said to it goes out as lines, on whatever ways there
+/// Where a controller is a program of its own: what is said to it goes out as lines, on whatever ways there
 /// are.
 pub trait Wire {
     fn news(&mut self, line: &str);
     fn cut_news(&mut self);
     fn list(&mut self, line: &str);
     fn cut_list(&mut self);
-    fn report(&mut self, place: usize, line: &str);
+    fn report(&mut self, zone: usize, line: &str);
     /// To the call that is open; none where it gets no answer.
     fn answer(&mut self, line: Option<&str>);
 }
@@ -31,16 +31,17 @@
 /// An event in the words of the protocol.
 pub(super) fn say(wire: &mut dyn Wire, event: Event) {
     match event {
-        Event::Message { from, message: Message::Met(met) } => {
-            let Met { place, server, tries, aborted, mean_latency_ms, covers_ms, missing: _ } = met;
-            let line = serde_json::json!({"@type": "LOAD", "az": place, "host": server, "n": tries, "bad": aborted,
+        Event::Message { from, message: Message::EndpointReport(met) } => {
+            let EndpointReport { zone, replica, attempts, failed, mean_latency_ms, covers_ms, missing: _ } =
+                met;
+            let line = serde_json::json!({"@type": "LOAD", "az": zone, "host": replica, "n": attempts, "bad": failed,
                 "avg": mean_latency_ms, "window": covers_ms});
             wire.report(from as usize, &line.to_string());
         }
-        Event::Message { from, message: Message::Asked(asked) } => {
-            let Asked { slice, op_type, came, aborted, covers_ms, missing: _ } = asked;
-            let line = serde_json::json!({"@type": "SHARD", "partition": slice, "kind": op_type, "n": came,
-                "bad": aborted, "window": covers_ms});
+        Event::Message { from, message: Message::DemandReport(asked) } => {
+            let DemandReport { slice, request_class, came, failed, covers_ms, missing: _ } = asked;
+            let line = serde_json::json!({"@type": "SHARD", "partition": slice, "kind": request_class, "n": came,
+                "bad": failed, "window": covers_ms});
             wire.report(from as usize, &line.to_string());
         }
         Event::RelayReply(Ok(Answer::Taken(many))) => wire.answer(Some(&format!("OK {many}"))),
@@ -56,7 +57,7 @@
 
 impl Day {
     pub fn seat(&mut self, at: usize, wire: Box<dyn Wire>) {
-        self.governors[at].wire = Some(wire);
+        self.controllers[at].wire = Some(wire);
     }
 
     pub fn begins_now(&mut self) -> Moment {
@@ -79,7 +80,7 @@
             Heard::List if self.discovery_away => self.tell(at, Event::RegistryLost(StreamError::Silent)),
             Heard::List => {
                 let text = self.list_text();
-                self.governors[at].wire.iter_mut().for_each(|wire| wire.list(&text));
+                self.controllers[at].wire.iter_mut().for_each(|wire| wire.list(&text));
             }
             Heard::Call(line) => self.call(at, &line),
         }
--- a/crates/emulator/src/day/registry.rs
+++ b/crates/emulator/src/day/registry.rs
@@ -1,8 +1,8 @@
-//! Discovery: the registry snapshot, and how it is told to the governors.
+//! Discovery: the registry snapshot, and how it is told to the controllers.
 
-use super::{server_name, Day, Step};
+use super::{replica_name, Day, Step};
 use crate::trouble::Odd;
-use crate::ServerIx;
+use crate::ReplicaIx;
 use std::collections::BTreeSet;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
@@ -14,20 +14,20 @@
     }
 
     pub(super) fn list_text(&self) -> String {
-        let entry = |at: ServerIx| {
+        let entry = |at: ReplicaIx| {
             let started =
-                self.servers[at].started.map_or(0, |at| (at - Moment::default()).as_ns() / 1_000_000);
-            serde_json::json!({"id": server_name(at), "zone": self.sizes.place(at), "state": self.listed[at], "started_ms": started})
+                self.replicas[at].started.map_or(0, |at| (at - Moment::default()).as_ns() / 1_000_000);
+            serde_json::json!({"id": replica_name(at), "zone": self.sizes.zone(at), "state": self.listed[at], "started_ms": started})
         };
         let all: Vec<_> =
-            (0..self.servers.len()).filter(|at| self.listed[*at] != "left").map(entry).collect();
+            (0..self.replicas.len()).filter(|at| self.listed[*at] != "left").map(entry).collect();
         serde_json::json!({"version": self.version, "full": true, "servers": all}).to_string()
     }
 
-    pub(super) fn relist(&mut self, server: ServerIx, state: &'static str) {
-        let name = server_name(server);
+    pub(super) fn relist(&mut self, replica: ReplicaIx, state: &'static str) {
+        let name = replica_name(replica);
         self.line(&name, || format!("the list: {name} is {state}"));
-        self.listed[server] = state;
+        self.listed[replica] = state;
         self.version += 1;
         self.tell_list();
     }
@@ -53,25 +53,26 @@
                 (vec![lossy, list], Span::default())
             }
         };
-        for (at, list) in (0..self.governors.len()).flat_map(|at| lists.iter().map(move |list| (at, list))) {
+        for (at, list) in (0..self.controllers.len()).flat_map(|at| lists.iter().map(move |list| (at, list)))
+        {
             match late == Span::default() {
                 true => self.is_told(at, list.clone()),
                 false => {
-                    let life = self.governors[at].life;
-                    self.after(late, Step::Told(at, life, Box::new(list.clone())));
+                    let incarnation = self.controllers[at].incarnation;
+                    self.after(late, Step::Told(at, incarnation, Box::new(list.clone())));
                 }
             }
         }
     }
 
-    /// From when on it knows that servers drain: what it is told counts, not what is so.
+    /// From when on it knows that replicas drain: what it is told counts, not what is so.
     pub(super) fn is_told(&mut self, at: usize, list: discovery::List) {
         let leaving = list.entries.iter().filter(|entry| entry.state == discovery::State::Draining);
         let leaving: BTreeSet<_> =
-            leaving.filter_map(|entry| self.names.get(&entry.server).copied()).collect();
-        let told = &mut self.governors[at].told;
-        told.retain(|server, _| leaving.contains(server));
-        leaving.into_iter().for_each(|server| _ = told.entry(server).or_insert(self.now));
+            leaving.filter_map(|entry| self.names.get(&entry.replica).copied()).collect();
+        let told = &mut self.controllers[at].told;
+        told.retain(|replica, _| leaving.contains(replica));
+        leaving.into_iter().for_each(|replica| _ = told.entry(replica).or_insert(self.now));
         self.tell(at, Event::Registry(list));
     }
 }
--- a/crates/emulator/src/day/relay.rs
+++ b/crates/emulator/src/day/relay.rs
@@ -1,52 +1,52 @@
 //! The relay: its watch, its requests, the store and the channel to the proxies.
 
-use super::{server_name, Day, Step, MUTE, WAY};
+use super::{replica_name, Day, Step, MUTE, WAY};
 use crate::channel;
 use crate::proxy::Obeyed;
 use std::sync::Arc;
-use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::relay::{decode_event, Answer};
 use whinwall_routing::Event;
 use whinwall_transport::{CallError, StreamError};
 
 impl Day {
     pub(super) fn news(&mut self, at: usize, line: &str) {
-        if let Some(wire) = &mut self.governors[at].wire {
+        if let Some(wire) = &mut self.controllers[at].wire {
             return wire.news(line);
         }
-        let event = Event::Relay(decode_news(line).expect("our own news"));
+        let event = Event::Relay(decode_event(line).expect("our own news"));
         self.tell(at, event);
     }
 
     pub(super) fn follow_news(&mut self, at: usize) {
-        let life = self.governors[at].life;
+        let incarnation = self.controllers[at].incarnation;
         if self.relay_away {
-            self.governors[at].follows = false;
+            self.controllers[at].follows = false;
             let lost = Event::WatchLost(StreamError::Unreachable("away".into()));
-            return self.after(WAY, Step::To(at, life, Box::new(lost)));
+            return self.after(WAY, Step::To(at, incarnation, Box::new(lost)));
         }
-        self.governors[at].follows = true;
+        self.controllers[at].follows = true;
         let mut lines = vec!["OK".to_string()];
         let joined = self.proxies.iter().enumerate().filter(|(_, proxy)| proxy.has_stream(at));
-        lines.extend(joined.map(|(n, _)| format!("* SUBSCRIBE {n} {} 1.0 1", self.sizes.place(n))));
+        lines.extend(joined.map(|(n, _)| format!("* SUBSCRIBE {n} {} 1.0 1", self.sizes.zone(n))));
         for (slice, table) in self.store.0.iter().filter(|(slice, _)| self.is_of(**slice, at)) {
             lines.push(format!("* GRANT {slice} 1"));
             lines.extend(
                 table
                     .iter()
-                    .map(|(server, weight)| format!("* ROW {slice} {} {weight}", server_name(*server))),
+                    .map(|(replica, weight)| format!("* ROW {slice} {} {weight}", replica_name(*replica))),
             );
         }
         lines.push("*".into());
         for line in lines {
-            self.after(WAY, Step::News(at, life, line));
+            self.after(WAY, Step::RelayEvent(at, incarnation, line));
         }
     }
 
     pub(super) fn call(&mut self, at: usize, line: &str) {
-        let life = self.governors[at].life;
+        let incarnation = self.controllers[at].incarnation;
         if self.relay_away {
             let outcome = Err(CallError::NotSent(StreamError::Unreachable("away".into())));
-            return self.after(WAY, Step::To(at, life, Box::new(Event::RelayReply(outcome))));
+            return self.after(WAY, Step::To(at, incarnation, Box::new(Event::RelayReply(outcome))));
         }
         let kinds: Vec<_> = self.sizes.kinds.iter().map(|kind| kind.name).collect();
         let many = line.split(';').count();
@@ -55,9 +55,9 @@
             format!("APPLY {}", orders.collect::<Vec<_>>().join(";"))
         });
         let line = meddled.as_deref().unwrap_or(line);
-        let Some((orders, mark)) = channel::read(line, &self.names, &kinds) else {
+        let Some((orders, version)) = channel::read(line, &self.names, &kinds) else {
             let outcome = Ok(Answer::Unusable("bad_request".into()));
-            return self.after(WAY, Step::To(at, life, Box::new(Event::RelayReply(outcome))));
+            return self.after(WAY, Step::To(at, incarnation, Box::new(Event::RelayReply(outcome))));
         };
         self.outcome.orders += orders.len() as u64;
         self.rules.ordered(self.now, line.trim_start_matches("APPLY ").split(';').map(String::from));
@@ -81,33 +81,33 @@
         }
         let joined: Vec<_> = (0..self.proxies.len()).filter(|n| self.proxies[*n].has_stream(at)).collect();
         let orders = Arc::new(orders);
-        let channel = &mut self.governors[at].channel;
-        let broken = channel.send(self.now, joined.into_iter(), &orders, mark, &self.sizes);
+        let channel = &mut self.controllers[at].channel;
+        let broken = channel.send(self.now, joined.into_iter(), &orders, version, &self.sizes);
         self.outcome.most_lines = self.outcome.most_lines.max(channel.lines());
         let next = channel.next();
         broken.into_iter().for_each(|what| self.rules.broken(5, self.now, what, ""));
         next.into_iter().for_each(|due| self.after(due - self.now, Step::Channel(at)));
-        let garbled = self.garbled > 0.0 && self.chance.draw() < self.garbled;
+        let garbled = self.garbled > 0.0 && self.random.draw() < self.garbled;
         let (pause, outcome) = match () {
             _ if self.relay_mute => (MUTE, Err(CallError::OutcomeUnknown(StreamError::Silent))),
             _ if garbled => (WAY, Err(CallError::OutcomeUnknown(StreamError::Unreadable("garbled".into())))),
             _ => (WAY, Ok(Answer::Taken(many))),
         };
-        self.after(pause, Step::To(at, life, Box::new(Event::RelayReply(outcome))));
+        self.after(pause, Step::To(at, incarnation, Box::new(Event::RelayReply(outcome))));
     }
 
     pub(super) fn channel(&mut self, at: usize) {
-        while let Some(message) = self.governors[at].channel.arrives(self.now) {
+        while let Some(message) = self.controllers[at].channel.arrives(self.now) {
             let proxy = &mut self.proxies[message.proxy];
             if !proxy.has_stream(at) {
                 continue;
             }
             message.orders.iter().for_each(|order| proxy.obey(at, order));
-            if let (Some(mark), true) = (message.mark, self.governors[at].follows) {
-                self.news(at, &format!("* ACK {} {mark}", message.proxy));
+            if let (Some(version), true) = (message.version, self.controllers[at].follows) {
+                self.news(at, &format!("* ACK {} {version}", message.proxy));
             }
         }
-        if let Some(due) = self.governors[at].channel.next() {
+        if let Some(due) = self.controllers[at].channel.next() {
             self.after(due - self.now, Step::Channel(at));
         }
     }
--- a/crates/emulator/src/live.rs
+++ b/crates/emulator/src/live.rs
@@ -1,4 +1,4 @@
-//! The same world on loopback sockets and in real time, for governors that run as programs: a relay and a
+//! The same world on loopback sockets and in real time, for controllers that run as programs: a relay and a
 //! discovery for each, a collector for each place.
 
 use crate::day::{Day, Heard, Outcome, Wire};
@@ -20,14 +20,14 @@
 
 type Way = Arc<Mutex<Option<TcpStream>>>;
 
-/// Where one governor finds its relay and its discovery.
+/// Where one controller finds its relay and its discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Found {
     pub relay: SocketAddr,
     pub discovery: SocketAddr,
 }
 
-/// One governor's world before the day: its addresses are there, nobody has come yet.
+/// One controller's world before the day: its addresses are there, nobody has come yet.
 pub struct Stage {
     pub found: Found,
     news: Way,
@@ -60,27 +60,27 @@
 }
 
 impl Stages {
-    pub fn open(governors: usize) -> std::io::Result<Self> {
+    pub fn open(controllers: usize) -> std::io::Result<Self> {
         let (say, heard) = channel();
-        let stages = (0..governors).map(|at| Stage::open(at, &say)).collect::<Result<_, _>>()?;
+        let stages = (0..controllers).map(|at| Stage::open(at, &say)).collect::<Result<_, _>>()?;
         Ok(Stages { stages, heard })
     }
 
-    /// Plays the day with governors that serve at these addresses.
+    /// Plays the day with controllers that serve at these addresses.
     pub fn play(
         self,
         sizes: &Sizes,
         troubles: &[Trouble],
         seed: u64,
-        governors: &[SocketAddr],
+        controllers: &[SocketAddr],
     ) -> std::io::Result<Outcome> {
         let mut day = Day::new(sizes.clone(), Policy::Governed, troubles.to_vec(), seed);
-        for (at, (stage, address)) in self.stages.into_iter().zip(governors).enumerate() {
+        for (at, (stage, address)) in self.stages.into_iter().zip(controllers).enumerate() {
             let mut collectors = Vec::new();
-            for place in 0..sizes.places {
+            for zone in 0..sizes.zones {
                 let mut collector = TcpStream::connect(address)?;
                 collector.set_write_timeout(Some(READS))?;
-                writeln!(collector, "{{\"@type\":\"SOURCE\",\"az\":\"{}\"}}", sizes.place(place))?;
+                writeln!(collector, "{{\"@type\":\"SOURCE\",\"az\":\"{}\"}}", sizes.zone(zone))?;
                 collectors.push(collector);
             }
             day.seat(at, Box::new(Lines { stage, collectors }));
@@ -172,7 +172,7 @@
     }
 }
 
-/// A governor's ways, as the day sees them.
+/// A controller's ways, as the day sees them.
 struct Lines {
     stage: Stage,
     collectors: Vec<TcpStream>,
@@ -195,8 +195,8 @@
         cut(&self.stage.list);
     }
 
-    fn report(&mut self, place: usize, line: &str) {
-        if let Some(collector) = self.collectors.get_mut(place) {
+    fn report(&mut self, zone: usize, line: &str) {
+        if let Some(collector) = self.collectors.get_mut(zone) {
             _ = collector.write_all(format!("{line}\n").as_bytes());
         }
     }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/replica.rs
@@ -1,17 +1,17 @@
-//! A server: cores, a queue, keys that it remembers, a cold start in which it falls over when it is pushed.
+//! A replica: cores, a queue, keys that it remembers, a cold start in which it falls over when it is pushed.
 
 use crate::sizes::Sizes;
 use crate::ProxyIx;
 use std::collections::{BTreeMap, VecDeque};
-use whinwall_policy::chance::Chance;
-use whinwall_policy::ring::Ring;
+use whinwall_policy::random::Random;
 use whinwall_policy::time::{Moment, Span};
+use whinwall_policy::windowed_counter::WindowedCounter;
 
-/// An op at a server.
+/// An request at a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    pub op: u64,
-    /// Which of the op's tries.
+    pub request: u64,
+    /// Which of the request's tries.
     pub attempt: u32,
     pub key: u32,
     /// Which proxy it came from.
@@ -43,13 +43,13 @@
     Falls,
 }
 
-pub struct Server {
+pub struct Replica {
     pub state: State,
     /// Since when its process runs; grows with each restart, and what an earlier one had is gone.
     pub started: Option<Moment>,
-    pub life: u64,
+    pub incarnation: u64,
     pub slow: f64,
-    /// The share of ops that fail quickly.
+    /// The share of requests that fail quickly.
     pub failing: f64,
     pub draining: bool,
     running: usize,
@@ -58,15 +58,15 @@
     keys: BTreeMap<u32, Moment>,
     /// Proxies that hold a connection, and when each last used it.
     connections: BTreeMap<ProxyIx, Moment>,
-    came: Ring,
+    came: WindowedCounter,
 }
 
-impl Server {
+impl Replica {
     pub fn new() -> Self {
-        Server {
+        Replica {
             state: State::Up,
             started: None,
-            life: 0,
+            incarnation: 0,
             slow: 1.0,
             failing: 0.0,
             draining: false,
@@ -74,18 +74,18 @@
             queue: VecDeque::new(),
             keys: BTreeMap::new(),
             connections: BTreeMap::new(),
-            came: Ring::new(Span::ms(100), 12),
+            came: WindowedCounter::new(Span::ms(100), 12),
         }
     }
 
     /// A new process: cold, and empty.
     pub fn restart(&mut self, now: Moment) {
-        let (life, came) = (self.life + 1, Ring::new(Span::ms(100), 12));
-        *self = Server { started: Some(now), life, came, ..Server::new() };
+        let (incarnation, came) = (self.incarnation + 1, WindowedCounter::new(Span::ms(100), 12));
+        *self = Replica { started: Some(now), incarnation, came, ..Replica::new() };
     }
 
     pub fn falls(&mut self) {
-        (self.state, self.running, self.life) = (State::Down, 0, self.life + 1);
+        (self.state, self.running, self.incarnation) = (State::Down, 0, self.incarnation + 1);
         self.queue.clear();
         self.connections.clear();
     }
@@ -106,7 +106,7 @@
         self.came.sum(now, Span::ms(1000)) / (sizes.capacity() * self.warmth(now, sizes))
     }
 
-    pub fn offer(&mut self, now: Moment, job: Job, sizes: &Sizes, chance: &mut Chance) -> Offer {
+    pub fn offer(&mut self, now: Moment, job: Job, sizes: &Sizes, random: &mut Random) -> Offer {
         if self.state == State::Down {
             return Offer::Refused;
         }
@@ -118,7 +118,7 @@
             self.falls();
             return Offer::Falls;
         }
-        if chance.draw() < self.failing {
+        if random.draw() < self.failing {
             return Offer::Failed;
         }
         if self.queue.len() >= sizes.queue {
@@ -129,7 +129,7 @@
             return Offer::Waits;
         }
         self.running += 1;
-        Offer::Runs(self.takes(now, job.key, sizes, chance))
+        Offer::Runs(self.takes(now, job.key, sizes, random))
     }
 
     /// One that is there already is used again; an idle one gives way to a new one, where all are used nobody
@@ -146,10 +146,10 @@
         true
     }
 
-    fn takes(&mut self, now: Moment, key: u32, sizes: &Sizes, chance: &mut Chance) -> Span {
+    fn takes(&mut self, now: Moment, key: u32, sizes: &Sizes, random: &mut Random) -> Span {
         let known = self.keys.insert(key, now).is_some_and(|met| now - met < sizes.remembered);
         let factor = if known { 1.0 } else { sizes.cold_factor };
-        let spread = 0.5 + chance.draw();
+        let spread = 0.5 + random.draw();
         sizes.service.times(factor * spread * self.slow / self.warmth(now, sizes))
     }
 
@@ -159,28 +159,28 @@
     }
 
     /// One is through; the next that waits runs for so long.
-    pub fn done(&mut self, now: Moment, sizes: &Sizes, chance: &mut Chance) -> Option<(Job, Span)> {
+    pub fn done(&mut self, now: Moment, sizes: &Sizes, random: &mut Random) -> Option<(Job, Span)> {
         self.running = self.running.saturating_sub(1);
         if matches!(self.state, State::Hung | State::Down) {
             return None;
         }
         let next = self.queue.pop_front()?;
         self.running += 1;
-        Some((next, self.takes(now, next.key, sizes, chance)))
+        Some((next, self.takes(now, next.key, sizes, random)))
     }
 
     /// It goes on after a hang: as many as it has cores for run.
-    pub fn wakes(&mut self, now: Moment, sizes: &Sizes, chance: &mut Chance) -> Vec<(Job, Span)> {
+    pub fn wakes(&mut self, now: Moment, sizes: &Sizes, random: &mut Random) -> Vec<(Job, Span)> {
         self.state = State::Up;
         let free = sizes.cores.saturating_sub(self.running);
         let next: Vec<_> = (0..free).filter_map(|_| self.queue.pop_front()).collect();
         self.running += next.len();
-        next.into_iter().map(|job| (job, self.takes(now, job.key, sizes, chance))).collect()
+        next.into_iter().map(|job| (job, self.takes(now, job.key, sizes, random))).collect()
     }
 }
 
-impl Default for Server {
+impl Default for Replica {
     fn default() -> Self {
-        Server::new()
+        Replica::new()
     }
 }
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, checked on what proxies and servers really did. A violation says when, what, and which
+//! The five rules, checked on what proxies and replicas really did. A violation says when, what, and which
 //! orders led to it.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -24,7 +24,7 @@
     pub violations: Vec<Violation>,
     pub counts: BTreeMap<u8, usize>,
     orders: VecDeque<(Moment, String)>,
-    /// Of once-only ops, how often each took effect.
+    /// Of once-only requests, how often each took effect.
     effects: BTreeMap<u64, u32>,
     /// Since when a proxy has nothing to pick for a slice.
     bare: BTreeMap<(usize, usize), Moment>,
@@ -49,21 +49,21 @@
         self.violations.push(Violation { rule, at, what, orders });
     }
 
-    /// Rule 2: an op that may run once has run.
-    pub fn ran(&mut self, now: Moment, op: u64) {
-        let times = self.effects.entry(op).or_default();
+    /// Rule 2: an request that may run once has run.
+    pub fn ran(&mut self, now: Moment, request: u64) {
+        let times = self.effects.entry(request).or_default();
         *times += 1;
         if *times == 2 {
-            self.broken(2, now, format!("op {op} ran twice"), "");
+            self.broken(2, now, format!("op {request} ran twice"), "");
         }
     }
 
-    /// An op is over for good.
-    pub fn over(&mut self, op: u64) {
-        self.effects.remove(&op);
+    /// An request is over for good.
+    pub fn over(&mut self, request: u64) {
+        self.effects.remove(&request);
     }
 
-    /// Rule 1: a joined proxy has nothing to pick though there is a good server.
+    /// Rule 1: a joined proxy has nothing to pick though there is a good replica.
     pub fn bare(&mut self, now: Moment, proxy: usize, slice: usize, is_bare: bool, patience: Span) {
         if !is_bare {
             self.bare.remove(&(proxy, slice));
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -12,9 +12,9 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct OpKind {
+pub struct RequestClassSpec {
     pub name: &'static str,
-    pub payoff: f64,
+    pub priority_weight: f64,
     pub target: Span,
     pub care: Care,
     /// Its part of what comes.
@@ -23,31 +23,31 @@
 
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    pub servers: usize,
+    pub replicas: usize,
     pub slices: usize,
     pub proxies: usize,
-    pub governors: usize,
+    pub controllers: usize,
     /// Seconds that each report of a replica covers: more than one where an aggregator stretches its windows.
     pub load_window: u32,
-    /// Replicas that each governor steers; 0 where every governor steers all of them.
+    /// Replicas that each controller steers; 0 where every controller steers all of them.
     pub subset: usize,
-    pub places: usize,
+    pub zones: usize,
     pub lasts: Span,
-    /// Of what warm servers can do together, so much comes.
+    /// Of what warm replicas can do together, so much comes.
     pub load: f64,
     pub cores: usize,
-    /// An op whose key is remembered takes this long, another one `cold_factor` times as long.
+    /// An request whose key is remembered takes this long, another one `cold_factor` times as long.
     pub service: Span,
     pub cold_factor: f64,
     pub keys_a_slice: u32,
     pub remembered: Span,
-    /// Ops that wait at a server; more are refused, which proves that they did not run.
+    /// Ops that wait at a replica; more are refused, which proves that they did not run.
     pub queue: usize,
-    /// Proxies that may hold a connection to one server, and after how long an unused one is closed.
+    /// Proxies that may hold a connection to one replica, and after how long an unused one is closed.
     pub connections: usize,
     pub idle: Span,
-    pub op_timeout: Span,
-    pub kinds: Vec<OpKind>,
+    pub request_timeout: Span,
+    pub kinds: Vec<RequestClassSpec>,
     pub cold_share: f64,
     pub warm_after: Span,
     pub fall_multiple: f64,
@@ -66,13 +66,13 @@
 impl Sizes {
     pub fn small() -> Self {
         Sizes {
-            servers: 12,
+            replicas: 12,
             slices: 60,
             proxies: 30,
-            governors: 1,
+            controllers: 1,
             load_window: 1,
             subset: 0,
-            places: 3,
+            zones: 3,
             lasts: Span::ms(60_000),
             load: 0.4,
             cores: 2,
@@ -83,18 +83,18 @@
             queue: 60,
             connections: 1000,
             idle: Span::ms(2000),
-            op_timeout: Span::ms(2500),
+            request_timeout: Span::ms(2500),
             kinds: vec![
-                OpKind {
+                RequestClassSpec {
                     name: "lookup",
-                    payoff: 2.0,
+                    priority_weight: 2.0,
                     target: Span::ms(1200),
                     care: Care::Retryable,
                     share: 0.8,
                 },
-                OpKind {
+                RequestClassSpec {
                     name: "post",
-                    payoff: 5.0,
+                    priority_weight: 5.0,
                     target: Span::ms(1200),
                     care: Care::OnceOnly,
                     share: 0.2,
@@ -114,38 +114,38 @@
         }
     }
 
-    /// As many servers, slices and proxies as a large partner has.
+    /// As many replicas, slices and proxies as a large partner has.
     pub fn large() -> Self {
         let load = 0.3;
         Sizes {
-            servers: 120,
+            replicas: 120,
             slices: 700,
             proxies: 300,
-            governors: 3,
+            controllers: 3,
             lasts: Span::ms(40_000),
             load,
             ..Sizes::small()
         }
     }
 
-    /// Ops a second that a warm server does at the most.
+    /// Ops a second that a warm replica does at the most.
     pub fn capacity(&self) -> f64 {
         self.cores as f64 / self.service.seconds()
     }
 
     /// Ops that come a second, to all.
     pub fn coming(&self) -> f64 {
-        self.capacity() * self.servers as f64 * self.load
+        self.capacity() * self.replicas as f64 * self.load
     }
 
-    pub fn place(&self, n: usize) -> String {
-        format!("p{}", n % self.places)
+    pub fn zone(&self, n: usize) -> String {
+        format!("p{}", n % self.zones)
     }
 
-    /// What the governor of this number is told of all this, in the words of its configuration.
+    /// What the controller of this number is told of all this, in the words of its configuration.
     pub fn settings(&self, number: usize) -> serde_json::Value {
         let ns = |span: Span| span.as_ns();
-        let kind = |kind: &OpKind| serde_json::json!({"name": kind.name, "value": kind.payoff, "targetNs": ns(kind.target)});
+        let kind = |kind: &RequestClassSpec| serde_json::json!({"name": kind.name, "value": kind.priority_weight, "targetNs": ns(kind.target)});
         serde_json::json!({
             "classes": self.kinds.iter().map(kind).collect::<Vec<_>>(),
             "familyInfo": {
@@ -159,10 +159,10 @@
                 "drainGraceNs": ns(self.grace)
             },
             "me": number,
-            "peersTotal": self.governors,
+            "peersTotal": self.controllers,
             "membershipMode": "push",
             "weights": "rough",
-            "zones": (0..self.places).map(|n| self.place(n)).collect::<Vec<_>>()
+            "zones": (0..self.zones).map(|n| self.zone(n)).collect::<Vec<_>>()
         })
     }
 }
--- a/crates/emulator/tests/subsets.rs
+++ b/crates/emulator/tests/subsets.rs
@@ -1,4 +1,4 @@
-//! Days on which each governor steers a subset of the replicas.
+//! Days on which each controller steers a subset of the replicas.
 
 use whinwall_emulator::day::{play, Outcome};
 use whinwall_emulator::policy::Policy;
@@ -6,9 +6,9 @@
 use whinwall_emulator::trouble::{at, Trouble, What};
 use whinwall_policy::time::Span;
 
-fn sizes(governors: usize, subset: usize) -> Sizes {
+fn sizes(controllers: usize, subset: usize) -> Sizes {
     let lasts = Span::ms(30_000);
-    Sizes { servers: 24, slices: 132, proxies: 40, governors, subset, load: 0.5, lasts, ..Sizes::small() }
+    Sizes { replicas: 24, slices: 132, proxies: 40, controllers, subset, load: 0.5, lasts, ..Sizes::small() }
 }
 
 fn governed(sizes: &Sizes, troubles: &[Trouble], seed: u64) -> Outcome {
@@ -21,12 +21,12 @@
     at(10_000, 10_000, What::Replaced { from: 0, to: 14 })
 }
 
-/// Governors that see only their own slices do worse the more of them there are; with subsets they don't.
+/// Controllers that see only their own slices do worse the more of them there are; with subsets they don't.
 #[test]
-fn many_governors_with_subsets_serve_nearly_as_well_as_few_without() {
-    let mean = |governors, subset| {
+fn many_controllers_with_subsets_serve_nearly_as_well_as_few_without() {
+    let mean = |controllers, subset| {
         let seeds = 1..=2;
-        let served = seeds.map(|seed| governed(&sizes(governors, subset), &[replaced()], seed).service);
+        let served = seeds.map(|seed| governed(&sizes(controllers, subset), &[replaced()], seed).service);
         served.sum::<f64>() / 2.0
     };
     let (few, many, shared) = (mean(5, 0), mean(24, 0), mean(24, 8));
@@ -39,10 +39,10 @@
     let days = [
         at(10_000, 10_000, What::HotSlice { slice: 40, factor: 20.0 }),
         at(10_000, 10_000, What::Burst { factor: 1.5 }),
-        at(10_000, 5000, What::PlaceLost { place: 1 }),
-        at(10_000, 8000, What::Hang { server: 3 }),
-        at(10_000, 8000, What::FastErrors { server: 3, share: 0.8 }),
-        at(10_000, 4000, What::Herd { governors: 10 }),
+        at(10_000, 5000, What::ZoneLost { zone: 1 }),
+        at(10_000, 8000, What::Hang { replica: 3 }),
+        at(10_000, 8000, What::FastErrors { replica: 3, share: 0.8 }),
+        at(10_000, 4000, What::Herd { controllers: 10 }),
     ];
     for (seed, trouble) in (1..).zip(days) {
         let day = governed(&sizes(24, 8), std::slice::from_ref(&trouble), seed);
@@ -59,12 +59,12 @@
     assert!(day.service > 0.98, "{}", day.service);
 }
 
-/// A subset as large as the fleet, and more governors than slices.
+/// A subset as large as the fleet, and more controllers than slices.
 #[test]
 fn extreme_subsets_play() {
-    for (governors, subset) in [(2, 500), (150, 1), (1, 3)] {
-        let sizes = Sizes { lasts: Span::ms(15_000), ..sizes(governors, subset) };
+    for (controllers, subset) in [(2, 500), (150, 1), (1, 3)] {
+        let sizes = Sizes { lasts: Span::ms(15_000), ..sizes(controllers, subset) };
         let day = governed(&sizes, &[], 1);
-        assert!(day.service > 0.95, "{governors} governors, subsets of {subset}: {}", day.service);
+        assert!(day.service > 0.95, "{controllers} governors, subsets of {subset}: {}", day.service);
     }
 }
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -44,7 +44,7 @@
     Load,
     Proxies,
     Pace,
-    Governors,
+    Controllers,
 }
 
 /// One play of the plan.
@@ -65,8 +65,12 @@
     ("two-choices", Policy::TwoChoices),
     ("least-loaded", Policy::LeastLoaded),
 ];
-const VARIED: [(&str, Vary); 4] =
-    [("load", Vary::Load), ("proxies", Vary::Proxies), ("pace", Vary::Pace), ("governors", Vary::Governors)];
+const VARIED: [(&str, Vary); 4] = [
+    ("load", Vary::Load),
+    ("proxies", Vary::Proxies),
+    ("pace", Vary::Pace),
+    ("governors", Vary::Controllers),
+];
 
 fn named<T: Copy>(text: &str, of: &[(&str, T)]) -> Result<T, String> {
     let found = of.iter().find(|(name, _)| *name == text).map(|(_, what)| *what);
@@ -147,13 +151,13 @@
     world.has_only(&["size", "governors", "load", "lasts", "servers", "slices", "proxies"], &[])?;
     let large = world.must("size", |text| named(text, &[("small", false), ("large", true)]))?;
     let mut sizes = if large { Sizes::large() } else { Sizes::small() };
-    sizes.governors = world.maybe("governors", number)?.unwrap_or(sizes.governors);
+    sizes.controllers = world.maybe("governors", number)?.unwrap_or(sizes.controllers);
     sizes.load = world.maybe("load", share)?.unwrap_or(sizes.load);
     sizes.lasts = world.maybe("lasts", words::span)?.unwrap_or(sizes.lasts);
-    sizes.servers = world.maybe("servers", number)?.unwrap_or(sizes.servers);
+    sizes.replicas = world.maybe("servers", number)?.unwrap_or(sizes.replicas);
     sizes.slices = world.maybe("slices", number)?.unwrap_or(sizes.slices);
     sizes.proxies = world.maybe("proxies", number)?.unwrap_or(sizes.proxies);
-    let few = [sizes.governors, sizes.servers, sizes.slices, sizes.proxies];
+    let few = [sizes.controllers, sizes.replicas, sizes.slices, sizes.proxies];
     if few.contains(&0) || few.iter().any(|many| *many > 100_000) {
         return Err(world.wrong("there must be some of each, and no more than 100,000"));
     }
@@ -222,7 +226,7 @@
             (at < most).then_some(at).ok_or_else(|| format!("{at} is not below {most}"))
         })
     };
-    let server = || below("server", sizes.servers);
+    let replica = || below("server", sizes.replicas);
     let range = |most: usize| -> Result<(usize, usize), Wrong> {
         let (from, to) = (below("from", most)?, below("to", most + 1)?);
         if to <= from {
@@ -232,33 +236,33 @@
     };
     let figure = |name| one.must(name, share);
     let what = match one.given("kind").unwrap_or_default() {
-        "crash" => What::Crash { server: server()? },
-        "hang" => What::Hang { server: server()? },
-        "silence" => What::Silence { server: server()? },
-        "slow" => What::Slow { server: server()?, factor: figure("factor")? },
-        "fast-errors" => What::FastErrors { server: server()?, share: figure("share")? },
-        "drain" => What::Drain { server: server()? },
+        "crash" => What::Crash { replica: replica()? },
+        "hang" => What::Hang { replica: replica()? },
+        "silence" => What::Silence { replica: replica()? },
+        "slow" => What::Slow { replica: replica()?, factor: figure("factor")? },
+        "fast-errors" => What::FastErrors { replica: replica()?, share: figure("share")? },
+        "drain" => What::Drain { replica: replica()? },
         "release" => {
-            let (from, to) = range(sizes.servers)?;
+            let (from, to) = range(sizes.replicas)?;
             What::Release { from, to }
         }
         "replaced" => {
-            let (from, to) = range(sizes.servers)?;
+            let (from, to) = range(sizes.replicas)?;
             What::Replaced { from, to }
         }
-        "place-lost" => What::PlaceLost { place: below("place", sizes.places)? },
+        "place-lost" => What::ZoneLost { zone: below("place", sizes.zones)? },
         "list-late" => What::OddList { how: Odd::Late(one.must("by", millis)?) },
         "list-again" => What::OddList { how: Odd::Again },
         "list-back" => What::OddList { how: Odd::Back },
         "list-lossy" => {
-            let each = below("each", sizes.servers)?;
+            let each = below("each", sizes.replicas)?;
             if each < 2 {
                 return Err(one.wrong("each: a list without any server tells nothing; 2 or more"));
             }
             What::OddList { how: Odd::Lossy(each) }
         }
         "wrong-list" => {
-            let (from, to) = range(sizes.servers)?;
+            let (from, to) = range(sizes.replicas)?;
             What::WrongList { from, to }
         }
         "hand-over" => {
@@ -268,15 +272,15 @@
         "garbled" => What::Garbled { share: figure("share")? },
         "hot-slice" => What::HotSlice { slice: below("slice", sizes.slices)?, factor: figure("factor")? },
         "burst" => What::Burst { factor: figure("factor")? },
-        "place-cut" => What::PlaceCut { place: below("place", sizes.places)? },
+        "place-cut" => What::ZoneCut { zone: below("place", sizes.zones)? },
         "relay-away" => What::RelayAway,
         "relay-mute" => What::RelayMute,
         "discovery-away" => What::DiscoveryAway,
-        "governor-killed" => What::GovernorKilled { governor: below("governor", sizes.governors)? },
-        "herd" => What::Herd { governors: below("governors", sizes.governors)? },
+        "governor-killed" => What::ControllerKilled { controller: below("governor", sizes.controllers)? },
+        "herd" => What::Herd { controllers: below("governors", sizes.controllers)? },
         "slow-channel" => What::SlowChannel { part: figure("share")? },
         "proxies-leave" => What::ProxiesLeave { many: below("many", sizes.proxies + 1)? },
-        _ => What::OutOfService { server: server()? },
+        _ => What::OutOfService { replica: replica()? },
     };
     Ok(Trouble { begins: one.must("begins", millis)?, lasts: one.must("lasts", millis)?, what })
 }
@@ -292,17 +296,17 @@
 
 fn write_trouble(text: &mut String, Trouble { begins, lasts, what }: &Trouble) {
     let attributes = match what {
-        What::Crash { server } => format!("kind=\"crash\" server=\"{server}\""),
-        What::Hang { server } => format!("kind=\"hang\" server=\"{server}\""),
-        What::Silence { server } => format!("kind=\"silence\" server=\"{server}\""),
-        What::Slow { server, factor } => format!("kind=\"slow\" server=\"{server}\" factor=\"{factor}\""),
-        What::FastErrors { server, share } => {
-            format!("kind=\"fast-errors\" server=\"{server}\" share=\"{share}\"")
+        What::Crash { replica } => format!("kind=\"crash\" server=\"{replica}\""),
+        What::Hang { replica } => format!("kind=\"hang\" server=\"{replica}\""),
+        What::Silence { replica } => format!("kind=\"silence\" server=\"{replica}\""),
+        What::Slow { replica, factor } => format!("kind=\"slow\" server=\"{replica}\" factor=\"{factor}\""),
+        What::FastErrors { replica, share } => {
+            format!("kind=\"fast-errors\" server=\"{replica}\" share=\"{share}\"")
         }
-        What::Drain { server } => format!("kind=\"drain\" server=\"{server}\""),
+        What::Drain { replica } => format!("kind=\"drain\" server=\"{replica}\""),
         What::Release { from, to } => format!("kind=\"release\" from=\"{from}\" to=\"{to}\""),
         What::Replaced { from, to } => format!("kind=\"replaced\" from=\"{from}\" to=\"{to}\""),
-        What::PlaceLost { place } => format!("kind=\"place-lost\" place=\"{place}\""),
+        What::ZoneLost { zone } => format!("kind=\"place-lost\" place=\"{zone}\""),
         What::OddList { how } => match how {
             Odd::Late(by) => format!("kind=\"list-late\" by=\"{}s\"", by.seconds()),
             Odd::Again => "kind=\"list-again\"".into(),
@@ -314,17 +318,19 @@
             format!("kind=\"hot-slice\" slice=\"{slice}\" factor=\"{factor}\"")
         }
         What::Burst { factor } => format!("kind=\"burst\" factor=\"{factor}\""),
-        What::PlaceCut { place } => format!("kind=\"place-cut\" place=\"{place}\""),
+        What::ZoneCut { zone } => format!("kind=\"place-cut\" place=\"{zone}\""),
         What::RelayAway => "kind=\"relay-away\"".into(),
         What::RelayMute => "kind=\"relay-mute\"".into(),
         What::DiscoveryAway => "kind=\"discovery-away\"".into(),
-        What::GovernorKilled { governor } => format!("kind=\"governor-killed\" governor=\"{governor}\""),
-        What::Herd { governors } => format!("kind=\"herd\" governors=\"{governors}\""),
+        What::ControllerKilled { controller } => {
+            format!("kind=\"governor-killed\" governor=\"{controller}\"")
+        }
+        What::Herd { controllers } => format!("kind=\"herd\" governors=\"{controllers}\""),
         What::SlowChannel { part } => format!("kind=\"slow-channel\" share=\"{part}\""),
         What::ProxiesLeave { many } => format!("kind=\"proxies-leave\" many=\"{many}\""),
         What::HandOver { from, to } => format!("kind=\"hand-over\" from=\"{from}\" to=\"{to}\""),
         What::Garbled { share } => format!("kind=\"garbled\" share=\"{share}\""),
-        What::OutOfService { server } => format!("kind=\"out-of-service\" server=\"{server}\""),
+        What::OutOfService { replica } => format!("kind=\"out-of-service\" server=\"{replica}\""),
     };
     let (begins, lasts) = (begins.seconds(), lasts.seconds());
     _ = writeln!(text, "    <trouble {attributes} begins=\"{begins}s\" lasts=\"{lasts}s\"/>");
@@ -363,7 +369,7 @@
             Some(Vary::Load) => sizes.load = value,
             Some(Vary::Proxies) => sizes.proxies = (value as usize).max(1),
             Some(Vary::Pace) => sizes.pace = value,
-            Some(Vary::Governors) => sizes.governors = (value as usize).max(1),
+            Some(Vary::Controllers) => sizes.controllers = (value as usize).max(1),
         }
         sizes
     }
@@ -375,9 +381,9 @@
     /// The file again, in one form: its hash names the experiment whatever its spaces.
     pub fn write(&self) -> String {
         let mut text = format!("<experiment name=\"{}\" version=\"{VERSION}\">\n", self.name);
-        let Sizes { governors, load, lasts, servers, slices, proxies, .. } = &self.sizes;
+        let Sizes { controllers, load, lasts, replicas, slices, proxies, .. } = &self.sizes;
         let (size, lasts) = (if self.large { "large" } else { "small" }, words::write_span(*lasts));
-        _ = writeln!(text, "  <world size=\"{size}\" governors=\"{governors}\" load=\"{load}\" lasts=\"{lasts}\" servers=\"{servers}\" slices=\"{slices}\" proxies=\"{proxies}\"/>");
+        _ = writeln!(text, "  <world size=\"{size}\" governors=\"{controllers}\" load=\"{load}\" lasts=\"{lasts}\" servers=\"{replicas}\" slices=\"{slices}\" proxies=\"{proxies}\"/>");
         let (from, to) = (self.seeds.first().unwrap_or(&0), self.seeds.last().unwrap_or(&0));
         _ = writeln!(text, "  <seeds from=\"{from}\" to=\"{to}\"/>");
         for way in &self.ways {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -85,8 +85,13 @@
         case: Option<String>,
         #[arg(long)]
         seed: Option<u64>,
-        #[arg(long, conflicts_with = "slice", required_unless_present = "slice")]
-        server: Option<usize>,
+        #[arg(
+            long = "server",
+            value_name = "SERVER",
+            conflicts_with = "slice",
+            required_unless_present = "slice"
+        )]
+        replica: Option<usize>,
         #[arg(long)]
         slice: Option<usize>,
     },
@@ -102,8 +107,8 @@
         Command::Compare { first, second } => compare(&first, &second),
         Command::Against { experiment, other, out } => against(&experiment, &other, &out),
         Command::Worst { experiment, days, many, from, out } => worst(&experiment, days, many, from, &out),
-        Command::Explain { experiment, case, seed, server, slice } => {
-            let about = server.map(|at| format!("s-{at}")).or(slice.map(|at| at.to_string()));
+        Command::Explain { experiment, case, seed, replica, slice } => {
+            let about = replica.map(|at| format!("s-{at}")).or(slice.map(|at| at.to_string()));
             explain(&experiment, case.as_deref(), seed, &about.unwrap_or_default())
         }
     };
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -158,8 +158,8 @@
         .draw()?;
     for (way, points) in series {
         // A way has its colour in each chart.
-        let place = WAYS.iter().position(|(name, _)| *name == way).unwrap_or(0);
-        let colour = COLOURS[place % COLOURS.len()];
+        let zone = WAYS.iter().position(|(name, _)| *name == way).unwrap_or(0);
+        let colour = COLOURS[zone % COLOURS.len()];
         let bars = points.iter().map(|(at, mean)| {
             let within = finite(mean.within);
             let (low, high) = (mean.mean - within, (mean.mean + within).min(1.02));
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -43,8 +43,8 @@
     let least = calm + (found_first.badness - calm) * keep;
     let mut best = found_first.clone();
     loop {
-        let tries = candidates(&best.troubles);
-        let smaller = tries.into_par_iter().map(|troubles| found(sizes, best.seed, troubles));
+        let attempts = candidates(&best.troubles);
+        let smaller = attempts.into_par_iter().map(|troubles| found(sizes, best.seed, troubles));
         let smaller = smaller.find_first(|found| found.badness >= least);
         match smaller {
             Some(smaller) => best = smaller,
--- a/crates/experiments/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -37,11 +37,11 @@
         value: 0.0,
         seed,
         service,
-        ops: 7,
+        requests: 7,
         acked: 6,
         late: 1,
         rejected: 1,
-        aborted: 0,
+        failed: 0,
         orders: 9,
         verdicts: 0,
         most_lines: 3.5,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_file_is_read_and_written_again_the_same_and_errors_name_the_place() {
+fn a_file_is_read_and_written_again_the_same_and_errors_name_the_zone() {
     let experiment = experiment::read(SMALL).unwrap();
     assert_eq!(experiment.plays().len(), 2 * 2 * 3);
     let again = experiment::read(&experiment.write()).unwrap();
--- a/crates/fault-injection/src/decide.rs
+++ b/crates/fault-injection/src/decide.rs
@@ -6,7 +6,7 @@
 use crate::{Direction, Number};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, VecDeque};
-use whinwall_policy::chance::Chance;
+use whinwall_policy::random::Random;
 use whinwall_policy::time::Span;
 
 /// A line that has not ended may be held back for a rule about lines up to this size.
@@ -44,7 +44,7 @@
     rules: Vec<(Rule, Option<u32>)>,
     /// Injected again instead of rules, in this order.
     replay: Option<VecDeque<Injected>>,
-    chance: Chance,
+    random: Random,
     /// Bytes that have come, lines that have begun.
     offset: u64,
     lines: u64,
@@ -81,7 +81,7 @@
             direction,
             rules,
             replay: None,
-            chance: Chance::from_seed(seed),
+            random: Random::from_seed(seed),
             offset: 0,
             lines: 0,
             at_start: true,
@@ -278,10 +278,10 @@
 
     fn draw(&mut self, what: What) -> (Span, Vec<u8>) {
         match what {
-            What::Delay(from, to) => (from + (to - from).times(self.chance.draw()), Vec::new()),
+            What::Delay(from, to) => (from + (to - from).times(self.random.draw()), Vec::new()),
             What::Stall(span) => (span, Vec::new()),
             What::Garble(_, many) => {
-                let byte = |_| (self.chance.draw() * 256.0) as u8;
+                let byte = |_| (self.random.draw() * 256.0) as u8;
                 (Span::default(), (0..many).map(byte).collect())
             }
             _ => (Span::default(), Vec::new()),
--- a/crates/fault-injection/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -294,8 +294,8 @@
     let tool =
         scheduled("on line 1: garble flip 9, always\non line ~ \"a\": swap, always\non offset 100: pieces 7");
     for seed in 0..20u64 {
-        let mut chance = whinwall_policy::chance::Chance::from_seed(seed);
-        let bytes: Vec<u8> = (0..20_000).map(|_| (chance.draw() * 256.0) as u8).collect();
+        let mut random = whinwall_policy::random::Random::from_seed(seed);
+        let bytes: Vec<u8> = (0..20_000).map(|_| (random.draw() * 256.0) as u8).collect();
         let (heard, _) = tool.says(&bytes, true);
         assert!(heard.len() > 15_000, "{} of 20,000 bytes", heard.len());
     }
--- a/crates/ingest/src/lib.rs
+++ b/crates/ingest/src/lib.rs
@@ -1,4 +1,4 @@
-//! How the work of one governor is spread over several cores. Readers take bytes from collectors, cut them
+//! How the work of one controller is spread over several cores. Readers take bytes from collectors, cut them
 //! into chunks of whole lines, and decode chunks, whoever read them; one owner applies what comes of it. Here
 //! is the logic of it, without input, output or clock: `spread` says which reader a connection belongs to,
 //! `sequence` in what order decoded chunks count, `sums` makes one report of many, `watch` notices readers
--- a/crates/ingest/src/spread.rs
+++ b/crates/ingest/src/spread.rs
@@ -29,7 +29,7 @@
     }
 
     /// The reader that has least to do; none where all are down.
-    pub fn place(&mut self, id: ConnectionId) -> Option<CoreId> {
+    pub fn zone(&mut self, id: ConnectionId) -> Option<CoreId> {
         let burden = |reader: &Reader| reader.carried + reader.connections as f64 * QUIET;
         let up = self.readers.iter().enumerate().filter(|(_, reader)| !reader.down);
         let (core, _) = up.min_by(|a, b| burden(a.1).total_cmp(&burden(b.1)))?;
--- a/crates/ingest/src/sums.rs
+++ b/crates/ingest/src/sums.rs
@@ -1,15 +1,15 @@
-//! One report of many: what the same place met at the same server, or what was asked of the same slice, in
+//! One report of many: what the same place met at the same replica, or what was asked of the same slice, in
 //! windows of the same length, told at the same time. In an ordinary second no two lines are alike; where a
 //! collector catches up, or several speak for one place, most are.
 
-use whinwall_policy::interface::{Asked, Met, Report, Reported};
+use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
 use whinwall_policy::time::{Moment, Span};
 
 /// The lines of one chunk, all told at one time.
 #[derive(Debug)]
 pub struct Sums {
     at: Moment,
-    lines: Vec<Reported>,
+    lines: Vec<ReportBody>,
 }
 
 impl Sums {
@@ -17,7 +17,7 @@
         Sums { at, lines: Vec::new() }
     }
 
-    pub fn add(&mut self, line: Reported) {
+    pub fn add(&mut self, line: ReportBody) {
         self.lines.push(line);
     }
 
@@ -46,43 +46,46 @@
     }
 }
 
-/// Kind, then server or slice, then place or op type, then the window.
-fn key(what: &Reported) -> (u8, u32, usize, Span) {
+/// Kind, then replica or slice, then place or request class, then the window.
+fn key(what: &ReportBody) -> (u8, u32, usize, Span) {
     match what {
-        Reported::Met { server, met, .. } => (0, *server, met.place, met.covers),
-        Reported::Asked { slice, asked } => (1, *slice, asked.op_type, asked.covers),
+        ReportBody::EndpointReport { replica, met, .. } => (0, *replica, met.zone, met.covers),
+        ReportBody::DemandReport { slice, asked } => (1, *slice, asked.request_class, asked.covers),
     }
 }
 
-fn add(sum: &mut Reported, more: Reported) {
+fn add(sum: &mut ReportBody, more: ReportBody) {
     match (sum, more) {
-        (Reported::Met { met, latest, .. }, Reported::Met { met: more, latest: newer, .. }) => {
+        (
+            ReportBody::EndpointReport { met, latest, .. },
+            ReportBody::EndpointReport { met: more, latest: newer, .. },
+        ) => {
             let (answered, others) = (answered(met), answered(&more));
             let busy = met.mean_latency.times(answered) + more.mean_latency.times(others);
             let all = answered + others;
             met.mean_latency = if all > 0.0 { busy.times(1.0 / all) } else { met.mean_latency };
             *latest = if others > 0.0 { newer } else { *latest };
-            met.tries += more.tries;
-            met.aborted += more.aborted;
+            met.attempts += more.attempts;
+            met.failed += more.failed;
         }
-        (Reported::Asked { asked, .. }, Reported::Asked { asked: more, .. }) => {
+        (ReportBody::DemandReport { asked, .. }, ReportBody::DemandReport { asked: more, .. }) => {
             asked.came += more.came;
-            asked.aborted += more.aborted;
+            asked.failed += more.failed;
         }
         // Alike are only those of one kind.
         _ => {}
     }
 }
 
-fn answered(met: &Met) -> f64 {
-    (met.tries - met.aborted).max(0.0)
+fn answered(met: &EndpointReport) -> f64 {
+    (met.attempts - met.failed).max(0.0)
 }
 
 /// For who has one of them.
-pub fn met(server: u32, met: Met) -> Reported {
-    Reported::Met { server, met, latest: met.mean_latency }
+pub fn met(replica: u32, met: EndpointReport) -> ReportBody {
+    ReportBody::EndpointReport { replica, met, latest: met.mean_latency }
 }
 
-pub fn asked(slice: u32, asked: Asked) -> Reported {
-    Reported::Asked { slice, asked }
+pub fn asked(slice: u32, asked: DemandReport) -> ReportBody {
+    ReportBody::DemandReport { slice, asked }
 }
