--- a/crates/ingest/tests/cores.rs
+++ b/crates/ingest/tests/cores.rs
@@ -6,9 +6,9 @@
 use whinwall_ingest::spread::Spread;
 use whinwall_ingest::sums::{asked, met, Sums};
 use whinwall_ingest::watch::{Found, Watch};
-use whinwall_policy::interface::{Asked, Met, Reported};
-use whinwall_policy::ring::Ring;
+use whinwall_policy::api::{DemandReport, EndpointReport, ReportBody};
 use whinwall_policy::time::{Moment, Span};
+use whinwall_policy::windowed_counter::WindowedCounter;
 
 fn at(ms: u64) -> Moment {
     Moment::at_ns((1_800_000_000_000 + ms) * 1_000_000)
@@ -17,14 +17,14 @@
 #[test]
 fn a_connection_goes_to_the_reader_with_least_to_do() {
     let mut spread = Spread::over(3);
-    let placed: BTreeSet<_> = (0..3).filter_map(|id| spread.place(id)).collect();
+    let placed: BTreeSet<_> = (0..3).filter_map(|id| spread.zone(id)).collect();
     assert_eq!(placed.len(), 3, "quiet ones are spread evenly");
     let hot = spread.reader_of(0).unwrap();
     spread.carried(0, 10_000_000);
-    let others: Vec<_> = (3..23).filter_map(|id| spread.place(id)).collect();
+    let others: Vec<_> = (3..23).filter_map(|id| spread.zone(id)).collect();
     assert!(!others.contains(&hot), "nobody joins the one that floods its reader");
     (0..100).for_each(|_| spread.beat());
-    assert_eq!(spread.place(99), Some(hot), "and once it is quiet, they do again");
+    assert_eq!(spread.zone(99), Some(hot), "and once it is quiet, they do again");
     spread.ended(99);
     spread.ended(99);
     assert_eq!(spread.connections(hot), 1);
@@ -33,14 +33,14 @@
 #[test]
 fn a_reader_that_is_down_gets_nobody_and_its_connections_are_told() {
     let mut spread = Spread::over(2);
-    (0..4).for_each(|id| _ = spread.place(id));
+    (0..4).for_each(|id| _ = spread.zone(id));
     let lost = spread.down(0);
     assert_eq!(lost.len(), 2);
-    assert!((4..8).all(|id| spread.place(id) == Some(1)));
+    assert!((4..8).all(|id| spread.zone(id) == Some(1)));
     assert_eq!(spread.down(1).len(), 6);
-    assert_eq!(spread.place(9), None);
+    assert_eq!(spread.zone(9), None);
     spread.up(0);
-    assert_eq!(spread.place(9), Some(0));
+    assert_eq!(spread.zone(9), Some(0));
 }
 
 #[test]
@@ -101,10 +101,10 @@
         let mut ended = BTreeSet::new();
         (0..5).for_each(|id| sequence.open(id));
         let many = |id| shuffled.0.iter().filter(|(of, _)| *of == id).count() as u64;
-        for (place, (id, n)) in shuffled.0.iter().enumerate() {
+        for (zone, (id, n)) in shuffled.0.iter().enumerate() {
             let mut dues = vec![sequence.take(at(0), *id, *n, *n)];
             // Ends are heard of at any time, mostly before all chunks are there.
-            if place % 3 == 0 {
+            if zone % 3 == 0 {
                 dues.push(sequence.ends(at(0), *id, many(*id)));
             }
             for due in dues {
@@ -125,7 +125,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Lines(Vec<Reported>);
+struct Lines(Vec<ReportBody>);
 
 impl Arbitrary for Lines {
     fn arbitrary(gen: &mut Gen) -> Self {
@@ -133,13 +133,13 @@
         let line = |few: &mut dyn FnMut(u32) -> u32| {
             let covers = Span::ms(u64::from(1000 * (1 + few(2))));
             if few(2) == 0 {
-                let (tries, aborted) = (f64::from(few(9)), f64::from(few(4)));
+                let (attempts, failed) = (f64::from(few(9)), f64::from(few(4)));
                 let mean_latency = Span::ms(u64::from(few(400)));
-                let (tries, place) = (tries + aborted, few(2) as usize);
-                met(few(3), Met { place, covers, tries, aborted, mean_latency })
+                let (attempts, zone) = (attempts + failed, few(2) as usize);
+                met(few(3), EndpointReport { zone, covers, attempts, failed, mean_latency })
             } else {
-                let (came, aborted, op_type) = (f64::from(few(9)), f64::from(few(9)), few(2) as usize);
-                asked(few(3), Asked { op_type, covers, came, aborted })
+                let (came, failed, request_class) = (f64::from(few(9)), f64::from(few(9)), few(2) as usize);
+                asked(few(3), DemandReport { request_class, covers, came, failed })
             }
         };
         Lines((0..40).map(|_| line(&mut few)).collect())
@@ -147,18 +147,18 @@
 }
 
 #[test]
-fn sums_lose_nothing_and_keep_windows_places_and_times_apart() {
+fn sums_lose_nothing_and_keep_windows_zones_and_times_apart() {
     type Totals = BTreeMap<(u8, u32, usize, Span), [f64; 4]>;
-    fn totals(reports: impl Iterator<Item = (f64, Reported)>) -> Totals {
+    fn totals(reports: impl Iterator<Item = (f64, ReportBody)>) -> Totals {
         let mut totals = Totals::new();
         for (lines, what) in reports {
             let (key, figures) = match what {
-                Reported::Met { server, met, .. } => {
-                    let busy = (met.tries - met.aborted) * met.mean_latency.seconds();
-                    ((0, server, met.place, met.covers), [lines, met.tries, met.aborted, busy])
+                ReportBody::EndpointReport { replica, met, .. } => {
+                    let busy = (met.attempts - met.failed) * met.mean_latency.seconds();
+                    ((0, replica, met.zone, met.covers), [lines, met.attempts, met.failed, busy])
                 }
-                Reported::Asked { slice, asked } => {
-                    ((1, slice, asked.op_type, asked.covers), [lines, asked.came, asked.aborted, 0.0])
+                ReportBody::DemandReport { slice, asked } => {
+                    ((1, slice, asked.request_class, asked.covers), [lines, asked.came, asked.failed, 0.0])
                 }
             };
             let sum = totals.entry(key).or_default();
@@ -184,15 +184,17 @@
 
 #[test]
 fn of_a_sum_the_latest_answers_time_is_kept() {
-    let line = |tries, aborted, ms| {
+    let line = |attempts, failed, ms| {
         let (covers, mean_latency) = (Span::ms(1000), Span::ms(ms));
-        met(1, Met { place: 0, covers, tries, aborted, mean_latency })
+        met(1, EndpointReport { zone: 0, covers, attempts, failed, mean_latency })
     };
     let mut sums = Sums::at(at(0));
     [line(1.0, 0.0, 100), line(3.0, 0.0, 300), line(2.0, 2.0, 900)]
         .into_iter()
         .for_each(|line| sums.add(line));
-    let Reported::Met { met, latest, .. } = sums.summed()[0].what else { panic!("a sum of these") };
+    let ReportBody::EndpointReport { met, latest, .. } = sums.summed()[0].what else {
+        panic!("a sum of these")
+    };
     assert_eq!(
         (met.mean_latency, latest),
         (Span::ms(250), Span::ms(300)),
@@ -202,8 +204,8 @@
 
 #[test]
 fn late_news_is_laid_where_it_belongs() {
-    let ring = || Ring::new(Span::ms(500), 40);
-    let (mut late, mut in_time) = (ring(), ring());
+    let windowed_counter = || WindowedCounter::new(Span::ms(500), 40);
+    let (mut late, mut in_time) = (windowed_counter(), windowed_counter());
     in_time.spread(at(2000), Span::ms(1000), 8.0);
     in_time.spread(at(6000), Span::ms(1000), 4.0);
     late.spread(at(6000), Span::ms(1000), 4.0);
--- a/crates/management-api/src/ask.rs
+++ b/crates/management-api/src/ask.rs
@@ -1,7 +1,7 @@
-//! What is asked of a governor, and what it replies: checked values, no HTTP.
+//! What is asked of a controller, and what it replies: checked values, no HTTP.
 
 use whinwall_overrides::{Answer, Ask, Kept, Override, Refused};
-use whinwall_policy::interface::Heeded;
+use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -17,7 +17,7 @@
 pub struct Shown {
     pub one: Override,
     /// None where it has ended.
-    pub heeded: Option<Heeded>,
+    pub heeded: Option<OverrideStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -26,36 +26,36 @@
     pub since: Moment,
     pub proxies: usize,
     pub slices: usize,
-    pub servers: usize,
+    pub replicas: usize,
     /// What fails now, and how often in a row.
     pub failing: Vec<(&'static str, u32)>,
     pub orders_open: bool,
     pub standing: usize,
     pub listed: usize,
-    /// Where each governor steers a subset of the replicas.
+    /// Where each controller steers a subset of the replicas.
     pub subsetting: Option<SubsettingStatus>,
-    /// What aggregators tell; none where governors are told by collectors.
+    /// What aggregators tell; none where controllers are told by collectors.
     pub reports: Option<ReportFreshness>,
 }
 
-/// The fleet and this governor's part of the replicas.
+/// The fleet and this controller's part of the replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsettingStatus {
-    /// Governors of the fleet, this one included.
-    pub governors: usize,
+    /// Controllers of the fleet, this one included.
+    pub controllers: usize,
     /// Aggregators of the fleet.
     pub aggregators: usize,
-    /// The wished replicas a governor.
+    /// The wished replicas a controller.
     pub subset_size: usize,
-    /// The replicas that this governor steers now.
+    /// The replicas that this controller steers now.
     pub own_replicas: usize,
     /// The replicas that the registry lists now.
     pub listed_replicas: usize,
-    /// What this governor may be told, in bytes a second.
+    /// What this controller may be told, in bytes a second.
     pub bytes_per_second: u64,
 }
 
-/// How fresh and how complete the reports are that this governor goes by.
+/// How fresh and how complete the reports are that this controller goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportFreshness {
     /// What it is told now.
--- a/crates/management-api/src/client.rs
+++ b/crates/management-api/src/client.rs
@@ -19,30 +19,30 @@
 /// A list of ten thousand overrides with their reasons.
 const LARGEST: usize = 16 << 20;
 
-/// Where a governor is managed: `unix:PATH`, a path, or an address.
+/// Where a controller is managed: `unix:PATH`, a path, or an address.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Place {
+pub enum ManagementAddress {
     Socket(PathBuf),
     Address(SocketAddr),
 }
 
-impl FromStr for Place {
+impl FromStr for ManagementAddress {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         let path = text.strip_prefix("unix:").or(text.contains('/').then_some(text));
         if let Some(path) = path {
-            return Ok(Place::Socket(path.into()));
+            return Ok(ManagementAddress::Socket(path.into()));
         }
         let address = text.parse().map_err(|_| format!("{text:?} is neither a path nor an address"))?;
-        Ok(Place::Address(address))
+        Ok(ManagementAddress::Address(address))
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for ManagementAddress {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Place::Socket(path) => write!(f, "{}", path.display()),
-            Place::Address(address) => write!(f, "{address}"),
+            ManagementAddress::Socket(path) => write!(f, "{}", path.display()),
+            ManagementAddress::Address(address) => write!(f, "{address}"),
         }
     }
 }
@@ -81,17 +81,17 @@
 
 /// Not for more than one thread.
 pub struct Client {
-    place: Place,
+    address: ManagementAddress,
     token: Option<String>,
     http: awc::Client,
 }
 
 impl Client {
-    pub fn new(place: Place, token: Option<String>) -> Self {
+    pub fn new(address: ManagementAddress, token: Option<String>) -> Self {
         let builder = awc::Client::builder().timeout(PATIENCE);
-        let http = match place.clone() {
-            Place::Address(_) => builder.connector(Connector::new().timeout(CONNECT)).finish(),
-            Place::Socket(path) => {
+        let http = match address.clone() {
+            ManagementAddress::Address(_) => builder.connector(Connector::new().timeout(CONNECT)).finish(),
+            ManagementAddress::Socket(path) => {
                 let connect = fn_service(move |to: ConnectInfo<Uri>| {
                     let path = path.clone();
                     async move {
@@ -103,17 +103,17 @@
                 builder.connector(Connector::new().timeout(CONNECT).connector(connect)).finish()
             }
         };
-        Client { place, token, http }
+        Client { address, token, http }
     }
 
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn address(&self) -> &ManagementAddress {
+        &self.address
     }
 
     fn request(&self, method: awc::http::Method, path: &str) -> ClientRequest {
-        let host = match &self.place {
-            Place::Socket(_) => "localhost".to_string(),
-            Place::Address(address) => address.to_string(),
+        let host = match &self.address {
+            ManagementAddress::Socket(_) => "localhost".to_string(),
+            ManagementAddress::Address(address) => address.to_string(),
         };
         let request = self.http.request(method, format!("http://{host}{path}"));
         match &self.token {
--- a/crates/management-api/src/lib.rs
+++ b/crates/management-api/src/lib.rs
@@ -1,4 +1,4 @@
-//! The management front. `ask` has the typed requests and replies that a governor's reducer knows, `wire`
+//! The management front. `ask` has the typed requests and replies that a controller's reducer knows, `wire`
 //! their JSON, `server` the HTTP that carries them on a thread of its own, `client` the other end of it.
 #![forbid(unsafe_code)]
 
--- a/crates/management-api/src/server.rs
+++ b/crates/management-api/src/server.rs
@@ -1,5 +1,5 @@
 //! HTTP on a socket and a thread of its own. What it takes is bounded in size, time and number; a request
-//! reaches the governor as one typed value, and whoever waits too long hears that the outcome is unknown.
+//! reaches the controller as one typed value, and whoever waits too long hears that the outcome is unknown.
 
 use crate::ask::{Reply, Request};
 use crate::wire::{self, Problem};
@@ -29,7 +29,7 @@
 /// A request is there in this time, or is no request.
 const REQUEST: Duration = Duration::from_secs(2);
 const KEEP_ALIVE: Duration = Duration::from_secs(15);
-/// The governor answers within a turn, a disk within milliseconds; the rest is for a busy machine.
+/// The controller answers within a turn, a disk within milliseconds; the rest is for a busy machine.
 const ANSWER: Duration = Duration::from_secs(5);
 /// A shorter token could be guessed.
 const SHORTEST_TOKEN: usize = 16;
@@ -37,8 +37,8 @@
 /// Before the next attempt to take a connection where one failed.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// A request on its way to the governor, and the way back.
-pub type Asked = (Request, oneshot::Sender<Reply>);
+/// A request on its way to the controller, and the way back.
+pub type PendingRequest = (Request, oneshot::Sender<Reply>);
 
 pub enum Doors {
     Socket(PathBuf),
@@ -49,7 +49,7 @@
 struct Front {
     name: String,
     token: Option<Vec<u8>>,
-    governor: mpsc::Sender<Asked>,
+    controller: mpsc::Sender<PendingRequest>,
 }
 
 enum Listener {
@@ -91,9 +91,9 @@
         .ok_or_else(|| format!("{}: a token has {SHORTEST_TOKEN} to {LONGEST_TOKEN} bytes", file.display()))
 }
 
-/// Listens when it returns. The governor is asked through `governor`, which must be bounded: what finds no
+/// Listens when it returns. The controller is asked through `controller`, which must be bounded: what finds no
 /// room there is told to come again.
-pub fn start(doors: Doors, name: String, governor: mpsc::Sender<Asked>) -> io::Result<Serving> {
+pub fn start(doors: Doors, name: String, controller: mpsc::Sender<PendingRequest>) -> io::Result<Serving> {
     let (end, ended) = oneshot::channel();
     let (started, has_started) = std::sync::mpsc::channel();
     let thread = std::thread::Builder::new().name("management".into()).spawn(move || {
@@ -114,7 +114,7 @@
                 Doors::Address { token, .. } => Some(token),
             };
             _ = started.send(Ok(address));
-            let front = Rc::new(Front { name, token, governor });
+            let front = Rc::new(Front { name, token, controller });
             let serves = async {
                 match listener {
                     Listener::Socket(listener, _own) => {
@@ -257,7 +257,7 @@
 
     async fn ask(&self, request: Request) -> (u16, String) {
         let (back, reply) = oneshot::channel();
-        if self.governor.try_send((request, back)).is_err() {
+        if self.controller.try_send((request, back)).is_err() {
             return wire::encode(Reply::Busy, &self.name, wall());
         }
         match timeout(ANSWER, reply).await {
--- a/crates/management-api/src/wire.rs
+++ b/crates/management-api/src/wire.rs
@@ -3,7 +3,7 @@
 use crate::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
 use serde::{Deserialize, Serialize};
 use whinwall_overrides::{words, Ask, Kept, Kind, Order, Origin, Refused};
-use whinwall_policy::interface::Heeded;
+use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
 /// What sets an override; its id stands in the path.
@@ -11,7 +11,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Set {
     pub kind: KindName,
-    pub server: String,
+    #[serde(rename = "server")]
+    pub replica: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub factor: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -41,7 +42,8 @@
 pub struct Item {
     pub id: String,
     pub kind: KindName,
-    pub server: String,
+    #[serde(rename = "server")]
+    pub replica: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub factor: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -78,40 +80,42 @@
     pub up_s: f64,
     pub proxies: usize,
     pub slices: usize,
-    pub servers: usize,
+    #[serde(rename = "servers")]
+    pub replicas: usize,
     pub orders_open: bool,
     pub failing: Vec<Failing>,
     pub overrides_standing: usize,
     pub overrides_listed: usize,
-    /// Where each governor steers a subset of the replicas.
+    /// Where each controller steers a subset of the replicas.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub subsetting: Option<Subsetting>,
-    /// What aggregators tell; none where governors are told by collectors.
+    /// What aggregators tell; none where controllers are told by collectors.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reports: Option<Reports>,
 }
 
-/// The fleet and the governor's part of the replicas.
+/// The fleet and the controller's part of the replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subsetting {
-    /// Governors of the fleet, the one that answers included.
-    pub governors: usize,
+    /// Controllers of the fleet, the one that answers included.
+    #[serde(rename = "governors")]
+    pub controllers: usize,
     /// Aggregators of the fleet.
     pub aggregators: usize,
-    /// The wished replicas a governor.
+    /// The wished replicas a controller.
     pub subset: usize,
-    /// The replicas that the governor steers now.
+    /// The replicas that the controller steers now.
     pub own_replicas: usize,
     /// The replicas that the registry lists now.
     pub listed_replicas: usize,
-    /// What the governor may be told, in bytes a second.
+    /// What the controller may be told, in bytes a second.
     pub budget_bytes_per_s: u64,
 }
 
-/// How fresh and how complete the reports are that the governor goes by.
+/// How fresh and how complete the reports are that the controller goes by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reports {
-    /// What the governor is told now.
+    /// What the controller is told now.
     pub bytes_per_s: f64,
     /// The time since the latest report; none where there was none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -148,17 +152,17 @@
 
 impl Set {
     pub fn order(self, id: &str) -> Result<Order, Problem> {
-        let server = self.server;
+        let replica = self.replica;
         let needless = |part: &str| Err(Problem::of(part, "it has no meaning for this kind".into()));
         let kind = match (self.kind, self.factor, self.slices) {
-            (KindName::Weight, Some(factor), None) => Kind::Weight { server, factor },
+            (KindName::Weight, Some(factor), None) => Kind::Weight { replica, factor },
             (KindName::Weight, None, _) => return Err(Problem::of("factor", "it is missing".into())),
             (KindName::Pin, None, Some(slices)) => {
                 let (first, last) = words::slices(&slices).map_err(|why| Problem::of("slices", why))?;
-                Kind::Pin { first, last, server }
+                Kind::Pin { first, last, replica }
             }
             (KindName::Pin, _, None) => return Err(Problem::of("slices", "they are missing".into())),
-            (KindName::Out, None, None) => Kind::Out { server },
+            (KindName::Out, None, None) => Kind::Out { replica },
             (KindName::Weight, _, Some(_)) | (KindName::Out, None, Some(_)) => return needless("slices"),
             (KindName::Pin | KindName::Out, Some(_), _) => return needless("factor"),
         };
@@ -189,7 +193,7 @@
     }
 }
 
-/// A moment of the governor's own clock by the wall's: both are there now.
+/// A moment of the controller's own clock by the wall's: both are there now.
 fn by_wall(at: Moment, now: Moment, wall: Moment) -> String {
     words::write_wall(if at >= now { wall + (at - now) } else { wall - (now - at) })
 }
@@ -200,15 +204,17 @@
         let (kind, factor, slices) = parts(&one.kind);
         let (state, cause) = match (&one.ended, shown.heeded) {
             (Some((at, why)), _) => ("ended", Some(format!("{why} at {}", by_wall(*at, now, wall)))),
-            (None, None | Some(Heeded::Absent)) => ("absent", Some("its server is not in the list".into())),
-            (None, Some(Heeded::InForce)) => ("in force", None),
-            (None, Some(Heeded::Waiting(why))) => ("waiting", Some(why.into())),
-            (None, Some(Heeded::Suspended(why))) => ("suspended", Some(why.into())),
+            (None, None | Some(OverrideStatus::Absent)) => {
+                ("absent", Some("its server is not in the list".into()))
+            }
+            (None, Some(OverrideStatus::InForce)) => ("in force", None),
+            (None, Some(OverrideStatus::Waiting(why))) => ("waiting", Some(why.into())),
+            (None, Some(OverrideStatus::Suspended(why))) => ("suspended", Some(why.into())),
         };
         Item {
             id: one.id.clone(),
             kind,
-            server: one.kind.server().into(),
+            replica: one.kind.replica().into(),
             factor,
             slices,
             author: one.author.clone(),
@@ -274,7 +280,7 @@
             up_s: status.up().seconds(),
             proxies: status.proxies,
             slices: status.slices,
-            servers: status.servers,
+            replicas: status.replicas,
             orders_open: status.orders_open,
             failing: status.failing.iter().map(failing).collect(),
             overrides_standing: status.standing,
@@ -288,7 +294,7 @@
 impl Subsetting {
     fn of(status: &SubsettingStatus) -> Self {
         Subsetting {
-            governors: status.governors,
+            controllers: status.controllers,
             aggregators: status.aggregators,
             subset: status.subset_size,
             own_replicas: status.own_replicas,
@@ -314,7 +320,7 @@
     let (name, factor, slices) = parts(kind);
     Set {
         kind: name,
-        server: kind.server().into(),
+        replica: kind.replica().into(),
         factor,
         slices,
         author: author.into(),
--- a/crates/management-api/tests/front.rs
+++ b/crates/management-api/tests/front.rs
@@ -1,4 +1,4 @@
-//! The front over its sockets, with a stand-in for the governor: bounds, tokens, spoilt requests, repeats.
+//! The front over its sockets, with a stand-in for the controller: bounds, tokens, spoilt requests, repeats.
 
 use actix_rt::System;
 use std::io::{Read, Write};
@@ -9,19 +9,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use whinwall_management_api::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
-use whinwall_management_api::client::{Client, Failure, Place};
-use whinwall_management_api::server::{self, Asked, Doors, Serving};
+use whinwall_management_api::client::{Client, Failure, ManagementAddress};
+use whinwall_management_api::server::{self, Doors, PendingRequest, Serving};
 use whinwall_management_api::wire::{KindName, Set};
 use whinwall_overrides::{Ask, Kept, Kind, Order, Origin, Override, Refused};
-use whinwall_policy::interface::Heeded;
+use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
 const TOKEN: &str = "a-token-of-some-length";
 
 fn set() -> Set {
-    let (kind, server) = (KindName::Out, "s-1".into());
+    let (kind, replica) = (KindName::Out, "s-1".into());
     let (author, reason, lasts) = ("mb".into(), "disk".into(), "30m".into());
-    Set { kind, server, factor: None, slices: None, author, reason, lasts }
+    Set { kind, replica, factor: None, slices: None, author, reason, lasts }
 }
 
 fn shown(order: &Order) -> Shown {
@@ -38,11 +38,11 @@
         until_wall: None,
         ended: None,
     };
-    Shown { one, heeded: Some(Heeded::Suspended("rule 1: no other warm server is well")) }
+    Shown { one, heeded: Some(OverrideStatus::Suspended("rule 1: no other warm server is well")) }
 }
 
-/// Takes what is asked, and answers as a governor would; what is set has some ids that mean something.
-fn governor(mut asked: mpsc::Receiver<Asked>) {
+/// Takes what is asked, and answers as a controller would; what is set has some ids that mean something.
+fn controller(mut asked: mpsc::Receiver<PendingRequest>) {
     std::thread::spawn(move || {
         let now = Moment::at_ns(1_000_000_000_000);
         while let Some((request, back)) = asked.blocking_recv() {
@@ -56,7 +56,7 @@
                 },
                 Request::Change(Ask::Clear { id, .. }) => Reply::Refused(Refused::Unknown { id }),
                 Request::List => {
-                    let kind = Kind::Pin { first: 4, last: 9, server: "s-2".into() };
+                    let kind = Kind::Pin { first: 4, last: 9, replica: "s-2".into() };
                     let (author, reason) = ("mb".into(), "hot".into());
                     let order = Order { id: "p".into(), kind, author, reason, lasts: Span::ms(90_000) };
                     Reply::Listed { all: vec![shown(&order)], now }
@@ -67,13 +67,13 @@
                     since: now - Span::ms(5000),
                     proxies: 3,
                     slices: 6,
-                    servers: 3,
+                    replicas: 3,
                     failing: vec![("the relay's news", 4)],
                     orders_open: false,
                     standing: 1,
                     listed: 2,
                     subsetting: Some(SubsettingStatus {
-                        governors: 650,
+                        controllers: 650,
                         aggregators: 4,
                         subset_size: 48,
                         own_replicas: 51,
@@ -92,18 +92,18 @@
     });
 }
 
-fn by_address() -> (Serving, Place) {
+fn by_address() -> (Serving, ManagementAddress) {
     let (ask, asked) = mpsc::channel(16);
-    governor(asked);
+    controller(asked);
     let doors = Doors::Address { address: "127.0.0.1:0".parse().unwrap(), token: TOKEN.into() };
     let serving = server::start(doors, "n0".into(), ask).unwrap();
-    let place = Place::Address(serving.address.unwrap());
+    let place = ManagementAddress::Address(serving.address.unwrap());
     (serving, place)
 }
 
 fn by_socket() -> (tempfile::TempDir, Serving, PathBuf) {
     let (ask, asked) = mpsc::channel(16);
-    governor(asked);
+    controller(asked);
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("m.sock");
     let serving = server::start(Doors::Socket(path.clone()), "n0".into(), ask).unwrap();
@@ -111,8 +111,8 @@
 }
 
 /// What is said to an address, byte by byte, and all that comes back.
-fn raw(place: &Place, text: &[u8]) -> String {
-    let Place::Address(address) = place else { panic!("an address") };
+fn raw(place: &ManagementAddress, text: &[u8]) -> String {
+    let ManagementAddress::Address(address) = place else { panic!("an address") };
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     _ = stream.write_all(text);
@@ -133,7 +133,8 @@
     let (_by_address, address) = by_address();
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
     System::new().block_on(async {
-        let clients = [Client::new(Place::Socket(path), None), Client::new(address, Some(TOKEN.into()))];
+        let clients =
+            [Client::new(ManagementAddress::Socket(path), None), Client::new(address, Some(TOKEN.into()))];
         for client in clients {
             let outcome = client.set("a", &set()).await.unwrap();
             assert_eq!((outcome.outcome.as_str(), outcome.kept.as_str()), ("set", "on disk"));
@@ -144,7 +145,7 @@
             let status = client.status().await.unwrap();
             assert_eq!((status.name.as_str(), status.up_s, status.failing[0].times), ("n0", 5.0, 4));
             let subsetting = status.subsetting.unwrap();
-            assert_eq!((subsetting.governors, subsetting.aggregators, subsetting.subset), (650, 4, 48));
+            assert_eq!((subsetting.controllers, subsetting.aggregators, subsetting.subset), (650, 4, 48));
             assert_eq!((subsetting.own_replicas, subsetting.listed_replicas), (51, 2200));
             assert_eq!(subsetting.budget_bytes_per_s, 27_000);
             let reports = status.reports.unwrap();
@@ -206,7 +207,7 @@
     let answer = raw(&place, &request("PUT /v1/overrides/a", TOKEN, &large));
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
     // Half a request, half a body, and connections that say nothing at all, more than there may be.
-    let Place::Address(address) = place else { panic!("an address") };
+    let ManagementAddress::Address(address) = place else { panic!("an address") };
     let mut open: Vec<_> = (0..80).map(|_| TcpStream::connect(address).unwrap()).collect();
     _ = open[0].write_all(b"PUT /v1/over");
     _ = open[1].write_all(&request("PUT /v1/overrides/a", TOKEN, &large)[..200]);
@@ -222,12 +223,12 @@
 fn an_answer_that_does_not_come_is_an_outcome_unknown() {
     let (_folder, serving, path) = by_socket();
     System::new().block_on(async {
-        let client = Client::new(Place::Socket(path.clone()), None);
+        let client = Client::new(ManagementAddress::Socket(path.clone()), None);
         assert!(matches!(client.set("silent", &set()).await, Err(Failure::OutcomeUnknown(_))));
         assert!(client.status().await.is_ok());
         drop(serving);
         assert!(matches!(client.status().await, Err(Failure::NotSent(_) | Failure::OutcomeUnknown(_))));
-        let anew = Client::new(Place::Socket(path.clone()), None);
+        let anew = Client::new(ManagementAddress::Socket(path.clone()), None);
         assert!(matches!(anew.status().await, Err(Failure::NotSent(_))));
     });
     assert!(!path.exists());
@@ -247,11 +248,11 @@
 }
 
 #[test]
-fn more_than_the_governor_takes_is_told_to_come_again() {
+fn more_than_the_controller_takes_is_told_to_come_again() {
     let (ask, _nobody_reads) = mpsc::channel(1);
     let doors = Doors::Address { address: "127.0.0.1:0".parse().unwrap(), token: TOKEN.into() };
     let serving = server::start(doors, "n0".into(), ask).unwrap();
-    let place = Place::Address(serving.address.unwrap());
+    let place = ManagementAddress::Address(serving.address.unwrap());
     let (say, answers) = std::sync::mpsc::channel();
     for _ in 0..6 {
         let (say, place) = (say.clone(), place.clone());
--- a/crates/management-api/tests/wire_text.rs
+++ b/crates/management-api/tests/wire_text.rs
@@ -8,7 +8,7 @@
     self, Clear, Failing, Item, KindName, List, Outcome, Problem, Reports, Set, State, Subsetting,
 };
 use whinwall_overrides::{Ask, End, Kept, Kind, Order, Origin, Override, Refused};
-use whinwall_policy::interface::Heeded;
+use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
 /// 2026-12-01T22:00:00Z.
@@ -37,15 +37,15 @@
 }
 
 fn weight() -> Kind {
-    Kind::Weight { server: "s-3".into(), factor: 0.5 }
+    Kind::Weight { replica: "s-3".into(), factor: 0.5 }
 }
 
 fn out() -> Kind {
-    Kind::Out { server: "s-3".into() }
+    Kind::Out { replica: "s-3".into() }
 }
 
 fn pin() -> Kind {
-    Kind::Pin { first: 40, last: 47, server: "s-3".into() }
+    Kind::Pin { first: 40, last: 47, replica: "s-3".into() }
 }
 
 fn shown(kind: Kind) -> Shown {
@@ -61,7 +61,7 @@
         until_wall: None,
         ended: None,
     };
-    Shown { one, heeded: Some(Heeded::InForce) }
+    Shown { one, heeded: Some(OverrideStatus::InForce) }
 }
 
 fn ended(end: End) -> Shown {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn request_to_take_a_server_out_has_its_text() {
+fn request_to_take_a_replica_out_has_its_text() {
     assert_text(&wire::set_of(&out(), "mb", "disk is failing", HALF_HOUR), SET_OUT);
 }
 
@@ -191,10 +191,10 @@
 fn states_that_stand_have_their_words_and_causes() {
     for (heeded, text) in [
         (None, r#""state":"absent","cause":"its server is not in the list""#),
-        (Some(Heeded::Absent), r#""state":"absent","cause":"its server is not in the list""#),
-        (Some(Heeded::InForce), r#""state":"in force""#),
-        (Some(Heeded::Waiting("no spare")), r#""state":"waiting","cause":"no spare""#),
-        (Some(Heeded::Suspended("rule 1")), r#""state":"suspended","cause":"rule 1""#),
+        (Some(OverrideStatus::Absent), r#""state":"absent","cause":"its server is not in the list""#),
+        (Some(OverrideStatus::InForce), r#""state":"in force""#),
+        (Some(OverrideStatus::Waiting("no spare")), r#""state":"waiting","cause":"no spare""#),
+        (Some(OverrideStatus::Suspended("rule 1")), r#""state":"suspended","cause":"rule 1""#),
     ] {
         let shown = Shown { heeded, ..shown(out()) };
         assert_eq!(item(&shown), ITEM.replace(r#""state":"in force""#, text));
@@ -266,13 +266,13 @@
         since: NOW - Span::ms(5_000),
         proxies: 3,
         slices: 6,
-        servers: 9,
+        replicas: 9,
         failing: vec![("discovery", 4)],
         orders_open: true,
         standing: 1,
         listed: 2,
         subsetting: Some(SubsettingStatus {
-            governors: 650,
+            controllers: 650,
             aggregators: 4,
             subset_size: 48,
             own_replicas: 51,
@@ -306,13 +306,13 @@
         up_s: 5.0,
         proxies: 3,
         slices: 6,
-        servers: 9,
+        replicas: 9,
         orders_open: true,
         failing: vec![Failing { what: "discovery".into(), times: 4 }],
         overrides_standing: 1,
         overrides_listed: 2,
         subsetting: Some(Subsetting {
-            governors: 650,
+            controllers: 650,
             aggregators: 4,
             subset: 48,
             own_replicas: 51,
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn failures_of_the_governor_have_their_codes_and_texts() {
+fn failures_of_the_controller_have_their_codes_and_texts() {
     let not_kept = r#"{"error":"not kept, nothing has changed: the disk is full"}"#;
     assert_eq!(encode(Reply::NotKept("the disk is full".into())), (507, not_kept.into()));
     let busy = r#"{"error":"too many wait already; nothing has changed"}"#;
@@ -377,7 +377,7 @@
 fn request_to_set_has_its_fields() {
     let every = Set {
         kind: KindName::Weight,
-        server: "s".into(),
+        replica: "s".into(),
         factor: Some(2.0),
         slices: Some("1".into()),
         author: "mb".into(),
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -26,7 +26,7 @@
     pub cores: Option<usize>,
     pub bounds: Bounds,
     pub overrides: Vec<FileOrder>,
-    /// Each governor steers a subset of the replicas, and is told of these by aggregators.
+    /// Each controller steers a subset of the replicas, and is told of these by aggregators.
     pub subsetting: Option<SubsettingConfig>,
 }
 
@@ -151,17 +151,17 @@
     };
     one.has_only(own, &[])?;
     let text = |name| one.must(name, |text| Ok(text.to_string()));
-    let server = text("server")?;
+    let replica = text("server")?;
     let kind = match one.name.as_str() {
         "weight" => {
             let number = |text: &str| text.parse().map_err(|_| format!("{text:?} is no number"));
-            Kind::Weight { server, factor: one.must("factor", number)? }
+            Kind::Weight { replica, factor: one.must("factor", number)? }
         }
         "pin" => {
             let (first, last) = one.must("slices", words::slices)?;
-            Kind::Pin { first, last, server }
+            Kind::Pin { first, last, replica }
         }
-        _ => Kind::Out { server },
+        _ => Kind::Out { replica },
     };
     let (id, author, reason) = (text("id")?, text("author")?, text("reason")?);
     record::check(&id, &kind, &author, &reason).map_err(|(part, why)| one.wrong(format!("{part}: {why}")))?;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -7,5 +7,5 @@
 pub mod tree;
 
 pub use file::{Doors, LogForm, OperatorsFile};
-pub use subsetting::{AggregatorMember, GovernorMember, SubsettingConfig, UnknownMember};
+pub use subsetting::{AggregatorMember, ControllerMember, SubsettingConfig, UnknownMember};
 pub use tree::Wrong;
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -1,15 +1,15 @@
-//! What the operators' file says of subsetting: the governors of the fleet, the aggregators that report to them,
-//! and how much each governor steers and is told.
+//! What the operators' file says of subsetting: the controllers of the fleet, the aggregators that report to them,
+//! and how much each controller steers and is told.
 
 use crate::tree::{Element, Wrong};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use whinwall_overrides::words;
-use whinwall_subsetting::{Membership, MembershipError, Parameters, MAX_GOVERNORS};
+use whinwall_subsetting::{Membership, MembershipError, Parameters, MAX_CONTROLLERS};
 
 /// More aggregators than that are a mistake.
 pub const MAX_AGGREGATORS: usize = 64;
-/// A governor's budget has room for one report line of the longest names in each second.
+/// A controller's budget has room for one report line of the longest names in each second.
 pub const MIN_BYTES_PER_SECOND: u64 = 512;
 /// More a second is no budget.
 pub const MAX_BYTES_PER_SECOND: u64 = 1_000_000_000;
@@ -17,7 +17,7 @@
 pub const MAX_SUBSET_SIZE: usize = 100_000;
 /// The longest name of a member.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The most ranges of slices of one governor.
+/// The most ranges of slices of one controller.
 const MAX_SLICE_RANGES: usize = 256;
 
 /// A range of slices; both ends are included.
@@ -26,22 +26,22 @@
 /// The element `<subsetting>`, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubsettingConfig {
-    /// Wished replicas a governor.
+    /// Wished replicas a controller.
     pub subset_size: usize,
-    /// What a governor may be told, in bytes a second.
+    /// What a controller may be told, in bytes a second.
     pub bytes_per_second: u64,
     /// The whole fleet, in the file's order.
-    pub governors: Vec<GovernorMember>,
+    pub controllers: Vec<ControllerMember>,
     /// Who sums up reports for the fleet, in the file's order.
     pub aggregators: Vec<AggregatorMember>,
 }
 
-/// A governor of the fleet.
+/// A controller of the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GovernorMember {
-    /// As in the governor's own configuration.
+pub struct ControllerMember {
+    /// As in the controller's own configuration.
     pub name: String,
-    /// Where it listens; aggregators do not report to a governor without an address.
+    /// Where it listens; aggregators do not report to a controller without an address.
     pub address: Option<SocketAddr>,
     /// The slices that it owns; none where nothing is said, which means all that it may own.
     pub slices: Vec<SliceRange>,
@@ -59,19 +59,19 @@
 /// A name that is not among the members it should be among.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownMember {
-    /// No governor of the file has this name.
+    /// No controller of the file has this name.
     #[error("<subsetting>: this governor's own name, {0:?}, is not among its governors")]
-    Governor(String),
+    Controller(String),
     /// No aggregator of the file has this name.
     #[error("<subsetting>: {0:?} is not among its aggregators")]
     Aggregator(String),
 }
 
 impl SubsettingConfig {
-    /// The member of this name; the governor itself has to be one.
-    pub fn governor(&self, name: &str) -> Result<&GovernorMember, UnknownMember> {
-        let found = self.governors.iter().find(|governor| governor.name == name);
-        found.ok_or_else(|| UnknownMember::Governor(name.to_string()))
+    /// The member of this name; the controller itself has to be one.
+    pub fn controller(&self, name: &str) -> Result<&ControllerMember, UnknownMember> {
+        let found = self.controllers.iter().find(|controller| controller.name == name);
+        found.ok_or_else(|| UnknownMember::Controller(name.to_string()))
     }
 
     /// The member of this name; the aggregator itself has to be one.
@@ -80,9 +80,9 @@
         found.ok_or_else(|| UnknownMember::Aggregator(name.to_string()))
     }
 
-    /// The governors' names, for computing subsets.
+    /// The controllers' names, for computing subsets.
     pub fn membership(&self) -> Result<Membership, MembershipError> {
-        Membership::new(self.governors.iter().map(|governor| governor.name.clone()))
+        Membership::new(self.controllers.iter().map(|controller| controller.name.clone()))
     }
 
     /// For computing subsets.
@@ -96,16 +96,16 @@
     element.has_only(&["subset", "bytes-per-second"], &["governor", "aggregator"])?;
     let subset_size = element.must("subset", |text| whole(text, 1, MAX_SUBSET_SIZE))?;
     let bytes_per_second = element.must("bytes-per-second", bytes_per_second)?;
-    let governors = members(element, "governor", MAX_GOVERNORS, governor)?;
-    unique(&governors, |(_, governor)| Some(&governor.name), "name")?;
-    unique(&governors, |(_, governor)| governor.address, "address")?;
+    let controllers = members(element, "governor", MAX_CONTROLLERS, controller)?;
+    unique(&controllers, |(_, controller)| Some(&controller.name), "name")?;
+    unique(&controllers, |(_, controller)| controller.address, "address")?;
     let aggregators = members(element, "aggregator", MAX_AGGREGATORS, aggregator)?;
     unique(&aggregators, |(_, aggregator)| Some(&aggregator.name), "name")?;
     unique(&aggregators, |(_, aggregator)| Some(aggregator.address), "address")?;
     Ok(SubsettingConfig {
         subset_size,
         bytes_per_second,
-        governors: governors.into_iter().map(|(_, governor)| governor).collect(),
+        controllers: controllers.into_iter().map(|(_, controller)| controller).collect(),
         aggregators: aggregators.into_iter().map(|(_, aggregator)| aggregator).collect(),
     })
 }
@@ -146,9 +146,9 @@
     Ok(())
 }
 
-fn governor(element: &Element) -> Result<GovernorMember, Wrong> {
+fn controller(element: &Element) -> Result<ControllerMember, Wrong> {
     element.has_only(&["name", "address", "slices"], &[])?;
-    Ok(GovernorMember {
+    Ok(ControllerMember {
         name: element.must("name", name)?,
         address: element.maybe("address", address)?,
         slices: element.maybe("slices", slice_ranges)?.unwrap_or_default(),
--- a/crates/operator-config/tests/every_part.rs
+++ b/crates/operator-config/tests/every_part.rs
@@ -3,7 +3,7 @@
 
 use std::path::PathBuf;
 use whinwall_operator_config::file::{self, Doors, LogForm, OperatorsFile};
-use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig};
+use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
 use whinwall_overrides::book::FileOrder;
 use whinwall_overrides::{Bounds, Kind};
 use whinwall_policy::time::{Moment, Span};
@@ -37,9 +37,9 @@
 }
 
 fn expected() -> OperatorsFile {
-    let weight = Kind::Weight { server: "s-1".into(), factor: 0.5 };
-    let out = Kind::Out { server: "s-2".into() };
-    let pin = Kind::Pin { first: 40, last: 47, server: "s-3".into() };
+    let weight = Kind::Weight { replica: "s-1".into(), factor: 0.5 };
+    let out = Kind::Out { replica: "s-2".into() };
+    let pin = Kind::Pin { first: 40, last: 47, replica: "s-3".into() };
     OperatorsFile {
         log: LogForm::Json,
         store: Some("/var/lib/fleet".into()),
@@ -57,7 +57,7 @@
         subsetting: Some(SubsettingConfig {
             subset_size: 48,
             bytes_per_second: 27_000,
-            governors: vec![GovernorMember {
+            controllers: vec![ControllerMember {
                 name: "n0".into(),
                 address: Some("127.0.0.1:8443".parse().unwrap()),
                 slices: vec![(0, 19), (30, 30)],
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -197,8 +197,8 @@
     let read = file::read(&text).unwrap();
     assert_eq!((read.log, read.bounds.most, read.store), (LogForm::Json, 7, None));
     assert!(matches!(read.management, Some(Doors::Address { address, .. }) if address.port() == 8600));
-    let server = "s \"1\"".to_string();
-    assert_eq!(read.overrides[1].kind, Kind::Pin { first: 4, last: 9, server });
+    let replica = "s \"1\"".to_string();
+    assert_eq!(read.overrides[1].kind, Kind::Pin { first: 4, last: 9, replica });
 }
 
 /// The example with some of its bytes lost, doubled or changed.
--- a/crates/operator-config/tests/subsetting.rs
+++ b/crates/operator-config/tests/subsetting.rs
@@ -1,7 +1,7 @@
 //! The element `<subsetting>`: what it says, and errors that name the place.
 
 use whinwall_operator_config::file;
-use whinwall_operator_config::{AggregatorMember, GovernorMember, SubsettingConfig, UnknownMember};
+use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig, UnknownMember};
 
 const MEMBERS: &str = r#"
     <governor name="n1" address="127.0.0.1:8443" slices="0-19,40"/>
@@ -31,13 +31,13 @@
 fn members_and_sizes_are_read() {
     let config = read(&whole(MEMBERS));
     let address = |text: &str| text.parse().expect("an address");
-    let governors = [
-        GovernorMember {
+    let controllers = [
+        ControllerMember {
             name: "n1".into(),
             address: Some(address("127.0.0.1:8443")),
             slices: vec![(0, 19), (40, 40)],
         },
-        GovernorMember { name: "n2".into(), address: None, slices: vec![] },
+        ControllerMember { name: "n2".into(), address: None, slices: vec![] },
     ];
     let aggregators = [
         AggregatorMember { name: "m1".into(), address: address("127.0.0.1:7001") },
@@ -46,7 +46,7 @@
     let expected = SubsettingConfig {
         subset_size: 48,
         bytes_per_second: 27_000,
-        governors: governors.into(),
+        controllers: controllers.into(),
         aggregators: aggregators.into(),
     };
     assert_eq!(config, expected);
@@ -57,9 +57,9 @@
 #[test]
 fn members_are_found_by_name() {
     let config = read(&whole(MEMBERS));
-    assert_eq!(config.governor("n2").map(|governor| &governor.name), Ok(&"n2".to_string()));
+    assert_eq!(config.controller("n2").map(|controller| &controller.name), Ok(&"n2".to_string()));
     assert_eq!(config.aggregator("m2").map(|aggregator| &aggregator.name), Ok(&"m2".to_string()));
-    assert_eq!(config.governor("n3"), Err(UnknownMember::Governor("n3".into())));
+    assert_eq!(config.controller("n3"), Err(UnknownMember::Controller("n3".into())));
     let unknown = config.aggregator("m3").expect_err("not there");
     assert_eq!(unknown.to_string(), "<subsetting>: \"m3\" is not among its aggregators");
 }
--- a/crates/overrides/src/book.rs
+++ b/crates/overrides/src/book.rs
@@ -1,4 +1,4 @@
-//! All overrides of a governor. A change is proposed, kept on disk by whoever can, and only then made: until
+//! All overrides of a controller. A change is proposed, kept on disk by whoever can, and only then made: until
 //! then nothing of it is there. Ends need no disk: they come with the time.
 
 use crate::record::{check, End, Kind, Order, Origin, Override};
@@ -6,7 +6,7 @@
 use crate::{saved, words};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
-use whinwall_policy::interface::WishId;
+use whinwall_policy::api::OverrideId;
 use whinwall_policy::time::{Moment, Span};
 
 /// How much there may be; the operators' file can say otherwise.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Change {
     pub puts: Vec<Override>,
-    pub drops: Vec<WishId>,
+    pub drops: Vec<OverrideId>,
 }
 
 impl Change {
@@ -53,7 +53,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Proposal {
     /// It was asked for before, and is as it is: standing or ended.
-    Known(WishId),
+    Known(OverrideId),
     New(Change),
 }
 
@@ -91,16 +91,16 @@
 pub struct Book {
     bounds: Bounds,
     line: Timeline,
-    all: BTreeMap<WishId, Override>,
+    all: BTreeMap<OverrideId, Override>,
     /// The newest of each id.
-    ids: BTreeMap<String, WishId>,
+    ids: BTreeMap<String, OverrideId>,
     /// Those that stand, by their ends.
-    ends: BTreeSet<(Moment, WishId)>,
-    next: WishId,
+    ends: BTreeSet<(Moment, OverrideId)>,
+    next: OverrideId,
     /// Ended ones that are still on disk though nobody lists them any more.
-    to_drop: Vec<WishId>,
+    to_drop: Vec<OverrideId>,
     /// Those that ended and whose end is not on disk yet.
-    to_note: BTreeSet<WishId>,
+    to_note: BTreeSet<OverrideId>,
 }
 
 impl Book {
@@ -117,7 +117,7 @@
         now: Moment,
         reading: &Reading,
         stamp: Option<&Stamp>,
-        kept: &[(WishId, Vec<u8>)],
+        kept: &[(OverrideId, Vec<u8>)],
     ) -> (Self, Vec<String>) {
         let (line, sure) = Timeline::resume(now, reading, stamp);
         let mut book = Book::open(bounds, line);
@@ -167,7 +167,7 @@
         self.all.insert(number, one);
     }
 
-    fn end(&mut self, number: WishId, at: Moment, why: End) {
+    fn end(&mut self, number: OverrideId, at: Moment, why: End) {
         let Some(one) = self.all.get_mut(&number).filter(|one| one.stands()) else { return };
         self.ends.remove(&(one.ends, number));
         one.ended = Some((at, why));
@@ -188,7 +188,7 @@
         self.all.get(self.ids.get(id)?)
     }
 
-    pub fn number(&self, number: WishId) -> Option<&Override> {
+    pub fn number(&self, number: OverrideId) -> Option<&Override> {
         self.all.get(&number)
     }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    fn drop_record(&mut self, number: WishId) {
+    fn drop_record(&mut self, number: OverrideId) {
         if let Some(one) = self.all.remove(&number) {
             if self.ids.get(&one.id) == Some(&number) {
                 self.ids.remove(&one.id);
--- a/crates/overrides/src/clerk.rs
+++ b/crates/overrides/src/clerk.rs
@@ -7,7 +7,7 @@
 use crate::timeline::{Reading, Timeline};
 use std::collections::VecDeque;
 use std::mem::take;
-use whinwall_policy::interface::WishId;
+use whinwall_policy::api::OverrideId;
 use whinwall_policy::time::{Moment, Span};
 
 /// Whoever waits for an answer.
@@ -40,12 +40,12 @@
 pub enum Answer {
     /// `again` where it was so already.
     Set {
-        number: WishId,
+        number: OverrideId,
         again: bool,
         kept: Kept,
     },
     Cleared {
-        number: WishId,
+        number: OverrideId,
         again: bool,
         kept: Kept,
     },
@@ -62,8 +62,8 @@
     /// All of it or nothing, and a stamp by this line; `kept` is told how it went.
     Keep {
         serial: u64,
-        puts: Vec<(WishId, Vec<u8>)>,
-        drops: Vec<WishId>,
+        puts: Vec<(OverrideId, Vec<u8>)>,
+        drops: Vec<OverrideId>,
         line: Timeline,
     },
     Answer {
@@ -84,7 +84,7 @@
     serial: u64,
     set: Option<(Ticket, Change)>,
     rest: Change,
-    cleared: Vec<(Ticket, WishId)>,
+    cleared: Vec<(Ticket, OverrideId)>,
 }
 
 pub struct Clerk {
@@ -92,7 +92,7 @@
     store: Store,
     orders: VecDeque<(Ticket, Order)>,
     /// Cleared already; whoever asked waits for the disk.
-    cleared: Vec<(Ticket, WishId)>,
+    cleared: Vec<(Ticket, OverrideId)>,
     flight: Option<Flight>,
     serial: u64,
     /// What the operators' file said, once it was read.
@@ -177,7 +177,7 @@
         now: Moment,
         reading: &Reading,
         stamp: Option<&[u8]>,
-        records: &[(WishId, Vec<u8>)],
+        records: &[(OverrideId, Vec<u8>)],
     ) {
         let stamp = stamp.map(saved::read_stamp).transpose().unwrap_or_else(|why| {
             self.note(format!("the store's stamp can't be read: {why}; ends count by the wall's clock"));
--- a/crates/overrides/src/record.rs
+++ b/crates/overrides/src/record.rs
@@ -1,40 +1,40 @@
 //! One override, and what is asked for when one is set.
 
 use std::fmt;
-use whinwall_policy::interface::{SliceId, WishId};
+use whinwall_policy::api::{OverrideId, SliceId};
 use whinwall_policy::time::{Moment, Span};
 
-/// What it does. Servers go by name: a number is the program's own and may change.
+/// What it does. Replicas go by name: a number is the program's own and may change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// A factor on the server's listed size.
+    /// A factor on the replica's listed size.
     Weight {
-        server: String,
+        replica: String,
         factor: f64,
     },
     Out {
-        server: String,
+        replica: String,
     },
     /// Both ends included.
     Pin {
         first: SliceId,
         last: SliceId,
-        server: String,
+        replica: String,
     },
 }
 
 impl Kind {
-    pub fn server(&self) -> &str {
+    pub fn replica(&self) -> &str {
         match self {
-            Kind::Weight { server, .. } | Kind::Out { server } | Kind::Pin { server, .. } => server,
+            Kind::Weight { replica, .. } | Kind::Out { replica } | Kind::Pin { replica, .. } => replica,
         }
     }
 
     /// Whether it takes the place of an earlier one: two of a kind can't both hold for the same.
     pub fn replaces(&self, earlier: &Kind) -> bool {
         match (self, earlier) {
-            (Kind::Weight { server, .. }, Kind::Weight { server: other, .. }) => server == other,
-            (Kind::Out { server }, Kind::Out { server: other }) => server == other,
+            (Kind::Weight { replica, .. }, Kind::Weight { replica: other, .. }) => replica == other,
+            (Kind::Out { replica }, Kind::Out { replica: other }) => replica == other,
             (Kind::Pin { first, last, .. }, Kind::Pin { first: from, last: to, .. }) => {
                 first <= from && last >= to
             }
@@ -46,10 +46,10 @@
 impl fmt::Display for Kind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Kind::Weight { server, factor } => write!(f, "weight {factor} on {server}"),
-            Kind::Out { server } => write!(f, "{server} out of service"),
-            Kind::Pin { first, last, server } => {
-                write!(f, "slices {} pinned to {server}", crate::words::write_slices(*first, *last))
+            Kind::Weight { replica, factor } => write!(f, "weight {factor} on {replica}"),
+            Kind::Out { replica } => write!(f, "{replica} out of service"),
+            Kind::Pin { first, last, replica } => {
+                write!(f, "slices {} pinned to {replica}", crate::words::write_slices(*first, *last))
             }
         }
     }
@@ -89,7 +89,7 @@
     }
 }
 
-/// What is asked for. The id is chosen by whoever asks, and the same at all governors: said again after an
+/// What is asked for. The id is chosen by whoever asks, and the same at all controllers: said again after an
 /// unknown outcome, it sets nothing twice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
@@ -102,8 +102,8 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// In the order in which they were set; it names the wish to the decisions.
-    pub number: WishId,
+    /// In the order in which they were set; it names the override to the decisions.
+    pub number: OverrideId,
     pub id: String,
     pub kind: Kind,
     pub author: String,
@@ -131,7 +131,7 @@
 const NAME: usize = 128;
 const AUTHOR: usize = 64;
 const REASON: usize = 200;
-/// Beyond these a factor is a slip of the pen; who wants none of a server takes it out of service.
+/// Beyond these a factor is a slip of the pen; who wants none of a replica takes it out of service.
 const FACTORS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 
 /// What is wrong with a part of an override, and with which.
@@ -144,7 +144,7 @@
         let fits = !text.trim().is_empty() && text.len() <= most && !text.chars().any(char::is_control);
         fits.then_some(()).ok_or((part, format!("it must have 1 to {most} bytes and no control characters")))
     };
-    text("server", kind.server(), NAME)?;
+    text("server", kind.replica(), NAME)?;
     text("author", author, AUTHOR)?;
     text("reason", reason, REASON)?;
     match kind {
--- a/crates/overrides/src/saved.rs
+++ b/crates/overrides/src/saved.rs
@@ -16,7 +16,7 @@
     #[prost(string, tag = "2")]
     id: String,
     #[prost(string, tag = "3")]
-    server: String,
+    replica: String,
     #[prost(oneof = "What", tags = "4, 5, 6")]
     what: Option<What>,
     #[prost(string, tag = "7")]
@@ -114,7 +114,7 @@
     sealed(&Record {
         number: one.number,
         id: one.id.clone(),
-        server: one.kind.server().to_string(),
+        replica: one.kind.replica().to_string(),
         what: Some(what),
         author: one.author.clone(),
         reason: one.reason.clone(),
@@ -130,11 +130,11 @@
 /// What is not understood is refused whole: half an override would be another one.
 pub fn read(bytes: &[u8], line: &Timeline) -> Result<Override, String> {
     let record: Record = opened(bytes)?;
-    let server = record.server;
+    let replica = record.replica;
     let kind = match record.what.ok_or("it is of a kind that this version does not know")? {
-        What::Weight(factor) => Kind::Weight { server, factor },
-        What::Out(_) => Kind::Out { server },
-        What::Pin(Range { first, last }) => Kind::Pin { first, last, server },
+        What::Weight(factor) => Kind::Weight { replica, factor },
+        What::Out(_) => Kind::Out { replica },
+        What::Pin(Range { first, last }) => Kind::Pin { first, last, replica },
     };
     crate::record::check(&record.id, &kind, &record.author, &record.reason)
         .map_err(|(part, why)| format!("{part}: {why}"))?;
--- a/crates/overrides/src/words.rs
+++ b/crates/overrides/src/words.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
-use whinwall_policy::interface::SliceId;
+use whinwall_policy::api::SliceId;
 use whinwall_policy::time::{Moment, Span};
 use winnow::ascii::{dec_uint, digit1};
 use winnow::combinator::{eof, opt, preceded, repeat, terminated};
--- a/crates/overrides/tests/book.rs
+++ b/crates/overrides/tests/book.rs
@@ -27,13 +27,13 @@
     Book::open(Bounds { most: 5, ..Bounds::default() }, line)
 }
 
-fn out(id: &str, server: &str, seconds: u64) -> Order {
-    let kind = Kind::Out { server: server.into() };
+fn out(id: &str, replica: &str, seconds: u64) -> Order {
+    let kind = Kind::Out { replica: replica.into() };
     Order { id: id.into(), kind, author: "mb".into(), reason: "disk".into(), lasts: s(seconds) }
 }
 
 fn pin(id: &str, first: u32, last: u32) -> Order {
-    Order { kind: Kind::Pin { first, last, server: "s-1".into() }, ..out(id, "", 60) }
+    Order { kind: Kind::Pin { first, last, replica: "s-1".into() }, ..out(id, "", 60) }
 }
 
 fn set(book: &mut Book, now: Moment, order: &Order) {
@@ -128,7 +128,7 @@
     assert_eq!(wrong(Order { author: "x\n".into(), ..out("a", "s-1", 60) }), "author");
     assert_eq!(wrong(pin("a", 5, 4)), "slices");
     for factor in [0.0, f64::NAN, -1.0, 1e9] {
-        let kind = Kind::Weight { server: "s-1".into(), factor };
+        let kind = Kind::Weight { replica: "s-1".into(), factor };
         assert_eq!(wrong(Order { kind, ..out("a", "", 60) }), "factor");
     }
     for n in 0..5 {
@@ -207,8 +207,8 @@
     assert!(saved::read(&whole[..3], book.line()).is_err());
 }
 
-fn file(id: &str, server: &str, until_s: u64) -> FileOrder {
-    let Order { id, kind, author, reason, .. } = out(id, server, 0);
+fn file(id: &str, replica: &str, until_s: u64) -> FileOrder {
+    let Order { id, kind, author, reason, .. } = out(id, replica, 0);
     FileOrder { id, kind, author, reason, until: at(until_s) }
 }
 
--- a/crates/overrides/tests/clerk.rs
+++ b/crates/overrides/tests/clerk.rs
@@ -16,8 +16,8 @@
     Reading { boot: "a".into(), since_boot: Span::ms(ms), wall: at(ms) }
 }
 
-fn order(id: &str, server: &str, lasts_ms: u64) -> Order {
-    let (kind, lasts) = (Kind::Out { server: server.into() }, Span::ms(lasts_ms));
+fn order(id: &str, replica: &str, lasts_ms: u64) -> Order {
+    let (kind, lasts) = (Kind::Out { replica: replica.into() }, Span::ms(lasts_ms));
     Order { id: id.into(), kind, author: "mb".into(), reason: "disk".into(), lasts }
 }
 
--- a/crates/overrides/tests/saved_bytes.rs
+++ b/crates/overrides/tests/saved_bytes.rs
@@ -27,7 +27,7 @@
 }
 
 fn out() -> Kind {
-    Kind::Out { server: "s-3".into() }
+    Kind::Out { replica: "s-3".into() }
 }
 
 fn ended(end: End) -> Override {
@@ -52,7 +52,7 @@
 #[test]
 fn weight_factor_has_its_bytes() {
     assert_form(
-        &record(Kind::Weight { server: "s-3".into(), factor: 0.5 }),
+        &record(Kind::Weight { replica: "s-3".into(), factor: 0.5 }),
         "cc8cd23e08071203612d311a03732d3321000000000000e03f3a026d6242046469736b50e80758d00f",
     );
 }
@@ -65,7 +65,7 @@
 #[test]
 fn pin_has_its_bytes() {
     assert_form(
-        &record(Kind::Pin { first: 4, last: 9, server: "s-3".into() }),
+        &record(Kind::Pin { first: 4, last: 9, replica: "s-3".into() }),
         "02fc37e608071203612d311a03732d333204080410093a026d6242046469736b50e80758d00f",
     );
 }
--- a/crates/overrides/tests/words.rs
+++ b/crates/overrides/tests/words.rs
@@ -67,10 +67,10 @@
 
 #[test]
 fn kinds_are_shown_in_words() {
-    let server = || "s-3".to_string();
-    assert_eq!(Kind::Weight { server: server(), factor: 0.5 }.to_string(), "weight 0.5 on s-3");
-    assert_eq!(Kind::Out { server: server() }.to_string(), "s-3 out of service");
-    assert_eq!(Kind::Pin { first: 4, last: 9, server: server() }.to_string(), "slices 4-9 pinned to s-3");
+    let replica = || "s-3".to_string();
+    assert_eq!(Kind::Weight { replica: replica(), factor: 0.5 }.to_string(), "weight 0.5 on s-3");
+    assert_eq!(Kind::Out { replica: replica() }.to_string(), "s-3 out of service");
+    assert_eq!(Kind::Pin { first: 4, last: 9, replica: replica() }.to_string(), "slices 4-9 pinned to s-3");
 }
 
 #[test]
@@ -92,19 +92,19 @@
 
 #[test]
 fn wrong_parts_are_refused_with_their_names_and_messages() {
-    let out = Kind::Out { server: "s".into() };
+    let out = Kind::Out { replica: "s".into() };
     let refused = |part, why: &str| Err((part, why.to_string()));
     let id = "\"a b\" is not 1 to 64 letters, digits, dots, dashes or underscores";
     assert_eq!(record::check("a b", &out, "mb", "disk"), refused("id", id));
-    let no_server = Kind::Out { server: String::new() };
-    let server = "it must have 1 to 128 bytes and no control characters";
-    assert_eq!(record::check("a", &no_server, "mb", "disk"), refused("server", server));
+    let no_replica = Kind::Out { replica: String::new() };
+    let replica = "it must have 1 to 128 bytes and no control characters";
+    assert_eq!(record::check("a", &no_replica, "mb", "disk"), refused("server", replica));
     let author = "it must have 1 to 64 bytes and no control characters";
     assert_eq!(record::check("a", &out, "", "disk"), refused("author", author));
     let reason = "it must have 1 to 200 bytes and no control characters";
     assert_eq!(record::check("a", &out, "mb", ""), refused("reason", reason));
-    let heavy = Kind::Weight { server: "s".into(), factor: 101.0 };
+    let heavy = Kind::Weight { replica: "s".into(), factor: 101.0 };
     assert_eq!(record::check("a", &heavy, "mb", "disk"), refused("factor", "101 is not from 0.01 to 100"));
-    let backward = Kind::Pin { first: 9, last: 4, server: "s".into() };
+    let backward = Kind::Pin { first: 9, last: 4, replica: "s".into() };
     assert_eq!(record::check("a", &backward, "mb", "disk"), refused("slices", "9-4 ends before it begins"));
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/api.rs
@@ -3,105 +3,107 @@
 use crate::time::{Moment, Span};
 
 /// Ids stay as the protocol gives them; they carry no meaning.
-pub type ServerId = u32;
+pub type ReplicaId = u32;
 pub type SliceId = u32;
 pub type ProxyId = u32;
 /// A site of the deployment, by its position among them.
-pub type PlaceId = usize;
+pub type ZoneId = usize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ReplicaState {
     Ready,
     Draining,
     Gone,
 }
 
-/// Which governors steer a replica, where each of them works with a subset of the replicas.
+/// Which controllers steer a replica, where each of them works with a subset of the replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Share {
-    /// Subsetting is off: every governor steers every replica.
+pub enum SubsetMembership {
+    /// Subsetting is off: every controller steers every replica.
     #[default]
     Everyone,
-    /// The replica is in this governor's subset and in those of `governors - 1` others. `position` is this governor's
+    /// The replica is in this controller's subset and in those of `controllers - 1` others. `position` is this controller's
     /// rank among them, from 0 on; all of them compute the same order.
-    Subset { governors: u32, position: u32 },
-    /// The replica is in the subsets of other governors only.
+    Subset { controllers: u32, position: u32 },
+    /// The replica is in the subsets of other controllers only.
     Others,
 }
 
-/// One server as the list shows it.
+/// One replica as the list shows it.
 #[derive(Clone, Debug)]
-pub struct Listing {
-    pub server: ServerId,
-    pub place: PlaceId,
+pub struct ReplicaListing {
+    pub replica: ReplicaId,
+    pub zone: ZoneId,
     pub machine: String,
-    pub standing: Standing,
+    pub standing: ReplicaState,
     pub size: f64,
     pub started: Option<Moment>,
-    /// Stands for the server at all governors alike, whatever its id is here: draws that they make about it
+    /// Stands for the replica at all controllers alike, whatever its id is here: draws that they make about it
     /// fall alike.
     pub lot: u64,
-    /// Which governors steer it.
-    pub share: Share,
+    /// Which controllers steer it.
+    pub share: SubsetMembership,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     Changes,
     Whole,
-    /// The whole list as a former life of this governor knew it.
+    /// The whole list as a former life of this controller knew it.
     Remembered,
 }
 
 /// What operators want for a while, whatever the list says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wish {
-    /// A factor on a server's listed size.
-    Weight { server: ServerId, factor: f64 },
+pub enum OverrideSpec {
+    /// A factor on a replica's listed size.
+    Weight { replica: ReplicaId, factor: f64 },
     /// Out of service: left as one that drains is.
-    Out { server: ServerId },
-    /// These slices, both ends included, are to be on this server; where wishes overlap the newer one counts.
-    Pin { first: SliceId, last: SliceId, server: ServerId },
+    Out { replica: ReplicaId },
+    /// These slices, both ends included, are to be on this replica; where overrides overlap the newer one counts.
+    Pin { first: SliceId, last: SliceId, replica: ReplicaId },
 }
 
-impl Wish {
-    pub fn server(&self) -> ServerId {
+impl OverrideSpec {
+    pub fn replica(&self) -> ReplicaId {
         match self {
-            Wish::Weight { server, .. } | Wish::Out { server } | Wish::Pin { server, .. } => *server,
+            OverrideSpec::Weight { replica, .. }
+            | OverrideSpec::Out { replica }
+            | OverrideSpec::Pin { replica, .. } => *replica,
         }
     }
 }
 
-/// Given by whoever tells of a wish; it stays the same for as long as the wish stands.
-pub type WishId = u64;
+/// Given by whoever tells of a override; it stays the same for as long as the override stands.
+pub type OverrideId = u64;
 
-/// How far a wish has come, and what it waits for or stands back for.
+/// How far a override has come, and what it waits for or stands back for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heeded {
+pub enum OverrideStatus {
     InForce,
     Waiting(&'static str),
     Suspended(&'static str),
-    /// The list does not have its server.
+    /// The list does not have its replica.
     Absent,
 }
 
-/// What the proxies of one place met at one server within the time that the report covers.
+/// What the proxies of one place met at one replica within the time that the report covers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Met {
-    pub place: PlaceId,
+pub struct EndpointReport {
+    pub zone: ZoneId,
     pub covers: Span,
-    pub tries: f64,
-    pub aborted: f64,
+    pub attempts: f64,
+    pub failed: f64,
     pub mean_latency: Span,
 }
 
-/// What came for one slice, of one op type, within the time that the report covers.
+/// What came for one slice, of one request class, within the time that the report covers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
-    pub op_type: usize,
+pub struct DemandReport {
+    pub request_class: usize,
     pub covers: Span,
     pub came: f64,
-    pub aborted: f64,
+    pub failed: f64,
 }
 
 /// One line of a report, or the sum of several that are alike, with the time at which it was told: what comes
@@ -111,24 +113,24 @@
     pub at: Moment,
     /// How many lines it is the sum of.
     pub lines: f64,
-    pub what: Reported,
+    pub what: ReportBody,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub enum Reported {
-    Met {
-        server: ServerId,
-        met: Met,
+pub enum ReportBody {
+    EndpointReport {
+        replica: ReplicaId,
+        met: EndpointReport,
         /// What the latest of its answers took on average, where it is a sum.
         latest: Span,
     },
-    Asked {
+    DemandReport {
         slice: SliceId,
-        asked: Asked,
+        asked: DemandReport,
     },
 }
 
-/// How reports reach the governor.
+/// How reports reach the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportFlow {
     /// As the collectors make them, each second.
@@ -142,8 +144,8 @@
 
 /// What reports are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportedOn {
-    Server(ServerId),
+pub enum ReportSubject {
+    Replica(ReplicaId),
     Slice(SliceId),
 }
 
@@ -152,20 +154,20 @@
 pub enum Step {
     Line {
         slice: SliceId,
-        server: ServerId,
+        replica: ReplicaId,
         weight: f64,
     },
     Withdraw {
-        server: ServerId,
+        replica: ReplicaId,
         out: bool,
     },
     Level {
         slice: Option<SliceId>,
-        op_types: u64,
+        request_classes: u64,
         share: f64,
-        tries: u8,
+        retries: u8,
     },
-    Mark {
+    Version {
         number: u16,
     },
     FollowList,
@@ -173,9 +175,9 @@
         token: u64,
         after: Span,
     },
-    /// For whoever watches: a server is taken for sick, and why.
+    /// For whoever watches: a replica is taken for sick, and why.
     Sick {
-        server: ServerId,
+        replica: ReplicaId,
         cause: &'static str,
     },
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,14 +1,15 @@
-//! The decisions of a proxy fleet's governor. Start reading at [`logic`].
+//! The decisions of a proxy fleet's controller. Start reading at [`logic`].
 #![forbid(unsafe_code)]
 
-pub mod chance;
+pub mod api;
 pub mod deployment;
-pub mod interface;
 pub mod logic;
 mod measures;
 mod news;
 pub mod pins;
-pub mod ring;
+pub mod random;
 pub mod sharing;
 mod state;
+pub mod windowed_counter;
+pub use state::Policy;
 pub mod time;
--- a/crates/policy/src/measures.rs
+++ b/crates/policy/src/measures.rs
@@ -1,29 +1,29 @@
-//! What a governor works out from its records: sums, rates and means, no decisions.
+//! What a controller works out from its records: sums, rates and means, no decisions.
 
-use crate::interface::{PlaceId, ReportFlow, ServerId, SliceId, Step};
+use crate::api::{ReplicaId, ReportFlow, SliceId, Step, ZoneId};
 use crate::logic::{BEAT, CALM_PART, JUDGED_OVER, NO_ACKS, QUEUE_PART, WAITING_PART, WAITS};
-use crate::ring::Ring;
-use crate::state::{Governor, Lately, Picture, Server, Slice};
+use crate::state::{Lately, Picture, Policy, Replica, Slice};
 use crate::time::{Moment, Span};
+use crate::windowed_counter::WindowedCounter;
 use std::collections::BTreeMap;
 
-impl Governor {
+impl Policy {
     pub(crate) fn target(&self) -> f64 {
-        self.site.op_types.iter().map(|t| t.target_latency.seconds()).fold(f64::INFINITY, f64::min)
+        self.site.request_classes.iter().map(|t| t.target_latency.seconds()).fold(f64::INFINITY, f64::min)
     }
 
-    pub(crate) fn is_cold(&self, s: &Server) -> bool {
+    pub(crate) fn is_cold(&self, s: &Replica) -> bool {
         s.started.is_some_and(|at| self.now - at < self.site.warm_after)
     }
 
-    /// From the share that a server starts with, evenly up to the whole.
-    pub(crate) fn warmth(&self, s: &Server) -> f64 {
+    /// From the share that a replica starts with, evenly up to the whole.
+    pub(crate) fn warmth(&self, s: &Replica) -> f64 {
         let age = (self.now - s.started.unwrap_or_default()).seconds();
         let part = age / self.site.warm_after.seconds().max(0.1);
         (self.site.cold_share + (1.0 - self.site.cold_share) * part).min(1.0)
     }
 
-    pub(crate) fn is_sick(&self, s: &Server) -> bool {
+    pub(crate) fn is_sick(&self, s: &Replica) -> bool {
         s.sick_until.is_some_and(|until| until > self.now)
     }
 
@@ -66,19 +66,19 @@
         has_waited && self.messages_left(self.now, part.min(most)) > 1.0
     }
 
-    /// Messages that are not acked take the room of further orders, and their acks are lost or long overdue. A mark by
+    /// Messages that are not acked take the room of further orders, and their acks are lost or long overdue. A version by
     /// itself fits into the part of the queue cap that orders leave; its acks show that all before it has left.
     pub(crate) fn lacks_acks(&self) -> bool {
         let all = self.channel.proxies.len() as f64;
-        let (waiting, mark) = (self.channel.lines_waiting(), (self.site.message_head + 1.0) * all);
+        let (waiting, version) = (self.channel.lines_waiting(), (self.site.message_head + 1.0) * all);
         let is_overdue = self.channel.acks_lost || self.now - self.channel.heard > NO_ACKS;
-        let is_in_the_way = waiting + mark + all > self.site.queue_cap * QUEUE_PART * CALM_PART;
-        let fits = waiting + mark <= self.site.queue_cap && self.messages_left(self.now, 1.0) > 1.0;
-        is_overdue && is_in_the_way && fits && waiting > 0.0 && self.channel.open_mark.is_none()
+        let is_in_the_way = waiting + version + all > self.site.queue_cap * QUEUE_PART * CALM_PART;
+        let fits = waiting + version <= self.site.queue_cap && self.messages_left(self.now, 1.0) > 1.0;
+        is_overdue && is_in_the_way && fits && waiting > 0.0 && self.channel.open_version.is_none()
     }
 
-    /// The same way for all servers of a kind, where the list tells kinds apart by size.
-    fn kind<'a>(&self, s: &'a Server) -> &'a str {
+    /// The same way for all replicas of a kind, where the list tells kinds apart by size.
+    fn kind<'a>(&self, s: &'a Replica) -> &'a str {
         if self.site.sizes_known {
             &s.machine
         } else {
@@ -106,102 +106,102 @@
 
     /// What comes a second, over a time that ends with the newest news: news that is merely late is no
     /// silence.
-    pub(crate) fn rate(&self, ring: &Ring, over: Span, since: Moment) -> f64 {
+    pub(crate) fn rate(&self, windowed_counter: &WindowedCounter, over: Span, since: Moment) -> f64 {
         let period = self.site.report_period;
-        let end = ring.newest().min(self.now).max(self.silent_since());
+        let end = windowed_counter.newest().min(self.now).max(self.silent_since());
         let over = over.min(end - since).max(period);
-        ring.sum(end, over) / over.seconds().max(0.001)
+        windowed_counter.sum(end, over) / over.seconds().max(0.001)
     }
 
     /// Whether reports on it are whole and reach far enough to be held against what was asked of it. A replica that they
-    /// were not whole on is judged again once the judging window has left that behind; of one that other governors steer
+    /// were not whole on is judged again once the judging window has left that behind; of one that other controllers steer
     /// none are to come.
-    pub(crate) fn is_observed(&self, s: &Server) -> bool {
+    pub(crate) fn is_observed(&self, s: &Replica) -> bool {
         match self.report_flow {
             _ if s.is_foreign() => false,
             ReportFlow::Direct => true,
             ReportFlow::Aggregated { .. } => {
-                let reaches = s.tries.newest() >= self.silent_since();
+                let reaches = s.attempts.newest() >= self.silent_since();
                 reaches && s.incomplete.is_none_or(|at| self.now - at > JUDGED_OVER + self.behind)
             }
             ReportFlow::Interrupted => false,
         }
     }
 
-    /// While no reports come the last loads, powers and averages stay; a server that is new since then counts for what it
+    /// While no reports come the last loads, powers and averages stay; a replica that is new since then counts for what it
     /// is listed as.
     pub(crate) fn holds_last_survey(&mut self) -> bool {
         if self.report_flow != ReportFlow::Interrupted {
             return false;
         }
         self.forget_gone();
-        for s in self.servers.values_mut() {
-            s.able = if s.tries.newest() < self.born { s.size.clamp(0.01, 1e6) } else { s.able };
+        for s in self.replicas.values_mut() {
+            s.able = if s.attempts.newest() < self.born { s.size.clamp(0.01, 1e6) } else { s.able };
             s.power = s.able * s.factor * s.part.max(1.0);
         }
         self.rank_all();
         true
     }
 
-    /// What the way between two places adds to an answer's time, beyond what a server's own place finds.
-    pub(crate) fn way_delays(&self, over: Span, enough: f64) -> BTreeMap<(PlaceId, PlaceId), f64> {
-        let mean = |way: (PlaceId, PlaceId)| {
+    /// What the way between two places adds to an answer's time, beyond what a replica's own place finds.
+    pub(crate) fn way_delays(&self, over: Span, enough: f64) -> BTreeMap<(ZoneId, ZoneId), f64> {
+        let mean = |way: (ZoneId, ZoneId)| {
             let seen = self.links.get(&way)?;
             let answers = seen.answered.sum(self.now, over);
             (answers >= enough).then(|| seen.busy.sum(self.now, over) / answers)
         };
-        let delay = |way: &(PlaceId, PlaceId)| Some((mean(*way)? - mean((way.1, way.1))?).max(0.0));
+        let delay = |way: &(ZoneId, ZoneId)| Some((mean(*way)? - mean((way.1, way.1))?).max(0.0));
         self.links.keys().filter_map(|way| Some((*way, delay(way)?))).collect()
     }
 
-    /// Each server's time an answer, as far as known, against the mean of those like it that are counted.
-    pub(crate) fn slownesses(&self, over: Span, enough: f64, counted: impl Fn(&Server) -> bool) -> Vec<f64> {
-        let time = |s: &Server| {
+    /// Each replica's time an answer, as far as known, against the mean of those like it that are counted.
+    pub(crate) fn slownesses(&self, over: Span, enough: f64, counted: impl Fn(&Replica) -> bool) -> Vec<f64> {
+        let time = |s: &Replica| {
             let answered = s.answered.sum(self.now, over);
             (answered >= enough).then(|| s.busy.sum(self.now, over) / answered)
         };
-        let times: Vec<_> = self.servers.values().map(time).collect();
+        let times: Vec<_> = self.replicas.values().map(time).collect();
         let mut like: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        for (s, time) in self.servers.values().zip(&times).filter(|(s, _)| counted(s)) {
+        for (s, time) in self.replicas.values().zip(&times).filter(|(s, _)| counted(s)) {
             let (sum, many) = like.entry(self.kind(s)).or_default();
             (*sum, *many) = (*sum + time.unwrap_or(0.0), *many + f64::from(u8::from(time.is_some())));
         }
-        let against = |(s, time): (&Server, Option<f64>)| match (time, like.get(self.kind(s))) {
+        let against = |(s, time): (&Replica, Option<f64>)| match (time, like.get(self.kind(s))) {
             (Some(time), Some((sum, many))) if *sum > 0.0 => time * many / sum,
             _ => 1.0,
         };
-        self.servers.values().zip(times).map(against).collect()
+        self.replicas.values().zip(times).map(against).collect()
     }
 
-    /// What was met at each server of late, and how late its answers are against the tightest target.
-    pub(crate) fn see_servers(&mut self, over: Span) {
+    /// What was met at each replica of late, and how late its answers are against the tightest target.
+    pub(crate) fn see_replicas(&mut self, over: Span) {
         let (now, target) = (self.now, self.target());
-        for s in self.servers.values_mut() {
+        for s in self.replicas.values_mut() {
             s.seen = s.lately(now, over);
             s.strain = match () {
                 _ if s.seen.answered > 0.0 => s.seen.busy / s.seen.answered / target,
-                _ if s.seen.tries > 0.0 => s.last_took / target,
+                _ if s.seen.attempts > 0.0 => s.last_took / target,
                 _ => 0.0,
             };
         }
     }
 
-    /// Each slice's ops a second, laid on the servers of its table. Clients come again after an abort: in
-    /// full, a broken server's slices would look like hot ones. But all that came, repeats of the same op
-    /// too, is what a server feels.
+    /// Each slice's requests a second, laid on the replicas of its table. Clients come again after an abort: in
+    /// full, a broken replica's slices would look like hot ones. But all that came, repeats of the same request
+    /// too, is what a replica feels.
     pub(crate) fn see_slices(&mut self, long: Span, short: Span, repeated: f64) {
         let measured = |s: &Slice| {
             let since = s.given.max(s.observed);
             let came = |over| self.rate(&s.came, over, since);
-            let load = |over| (came(over) - repeated * self.rate(&s.aborted, over, since)).max(0.0);
+            let load = |over| (came(over) - repeated * self.rate(&s.failed, over, since)).max(0.0);
             (load(long), load(short), came(short).max(came(long)))
         };
         let measures: Vec<_> = self.slices.values().map(measured).collect();
-        self.servers.values_mut().for_each(|s| (s.load, s.press) = (0.0, 0.0));
+        self.replicas.values_mut().for_each(|s| (s.load, s.press) = (0.0, 0.0));
         for (slice, measured) in self.slices.values_mut().zip(measures) {
             (slice.load, slice.burst, slice.press) = measured;
             for (id, part) in slice.parts() {
-                if let Some(s) = self.servers.get_mut(&id) {
+                if let Some(s) = self.replicas.get_mut(&id) {
                     s.load += slice.load * part;
                     s.press += slice.press * part;
                 }
@@ -210,7 +210,7 @@
         self.add_others(repeated);
     }
 
-    /// How much more all governors carry than this one, as far as slices tell; where replicas are shared, what all
+    /// How much more all controllers carry than this one, as far as slices tell; where replicas are shared, what all
     /// bring is known.
     pub(crate) fn whole(&self) -> f64 {
         match self.sharing.active {
@@ -219,13 +219,13 @@
         }
     }
 
-    /// AvgL and what goes with it, over the servers that are counted.
-    pub(crate) fn sum_up(&self, band: f64, long: Span, is_counted: impl Fn(&Server) -> bool) -> Picture {
-        let counted = || self.servers.values().filter(|s| is_counted(s));
+    /// AvgL and what goes with it, over the replicas that are counted.
+    pub(crate) fn sum_up(&self, band: f64, long: Span, is_counted: impl Fn(&Replica) -> bool) -> Picture {
+        let counted = || self.replicas.values().filter(|s| is_counted(s));
         let power = counted().map(|s| s.power).sum::<f64>().max(0.01);
         let load: f64 = self.slices.values().map(|s| s.load).sum();
         let burst: f64 = self.slices.values().map(|s| s.burst).sum();
-        // What was seen of servers is no less for what operators count them for, nor for cold ones beside them
+        // What was seen of replicas is no less for what operators count them for, nor for cold ones beside them
         // that are sent little.
         let some_warm = counted().any(|s| !self.is_cold(s));
         let sure = || counted().filter(|s| !some_warm || !self.is_cold(s));
@@ -238,15 +238,15 @@
             phi: band * average * self.whole().sqrt(),
             proven: carried.min(answered) / able,
             rise: burst / load.max(0.01),
-            even: burst / self.servers.len().max(1) as f64,
+            even: burst / self.replicas.len().max(1) as f64,
         };
         self.shared_picture(own, band, &is_counted)
     }
 
-    /// The slices that a server owns alone and that no change is under way for, in descending load.
-    pub(crate) fn free_slices(&self, id: ServerId, s: &Server) -> Vec<(SliceId, f64, u32)> {
+    /// The slices that a replica owns alone and that no change is under way for, in descending load.
+    pub(crate) fn free_slices(&self, id: ReplicaId, s: &Replica) -> Vec<(SliceId, f64, u32)> {
         let owned = s.lines.iter().map(|n| (*n, &self.slices[n]));
-        let free = |s: &Slice| s.mark.is_none() && s.sole_owner() == Some(id) && s.wanted == s.held;
+        let free = |s: &Slice| s.version.is_none() && s.sole_owner() == Some(id) && s.wanted == s.held;
         let pinned = |n: SliceId| self.pins.at(n).is_some_and(|(to, _)| to == id);
         let mut own: Vec<_> =
             owned.filter(|(n, s)| free(s) && !pinned(*n)).map(|(n, s)| (n, s.load, s.moves)).collect();
@@ -255,43 +255,43 @@
     }
 
     /// In its place, and warm.
-    pub(crate) fn is_good(&self, s: &Server) -> bool {
+    pub(crate) fn is_good(&self, s: &Replica) -> bool {
         self.is_fit(s) && !self.is_cold(s)
     }
 
     /// What it may still get, inside the band and, where it is cold, of what it is allowed.
-    pub(crate) fn room(&self, s: &Server) -> f64 {
+    pub(crate) fn room(&self, s: &Replica) -> f64 {
         self.picture.room(s).min(self.allowance(s) - s.press)
     }
 
-    pub(crate) fn many(&self, counted: impl Fn(&Server) -> bool) -> usize {
-        self.servers.values().filter(|s| counted(s)).count()
+    pub(crate) fn many(&self, counted: impl Fn(&Replica) -> bool) -> usize {
+        self.replicas.values().filter(|s| counted(s)).count()
     }
 
     pub(crate) fn is_at_pin(&self, n: SliceId, slice: &Slice) -> bool {
         self.pins.at(n).is_some_and(|(to, _)| slice.sole_owner() == Some(to))
     }
 
-    /// The share of what was let in that got no answer, of the op type that fares best.
+    /// The share of what was let in that got no answer, of the request class that fares best.
     pub(crate) fn unanswered(&self, over: Span, enough: f64) -> f64 {
         let sums = self.fates.iter().map(|(came, lost)| (came.sum(self.now, over), lost.sum(self.now, over)));
         let shares = sums.filter(|(came, _)| *came >= enough).map(|(came, lost)| lost / came);
         shares.reduce(f64::min).unwrap_or(0.0)
     }
 
-    /// The median of a figure over the servers that are counted.
-    pub(crate) fn usual(&self, counted: impl Fn(&Server) -> bool, figure: impl Fn(&Server) -> f64) -> f64 {
-        let mut figures: Vec<f64> = self.servers.values().filter(|s| counted(s)).map(figure).collect();
+    /// The median of a figure over the replicas that are counted.
+    pub(crate) fn usual(&self, counted: impl Fn(&Replica) -> bool, figure: impl Fn(&Replica) -> f64) -> f64 {
+        let mut figures: Vec<f64> = self.replicas.values().filter(|s| counted(s)).map(figure).collect();
         figures.sort_by(f64::total_cmp);
         figures.get(figures.len() / 2).copied().unwrap_or(0.0)
     }
 
-    /// The orders from one cut of a slice to another; one serves where all op types are let in alike.
+    /// The orders from one cut of a slice to another; one serves where all request classes are let in alike.
     pub(crate) fn level_orders(&self, n: SliceId, held: f64, cut: f64) -> Vec<Step> {
-        let (many, tries) = (self.site.op_types.len(), self.tries(cut));
-        let order = |op_types, share| Step::Level { slice: Some(n), op_types, share, tries };
+        let (many, retries) = (self.site.request_classes.len(), self.retries(cut));
+        let order = |request_classes, share| Step::Level { slice: Some(n), request_classes, share, retries };
         let share = |at| self.level(cut, at);
-        let changed = |at: &usize| tries != self.tries(held) || share(*at) != self.level(held, *at);
+        let changed = |at: &usize| retries != self.retries(held) || share(*at) != self.level(held, *at);
         if (0..many).all(|at| changed(&at) && share(at) == share(0)) {
             return vec![order(0, share(0))];
         }
@@ -299,13 +299,13 @@
     }
 
     /// A table's owners, as far as they are known.
-    pub(crate) fn owners<'a>(&'a self, slice: &'a Slice) -> impl Iterator<Item = (ServerId, &'a Server)> {
-        slice.owners().filter_map(|id| Some((id, self.servers.get(&id)?)))
+    pub(crate) fn owners<'a>(&'a self, slice: &'a Slice) -> impl Iterator<Item = (ReplicaId, &'a Replica)> {
+        slice.owners().filter_map(|id| Some((id, self.replicas.get(&id)?)))
     }
 }
 
 impl Lately {
     pub fn failed_share(&self) -> f64 {
-        self.aborted / self.tries.max(1.0)
+        self.failed / self.attempts.max(1.0)
     }
 }
--- a/crates/policy/src/news.rs
+++ b/crates/policy/src/news.rs
@@ -1,13 +1,13 @@
-//! Takes what a governor is told into its records, and decides nothing.
+//! Takes what a controller is told into its records, and decides nothing.
 
-use crate::interface::*;
+use crate::api::*;
 use crate::logic::{JUDGED_OVER, ROUND, TOLD_AGAIN};
-use crate::pins::Pins;
-use crate::state::{Governor, Haste, Slice, Wished, UNKNOWN};
+use crate::pins::SlicePins;
+use crate::state::{Policy, Priority, Slice, Wished, UNKNOWN};
 use crate::time::{Moment, Span};
 use std::collections::BTreeSet;
 
-impl Governor {
+impl Policy {
     pub fn woken(&mut self, now: Moment, token: u64) {
         if token == self.token {
             self.due.wake = None;
@@ -22,7 +22,7 @@
         let applied = self.known.get(&proxy).copied();
         self.known.insert(proxy, if bare { Moment::default() } else { applied.unwrap_or_default() });
         let (mut missed, former) = (Vec::new(), self.may_stand_withdrawn());
-        for (id, s) in &self.servers {
+        for (id, s) in &self.replicas {
             let lacks = applied.is_none_or(|at| at < s.turned);
             if s.shut && !s.lines.is_empty() && (bare || lacks) {
                 missed.push(*id);
@@ -36,33 +36,33 @@
         self.settle(now);
     }
 
-    /// All that operators wish now, the oldest first; what is not named any more has ended. One that stands
+    /// All that operators override now, the oldest first; what is not named any more has ended. One that stands
     /// already goes on as it is.
-    pub fn wished(&mut self, now: Moment, wishes: &[(WishId, Wish)]) {
+    pub fn wished(&mut self, now: Moment, wishes: &[(OverrideId, OverrideSpec)]) {
         let mut former = std::mem::take(&mut self.wishes);
-        self.pins = Pins::default();
+        self.pins = SlicePins::default();
         for (id, wish) in wishes {
-            if let Wish::Pin { first, last, server } = *wish {
-                self.pins.lay(first, last, (server, *id));
+            if let OverrideSpec::Pin { first, last, replica } = *wish {
+                self.pins.lay(first, last, (replica, *id));
             }
             let same = former.remove(id).filter(|known| known.wish == *wish);
-            let new = || Wished { wish: *wish, heeded: Heeded::Absent, stood_back: None };
+            let new = || Wished { wish: *wish, heeded: OverrideStatus::Absent, stood_back: None };
             self.wishes.insert(*id, same.unwrap_or_else(new));
         }
         let outs = wishes.iter().filter_map(|(_, wish)| match wish {
-            Wish::Out { server } => Some(*server),
+            OverrideSpec::Out { replica } => Some(*replica),
             _ => None,
         });
         let outs: BTreeSet<_> = outs.collect();
-        for (id, s) in &mut self.servers {
+        for (id, s) in &mut self.replicas {
             (s.out, s.factor) = (s.out && outs.contains(id), 1.0);
         }
         (self.alarm, self.agenda.heed) = (true, true);
         self.settle(now);
     }
 
-    /// What has become of a wish.
-    pub fn heeded(&self, id: WishId) -> Option<Heeded> {
+    /// What has become of a override.
+    pub fn heeded(&self, id: OverrideId) -> Option<OverrideStatus> {
         self.wishes.get(&id).map(|wished| wished.heeded)
     }
 
@@ -72,8 +72,8 @@
         self.settle(now);
     }
 
-    pub fn applied(&mut self, now: Moment, proxy: ProxyId, mark: u16) {
-        let at = self.channel.acked(now, proxy, mark);
+    pub fn applied(&mut self, now: Moment, proxy: ProxyId, version: u16) {
+        let at = self.channel.acked(now, proxy, version);
         at.zip(self.known.get_mut(&proxy)).into_iter().for_each(|(at, known)| *known = at.max(*known));
         self.settle(now);
     }
@@ -93,31 +93,34 @@
         asides
     }
 
-    /// The reply with this mark is ordered once more, as its outcome is not known: its lines may be in the
+    /// The reply with this version is ordered once more, as its outcome is not known: its lines may be in the
     /// channel twice, and its message counts again (rule 5).
-    pub fn ordered_again(&mut self, now: Moment, mark: u16) {
-        self.channel.repeat(now, mark);
+    pub fn ordered_again(&mut self, now: Moment, version: u16) {
+        self.channel.repeat(now, version);
         self.settle(now);
     }
 
-    pub fn met(&mut self, now: Moment, server: ServerId, met: Met) {
-        let what = Reported::Met { server, met, latest: met.mean_latency };
+    pub fn met(&mut self, now: Moment, replica: ReplicaId, met: EndpointReport) {
+        let what = ReportBody::EndpointReport { replica, met, latest: met.mean_latency };
         self.reported(now, &[Report { at: now, lines: 1.0, what }]);
     }
 
-    pub fn asked(&mut self, now: Moment, slice: SliceId, asked: Asked) {
-        self.reported(now, &[Report { at: now, lines: 1.0, what: Reported::Asked { slice, asked } }]);
+    pub fn asked(&mut self, now: Moment, slice: SliceId, asked: DemandReport) {
+        self.reported(
+            now,
+            &[Report { at: now, lines: 1.0, what: ReportBody::DemandReport { slice, asked } }],
+        );
     }
 
     /// Many reports at once, each with its own time.
     pub fn reported(&mut self, now: Moment, reports: &[Report]) {
         for Report { at, lines, what } in reports {
             let covers = match what {
-                Reported::Met { server, met, latest } => {
-                    self.note_met(*at, *server, met, *latest);
+                ReportBody::EndpointReport { replica, met, latest } => {
+                    self.note_met(*at, *replica, met, *latest);
                     met.covers
                 }
-                Reported::Asked { slice, asked } => {
+                ReportBody::DemandReport { slice, asked } => {
                     self.note_asked(*at, *slice, asked);
                     asked.covers
                 }
@@ -135,7 +138,7 @@
     pub fn reports_flow(&mut self, now: Moment, flow: ReportFlow) {
         let former = std::mem::replace(&mut self.report_flow, flow);
         if former != flow && [former, flow].contains(&ReportFlow::Interrupted) {
-            self.servers.values_mut().for_each(|s| s.outside = 0);
+            self.replicas.values_mut().for_each(|s| s.outside = 0);
             (self.agenda.shift, self.agenda.ration) = (false, false);
             self.due.round = now + ROUND;
         }
@@ -145,31 +148,31 @@
         self.settle(now);
     }
 
-    /// Figures on it up to now were lost on the way, or left out of a sum: no server is judged by them.
-    pub fn reported_incompletely(&mut self, now: Moment, about: ReportedOn) {
-        let servers: Vec<_> = match about {
-            ReportedOn::Server(server) => vec![server],
-            ReportedOn::Slice(slice) => {
+    /// Figures on it up to now were lost on the way, or left out of a sum: no replica is judged by them.
+    pub fn reported_incompletely(&mut self, now: Moment, about: ReportSubject) {
+        let replicas: Vec<_> = match about {
+            ReportSubject::Replica(replica) => vec![replica],
+            ReportSubject::Slice(slice) => {
                 self.slices.get(&slice).map_or_else(Vec::new, |s| s.wanted.keys().copied().collect())
             }
         };
-        for id in servers {
-            self.servers.get_mut(&id).into_iter().for_each(|s| s.incomplete = Some(now));
+        for id in replicas {
+            self.replicas.get_mut(&id).into_iter().for_each(|s| s.incomplete = Some(now));
         }
     }
 
     /// Reports on it say nothing of what was before.
-    pub fn observed_since(&mut self, about: ReportedOn, since: Moment) {
+    pub fn observed_since(&mut self, about: ReportSubject, since: Moment) {
         match about {
-            ReportedOn::Server(id) => _ = self.servers.get_mut(&id).map(|s| s.observed = since),
-            ReportedOn::Slice(n) => _ = self.slices.get_mut(&n).map(|s| s.observed = since),
+            ReportSubject::Replica(id) => _ = self.replicas.get_mut(&id).map(|s| s.observed = since),
+            ReportSubject::Slice(n) => _ = self.slices.get_mut(&n).map(|s| s.observed = since),
         }
     }
 
-    /// How many of the listed servers that this governor steers can't be judged, as reports on them are not whole, or none
+    /// How many of the listed replicas that this controller steers can't be judged, as reports on them are not whole, or none
     /// have come of late.
     pub fn partly_observed(&self) -> usize {
-        self.many(|s| s.is_ready() && s.share != Share::Others && !self.is_observed(s))
+        self.many(|s| s.is_ready() && s.share != SubsetMembership::Others && !self.is_observed(s))
     }
 
     /// What is asked of all slices a second, as of the last survey.
@@ -177,42 +180,42 @@
         self.slices.values().map(|s| s.load).sum()
     }
 
-    fn note_met(&mut self, at: Moment, server: ServerId, met: &Met, latest: Span) {
-        if let Some(s) = self.servers.get_mut(&server) {
-            let way = (met.place, s.place);
-            // What the way adds is no fault of the server: else a slow link would look like a full site.
+    fn note_met(&mut self, at: Moment, replica: ReplicaId, met: &EndpointReport, latest: Span) {
+        if let Some(s) = self.replicas.get_mut(&replica) {
+            let way = (met.zone, s.zone);
+            // What the way adds is no fault of the replica: else a slow link would look like a full site.
             s.shared.window = met.covers;
             s.record(at, met, latest, self.delays.get(&way).copied().unwrap_or(0.0));
             self.links.entry(way).or_default().record(at, met);
         }
     }
 
-    fn note_asked(&mut self, at: Moment, slice: SliceId, asked: &Asked) {
+    fn note_asked(&mut self, at: Moment, slice: SliceId, asked: &DemandReport) {
         let cut = self.slices.get(&slice).map_or(0.0, |s| s.cut_held).max(self.cut_told.unwrap_or(0.0));
-        let let_in = asked.came * self.level(cut, asked.op_type);
+        let let_in = asked.came * self.level(cut, asked.request_class);
         let stands = self.slices.get(&slice).is_some_and(|s| self.has_stood(s));
-        if let Some((came, aborted)) = self.fates.get_mut(asked.op_type) {
+        if let Some((came, failed)) = self.fates.get_mut(asked.request_class) {
             came.spread(at, asked.covers, let_in);
-            aborted.spread(at, asked.covers, asked.aborted);
+            failed.spread(at, asked.covers, asked.failed);
         }
         if let Some(s) = self.slices.get_mut(&slice) {
             s.came.spread(at, asked.covers, let_in);
-            s.aborted.spread(at, asked.covers, asked.aborted);
-            for (server, part) in s.parts().filter(|_| stands) {
-                if let Some(owner) = self.servers.get_mut(&server) {
+            s.failed.spread(at, asked.covers, asked.failed);
+            for (replica, part) in s.parts().filter(|_| stands) {
+                if let Some(owner) = self.replicas.get_mut(&replica) {
                     owner.asked.spread(at, asked.covers, let_in * part);
                 }
             }
         }
     }
 
-    pub fn slice_given(&mut self, now: Moment, slice: SliceId, table: &[(ServerId, f64)]) {
+    pub fn slice_given(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
         self.slice_taken(now, slice);
         self.slices.insert(slice, Slice::new(table, now));
         self.retable(slice, |_| {});
         // Proxies that joined while no table of ours named it did not hear that it is withdrawn.
         let named = table.iter().map(|(id, _)| *id);
-        let is_shut = |id: &ServerId| self.servers.get(id).is_some_and(|s| s.shut);
+        let is_shut = |id: &ReplicaId| self.replicas.get(id).is_some_and(|s| s.shut);
         let shut = named.filter(|id| is_shut(id) && !self.to_lift.contains(id));
         shut.collect::<Vec<_>>().into_iter().for_each(|id| self.withdraw_from(id, now));
         self.alarm = true;
@@ -220,10 +223,10 @@
     }
 
     /// It was in our charge, and its table is another than we left it: nobody knows its levels, which are told anew.
-    pub fn slice_reread(&mut self, now: Moment, slice: SliceId, table: &[(ServerId, f64)]) {
+    pub fn slice_reread(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
         self.slice_given(now, slice, table);
         self.slices.get_mut(&slice).into_iter().for_each(|s| s.cut_held = UNKNOWN);
-        self.tell(slice, Haste::Calm);
+        self.tell(slice, Priority::Calm);
         self.settle(now);
     }
 
--- a/crates/policy/src/pins.rs
+++ b/crates/policy/src/pins.rs
@@ -1,15 +1,15 @@
-//! Which server each slice is pinned to: ranges of slices that do not overlap, each under the newest wish.
+//! Which replica each slice is pinned to: ranges of slices that do not overlap, each under the newest override.
 
-use crate::interface::{ServerId, SliceId, WishId};
+use crate::api::{OverrideId, ReplicaId, SliceId};
 use std::collections::BTreeMap;
 
-type Pin = (ServerId, WishId);
+type Pin = (ReplicaId, OverrideId);
 
 /// By the first slice of each range, its last one and where it belongs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Pins(BTreeMap<SliceId, (SliceId, Pin)>);
+pub struct SlicePins(BTreeMap<SliceId, (SliceId, Pin)>);
 
-impl Pins {
+impl SlicePins {
     /// Lays a range over what is there; of ranges that it covers in part, the rest stays.
     pub fn lay(&mut self, first: SliceId, last: SliceId, pin: Pin) {
         if first > last {
--- a/crates/policy/src/chance.rs
+++ b/crates/policy/src/random.rs
@@ -1,12 +1,12 @@
 //! Chance from a seed: a multiply-with-carry generator, so that the same events give the same orders.
 
 #[derive(Clone, Debug)]
-pub struct Chance(u64);
+pub struct Random(u64);
 
-impl Chance {
+impl Random {
     pub fn from_seed(seed: u64) -> Self {
         // Both halves of the state must not be zero at once, or the sequence stands still.
-        Chance((seed ^ (seed >> 32) << 7) | 1 << 32)
+        Random((seed ^ (seed >> 32) << 7) | 1 << 32)
     }
 
     /// A number from 0 up to, but not including, 1.
--- a/crates/policy/src/sharing.rs
+++ b/crates/policy/src/sharing.rs
@@ -1,27 +1,27 @@
-//! Decisions among governors that share replicas ([`Share::Subset`]): who may fill a replica now, what the other
-//! governors have laid on it, and how much of an excess is this governor's to take away. Nothing here is shared
-//! between processes: all governors work out the same claims from the replica's lot and the time.
+//! Decisions among controllers that share replicas ([`SubsetMembership::Subset`]): who may fill a replica now, what the other
+//! controllers have laid on it, and how much of an excess is this controller's to take away. Nothing here is shared
+//! between processes: all controllers work out the same claims from the replica's lot and the time.
 //!
-//! - *Claims.* In each epoch exactly one of a replica's governors holds the claim on it, in rotation. Only the
+//! - *Claims.* In each epoch exactly one of a replica's controllers holds the claim on it, in rotation. Only the
 //!   claimant moves slices there of its own accord. Where reports cover more than a period, it rests in the last part of
 //!   the epoch: reports catch up, so that the next claimant sees what was moved.
-//! - *Totals.* A replica's load is what all proxies report for it. Reports lag, so a governor replaces its own part
+//! - *Totals.* A replica's load is what all proxies report for it. Reports lag, so a controller replaces its own part
 //!   of what was reported by what its own slices bring now.
 //! - *Draws.* Escapes can't wait for a claim: they are drawn among the replicas that have room, in proportion to the
-//!   room, and so spread like it however many governors escape at once. A replica that is too full is left by a draw
-//!   too, whose chances add up over all governors to what is too much.
+//!   room, and so spread like it however many controllers escape at once. A replica that is too full is left by a draw
+//!   too, whose chances add up over all controllers to what is too much.
 
-use crate::interface::{ServerId, Share, SliceId};
+use crate::api::{ReplicaId, SliceId, SubsetMembership};
 use crate::logic::Need;
-use crate::ring::Ring;
-use crate::state::{Governor, Picture, Server};
+use crate::state::{Picture, Policy, Replica};
 use crate::time::{Moment, Span};
+use crate::windowed_counter::WindowedCounter;
 
 /// How long a claim lasts: orders take up to a second to reach all proxies, and reports up to three to tell of it.
 pub const EPOCH: Span = Span::ms(4000);
 /// The least part of an epoch in which the claimant may act, however late reports are.
 const LEAST_ACTIVE: Span = Span::ms(1000);
-/// What other governors bring is averaged over this time; where more came within the shorter time, that counts.
+/// What other controllers bring is averaged over this time; where more came within the shorter time, that counts.
 const OTHERS_OVER: Span = Span::ms(3000);
 const OTHERS_LATELY: Span = Span::ms(1000);
 /// Reports of a moment are complete, and the sample of our own load beside them, one bucket later.
@@ -37,23 +37,23 @@
 const LEAST_ROOM: f64 = 1e-6;
 
 /// The position that holds the claim on a replica in an epoch.
-pub fn claimant(lot: u64, epoch: u64, governors: u32) -> u32 {
-    let turn = (u128::from(lot) + u128::from(epoch)) % u128::from(governors.max(1));
+pub fn claimant(lot: u64, epoch: u64, controllers: u32) -> u32 {
+    let turn = (u128::from(lot) + u128::from(epoch)) % u128::from(controllers.max(1));
     turn as u32
 }
 
-impl Share {
-    /// Whether this governor holds the claim on the replica at this moment, and may act on it: the epoch's last part,
+impl SubsetMembership {
+    /// Whether this controller holds the claim on the replica at this moment, and may act on it: the epoch's last part,
     /// as long as reports cover more than a period, is for them to catch up.
     pub fn is_claimed(self, lot: u64, now: Moment, stretch: Span) -> bool {
         match self {
-            Share::Everyone => true,
-            Share::Others => false,
-            Share::Subset { governors: 1, .. } => true,
-            Share::Subset { governors, position } => {
+            SubsetMembership::Everyone => true,
+            SubsetMembership::Others => false,
+            SubsetMembership::Subset { controllers: 1, .. } => true,
+            SubsetMembership::Subset { controllers, position } => {
                 let epoch = now.count_of(EPOCH);
                 let since = now - Moment::at_ns(epoch * EPOCH.as_ns());
-                claimant(lot, epoch, governors) == position && since < (EPOCH - stretch).max(LEAST_ACTIVE)
+                claimant(lot, epoch, controllers) == position && since < (EPOCH - stretch).max(LEAST_ACTIVE)
             }
         }
     }
@@ -70,13 +70,13 @@
     drawn: u64,
 }
 
-/// What is remembered of a replica that several governors steer.
+/// What is remembered of a replica that several controllers steer.
 pub struct SharedLoad {
     /// How long a time the latest report of it covers.
     pub window: Span,
     /// What our own slices brought there, by time.
-    own: Ring,
-    /// What other governors' slices bring a second, without and with repeats.
+    own: WindowedCounter,
+    /// What other controllers' slices bring a second, without and with repeats.
     others_load: f64,
     others_press: f64,
     /// This round's draw.
@@ -87,7 +87,7 @@
     fn default() -> Self {
         SharedLoad {
             window: Span::default(),
-            own: Ring::new(SAMPLE_BUCKET, SAMPLE_BUCKETS),
+            own: WindowedCounter::new(SAMPLE_BUCKET, SAMPLE_BUCKETS),
             others_load: 0.0,
             others_press: 0.0,
             draw: 1.0,
@@ -95,10 +95,10 @@
     }
 }
 
-impl Server {
-    /// Steered by other governors only.
+impl Replica {
+    /// Steered by other controllers only.
     pub(crate) fn is_foreign(&self) -> bool {
-        self.share == Share::Others
+        self.share == SubsetMembership::Others
     }
 
     /// A replica that may be chosen at all.
@@ -106,32 +106,33 @@
         self.is_ready() && !self.shut && !self.out && !self.is_foreign()
     }
 
-    /// What other governors brought a second within this time.
+    /// What other controllers brought a second within this time.
     fn others_rate(&self, end: Moment, over: Span) -> f64 {
-        let residue = self.tries.sum(end, over) - self.shared.own.sum(end, over);
+        let residue = self.attempts.sum(end, over) - self.shared.own.sum(end, over);
         residue.max(0.0) / over.seconds()
     }
 }
 
-impl Governor {
-    /// Adds to each replica's load what other governors' slices bring. Does nothing where all is everyone's.
+impl Policy {
+    /// Adds to each replica's load what other controllers' slices bring. Does nothing where all is everyone's.
     pub(crate) fn add_others(&mut self, repeated: f64) {
-        self.sharing.active = self.servers.values().any(|s| s.share != Share::Everyone);
+        self.sharing.active = self.replicas.values().any(|s| s.share != SubsetMembership::Everyone);
         if !self.sharing.active {
             return;
         }
         self.draw_for_round();
         self.sample_own();
-        let windows = self.servers.values().filter(|s| !s.is_foreign()).map(|s| s.shared.window);
+        let windows = self.replicas.values().filter(|s| !s.is_foreign()).map(|s| s.shared.window);
         self.sharing.stretch = windows.max().unwrap_or_default() - self.site.report_period;
         let now = self.now;
-        let newest = self.servers.values().map(|s| s.tries.newest()).max().unwrap_or_default();
+        let newest = self.replicas.values().map(|s| s.attempts.newest()).max().unwrap_or_default();
         // Aggregated reports may have longer windows than that.
         let oldest = newest - NOTHING_COMES.max(self.behind + self.site.report_period);
-        // Nobody else brings anything to a replica that this governor steers alone.
-        let is_shared = |s: &&mut Server| !matches!(s.share, Share::Subset { governors: 1, .. });
-        for s in self.servers.values_mut().filter(is_shared) {
-            let end = s.tries.newest().max(oldest).min(now) - SAMPLE_BUCKET;
+        // Nobody else brings anything to a replica that this controller steers alone.
+        let is_shared =
+            |s: &&mut Replica| !matches!(s.share, SubsetMembership::Subset { controllers: 1, .. });
+        for s in self.replicas.values_mut().filter(is_shared) {
+            let end = s.attempts.newest().max(oldest).min(now) - SAMPLE_BUCKET;
             s.shared.others_press = s.others_rate(end, OTHERS_OVER).max(s.others_rate(end, OTHERS_LATELY));
             s.shared.others_load = s.others_rate(end, OTHERS_OVER) * (1.0 - repeated * s.seen.failed_share());
             s.press += s.shared.others_press;
@@ -142,8 +143,8 @@
     fn draw_for_round(&mut self) {
         let round = self.now.count_of(DRAW_EVERY);
         if std::mem::replace(&mut self.sharing.drawn, round) != round {
-            let chance = &mut self.chance;
-            self.servers.values_mut().for_each(|s| s.shared.draw = chance.draw());
+            let random = &mut self.random;
+            self.replicas.values_mut().for_each(|s| s.shared.draw = random.draw());
         }
     }
 
@@ -156,7 +157,7 @@
         for slice in self.slices.values() {
             let whole: f64 = slice.held.values().sum();
             for (id, weight) in &slice.held {
-                if let Some(s) = self.servers.get_mut(id) {
+                if let Some(s) = self.replicas.get_mut(id) {
                     let amount = slice.press * elapsed.seconds() * weight / whole;
                     s.shared.own.spread(now, elapsed, amount);
                 }
@@ -170,12 +171,12 @@
         &self,
         own: Picture,
         band: f64,
-        counted: impl Fn(&Server) -> bool,
+        counted: impl Fn(&Replica) -> bool,
     ) -> Picture {
         if !self.sharing.active {
             return own;
         }
-        let ours = || self.servers.values().filter(|s| !s.is_foreign());
+        let ours = || self.replicas.values().filter(|s| !s.is_foreign());
         let counted = || ours().filter(|s| counted(s));
         let load: f64 = ours().map(|s| s.load).sum();
         let power = counted().map(|s| s.power).sum::<f64>().max(0.01);
@@ -184,14 +185,14 @@
         Picture { average, phi: band * average, even, ..own }
     }
 
-    /// Whether this governor may move slices to a replica of its own accord.
-    pub(crate) fn holds_claim(&self, s: &Server) -> bool {
+    /// Whether this controller may move slices to a replica of its own accord.
+    pub(crate) fn holds_claim(&self, s: &Replica) -> bool {
         s.share.is_claimed(s.lot, self.now, self.sharing.stretch)
     }
 
     /// The order by room in which refuges are looked through: claimed ones below the average first, by room; then the others by a
-    /// draw in proportion to their room, so that governors which escape at once spread.
-    pub(crate) fn room_order(&self, s: &Server, room: f64, lot: f64) -> f64 {
+    /// draw in proportion to their room, so that controllers which escape at once spread.
+    pub(crate) fn room_order(&self, s: &Replica, room: f64, lot: f64) -> f64 {
         if !self.sharing.active || (self.holds_claim(s) && s.level() < self.picture.average) {
             return -room;
         }
@@ -199,7 +200,7 @@
     }
 
     /// The order by level: among replicas that differ by less than the band, a draw.
-    pub(crate) fn level_order(&self, s: &Server, lot: f64) -> f64 {
+    pub(crate) fn level_order(&self, s: &Replica, lot: f64) -> f64 {
         match self.sharing.active {
             false => s.level(),
             true => s.level() + self.picture.phi * lot,
@@ -208,7 +209,7 @@
 
     /// Whether a claimed replica has room for all of it; to escapes it is preferred up to the average only, lest those
     /// whose claimants have much to place are filled before the others.
-    pub(crate) fn has_room_if_shared(&self, need: Need, s: &Server, load: f64) -> bool {
+    pub(crate) fn has_room_if_shared(&self, need: Need, s: &Replica, load: f64) -> bool {
         let preferred = || matches!(need, Need::Relief) || s.level() < self.picture.average;
         !self.sharing.active || (self.picture.room(s) >= load && preferred())
     }
@@ -217,59 +218,59 @@
     pub(crate) fn fit_or_escape(
         &self,
         need: Need,
-        fit: Option<ServerId>,
+        fit: Option<ReplicaId>,
         load: f64,
-        owns: &dyn Fn(&ServerId) -> bool,
-    ) -> Option<ServerId> {
+        owns: &dyn Fn(&ReplicaId) -> bool,
+    ) -> Option<ReplicaId> {
         let escapes = self.sharing.active && !matches!(need, Need::Relief);
         escapes.then(|| self.shared_escape(load, owns)).flatten().or(fit)
     }
 
     /// A warm replica of the subset with room, or the least loaded by draw, whoever holds the claim on it; where the
-    /// subset has no warm one that is fit, a warm one of other governors.
-    fn shared_escape(&self, load: f64, owns: &dyn Fn(&ServerId) -> bool) -> Option<ServerId> {
-        let good = |id: &ServerId| !owns(id) && self.servers.get(id).is_some_and(|s| self.is_good(s));
-        let roomy = |id: &ServerId| good(id) && self.picture.room(&self.servers[id]) >= load;
+    /// subset has no warm one that is fit, a warm one of other controllers.
+    fn shared_escape(&self, load: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+        let good = |id: &ReplicaId| !owns(id) && self.replicas.get(id).is_some_and(|s| self.is_good(s));
+        let roomy = |id: &ReplicaId| good(id) && self.picture.room(&self.replicas[id]) >= load;
         let own = || self.ranks.by_room.first(roomy).or_else(|| self.ranks.by_level.first(good));
         own().or_else(|| self.foreign_escape(owns))
     }
 
-    fn foreign_escape(&self, owns: &dyn Fn(&ServerId) -> bool) -> Option<ServerId> {
-        let well = |s: &Server| s.is_foreign() && s.is_ready() && !s.shut && !s.out;
-        let warm = |s: &Server| well(s) && !self.is_sick(s) && !self.is_cold(s);
-        let able = self.servers.iter().filter(|(id, s)| warm(s) && !owns(id));
+    fn foreign_escape(&self, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+        let well = |s: &Replica| s.is_foreign() && s.is_ready() && !s.shut && !s.out;
+        let warm = |s: &Replica| well(s) && !self.is_sick(s) && !self.is_cold(s);
+        let able = self.replicas.iter().filter(|(id, s)| warm(s) && !owns(id));
         able.min_by(|a, b| a.1.shared.draw.total_cmp(&b.1.shared.draw)).map(|(id, _)| *id)
     }
 
-    /// Whether it is this governor's turn, by draw, to take a slice from a replica above the average: the chances of
-    /// all governors add up to what is too much, spread over the rounds until it shows. Others take part at any time.
-    pub(crate) fn may_shed(&self, s: &Server) -> bool {
-        let Share::Subset { governors: 2.., .. } = s.share else { return true };
+    /// Whether it is this controller's turn, by draw, to take a slice from a replica above the average: the chances of
+    /// all controllers add up to what is too much, spread over the rounds until it shows. Others take part at any time.
+    pub(crate) fn may_shed(&self, s: &Replica) -> bool {
+        let SubsetMembership::Subset { controllers: 2.., .. } = s.share else { return true };
         let excess = 1.0 - self.picture.average / s.level().max(f64::MIN_POSITIVE);
         let rounds_unseen = ROUNDS_UNSEEN + self.sharing.stretch.seconds();
         excess <= 0.0 || s.shared.draw < excess * s.lines.len() as f64 / rounds_unseen
     }
 
-    /// The same for a cold replica that is sent too much: one of its governors is drawn, in proportion to what its own
+    /// The same for a cold replica that is sent too much: one of its controllers is drawn, in proportion to what its own
     /// slices bring.
-    pub(crate) fn may_relieve(&self, s: &Server) -> bool {
-        let Share::Subset { governors: 2.., .. } = s.share else { return true };
+    pub(crate) fn may_relieve(&self, s: &Replica) -> bool {
+        let SubsetMembership::Subset { controllers: 2.., .. } = s.share else { return true };
         s.shared.draw < 1.0 - s.shared.others_press / s.press.max(f64::MIN_POSITIVE)
     }
 
-    /// A slice on a replica of other governors, and a claimed replica with room for it: one a replica and round.
-    pub(crate) fn find_return(&self) -> Option<(SliceId, ServerId, ServerId)> {
+    /// A slice on a replica of other controllers, and a claimed replica with room for it: one a replica and round.
+    pub(crate) fn find_return(&self) -> Option<(SliceId, ReplicaId, ReplicaId)> {
         if !self.sharing.active {
             return None;
         }
-        let foreign = self.servers.iter().filter(|(_, s)| s.is_foreign() && !s.used && !s.lines.is_empty());
+        let foreign = self.replicas.iter().filter(|(_, s)| s.is_foreign() && !s.used && !s.lines.is_empty());
         let mut owned = foreign.flat_map(|(id, s)| s.lines.iter().map(|n| (*n, *id)));
         owned.find_map(|(n, from)| {
-            let slice = self.slices.get(&n).filter(|s| s.mark.is_none() && s.wanted == s.held)?;
+            let slice = self.slices.get(&n).filter(|s| s.version.is_none() && s.wanted == s.held)?;
             let leaves = slice.owners().any(|owner| owner == from) && !self.is_at_pin(n, slice);
-            let takes = |id: &ServerId| {
-                let fits = |s: &Server| !s.used && self.may_take(s, slice.load.max(slice.press));
-                !slice.wanted.contains_key(id) && self.servers.get(id).is_some_and(fits)
+            let takes = |id: &ReplicaId| {
+                let fits = |s: &Replica| !s.used && self.may_take(s, slice.load.max(slice.press));
+                !slice.wanted.contains_key(id) && self.replicas.get(id).is_some_and(fits)
             };
             let to = leaves.then(|| self.ranks.by_room.first(takes)).flatten()?;
             Some((n, from, to))
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,41 +1,41 @@
-//! What a governor remembers: plain records, no decisions.
+//! What a controller remembers: plain records, no decisions.
 
-use crate::chance::Chance;
-use crate::deployment::Deployment;
-use crate::interface::{
-    Heeded, Listing, Met, PlaceId, ProxyId, ReportFlow, ServerId, Share, SliceId, Standing, Step, Wish,
-    WishId,
+use crate::api::{
+    EndpointReport, OverrideId, OverrideSpec, OverrideStatus, ProxyId, ReplicaId, ReplicaListing,
+    ReplicaState, ReportFlow, SliceId, Step, SubsetMembership, ZoneId,
 };
-use crate::pins::Pins;
-use crate::ring::Ring;
+use crate::deployment::Deployment;
+use crate::pins::SlicePins;
+use crate::random::Random;
 use crate::sharing::{SharedLoad, Sharing};
 use crate::time::{Moment, Span};
+use crate::windowed_counter::WindowedCounter;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Twenty seconds in half-second buckets: the longest that any rule looks back.
 const LONGEST: Span = Span::ms(20_000);
 
-fn ring() -> Ring {
-    Ring::new(Span::ms(500), 40)
+fn windowed_counter() -> WindowedCounter {
+    WindowedCounter::new(Span::ms(500), 40)
 }
 
-pub struct Server {
-    pub place: PlaceId,
+pub struct Replica {
+    pub zone: ZoneId,
     pub machine: String,
-    pub standing: Standing,
+    pub standing: ReplicaState,
     pub size: f64,
     pub started: Option<Moment>,
-    /// Stands for it at all governors alike.
+    /// Stands for it at all controllers alike.
     pub lot: u64,
-    /// Which governors steer it.
-    pub share: Share,
+    /// Which controllers steer it.
+    pub share: SubsetMembership,
     pub shared: SharedLoad,
     pub listed: bool,
-    pub tries: Ring,
-    pub aborted: Ring,
-    pub answered: Ring,
-    pub busy: Ring,
-    pub asked: Ring,
+    pub attempts: WindowedCounter,
+    pub failed: WindowedCounter,
+    pub answered: WindowedCounter,
+    pub busy: WindowedCounter,
+    pub asked: WindowedCounter,
     /// When its reports were last known not to be whole, and since when there are any, where there were none before.
     pub incomplete: Option<Moment>,
     pub observed: Moment,
@@ -64,21 +64,21 @@
     pub able: f64,
     pub power: f64,
     pub factor: f64,
-    /// How much more of it is ours than our part; 0 where it is another governor's alone.
+    /// How much more of it is ours than our part; 0 where it is another controller's alone.
     pub part: f64,
-    /// Out of service by the operators' wish.
+    /// Out of service by the operators' override.
     pub out: bool,
     pub seen: Lately,
     pub strain: f64,
 }
 
-/// One governor's whole memory; it is lost when the governor is killed.
-pub struct Governor {
+/// One controller's whole memory; it is lost when the controller is killed.
+pub struct Policy {
     pub(crate) site: Deployment,
-    pub(crate) chance: Chance,
+    pub(crate) random: Random,
     pub(crate) now: Moment,
     pub(crate) born: Moment,
-    pub(crate) servers: BTreeMap<ServerId, Server>,
+    pub(crate) replicas: BTreeMap<ReplicaId, Replica>,
     pub(crate) slices: BTreeMap<SliceId, Slice>,
     pub(crate) channel: Channel,
     pub(crate) steps: Vec<Step>,
@@ -94,55 +94,55 @@
     /// one was last lost.
     pub(crate) known: BTreeMap<ProxyId, Moment>,
     pub(crate) parted_at: Moment,
-    /// Servers still to be withdrawn from all tables, and from when on; and those whose withdrawals are to be
+    /// Replicas still to be withdrawn from all tables, and from when on; and those whose withdrawals are to be
     /// lifted.
-    pub(crate) to_shut: BTreeMap<ServerId, Moment>,
-    pub(crate) to_lift: BTreeSet<ServerId>,
+    pub(crate) to_shut: BTreeMap<ReplicaId, Moment>,
+    pub(crate) to_lift: BTreeSet<ReplicaId>,
     /// Slices whose table or level differs from what the proxies were told: urgent ones first, then by age.
-    pub(crate) untold: BTreeSet<(Haste, Moment, SliceId)>,
-    /// By op type, what was let in and what of it was aborted.
-    pub(crate) fates: Vec<(Ring, Ring)>,
+    pub(crate) untold: BTreeSet<(Priority, Moment, SliceId)>,
+    /// By request class, what was let in and what of it was aborted.
+    pub(crate) fates: Vec<(WindowedCounter, WindowedCounter)>,
     /// The cut that holds for all tables, since when, and the one that the proxies were told of.
     pub(crate) cut: f64,
     pub(crate) cut_at: Moment,
     pub(crate) cut_told: Option<f64>,
     pub(crate) report_flow: ReportFlow,
     /// Seconds covered by the reports' lines, and their number.
-    pub(crate) covered: Ring,
-    pub(crate) reports: Ring,
+    pub(crate) covered: WindowedCounter,
+    pub(crate) reports: WindowedCounter,
     /// How much more than a period a line covers: reports that fall behind.
     pub(crate) behind: Span,
-    /// Answers, and the seconds they took, from proxies of one place at servers of another.
-    pub(crate) links: BTreeMap<(PlaceId, PlaceId), Link>,
+    /// Answers, and the seconds they took, from proxies of one place at replicas of another.
+    pub(crate) links: BTreeMap<(ZoneId, ZoneId), Link>,
     /// What the way between two places adds to an answer's time.
-    pub(crate) delays: BTreeMap<(PlaceId, PlaceId), f64>,
+    pub(crate) delays: BTreeMap<(ZoneId, ZoneId), f64>,
     pub(crate) picture: Picture,
     pub(crate) ranks: AllRanks,
     pub(crate) sharing: Sharing,
     pub(crate) token: u64,
-    /// What operators wish, in the order in which they said so, and the slices that they pin.
-    pub(crate) wishes: BTreeMap<WishId, Wished>,
-    pub(crate) pins: Pins,
+    /// What operators override, in the order in which they said so, and the slices that they pin.
+    pub(crate) wishes: BTreeMap<OverrideId, Wished>,
+    pub(crate) pins: SlicePins,
 }
 
-/// A wish, and what became of it.
+/// A override, and what became of it.
 pub struct Wished {
-    pub wish: Wish,
-    pub heeded: Heeded,
+    pub wish: OverrideSpec,
+    pub heeded: OverrideStatus,
     /// When it last had to stand back.
     pub stood_back: Option<Moment>,
 }
 
-impl Governor {
+impl Policy {
     pub(crate) fn blank(site: Deployment, seed: u64, now: Moment) -> Self {
-        Governor {
+        Policy {
             channel: Channel::new(site.message_window, seed as u16),
-            fates: site.op_types.iter().map(|_| (ring(), ring())).collect(),
+            fates: site.request_classes.iter().map(|_| (windowed_counter(), windowed_counter())).collect(),
             site,
-            chance: Chance::from_seed(seed),
+            random: Random::from_seed(seed),
             now,
             born: now,
-            servers: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             slices: BTreeMap::new(),
             steps: Vec::new(),
             replying: false,
@@ -159,8 +159,8 @@
             cut_at: now,
             cut_told: None,
             report_flow: ReportFlow::default(),
-            covered: ring(),
-            reports: ring(),
+            covered: windowed_counter(),
+            reports: windowed_counter(),
             behind: Span::default(),
             links: BTreeMap::new(),
             delays: BTreeMap::new(),
@@ -169,38 +169,38 @@
             sharing: Sharing::default(),
             token: 0,
             wishes: BTreeMap::new(),
-            pins: Pins::default(),
+            pins: SlicePins::default(),
         }
     }
 
-    pub fn knows(&self, server: ServerId) -> bool {
-        self.servers.contains_key(&server)
+    pub fn knows(&self, replica: ReplicaId) -> bool {
+        self.replicas.contains_key(&replica)
     }
 
     /// What the list last said of it, and of which start.
-    pub fn standing(&self, server: ServerId) -> Option<(Standing, Option<Moment>)> {
-        self.servers.get(&server).map(|s| (s.standing, s.started))
+    pub fn standing(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
+        self.replicas.get(&replica).map(|s| (s.standing, s.started))
     }
 
     /// What its slices ask for a second, as of the last survey.
-    pub fn measured_load(&self, server: ServerId) -> Option<f64> {
-        self.servers.get(&server).map(|s| s.load)
+    pub fn measured_load(&self, replica: ReplicaId) -> Option<f64> {
+        self.replicas.get(&replica).map(|s| s.load)
     }
 
-    /// A server that the list names and does not call gone.
-    pub fn listed_server(&self, server: ServerId) -> Option<&Server> {
-        self.servers.get(&server).filter(|s| s.listed)
+    /// A replica that the list names and does not call gone.
+    pub fn listed_replica(&self, replica: ReplicaId) -> Option<&Replica> {
+        self.replicas.get(&replica).filter(|s| s.listed)
     }
 
-    /// Which governors steer a server, as the decisions were told last.
-    pub fn share(&self, server: ServerId) -> Option<Share> {
-        self.servers.get(&server).map(|s| s.share)
+    /// Which controllers steer a replica, as the decisions were told last.
+    pub fn share(&self, replica: ReplicaId) -> Option<SubsetMembership> {
+        self.replicas.get(&replica).map(|s| s.share)
     }
 
-    /// Other governors steer these servers now; nothing else that the list says of them changed.
-    pub fn shares_changed(&mut self, now: Moment, shares: &[(ServerId, Share)]) {
-        for (server, share) in shares {
-            if let Some(known) = self.servers.get_mut(server) {
+    /// Other controllers steer these replicas now; nothing else that the list says of them changed.
+    pub fn shares_changed(&mut self, now: Moment, shares: &[(ReplicaId, SubsetMembership)]) {
+        for (replica, share) in shares {
+            if let Some(known) = self.replicas.get_mut(replica) {
                 known.share = *share;
             }
         }
@@ -208,30 +208,30 @@
         self.settle(now);
     }
 
-    pub fn servers_known(&self) -> usize {
-        self.servers.len()
+    pub fn replicas_known(&self) -> usize {
+        self.replicas.len()
     }
 
-    /// Servers are replaced for as long as the fleet runs: what went for good and stands in nobody's way is
+    /// Replicas are replaced for as long as the fleet runs: what went for good and stands in nobody's way is
     /// forgotten, or the map would grow for ever.
     pub(crate) fn forget_gone(&mut self) {
         let (now, shut, lift) = (self.now, &self.to_shut, &self.to_lift);
-        self.servers.retain(|id, s| s.shut || shut.contains_key(id) || lift.contains(id) || !s.is_past(now));
+        self.replicas.retain(|id, s| s.shut || shut.contains_key(id) || lift.contains(id) || !s.is_past(now));
     }
 
     /// One that we hear of for the first time, and that did not start in this life of ours, may stand withdrawn by a
     /// former life at proxies that joined before we heard of it.
-    pub(crate) fn server(&mut self, id: ServerId, started: Option<Moment>) -> &mut Server {
+    pub(crate) fn replica(&mut self, id: ReplicaId, started: Option<Moment>) -> &mut Replica {
         let of_old =
             self.may_stand_withdrawn() && !self.known.is_empty() && started.is_none_or(|at| at < self.born);
-        if of_old && !self.servers.contains_key(&id) {
+        if of_old && !self.replicas.contains_key(&id) {
             self.to_lift.insert(id);
             self.due.lift = self.due.lift.or(Some(self.now + self.site.report_period));
         }
-        self.servers.entry(id).or_insert_with(Server::unlisted)
+        self.replicas.entry(id).or_insert_with(Replica::unlisted)
     }
 
-    /// A former life may have withdrawn servers; where one owner writes no life does.
+    /// A former life may have withdrawn replicas; where one owner writes no life does.
     pub(crate) fn may_stand_withdrawn(&self) -> bool {
         !self.site.single_writer
     }
@@ -243,14 +243,14 @@
         reaches_proxies && self.due.lift.is_none_or(|at| at <= self.now)
     }
 
-    /// Changes a slice's table, and what its servers carry with it.
+    /// Changes a slice's table, and what its replicas carry with it.
     pub(crate) fn retable(&mut self, n: SliceId, change: impl FnOnce(&mut Slice)) {
         self.weigh(n, -1.0);
         if let Some(slice) = self.slices.get_mut(&n) {
             change(slice);
-            // A server that only the store knows still has its lines counted.
+            // A replica that only the store knows still has its lines counted.
             let named: Vec<_> = slice.wanted.keys().copied().collect();
-            named.into_iter().for_each(|id| _ = self.server(id, None));
+            named.into_iter().for_each(|id| _ = self.replica(id, None));
         }
         self.weigh(n, 1.0);
     }
@@ -258,14 +258,14 @@
     fn weigh(&mut self, n: SliceId, sign: f64) {
         let Some(slice) = self.slices.get(&n) else { return };
         for (id, part) in slice.parts() {
-            if let Some(s) = self.servers.get_mut(&id) {
+            if let Some(s) = self.replicas.get_mut(&id) {
                 s.load += sign * slice.load * part;
                 s.press += sign * slice.press * part;
                 s.standing_by += if slice.stands_by(&id) { sign } else { 0.0 };
             }
         }
         for id in slice.wanted.keys().chain(slice.held.keys()) {
-            if let Some(s) = self.servers.get_mut(id) {
+            if let Some(s) = self.replicas.get_mut(id) {
                 _ = if sign > 0.0 { s.lines.insert(n) } else { s.lines.remove(&n) };
             }
         }
@@ -273,12 +273,12 @@
         touched.into_iter().for_each(|id| self.rank(id));
     }
 
-    /// Puts a server where its figures have it now; one that nothing may go to is not looked at for each slice.
-    fn rank(&mut self, id: ServerId) {
-        let Some(s) = self.servers.get(&id).filter(|s| s.part > 0.0 && self.is_fit(s)) else { return };
+    /// Puts a replica where its figures have it now; one that nothing may go to is not looked at for each slice.
+    fn rank(&mut self, id: ReplicaId) {
+        let Some(s) = self.replicas.get(&id).filter(|s| s.part > 0.0 && self.is_fit(s)) else { return };
         let standing_by = s.standing_by / s.power;
-        let lot = self.chance.draw();
-        let Some(s) = self.servers.get(&id) else { return };
+        let lot = self.random.draw();
+        let Some(s) = self.replicas.get(&id) else { return };
         let (room, level) = (self.room_order(s, self.picture.room(s), lot), self.level_order(s, lot));
         self.ranks.by_room.put(id, room, lot);
         self.ranks.by_level.put(id, level, lot);
@@ -287,35 +287,35 @@
 
     pub(crate) fn rank_all(&mut self) {
         self.ranks = AllRanks::default();
-        let all: Vec<_> = self.servers.keys().copied().collect();
+        let all: Vec<_> = self.replicas.keys().copied().collect();
         all.into_iter().for_each(|id| self.rank(id));
     }
 
-    /// Puts one server's line in place of another's, or adds or takes one away where there is only one of
+    /// Puts one replica's line in place of another's, or adds or takes one away where there is only one of
     /// both, and has the proxies told.
     pub(crate) fn reline(
         &mut self,
         n: SliceId,
-        from: Option<ServerId>,
-        to: Option<(ServerId, f64)>,
-        haste: Haste,
+        from: Option<ReplicaId>,
+        to: Option<(ReplicaId, f64)>,
+        priority: Priority,
     ) {
         self.retable(n, |slice| {
             from.map(|id| slice.wanted.remove(&id));
             slice.wanted.extend(to);
         });
-        self.tell(n, haste);
+        self.tell(n, priority);
     }
 
     /// The same, where it is the owners that change.
     pub(crate) fn reshape(
         &mut self,
         n: SliceId,
-        from: Option<ServerId>,
-        to: Option<(ServerId, f64)>,
-        haste: Haste,
+        from: Option<ReplicaId>,
+        to: Option<(ReplicaId, f64)>,
+        priority: Priority,
     ) {
-        self.reline(n, from, to, haste);
+        self.reline(n, from, to, priority);
         self.slices.get_mut(&n).into_iter().for_each(|s| s.settled = self.now);
     }
 
@@ -326,8 +326,8 @@
 
     /// Notes what went out in this reply for a slice: lines of its table and its cut. Without lines a change
     /// of owner has only begun.
-    pub(crate) fn note_sent(&mut self, n: SliceId, cut: f64, lines: &[(ServerId, f64)], orders: f64) {
-        let mark = (orders > 0.0).then(|| self.write(orders));
+    pub(crate) fn note_sent(&mut self, n: SliceId, cut: f64, lines: &[(ReplicaId, f64)], orders: f64) {
+        let version = (orders > 0.0).then(|| self.write(orders));
         self.told(n);
         let now = self.now;
         let Some(slice) = self.slices.get_mut(&n) else { return };
@@ -335,9 +335,9 @@
         slice.halted = if halts { Some(now) } else { slice.halted };
         slice.cut_held = cut;
         if let Some(sent) =
-            mark.filter(|_| slice.wanted != slice.held).and_then(|m| self.channel.marks.get_mut(&m))
+            version.filter(|_| slice.wanted != slice.held).and_then(|m| self.channel.versions.get_mut(&m))
         {
-            slice.mark = mark;
+            slice.version = version;
             sent.slices.push(n);
         }
         let single = self.site.single_writer && !lines.is_empty();
@@ -348,10 +348,10 @@
         });
     }
 
-    /// Notes that a server is to be withdrawn from all tables, or let in again. Until the proxies were told,
+    /// Notes that a replica is to be withdrawn from all tables, or let in again. Until the proxies were told,
     /// one that is to be let in still counts as withdrawn.
-    pub(crate) fn turn(&mut self, id: ServerId, out: bool) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+    pub(crate) fn turn(&mut self, id: ReplicaId, out: bool) {
+        let Some(s) = self.replicas.get_mut(&id) else { return };
         let still = self.to_lift.remove(&id) && s.shut;
         (s.shut, s.was_shut) = (s.shut || out, true);
         if !out {
@@ -363,58 +363,58 @@
     }
 
     /// Of two reasons to withdraw it the earlier one counts.
-    pub(crate) fn withdraw_from(&mut self, id: ServerId, at: Moment) {
+    pub(crate) fn withdraw_from(&mut self, id: ReplicaId, at: Moment) {
         let due = self.to_shut.entry(id).or_insert(at);
         *due = at.min(*due);
     }
 
     pub(crate) fn note_withdrawal(&mut self, step: &Step) {
-        let Step::Withdraw { server, out } = step else { return };
-        self.to_shut.remove(server);
-        self.servers.get_mut(server).into_iter().for_each(|s| s.turned = self.now);
+        let Step::Withdraw { replica, out } = step else { return };
+        self.to_shut.remove(replica);
+        self.replicas.get_mut(replica).into_iter().for_each(|s| s.turned = self.now);
         if !out {
-            self.to_lift.remove(server);
+            self.to_lift.remove(replica);
             self.due.lift = self.due.lift.filter(|_| !self.to_lift.is_empty());
-            self.servers.get_mut(server).into_iter().for_each(|s| s.shut = false);
+            self.replicas.get_mut(replica).into_iter().for_each(|s| s.shut = false);
         }
     }
 
-    /// Frees the slices that wait for a mark, and forgets it where no ack is missing.
-    pub(crate) fn close_mark(&mut self, number: u16) {
-        let Some(sent) = self.channel.marks.get_mut(&number) else { return };
+    /// Frees the slices that wait for a version, and forgets it where no ack is missing.
+    pub(crate) fn close_version(&mut self, number: u16) {
+        let Some(sent) = self.channel.versions.get_mut(&number) else { return };
         for n in std::mem::take(&mut sent.slices) {
-            if let Some(slice) = self.slices.get_mut(&n).filter(|s| s.mark == Some(number)) {
-                (slice.mark, slice.settled) = (None, self.now);
+            if let Some(slice) = self.slices.get_mut(&n).filter(|s| s.version == Some(number)) {
+                (slice.version, slice.settled) = (None, self.now);
             }
         }
         if sent.waiting.is_empty() {
-            self.channel.marks.remove(&number);
+            self.channel.versions.remove(&number);
         }
     }
 
     /// Puts a slice among those to be told of; one that is there keeps its age.
-    pub(crate) fn tell(&mut self, n: SliceId, haste: Haste) {
+    pub(crate) fn tell(&mut self, n: SliceId, priority: Priority) {
         let Some(slice) = self.slices.get_mut(&n) else { return };
-        let (was, since) = slice.untold.unwrap_or((haste, self.now));
+        let (was, since) = slice.untold.unwrap_or((priority, self.now));
         self.untold.remove(&(was, since, n));
-        slice.untold = Some((was.min(haste), since));
-        self.untold.insert((was.min(haste), since, n));
+        slice.untold = Some((was.min(priority), since));
+        self.untold.insert((was.min(priority), since, n));
     }
 
     pub(crate) fn told(&mut self, n: SliceId) {
         let Some(slice) = self.slices.get_mut(&n) else { return };
-        if let Some((haste, since)) = slice.untold.take() {
-            self.untold.remove(&(haste, since, n));
+        if let Some((priority, since)) = slice.untold.take() {
+            self.untold.remove(&(priority, since, n));
         }
     }
 }
 
-/// Servers in the order of a figure, the least first; equals as their lots fall. What looks for a server for
-/// each of many slices must not go through all servers each time.
+/// Replicas in the order of a figure, the least first; equals as their lots fall. What looks for a replica for
+/// each of many slices must not go through all replicas each time.
 #[derive(Default)]
 pub struct Ranks {
-    order: BTreeSet<(i64, i64, ServerId)>,
-    places: BTreeMap<ServerId, (i64, i64)>,
+    order: BTreeSet<(i64, i64, ReplicaId)>,
+    zones: BTreeMap<ReplicaId, (i64, i64)>,
 }
 
 /// Whole numbers in the order of the figures.
@@ -424,15 +424,15 @@
 }
 
 impl Ranks {
-    pub fn put(&mut self, id: ServerId, figure: f64, lot: f64) {
-        let place = (ordered(figure), ordered(lot));
-        if let Some((figure, lot)) = self.places.insert(id, place) {
+    pub fn put(&mut self, id: ReplicaId, figure: f64, lot: f64) {
+        let zone = (ordered(figure), ordered(lot));
+        if let Some((figure, lot)) = self.zones.insert(id, zone) {
             self.order.remove(&(figure, lot, id));
         }
-        self.order.insert((place.0, place.1, id));
+        self.order.insert((zone.0, zone.1, id));
     }
 
-    pub fn first(&self, keep: impl Fn(&ServerId) -> bool) -> Option<ServerId> {
+    pub fn first(&self, keep: impl Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
         self.order.iter().map(|(.., id)| id).find(|id| keep(id)).copied()
     }
 }
@@ -446,51 +446,51 @@
 
 /// Answers on the way from one place to another, and the seconds they took.
 pub struct Link {
-    pub answered: Ring,
-    pub busy: Ring,
+    pub answered: WindowedCounter,
+    pub busy: WindowedCounter,
 }
 
 impl Default for Link {
     fn default() -> Self {
-        Link { answered: ring(), busy: ring() }
+        Link { answered: windowed_counter(), busy: windowed_counter() }
     }
 }
 
 impl Link {
-    pub fn record(&mut self, now: Moment, met: &Met) {
-        let answered = (met.tries - met.aborted).max(0.0);
+    pub fn record(&mut self, now: Moment, met: &EndpointReport) {
+        let answered = (met.attempts - met.failed).max(0.0);
         self.answered.spread(now, met.covers, answered);
         self.busy.spread(now, met.covers, answered * met.mean_latency.seconds());
     }
 }
 
-/// What was met at a server within some time: counts, the seconds its answers took, what should have come.
+/// What was met at a replica within some time: counts, the seconds its answers took, what should have come.
 #[derive(Clone, Copy, Default)]
 pub struct Lately {
-    pub tries: f64,
-    pub aborted: f64,
+    pub attempts: f64,
+    pub failed: f64,
     pub answered: f64,
     pub busy: f64,
     pub asked: f64,
 }
 
-impl Server {
+impl Replica {
     pub fn unlisted() -> Self {
-        Server {
-            place: PlaceId::MAX,
+        Replica {
+            zone: ZoneId::MAX,
             machine: String::new(),
-            standing: Standing::Gone,
+            standing: ReplicaState::Gone,
             size: 1.0,
             started: None,
             lot: 0,
-            share: Share::default(),
+            share: SubsetMembership::default(),
             shared: SharedLoad::default(),
             listed: false,
-            tries: ring(),
-            aborted: ring(),
-            answered: ring(),
-            busy: ring(),
-            asked: ring(),
+            attempts: windowed_counter(),
+            failed: windowed_counter(),
+            answered: windowed_counter(),
+            busy: windowed_counter(),
+            asked: windowed_counter(),
             incomplete: None,
             observed: Moment::default(),
             last_took: 0.0,
@@ -518,27 +518,27 @@
     }
 
     /// Takes over what the list says.
-    pub fn relist(&mut self, entry: &Listing) {
-        if self.started != entry.started && entry.standing != Standing::Gone {
+    pub fn relist(&mut self, entry: &ReplicaListing) {
+        if self.started != entry.started && entry.standing != ReplicaState::Gone {
             // A restarted process has shed what ailed it, and what was met at it before says nothing now.
             self.sick_until = None;
             self.forget();
         }
-        self.place = entry.place;
+        self.zone = entry.zone;
         (self.started, self.lot, self.share) = (entry.started, entry.lot, entry.share);
         // One that drained and then left the list has gone for good, whatever else a dropped line may mean.
-        let left = self.standing == Standing::Draining && entry.standing == Standing::Gone;
-        self.standing = if left { Standing::Draining } else { entry.standing };
+        let left = self.standing == ReplicaState::Draining && entry.standing == ReplicaState::Gone;
+        self.standing = if left { ReplicaState::Draining } else { entry.standing };
         self.size = entry.size;
         self.machine.clone_from(&entry.machine);
-        self.listed = entry.standing != Standing::Gone;
+        self.listed = entry.standing != ReplicaState::Gone;
     }
 
-    pub fn record(&mut self, now: Moment, met: &Met, latest: Span, delay: f64) {
-        let answered = (met.tries - met.aborted).max(0.0);
+    pub fn record(&mut self, now: Moment, met: &EndpointReport, latest: Span, delay: f64) {
+        let answered = (met.attempts - met.failed).max(0.0);
         let took = |mean: Span| (mean.seconds() - delay).max(0.0);
-        self.tries.spread(now, met.covers, met.tries);
-        self.aborted.spread(now, met.covers, met.aborted);
+        self.attempts.spread(now, met.covers, met.attempts);
+        self.failed.spread(now, met.covers, met.failed);
         self.answered.spread(now, met.covers, answered);
         self.busy.spread(now, met.covers, answered * took(met.mean_latency));
         if answered > 0.0 {
@@ -548,8 +548,8 @@
 
     pub fn lately(&self, now: Moment, over: Span) -> Lately {
         Lately {
-            tries: self.tries.sum(now, over),
-            aborted: self.aborted.sum(now, over),
+            attempts: self.attempts.sum(now, over),
+            failed: self.failed.sum(now, over),
             answered: self.answered.sum(now, over),
             busy: self.busy.sum(now, over),
             asked: self.asked.sum(now, over),
@@ -558,9 +558,10 @@
 
     /// Drops all that was met here so far.
     pub fn forget(&mut self) {
-        for ring in [&mut self.tries, &mut self.aborted, &mut self.answered, &mut self.busy, &mut self.asked]
+        for windowed_counter in
+            [&mut self.attempts, &mut self.failed, &mut self.answered, &mut self.busy, &mut self.asked]
         {
-            ring.clear();
+            windowed_counter.clear();
         }
         self.last_took = 0.0;
         self.seen = Lately::default();
@@ -568,19 +569,19 @@
 
     /// Not on the list, in no table, and nothing was met at it for longer than any rule looks back.
     pub fn is_past(&self, now: Moment) -> bool {
-        !self.listed && self.lines.is_empty() && now - self.tries.newest() > LONGEST
+        !self.listed && self.lines.is_empty() && now - self.attempts.newest() > LONGEST
     }
 
     pub fn is_ready(&self) -> bool {
-        self.listed && self.standing == Standing::Ready
+        self.listed && self.standing == ReplicaState::Ready
     }
 
-    /// One of so many, drawn by what all governors know of this start of it alike.
+    /// One of so many, drawn by what all controllers know of this start of it alike.
     pub fn drawn(&self, of: u32) -> u32 {
         let start = (self.started.unwrap_or_default() - Moment::default()).as_ns();
         // Seeds that are near each other have near first numbers: they are parted by the golden ratio first.
         let seed = (self.lot ^ start).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        (Chance::from_seed(seed).draw() * f64::from(of)) as u32
+        (Random::from_seed(seed).draw() * f64::from(of)) as u32
     }
 
     pub fn level(&self) -> f64 {
@@ -589,7 +590,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Haste {
+pub enum Priority {
     /// No line is left to pick, or only one that must not be: it can't wait.
     Bare,
     Urgent,
@@ -603,17 +604,17 @@
 
 pub struct Slice {
     /// The table as it should be.
-    pub wanted: BTreeMap<ServerId, f64>,
+    pub wanted: BTreeMap<ReplicaId, f64>,
     /// The table as the proxies were told.
-    pub held: BTreeMap<ServerId, f64>,
+    pub held: BTreeMap<ReplicaId, f64>,
     /// Ops that came and were let in, and those of them that were aborted.
-    pub came: Ring,
-    pub aborted: Ring,
-    /// As of the last survey: ops a second, over a longer and a shorter time, and with all repeats.
+    pub came: WindowedCounter,
+    pub failed: WindowedCounter,
+    /// As of the last survey: requests a second, over a longer and a shorter time, and with all repeats.
     pub load: f64,
     pub burst: f64,
     pub press: f64,
-    pub untold: Option<(Haste, Moment)>,
+    pub untold: Option<(Priority, Moment)>,
     /// Since when it is in our charge.
     pub given: Moment,
     /// Since when reports on it are known, where they were not before.
@@ -621,23 +622,23 @@
     pub moves: u32,
     pub cut: f64,
     pub cut_held: f64,
-    /// The mark that its last change waits for.
-    pub mark: Option<u16>,
+    /// The version that its last change waits for.
+    pub version: Option<u16>,
     pub settled: Moment,
-    /// How often it was brought to the server that it is pinned to, and the wish that did so.
-    pub pulled: (WishId, u32),
-    /// Since when its ops are halted for a change of owner (single-writer sites).
+    /// How often it was brought to the replica that it is pinned to, and the override that did so.
+    pub pulled: (OverrideId, u32),
+    /// Since when its requests are halted for a change of owner (single-writer sites).
     pub halted: Option<Moment>,
 }
 
 impl Slice {
-    pub fn new(table: &[(ServerId, f64)], now: Moment) -> Self {
+    pub fn new(table: &[(ReplicaId, f64)], now: Moment) -> Self {
         let lines: BTreeMap<_, _> = table.iter().copied().filter(|(_, weight)| *weight > 0.0).collect();
         Slice {
             wanted: lines.clone(),
             held: lines,
-            came: ring(),
-            aborted: ring(),
+            came: windowed_counter(),
+            failed: windowed_counter(),
             load: 0.0,
             burst: 0.0,
             press: 0.0,
@@ -647,40 +648,40 @@
             moves: 0,
             cut: 0.0,
             cut_held: 0.0,
-            mark: None,
+            version: None,
             settled: now,
             pulled: (0, 0),
             halted: None,
         }
     }
 
-    /// It is brought to its server by a wish; how often it was so far.
-    pub fn note_pull(&mut self, by: WishId) {
+    /// It is brought to its replica by a override; how often it was so far.
+    pub fn note_pull(&mut self, by: OverrideId) {
         self.pulled = (by, (self.pulls(by) as u32).saturating_add(1));
     }
 
-    pub fn pulls(&self, by: WishId) -> f64 {
+    pub fn pulls(&self, by: OverrideId) -> f64 {
         f64::from(if self.pulled.0 == by { self.pulled.1 } else { 0 })
     }
 
     /// Has less than half of the weight of the table's heaviest line: it is there for further tries.
-    pub fn stands_by(&self, server: &ServerId) -> bool {
+    pub fn stands_by(&self, replica: &ReplicaId) -> bool {
         let heaviest = self.wanted.values().fold(0.0, |most: f64, weight| most.max(*weight));
-        self.wanted.get(server).is_some_and(|weight| weight * 2.0 < heaviest)
+        self.wanted.get(replica).is_some_and(|weight| weight * 2.0 < heaviest)
     }
 
-    /// The part of the slice's ops that each server of its table gets.
-    pub fn parts(&self) -> impl Iterator<Item = (ServerId, f64)> + '_ {
+    /// The part of the slice's requests that each replica of its table gets.
+    pub fn parts(&self) -> impl Iterator<Item = (ReplicaId, f64)> + '_ {
         let whole: f64 = self.wanted.values().sum();
         self.wanted.iter().map(move |(id, weight)| (*id, weight / whole))
     }
 
-    pub fn owners(&self) -> impl Iterator<Item = ServerId> + '_ {
+    pub fn owners(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.wanted.keys().copied().filter(|id| !self.stands_by(id))
     }
 
     /// The owner of a table that has just one.
-    pub fn sole_owner(&self) -> Option<ServerId> {
+    pub fn sole_owner(&self) -> Option<ReplicaId> {
         let mut owners = self.owners();
         owners.next().filter(|_| owners.next().is_none())
     }
@@ -690,7 +691,7 @@
     }
 
     /// The lines that turn the table held into the one wanted, new ones first; weight 0 takes a line away.
-    pub fn differences(&self, with_old: bool) -> Vec<(ServerId, f64)> {
+    pub fn differences(&self, with_old: bool) -> Vec<(ReplicaId, f64)> {
         let new = self.wanted.iter().filter(|(id, weight)| self.held.get(id) != Some(weight));
         let old = self.held.keys().filter(|id| with_old && !self.wanted.contains_key(id));
         new.map(|(id, weight)| (*id, *weight)).chain(old.map(|id| (*id, 0.0))).collect()
@@ -743,57 +744,57 @@
 /// The way to the proxies: who listens, and what may still be under way.
 pub struct Channel {
     pub proxies: BTreeSet<ProxyId>,
-    pub marks: BTreeMap<u16, Sent>,
-    /// The mark of the reply now being made.
-    pub open_mark: Option<u16>,
-    pub last_mark: u16,
+    pub versions: BTreeMap<u16, Sent>,
+    /// The version of the reply now being made.
+    pub open_version: Option<u16>,
+    pub last_version: u16,
     /// When the newest message was ordered that some proxy has acked.
     pub last_through: Moment,
     /// When an ack last came, or a message was last ordered.
     pub heard: Moment,
     /// The news was told anew since: acks that came while it was broken are lost.
     pub acks_lost: bool,
-    pub messages: Ring,
+    pub messages: WindowedCounter,
     pub written: Moment,
 }
 
 impl Channel {
-    pub fn new(window: Span, last_mark: u16) -> Self {
+    pub fn new(window: Span, last_version: u16) -> Self {
         let bucket = Span::ms(500);
         Channel {
             proxies: BTreeSet::new(),
-            marks: BTreeMap::new(),
-            open_mark: None,
-            last_mark,
+            versions: BTreeMap::new(),
+            open_version: None,
+            last_version,
             last_through: Moment::default(),
             heard: Moment::default(),
             acks_lost: false,
             written: Moment::default(),
-            messages: Ring::new(bucket, window.as_ns().div_ceil(bucket.as_ns()) as usize + 1),
+            messages: WindowedCounter::new(bucket, window.as_ns().div_ceil(bucket.as_ns()) as usize + 1),
         }
     }
 
     /// What it had not acked travels no more.
     pub fn part(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
-        self.marks.values_mut().for_each(|m| m.arrived(proxy, u32::MAX));
+        self.versions.values_mut().for_each(|m| m.arrived(proxy, u32::MAX));
     }
 
-    pub fn repeat(&mut self, now: Moment, mark: u16) {
-        if let Some(sent) = self.marks.get_mut(&mark) {
+    pub fn repeat(&mut self, now: Moment, version: u16) {
+        if let Some(sent) = self.versions.get_mut(&version) {
             sent.again(&self.proxies);
             self.heard = now;
             self.messages.add(now, 1.0);
         }
     }
 
-    /// It has applied all that was sent up to this mark, and so up to when: an ack that was lost on its way is
+    /// It has applied all that was sent up to this version, and so up to when: an ack that was lost on its way is
     /// made up for by the next one. Of a message that was ordered again only one copy has come so far.
-    pub fn acked(&mut self, now: Moment, proxy: ProxyId, mark: u16) -> Option<Moment> {
+    pub fn acked(&mut self, now: Moment, proxy: ProxyId, version: u16) -> Option<Moment> {
         (self.heard, self.acks_lost) = (now, false);
-        let at = self.marks.get(&mark)?.at;
-        let before = self.marks.iter_mut().filter(|(_, sent)| sent.at <= at);
-        before.for_each(|(n, sent)| sent.arrived(proxy, if *n == mark { 1 } else { u32::MAX }));
+        let at = self.versions.get(&version)?.at;
+        let before = self.versions.iter_mut().filter(|(_, sent)| sent.at <= at);
+        before.for_each(|(n, sent)| sent.arrived(proxy, if *n == version { 1 } else { u32::MAX }));
         self.last_through = self.last_through.max(at);
         Some(at)
     }
@@ -801,39 +802,39 @@
     /// Messages leave in order, so an ack shows that all ordered before have left. Of the rest, the lines not
     /// yet acked are no fewer than those that wait, however slowly the channel runs.
     pub fn lines_waiting(&self) -> f64 {
-        let behind = self.marks.values().filter(|m| m.at >= self.last_through);
+        let behind = self.versions.values().filter(|m| m.at >= self.last_through);
         behind.map(Sent::lines).sum()
     }
 
     /// Nothing has come for so long that no further copy is on its way: only one attempt was carried out.
     pub fn drop_copies(&mut self) {
-        self.marks.values_mut().filter(|sent| sent.times > 1).for_each(Sent::once);
+        self.versions.values_mut().filter(|sent| sent.times > 1).for_each(Sent::once);
     }
 
-    /// What the message with this mark costs, said once to all.
-    pub fn lines_of(&self, mark: u16) -> f64 {
-        self.marks.get(&mark).map_or(0.0, |sent| sent.lines_each * self.proxies.len() as f64)
+    /// What the message with this version costs, said once to all.
+    pub fn lines_of(&self, version: u16) -> f64 {
+        self.versions.get(&version).map_or(0.0, |sent| sent.lines_each * self.proxies.len() as f64)
     }
 
     /// The same of the message that is being made.
     pub fn open_lines(&self) -> f64 {
-        self.open_mark.map_or(0.0, |mark| self.lines_of(mark))
+        self.open_version.map_or(0.0, |version| self.lines_of(version))
     }
 
     /// Adds lines to this reply's message, and opens the message where there is none yet.
     pub fn write(&mut self, now: Moment, head: f64, lines: f64) -> u16 {
-        let number = self.open_mark.unwrap_or_else(|| {
-            self.last_mark = self.last_mark.wrapping_add(1);
+        let number = self.open_version.unwrap_or_else(|| {
+            self.last_version = self.last_version.wrapping_add(1);
             self.messages.add(now, 1.0);
             (self.written, self.heard, self.acks_lost) = (now, now, false);
             let (waiting, slices) = (BTreeMap::new(), Vec::new());
             let mut sent = Sent { waiting, copies: 0, times: 0, lines_each: head, at: now, slices };
             sent.again(&self.proxies);
-            self.marks.insert(self.last_mark, sent);
-            self.last_mark
+            self.versions.insert(self.last_version, sent);
+            self.last_version
         });
-        self.open_mark = Some(number);
-        if let Some(sent) = self.marks.get_mut(&number) {
+        self.open_version = Some(number);
+        if let Some(sent) = self.versions.get_mut(&number) {
             sent.lines_each += lines;
         }
         number
@@ -889,18 +890,18 @@
 }
 
 impl Picture {
-    /// The deviations of other governors' parts count less, the more of it is ours.
-    pub fn band(&self, s: &Server) -> (f64, f64) {
+    /// The deviations of other controllers' parts count less, the more of it is ours.
+    pub fn band(&self, s: &Replica) -> (f64, f64) {
         let phi = self.phi / s.part.max(1.0).sqrt();
         (self.average - phi, self.average + phi)
     }
 
-    /// What this server may carry inside the band.
-    pub fn top(&self, s: &Server) -> f64 {
+    /// What this replica may carry inside the band.
+    pub fn top(&self, s: &Replica) -> f64 {
         s.power * self.band(s).1
     }
 
-    pub fn room(&self, s: &Server) -> f64 {
+    pub fn room(&self, s: &Replica) -> f64 {
         self.top(s) - s.load
     }
 }
--- a/crates/policy/src/ring.rs
+++ b/crates/policy/src/windowed_counter.rs
@@ -3,15 +3,15 @@
 use crate::time::{Moment, Span};
 
 #[derive(Clone, Debug)]
-pub struct Ring {
+pub struct WindowedCounter {
     bucket: Span,
     newest: u64,
     sums: Vec<f64>,
 }
 
-impl Ring {
+impl WindowedCounter {
     pub fn new(bucket: Span, buckets: usize) -> Self {
-        Ring { bucket, newest: 0, sums: vec![0.0; buckets.max(1)] }
+        WindowedCounter { bucket, newest: 0, sums: vec![0.0; buckets.max(1)] }
     }
 
     pub fn add(&mut self, now: Moment, amount: f64) {
