--- a/crates/policy/tests/cases.rs
+++ b/crates/policy/tests/cases.rs
@@ -5,32 +5,32 @@
 use fleet::{at, listing, site, Fleet};
 use std::collections::BTreeMap;
 use std::ops::Range;
+use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
-use whinwall_policy::interface::*;
-use whinwall_policy::logic::Governor;
 use whinwall_policy::time::Span;
+use whinwall_policy::Policy;
 
-/// A fleet whose servers 0, 1, .. hold slices of these loads, numbered through.
+/// A fleet whose replicas 0, 1, .. hold slices of these loads, numbered through.
 fn holding(single_writer: bool, loads: &[&[f64]]) -> Fleet {
     let mut fleet = Fleet::new(Deployment { single_writer, ..site() }, loads.len() as u32, 0, 2);
     let owners = loads.iter().enumerate().flat_map(|(s, own)| own.iter().map(move |load| (s as u32, *load)));
-    for (n, (server, load)) in owners.enumerate() {
+    for (n, (replica, load)) in owners.enumerate() {
         fleet.rates.insert(n as u32, load);
-        fleet.store.insert(n as u32, [(server, 1.0)].into());
+        fleet.store.insert(n as u32, [(replica, 1.0)].into());
     }
     fleet.introduce(1);
     fleet
 }
 
 /// Those with a whole line; who only stands by is left out.
-fn owner(fleet: &Fleet, slice: SliceId) -> Vec<ServerId> {
+fn owner(fleet: &Fleet, slice: SliceId) -> Vec<ReplicaId> {
     fleet.store[&slice].iter().filter(|(_, weight)| **weight >= 1.0).map(|(s, _)| *s).collect()
 }
 
-/// AvgL 5.97, band 3.88 to 8.05. Server 2 has 11.9, server 1 has 2, and 0.14 for whom it may stand by; the heaviest,
+/// AvgL 5.97, band 3.88 to 8.05. Replica 2 has 11.9, replica 1 has 2, and 0.14 for whom it may stand by; the heaviest,
 /// 5.9, leaves 6 and makes 8.04.
 #[test]
-fn the_heaviest_slice_that_fits_goes_to_the_lightest_server() {
+fn the_heaviest_slice_that_fits_goes_to_the_lightest_replica() {
     let mut fleet = holding(false, &[&[4.0], &[2.0], &[4.0, 2.0, 5.9]]);
     fleet.advance(3900);
     assert_eq!(owner(&fleet, 4), [2], "moved before the third round outside the band");
@@ -65,7 +65,7 @@
     assert_eq!(moves, 6);
 }
 
-/// Against false flights: every server but one seems dead at once, and it is our view that is doubted.
+/// Against false flights: every replica but one seems dead at once, and it is our view that is doubted.
 #[test]
 fn when_nearly_all_look_dead_none_is_fled_from() {
     let mut fleet = Fleet::new(site(), 10, 40, 5);
@@ -74,51 +74,57 @@
     (1..10).for_each(|s| fleet.nodes.get_mut(&s).unwrap().answers = false);
     fleet.advance(6000);
     let kept =
-        |(n, t): (&SliceId, &BTreeMap<ServerId, f64>)| t.keys().all(|s| fleet.store[n].contains_key(s));
+        |(n, t): (&SliceId, &BTreeMap<ReplicaId, f64>)| t.keys().all(|s| fleet.store[n].contains_key(s));
     assert!(before.iter().all(kept));
     (3..10).for_each(|s| fleet.nodes.get_mut(&s).unwrap().answers = true);
     fleet.advance(6000);
     assert!(fleet.store.values().all(|t| !t.contains_key(&1) && !t.contains_key(&2)));
 }
 
-/// Servers in three places, each with a slice of its own number, and one proxy.
-fn plain(site: Deployment, servers: u32) -> Governor {
-    let mut governor = Governor::start(site, 1, at(0));
-    let list: Vec<_> = (0..servers).map(|s| listing(s, Standing::Ready, 0)).collect();
-    governor.listed(at(0), ListScope::Whole, &list);
-    (0..servers).for_each(|n| governor.slice_given(at(0), n, &[(n, 1.0)]));
-    governor.proxy_joined(at(0), 0, true);
-    governor
+/// Replicas in three places, each with a slice of its own number, and one proxy.
+fn plain(site: Deployment, replicas: u32) -> Policy {
+    let mut policy = Policy::start(site, 1, at(0));
+    let list: Vec<_> = (0..replicas).map(|s| listing(s, ReplicaState::Ready, 0)).collect();
+    policy.listed(at(0), ListScope::Whole, &list);
+    (0..replicas).for_each(|n| policy.slice_given(at(0), n, &[(n, 1.0)]));
+    policy.proxy_joined(at(0), 0, true);
+    policy
 }
 
 fn lone() -> Deployment {
     Deployment { single_writer: true, ..site() }
 }
 
-/// At a second, a server and a place: how many of three tries a second it aborts, and how long others take.
+/// At a second, a replica and a place: how many of three tries a second it aborts, and how long others take.
 type Fate<'a> = &'a dyn Fn(u64, u32, usize) -> (f64, u64);
 
-fn hear(governor: &mut Governor, seconds: Range<u64>, every: u64, servers: u32, met: Fate) -> Vec<Step> {
+fn hear(policy: &mut Policy, seconds: Range<u64>, every: u64, replicas: u32, met: Fate) -> Vec<Step> {
     let mut steps = Vec::new();
     let length = every as f64;
     for second in seconds {
         let (now, covers) = (at(second * 1000), Span::ms(every * 1000));
-        for s in 0..servers {
+        for s in 0..replicas {
             let since = (second + u64::from(s)) % every;
-            for place in (0..3).filter(|_| since == 0) {
-                let (aborted, ms) = met(second, s, place);
-                let (tries, aborted) = (3.0 * length, aborted * length);
-                governor.met(now, s, Met { place, covers, tries, aborted, mean_latency: Span::ms(ms) });
+            for zone in (0..3).filter(|_| since == 0) {
+                let (failed, ms) = met(second, s, zone);
+                let (attempts, failed) = (3.0 * length, failed * length);
+                policy.met(
+                    now,
+                    s,
+                    EndpointReport { zone, covers, attempts, failed, mean_latency: Span::ms(ms) },
+                );
             }
-            let (came, aborted) = (9.0 * length, 3.0 * length * met(second, s, 0).0);
+            let (came, failed) = (9.0 * length, 3.0 * length * met(second, s, 0).0);
             let told = (0..2).filter(|_| since == every / 2);
-            told.for_each(|op_type| governor.asked(now, s, Asked { op_type, covers, came, aborted }));
+            told.for_each(|request_class| {
+                policy.asked(now, s, DemandReport { request_class, covers, came, failed })
+            });
         }
-        governor.woken(now, second);
-        let reply = governor.collect(now);
+        policy.woken(now, second);
+        let reply = policy.collect(now);
         for step in &reply {
-            if let Step::Mark { number } = step {
-                governor.applied(now, 0, *number);
+            if let Step::Version { number } = step {
+                policy.applied(now, 0, *number);
             }
         }
         steps.extend(reply);
@@ -131,11 +137,11 @@
 }
 
 fn is_cut(step: &Step, of: Option<SliceId>, mask: u64) -> bool {
-    matches!(step, Step::Level { slice, op_types, share, .. }
-        if *slice == of && op_types & mask > 0 && *share < 1.0)
+    matches!(step, Step::Level { slice, request_classes, share, .. }
+        if *slice == of && request_classes & mask > 0 && *share < 1.0)
 }
 
-/// Against a full server taken for dead (turnolar's hot key day): late is cut, not fled from.
+/// Against a full replica taken for dead (turnolar's hot key day): late is cut, not fled from.
 #[test]
 fn late_before_silent_is_full_not_dead() {
     let late = |second, s, _| if s == 0 { (if second > 12 { 3.0 } else { 0.0 }, 900) } else { (0.0, 100) };
@@ -154,22 +160,22 @@
     assert_eq!(verdicts(&hear(&mut plain(site(), 6), 1..32, 4, 6, &one_dead)), 1);
 }
 
-/// Against a slow link: servers late only to other places are not cut once the way is known.
+/// Against a slow link: replicas late only to other places are not cut once the way is known.
 #[test]
-fn what_the_way_adds_is_no_fault_of_the_server() {
+fn what_the_way_adds_is_no_fault_of_the_replica() {
     let cuts = |met: &dyn Fn(u64, u32, usize) -> (f64, u64)| {
-        let mut governor = plain(lone(), 9);
-        hear(&mut governor, 1..16, 1, 9, met);
-        hear(&mut governor, 16..30, 1, 9, met).iter().filter(|s| is_cut(s, Some(0), 3)).count()
+        let mut policy = plain(lone(), 9);
+        hear(&mut policy, 1..16, 1, 9, met);
+        hear(&mut policy, 16..30, 1, 9, met).iter().filter(|s| is_cut(s, Some(0), 3)).count()
     };
-    let far = |second, s, place| second > 5 && s % 3 == 0 && place != 0;
-    assert_eq!(cuts(&|second, s, place| (0.0, if far(second, s, place) { 1300 } else { 100 })), 0);
+    let far = |second, s, zone| second > 5 && s % 3 == 0 && zone != 0;
+    assert_eq!(cuts(&|second, s, zone| (0.0, if far(second, s, zone) { 1300 } else { 100 })), 0);
     assert!(cuts(&|_, s, _| (0.0, if s == 0 { 900 } else { 100 })) > 0);
 }
 
 /// Against overload of a large fleet (i8e8ff8): one order for all, also where answers never come.
 #[test]
-fn what_ails_the_usual_server_is_cut_for_all_at_once() {
+fn what_ails_the_usual_replica_is_cut_for_all_at_once() {
     let lost = |s| if s == 0 { 3.0 } else { 1.5 };
     let given_up = |second, s, _| (if second > 5 { lost(s) } else { 0.0 }, 300);
     let steps = hear(&mut plain(Deployment { pace: 5.0, ..site() }, 6), 1..20, 1, 6, &given_up);
@@ -177,25 +183,26 @@
     assert!(!steps.iter().any(|s| matches!(s, Step::Level { slice: Some(_), .. })));
 }
 
-/// Against a list that wrongly drops running servers, as advice; one that drained first is left (idd6c4b).
+/// Against a list that wrongly drops running replicas, as advice; one that drained first is left (idd6c4b).
 #[test]
 fn a_wrong_list_is_not_fled_from_where_it_is_advice() {
-    let mut governor = plain(Deployment { gone_is_advice: true, ..site() }, 6);
+    let mut policy = plain(Deployment { gone_is_advice: true, ..site() }, 6);
     let well = |_, _, _| (0.0, 100);
-    hear(&mut governor, 1..5, 1, 6, &well);
-    governor.listed(at(5000), ListScope::Changes, &[listing(5, Standing::Draining, 0)]);
-    let gone: Vec<_> = (2..6).map(|s| listing(s, Standing::Gone, 0)).collect();
-    governor.listed(at(6000), ListScope::Changes, &gone);
-    let steps = hear(&mut governor, 6..20, 1, 5, &well);
-    let leaves = |id: u32| move |s: &Step| matches!(s, Step::Withdraw { server, out: true } if *server == id);
+    hear(&mut policy, 1..5, 1, 6, &well);
+    policy.listed(at(5000), ListScope::Changes, &[listing(5, ReplicaState::Draining, 0)]);
+    let gone: Vec<_> = (2..6).map(|s| listing(s, ReplicaState::Gone, 0)).collect();
+    policy.listed(at(6000), ListScope::Changes, &gone);
+    let steps = hear(&mut policy, 6..20, 1, 5, &well);
+    let leaves =
+        |id: u32| move |s: &Step| matches!(s, Step::Withdraw { replica, out: true } if *replica == id);
     assert!(steps.iter().any(leaves(5)) && (2..5).all(|id| !steps.iter().any(leaves(id))));
-    let back = |s: &Step| matches!(s, Step::Line { server: 5, weight, .. } if *weight > 0.0);
-    assert!(!steps.iter().any(|s| back(s) || matches!(s, Step::Withdraw { server: 5, out: false })));
+    let back = |s: &Step| matches!(s, Step::Line { replica: 5, weight, .. } if *weight > 0.0);
+    assert!(!steps.iter().any(|s| back(s) || matches!(s, Step::Withdraw { replica: 5, out: false })));
 }
 
-/// Against one failure that doubles another server's load.
+/// Against one failure that doubles another replica's load.
 #[test]
-fn slices_of_one_server_stand_by_at_several() {
+fn slices_of_one_replica_stand_by_at_several() {
     let mut fleet = Fleet::new(site(), 10, 60, 5);
     fleet.advance(8000);
     let own = fleet.store.values().filter(|t| t.get(&0) == Some(&1.0));
@@ -205,27 +212,27 @@
 
 /// Against a restart before the tables have caught up (h16e476): it is let in once no table names it.
 #[test]
-fn a_server_back_before_its_slices_left_stays_withdrawn() {
-    let mut governor = plain(Deployment { queue_cap: 60.0, ..site() }, 6);
+fn a_replica_back_before_its_slices_left_stays_withdrawn() {
+    let mut policy = plain(Deployment { queue_cap: 60.0, ..site() }, 6);
     let well = |_, _, _| (0.0, 100);
-    (50..80).for_each(|n| governor.slice_given(at(0), n, &[(0, 1.0)]));
-    hear(&mut governor, 1..15, 1, 6, &well);
-    governor.listed(at(15_000), ListScope::Changes, &[listing(0, Standing::Gone, 0)]);
-    let mut steps = governor.collect(at(15_000));
-    governor.listed(at(15_010), ListScope::Changes, &[listing(0, Standing::Ready, 15_005)]);
-    steps.extend(governor.collect(at(15_010)));
-    (0..200).for_each(|mark| governor.applied(at(16_000), 0, mark));
-    steps.extend(hear(&mut governor, 16..30, 1, 6, &well));
+    (50..80).for_each(|n| policy.slice_given(at(0), n, &[(0, 1.0)]));
+    hear(&mut policy, 1..15, 1, 6, &well);
+    policy.listed(at(15_000), ListScope::Changes, &[listing(0, ReplicaState::Gone, 0)]);
+    let mut steps = policy.collect(at(15_000));
+    policy.listed(at(15_010), ListScope::Changes, &[listing(0, ReplicaState::Ready, 15_005)]);
+    steps.extend(policy.collect(at(15_010)));
+    (0..200).for_each(|version| policy.applied(at(16_000), 0, version));
+    steps.extend(hear(&mut policy, 16..30, 1, 6, &well));
     let left =
-        steps.iter().rposition(|s| matches!(s, Step::Line { server: 0, weight, .. } if *weight == 0.0));
-    let turned = |on: bool| move |s: &Step| matches!(s, Step::Withdraw { server: 0, out } if *out == on);
+        steps.iter().rposition(|s| matches!(s, Step::Line { replica: 0, weight, .. } if *weight == 0.0));
+    let turned = |on: bool| move |s: &Step| matches!(s, Step::Withdraw { replica: 0, out } if *out == on);
     let (out, lifted) = (steps.iter().position(turned(true)), steps.iter().position(turned(false)));
     assert!(out.is_some() && out < left && left < lifted, "{out:?} {left:?} {lifted:?}");
 }
 
 /// Against a key in demand: more lines while it is hot, one again when cooled; never where one owner writes.
 #[test]
-fn a_slice_too_hot_for_one_server_gets_more_lines() {
+fn a_slice_too_hot_for_one_replica_gets_more_lines() {
     for single_writer in [false, true] {
         let mut fleet = Fleet::new(Deployment { single_writer, ..site() }, 10, 40, 5);
         fleet.rates.insert(0, 40.0);
@@ -237,14 +244,14 @@
     }
 }
 
-/// After a restart a table may name a server that the old list lacks; the next list decides.
+/// After a restart a table may name a replica that the old list lacks; the next list decides.
 #[test]
 fn a_table_read_from_the_store_is_mended_once_the_list_is_fresh() {
-    let mut governor = Governor::start(site(), 1, at(0));
-    let list = [0, 1].map(|s| listing(s, Standing::Ready, 0));
-    governor.listed(at(0), ListScope::Remembered, &list);
-    governor.slice_given(at(0), 5, &[(9, 1.0)]);
-    governor.slice_given(at(0), 6, &[]);
+    let mut policy = Policy::start(site(), 1, at(0));
+    let list = [0, 1].map(|s| listing(s, ReplicaState::Ready, 0));
+    policy.listed(at(0), ListScope::Remembered, &list);
+    policy.slice_given(at(0), 5, &[(9, 1.0)]);
+    policy.slice_given(at(0), 6, &[]);
     let of = |s: &Step| {
         if let Step::Line { slice, weight, .. } = s {
             Some((*slice, *weight > 0.0))
@@ -253,24 +260,24 @@
         }
     };
     let line = |steps: &[Step], n: u32, add: bool| steps.iter().position(|s| of(s) == Some((n, add)));
-    let steps = governor.collect(at(0));
+    let steps = policy.collect(at(0));
     assert!(line(&steps, 6, true).is_some() && line(&steps, 5, true).is_none());
-    governor.listed(at(100), ListScope::Whole, &list);
-    let steps = governor.collect(at(100));
+    policy.listed(at(100), ListScope::Whole, &list);
+    let steps = policy.collect(at(100));
     assert!(line(&steps, 5, true).is_some() && line(&steps, 5, true) < line(&steps, 5, false));
 }
 
 /// Where the list must be asked for: once at the start, again some time after a failure, and not in between.
 #[test]
 fn a_broken_subscription_is_asked_for_again_without_flooding() {
-    let mut governor = Governor::start(Deployment { list_pushed: false, ..site() }, 3, at(0));
+    let mut policy = Policy::start(Deployment { list_pushed: false, ..site() }, 3, at(0));
     let mut asked = Vec::new();
     for ms in (0..20_000).step_by(100) {
         if ms % 5000 == 0 && ms > 0 {
-            governor.list_failed(at(ms));
+            policy.list_failed(at(ms));
         }
-        governor.woken(at(ms), ms);
-        asked.extend(governor.collect(at(ms)).iter().filter(|s| **s == Step::FollowList).map(|_| ms));
+        policy.woken(at(ms), ms);
+        asked.extend(policy.collect(at(ms)).iter().filter(|s| **s == Step::FollowList).map(|_| ms));
     }
     assert_eq!(asked.len(), 4);
     assert!(asked[0] == 0 && asked[1] > 6000 && asked[1] <= 8100);
@@ -280,159 +287,160 @@
 #[test]
 fn what_is_ordered_again_fills_the_channel_again() {
     for times in [0, 7] {
-        let mut governor = Governor::start(site(), 7, at(1000));
+        let mut policy = Policy::start(site(), 7, at(1000));
         let list = |draining| -> Vec<_> {
-            let standing = |s| if s == draining { Standing::Draining } else { Standing::Ready };
+            let standing = |s| if s == draining { ReplicaState::Draining } else { ReplicaState::Ready };
             (0..3).map(|s| listing(s, standing(s), 0)).collect()
         };
-        governor.listed(at(1000), ListScope::Whole, &list(9));
-        (0..3).for_each(|n| governor.slice_given(at(1000), n, &[(n, 1.0)]));
-        (0..3).for_each(|proxy| governor.proxy_joined(at(1000), proxy, true));
-        let first = governor.collect(at(1000));
-        let Some(Step::Mark { number }) = first.last() else { panic!("no mark: {first:?}") };
-        (0..times).for_each(|_| governor.ordered_again(at(1010), *number));
-        governor.listed(at(2000), ListScope::Changes, &list(1)[1..2]);
-        let withdrawn = governor.collect(at(2000)).contains(&Step::Withdraw { server: 1, out: true });
+        policy.listed(at(1000), ListScope::Whole, &list(9));
+        (0..3).for_each(|n| policy.slice_given(at(1000), n, &[(n, 1.0)]));
+        (0..3).for_each(|proxy| policy.proxy_joined(at(1000), proxy, true));
+        let first = policy.collect(at(1000));
+        let Some(Step::Version { number }) = first.last() else { panic!("no mark: {first:?}") };
+        (0..times).for_each(|_| policy.ordered_again(at(1010), *number));
+        policy.listed(at(2000), ListScope::Changes, &list(1)[1..2]);
+        let withdrawn = policy.collect(at(2000)).contains(&Step::Withdraw { replica: 1, out: true });
         assert_eq!(withdrawn, times == 0);
     }
 }
 
 /// Else an ack on its way from before a restart would pass for one of ours.
 #[test]
-fn each_life_counts_its_marks_from_elsewhere() {
-    let marks = |seed| {
+fn each_incarnation_counts_its_versions_from_elsewhere() {
+    let versions = |seed| {
         let mut fleet = Fleet::new(site(), 3, 6, 2);
         fleet.introduce(seed);
         fleet.log.clear();
         fleet.advance(3000);
-        let mark = |step: &Step| if let Step::Mark { number } = step { Some(*number) } else { None };
-        fleet.log.iter().filter_map(mark).collect::<Vec<_>>()
+        let version = |step: &Step| if let Step::Version { number } = step { Some(*number) } else { None };
+        fleet.log.iter().filter_map(version).collect::<Vec<_>>()
     };
-    let (one, other) = (marks(0x8c1f30d27a5be964), marks(0x8c1f30d27a5b7777));
-    assert!(!one.is_empty() && one.iter().all(|mark| !other.contains(mark)), "{one:?} {other:?}");
+    let (one, other) = (versions(0x8c1f30d27a5be964), versions(0x8c1f30d27a5b7777));
+    assert!(!one.is_empty() && one.iter().all(|version| !other.contains(version)), "{one:?} {other:?}");
 }
 
-/// Sixty of a hundred servers drain and are withdrawn; then one more drains, the last by number, while proxies
+/// Sixty of a hundred replicas drain and are withdrawn; then one more drains, the last by number, while proxies
 /// join in each reply and have to hear of the sixty again (seen on `herd+mass`, seed 112).
 #[test]
 fn proxies_that_join_do_not_starve_a_withdrawal_that_nobody_heard() {
-    let mut governor = plain(Deployment { queue_cap: 1200.0, pace: 12_000.0, message_cap: 0, ..site() }, 100);
-    (100..900).for_each(|n| governor.slice_given(at(0), n, &[(n % 100, 1.0)]));
-    (1..30).for_each(|proxy| governor.proxy_joined(at(0), proxy, true));
+    let mut policy = plain(Deployment { queue_cap: 1200.0, pace: 12_000.0, message_cap: 0, ..site() }, 100);
+    (100..900).for_each(|n| policy.slice_given(at(0), n, &[(n % 100, 1.0)]));
+    (1..30).for_each(|proxy| policy.proxy_joined(at(0), proxy, true));
     let mut proxies = 30;
-    let mut replies = |governor: &mut Governor, times: std::ops::Range<u64>, joins: bool| {
+    let mut replies = |policy: &mut Policy, times: std::ops::Range<u64>, joins: bool| {
         let mut first = None;
         for now in times.step_by(100) {
             if joins {
-                governor.proxy_joined(at(now), proxies, false);
+                policy.proxy_joined(at(now), proxies, false);
                 proxies += 1;
             }
-            governor.woken(at(now), now);
-            for step in governor.collect(at(now)) {
-                let last = matches!(step, Step::Withdraw { server: 99, out: true });
+            policy.woken(at(now), now);
+            for step in policy.collect(at(now)) {
+                let last = matches!(step, Step::Withdraw { replica: 99, out: true });
                 first = first.or(last.then_some(now));
-                if let Step::Mark { number } = step {
-                    (0..proxies).for_each(|proxy| governor.applied(at(now), proxy, number));
+                if let Step::Version { number } = step {
+                    (0..proxies).for_each(|proxy| policy.applied(at(now), proxy, number));
                 }
             }
         }
         first
     };
-    replies(&mut governor, 1000..2000, true);
-    let drain =
-        |ids: std::ops::Range<u32>| -> Vec<_> { ids.map(|s| listing(s, Standing::Draining, 0)).collect() };
-    governor.listed(at(2000), ListScope::Changes, &drain(0..60));
-    replies(&mut governor, 2000..5000, false);
-    governor.listed(at(5000), ListScope::Changes, &drain(99..100));
-    let told = replies(&mut governor, 5000..7500, true);
+    replies(&mut policy, 1000..2000, true);
+    let drain = |ids: std::ops::Range<u32>| -> Vec<_> {
+        ids.map(|s| listing(s, ReplicaState::Draining, 0)).collect()
+    };
+    policy.listed(at(2000), ListScope::Changes, &drain(0..60));
+    replies(&mut policy, 2000..5000, false);
+    policy.listed(at(5000), ListScope::Changes, &drain(99..100));
+    let told = replies(&mut policy, 5000..7500, true);
     assert!(told.is_some_and(|at| at < 6000), "{told:?}");
 }
 
-/// A server drains and is left by all of ours; a proxy joins, and only then comes a slice that names it.
+/// A replica drains and is left by all of ours; a proxy joins, and only then comes a slice that names it.
 #[test]
-fn a_slice_given_with_a_line_for_a_withdrawn_server_has_it_withdrawn_anew() {
-    let mut governor = plain(site(), 6);
+fn a_slice_given_with_a_line_for_a_withdrawn_replica_has_it_withdrawn_anew() {
+    let mut policy = plain(site(), 6);
     let well = |_, _, _| (0.0, 100);
-    hear(&mut governor, 1..5, 1, 6, &well);
-    governor.listed(at(5000), ListScope::Changes, &[listing(0, Standing::Draining, 0)]);
-    let out = |s: &Step| *s == Step::Withdraw { server: 0, out: true };
-    assert!(hear(&mut governor, 5..12, 1, 6, &well).iter().any(out));
-    governor.proxy_joined(at(12_000), 1, false);
-    assert!(!governor.collect(at(12_000)).iter().any(out), "no table names it");
-    governor.slice_given(at(12_500), 40, &[(0, 1.0), (1, 0.01)]);
-    assert!(governor.collect(at(12_500)).iter().any(out));
-}
-
-/// Tries at each of six servers in a second, all answered in 100 ms, and what came for its slice.
-fn report(governor: &mut Governor, now: whinwall_policy::time::Moment, of: impl Fn(u32) -> (f64, f64)) {
+    hear(&mut policy, 1..5, 1, 6, &well);
+    policy.listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
+    let out = |s: &Step| *s == Step::Withdraw { replica: 0, out: true };
+    assert!(hear(&mut policy, 5..12, 1, 6, &well).iter().any(out));
+    policy.proxy_joined(at(12_000), 1, false);
+    assert!(!policy.collect(at(12_000)).iter().any(out), "no table names it");
+    policy.slice_given(at(12_500), 40, &[(0, 1.0), (1, 0.01)]);
+    assert!(policy.collect(at(12_500)).iter().any(out));
+}
+
+/// Tries at each of six replicas in a second, all answered in 100 ms, and what came for its slice.
+fn report(policy: &mut Policy, now: whinwall_policy::time::Moment, of: impl Fn(u32) -> (f64, f64)) {
     for s in 0..6 {
-        let ((tries, came), covers, mean_latency) = (of(s), Span::ms(1000), Span::ms(100));
-        governor.met(now, s, Met { place: 0, covers, tries, aborted: 0.0, mean_latency });
-        governor.asked(now, s, Asked { op_type: 0, covers, came, aborted: 0.0 });
+        let ((attempts, came), covers, mean_latency) = (of(s), Span::ms(1000), Span::ms(100));
+        policy.met(now, s, EndpointReport { zone: 0, covers, attempts, failed: 0.0, mean_latency });
+        policy.asked(now, s, DemandReport { request_class: 0, covers, came, failed: 0.0 });
     }
 }
 
-/// The reply of this second, its mark acked at once by the one proxy.
-fn acked_reply(governor: &mut Governor, now: whinwall_policy::time::Moment) -> Vec<Step> {
-    governor.woken(now, 0);
-    let reply = governor.collect(now);
-    if let Some(Step::Mark { number }) = reply.last() {
-        governor.applied(now, 0, *number);
+/// The reply of this second, its version acked at once by the one proxy.
+fn acked_reply(policy: &mut Policy, now: whinwall_policy::time::Moment) -> Vec<Step> {
+    policy.woken(now, 0);
+    let reply = policy.collect(now);
+    if let Some(Step::Version { number }) = reply.last() {
+        policy.applied(now, 0, *number);
     }
     reply
 }
 
-/// Six warm servers carry all, and twelve new ones stand by unused (`join+mass`): what the six were seen to
-/// answer is what a server can do, and a slice that must leave goes to one that is cold and has room.
+/// Six warm replicas carry all, and twelve new ones stand by unused (`join+mass`): what the six were seen to
+/// answer is what a replica can do, and a slice that must leave goes to one that is cold and has room.
 #[test]
-fn cold_servers_that_nobody_asks_do_not_prove_that_servers_can_do_little() {
-    let mut governor = plain(site(), 6);
+fn cold_replicas_that_nobody_asks_do_not_prove_that_replicas_can_do_little() {
+    let mut policy = plain(site(), 6);
     let mut steps = Vec::new();
     for second in 1..20 {
         let now = at(second * 1000);
-        report(&mut governor, now, |_| (20.0, 2.0));
+        report(&mut policy, now, |_| (20.0, 2.0));
         if second == 10 {
-            let new: Vec<_> = (6..18).map(|s| listing(s, Standing::Ready, 10_000)).collect();
-            governor.listed(now, ListScope::Changes, &new);
+            let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, 10_000)).collect();
+            policy.listed(now, ListScope::Changes, &new);
         }
         if second == 17 {
-            governor.listed(now, ListScope::Changes, &[listing(0, Standing::Draining, 0)]);
+            policy.listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
         }
-        let reply = acked_reply(&mut governor, now);
+        let reply = acked_reply(&mut policy, now);
         steps.extend(reply.into_iter().filter(|_| second >= 17));
     }
     let went = |s: &Step| match s {
-        Step::Line { slice: 0, server, weight } if *weight >= 1.0 => Some(*server),
+        Step::Line { slice: 0, replica, weight } if *weight >= 1.0 => Some(*replica),
         _ => None,
     };
     let went = steps.iter().find_map(went);
-    assert!(went.is_some_and(|server| server >= 6), "{went:?}");
+    assert!(went.is_some_and(|replica| replica >= 6), "{went:?}");
 }
 
-/// Five governors that know nothing of each other, each with two slices a server, and new servers of which a
+/// Five controllers that know nothing of each other, each with two slices a replica, and new replicas of which a
 /// fifth of a budget would not do for one slice (`join+vast`): each new one is used by one of them, and at once.
 #[test]
-fn a_cold_server_is_the_whole_of_one_governor() {
+fn a_cold_replica_is_the_whole_of_one_controller() {
     let went = |number, slices, begins: u64| {
-        let mut governor = plain(Deployment { governors: 5, number, slices, ..site() }, 6);
-        (6..12).for_each(|n| governor.slice_given(at(0), n, &[(n - 6, 1.0)]));
+        let mut policy = plain(Deployment { controllers: 5, number, slices, ..site() }, 6);
+        (6..12).for_each(|n| policy.slice_given(at(0), n, &[(n - 6, 1.0)]));
         let mut steps = Vec::new();
         for second in 1..12 {
             let now = at(second * 1000);
-            report(&mut governor, now, |_| (2.0, 1.0));
-            let asked = Asked { op_type: 0, covers: Span::ms(1000), came: 1.0, aborted: 0.0 };
-            (6..12).for_each(|n| governor.asked(now, n, asked));
+            report(&mut policy, now, |_| (2.0, 1.0));
+            let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1.0, failed: 0.0 };
+            (6..12).for_each(|n| policy.asked(now, n, asked));
             if second == begins {
-                let new: Vec<_> = (6..18).map(|s| listing(s, Standing::Ready, begins * 1000)).collect();
-                governor.listed(now, ListScope::Changes, &new);
+                let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, begins * 1000)).collect();
+                policy.listed(now, ListScope::Changes, &new);
             }
             if second == 11 {
-                governor.listed(now, ListScope::Changes, &[listing(0, Standing::Draining, 0)]);
+                policy.listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
             }
-            steps = acked_reply(&mut governor, now);
+            steps = acked_reply(&mut policy, now);
         }
         let went = |s: Step| match s {
-            Step::Line { slice: 0 | 6, server, weight } if weight >= 1.0 && server >= 6 => Some(server),
+            Step::Line { slice: 0 | 6, replica, weight } if weight >= 1.0 && replica >= 6 => Some(replica),
             _ => None,
         };
         steps.into_iter().filter_map(went).collect::<Vec<_>>()
@@ -444,24 +452,24 @@
     assert!((0..6).all(|number| !went(number, 12, 8).is_empty()));
 }
 
-/// A new server that is ours alone is filled as a whole one is: with the wide band of servers that others fill
+/// A new replica that is ours alone is filled as a whole one is: with the wide band of replicas that others fill
 /// too, it was no longer light with its second slice (`join+vast`: warm ones had ten times as much).
 #[test]
-fn a_server_that_is_ours_alone_has_the_band_of_a_whole_one() {
+fn a_replica_that_is_ours_alone_has_the_band_of_a_whole_one() {
     let taken = |number| {
-        let mut governor = plain(Deployment { governors: 5, number, slices: 55, ..site() }, 6);
-        (6..11).for_each(|n| governor.slice_given(at(0), n, &[(0, 1.0)]));
+        let mut policy = plain(Deployment { controllers: 5, number, slices: 55, ..site() }, 6);
+        (6..11).for_each(|n| policy.slice_given(at(0), n, &[(0, 1.0)]));
         let mut taken = 0;
         for second in 1..15 {
             let now = at(second * 1000);
-            report(&mut governor, now, |s| (if s == 0 { 6.0 } else { 1.0 }, 1.0));
-            let asked = Asked { op_type: 0, covers: Span::ms(1000), came: 1.0, aborted: 0.0 };
-            (6..11).for_each(|n| governor.asked(now, n, asked));
+            report(&mut policy, now, |s| (if s == 0 { 6.0 } else { 1.0 }, 1.0));
+            let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1.0, failed: 0.0 };
+            (6..11).for_each(|n| policy.asked(now, n, asked));
             if second == 5 {
-                governor.listed(now, ListScope::Changes, &[listing(6, Standing::Ready, 5000)]);
+                policy.listed(now, ListScope::Changes, &[listing(6, ReplicaState::Ready, 5000)]);
             }
-            let whole = |s: &&Step| matches!(s, Step::Line { server: 6, weight, .. } if *weight >= 1.0);
-            taken += acked_reply(&mut governor, now).iter().filter(whole).count();
+            let whole = |s: &&Step| matches!(s, Step::Line { replica: 6, weight, .. } if *weight >= 1.0);
+            taken += acked_reply(&mut policy, now).iter().filter(whole).count();
         }
         taken
     };
@@ -469,22 +477,21 @@
     assert!(most >= Some(3), "{most:?}");
 }
 
-/// A former life may have withdrawn a server of which this one hears, by list or store, only after proxies have
+/// A former life may have withdrawn a replica of which this one hears, by list or store, only after proxies have
 /// joined (the emulator's seed 443 of 1,000 large days: rule 1, for it was never let in again).
 #[test]
-fn a_server_heard_of_late_is_let_in_where_a_former_life_may_have_withdrawn_it() {
+fn a_replica_heard_of_late_is_let_in_where_a_former_incarnation_may_have_withdrawn_it() {
     for (by_store, started, lifted) in [(false, 0, true), (false, 6000, false), (true, 0, true)] {
-        let mut governor = Governor::start(site(), 1, at(5000));
-        governor.proxy_joined(at(5000), 0, false);
+        let mut policy = Policy::start(site(), 1, at(5000));
+        policy.proxy_joined(at(5000), 0, false);
         match by_store {
-            true => governor.slice_given(at(5100), 0, &[(3, 1.0)]),
+            true => policy.slice_given(at(5100), 0, &[(3, 1.0)]),
             false => {
-                governor.listed(at(5100), ListScope::Whole, &[listing(3, Standing::Ready, started)]);
+                policy.listed(at(5100), ListScope::Whole, &[listing(3, ReplicaState::Ready, started)]);
             }
         }
-        let let_in = |step: &Step| *step == Step::Withdraw { server: 3, out: false };
-        let told =
-            (5200..8000).step_by(100).any(|now| acked_reply(&mut governor, at(now)).iter().any(let_in));
+        let let_in = |step: &Step| *step == Step::Withdraw { replica: 3, out: false };
+        let told = (5200..8000).step_by(100).any(|now| acked_reply(&mut policy, at(now)).iter().any(let_in));
         assert_eq!(told, lifted, "by store {by_store}, started {started}");
     }
 }
@@ -493,28 +500,28 @@
 #[test]
 fn a_proxy_that_comes_back_hears_only_what_it_missed() {
     for missed in [false, true] {
-        let mut governor = plain(site(), 6);
-        let out = |s: &Step| *s == Step::Withdraw { server: 0, out: true };
-        // Slices enough that some still name the server when the proxy is back.
-        (50..450).for_each(|n| governor.slice_given(at(0), n, &[(0, 1.0)]));
-        governor.proxy_joined(at(0), 1, true);
-        governor.collect(at(0));
-        (0..200).for_each(|mark| (0..2).for_each(|proxy| governor.applied(at(500), proxy, mark)));
-        governor.listed(at(5000), ListScope::Changes, &[listing(0, Standing::Draining, 0)]);
-        let reply = governor.collect(at(5000));
+        let mut policy = plain(site(), 6);
+        let out = |s: &Step| *s == Step::Withdraw { replica: 0, out: true };
+        // Slices enough that some still name the replica when the proxy is back.
+        (50..450).for_each(|n| policy.slice_given(at(0), n, &[(0, 1.0)]));
+        policy.proxy_joined(at(0), 1, true);
+        policy.collect(at(0));
+        (0..200).for_each(|version| (0..2).for_each(|proxy| policy.applied(at(500), proxy, version)));
+        policy.listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
+        let reply = policy.collect(at(5000));
         assert!(reply.iter().any(out), "{reply:?}");
-        let Some(Step::Mark { number }) = reply.last() else { panic!("no mark: {reply:?}") };
-        governor.applied(at(5300), 0, *number);
+        let Some(Step::Version { number }) = reply.last() else { panic!("no mark: {reply:?}") };
+        policy.applied(at(5300), 0, *number);
         if !missed {
-            governor.applied(at(5300), 1, *number);
+            policy.applied(at(5300), 1, *number);
         }
-        governor.proxy_left(at(5400), 1);
-        governor.proxy_joined(at(5600), 1, false);
+        policy.proxy_left(at(5400), 1);
+        policy.proxy_joined(at(5600), 1, false);
         let told = (5600..7000).step_by(100).any(|now| {
-            governor.woken(at(now), now);
-            let reply = governor.collect(at(now));
-            if let Some(Step::Mark { number }) = reply.last() {
-                (0..2).for_each(|proxy| governor.applied(at(now), proxy, *number));
+            policy.woken(at(now), now);
+            let reply = policy.collect(at(now));
+            if let Some(Step::Version { number }) = reply.last() {
+                (0..2).for_each(|proxy| policy.applied(at(now), proxy, *number));
             }
             reply.iter().any(out)
         });
@@ -522,18 +529,18 @@
     }
 }
 
-/// Of five governors each has one slice a server (the fleet days): one slice of twice the others' load overfills
-/// the part of a server that one governor sees, and no server.
+/// Of five controllers each has one slice a replica (the fleet days): one slice of twice the others' load overfills
+/// the part of a replica that one controller sees, and no replica.
 #[test]
-fn bands_are_those_of_whole_servers_where_others_fill_them_too() {
+fn bands_are_those_of_whole_replicas_where_others_fill_them_too() {
     for (slices, spreads) in [(0, true), (6, true), (30, false)] {
-        let mut governor = plain(Deployment { slices, ..site() }, 6);
+        let mut policy = plain(Deployment { slices, ..site() }, 6);
         let mut whole_lines = 0;
         for second in 1..12 {
             let now = at(second * 1000);
-            report(&mut governor, now, |s| if s == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
+            report(&mut policy, now, |s| if s == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
             let whole = |s: &&Step| matches!(s, Step::Line { slice: 0, weight, .. } if *weight >= 1.0);
-            whole_lines += acked_reply(&mut governor, now).iter().filter(whole).count();
+            whole_lines += acked_reply(&mut policy, now).iter().filter(whole).count();
         }
         assert_eq!(whole_lines > 0, spreads, "{slices} slices in all");
     }
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,31 +1,31 @@
-//! A small fleet that does what a governor says, and panics as soon as one of the five rules is broken.
+//! A small fleet that does what a controller says, and panics as soon as one of the five rules is broken.
 #![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use whinwall_policy::deployment::{Deployment, OpType};
-use whinwall_policy::interface::*;
-use whinwall_policy::logic::Governor;
+use whinwall_policy::api::*;
+use whinwall_policy::deployment::{Deployment, RequestClass};
 use whinwall_policy::time::{Moment, Span};
+use whinwall_policy::Policy;
 
 pub const GRACE_MS: u64 = 2500;
 const BARE_MS: u64 = 5000;
 const TICK_MS: u64 = 100;
 
 pub fn site() -> Deployment {
-    let op_type = |payoff| OpType { payoff, target_latency: Span::ms(1000) };
+    let request_class = |priority_weight| RequestClass { priority_weight, target_latency: Span::ms(1000) };
     Deployment {
-        op_types: vec![op_type(1.0), op_type(4.0)],
+        request_classes: vec![request_class(1.0), request_class(4.0)],
         report_period: Span::ms(1000),
         list_pushed: true,
         gone_is_advice: false,
         sizes_known: false,
         levels_followed: true,
-        governors: 1,
+        controllers: 1,
         number: 0,
         slices: 0,
         single_writer: false,
         tenure: Span::ms(1000),
-        write_life: Span::ms(50),
+        write_lifetime: Span::ms(50),
         cold_share: 0.2,
         warm_after: Span::ms(10_000),
         fall_multiple: 3.0,
@@ -42,15 +42,24 @@
     Moment::at_ns(ms * 1_000_000)
 }
 
-pub fn listing(server: ServerId, standing: Standing, started_ms: u64) -> Listing {
+pub fn listing(replica: ReplicaId, standing: ReplicaState, started_ms: u64) -> ReplicaListing {
     let started = (started_ms > 0).then(|| at(started_ms));
-    let (place, lot) = (server as usize % 3, u64::from(server));
-    Listing { server, place, machine: "m".into(), standing, size: 1.0, started, lot, share: Share::Everyone }
+    let (zone, lot) = (replica as usize % 3, u64::from(replica));
+    ReplicaListing {
+        replica,
+        zone,
+        machine: "m".into(),
+        standing,
+        size: 1.0,
+        started,
+        lot,
+        share: SubsetMembership::Everyone,
+    }
 }
 
 #[derive(Clone, PartialEq, Debug)]
 pub struct Node {
-    pub standing: Standing,
+    pub standing: ReplicaState,
     pub started_ms: u64,
     pub answers: bool,
     pub told_ms: u64,
@@ -60,31 +69,31 @@
 struct Message {
     proxy: ProxyId,
     lines: f64,
-    marks: Vec<u16>,
+    versions: Vec<u16>,
     steps: Vec<Step>,
 }
 
 #[derive(Default, Clone)]
 struct Proxy {
     joined: bool,
-    tables: BTreeMap<SliceId, BTreeMap<ServerId, f64>>,
+    tables: BTreeMap<SliceId, BTreeMap<ReplicaId, f64>>,
     halted: BTreeSet<SliceId>,
-    shut: BTreeSet<ServerId>,
+    shut: BTreeSet<ReplicaId>,
     bare_since: BTreeMap<SliceId, u64>,
     written_ms: VecDeque<u64>,
     inbox: VecDeque<(u64, Message)>,
 }
 
 pub struct Fleet {
-    pub governor: Governor,
+    pub policy: Policy,
     pub site: Deployment,
     pub now_ms: u64,
-    pub nodes: BTreeMap<ServerId, Node>,
+    pub nodes: BTreeMap<ReplicaId, Node>,
     pub rates: BTreeMap<SliceId, f64>,
-    /// How servers are shared with other governors, and what those bring a second; where not named, nobody else does.
-    pub shares: BTreeMap<ServerId, Share>,
-    pub others: BTreeMap<ServerId, f64>,
-    pub store: BTreeMap<SliceId, BTreeMap<ServerId, f64>>,
+    /// How replicas are shared with other controllers, and what those bring a second; where not named, nobody else does.
+    pub shares: BTreeMap<ReplicaId, SubsetMembership>,
+    pub others: BTreeMap<ReplicaId, f64>,
+    pub store: BTreeMap<SliceId, BTreeMap<ReplicaId, f64>>,
     pub lines_a_tick: f64,
     pub slow_ms: u64,
     pub log: Vec<Step>,
@@ -95,17 +104,17 @@
 }
 
 impl Fleet {
-    pub fn new(site: Deployment, servers: u32, slices: u32, proxies: u32) -> Self {
-        let node = Node { standing: Standing::Ready, started_ms: 0, answers: true, told_ms: 0 };
+    pub fn new(site: Deployment, replicas: u32, slices: u32, proxies: u32) -> Self {
+        let node = Node { standing: ReplicaState::Ready, started_ms: 0, answers: true, told_ms: 0 };
         let mut fleet = Fleet {
-            governor: Governor::start(site.clone(), 7, at(1000)),
+            policy: Policy::start(site.clone(), 7, at(1000)),
             site,
             now_ms: 1000,
-            nodes: (0..servers).map(|s| (s, node.clone())).collect(),
+            nodes: (0..replicas).map(|s| (s, node.clone())).collect(),
             rates: (0..slices).map(|n| (n, 2.0 + f64::from(n % 3))).collect(),
             shares: BTreeMap::new(),
             others: BTreeMap::new(),
-            store: (0..slices).map(|n| (n, BTreeMap::from([(n % servers, 1.0)]))).collect(),
+            store: (0..slices).map(|n| (n, BTreeMap::from([(n % replicas, 1.0)]))).collect(),
             lines_a_tick: 150.0,
             slow_ms: 0,
             log: Vec::new(),
@@ -118,18 +127,18 @@
         fleet
     }
 
-    /// A new life of the governor: its last list, its slices, the proxies that are there.
+    /// A new life of the controller: its last list, its slices, the proxies that are there.
     pub fn introduce(&mut self, seed: u64) {
         let now = at(self.now_ms);
-        self.governor = Governor::start(self.site.clone(), seed, now);
+        self.policy = Policy::start(self.site.clone(), seed, now);
         (self.queue, self.wakes) = (VecDeque::new(), BTreeMap::new());
         let list: Vec<_> = self.nodes.keys().map(|id| self.entry(*id)).collect();
-        self.governor.listed(now, ListScope::Remembered, &list);
-        self.governor.listed(now, ListScope::Whole, &list);
+        self.policy.listed(now, ListScope::Remembered, &list);
+        self.policy.listed(now, ListScope::Whole, &list);
         self.nodes.values_mut().for_each(|n| n.told_ms = self.now_ms);
         for (n, table) in &self.store {
             let table: Vec<_> = table.iter().map(|(s, w)| (*s, *w)).collect();
-            self.governor.slice_given(now, *n, &table);
+            self.policy.slice_given(now, *n, &table);
         }
         for p in self.proxies.keys().copied().collect::<Vec<_>>() {
             self.join(p);
@@ -137,56 +146,56 @@
         self.reply();
     }
 
-    fn entry(&self, server: ServerId) -> Listing {
-        let node = &self.nodes[&server];
-        let share = self.shares.get(&server).copied().unwrap_or_default();
-        Listing { share, ..listing(server, node.standing, node.started_ms) }
+    fn entry(&self, replica: ReplicaId) -> ReplicaListing {
+        let node = &self.nodes[&replica];
+        let share = self.shares.get(&replica).copied().unwrap_or_default();
+        ReplicaListing { share, ..listing(replica, node.standing, node.started_ms) }
     }
 
     pub fn join(&mut self, proxy: ProxyId) {
         let Some(p) = self.proxies.get_mut(&proxy) else { return };
         let shut = std::mem::take(&mut p.shut);
         *p = Proxy { joined: true, tables: self.store.clone(), shut, ..Proxy::default() };
-        self.governor.proxy_joined(at(self.now_ms), proxy, false);
+        self.policy.proxy_joined(at(self.now_ms), proxy, false);
     }
 
     pub fn part(&mut self, proxy: ProxyId) {
         self.proxies.entry(proxy).or_default().joined = false;
         self.queue.retain(|m| m.proxy != proxy);
         self.parted_ms = self.now_ms;
-        self.governor.proxy_left(at(self.now_ms), proxy);
+        self.policy.proxy_left(at(self.now_ms), proxy);
     }
 
-    pub fn news(&mut self, server: ServerId) {
-        let node = self.nodes.get_mut(&server).expect("a known server");
+    pub fn news(&mut self, replica: ReplicaId) {
+        let node = self.nodes.get_mut(&replica).expect("a known server");
         node.told_ms = self.now_ms;
-        let entry = self.entry(server);
-        self.governor.listed(at(self.now_ms), ListScope::Changes, &[entry]);
+        let entry = self.entry(replica);
+        self.policy.listed(at(self.now_ms), ListScope::Changes, &[entry]);
         self.reply();
     }
 
     /// Takes the reply, in order, and puts it on the channel.
     pub fn reply(&mut self) {
-        let steps = self.governor.collect(at(self.now_ms));
-        let marks: Vec<u16> = steps
+        let steps = self.policy.collect(at(self.now_ms));
+        let versions: Vec<u16> = steps
             .iter()
-            .filter_map(|s| if let Step::Mark { number } = s { Some(*number) } else { None })
+            .filter_map(|s| if let Step::Version { number } = s { Some(*number) } else { None })
             .collect();
         let mut orders = Vec::new();
         for step in &steps {
             match step {
-                Step::Line { slice, server, weight } => {
+                Step::Line { slice, replica, weight } => {
                     let table = self.store.get_mut(slice).expect("rule: only slices that exist");
                     if self.site.single_writer {
                         table.clear();
                     }
-                    table.insert(*server, *weight);
+                    table.insert(*replica, *weight);
                     table.retain(|_, w| *w > 0.0);
                     assert!(!table.is_empty(), "rule 1: slice {slice} left bare by {step:?}");
                     orders.push(step.clone());
                 }
-                Step::Level { tries, .. } => {
-                    assert!(*tries <= 1, "rule 2: tries without proof");
+                Step::Level { retries, .. } => {
+                    assert!(*retries <= 1, "rule 2: tries without proof");
                     orders.push(step.clone());
                 }
                 Step::Withdraw { .. } => orders.push(step.clone()),
@@ -198,11 +207,11 @@
         }
         if !orders.is_empty() {
             for (id, p) in self.proxies.iter_mut().filter(|(_, p)| p.joined) {
-                let lines = self.site.message_head + orders.len() as f64 + marks.len() as f64;
+                let lines = self.site.message_head + orders.len() as f64 + versions.len() as f64;
                 self.queue.push_back(Message {
                     proxy: *id,
                     lines,
-                    marks: marks.clone(),
+                    versions: versions.clone(),
                     steps: orders.clone(),
                 });
                 p.written_ms.push_back(self.now_ms);
@@ -237,24 +246,24 @@
             for step in &message.steps {
                 let p = self.proxies.get_mut(&message.proxy).expect("a known proxy");
                 match step {
-                    Step::Line { slice, server, weight } => {
+                    Step::Line { slice, replica, weight } => {
                         let table = p.tables.entry(*slice).or_default();
-                        let new = !table.contains_key(server);
+                        let new = !table.contains_key(replica);
                         if single {
                             table.clear();
                         }
-                        table.insert(*server, *weight);
+                        table.insert(*replica, *weight);
                         table.retain(|_, w| *w > 0.0);
                         let held = |p: &Proxy| {
-                            !p.joined || p.halted.contains(slice) || p.tables[slice].contains_key(server)
+                            !p.joined || p.halted.contains(slice) || p.tables[slice].contains_key(replica)
                         };
                         assert!(
                             !single || !new || self.proxies.values().all(held),
                             "rule 2: two owners write"
                         );
                     }
-                    Step::Withdraw { server, out } => {
-                        _ = if *out { p.shut.insert(*server) } else { p.shut.remove(server) };
+                    Step::Withdraw { replica, out } => {
+                        _ = if *out { p.shut.insert(*replica) } else { p.shut.remove(replica) };
                     }
                     Step::Level { slice: Some(n), share, .. } => {
                         _ = if *share == 0.0 { p.halted.insert(*n) } else { p.halted.remove(n) };
@@ -262,8 +271,8 @@
                     _ => {}
                 }
             }
-            for mark in &message.marks {
-                self.governor.applied(at(self.now_ms), message.proxy, *mark);
+            for version in &message.versions {
+                self.policy.applied(at(self.now_ms), message.proxy, *version);
             }
             self.reply();
         }
@@ -277,16 +286,22 @@
             let Some(table) = self.store.get(n) else { continue };
             let whole: f64 = table.values().sum();
             let dead = table.iter().filter(|(s, _)| self.nodes.get(s).is_none_or(|n| !n.answers));
-            let aborted = came * dead.map(|(_, weight)| weight).sum::<f64>() / whole;
-            self.governor.asked(now, *n, Asked { op_type: 0, covers, came: *came, aborted });
+            let failed = came * dead.map(|(_, weight)| weight).sum::<f64>() / whole;
+            self.policy.asked(now, *n, DemandReport { request_class: 0, covers, came: *came, failed });
             for (s, weight) in table {
                 *sent.entry(*s).or_default() += came * weight / whole;
             }
         }
-        for (s, tries) in sent {
-            let aborted = if self.nodes.get(&s).is_some_and(|n| n.answers) { 0.0 } else { tries };
-            let met = Met { tries, aborted, covers, mean_latency: Span::ms(200), ..Met::default() };
-            self.governor.met(now, s, met);
+        for (s, attempts) in sent {
+            let failed = if self.nodes.get(&s).is_some_and(|n| n.answers) { 0.0 } else { attempts };
+            let met = EndpointReport {
+                attempts,
+                failed,
+                covers,
+                mean_latency: Span::ms(200),
+                ..EndpointReport::default()
+            };
+            self.policy.met(now, s, met);
         }
         self.reply();
     }
@@ -298,7 +313,7 @@
             self.arrive();
             let later = self.wakes.split_off(&(self.now_ms + 1));
             for token in std::mem::replace(&mut self.wakes, later).into_values().flatten() {
-                self.governor.woken(at(self.now_ms), token);
+                self.policy.woken(at(self.now_ms), token);
             }
             self.reply();
             if self.now_ms.is_multiple_of(1000) {
@@ -311,13 +326,13 @@
     /// What must hold at any time (rules 1, 3 and 4; the others are checked where they could break).
     fn check(&mut self) {
         let now_ms = self.now_ms;
-        let usable = |n: &&Node| n.standing == Standing::Ready && n.answers;
+        let usable = |n: &&Node| n.standing == ReplicaState::Ready && n.answers;
         let warm = |n: &Node| n.started_ms == 0 || n.started_ms + 10_000 < now_ms;
         let easy = now_ms > self.slow_ms + 8000 && now_ms > self.parted_ms + GRACE_MS;
         let good = self.nodes.values().filter(usable).filter(|n| warm(n)).count();
         for p in self.proxies.values_mut() {
             let shut = &p.shut;
-            let bare = |t: &BTreeMap<ServerId, f64>| t.keys().all(|s| shut.contains(s));
+            let bare = |t: &BTreeMap<ReplicaId, f64>| t.keys().all(|s| shut.contains(s));
             let now_bare: Vec<_> = p.tables.iter().filter(|(_, t)| bare(t)).map(|(n, _)| *n).collect();
             p.bare_since.retain(|n, _| p.joined && good > 0 && now_bare.contains(n));
             for n in now_bare {
@@ -335,15 +350,15 @@
             let late = node.told_ms + GRACE_MS < now_ms;
             for p in self.proxies.values().filter(|p| p.joined && !p.shut.contains(id)) {
                 let sends = p.tables.values().any(|t| t.contains_key(id));
-                let leaves = node.standing != Standing::Ready;
+                let leaves = node.standing != ReplicaState::Ready;
                 assert!(!(late && leaves && sends), "rule 3: {id} is {node:?} at {now_ms}");
             }
-            let into = |(n, t): (&SliceId, &BTreeMap<ServerId, f64>)| {
+            let into = |(n, t): (&SliceId, &BTreeMap<ReplicaId, f64>)| {
                 t.get(id).map_or(0.0, |weight| self.rates[n] * weight / t.values().sum::<f64>())
             };
             let load: f64 = self.store.iter().map(into).sum();
             let age = (now_ms - node.started_ms) as f64 / 10_000.0;
-            // Warm, a server of this fleet does twice its even part of the usual load.
+            // Warm, a replica of this fleet does twice its even part of the usual load.
             let capacity = 2.0 * 3.0 * self.store.len() as f64 / self.nodes.len() as f64;
             let budget = 3.0 * capacity * (0.2 + 0.8 * age).min(1.0);
             assert!(warm(node) || !late || load <= budget, "rule 4: {load} on cold {id}, budget {budget}");
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -4,11 +4,11 @@
 
 use fleet::{at, listing, site, Fleet};
 use quickcheck::{Arbitrary, Gen};
-use whinwall_policy::interface::*;
-use whinwall_policy::logic::Governor;
+use whinwall_policy::api::*;
 use whinwall_policy::time::Span;
+use whinwall_policy::Policy;
 
-/// What happens, drawn as a number of these, and to which server, proxy or slice.
+/// What happens, drawn as a number of these, and to which replica, proxy or slice.
 const DEEDS: [&str; 13] = [
     "drain", "vanish", "return", "return", "silence", "part", "join", "join", "heat", "channel", "restart",
     "hand", "wait",
@@ -20,25 +20,25 @@
 }
 
 fn play(fleet: &mut Fleet, deed: &Deed) {
-    let servers = fleet.nodes.len() as u32;
+    let replicas = fleet.nodes.len() as u32;
     let now = fleet.now_ms;
     let set = |fleet: &mut Fleet, n: u32, standing, answers, restarted: bool| {
-        let node = fleet.nodes.get_mut(&(n % servers)).unwrap();
-        if restarted && node.answers && node.standing == Standing::Ready {
+        let node = fleet.nodes.get_mut(&(n % replicas)).unwrap();
+        if restarted && node.answers && node.standing == ReplicaState::Ready {
             return;
         }
         (node.standing, node.answers) = (standing, answers);
         if restarted {
             node.started_ms = now;
         }
-        fleet.news(n % servers);
+        fleet.news(n % replicas);
     };
     let n = deed.1;
     match name(deed) {
-        "drain" => set(fleet, n, Standing::Draining, true, false),
-        "vanish" => set(fleet, n, Standing::Gone, false, false),
-        "return" => set(fleet, n, Standing::Ready, true, true),
-        "silence" => fleet.nodes.get_mut(&(n % servers)).unwrap().answers = false,
+        "drain" => set(fleet, n, ReplicaState::Draining, true, false),
+        "vanish" => set(fleet, n, ReplicaState::Gone, false, false),
+        "return" => set(fleet, n, ReplicaState::Ready, true, true),
+        "silence" => fleet.nodes.get_mut(&(n % replicas)).unwrap().answers = false,
         "part" => fleet.part(n % 5),
         "join" => fleet.join(n % 5),
         "heat" => _ = fleet.rates.insert(n % 40, 20.0),
@@ -49,9 +49,9 @@
         }
         "restart" => fleet.introduce(u64::from(n)),
         "hand" => {
-            fleet.governor.slice_taken(at(now), n % 40);
+            fleet.policy.slice_taken(at(now), n % 40);
             let table: Vec<_> = fleet.store[&(n % 40)].iter().map(|(s, w)| (*s, *w)).collect();
-            fleet.governor.slice_given(at(now), n % 40, &table);
+            fleet.policy.slice_given(at(now), n % 40, &table);
         }
         _ => fleet.advance(3000),
     }
@@ -62,7 +62,7 @@
     let mut log = Vec::new();
     for seed in seeds {
         let mut deeds = Vec::<Deed>::arbitrary(&mut Gen::from_size_and_seed(60, seed));
-        // A change of charge mid-way is another governor's doing, of which a lone writer's test knows
+        // A change of charge mid-way is another controller's doing, of which a lone writer's test knows
         // nothing.
         deeds.retain(|deed| !(single_writer && ["hand", "restart", "join", "part"].contains(&name(deed))));
         let mut fleet =
@@ -95,29 +95,36 @@
 fn no_order_of_calls_does_harm() {
     for seed in 300..340 {
         let calls = Vec::<(u8, u32, u16)>::arbitrary(&mut Gen::from_size_and_seed(300, seed));
-        let mut governor = Governor::start(site(), seed, at(0));
+        let mut policy = Policy::start(site(), seed, at(0));
         for (i, (call, n, m)) in calls.iter().enumerate() {
             let (now, id, rate) = (at(i as u64 * 130), n % 7, f64::from(*m % 50));
-            let standing = [Standing::Ready, Standing::Draining, Standing::Gone][usize::from(m % 3)];
+            let standing =
+                [ReplicaState::Ready, ReplicaState::Draining, ReplicaState::Gone][usize::from(m % 3)];
             let scope = [ListScope::Changes, ListScope::Whole, ListScope::Remembered][(n % 3) as usize];
-            let (covers, op_type) = (Span::ms(u64::from(n % 5) * 900), usize::from(m % 4));
-            let (aborted, mean_latency) = (f64::from(n % 50), Span::ms(900));
+            let (covers, request_class) = (Span::ms(u64::from(n % 5) * 900), usize::from(m % 4));
+            let (failed, mean_latency) = (f64::from(n % 50), Span::ms(900));
             let table = [listing(id, standing, u64::from(m % 2) * i as u64 * 120)];
             match call % 11 {
-                0 | 1 => governor.listed(now, scope, &table),
-                2 => governor.slice_given(now, id, &[(n % 9, rate)]),
-                3 => governor.slice_taken(now, id),
-                4 => governor.proxy_joined(now, id, m % 2 == 0),
-                5 => governor.proxy_left(now, id),
-                6 => governor.applied(now, id, *m % 20),
-                7 => governor.asked(now, id, Asked { op_type, covers, came: rate, aborted: rate / 2.0 }),
-                8 => governor.woken(now, u64::from(*n)),
-                9 => governor.list_failed(now),
-                _ => {
-                    governor.met(now, id, Met { place: op_type, covers, tries: rate, aborted, mean_latency })
-                }
+                0 | 1 => policy.listed(now, scope, &table),
+                2 => policy.slice_given(now, id, &[(n % 9, rate)]),
+                3 => policy.slice_taken(now, id),
+                4 => policy.proxy_joined(now, id, m % 2 == 0),
+                5 => policy.proxy_left(now, id),
+                6 => policy.applied(now, id, *m % 20),
+                7 => policy.asked(
+                    now,
+                    id,
+                    DemandReport { request_class, covers, came: rate, failed: rate / 2.0 },
+                ),
+                8 => policy.woken(now, u64::from(*n)),
+                9 => policy.list_failed(now),
+                _ => policy.met(
+                    now,
+                    id,
+                    EndpointReport { zone: request_class, covers, attempts: rate, failed, mean_latency },
+                ),
             }
-            governor.collect(now);
+            policy.collect(now);
         }
     }
 }
--- a/crates/policy/tests/sharing.rs
+++ b/crates/policy/tests/sharing.rs
@@ -1,35 +1,35 @@
-//! Decisions of a governor that shares its servers with others.
+//! Decisions of a controller that shares its replicas with others.
 
 mod fleet;
 
 use fleet::{at, site, Fleet};
 use std::collections::BTreeSet;
+use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
-use whinwall_policy::interface::*;
 use whinwall_policy::sharing::{claimant, EPOCH};
 use whinwall_policy::time::{Moment, Span};
 
-fn subset(governors: u32, position: u32) -> Share {
-    Share::Subset { governors, position }
+fn subset(controllers: u32, position: u32) -> SubsetMembership {
+    SubsetMembership::Subset { controllers, position }
 }
 
-/// One of so many governors, with so many slices on servers shared by 14 governors each, on all of which others bring
+/// One of so many controllers, with so many slices on replicas shared by 14 controllers each, on all of which others bring
 /// this much.
-fn shared(governors: u32, servers: u32, slices: u32, others: impl Fn(ServerId) -> f64) -> Fleet {
-    let all = governors * slices;
-    let mut fleet = Fleet::new(Deployment { governors, slices: all, ..site() }, servers, slices, 3);
-    fleet.shares = (0..servers).map(|s| (s, subset(14, (s * 5 + 3) % 14))).collect();
-    fleet.others = (0..servers).map(|s| (s, others(s))).collect();
+fn shared(controllers: u32, replicas: u32, slices: u32, others: impl Fn(ReplicaId) -> f64) -> Fleet {
+    let all = controllers * slices;
+    let mut fleet = Fleet::new(Deployment { controllers, slices: all, ..site() }, replicas, slices, 3);
+    fleet.shares = (0..replicas).map(|s| (s, subset(14, (s * 5 + 3) % 14))).collect();
+    fleet.others = (0..replicas).map(|s| (s, others(s))).collect();
     fleet.introduce(5);
     fleet
 }
 
-fn owners(fleet: &Fleet, slice: SliceId) -> Vec<ServerId> {
+fn owners(fleet: &Fleet, slice: SliceId) -> Vec<ReplicaId> {
     fleet.store[&slice].iter().filter(|(_, weight)| **weight >= 1.0).map(|(s, _)| *s).collect()
 }
 
 /// Advances step by step for so long; for each slice that gets another owner: which, and when.
-fn moves(fleet: &mut Fleet, ms: u64) -> Vec<(SliceId, ServerId, Moment)> {
+fn moves(fleet: &mut Fleet, ms: u64) -> Vec<(SliceId, ReplicaId, Moment)> {
     let all = |fleet: &Fleet| {
         let pairs = fleet.store.keys().flat_map(|n| owners(fleet, *n).into_iter().map(|s| (*n, s)));
         pairs.collect::<BTreeSet<_>>()
@@ -45,19 +45,19 @@
 }
 
 #[test]
-fn exactly_one_governor_holds_a_claim_and_each_gets_its_turn() {
-    for governors in [1, 2, 3, 14, 80] {
+fn exactly_one_controller_holds_a_claim_and_each_gets_its_turn() {
+    for controllers in [1, 2, 3, 14, 80] {
         for lot in [0, 1, 7, u64::MAX, u64::MAX - 1, 0x9e37_79b9_7f4a_7c15] {
             let mut turns = BTreeSet::new();
-            for epoch in 1000..1000 + u64::from(governors) {
+            for epoch in 1000..1000 + u64::from(controllers) {
                 let start = Moment::at_ns(epoch * EPOCH.as_ns());
                 let holds =
-                    |position: &u32| subset(governors, *position).is_claimed(lot, start, Span::default());
-                let holders: Vec<_> = (0..governors).filter(holds).collect();
-                assert_eq!(holders, [claimant(lot, epoch, governors)]);
+                    |position: &u32| subset(controllers, *position).is_claimed(lot, start, Span::default());
+                let holders: Vec<_> = (0..controllers).filter(holds).collect();
+                assert_eq!(holders, [claimant(lot, epoch, controllers)]);
                 turns.extend(holders);
             }
-            assert_eq!(turns.len(), governors as usize, "lot {lot}");
+            assert_eq!(turns.len(), controllers as usize, "lot {lot}");
         }
     }
 }
@@ -73,14 +73,17 @@
     );
     assert!((0..5).all(|position| !subset(5, position).is_claimed(3, last, late)));
     assert!(subset(1, 0).is_claimed(3, last, late), "who shares with nobody need not wait");
-    assert!(Share::Everyone.is_claimed(3, last, late) && !Share::Others.is_claimed(3, last, late));
+    assert!(
+        SubsetMembership::Everyone.is_claimed(3, last, late)
+            && !SubsetMembership::Others.is_claimed(3, last, late)
+    );
 }
 
-/// Servers 0 to 23 get 60 a second from others, the rest 25: AvgL 45, band 29 to 61. A slice of 30 makes server 0
+/// Replicas 0 to 23 get 60 a second from others, the rest 25: AvgL 45, band 29 to 61. A slice of 30 makes replica 0
 /// heavy; on a light one it is inside the band.
 #[test]
-fn with_650_governors_a_hot_slice_moves_to_a_light_server() {
-    let others = |s: ServerId| if s < 24 { 60.0 } else { 25.0 };
+fn with_650_controllers_a_hot_slice_moves_to_a_light_replica() {
+    let others = |s: ReplicaId| if s < 24 { 60.0 } else { 25.0 };
     let mut fleet = shared(650, 48, 20, others);
     fleet.advance(12_000);
     fleet.rates.insert(0, 30.0);
@@ -91,11 +94,11 @@
     assert!(fleet.shares[to].is_claimed(u64::from(*to), *when, Span::default()), "moved without the claim");
 }
 
-/// The same, seen without totals and with the band that grows with the root of the number of governors: nothing is ever
+/// The same, seen without totals and with the band that grows with the root of the number of controllers: nothing is ever
 /// heavy, and all that acts is spreading, which leaves the slice where it is. It is why there are subsets.
 #[test]
-fn with_650_governors_and_no_subsets_the_hot_slice_stays() {
-    let others = |s: ServerId| if s < 24 { 60.0 } else { 25.0 };
+fn with_650_controllers_and_no_subsets_the_hot_slice_stays() {
+    let others = |s: ReplicaId| if s < 24 { 60.0 } else { 25.0 };
     let mut fleet = shared(650, 48, 20, others);
     fleet.shares.clear();
     fleet.introduce(5);
@@ -106,9 +109,9 @@
     assert!(owners(&fleet, 0).contains(&0), "{moves:?}");
 }
 
-/// To this governor the first 12 servers look empty, but others fill them: AvgL is 44, the band ends at 59.
+/// To this controller the first 12 replicas look empty, but others fill them: AvgL is 44, the band ends at 59.
 #[test]
-fn what_leaves_a_draining_server_goes_where_all_slices_together_leave_room() {
+fn what_leaves_a_draining_replica_goes_where_all_slices_together_leave_room() {
     for seed in 1..6 {
         let mut fleet = shared(60, 36, 24, |s| if s < 12 { 80.0 } else { 20.0 });
         for n in 0..24 {
@@ -116,9 +119,9 @@
         }
         fleet.introduce(seed);
         fleet.advance(9000);
-        for server in [12, 13] {
-            fleet.nodes.get_mut(&server).unwrap().standing = Standing::Draining;
-            fleet.news(server);
+        for replica in [12, 13] {
+            fleet.nodes.get_mut(&replica).unwrap().standing = ReplicaState::Draining;
+            fleet.news(replica);
         }
         fleet.advance(4000);
         let chosen: Vec<_> = [0, 1, 12, 13].iter().flat_map(|n| owners(&fleet, *n)).collect();
@@ -126,17 +129,17 @@
     }
 }
 
-/// Sixty governors alike leave one server at the same moment, each with one slice: they do not all choose the same.
+/// Sixty controllers alike leave one replica at the same moment, each with one slice: they do not all choose the same.
 #[test]
-fn governors_that_escape_at_once_spread() {
-    let mut chosen: Vec<ServerId> = Vec::new();
+fn controllers_that_escape_at_once_spread() {
+    let mut chosen: Vec<ReplicaId> = Vec::new();
     for seed in 0..60 {
         let mut fleet = shared(60, 24, 1, |_| 40.0);
-        // No governor holds a claim here: all depends on the draw.
+        // No controller holds a claim here: all depends on the draw.
         fleet.shares = (0..24).map(|s| (s, subset(1000, 999))).collect();
         fleet.introduce(1000 + seed * 7919);
         fleet.advance(6000);
-        fleet.nodes.get_mut(&0).unwrap().standing = Standing::Draining;
+        fleet.nodes.get_mut(&0).unwrap().standing = ReplicaState::Draining;
         fleet.news(0);
         fleet.advance(1500);
         let to = owners(&fleet, 0);
@@ -148,9 +151,9 @@
     assert!(different.len() >= 15 && most <= Some(8), "{chosen:?}");
 }
 
-/// AvgL is 10, the band 7 to 14: server 5 has 20, and the cold server 3 nothing.
+/// AvgL is 10, the band 7 to 14: replica 5 has 20, and the cold replica 3 nothing.
 #[test]
-fn a_cold_server_gets_slices_from_its_claimant_only_and_within_its_budget() {
+fn a_cold_replica_gets_slices_from_its_claimant_only_and_within_its_budget() {
     let others = |s| match s {
         3 => 0.0,
         5 => 12.0,
@@ -165,7 +168,7 @@
     fleet.advance(9000);
     let restarted = fleet.now_ms;
     let node = fleet.nodes.get_mut(&3).unwrap();
-    (node.started_ms, node.standing) = (restarted, Standing::Ready);
+    (node.started_ms, node.standing) = (restarted, ReplicaState::Ready);
     fleet.news(3);
     let cold_until = at(restarted + 10_000);
     let moves = moves(&mut fleet, 20_000);
@@ -177,9 +180,9 @@
     assert!(!onto_cold.is_empty(), "the claimant did not use its budget: {moves:?}");
 }
 
-/// A cold server that others push to its budget gets nothing more, even from who holds the claim.
+/// A cold replica that others push to its budget gets nothing more, even from who holds the claim.
 #[test]
-fn what_others_bring_counts_against_a_cold_servers_budget() {
+fn what_others_bring_counts_against_a_cold_replicas_budget() {
     let mut fleet = shared(60, 12, 12, |s| if s == 3 { 200.0 } else { 30.0 });
     fleet.shares.insert(3, subset(1, 0));
     fleet.store.insert(3, [(4, 1.0)].into());
@@ -191,19 +194,19 @@
     assert!(moves.iter().all(|(_, to, _)| *to != 3), "{moves:?}");
 }
 
-/// Slices that sit on servers of other governors go home one by one; nothing goes there.
+/// Slices that sit on replicas of other controllers go home one by one; nothing goes there.
 #[test]
-fn servers_of_other_governors_are_left_calmly_and_never_chosen() {
+fn replicas_of_other_controllers_are_left_calmly_and_never_chosen() {
     for seed in 1..6 {
         let mut fleet = shared(60, 24, 24, |_| 30.0);
-        for server in 12..24 {
-            fleet.shares.insert(server, Share::Others);
-            fleet.others.remove(&server);
+        for replica in 12..24 {
+            fleet.shares.insert(replica, SubsetMembership::Others);
+            fleet.others.remove(&replica);
         }
         fleet.introduce(seed);
         let first = moves(&mut fleet, 4000);
         assert!(first.len() < 12, "all left at once: {first:?}");
-        fleet.nodes.get_mut(&1).unwrap().standing = Standing::Draining;
+        fleet.nodes.get_mut(&1).unwrap().standing = ReplicaState::Draining;
         fleet.news(1);
         let rest = moves(&mut fleet, 200_000);
         assert!(first.iter().chain(&rest).all(|(_, to, _)| *to < 12), "{first:?} {rest:?}");
@@ -211,19 +214,19 @@
     }
 }
 
-/// Rule 1 goes before subsets: where all that is in the subset drains, a warm server of others is better than none.
+/// Rule 1 goes before subsets: where all that is in the subset drains, a warm replica of others is better than none.
 #[test]
-fn a_subset_that_is_lost_as_a_whole_is_left_for_a_server_of_others() {
+fn a_subset_that_is_lost_as_a_whole_is_left_for_a_replica_of_others() {
     let mut fleet = shared(60, 8, 6, |_| 10.0);
     for n in 0..6 {
         fleet.store.insert(n, [(n % 3, 1.0)].into());
     }
-    (3..8).for_each(|s| _ = fleet.shares.insert(s, Share::Others));
+    (3..8).for_each(|s| _ = fleet.shares.insert(s, SubsetMembership::Others));
     fleet.introduce(5);
     fleet.advance(6000);
-    for server in 0..3 {
-        fleet.nodes.get_mut(&server).unwrap().standing = Standing::Draining;
-        fleet.news(server);
+    for replica in 0..3 {
+        fleet.nodes.get_mut(&replica).unwrap().standing = ReplicaState::Draining;
+        fleet.news(replica);
     }
     fleet.advance(8000);
     assert!((0..6).all(|n| owners(&fleet, n).iter().all(|s| *s >= 3)), "{:?}", fleet.store);
--- a/crates/protocol/src/collector.rs
+++ b/crates/protocol/src/collector.rs
@@ -1,4 +1,4 @@
-//! What comes to the governor's own address: JSON lines, mostly from the collectors of the places.
+//! What comes to the controller's own address: JSON lines, mostly from the collectors of the places.
 
 use super::{is_sane, is_sane_ms, InvalidMessage, Malformed};
 use serde::{Deserialize, Serialize};
@@ -13,27 +13,27 @@
     #[serde(rename = "SOURCE")]
     Source {
         #[serde(rename = "az")]
-        place: String,
+        zone: String,
     },
     #[serde(rename = "LOAD")]
-    Met(Met),
+    EndpointReport(EndpointReport),
     #[serde(rename = "SHARD")]
-    Asked(Asked),
+    DemandReport(DemandReport),
     #[serde(other)]
     Unknown,
 }
 
-/// What the proxies of a place met at a server.
+/// What the proxies of a place met at a replica.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Met {
+pub struct EndpointReport {
     #[serde(rename = "az")]
-    pub place: String,
+    pub zone: String,
     #[serde(rename = "host")]
-    pub server: String,
+    pub replica: String,
     #[serde(rename = "n")]
-    pub tries: f64,
+    pub attempts: f64,
     #[serde(rename = "bad")]
-    pub aborted: f64,
+    pub failed: f64,
     #[serde(rename = "avg")]
     pub mean_latency_ms: f64,
     #[serde(rename = "window")]
@@ -49,24 +49,24 @@
     own: Option<Own>,
 }
 
-/// What the server last said of itself.
+/// What the replica last said of itself.
 #[derive(Deserialize)]
 struct Own {
     #[serde(rename = "inflight", default)]
     in_flight: Option<f64>,
 }
 
-/// What came for a slice, of one op type.
+/// What came for a slice, of one request class.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Asked {
+pub struct DemandReport {
     #[serde(rename = "partition")]
     pub slice: u32,
     #[serde(rename = "kind")]
-    pub op_type: String,
+    pub request_class: String,
     #[serde(rename = "n")]
     pub came: f64,
     #[serde(rename = "bad")]
-    pub aborted: f64,
+    pub failed: f64,
     #[serde(rename = "window")]
     pub covers_ms: f64,
     /// The number of zones whose reports are not in the sum, where an aggregator made the line.
@@ -92,20 +92,20 @@
 /// A report that is as it should be, in the words of its line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Report<'a> {
-    Met {
-        place: &'a str,
-        server: &'a str,
-        tries: f64,
-        aborted: f64,
+    EndpointReport {
+        zone: &'a str,
+        replica: &'a str,
+        attempts: f64,
+        failed: f64,
         mean_latency_ms: f64,
         covers_ms: f64,
         missing: u32,
     },
-    Asked {
+    DemandReport {
         slice: u32,
-        op_type: &'a str,
+        request_class: &'a str,
         came: f64,
-        aborted: f64,
+        failed: f64,
         covers_ms: f64,
         missing: u32,
     },
@@ -117,17 +117,17 @@
     #[serde(rename = "@type", borrow)]
     kind: &'a str,
     #[serde(rename = "az", borrow, default)]
-    place: Option<&'a str>,
+    zone: Option<&'a str>,
     #[serde(rename = "host", borrow, default)]
-    server: Option<&'a str>,
+    replica: Option<&'a str>,
     #[serde(rename = "kind", borrow, default)]
-    op_type: Option<&'a str>,
+    request_class: Option<&'a str>,
     #[serde(rename = "partition", default)]
     slice: Option<u32>,
     #[serde(rename = "n", default)]
     many: Option<f64>,
     #[serde(rename = "bad", default)]
-    aborted: Option<f64>,
+    failed: Option<f64>,
     #[serde(rename = "avg", default)]
     mean_latency_ms: Option<f64>,
     #[serde(rename = "window", default)]
@@ -142,26 +142,33 @@
 /// once. All else is for `decode`, which says what is wrong.
 pub fn quick(line: &str) -> Option<Report<'_>> {
     let fields: Fields = serde_json::from_str(line).ok()?;
-    let (many, aborted, covers_ms, missing) =
-        (fields.many?, fields.aborted?, fields.covers_ms?, fields.missing);
+    let (many, failed, covers_ms, missing) =
+        (fields.many?, fields.failed?, fields.covers_ms?, fields.missing);
     match fields.kind {
         "LOAD" => {
-            let (place, server, mean_latency_ms) = (fields.place?, fields.server?, fields.mean_latency_ms?);
-            let sane = met_is_sane(many, aborted, mean_latency_ms, covers_ms, fields.own.as_ref());
-            sane.then_some(Report::Met {
-                place,
-                server,
-                tries: many,
-                aborted,
+            let (zone, replica, mean_latency_ms) = (fields.zone?, fields.replica?, fields.mean_latency_ms?);
+            let sane = met_is_sane(many, failed, mean_latency_ms, covers_ms, fields.own.as_ref());
+            sane.then_some(Report::EndpointReport {
+                zone,
+                replica,
+                attempts: many,
+                failed,
                 mean_latency_ms,
                 covers_ms,
                 missing,
             })
         }
         "SHARD" => {
-            let (slice, op_type) = (fields.slice?, fields.op_type?);
-            let sane = asked_is_sane(many, aborted, covers_ms);
-            sane.then_some(Report::Asked { slice, op_type, came: many, aborted, covers_ms, missing })
+            let (slice, request_class) = (fields.slice?, fields.request_class?);
+            let sane = asked_is_sane(many, failed, covers_ms);
+            sane.then_some(Report::DemandReport {
+                slice,
+                request_class,
+                came: many,
+                failed,
+                covers_ms,
+                missing,
+            })
         }
         _ => None,
     }
@@ -170,20 +177,33 @@
 impl From<Report<'_>> for Message {
     fn from(report: Report) -> Message {
         match report {
-            Report::Met { place, server, tries, aborted, mean_latency_ms, covers_ms, missing } => {
-                Message::Met(Met {
-                    place: place.into(),
-                    server: server.into(),
-                    tries,
-                    aborted,
-                    mean_latency_ms,
+            Report::EndpointReport {
+                zone,
+                replica,
+                attempts,
+                failed,
+                mean_latency_ms,
+                covers_ms,
+                missing,
+            } => Message::EndpointReport(EndpointReport {
+                zone: zone.into(),
+                replica: replica.into(),
+                attempts,
+                failed,
+                mean_latency_ms,
+                covers_ms,
+                missing,
+            }),
+            Report::DemandReport { slice, request_class, came, failed, covers_ms, missing } => {
+                Message::DemandReport(DemandReport {
+                    slice,
+                    request_class: request_class.into(),
+                    came,
+                    failed,
                     covers_ms,
                     missing,
                 })
             }
-            Report::Asked { slice, op_type, came, aborted, covers_ms, missing } => {
-                Message::Asked(Asked { slice, op_type: op_type.into(), came, aborted, covers_ms, missing })
-            }
         }
     }
 }
@@ -201,29 +221,31 @@
         Category::Data => InvalidMessage::Spoilt(Malformed::new(why, line)),
         _ => InvalidMessage::Unreadable(Malformed::new(why, line)),
     })?;
-    // Nothing rests on what a server says of itself, but where it is spoilt so is the message.
-    let own = matches!(message, Message::Met(_)).then(|| serde_json::from_str::<WithOwn>(line));
+    // Nothing rests on what a replica says of itself, but where it is spoilt so is the message.
+    let own = matches!(message, Message::EndpointReport(_)).then(|| serde_json::from_str::<WithOwn>(line));
     let own = own.transpose().map_err(|why| InvalidMessage::Spoilt(Malformed::new(why, line)))?;
     let own = own.and_then(|with| with.own);
     let sane = match &message {
-        Message::Met(m) => met_is_sane(m.tries, m.aborted, m.mean_latency_ms, m.covers_ms, own.as_ref()),
-        Message::Asked(a) => asked_is_sane(a.came, a.aborted, a.covers_ms),
+        Message::EndpointReport(m) => {
+            met_is_sane(m.attempts, m.failed, m.mean_latency_ms, m.covers_ms, own.as_ref())
+        }
+        Message::DemandReport(a) => asked_is_sane(a.came, a.failed, a.covers_ms),
         _ => true,
     };
     sane.then_some(message).ok_or_else(|| InvalidMessage::Spoilt(Malformed::new("an absurd figure", line)))
 }
 
-fn met_is_sane(tries: f64, aborted: f64, mean_latency_ms: f64, covers_ms: f64, own: Option<&Own>) -> bool {
-    is_sane(tries)
-        && (0.0..=tries).contains(&aborted)
+fn met_is_sane(attempts: f64, failed: f64, mean_latency_ms: f64, covers_ms: f64, own: Option<&Own>) -> bool {
+    is_sane(attempts)
+        && (0.0..=attempts).contains(&failed)
         && is_sane_ms(mean_latency_ms)
         && covers(covers_ms)
         && own.is_none_or(|own| is_sane(own.in_flight.unwrap_or(0.0)))
 }
 
 /// More may be aborted than came: what came before the report's time is aborted in it.
-fn asked_is_sane(came: f64, aborted: f64, covers_ms: f64) -> bool {
-    is_sane(came) && is_sane(aborted) && covers(covers_ms)
+fn asked_is_sane(came: f64, failed: f64, covers_ms: f64) -> bool {
+    is_sane(came) && is_sane(failed) && covers(covers_ms)
 }
 
 /// A report covers some time.
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -1,8 +1,8 @@
-//! The list of servers, as discovery hands it out: whole, or what has changed.
+//! The list of replicas, as discovery hands it out: whole, or what has changed.
 
 use super::{is_sane, Malformed};
 use serde::Deserialize;
-use whinwall_policy::interface::Standing;
+use whinwall_policy::api::ReplicaState;
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct List {
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Entry {
     #[serde(rename = "id")]
-    pub server: String,
+    pub replica: String,
     #[serde(rename = "zone")]
-    pub place: String,
+    pub zone: String,
     #[serde(rename = "kind", default)]
     pub machine: String,
     #[serde(rename = "state")]
@@ -40,12 +40,12 @@
     Gone,
 }
 
-impl From<State> for Standing {
-    fn from(state: State) -> Standing {
+impl From<State> for ReplicaState {
+    fn from(state: State) -> ReplicaState {
         match state {
-            State::Ready => Standing::Ready,
-            State::Draining => Standing::Draining,
-            State::Gone => Standing::Gone,
+            State::Ready => ReplicaState::Ready,
+            State::Draining => ReplicaState::Draining,
+            State::Gone => ReplicaState::Gone,
         }
     }
 }
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -2,7 +2,7 @@
 
 use super::{is_sane, Malformed};
 use std::str::FromStr;
-use whinwall_policy::interface::{ProxyId, SliceId};
+use whinwall_policy::api::{ProxyId, SliceId};
 
 /// A call holds so many bytes of orders at the most.
 pub const CALL_LIMIT: usize = 60_000;
@@ -10,7 +10,7 @@
 pub const WATCH: &str = "WATCH";
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum RelayEvent {
     /// The relay will send news from here on, what stands first.
     Begins,
     Alive,
@@ -23,7 +23,7 @@
     },
     Acked {
         proxy: ProxyId,
-        mark: u16,
+        version: u16,
     },
     Granted {
         slice: SliceId,
@@ -33,20 +33,20 @@
     },
     Line {
         slice: SliceId,
-        server: String,
+        replica: String,
         weight: f64,
     },
 }
 
-pub fn decode_news(line: &str) -> Result<News, Malformed> {
+pub fn decode_event(line: &str) -> Result<RelayEvent, Malformed> {
     let wrong = |what: &str| Malformed::new(what, line);
     let mut words = line.split_ascii_whitespace();
     match words.next() {
-        Some("OK") => return Ok(News::Begins),
+        Some("OK") => return Ok(RelayEvent::Begins),
         Some("*") => {}
         _ => return Err(wrong("no news")),
     }
-    let Some(kind) = words.next() else { return Ok(News::Alive) };
+    let Some(kind) = words.next() else { return Ok(RelayEvent::Alive) };
     let mut word = |what: &str| words.next().ok_or_else(|| wrong(&format!("no {what}")));
     fn number<T: FromStr>(word: &str, line: &str) -> Result<T, Malformed> {
         word.parse().map_err(|_| Malformed::new(format!("{word:?} is no usable number"), line))
@@ -55,19 +55,23 @@
     let slice = |word: Result<&str, Malformed>| number::<SliceId>(word?, line);
     Ok(match kind {
         "SUBSCRIBE" => {
-            let (proxy, _place, _ops_a_second) = (proxy(word("proxy"))?, word("place")?, word("share")?);
-            News::Joined { proxy, bare: is_set(word("standing")?) }
+            let (proxy, _zone, _requests_a_second) = (proxy(word("proxy"))?, word("place")?, word("share")?);
+            RelayEvent::Joined { proxy, bare: is_set(word("standing")?) }
         }
-        "CLOSED" => News::Left { proxy: proxy(word("proxy"))? },
-        "ACK" => News::Acked { proxy: proxy(word("proxy"))?, mark: number(word("mark")?, line)? },
+        "CLOSED" => RelayEvent::Left { proxy: proxy(word("proxy"))? },
+        "ACK" => RelayEvent::Acked { proxy: proxy(word("proxy"))?, version: number(word("mark")?, line)? },
         "GRANT" => match (slice(word("slice"))?, is_set(word("yes")?)) {
-            (slice, true) => News::Granted { slice },
-            (slice, false) => News::Revoked { slice },
+            (slice, true) => RelayEvent::Granted { slice },
+            (slice, false) => RelayEvent::Revoked { slice },
         },
         "ROW" => {
-            let (slice, server) = (slice(word("slice"))?, word("server")?.to_string());
+            let (slice, replica) = (slice(word("slice"))?, word("server")?.to_string());
             let weight = number(word("weight")?, line)?;
-            News::Line { slice, server, weight: Some(weight).filter(|w| is_sane(*w)).ok_or(wrong("weight"))? }
+            RelayEvent::Line {
+                slice,
+                replica,
+                weight: Some(weight).filter(|w| is_sane(*w)).ok_or(wrong("weight"))?,
+            }
         }
         _ => return Err(wrong("news of an unknown kind")),
     })
@@ -80,10 +84,10 @@
 /// An order, in the names that the relay knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    Line { slice: SliceId, server: String, weight: f64 },
-    Withdraw { server: String, out: bool },
-    Level { slice: Option<SliceId>, op_types: Vec<String>, share: f64, tries: u8 },
-    Mark { number: u16 },
+    Line { slice: SliceId, replica: String, weight: f64 },
+    Withdraw { replica: String, out: bool },
+    Level { slice: Option<SliceId>, request_classes: Vec<String>, share: f64, retries: u8 },
+    Version { number: u16 },
 }
 
 impl Order {
@@ -92,29 +96,30 @@
         match self {
             Order::Line { slice, .. } => Some(*slice),
             Order::Level { slice, .. } => *slice,
-            Order::Withdraw { .. } | Order::Mark { .. } => None,
+            Order::Withdraw { .. } | Order::Version { .. } => None,
         }
     }
 
-    pub fn mark(&self) -> Option<u16> {
+    pub fn version(&self) -> Option<u16> {
         match self {
-            Order::Mark { number } => Some(*number),
+            Order::Version { number } => Some(*number),
             _ => None,
         }
     }
 
-    /// A mark is answered by the proxies that the call reaches, or by all that are joined.
+    /// A version is answered by the proxies that the call reaches, or by all that are joined.
     pub fn encode(&self, by_all: bool) -> String {
         match self {
-            Order::Line { slice, server, weight } => format!("SET,{slice},{server},{weight}"),
-            Order::Withdraw { server, out: true } => format!("OUT,{server}"),
-            Order::Withdraw { server, out: false } => format!("IN,{server}"),
-            Order::Level { slice, op_types, share, tries } => {
+            Order::Line { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
+            Order::Withdraw { replica, out: true } => format!("OUT,{replica}"),
+            Order::Withdraw { replica, out: false } => format!("IN,{replica}"),
+            Order::Level { slice, request_classes, share, retries } => {
                 let slice = slice.map_or("*".into(), |n| n.to_string());
-                let op_types = if op_types.is_empty() { "*".into() } else { op_types.join("+") };
-                format!("LIMIT,{slice},{op_types},{share},{tries}")
+                let request_classes =
+                    if request_classes.is_empty() { "*".into() } else { request_classes.join("+") };
+                format!("LIMIT,{slice},{request_classes},{share},{retries}")
             }
-            Order::Mark { number } => format!("SYNC,{number},{}", u8::from(by_all)),
+            Order::Version { number } => format!("SYNC,{number},{}", u8::from(by_all)),
         }
     }
 }
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use whinwall_management_api::ask::{Reply, Request};
 use whinwall_overrides::{Reading, Ticket, Timeline};
-use whinwall_policy::interface::{Report, WishId};
+use whinwall_policy::api::{OverrideId, Report};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery::List;
-use whinwall_protocol::relay::{Answer, News};
+use whinwall_protocol::relay::{Answer, RelayEvent};
 use whinwall_protocol::InvalidMessage;
 use whinwall_transport::{CallError, ConnectionId, StreamError, Targets};
 
@@ -20,9 +20,9 @@
     Started,
     /// The configuration file was read anew; these are the addresses it names.
     Configured(Targets),
-    /// The operators' file names the fleet in which each governor steers a subset of the replicas, or none.
+    /// The operators' file names the fleet in which each controller steers a subset of the replicas, or none.
     SubsettingConfigured(Option<Fleet>),
-    /// A message arrived at the governor's own address.
+    /// A message arrived at the controller's own address.
     Message {
         /// The connection that it came on.
         from: ConnectionId,
@@ -38,17 +38,17 @@
     },
     /// The number of bytes that arrived from collectors.
     ReportBytes(u64),
-    /// A line at the governor's own address is not a valid message.
+    /// A line at the controller's own address is not a valid message.
     Invalid {
         /// The connection that it came on.
         from: ConnectionId,
         /// What is wrong with it.
         error: InvalidMessage,
     },
-    /// A connection to the governor's own address has ended.
+    /// A connection to the controller's own address has ended.
     Disconnected(ConnectionId),
     /// An event of the relay watch.
-    Relay(News),
+    Relay(RelayEvent),
     /// The relay watch has failed.
     WatchLost(StreamError),
     /// The outcome of the relay request that was in flight.
@@ -71,7 +71,7 @@
     /// The override store was read.
     StoreRead {
         /// The stored overrides.
-        records: Vec<(WishId, Vec<u8>)>,
+        records: Vec<(OverrideId, Vec<u8>)>,
         /// The clock stamp that was stored with them.
         stamp: Option<Vec<u8>>,
         /// The clocks at that moment.
@@ -145,9 +145,9 @@
         /// Identifies the outcome.
         serial: u64,
         /// Overrides to write.
-        puts: Vec<(WishId, Vec<u8>)>,
+        puts: Vec<(OverrideId, Vec<u8>)>,
         /// Overrides to remove.
-        drops: Vec<WishId>,
+        drops: Vec<OverrideId>,
         /// The timeline to stamp it with.
         line: Timeline,
     },
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,4 +1,4 @@
-//! All state of the governor, behind one reducer without input, output or clock.
+//! All state of the controller, behind one reducer without input, output or clock.
 
 mod events;
 pub mod known;
--- a/crates/routing/src/names.rs
+++ b/crates/routing/src/names.rs
@@ -1,15 +1,15 @@
-//! The decisions know servers by number; discovery, collectors and the relay by name.
+//! The decisions know replicas by number; discovery, collectors and the relay by name.
 
 use std::collections::BTreeMap;
-use whinwall_policy::interface::ServerId;
+use whinwall_policy::api::ReplicaId;
 
 pub struct Names {
-    numbers: BTreeMap<String, ServerId>,
-    names: BTreeMap<ServerId, String>,
-    /// Zones of servers, as the registry has them, where the settings do not name the zone.
-    unnamed_zones: BTreeMap<ServerId, String>,
-    /// No number is given twice: a server must not come back under another's.
-    next: ServerId,
+    numbers: BTreeMap<String, ReplicaId>,
+    names: BTreeMap<ReplicaId, String>,
+    /// Zones of replicas, as the registry has them, where the settings do not name the zone.
+    unnamed_zones: BTreeMap<ReplicaId, String>,
+    /// No number is given twice: a replica must not come back under another's.
+    next: ReplicaId,
     /// Grows with each change.
     changes: u64,
 }
@@ -28,8 +28,8 @@
 }
 
 impl Names {
-    /// The number of a server that the list or the store names; a new one gets the next.
-    pub fn number(&mut self, name: &str) -> ServerId {
+    /// The number of a replica that the list or the store names; a new one gets the next.
+    pub fn number(&mut self, name: &str) -> ReplicaId {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
@@ -41,30 +41,30 @@
         number
     }
 
-    /// Reports invent no servers.
-    pub fn known(&self, name: &str) -> Option<ServerId> {
+    /// Reports invent no replicas.
+    pub fn known(&self, name: &str) -> Option<ReplicaId> {
         self.numbers.get(name).copied()
     }
 
-    pub fn name(&self, number: ServerId) -> Option<String> {
+    pub fn name(&self, number: ReplicaId) -> Option<String> {
         self.names.get(&number).cloned()
     }
 
-    /// Remembers the registry's zone of a server where the settings do not name that zone; none where they do.
-    pub fn set_unnamed_zone(&mut self, number: ServerId, zone: Option<&str>) {
+    /// Remembers the registry's zone of a replica where the settings do not name that zone; none where they do.
+    pub fn set_unnamed_zone(&mut self, number: ReplicaId, zone: Option<&str>) {
         match zone {
             Some(zone) => _ = self.unnamed_zones.insert(number, zone.to_string()),
             None => _ = self.unnamed_zones.remove(&number),
         }
     }
 
-    /// The registry's zone of a server, where the settings do not name that zone.
-    pub fn unnamed_zone(&self, number: ServerId) -> Option<&str> {
+    /// The registry's zone of a replica, where the settings do not name that zone.
+    pub fn unnamed_zone(&self, number: ReplicaId) -> Option<&str> {
         self.unnamed_zones.get(&number).map(String::as_str)
     }
 
-    /// Whether the number stands for a server that is known.
-    pub fn has(&self, number: ServerId) -> bool {
+    /// Whether the number stands for a replica that is known.
+    pub fn has(&self, number: ReplicaId) -> bool {
         self.names.contains_key(&number)
     }
 
@@ -76,12 +76,12 @@
         self.changes
     }
 
-    pub fn numbers(&self) -> &BTreeMap<String, ServerId> {
+    pub fn numbers(&self) -> &BTreeMap<String, ReplicaId> {
         &self.numbers
     }
 
     /// Forgets all others.
-    pub fn keep(&mut self, needed: impl Fn(ServerId) -> bool) {
+    pub fn keep(&mut self, needed: impl Fn(ReplicaId) -> bool) {
         self.changes += 1;
         self.names.retain(|number, _| needed(*number));
         self.unnamed_zones.retain(|number, _| needed(*number));
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -1,7 +1,7 @@
 //! Orders on their way to the relay: calls in order, one at a time, each until its outcome is known.
 
 use std::collections::{BTreeSet, VecDeque};
-use whinwall_policy::interface::SliceId;
+use whinwall_policy::api::SliceId;
 use whinwall_protocol::relay::{self, Order};
 
 #[derive(Default)]
@@ -12,7 +12,7 @@
     failures: u32,
     /// The last attempt at the call that is now the first may have been carried out, or was in part.
     unclear: bool,
-    /// A proxy has acked the mark of what is open: all of it was carried out.
+    /// A proxy has acked the version of what is open: all of it was carried out.
     proven: bool,
     /// The relay has stopped once at the order that is now the first.
     refused: bool,
@@ -24,7 +24,7 @@
 struct Written {
     text: String,
     slice: Option<SliceId>,
-    mark: Option<u16>,
+    version: Option<u16>,
 }
 
 #[derive(Clone, Copy, Default, PartialEq)]
@@ -42,8 +42,8 @@
         self.calls.iter().all(Vec::is_empty)
     }
 
-    /// One reply is one call, unless it is too large. Of the pieces the last alone has the mark, and asks all
-    /// proxies to answer: some may have got an earlier piece only, and a mark by itself reaches none. Comes only
+    /// One reply is one call, unless it is too large. Of the pieces the last alone has the version, and asks all
+    /// proxies to answer: some may have got an earlier piece only, and a version by itself reaches none. Comes only
     /// while nothing is open.
     pub fn put(&mut self, orders: &[Order]) {
         (self.calls, self.refused, self.unclear, self.proven) = (VecDeque::new(), false, false, false);
@@ -55,7 +55,7 @@
                 bytes = 0;
             }
             bytes += text.len() + 1;
-            call.push(Written { text, slice: order.slice(), mark: order.mark() });
+            call.push(Written { text, slice: order.slice(), version: order.version() });
         }
         self.calls.extend((!call.is_empty()).then_some(call));
     }
@@ -105,14 +105,14 @@
         waits
     }
 
-    /// The mark of what is to be said again though it may have been carried out.
+    /// The version of what is to be said again though it may have been carried out.
     pub fn unclear(&self) -> Option<u16> {
-        self.mark().filter(|_| self.unclear && self.state == State::Idle)
+        self.version().filter(|_| self.unclear && self.state == State::Idle)
     }
 
     /// An ack proves that the call was carried out, whatever became of its answer: it need not be said again.
-    pub fn acked(&mut self, mark: u16) {
-        self.proven |= self.mark() == Some(mark);
+    pub fn acked(&mut self, version: u16) {
+        self.proven |= self.version() == Some(version);
     }
 
     pub fn forget_proven(&mut self) {
@@ -140,9 +140,9 @@
         call.for_each(|call| call.retain(|order| order.slice.is_none_or(|slice| !crossed.contains(&slice))));
     }
 
-    /// The mark of the reply that is open.
-    pub fn mark(&self) -> Option<u16> {
-        self.calls.iter().flatten().find_map(|order| order.mark)
+    /// The version of the reply that is open.
+    pub fn version(&self) -> Option<u16> {
+        self.calls.iter().flatten().find_map(|order| order.version)
     }
 
     /// How many orders the call has that is being made.
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -1,12 +1,12 @@
-//! What operators want, between its book, which knows servers by name, and the decisions, which know numbers.
+//! What operators want, between its book, which knows replicas by name, and the decisions, which know numbers.
 
 use super::names::Names;
 use whinwall_management_api::ask::Shown;
 use whinwall_overrides::book::FileOrder;
 use whinwall_overrides::{Bounds, Clerk, Kind, Override, Reading};
-use whinwall_policy::interface::{Heeded, Wish, WishId};
-use whinwall_policy::logic::Governor;
+use whinwall_policy::api::{OverrideId, OverrideSpec, OverrideStatus};
 use whinwall_policy::time::Moment;
+use whinwall_policy::Policy;
 
 /// What the operators' file says of overrides.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
 pub struct Overrides {
     pub clerk: Clerk,
     /// What the decisions were told last.
-    told: Vec<(WishId, Wish)>,
+    told: Vec<(OverrideId, OverrideSpec)>,
 }
 
 impl Overrides {
@@ -29,28 +29,28 @@
         Overrides { clerk, told: Vec::new() }
     }
 
-    /// Tells the decisions what stands, where that, or a server's number, is other than they know. A server
-    /// that nobody has a number for is no server yet.
-    pub fn tell(&mut self, now: Moment, names: &Names, governor: &mut Governor) {
+    /// Tells the decisions what stands, where that, or a replica's number, is other than they know. A replica
+    /// that nobody has a number for is no replica yet.
+    pub fn tell(&mut self, now: Moment, names: &Names, policy: &mut Policy) {
         self.clerk.has_changed();
         let wish = |one: &Override| {
-            let server = names.known(one.kind.server())?;
+            let replica = names.known(one.kind.replica())?;
             let wish = match one.kind {
-                Kind::Weight { factor, .. } => Wish::Weight { server, factor },
-                Kind::Out { .. } => Wish::Out { server },
-                Kind::Pin { first, last, .. } => Wish::Pin { first, last, server },
+                Kind::Weight { factor, .. } => OverrideSpec::Weight { replica, factor },
+                Kind::Out { .. } => OverrideSpec::Out { replica },
+                Kind::Pin { first, last, .. } => OverrideSpec::Pin { first, last, replica },
             };
             Some((one.number, wish))
         };
         let wishes: Vec<_> = self.clerk.book().standing().filter_map(wish).collect();
         if wishes != self.told {
-            governor.wished(now, &wishes);
+            policy.wished(now, &wishes);
             self.told = wishes;
         }
     }
 
-    pub fn shown(&self, governor: &Governor, one: &Override) -> Shown {
-        let heeded = one.stands().then(|| governor.heeded(one.number).unwrap_or(Heeded::Absent));
+    pub fn shown(&self, policy: &Policy, one: &Override) -> Shown {
+        let heeded = one.stands().then(|| policy.heeded(one.number).unwrap_or(OverrideStatus::Absent));
         Shown { one: one.clone(), heeded }
     }
 
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -16,13 +16,13 @@
 use std::fmt;
 use whinwall_management_api::ask::{Reply, Request, Status};
 use whinwall_overrides::{Act, Reading, Refused, Ticket};
-use whinwall_policy::chance::Chance;
-use whinwall_policy::interface::*;
-use whinwall_policy::logic::Governor;
+use whinwall_policy::api::*;
+use whinwall_policy::random::Random;
 use whinwall_policy::time::{Moment, Span};
+use whinwall_policy::Policy;
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery::{Entry, List};
-use whinwall_protocol::relay::{Answer, News, Order};
+use whinwall_protocol::relay::{Answer, Order, RelayEvent};
 use whinwall_protocol::InvalidMessage;
 use whinwall_settings::Settings;
 use whinwall_transport::{limits, CallError, ConnectionId, StreamError, Targets};
@@ -36,7 +36,7 @@
 enum Due {
     Decisions(u64),
     Call,
-    News,
+    RelayEvent,
     List,
     /// The list has told no change for a while.
     Renewal,
@@ -47,7 +47,7 @@
 /// Where all we know comes from; of each the first failure is noted, and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Source {
-    News,
+    RelayEvent,
     List,
     Calls,
 }
@@ -55,7 +55,7 @@
 impl Source {
     fn name(self) -> &'static str {
         match self {
-            Source::News => "the relay's news",
+            Source::RelayEvent => "the relay's news",
             Source::List => "discovery's watch",
             Source::Calls => "a call on the relay",
         }
@@ -63,15 +63,15 @@
 }
 
 pub struct Reducer {
-    governor: Governor,
+    policy: Policy,
     settings: Settings,
     targets: Targets,
     names: Names,
     list_version: u64,
     /// Since when the list has been told in versions below the one that is held.
     behind_since: Option<Moment>,
-    /// For pauses: governors whose ways broke together must not come again together.
-    chance: Chance,
+    /// For pauses: controllers whose ways broke together must not come again together.
+    random: Random,
     /// The connections that have joined.
     collectors: BTreeSet<ConnectionId>,
     proxies: BTreeSet<ProxyId>,
@@ -106,13 +106,13 @@
 impl Reducer {
     pub fn start(settings: Settings, targets: Targets, seed: u64, known: &List, now: Moment) -> Self {
         let mut reducer = Reducer {
-            governor: Governor::start(settings.deployment.clone(), seed, now),
+            policy: Policy::start(settings.deployment.clone(), seed, now),
             settings,
             targets,
             names: Names::default(),
             list_version: known.version,
             behind_since: None,
-            chance: Chance::from_seed(!seed),
+            random: Random::from_seed(!seed),
             collectors: BTreeSet::new(),
             proxies: BTreeSet::new(),
             tables: BTreeMap::new(),
@@ -131,7 +131,7 @@
             effects: Vec::new(),
         };
         let list = reducer.listings(known);
-        reducer.governor.listed(now, ListScope::Remembered, &list);
+        reducer.policy.listed(now, ListScope::Remembered, &list);
         reducer
     }
 
@@ -145,7 +145,7 @@
             }
             Event::Configured(targets) => self.configured(now, targets),
             Event::SubsettingConfigured(fleet) => {
-                // Wherever there is a fleet there are aggregators, and governors are told by them alone.
+                // Wherever there is a fleet there are aggregators, and controllers are told by them alone.
                 self.aggregate_reports(now, fleet.is_some());
                 self.subsetting_configured(now, fleet);
             }
@@ -172,8 +172,8 @@
             Event::WatchLost(why) => {
                 self.snapshot = Snapshot::default();
                 self.in_doubt = false;
-                self.lost(Source::News, why);
-                self.after_pause(now, Due::News);
+                self.lost(Source::RelayEvent, why);
+                self.after_pause(now, Due::RelayEvent);
             }
             Event::RelayReply(outcome) => self.answer(now, outcome),
             Event::UnexpectedReply => {
@@ -190,7 +190,7 @@
                 match self.settings.deployment.list_pushed {
                     true => self.after_pause(now, Due::List),
                     // Where the list is asked for, the decisions say when to ask again.
-                    false => self.governor.list_failed(now),
+                    false => self.policy.list_failed(now),
                 }
             }
             Event::OperatorConfigChanged(wanted, reading) => self.wanted(now, wanted, &reading),
@@ -216,22 +216,22 @@
     pub fn known(&self, than: Option<u64>) -> Option<Known> {
         let changes = self.names.changes();
         (than != Some(changes)).then(|| Known {
-            places: self.settings.zones.clone(),
-            op_types: self.settings.request_classes.clone(),
-            servers: self.names.numbers().clone(),
+            zones: self.settings.zones.clone(),
+            request_classes: self.settings.request_classes.clone(),
+            replicas: self.names.numbers().clone(),
             changes,
         })
     }
 
     fn after_pause(&mut self, now: Moment, due: Due) {
-        let pause = limits::span(limits::PAUSE).times(1.0 - PAUSE_DRAWN * self.chance.draw());
+        let pause = limits::span(limits::PAUSE).times(1.0 - PAUSE_DRAWN * self.random.draw());
         self.agenda.insert((now + pause, due));
     }
 
     fn follow_news(&mut self) {
         self.in_motion = self.outbox.slices();
         // A break that waits to be made up for is made up for by this: another would only cut it short.
-        self.agenda.retain(|(_, due)| *due != Due::News);
+        self.agenda.retain(|(_, due)| *due != Due::RelayEvent);
         self.effects.push(Effect::WatchRelay { relay: self.targets.relay });
     }
 
@@ -262,13 +262,13 @@
         let mut listings = self.listings(list);
         let mut scope = if list.whole { ListScope::Whole } else { ListScope::Changes };
         if list.version < self.list_version {
-            // An agent that is behind can tell what is new to us, and takes nothing back: no server that leaves
+            // An agent that is behind can tell what is new to us, and takes nothing back: no replica that leaves
             // returns without a new start, and none is gone for being absent.
-            let known = |entry: &Listing| self.governor.standing(entry.server);
-            let returns = |entry: &Listing| {
-                entry.standing == Standing::Ready
+            let known = |entry: &ReplicaListing| self.policy.standing(entry.replica);
+            let returns = |entry: &ReplicaListing| {
+                entry.standing == ReplicaState::Ready
                     && known(entry)
-                        .is_some_and(|(was, start)| was != Standing::Ready && start == entry.started)
+                        .is_some_and(|(was, start)| was != ReplicaState::Ready && start == entry.started)
             };
             listings.retain(|entry| !returns(entry));
             scope = ListScope::Changes;
@@ -281,12 +281,12 @@
         } else {
             (self.list_version, self.behind_since) = (list.version, None);
         }
-        self.governor.listed(now, scope, &listings);
+        self.policy.listed(now, scope, &listings);
         self.subsets_due(now, list);
         if !list.entries.is_empty() {
             self.skipped.clear();
         }
-        // A server may have come, or come back under another number.
+        // A replica may have come, or come back under another number.
         self.with_overrides(now, |_| {});
     }
 
@@ -326,7 +326,7 @@
             (Request::List, overrides) => {
                 let list = |overrides: &Overrides| {
                     let listed = overrides.clerk.book().listed();
-                    listed.map(|one| overrides.shown(&self.governor, one)).collect()
+                    listed.map(|one| overrides.shown(&self.policy, one)).collect()
                 };
                 Reply::Listed { all: overrides.as_ref().map_or_else(Vec::new, list), now }
             }
@@ -339,7 +339,7 @@
                     since: self.started,
                     proxies: self.proxies.len(),
                     slices: self.tables.len(),
-                    servers: self.names.len(),
+                    replicas: self.names.len(),
                     failing: self.failures.iter().map(|(source, many)| (source.name(), *many)).collect(),
                     orders_open: !self.outbox.is_clear(),
                     standing: book.map_or(0, |book| book.standing().count()),
@@ -356,7 +356,7 @@
     fn with_overrides(&mut self, now: Moment, work: impl FnOnce(&mut Overrides)) {
         let Some(mut overrides) = self.overrides.take() else { return };
         work(&mut overrides);
-        overrides.tell(now, &self.names, &mut self.governor);
+        overrides.tell(now, &self.names, &mut self.policy);
         for act in overrides.clerk.acts() {
             self.effects.push(match act {
                 Act::Keep { serial, puts, drops, line } => Effect::Save { serial, puts, drops, line },
@@ -364,7 +364,7 @@
                 Act::Answer { ticket, answer } => {
                     let shown = |number| {
                         let one = overrides.clerk.book().number(number)?;
-                        Some(overrides.shown(&self.governor, one))
+                        Some(overrides.shown(&self.policy, one))
                     };
                     Effect::Reply { ticket, reply: Reply::of(answer, now, shown) }
                 }
@@ -374,30 +374,30 @@
     }
 
     /// A place that the settings do not name is like no other.
-    fn place(&self, name: &str) -> PlaceId {
-        self.known_place(name).unwrap_or(PlaceId::MAX)
+    fn zone(&self, name: &str) -> ZoneId {
+        self.known_zone(name).unwrap_or(ZoneId::MAX)
     }
 
     /// Where the settings name none, any will do.
-    fn known_place(&self, name: &str) -> Option<PlaceId> {
-        known::place(&self.settings.zones, name)
+    fn known_zone(&self, name: &str) -> Option<ZoneId> {
+        known::zone(&self.settings.zones, name)
     }
 
-    fn listings(&mut self, list: &List) -> Vec<Listing> {
+    fn listings(&mut self, list: &List) -> Vec<ReplicaListing> {
         for entry in &list.entries {
-            let is_named = self.settings.zones.contains(&entry.place);
-            let server = self.names.number(&entry.server);
-            self.names.set_unnamed_zone(server, (!is_named).then_some(entry.place.as_str()));
+            let is_named = self.settings.zones.contains(&entry.zone);
+            let replica = self.names.number(&entry.replica);
+            self.names.set_unnamed_zone(replica, (!is_named).then_some(entry.zone.as_str()));
         }
-        let listing = |entry: &Entry| Listing {
-            place: self.place(&entry.place),
-            server: self.names.number(&entry.server),
+        let listing = |entry: &Entry| ReplicaListing {
+            zone: self.zone(&entry.zone),
+            replica: self.names.number(&entry.replica),
             machine: entry.machine.clone(),
             standing: entry.state.into(),
             size: entry.size,
             started: (entry.started_ms > 0).then(|| Moment::default() + Span::ms(entry.started_ms)),
-            lot: known::lot(&entry.server),
-            share: self.share(&entry.server),
+            lot: known::lot(&entry.replica),
+            share: self.share(&entry.replica),
         };
         list.entries.iter().map(listing).collect()
     }
@@ -406,52 +406,52 @@
         let joined = self.collectors.contains(&from);
         match message {
             Message::Ping => self.effects.push(Effect::Pong { to: from }),
-            Message::Source { place } if self.known_place(&place).is_some() => {
+            Message::Source { zone } if self.known_zone(&zone).is_some() => {
                 self.collectors.insert(from);
                 self.effects.push(Effect::Admit { to: from });
             }
-            Message::Met(met) if joined => self.met(now, from, &met),
-            Message::Asked(asked) if joined => self.asked_of_slice(now, from, &asked),
+            Message::EndpointReport(met) if joined => self.met(now, from, &met),
+            Message::DemandReport(asked) if joined => self.asked_of_slice(now, from, &asked),
             other => self.pass_over(from, format!("{other:?}")),
         }
     }
 
-    fn news(&mut self, now: Moment, news: News) {
-        if matches!(news, News::Alive | News::Left { .. } | News::Revoked { .. }) {
+    fn news(&mut self, now: Moment, news: RelayEvent) {
+        if matches!(news, RelayEvent::Alive | RelayEvent::Left { .. } | RelayEvent::Revoked { .. }) {
             self.end_snapshot(now);
         }
         match news {
-            News::Begins => {
-                self.found(Source::News);
+            RelayEvent::Begins => {
+                self.found(Source::RelayEvent);
                 self.snapshot = Snapshot::beginning();
                 self.first_given.clear();
             }
-            News::Alive => {}
-            News::Joined { proxy, bare } => {
+            RelayEvent::Alive => {}
+            RelayEvent::Joined { proxy, bare } => {
                 self.snapshot.joined(proxy);
                 self.proxies.insert(proxy);
-                self.governor.proxy_joined(now, proxy, bare);
+                self.policy.proxy_joined(now, proxy, bare);
             }
-            News::Left { proxy } => self.left(now, proxy),
-            News::Acked { proxy, mark } => {
-                self.outbox.acked(mark);
-                self.governor.applied(now, proxy, mark);
+            RelayEvent::Left { proxy } => self.left(now, proxy),
+            RelayEvent::Acked { proxy, version } => {
+                self.outbox.acked(version);
+                self.policy.applied(now, proxy, version);
             }
-            News::Granted { slice } => {
+            RelayEvent::Granted { slice } => {
                 self.first_given.extend((!self.tables.contains_key(&slice)).then_some(slice));
                 self.snapshot.granted(now, slice);
             }
-            News::Line { slice, server, weight } => {
-                let line = (self.names.number(&server), weight);
+            RelayEvent::Line { slice, replica, weight } => {
+                let line = (self.names.number(&replica), weight);
                 self.snapshot.line(now, slice, self.tables.get(&slice), line);
             }
-            News::Revoked { slice } => self.revoked(now, slice),
+            RelayEvent::Revoked { slice } => self.revoked(now, slice),
         }
     }
 
     fn left(&mut self, now: Moment, proxy: ProxyId) {
         self.proxies.remove(&proxy);
-        self.governor.proxy_left(now, proxy);
+        self.policy.proxy_left(now, proxy);
     }
 
     fn revoked(&mut self, now: Moment, slice: SliceId) {
@@ -459,7 +459,7 @@
         self.tables.remove(&slice);
         self.drop_reports_on(slice);
         self.outbox.changed_hands(slice);
-        self.governor.slice_taken(now, slice);
+        self.policy.slice_taken(now, slice);
     }
 
     /// Lines belong with their grant: the decisions get both at once, or they would take a table for empty
@@ -471,11 +471,11 @@
             let ours = self.tables.get(&slice);
             let holds = ours.is_some_and(|ours| *ours == table || self.in_motion.contains(&slice));
             if !(again && holds) {
-                let lines: Vec<_> = table.iter().map(|(server, weight)| (*server, *weight)).collect();
+                let lines: Vec<_> = table.iter().map(|(replica, weight)| (*replica, *weight)).collect();
                 self.outbox.changed_hands(slice);
                 match again && ours.is_some() {
-                    true => self.governor.slice_reread(now, slice, &lines),
-                    false => self.governor.slice_given(now, slice, &lines),
+                    true => self.policy.slice_reread(now, slice, &lines),
+                    false => self.policy.slice_given(now, slice, &lines),
                 }
                 self.tables.insert(slice, table);
                 self.snapshot.differed();
@@ -490,15 +490,15 @@
         let Some(named) = self.snapshot.ended() else { return };
         self.first_given.clear();
         self.in_doubt = false;
-        self.governor.acks_lost();
+        self.policy.acks_lost();
         let gone: Vec<_> = self.proxies.difference(&named.proxies).copied().collect();
         gone.into_iter().for_each(|proxy| self.left(now, proxy));
         let taken = self.tables.keys().copied().filter(|slice| !named.slices.contains(slice));
         taken.collect::<Vec<_>>().into_iter().for_each(|slice| self.revoked(now, slice));
         let (proxies, slices) = (self.proxies.len(), self.tables.len());
-        let (differ, servers) = (named.differ, self.names.len());
+        let (differ, replicas) = (named.differ, self.names.len());
         self.note(format!(
-            "the relay's news stands: {proxies} proxies, {slices} slices, {differ} new to us, {servers} servers known"
+            "the relay's news stands: {proxies} proxies, {slices} slices, {differ} new to us, {replicas} servers known"
         ));
     }
 
@@ -527,8 +527,8 @@
                     in_doubt |= self.skipped.insert(order);
                 }
                 // Should the figure be wrong, they have one message more.
-                let mark = self.outbox.mark().filter(|_| refused);
-                mark.into_iter().for_each(|mark| self.governor.ordered_again(now, mark));
+                let version = self.outbox.version().filter(|_| refused);
+                version.into_iter().for_each(|version| self.policy.ordered_again(now, version));
             }
             Ok(Answer::Unusable(why)) => {
                 self.note(format!("a call is dropped, the relay can't use it: {why}"));
@@ -560,9 +560,9 @@
     /// What may have been carried out is said again only where the channel has room for both (rule 5).
     fn weigh_again(&mut self, now: Moment) {
         self.outbox.forget_proven();
-        let Some(mark) = self.outbox.unclear() else { return };
-        if self.governor.may_order_again(now, mark) {
-            self.governor.ordered_again(now, mark);
+        let Some(version) = self.outbox.unclear() else { return };
+        if self.policy.may_order_again(now, version) {
+            self.policy.ordered_again(now, version);
         } else {
             self.outbox.hold();
             self.after_pause(now, Due::Call);
@@ -592,9 +592,9 @@
         while let Some((at, due)) = self.agenda.first().copied().filter(|(at, _)| *at <= now) {
             self.agenda.remove(&(at, due));
             match due {
-                Due::Decisions(token) => self.governor.woken(now, token),
+                Due::Decisions(token) => self.policy.woken(now, token),
                 Due::Call => self.outbox.release(),
-                Due::News => self.follow_news(),
+                Due::RelayEvent => self.follow_news(),
                 Due::List => self.follow_list(now),
                 Due::Renewal => self.renew_list(now),
                 Due::Subsets => self.compute_subsets(now),
@@ -609,7 +609,7 @@
         if self.outbox.is_clear() && self.snapshot.settles().is_none() && !self.in_doubt {
             self.collect(now);
         } else {
-            let asides = self.governor.asides();
+            let asides = self.policy.asides();
             asides.into_iter().for_each(|step| _ = self.order(now, step));
         }
         self.weigh_again(now);
@@ -623,14 +623,14 @@
     }
 
     fn collect(&mut self, now: Moment) {
-        let steps = self.governor.collect(now);
+        let steps = self.policy.collect(now);
         let orders: Vec<_> = steps.into_iter().filter_map(|step| self.order(now, step)).collect();
         let moved = orders.iter().filter_map(Order::slice);
         self.in_motion.extend(moved.filter(|slice| !self.first_given.contains(slice)));
         self.outbox.put(&orders);
-        // Only now: an order may be the last that a server is named in.
-        if self.names.len() > self.governor.servers_known() {
-            let needed = |server| self.governor.knows(server) || self.snapshot.mentions(server);
+        // Only now: an order may be the last that a replica is named in.
+        if self.names.len() > self.policy.replicas_known() {
+            let needed = |replica| self.policy.knows(replica) || self.snapshot.mentions(replica);
             self.names.keep(needed);
             self.drop_reports_on_unknown();
             self.with_overrides(now, |_| {});
@@ -640,28 +640,28 @@
     /// The order that a step stands for; what concerns nobody but us is seen to here.
     fn order(&mut self, now: Moment, step: Step) -> Option<Order> {
         Some(match step {
-            Step::Line { slice, server, weight } => {
-                let name = self.names.name(server)?;
+            Step::Line { slice, replica, weight } => {
+                let name = self.names.name(replica)?;
                 let table = self.tables.entry(slice).or_default();
                 if weight > 0.0 {
                     // Where one owner writes, a new line takes the place of the former.
                     if self.settings.deployment.single_writer {
                         table.clear();
                     }
-                    table.insert(server, weight);
+                    table.insert(replica, weight);
                 } else {
-                    table.remove(&server);
+                    table.remove(&replica);
                 }
-                Order::Line { slice, server: name, weight }
+                Order::Line { slice, replica: name, weight }
             }
-            Step::Withdraw { server, out } => Order::Withdraw { server: self.names.name(server)?, out },
-            Step::Level { slice, op_types, share, tries } => {
+            Step::Withdraw { replica, out } => Order::Withdraw { replica: self.names.name(replica)?, out },
+            Step::Level { slice, request_classes, share, retries } => {
                 let named = self.settings.request_classes.iter().enumerate();
-                let meant = named.filter(|(at, _)| op_types >> at & 1 == 1);
-                let op_types = meant.map(|(_, name)| name.clone()).collect();
-                Order::Level { slice, op_types, share, tries }
+                let meant = named.filter(|(at, _)| request_classes >> at & 1 == 1);
+                let request_classes = meant.map(|(_, name)| name.clone()).collect();
+                Order::Level { slice, request_classes, share, retries }
             }
-            Step::Mark { number } => Order::Mark { number },
+            Step::Version { number } => Order::Version { number },
             Step::FollowList => {
                 self.follow_list(now);
                 return None;
@@ -670,8 +670,8 @@
                 self.agenda.insert((now + after, Due::Decisions(token)));
                 return None;
             }
-            Step::Sick { server, cause } => {
-                let name = self.names.name(server)?;
+            Step::Sick { replica, cause } => {
+                let name = self.names.name(replica)?;
                 self.note(format!("server {name} is taken for sick: {cause}"));
                 return None;
             }
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -8,9 +8,11 @@
 use crate::report_feed::{FeedChange, ReportFeed};
 use std::fmt;
 use whinwall_management_api::ask::ReportFreshness;
-use whinwall_policy::interface::{Asked, Met, Report, ReportFlow, Reported, ReportedOn, SliceId};
-use whinwall_policy::logic::Governor;
+use whinwall_policy::api::{
+    DemandReport, EndpointReport, Report, ReportBody, ReportFlow, ReportSubject, SliceId,
+};
 use whinwall_policy::time::Moment;
+use whinwall_policy::Policy;
 use whinwall_protocol::collector;
 use whinwall_transport::ConnectionId;
 
@@ -34,7 +36,7 @@
             told: ReportFlow::Direct,
         });
         if !on {
-            self.governor.reports_flow(now, ReportFlow::Direct);
+            self.policy.reports_flow(now, ReportFlow::Direct);
         }
         self.follow_reports(now);
     }
@@ -45,73 +47,79 @@
     }
 
     /// The load that reports show of a replica, in requests a second, as of the last survey.
-    pub fn measured_load(&self, server: &str) -> Option<f64> {
-        self.governor.measured_load(self.names.known(server)?)
+    pub fn measured_load(&self, replica: &str) -> Option<f64> {
+        self.policy.measured_load(self.names.known(replica)?)
     }
 
     /// The same for all slices together.
     pub fn measured_load_in_all(&self) -> f64 {
-        self.governor.measured_load_in_all()
+        self.policy.measured_load_in_all()
     }
 
     /// Reports that a reader took apart.
     pub(super) fn reports(&mut self, now: Moment, from: ConnectionId, mut reports: Vec<Report>) {
         reports.retain_mut(|report| {
             let known = match report.what {
-                Reported::Met { .. } => true,
-                Reported::Asked { slice, .. } => self.tables.contains_key(&slice),
+                ReportBody::EndpointReport { .. } => true,
+                ReportBody::DemandReport { slice, .. } => self.tables.contains_key(&slice),
             };
             known && self.counts(from, report, 0)
         });
-        self.governor.reported(now, &reports);
+        self.policy.reported(now, &reports);
     }
 
-    /// Reports invent neither places nor servers.
-    pub(super) fn met(&mut self, now: Moment, from: ConnectionId, line: &collector::Met) {
-        let known = (self.known_place(&line.place), self.names.known(&line.server));
-        let (Some(place), Some(server)) = known else {
-            return self.pass_over(from, format!("met at {:?} from {:?}", line.server, line.place));
+    /// Reports invent neither places nor replicas.
+    pub(super) fn met(&mut self, now: Moment, from: ConnectionId, line: &collector::EndpointReport) {
+        let known = (self.known_zone(&line.zone), self.names.known(&line.replica));
+        let (Some(zone), Some(replica)) = known else {
+            return self.pass_over(from, format!("met at {:?} from {:?}", line.replica, line.zone));
         };
         let mean_latency = span(line.mean_latency_ms);
-        let met = Met {
-            place,
+        let met = EndpointReport {
+            zone,
             covers: span(line.covers_ms),
-            tries: line.tries,
-            aborted: line.aborted,
+            attempts: line.attempts,
+            failed: line.failed,
             mean_latency,
         };
-        self.report(now, from, Reported::Met { server, met, latest: mean_latency }, line.missing);
-    }
-
-    pub(super) fn asked_of_slice(&mut self, now: Moment, from: ConnectionId, line: &collector::Asked) {
-        let (slice, class) = (line.slice, &line.op_type);
-        let Some(op_type) = self.settings.request_classes.iter().position(|known| known == class) else {
+        self.report(
+            now,
+            from,
+            ReportBody::EndpointReport { replica, met, latest: mean_latency },
+            line.missing,
+        );
+    }
+
+    pub(super) fn asked_of_slice(&mut self, now: Moment, from: ConnectionId, line: &collector::DemandReport) {
+        let (slice, class) = (line.slice, &line.request_class);
+        let Some(request_class) = self.settings.request_classes.iter().position(|known| known == class)
+        else {
             return self.pass_over(from, format!("{class:?} asked of slice {slice}"));
         };
         // One that has just changed hands is still reported on for a while, and one of this number may never have been:
-        // nobody's ops count for nothing.
+        // nobody's requests count for nothing.
         if self.tables.contains_key(&slice) {
             let covers = span(line.covers_ms);
-            let asked = Asked { op_type, covers, came: line.came, aborted: line.aborted };
-            self.report(now, from, Reported::Asked { slice, asked }, line.missing);
+            let asked = DemandReport { request_class, covers, came: line.came, failed: line.failed };
+            self.report(now, from, ReportBody::DemandReport { slice, asked }, line.missing);
         }
     }
 
-    fn report(&mut self, now: Moment, from: ConnectionId, what: Reported, missing: u32) {
+    fn report(&mut self, now: Moment, from: ConnectionId, what: ReportBody, missing: u32) {
         let mut report = Report { at: now, lines: 1.0, what };
         if self.counts(from, &mut report, missing) {
-            self.governor.reported(now, &[report]);
+            self.policy.reported(now, &[report]);
         }
     }
 
     /// Whether any of the report counts; where only a part does it is cut down to that.
     fn counts(&mut self, from: ConnectionId, report: &mut Report, missing: u32) -> bool {
         let Some(aggregated) = &mut self.aggregated else { return true };
-        // A reader may know a server that was dropped meanwhile: nothing would drop what is covered of it.
-        if matches!(report.what, Reported::Met { server, .. } if !self.names.has(server)) {
+        // A reader may know a replica that was dropped meanwhile: nothing would drop what is covered of it.
+        if matches!(report.what, ReportBody::EndpointReport { replica, .. } if !self.names.has(replica)) {
             return false;
         }
-        aggregated.counts(from, report, missing, &mut self.governor)
+        aggregated.counts(from, report, missing, &mut self.policy)
     }
 
     /// Tells the decisions, and whoever reads the log, how reports come.
@@ -121,7 +129,7 @@
         let flow = aggregated.feed.flow();
         if flow != aggregated.told {
             aggregated.told = flow;
-            self.governor.reports_flow(now, flow);
+            self.policy.reports_flow(now, flow);
         }
         match change {
             Some(FeedChange::Stale(silent)) => self.note(format!(
@@ -146,7 +154,7 @@
             bytes_per_second: feed.bytes_per_second(now),
             age: feed.age(now),
             stale: feed.is_stale(),
-            partial_replicas: self.governor.partly_observed(),
+            partial_replicas: self.policy.partly_observed(),
         })
     }
 
@@ -157,7 +165,7 @@
     pub(super) fn drop_reports_on_unknown(&mut self) {
         let names = &self.names;
         let aggregated = self.aggregated.iter_mut();
-        aggregated.for_each(|aggregated| aggregated.coverage.keep_servers(|server| names.has(server)));
+        aggregated.for_each(|aggregated| aggregated.coverage.keep_replicas(|replica| names.has(replica)));
     }
 
     /// A message that is spoilt, or names what does not exist, changes nothing; whoever has not joined goes.
@@ -172,19 +180,13 @@
 }
 
 impl Aggregated {
-    fn counts(
-        &mut self,
-        from: ConnectionId,
-        report: &mut Report,
-        missing: u32,
-        governor: &mut Governor,
-    ) -> bool {
+    fn counts(&mut self, from: ConnectionId, report: &mut Report, missing: u32, policy: &mut Policy) -> bool {
         let (subject, about, window) = match report.what {
-            Reported::Met { server, met, .. } => {
-                (Subject::Server(server), ReportedOn::Server(server), met.covers)
+            ReportBody::EndpointReport { replica, met, .. } => {
+                (Subject::Replica(replica), ReportSubject::Replica(replica), met.covers)
             }
-            Reported::Asked { slice, asked } => {
-                (Subject::Slice(slice, asked.op_type), ReportedOn::Slice(slice), asked.covers)
+            ReportBody::DemandReport { slice, asked } => {
+                (Subject::Slice(slice, asked.request_class), ReportSubject::Slice(slice), asked.covers)
             }
         };
         if self.feed.heard(report.at, window) {
@@ -193,15 +195,15 @@
         let line = Line { subject, from, at: report.at, window, lines: report.lines };
         let Some(counted) = self.coverage.take(&line) else { return false };
         if counted.before == Before::Unknown {
-            governor.observed_since(about, report.at - window);
+            policy.observed_since(about, report.at - window);
         }
         let lacks = match counted.before {
             Before::Seamless => false,
             Before::Gap(_) => true,
-            Before::Unknown => matches!(about, ReportedOn::Server(_)),
+            Before::Unknown => matches!(about, ReportSubject::Replica(_)),
         };
         if lacks || missing > 0 {
-            governor.reported_incompletely(report.at, about);
+            policy.reported_incompletely(report.at, about);
         }
         cut_down(report, &counted);
         true
@@ -211,11 +213,11 @@
 fn cut_down(report: &mut Report, counted: &Counted) {
     let Counted { share, window, .. } = *counted;
     match &mut report.what {
-        Reported::Met { met, .. } => {
-            (met.tries, met.aborted, met.covers) = (met.tries * share, met.aborted * share, window);
+        ReportBody::EndpointReport { met, .. } => {
+            (met.attempts, met.failed, met.covers) = (met.attempts * share, met.failed * share, window);
         }
-        Reported::Asked { asked, .. } => {
-            (asked.came, asked.aborted, asked.covers) = (asked.came * share, asked.aborted * share, window);
+        ReportBody::DemandReport { asked, .. } => {
+            (asked.came, asked.failed, asked.covers) = (asked.came * share, asked.failed * share, window);
         }
     }
 }
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -1,20 +1,20 @@
-//! The reducer's part of subsetting: the decisions are told which governors steer each replica.
+//! The reducer's part of subsetting: the decisions are told which controllers steer each replica.
 
 use super::{Due, Reducer};
 use crate::names::Names;
 use crate::subset::{Fleet, Subsets};
 use std::collections::BTreeMap;
-use whinwall_policy::interface::{ServerId, Share};
-use whinwall_policy::logic::Governor;
+use whinwall_policy::api::{ReplicaId, SubsetMembership};
 use whinwall_policy::time::Moment;
+use whinwall_policy::Policy;
 use whinwall_protocol::discovery::{List, State};
 use whinwall_subsetting::Replica;
 
 impl Reducer {
-    /// Which governors steer each replica, as the decisions were told last.
-    pub fn shares(&self) -> BTreeMap<&str, Share> {
+    /// Which controllers steer each replica, as the decisions were told last.
+    pub fn shares(&self) -> BTreeMap<&str, SubsetMembership> {
         let numbers = self.names.numbers().iter();
-        numbers.filter_map(|(name, server)| Some((name.as_str(), self.governor.share(*server)?))).collect()
+        numbers.filter_map(|(name, replica)| Some((name.as_str(), self.policy.share(*replica)?))).collect()
     }
 
     /// The operators' file names a fleet, another fleet, or none any more.
@@ -43,7 +43,7 @@
     pub(super) fn subsets_due(&mut self, now: Moment, list: &List) {
         let Some(subsets) = &self.subsets else { return };
         let there = list.entries.iter().filter(|entry| entry.state != State::Gone);
-        let due = subsets.due(now, there.map(|entry| entry.server.as_str()));
+        let due = subsets.due(now, there.map(|entry| entry.replica.as_str()));
         let pending = self.agenda.iter().find(|(_, pending)| *pending == Due::Subsets).map(|(at, _)| *at);
         self.agenda.retain(|(_, pending)| *pending != Due::Subsets);
         self.agenda.insert((pending.map_or(due, |at| at.min(due)), Due::Subsets));
@@ -52,24 +52,24 @@
     /// Computes the subsets of the registry as it is known, and tells the decisions what changed.
     pub(super) fn compute_subsets(&mut self, now: Moment) {
         let Some(subsets) = &mut self.subsets else { return };
-        if subsets.compute(now, &registry(&self.names, &self.governor, &self.settings.zones)) {
+        if subsets.compute(now, &registry(&self.names, &self.policy, &self.settings.zones)) {
             self.tell_shares(now);
         }
     }
 
-    /// Which governors steer a replica.
-    pub(super) fn share(&self, replica: &str) -> Share {
-        self.subsets.as_ref().map_or(Share::Everyone, |subsets| subsets.share(replica))
+    /// Which controllers steer a replica.
+    pub(super) fn share(&self, replica: &str) -> SubsetMembership {
+        self.subsets.as_ref().map_or(SubsetMembership::Everyone, |subsets| subsets.share(replica))
     }
 
     fn tell_shares(&mut self, now: Moment) {
-        let changed = |(name, server): (&String, &ServerId)| {
-            let (known, share) = (self.governor.share(*server)?, self.share(name));
-            (known != share).then_some((*server, share))
+        let changed = |(name, replica): (&String, &ReplicaId)| {
+            let (known, share) = (self.policy.share(*replica)?, self.share(name));
+            (known != share).then_some((*replica, share))
         };
         let changed: Vec<_> = self.names.numbers().iter().filter_map(changed).collect();
         if !changed.is_empty() {
-            self.governor.shares_changed(now, &changed);
+            self.policy.shares_changed(now, &changed);
         }
     }
 
@@ -77,20 +77,20 @@
         let Some(status) = self.subsets.as_ref().map(Subsets::status) else { return };
         self.note(format!(
             "subsetting: one of {} governors, {} of {} replicas are steered here, {} wished",
-            status.governors, status.own_replicas, status.listed_replicas, status.subset_size
+            status.controllers, status.own_replicas, status.listed_replicas, status.subset_size
         ));
     }
 }
 
 /// The replicas that are listed and not gone, in the registry's zones: aggregators, which know no settings, compute the
 /// same subsets from these.
-fn registry<'a>(names: &'a Names, governor: &'a Governor, zones: &'a [String]) -> Vec<Replica<'a>> {
-    let replica = |(name, server): (&'a String, &ServerId)| {
-        let listed = governor.listed_server(*server)?;
-        let named = zones.get(listed.place).map(String::as_str);
+fn registry<'a>(names: &'a Names, policy: &'a Policy, zones: &'a [String]) -> Vec<Replica<'a>> {
+    let replica = |(name, replica): (&'a String, &ReplicaId)| {
+        let listed = policy.listed_replica(*replica)?;
+        let named = zones.get(listed.zone).map(String::as_str);
         Some(Replica {
             id: name,
-            zone: names.unnamed_zone(*server).or(named).unwrap_or_default(),
+            zone: names.unnamed_zone(*replica).or(named).unwrap_or_default(),
             group: &listed.machine,
             weight: listed.size,
         })
--- a/crates/routing/src/report_coverage.rs
+++ b/crates/routing/src/report_coverage.rs
@@ -1,9 +1,9 @@
 //! Which time the reports on each replica and slice cover already, and through whom. Two aggregators may serve one
-//! governor for a while, and one may take over from another: of a line only what nobody told before counts, and what
+//! controller for a while, and one may take over from another: of a line only what nobody told before counts, and what
 //! nobody told is known as a gap. No input, output or clock; why it is so is in `docs/design/report-coverage.md`.
 
 use std::collections::BTreeMap;
-use whinwall_policy::interface::{ServerId, SliceId};
+use whinwall_policy::api::{ReplicaId, SliceId};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_transport::ConnectionId;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// A replica, whatever zone the line names: aggregators sum over zones, and each names one of its own.
-    Server(ServerId),
+    Replica(ReplicaId),
     /// A slice and one of its request classes.
     Slice(SliceId, usize),
 }
@@ -91,9 +91,9 @@
     }
 
     /// Drops the replicas that nobody needs any more.
-    pub fn keep_servers(&mut self, needed: impl Fn(ServerId) -> bool) {
+    pub fn keep_replicas(&mut self, needed: impl Fn(ReplicaId) -> bool) {
         self.covered.retain(|subject, _| match subject {
-            Subject::Server(server) => needed(*server),
+            Subject::Replica(replica) => needed(*replica),
             Subject::Slice(..) => true,
         });
     }
@@ -127,7 +127,7 @@
     let is_jitter = (goes_on - line.at).max(line.at - goes_on) <= JITTER;
     let until = if is_jitter { goes_on } else { line.at };
     let gap = (line.at - line.window) - covered;
-    let is_told_each_window = matches!(line.subject, Subject::Server(_));
+    let is_told_each_window = matches!(line.subject, Subject::Replica(_));
     let is_gap = is_told_each_window && gap > LONGEST_WINDOW;
     (whole(line, if is_gap { Before::Gap(gap) } else { Before::Seamless }), until)
 }
--- a/crates/routing/src/report_feed.rs
+++ b/crates/routing/src/report_feed.rs
@@ -2,9 +2,9 @@
 //! hold on to what they have, and beyond three times that somebody has to be told. No input, output or clock.
 
 use super::report_coverage::LONGEST_WINDOW;
-use whinwall_policy::interface::ReportFlow;
-use whinwall_policy::ring::Ring;
+use whinwall_policy::api::ReportFlow;
 use whinwall_policy::time::{Moment, Span};
+use whinwall_policy::windowed_counter::WindowedCounter;
 
 /// How much longer than the longest pause of late one between two lines may be. The decisions hold their figures for a
 /// second longer than lines cover; a beat of theirs, 250 ms, may pass before they hear of it. So figures never fall because
@@ -49,7 +49,7 @@
     /// When a line last came before the present or last interruption.
     interrupted: Moment,
     recent: Recent,
-    bytes: Ring,
+    bytes: WindowedCounter,
 }
 
 impl ReportFeed {
@@ -61,7 +61,7 @@
             last: None,
             interrupted: now,
             recent: Recent::default(),
-            bytes: Ring::new(Span::ms(500), 40),
+            bytes: WindowedCounter::new(Span::ms(500), 40),
         }
     }
 
--- a/crates/routing/src/snapshot.rs
+++ b/crates/routing/src/snapshot.rs
@@ -2,10 +2,10 @@
 //! not marked, and neither is that of a table.
 
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall_policy::interface::{ProxyId, ServerId, SliceId};
+use whinwall_policy::api::{ProxyId, ReplicaId, SliceId};
 use whinwall_policy::time::{Moment, Span};
 
-pub type Table = BTreeMap<ServerId, f64>;
+pub type Table = BTreeMap<ReplicaId, f64>;
 
 /// Lines that belong together may come in pieces, but seldom with longer pauses than this.
 const PIECES: Span = Span::ms(100);
@@ -53,7 +53,7 @@
     }
 
     /// A line of a table; one that comes after its table was handed over is a late piece of it.
-    pub fn line(&mut self, now: Moment, slice: SliceId, handed_over: Option<&Table>, line: (ServerId, f64)) {
+    pub fn line(&mut self, now: Moment, slice: SliceId, handed_over: Option<&Table>, line: (ReplicaId, f64)) {
         if let (false, Some(table)) = (self.tables.contains_key(&slice), handed_over) {
             self.tables.insert(slice, table.clone());
         }
@@ -85,9 +85,9 @@
         std::mem::take(&mut self.tables)
     }
 
-    /// Whether a table that is not handed over yet names this server.
-    pub fn mentions(&self, server: ServerId) -> bool {
-        self.tables.values().any(|table| table.contains_key(&server))
+    /// Whether a table that is not handed over yet names this replica.
+    pub fn mentions(&self, replica: ReplicaId) -> bool {
+        self.tables.values().any(|table| table.contains_key(&replica))
     }
 
     pub fn differed(&mut self) {
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -1,21 +1,21 @@
-//! Which replicas this governor steers, where each governor of the fleet steers a subset of them. Computed from the
-//! fleet's names and the registry alone, so that all governors that know the same compute the same.
+//! Which replicas this controller steers, where each controller of the fleet steers a subset of them. Computed from the
+//! fleet's names and the registry alone, so that all controllers that know the same compute the same.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use whinwall_management_api::ask::SubsettingStatus;
 use whinwall_operator_config::{SubsettingConfig, UnknownMember};
-use whinwall_policy::interface::Share;
+use whinwall_policy::api::SubsetMembership;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_subsetting::{Assignment, Membership, MembershipError, Parameters, Planner, Position, Replica};
 
 /// Changes of the registry are taken together for so long after a computation, which takes some 10 ms at 650
-/// governors and 2,200 replicas: a zone that comes back one replica at a time costs 1% of a core meanwhile.
+/// controllers and 2,200 replicas: a zone that comes back one replica at a time costs 1% of a core meanwhile.
 const COMPUTE_EACH: Span = Span::ms(1000);
 
 /// One in so many of the replicas that are known: more new ones than that at once don't wait.
 const MANY_PART: usize = 16;
 
-/// The fleet that the operators' file names, as one of its governors sees it.
+/// The fleet that the operators' file names, as one of its controllers sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     own_name: String,
@@ -25,10 +25,10 @@
     bytes_per_second: u64,
 }
 
-/// Why a configuration is none of this governor's fleet.
+/// Why a configuration is none of this controller's fleet.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FleetError {
-    /// The governor itself is not named.
+    /// The controller itself is not named.
     #[error(transparent)]
     Unknown(#[from] UnknownMember),
     /// The names make no fleet.
@@ -37,9 +37,9 @@
 }
 
 impl Fleet {
-    /// The fleet of this configuration, in which the governor's own name must be.
+    /// The fleet of this configuration, in which the controller's own name must be.
     pub fn new(config: &SubsettingConfig, own_name: &str) -> Result<Self, FleetError> {
-        config.governor(own_name)?;
+        config.controller(own_name)?;
         Ok(Fleet {
             own_name: own_name.to_string(),
             membership: config.membership()?,
@@ -49,7 +49,7 @@
         })
     }
 
-    /// What all governors must agree on for computing the same.
+    /// What all controllers must agree on for computing the same.
     fn plan(&self) -> (&Membership, Parameters) {
         (&self.membership, self.parameters)
     }
@@ -99,7 +99,7 @@
     /// When a change of the registry that names these replicas as there is to be computed: at once where it brings
     /// many, as at a start, or else together with those that follow.
     pub fn due<'a>(&self, now: Moment, named: impl Iterator<Item = &'a str>) -> Moment {
-        let unassigned = named.filter(|replica| self.assignment.governors_of(replica).is_empty()).count();
+        let unassigned = named.filter(|replica| self.assignment.controllers_of(replica).is_empty()).count();
         let many = unassigned * MANY_PART > self.listed_replicas;
         self.computed.filter(|_| !many).map_or(now, |at| now.max(at + COMPUTE_EACH))
     }
@@ -117,17 +117,17 @@
     }
 
     /// Who steers a replica. One that is not assigned yet is left to others until it is.
-    pub fn share(&self, replica: &str) -> Share {
+    pub fn share(&self, replica: &str) -> SubsetMembership {
         match self.assignment.position(replica, &self.fleet.own_name) {
-            Some(Position { governors, position }) => Share::Subset { governors, position },
-            None => Share::Others,
+            Some(Position { controllers, position }) => SubsetMembership::Subset { controllers, position },
+            None => SubsetMembership::Others,
         }
     }
 
     /// For the management front.
     pub fn status(&self) -> SubsettingStatus {
         SubsettingStatus {
-            governors: self.fleet.membership.len(),
+            controllers: self.fleet.membership.len(),
             aggregators: self.fleet.aggregators,
             subset_size: self.fleet.parameters.subset_size,
             own_replicas: self.own_replicas,
--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -54,8 +54,8 @@
     #[arg(long, default_value_t = 10)]
     pub begins: u64,
     /// Numbers of governors to compare
-    #[arg(long, value_delimiter = ',', default_values_t = [1, 5, 20, 60, 200])]
-    pub governors: Vec<usize>,
+    #[arg(long = "governors", value_name = "GOVERNORS", value_delimiter = ',', default_values_t = [1, 5, 20, 60, 200])]
+    pub controllers: Vec<usize>,
     /// The number of governors that the others are compared with
     #[arg(long, default_value_t = 5)]
     pub reference: usize,
--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -39,10 +39,10 @@
     pub fn troubles(self, sizes: &Sizes, begins_ms: u64) -> Vec<Trouble> {
         let what = match self {
             DayKind::Calm => return Vec::new(),
-            DayKind::Replaced => What::Replaced { from: 0, to: sizes.servers * REPLACED_OF_TEN / 10 },
+            DayKind::Replaced => What::Replaced { from: 0, to: sizes.replicas * REPLACED_OF_TEN / 10 },
             DayKind::Hot => What::HotSlice { slice: sizes.slices / 3, factor: HOT_FACTOR },
             DayKind::Burst => What::Burst { factor: BURST_FACTOR },
-            DayKind::Zone => What::PlaceLost { place: 1 % sizes.places },
+            DayKind::Zone => What::ZoneLost { zone: 1 % sizes.zones },
         };
         let lasts = if self == DayKind::Zone { ZONE_LASTS_MS } else { LASTS_MS };
         vec![at(begins_ms, lasts, what)]
@@ -68,7 +68,7 @@
     /// The fleet, whose number of governors and subsets are replaced by those of the plan.
     pub sizes: Sizes,
     /// Numbers of governors.
-    pub governors: Vec<usize>,
+    pub controllers: Vec<usize>,
     /// Sizes of subsets; 0 plays without subsets.
     pub subsets: Vec<usize>,
     /// Kinds of days.
@@ -103,13 +103,13 @@
             ("proxies", args.proxies),
             ("seeds", args.seeds as usize),
             ("seconds", args.seconds as usize),
-            ("governors", args.governors.iter().copied().min().unwrap_or(0)),
+            ("governors", args.controllers.iter().copied().min().unwrap_or(0)),
         ];
         if let Some((name, _)) = counts.iter().find(|(_, count)| *count == 0) {
             return Err(SweepError::Zero(name));
         }
         let sizes = Sizes {
-            servers: args.replicas,
+            replicas: args.replicas,
             slices: args.slices,
             proxies: args.proxies,
             load: args.load,
@@ -119,7 +119,7 @@
         };
         Ok(Plan {
             sizes,
-            governors: args.governors.clone(),
+            controllers: args.controllers.clone(),
             subsets: args.subsets.clone(),
             kinds: args.days.clone(),
             begins_ms: args.begins * 1000,
@@ -132,8 +132,8 @@
         let mut days = Vec::new();
         for kind in &self.kinds {
             for subset in &self.subsets {
-                for governors in &self.governors {
-                    let sizes = Sizes { governors: *governors, subset: *subset, ..self.sizes.clone() };
+                for controllers in &self.controllers {
+                    let sizes = Sizes { controllers: *controllers, subset: *subset, ..self.sizes.clone() };
                     days.extend(self.seeds.iter().map(|seed| PlannedDay {
                         kind: *kind,
                         subset: *subset,
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -16,30 +16,30 @@
     pub outcome: Outcome,
 }
 
-/// Days that differ in nothing but their seed: kind, size of subsets, number of governors.
+/// Days that differ in nothing but their seed: kind, size of subsets, number of controllers.
 type Group = (DayKind, usize, usize);
 
 impl Played {
     fn group(&self) -> Group {
-        (self.day.kind, self.day.subset, self.day.sizes.governors)
+        (self.day.kind, self.day.subset, self.day.sizes.controllers)
     }
 
-    /// The lab's row of it; the value varied is the number of governors.
+    /// The lab's row of it; the value varied is the number of controllers.
     pub fn row(&self, commit: &str) -> Row {
-        let Outcome { ops, acked, late, rejected, aborted, orders, verdicts, .. } = self.outcome;
+        let Outcome { requests, acked, late, rejected, failed, orders, verdicts, .. } = self.outcome;
         Row {
-            experiment: format!("decisions-{}-replicas", self.day.sizes.servers),
+            experiment: format!("decisions-{}-replicas", self.day.sizes.replicas),
             commit: commit.to_string(),
             case: self.day.kind.to_string(),
             way: way(self.day.subset),
-            value: self.day.sizes.governors as f64,
+            value: self.day.sizes.controllers as f64,
             seed: self.day.seed as i64,
             service: self.outcome.service,
-            ops: ops as i64,
+            requests: requests as i64,
             acked: acked as i64,
             late: late as i64,
             rejected: rejected as i64,
-            aborted: aborted as i64,
+            failed: failed as i64,
             orders: orders as i64,
             verdicts: verdicts as i64,
             most_lines: self.outcome.most_lines,
@@ -78,8 +78,8 @@
     let PlannedDay { kind, subset, seed, sizes, .. } = day;
     let (way, rules) = (way(*subset), rules_text(&[outcome]));
     let Outcome { service, moves, orders, .. } = outcome;
-    let governors = sizes.governors;
-    format!("{done}/{of} {kind}, {governors} governors, {way}, seed {seed}: service {service:.3}, {moves} moves, {orders} orders, broken {rules}")
+    let controllers = sizes.controllers;
+    format!("{done}/{of} {kind}, {controllers} governors, {way}, seed {seed}: service {service:.3}, {moves} moves, {orders} orders, broken {rules}")
 }
 
 fn groups(played: &[Played]) -> BTreeMap<Group, Vec<&Played>> {
@@ -90,13 +90,13 @@
     groups
 }
 
-/// Means over seeds by kind of day, size of subsets and number of governors.
+/// Means over seeds by kind of day, size of subsets and number of controllers.
 pub fn table(played: &[Played]) -> String {
     let mut text = String::from(
         "| day | decisions | governors | seeds | service | least | moves | orders | verdicts | rules broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for ((kind, subset, governors), all) in groups(played) {
+    for ((kind, subset, controllers), all) in groups(played) {
         let outcomes: Vec<_> = all.iter().map(|one| &one.outcome).collect();
         let average = |figure: fn(&Outcome) -> f64| {
             outcomes.iter().map(|outcome| figure(outcome)).sum::<f64>() / outcomes.len() as f64
@@ -109,13 +109,13 @@
         let verdicts = average(|outcome| outcome.verdicts as f64);
         _ = writeln!(
             text,
-            "| {kind} | {way} | {governors} | {many} | {service:.3} | {least:.3} | {moves:.0} | {orders:.0} | {verdicts:.1} | {rules} |"
+            "| {kind} | {way} | {controllers} | {many} | {service:.3} | {least:.3} | {moves:.0} | {orders:.0} | {verdicts:.1} | {rules} |"
         );
     }
     text
 }
 
-/// Differences of service against the same seeds with `reference` governors and no subsets (or, where that was not
+/// Differences of service against the same seeds with `reference` controllers and no subsets (or, where that was not
 /// played, the same subsets), with the 95% interval of their mean.
 pub fn paired_differences(played: &[Played], reference: usize) -> String {
     let groups = groups(played);
@@ -123,9 +123,9 @@
         "| day | decisions | governors | service less that of {reference} governors | 95% within | least | greatest |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n"
     );
-    for ((kind, subset, governors), all) in &groups {
+    for ((kind, subset, controllers), all) in &groups {
         let others = [0, *subset].iter().find_map(|other| groups.get(&(*kind, *other, reference)));
-        let Some(others) = others.filter(|_| (*subset, *governors) != (0, reference)) else { continue };
+        let Some(others) = others.filter(|_| (*subset, *controllers) != (0, reference)) else { continue };
         let service: BTreeMap<_, _> =
             others.iter().map(|other| (other.day.seed, other.outcome.service)).collect();
         let paired = all.iter().filter_map(|one| Some(one.outcome.service - service.get(&one.day.seed)?));
@@ -135,7 +135,7 @@
         let (way, difference, within, least) = (way(*subset), figure.mean, figure.within, figure.least);
         _ = writeln!(
             text,
-            "| {kind} | {way} | {governors} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
+            "| {kind} | {way} | {controllers} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
         );
     }
     text
--- a/crates/scale-tests/src/lib.rs
+++ b/crates/scale-tests/src/lib.rs
@@ -1,6 +1,6 @@
-//! Harness of the scale tests behind `docs/CAPACITY.md`: `one` measures one real governor process against paced
-//! stand-ins, `many` runs real processes beside in-process governors, `decisions` sweeps the number of governors
-//! in the emulator. `process` starts and observes a governor, `stand_ins` plays what it connects to, `fit` and
+//! Harness of the scale tests behind `docs/CAPACITY.md`: `one` measures one real controller process against paced
+//! stand-ins, `many` runs real processes beside in-process controllers, `decisions` sweeps the number of controllers
+//! in the emulator. `process` starts and observes a controller, `stand_ins` plays what it connects to, `fit` and
 //! `results` turn measurements into figures, tables and charts.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/scale-tests/src/many/catalog.rs
+++ b/crates/scale-tests/src/many/catalog.rs
@@ -107,8 +107,8 @@
         let (version, whole) = (state.version, since == 0 || since > state.version);
         let replicas = state.replicas.iter().enumerate();
         let named = replicas.filter(|(_, replica)| whole || replica.changed_at > since);
-        let servers: Vec<_> = named.map(|(number, replica)| replica.entry(number)).collect();
-        let line = format!("{}\n", json!({"version": version, "full": whole, "servers": servers}));
+        let replicas: Vec<_> = named.map(|(number, replica)| replica.entry(number)).collect();
+        let line = format!("{}\n", json!({"version": version, "full": whole, "servers": replicas}));
         let list = discovery::decode(&line).ok().flatten().unwrap_or_default();
         let told = Arc::new(Told { version, line, list });
         state.answers.insert(since, told.clone());
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -3,7 +3,7 @@
 use super::catalog::Catalog;
 use super::cost::{self, Cost};
 use super::hollow::Surroundings;
-use super::plan::{GovernorId, Plan, CUT_REGION, DRAINED_AT_REST, DRAINED_DURING_CUT};
+use super::plan::{ControllerId, Plan, CUT_REGION, DRAINED_AT_REST, DRAINED_DURING_CUT};
 use super::process::Process;
 use super::stand_ins::{self, Addresses, Link, Seat};
 use super::tracker::{Condition, Reached, Site, Tracker};
@@ -26,14 +26,14 @@
 /// Replicas that start again while a region is cut off: one in so many.
 const RESTARTED_REPLICAS: usize = 100;
 
-/// What governors and harness have cost in a period.
+/// What controllers and harness have cost in a period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Costs {
     /// How long the period was.
     pub elapsed: Duration,
-    /// All real governors together.
+    /// All real controllers together.
     pub real: Cost,
-    /// This process: stand-ins, and the reducers of the in-process governors.
+    /// This process: stand-ins, and the reducers of the in-process controllers.
     pub harness: Cost,
     /// Processor time of these reducers.
     pub hollow: Duration,
@@ -46,7 +46,7 @@
     pub event: &'static str,
     /// How long whoever caused it took to do so: to write files and signal, or to end processes.
     pub caused_in: Duration,
-    /// When governors had come to its end, and what was sent.
+    /// When controllers had come to its end, and what was sent.
     pub reached: Reached,
     /// What it has cost.
     pub costs: Costs,
@@ -57,13 +57,13 @@
 pub struct Results {
     /// In their order.
     pub outcomes: Vec<Outcome>,
-    /// What the governors cost while nothing happened.
+    /// What the controllers cost while nothing happened.
     pub rest: Costs,
-    /// Memory of this process before the in-process governors were started.
+    /// Memory of this process before the in-process controllers were started.
     pub bare_harness: Cost,
     /// Bytes of the whole list.
     pub list_bytes: usize,
-    /// Real governors that had a slice on the replica that was drained at rest, just before that.
+    /// Real controllers that had a slice on the replica that was drained at rest, just before that.
     pub holders: usize,
     /// The machine's load over a minute, before the run and after it.
     pub machine_load: [f64; 2],
@@ -125,7 +125,7 @@
 }
 
 impl Fleet {
-    /// Opens all stand-ins; no governor runs yet.
+    /// Opens all stand-ins; no controller runs yet.
     async fn open(plan: &Plan) -> Result<Self, ManyError> {
         let (catalog, tracker) = (Arc::new(Catalog::new(plan)), Arc::new(Tracker::new(plan.real)));
         let mut fleet = Fleet {
@@ -141,17 +141,17 @@
             folder: tempfile::tempdir().map_err(ManyError::io("temporary folder"))?,
         };
         let load = stand_ins::load_reports(plan);
-        for governor in 0..plan.real {
-            let cut = plan.region(governor) == CUT_REGION;
+        for controller in 0..plan.real {
+            let cut = plan.region(controller) == CUT_REGION;
             let link = if cut { &fleet.region } else { &fleet.elsewhere };
             let seat =
-                Seat::new(plan, governor, link.subscribe(), fleet.catalog.clone(), fleet.tracker.clone());
+                Seat::new(plan, controller, link.subscribe(), fleet.catalog.clone(), fleet.tracker.clone());
             let seat = Arc::new(seat);
             let mut sites = BTreeMap::new();
             for site in [Site::First, Site::Second] {
                 sites.insert(site, stand_ins::open(&seat, site).await.map_err(ManyError::io("listen"))?);
             }
-            let process = Process::new(governor, fleet.folder.path());
+            let process = Process::new(controller, fleet.folder.path());
             for (zone, load) in load.iter().enumerate() {
                 let (plan, seat) = (fleet.plan.clone(), seat.clone());
                 tokio::spawn(stand_ins::collect(plan, seat, zone, load.clone(), process.address()));
@@ -180,14 +180,14 @@
         Ok(Results { outcomes, rest, bare_harness, list_bytes, holders, machine_load })
     }
 
-    /// All governors start together, and know nothing.
+    /// All controllers start together, and know nothing.
     async fn start(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         for (process, sites) in self.processes.iter().zip(&self.sites) {
             write_configuration(process, &self.plan, sites, Site::First)?;
         }
         let ready = [Condition::Ponged, Condition::NewsFrom(Site::First), Condition::ListVersion(1)];
-        self.tracker.begin(0..self.plan.governors(), &ready);
+        self.tracker.begin(0..self.plan.controllers(), &ready);
         let began = Instant::now();
         let around = Surroundings::new(self.plan.clone(), self.catalog.clone(), self.tracker.clone());
         self.workers = Workers::start(&Arc::new(around))?;
@@ -197,29 +197,29 @@
     }
 
     /// Starts these processes at once and waits until they serve.
-    async fn start_processes(&mut self, which: impl Fn(GovernorId) -> bool) -> Result<(), ManyError> {
-        for (governor, process) in self.processes.iter_mut().enumerate() {
-            if which(governor) {
+    async fn start_processes(&mut self, which: impl Fn(ControllerId) -> bool) -> Result<(), ManyError> {
+        for (controller, process) in self.processes.iter_mut().enumerate() {
+            if which(controller) {
                 process.start(&self.plan)?;
             }
         }
         let mut serving = JoinSet::new();
-        for (governor, mut process) in std::mem::take(&mut self.processes).into_iter().enumerate() {
-            let (tracker, starts, patience) = (self.tracker.clone(), which(governor), self.plan.patience);
+        for (controller, mut process) in std::mem::take(&mut self.processes).into_iter().enumerate() {
+            let (tracker, starts, patience) = (self.tracker.clone(), which(controller), self.plan.patience);
             serving.spawn(async move {
                 let served = match starts {
                     true => timeout(patience, process.serves(&tracker)).await,
                     false => Ok(Ok(())),
                 };
-                let served = served.unwrap_or(Err(ManyError::NotServing { governor }));
-                (governor, process, served)
+                let served = served.unwrap_or(Err(ManyError::NotServing { controller }));
+                (controller, process, served)
             });
         }
         let mut processes = BTreeMap::new();
         let mut failed = None;
-        while let Some(Ok((governor, process, served))) = serving.join_next().await {
+        while let Some(Ok((controller, process, served))) = serving.join_next().await {
             failed = failed.or(served.err());
-            processes.insert(governor, process);
+            processes.insert(controller, process);
         }
         self.processes = processes.into_values().collect();
         failed.map_or(Ok(()), Err)
@@ -229,7 +229,7 @@
     async fn configure(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         let moved = [Condition::NewsFrom(Site::Second), Condition::ListFrom(Site::Second)];
-        self.tracker.begin(0..self.plan.governors(), &moved);
+        self.tracker.begin(0..self.plan.controllers(), &moved);
         let began = Instant::now();
         self.workers.configure(Site::Second);
         for (process, sites) in self.processes.iter().zip(&self.sites) {
@@ -240,7 +240,7 @@
         self.outcome("configuration change", caused_in, &before).await
     }
 
-    /// Real governors with a slice on the replica that is drained at rest.
+    /// Real controllers with a slice on the replica that is drained at rest.
     fn holders(&self) -> usize {
         let replica = self.plan.replica(DRAINED_AT_REST);
         self.seats.iter().filter(|seat| seat.store().names(&replica)).count()
@@ -250,27 +250,27 @@
     async fn drain(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         self.tracker.drain(self.plan.replica(DRAINED_AT_REST));
-        self.tracker.begin(0..self.plan.governors(), &[Condition::Withdrawn]);
+        self.tracker.begin(0..self.plan.controllers(), &[Condition::Withdrawn]);
         self.catalog.change(DRAINED_AT_REST, 0..0, 0);
         self.outcome("replica drained", Duration::ZERO, &before).await
     }
 
-    /// Nine in ten governors end and start again at once.
+    /// Nine in ten controllers end and start again at once.
     async fn restart(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         let (began, plan) = (Instant::now(), self.plan.clone());
-        let restarted = |governor| plan.is_restarted(governor);
-        let ending = || self.processes.iter().enumerate().filter(|(governor, _)| restarted(*governor));
+        let restarted = |controller| plan.is_restarted(controller);
+        let ending = || self.processes.iter().enumerate().filter(|(controller, _)| restarted(*controller));
         ending().for_each(|(_, process)| process.signal(Signal::TERM));
-        for (governor, process) in self.processes.iter_mut().enumerate() {
-            if restarted(governor) {
+        for (controller, process) in self.processes.iter_mut().enumerate() {
+            if restarted(controller) {
                 process.ended().await;
             }
         }
         let caused_in = began.elapsed();
         let version = self.catalog.version();
         let ready = [Condition::Ponged, Condition::NewsFrom(Site::Second), Condition::ListVersion(version)];
-        self.tracker.begin((0..plan.governors()).filter(|governor| restarted(*governor)), &ready);
+        self.tracker.begin((0..plan.controllers()).filter(|controller| restarted(*controller)), &ready);
         self.workers.restart();
         self.start_processes(restarted).await?;
         self.outcome("nine in ten restarted", caused_in, &before).await
@@ -279,9 +279,9 @@
     /// A region is cut off; meanwhile a replica is drained and others start again; then the region is back.
     async fn cut_region(&mut self) -> Result<Vec<Outcome>, ManyError> {
         let plan = self.plan.clone();
-        let is_cut = |governor: &GovernorId| plan.region(*governor) == CUT_REGION;
-        let inside = || (0..plan.governors()).filter(is_cut);
-        let outside = || (0..plan.governors()).filter(|governor| !is_cut(governor));
+        let is_cut = |controller: &ControllerId| plan.region(*controller) == CUT_REGION;
+        let inside = || (0..plan.controllers()).filter(is_cut);
+        let outside = || (0..plan.controllers()).filter(|controller| !is_cut(controller));
         let before = self.costs();
         let began = Instant::now();
         self.tracker.begin(inside(), &[Condition::CutNoticed]);
@@ -350,12 +350,12 @@
 
     fn all_run(&mut self) -> Result<(), ManyError> {
         match self.processes.iter_mut().position(|process| !process.runs()) {
-            Some(governor) => Err(ManyError::Ended { governor }),
+            Some(controller) => Err(ManyError::Ended { controller }),
             None => Ok(()),
         }
     }
 
-    /// Ends all governors.
+    /// Ends all controllers.
     async fn end(mut self) {
         self.processes.iter().for_each(|process| process.signal(Signal::TERM));
         for process in &mut self.processes {
--- a/crates/scale-tests/src/many/hollow.rs
+++ b/crates/scale-tests/src/many/hollow.rs
@@ -1,20 +1,20 @@
-//! An in-process governor: the real reducer behind stand-ins that answer at once, with a clock of its own that can be
+//! An in-process controller: the real reducer behind stand-ins that answer at once, with a clock of its own that can be
 //! moved forward. It has no sockets; silence and refusals are told to it as the transport would tell them.
 
 use super::catalog::Catalog;
 use super::cost;
-use super::plan::{GovernorId, Plan, REQUEST_CLASS};
+use super::plan::{ControllerId, Plan, REQUEST_CLASS};
 use super::store::Store;
 use super::tracker::{Condition, Site, Tracker, Traffic};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall_policy::interface::Report;
+use whinwall_policy::api::Report;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::{Message, Report as ReportLine};
 use whinwall_protocol::discovery::List;
-use whinwall_protocol::relay::{decode_news, Answer};
+use whinwall_protocol::relay::{decode_event, Answer};
 use whinwall_routing::known::Known;
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_settings::Settings;
@@ -22,17 +22,17 @@
 
 /// The one connection that its reports come on.
 const COLLECTOR: ConnectionId = 1;
-/// A step of a governor whose clock is moved forward.
+/// A step of a controller whose clock is moved forward.
 const CUT_STEP: Duration = Duration::from_secs(60);
-/// A governor that no event waits for does what it has planned in turns no closer than this: each of its plans costs a
-/// look at all replicas, and hundreds of governors share a few threads here.
+/// A controller that no event waits for does what it has planned in turns no closer than this: each of its plans costs a
+/// look at all replicas, and hundreds of controllers share a few threads here.
 const REST_TURN: Duration = Duration::from_secs(10);
 /// It wakes so often at least, as the program's loop does.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
-/// Of a governor's seed, the part that all have in common.
+/// Of a controller's seed, the part that all have in common.
 const SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What the in-process governors of a run share.
+/// What the in-process controllers of a run share.
 pub struct Surroundings {
     /// Sizes of the run.
     pub plan: Arc<Plan>,
@@ -73,9 +73,9 @@
     },
 }
 
-/// One in-process governor.
+/// One in-process controller.
 pub struct Hollow {
-    governor: GovernorId,
+    controller: ControllerId,
     around: Arc<Surroundings>,
     settings: Settings,
     reducer: Reducer,
@@ -98,7 +98,7 @@
     /// Processor time that its turns have taken since the event came to it.
     event_processor: Duration,
     reports: Moment,
-    /// Nanoseconds of processor time that the turns of all governors have taken.
+    /// Nanoseconds of processor time that the turns of all controllers have taken.
     processor: Arc<AtomicU64>,
 }
 
@@ -116,26 +116,26 @@
 }
 
 impl Hollow {
-    /// A governor that has just started.
+    /// A controller that has just started.
     pub fn start(
-        governor: GovernorId,
+        controller: ControllerId,
         around: Arc<Surroundings>,
         processor: Arc<AtomicU64>,
     ) -> Result<Self, String> {
-        let settings = whinwall_settings::read(&around.plan.configuration(governor)["settings"])?;
+        let settings = whinwall_settings::read(&around.plan.configuration(controller)["settings"])?;
         let now = around.began.1 + span(around.began.0.elapsed());
         let site = Site::First;
         let reducer =
-            Reducer::start(settings.clone(), targets(site), SEED ^ governor as u64, &List::default(), now);
+            Reducer::start(settings.clone(), targets(site), SEED ^ controller as u64, &List::default(), now);
         let share =
-            around.plan.hollow_report_period.mul_f64(governor as f64 / around.plan.governors() as f64);
+            around.plan.hollow_report_period.mul_f64(controller as f64 / around.plan.controllers() as f64);
         let mut hollow = Hollow {
-            governor,
+            controller,
             settings,
             reducer,
             starts: 1,
             site,
-            store: Store::new(&around.plan, governor),
+            store: Store::new(&around.plan, controller),
             around,
             known: Known::default(),
             told: 0,
@@ -156,15 +156,15 @@
     }
 
     /// Its number.
-    pub fn governor(&self) -> GovernorId {
-        self.governor
+    pub fn controller(&self) -> ControllerId {
+        self.controller
     }
 
     /// Starts again from nothing, as a restarted process does; the store keeps its tables.
     pub fn restart(&mut self) {
         let now = self.now();
         self.starts += 1;
-        let seed = (SEED ^ self.governor as u64).wrapping_mul(self.starts);
+        let seed = (SEED ^ self.controller as u64).wrapping_mul(self.starts);
         let (settings, targets) = (self.settings.clone(), targets(self.site));
         self.reducer = Reducer::start(settings, targets, seed, &List::default(), now);
         (self.told, self.known) = (0, Known::default());
@@ -174,8 +174,8 @@
 
     fn begin(&mut self, now: Moment) {
         self.enter_event();
-        let place = self.around.plan.zone(0);
-        let joins = Event::Message { from: COLLECTOR, message: Message::Source { place } };
+        let zone = self.around.plan.zone(0);
+        let joins = Event::Message { from: COLLECTOR, message: Message::Source { zone } };
         let ping = Event::Message { from: COLLECTOR, message: Message::Ping };
         self.turn(now, vec![Event::Started, joins, ping]);
     }
@@ -190,8 +190,8 @@
     }
 
     fn reached(&self, condition: Condition) {
-        if self.around.tracker.reached(self.governor, condition) {
-            self.around.tracker.spent(self.governor, self.event_processor);
+        if self.around.tracker.reached(self.controller, condition) {
+            self.around.tracker.spent(self.controller, self.event_processor);
         }
     }
 
@@ -248,7 +248,7 @@
             self.reports = now + span(self.around.plan.hollow_report_period);
             events.push(self.load(now));
         }
-        self.in_event = self.in_event && self.around.tracker.waits_for(self.governor);
+        self.in_event = self.in_event && self.around.tracker.waits_for(self.controller);
         if !events.is_empty() || (self.next_turn() <= now && !rests) {
             self.turn(now, events);
             self.told_list();
@@ -384,13 +384,13 @@
     fn news_lines(&self, lines: &[String]) -> Vec<Event> {
         // Each ends in CRLF on the wire.
         let bytes = lines.iter().map(|line| line.len() + 2).sum();
-        self.around.tracker.sent(self.governor, Traffic::News, bytes);
-        lines.iter().filter_map(|line| decode_news(line).ok()).map(Event::Relay).collect()
+        self.around.tracker.sent(self.controller, Traffic::RelayEvent, bytes);
+        lines.iter().filter_map(|line| decode_event(line).ok()).map(Event::Relay).collect()
     }
 
     fn list_told(&mut self, since: u64) -> Event {
         let told = self.around.catalog.since(since);
-        self.around.tracker.sent(self.governor, Traffic::List, told.line.len());
+        self.around.tracker.sent(self.controller, Traffic::List, told.line.len());
         self.told = told.version;
         Event::Registry(told.list.clone())
     }
@@ -408,20 +408,20 @@
         let covers_ms = plan.hollow_report_period.as_secs_f64() * 1e3;
         let zones: Vec<_> = (0..plan.zones).map(|zone| plan.zone(zone)).collect();
         let hosts: Vec<_> = (0..plan.replicas).map(|replica| plan.replica(replica)).collect();
-        let met = hosts.iter().enumerate().map(|(replica, server)| ReportLine::Met {
-            place: &zones[plan.zone_of(replica)],
-            server,
-            tries: 26.0,
-            aborted: 0.0,
+        let met = hosts.iter().enumerate().map(|(index, replica)| ReportLine::EndpointReport {
+            zone: &zones[plan.zone_of(index)],
+            replica,
+            attempts: 26.0,
+            failed: 0.0,
             mean_latency_ms: 41.7,
             covers_ms,
             missing: 0,
         });
-        let asked = self.store.slices().map(|slice| ReportLine::Asked {
+        let asked = self.store.slices().map(|slice| ReportLine::DemandReport {
             slice,
-            op_type: REQUEST_CLASS,
+            request_class: REQUEST_CLASS,
             came: 4.0,
-            aborted: 0.0,
+            failed: 0.0,
             covers_ms,
             missing: 0,
         });
--- a/crates/scale-tests/src/many/mod.rs
+++ b/crates/scale-tests/src/many/mod.rs
@@ -40,8 +40,8 @@
     #[arg(long, default_value_t = 60)]
     real: usize,
     /// Governors in all; the others run inside this process
-    #[arg(long, default_value_t = 650)]
-    governors: usize,
+    #[arg(long = "governors", value_name = "GOVERNORS", default_value_t = 650)]
+    controllers: usize,
     /// Replicas in the list
     #[arg(long, default_value_t = 2200)]
     replicas: usize,
@@ -100,16 +100,16 @@
         why: std::io::Error,
     },
     /// It ended, or closed its log, before it had named its address.
-    #[error("governor n{governor} does not serve")]
+    #[error("governor n{controller} does not serve")]
     NotServing {
         /// Its number.
-        governor: usize,
+        controller: usize,
     },
     /// A process ended that nobody had ended.
-    #[error("governor n{governor} has ended by itself")]
+    #[error("governor n{controller} has ended by itself")]
     Ended {
         /// Its number.
-        governor: usize,
+        controller: usize,
     },
     /// A thread can't be started.
     #[error("a thread: {0}")]
@@ -161,7 +161,7 @@
         if args.real == 0 || args.real > MOST_REAL {
             return wrong("--real: from 1 to 290");
         }
-        if args.governors < args.real {
+        if args.controllers < args.real {
             return wrong("--governors: no fewer than --real");
         }
         if args.replicas < 4 || args.slices < 2 || args.zones == 0 || args.proxies == 0 || args.workers == 0 {
@@ -174,7 +174,7 @@
         let program = args.program.clone().map_or_else(find_program, Ok)?;
         Ok(Plan {
             real: args.real,
-            hollow: args.governors - args.real,
+            hollow: args.controllers - args.real,
             replicas: args.replicas,
             zones: args.zones,
             regions: args.regions,
--- a/crates/scale-tests/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -5,76 +5,76 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Position of a governor in the fleet: the real processes come first, the in-process ones after them.
-pub type GovernorId = usize;
+/// Position of a controller in the fleet: the real processes come first, the in-process ones after them.
+pub type ControllerId = usize;
 
-/// The replica that is drained in the event of that name; every governor has a slice on it.
+/// The replica that is drained in the event of that name; every controller has a slice on it.
 pub const DRAINED_AT_REST: usize = 0;
-/// The replica that is drained while a region is cut off; every governor has a slice on it.
+/// The replica that is drained while a region is cut off; every controller has a slice on it.
 pub const DRAINED_DURING_CUT: usize = 1;
 /// The region that is cut off.
 pub const CUT_REGION: usize = 0;
 /// The request class that all load is reported for.
 pub const REQUEST_CLASS: &str = "lookup";
-/// One governor in so many keeps running when the others are restarted.
+/// One controller in so many keeps running when the others are restarted.
 const RESTART_EXCEPT: usize = 10;
 
 /// What is run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Governors that run as processes.
+    /// Controllers that run as processes.
     pub real: usize,
-    /// Governors that run inside this process, without sockets.
+    /// Controllers that run inside this process, without sockets.
     pub hollow: usize,
     /// Replicas in the list.
     pub replicas: usize,
     /// Zones, each with a collector.
     pub zones: usize,
-    /// Regions that the governors are spread over.
+    /// Regions that the controllers are spread over.
     pub regions: usize,
-    /// Slices in the charge of each governor.
+    /// Slices in the charge of each controller.
     pub slices: usize,
-    /// Proxies that keep their streams to each governor.
+    /// Proxies that keep their streams to each controller.
     pub proxies: usize,
-    /// Threads that the in-process governors share.
+    /// Threads that the in-process controllers share.
     pub workers: usize,
     /// Time between the reports about one replica to a process.
     pub report_period: Duration,
-    /// Time between the reports about one replica to an in-process governor.
+    /// Time between the reports about one replica to an in-process controller.
     pub hollow_report_period: Duration,
     /// How long resting costs are measured.
     pub rest: Duration,
     /// How long the region is cut off, at least, for the real processes.
     pub cut: Duration,
-    /// How long the region is cut off for the in-process governors, in their own time.
+    /// How long the region is cut off for the in-process controllers, in their own time.
     pub virtual_cut: Duration,
     /// An event that takes longer than this has failed.
     pub patience: Duration,
-    /// Memory that governors and harness may take together.
+    /// Memory that controllers and harness may take together.
     pub memory_limit_kb: u64,
-    /// The governor program.
+    /// The controller program.
     pub program: PathBuf,
 }
 
 impl Plan {
-    /// All governors.
-    pub fn governors(&self) -> usize {
+    /// All controllers.
+    pub fn controllers(&self) -> usize {
         self.real + self.hollow
     }
 
-    /// Whether this governor runs as a process.
-    pub fn is_real(&self, governor: GovernorId) -> bool {
-        governor < self.real
+    /// Whether this controller runs as a process.
+    pub fn is_real(&self, controller: ControllerId) -> bool {
+        controller < self.real
     }
 
-    /// The region of a governor.
-    pub fn region(&self, governor: GovernorId) -> usize {
-        governor % self.regions.max(1)
+    /// The region of a controller.
+    pub fn region(&self, controller: ControllerId) -> usize {
+        controller % self.regions.max(1)
     }
 
-    /// Whether this governor is restarted in a release that takes nine in ten at once.
-    pub fn is_restarted(&self, governor: GovernorId) -> bool {
-        !governor.is_multiple_of(RESTART_EXCEPT)
+    /// Whether this controller is restarted in a release that takes nine in ten at once.
+    pub fn is_restarted(&self, controller: ControllerId) -> bool {
+        !controller.is_multiple_of(RESTART_EXCEPT)
     }
 
     /// The name of a zone.
@@ -92,29 +92,29 @@
         format!("s-{replica:08x}")
     }
 
-    /// The tables that the store holds for this governor at the start: its first two slices sit on the replicas that
+    /// The tables that the store holds for this controller at the start: its first two slices sit on the replicas that
     /// the events drain, the others are spread over the rest.
-    pub fn tables(&self, governor: GovernorId) -> BTreeMap<u32, BTreeMap<String, f64>> {
-        let first = governor * self.slices;
+    pub fn tables(&self, controller: ControllerId) -> BTreeMap<u32, BTreeMap<String, f64>> {
+        let first = controller * self.slices;
         let spread = self.replicas.saturating_sub(2).max(1);
-        let place = |at: usize| match at {
+        let zone = |at: usize| match at {
             DRAINED_AT_REST | DRAINED_DURING_CUT => at,
             _ => 2 + (first + at) % spread,
         };
-        let row = |at: usize| BTreeMap::from([(self.replica(place(at)), 1.0)]);
+        let row = |at: usize| BTreeMap::from([(self.replica(zone(at)), 1.0)]);
         (0..self.slices).map(|at| ((first + at) as u32, row(at))).collect()
     }
 
-    /// The configuration file of a governor, but for its addresses.
-    pub fn configuration(&self, governor: GovernorId) -> Value {
+    /// The configuration file of a controller, but for its addresses.
+    pub fn configuration(&self, controller: ControllerId) -> Value {
         let mut file: Value =
             serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap_or_default();
-        file["name"] = json!(format!("n{governor}"));
+        file["name"] = json!(format!("n{controller}"));
         file["listen"] = json!("127.0.0.1:0");
         file["settings"]["zones"] = (0..self.zones).map(|zone| self.zone(zone)).collect();
-        file["settings"]["peersTotal"] = json!(self.governors());
-        file["settings"]["me"] = json!(governor);
-        file["settings"]["familyInfo"]["partitionsN"] = json!(self.governors() * self.slices);
+        file["settings"]["peersTotal"] = json!(self.controllers());
+        file["settings"]["me"] = json!(controller);
+        file["settings"]["familyInfo"]["partitionsN"] = json!(self.controllers() * self.slices);
         file["settings"]["obligations"]["drainGraceNs"] = json!(2_500_000_000u64);
         file
     }
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -1,7 +1,7 @@
-//! Governors as processes: each is started with a configuration file of its own, and ended by its process id.
+//! Controllers as processes: each is started with a configuration file of its own, and ended by its process id.
 
 use super::cost::{self, Cost};
-use super::plan::{GovernorId, Plan};
+use super::plan::{ControllerId, Plan};
 use super::stand_ins::Addresses;
 use super::tracker::{Condition, Tracker};
 use super::ManyError;
@@ -18,29 +18,29 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// The name of the governor program.
+/// The name of the controller program.
 const PROGRAM: &str = "whinwall-controller";
-/// A governor that has not ended so long after SIGTERM gets SIGKILL.
+/// A controller that has not ended so long after SIGTERM gets SIGKILL.
 const GRACE: Duration = Duration::from_secs(5);
-/// Before a governor that does not answer yet is asked again.
+/// Before a controller that does not answer yet is asked again.
 const PING_AGAIN: Duration = Duration::from_millis(2);
 
-/// One governor's process, or its place while none runs.
+/// One controller's process, or its place while none runs.
 pub struct Process {
-    governor: GovernorId,
+    controller: ControllerId,
     file: PathBuf,
     child: Option<Child>,
     /// Where collectors find it.
     address: watch::Sender<Option<SocketAddr>>,
-    /// What earlier processes of this governor have cost.
+    /// What earlier processes of this controller have cost.
     former: Cost,
 }
 
 impl Process {
-    /// A governor whose configuration file is in this folder; it is not started yet.
-    pub fn new(governor: GovernorId, folder: &Path) -> Self {
-        let (file, address) = (folder.join(format!("n{governor}.json")), watch::Sender::new(None));
-        Process { governor, file, child: None, address, former: Cost::default() }
+    /// A controller whose configuration file is in this folder; it is not started yet.
+    pub fn new(controller: ControllerId, folder: &Path) -> Self {
+        let (file, address) = (folder.join(format!("n{controller}.json")), watch::Sender::new(None));
+        Process { controller, file, child: None, address, former: Cost::default() }
     }
 
     /// Where collectors find it, and when that changes.
@@ -50,7 +50,7 @@
 
     /// Writes its configuration.
     pub fn configure(&self, plan: &Plan, at: Addresses) -> std::io::Result<()> {
-        let mut file = plan.configuration(self.governor);
+        let mut file = plan.configuration(self.controller);
         file["distributor"]["address"] = json!(at.relay.to_string());
         file["discovery"] = json!(at.discovery.to_string());
         std::fs::write(&self.file, file.to_string())
@@ -68,7 +68,7 @@
 
     /// Waits until it has answered a ping, and gives its address to the collectors.
     pub async fn serves(&mut self, tracker: &Arc<Tracker>) -> Result<(), ManyError> {
-        let silent = ManyError::NotServing { governor: self.governor };
+        let silent = ManyError::NotServing { controller: self.controller };
         let stderr = self.child.as_mut().and_then(|child| child.stderr.take());
         let Some(stderr) = stderr else { return Err(silent) };
         let mut lines = BufReader::new(stderr).lines();
@@ -85,7 +85,7 @@
         while ping(address).await.is_err() {
             sleep(PING_AGAIN).await;
         }
-        _ = tracker.reached(self.governor, Condition::Ponged);
+        _ = tracker.reached(self.controller, Condition::Ponged);
         self.address.send_replace(Some(address));
         Ok(())
     }
@@ -114,7 +114,7 @@
         process.and_then(cost::of_process).unwrap_or_default()
     }
 
-    /// What this governor has cost since its first start.
+    /// What this controller has cost since its first start.
     pub fn cost(&self) -> Cost {
         let running = self.running();
         Cost { processor: self.former.processor + running.processor, ..running }
@@ -126,7 +126,7 @@
     }
 }
 
-/// Reads the rest of the log, so that the governor never waits for its reader.
+/// Reads the rest of the log, so that the controller never waits for its reader.
 async fn drain(mut lines: Lines<BufReader<ChildStderr>>) {
     while let Ok(Some(_)) = lines.next_line().await {}
 }
@@ -142,13 +142,13 @@
     }
 }
 
-/// The governor program beside this one, or in the other profile's folder: the one that was built last.
+/// The controller program beside this one, or in the other profile's folder: the one that was built last.
 pub fn find_program() -> Result<PathBuf, ManyError> {
     let this = std::env::current_exe().map_err(|_| ManyError::NoProgram)?;
     let folders = this.ancestors().skip(1).take(3);
-    let places =
+    let zones =
         folders.flat_map(|folder| ["", "debug", "release"].map(|profile| folder.join(profile).join(PROGRAM)));
-    let built = places.filter_map(|path| {
+    let built = zones.filter_map(|path| {
         let time = std::fs::metadata(&path).ok().filter(|file| file.is_file())?.modified().ok()?;
         Some((time, path))
     });
--- a/crates/scale-tests/src/many/report.rs
+++ b/crates/scale-tests/src/many/report.rs
@@ -1,7 +1,7 @@
 //! The results as tables in Markdown.
 
 use super::events::{Costs, Outcome, Results};
-use super::plan::{GovernorId, Plan};
+use super::plan::{ControllerId, Plan};
 use super::tracker::{Demand, Traffic};
 use hdrhistogram::Histogram;
 use std::fmt::Write;
@@ -25,7 +25,7 @@
          (processes) and {:.1} s (in-process); the whole list has {} bytes. Region cut off for {:.0} s \
          (processes) and {:.0} s of their own clocks (in-process). {} of {} processes had a slice on the replica that is \
          drained at rest. The machine's load over a minute, of all that ran on it: {:.1} before, {:.1} after.\n",
-        plan.governors(),
+        plan.controllers(),
         plan.real,
         plan.hollow,
         plan.replicas,
@@ -57,10 +57,11 @@
     writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")?;
     for outcome in outcomes {
         let reached = &outcome.reached;
-        let is_real = |governor: &GovernorId| plan.is_real(*governor);
+        let is_real = |controller: &ControllerId| plan.is_real(*controller);
         let of_kind = |real: bool| {
-            let times = reached.times.iter().filter(move |(governor, _)| is_real(governor) == real);
-            let missing = reached.missing.keys().filter(move |governor| is_real(governor) == real).count();
+            let times = reached.times.iter().filter(move |(controller, _)| is_real(controller) == real);
+            let missing =
+                reached.missing.keys().filter(move |controller| is_real(controller) == real).count();
             (times.map(|(_, time)| *time).collect::<Vec<_>>(), missing)
         };
         let (event, caused) = (outcome.event, milliseconds(outcome.caused_in));
@@ -101,7 +102,7 @@
         for (name, demand) in [("processes", &outcome.reached.real), ("in-process", &outcome.reached.hollow)]
         {
             let [lists, list_peak] = kilobytes(demand, Traffic::List);
-            let [news, news_peak] = kilobytes(demand, Traffic::News);
+            let [news, news_peak] = kilobytes(demand, Traffic::RelayEvent);
             let event = outcome.event;
             writeln!(
                 text,
