--- a/crates/scale-tests/src/many/stand_ins.rs
+++ b/crates/scale-tests/src/many/stand_ins.rs
@@ -1,8 +1,8 @@
-//! Relay, discovery and collectors for the real processes, on loopback sockets: for each governor a relay and a
+//! Relay, discovery and collectors for the real processes, on loopback sockets: for each controller a relay and a
 //! discovery at two sites, and one collector for each zone. All of them run as tasks of this process.
 
 use super::catalog::Catalog;
-use super::plan::{GovernorId, Plan, REQUEST_CLASS};
+use super::plan::{ControllerId, Plan, REQUEST_CLASS};
 use super::store::Store;
 use super::tracker::{Condition, Site, Tracker, Traffic};
 use serde_json::json;
@@ -33,7 +33,7 @@
     Cut,
 }
 
-/// Where one governor finds its relay and its discovery.
+/// Where one controller finds its relay and its discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// The relay.
@@ -42,9 +42,9 @@
     pub discovery: SocketAddr,
 }
 
-/// What the stand-ins of one governor share.
+/// What the stand-ins of one controller share.
 pub struct Seat {
-    governor: GovernorId,
+    controller: ControllerId,
     store: Mutex<Store>,
     acks: broadcast::Sender<String>,
     link: watch::Receiver<Link>,
@@ -53,16 +53,16 @@
 }
 
 impl Seat {
-    /// The stand-ins of a governor before anybody has come to them.
+    /// The stand-ins of a controller before anybody has come to them.
     pub fn new(
         plan: &Plan,
-        governor: GovernorId,
+        controller: ControllerId,
         link: watch::Receiver<Link>,
         catalog: Arc<Catalog>,
         tracker: Arc<Tracker>,
     ) -> Self {
-        let store = Mutex::new(Store::new(plan, governor));
-        Seat { governor, store, acks: broadcast::Sender::new(ACKS), link, catalog, tracker }
+        let store = Mutex::new(Store::new(plan, controller));
+        Seat { controller, store, acks: broadcast::Sender::new(ACKS), link, catalog, tracker }
     }
 
     /// The store of its relay.
@@ -71,11 +71,11 @@
     }
 
     fn reached(&self, condition: Condition) {
-        _ = self.tracker.reached(self.governor, condition);
+        _ = self.tracker.reached(self.controller, condition);
     }
 
     fn sent(&self, traffic: Traffic, bytes: usize) {
-        self.tracker.sent(self.governor, traffic, bytes);
+        self.tracker.sent(self.controller, traffic, bytes);
     }
 
     fn is_cut(&self) -> bool {
@@ -167,7 +167,7 @@
     let mut acks = seat.acks.subscribe();
     let snapshot = format!("{}\r\n", seat.store().snapshot().join("\r\n"));
     write.write_all(snapshot.as_bytes()).await?;
-    seat.sent(Traffic::News, snapshot.len());
+    seat.sent(Traffic::RelayEvent, snapshot.len());
     seat.reached(Condition::NewsFrom(site));
     let mut alive = interval(RELAY_ALIVE);
     loop {
@@ -184,7 +184,7 @@
             _ = alive.tick() => "*\r\n".to_string(),
         };
         write.write_all(text.as_bytes()).await?;
-        seat.sent(Traffic::News, text.len());
+        seat.sent(Traffic::RelayEvent, text.len());
     }
 }
 
@@ -232,7 +232,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What each zone's collector says of its replicas in one period; the same for all governors.
+/// What each zone's collector says of its replicas in one period; the same for all controllers.
 pub fn load_reports(plan: &Plan) -> Vec<Arc<str>> {
     let window = plan.report_period.as_secs_f64() * 1e3;
     let line = |replica: usize| {
@@ -257,8 +257,8 @@
     seat.store().slices().map(line).collect()
 }
 
-/// The collector of one zone: it reports as long as the governor has an address, and connects anew when it must. The
-/// first zone's also reports on the governor's slices.
+/// The collector of one zone: it reports as long as the controller has an address, and connects anew when it must. The
+/// first zone's also reports on the controller's slices.
 pub async fn collect(
     plan: Arc<Plan>,
     seat: Arc<Seat>,
--- a/crates/scale-tests/src/many/store.rs
+++ b/crates/scale-tests/src/many/store.rs
@@ -1,9 +1,9 @@
-//! The store of one governor's relay: its tables, the proxies that are joined, and the replicas that are shut out.
+//! The store of one controller's relay: its tables, the proxies that are joined, and the replicas that are shut out.
 
-use super::plan::{GovernorId, Plan};
+use super::plan::{ControllerId, Plan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the relay holds for one governor.
+/// What the relay holds for one controller.
 pub struct Store {
     tables: BTreeMap<u32, BTreeMap<String, f64>>,
     proxies: usize,
@@ -21,8 +21,8 @@
 
 impl Store {
     /// The store before the run.
-    pub fn new(plan: &Plan, governor: GovernorId) -> Self {
-        Store { tables: plan.tables(governor), proxies: plan.proxies, shut_out: BTreeSet::new() }
+    pub fn new(plan: &Plan, controller: ControllerId) -> Self {
+        Store { tables: plan.tables(controller), proxies: plan.proxies, shut_out: BTreeSet::new() }
     }
 
     /// The news that is told to whoever asks for it: all that stands.
@@ -37,7 +37,7 @@
         lines
     }
 
-    /// Carries out a call; all proxies ack its mark at once. None where the line is no call.
+    /// Carries out a call; all proxies ack its version at once. None where the line is no call.
     pub fn apply(&mut self, line: &str) -> Option<Applied> {
         let orders: Vec<_> = line.strip_prefix("APPLY ")?.split(';').collect();
         let mut acks = Vec::new();
@@ -49,8 +49,8 @@
                 ["DEL", slice] => _ = self.tables.remove(&slice.parse().ok()?),
                 ["OUT", replica] => _ = self.shut_out.insert(replica.to_string()),
                 ["IN", replica] => _ = self.shut_out.remove(replica),
-                ["SYNC", mark, _] => {
-                    acks.extend((0..self.proxies).map(|proxy| format!("* ACK {proxy} {mark} 1")));
+                ["SYNC", version, _] => {
+                    acks.extend((0..self.proxies).map(|proxy| format!("* ACK {proxy} {version} 1")));
                 }
                 ["LIMIT", ..] => {}
                 _ => return None,
@@ -78,7 +78,7 @@
         self.tables.values().any(|table| table.contains_key(replica))
     }
 
-    /// The slices in the governor's charge.
+    /// The slices in the controller's charge.
     pub fn slices(&self) -> impl Iterator<Item = u32> + '_ {
         self.tables.keys().copied()
     }
--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -1,6 +1,6 @@
-//! What an event waits for at each governor, when it was reached, and what was asked for meanwhile.
+//! What an event waits for at each controller, when it was reached, and what was asked for meanwhile.
 
-use super::plan::GovernorId;
+use super::plan::ControllerId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 /// Demand is summed over periods of this length; the highest sum is the peak.
 const BIN: Duration = Duration::from_millis(100);
 
-/// Something that a governor has come to.
+/// Something that a controller has come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
     /// It has answered a ping since its start.
@@ -26,7 +26,7 @@
     CutNoticed,
 }
 
-/// Where relay and discovery of a governor are: before and after a change of the configuration.
+/// Where relay and discovery of a controller are: before and after a change of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Site {
     /// As the first configuration says.
@@ -35,13 +35,13 @@
     Second,
 }
 
-/// What governors are sent on request.
+/// What controllers are sent on request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Traffic {
     /// Discovery's lists.
     List,
     /// The relay's news.
-    News,
+    RelayEvent,
     /// The collectors' reports.
     Reports,
 }
@@ -71,15 +71,15 @@
 /// What came of an event.
 #[derive(Clone, Debug, Default)]
 pub struct Reached {
-    /// From the event's beginning until a governor had come to all that was waited for.
-    pub times: BTreeMap<GovernorId, Duration>,
-    /// Processor time that it took an in-process governor, from when the event came to it.
-    pub processor: BTreeMap<GovernorId, Duration>,
+    /// From the event's beginning until a controller had come to all that was waited for.
+    pub times: BTreeMap<ControllerId, Duration>,
+    /// Processor time that it took an in-process controller, from when the event came to it.
+    pub processor: BTreeMap<ControllerId, Duration>,
     /// Who had not by the end.
-    pub missing: BTreeMap<GovernorId, BTreeSet<Condition>>,
+    pub missing: BTreeMap<ControllerId, BTreeSet<Condition>>,
     /// What was sent meanwhile, to the real processes and to the others.
     pub real: Demand,
-    /// The same for the in-process governors.
+    /// The same for the in-process controllers.
     pub hollow: Demand,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl Tracker {
-    /// The first `real` governors are processes.
+    /// The first `real` controllers are processes.
     pub fn new(real: usize) -> Self {
         let phase = Phase { began: Instant::now(), drained: None, reached: Reached::default() };
         Tracker { real, made: Instant::now(), phase: Mutex::new(phase), done: Notify::new() }
@@ -113,10 +113,10 @@
         self.phase.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An event begins now; each of these governors is to come to all of these conditions.
-    pub fn begin(&self, governors: impl IntoIterator<Item = GovernorId>, conditions: &[Condition]) {
+    /// An event begins now; each of these controllers is to come to all of these conditions.
+    pub fn begin(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
         let waited: BTreeSet<_> = conditions.iter().copied().collect();
-        let missing = governors.into_iter().map(|governor| (governor, waited.clone())).collect();
+        let missing = controllers.into_iter().map(|controller| (controller, waited.clone())).collect();
         let mut phase = self.phase();
         phase.reached = Reached { missing, ..Reached::default() };
         phase.began = Instant::now();
@@ -132,45 +132,45 @@
         self.phase().drained.clone()
     }
 
-    /// A governor has come to this; true where the event waits for it no longer.
-    pub fn reached(&self, governor: GovernorId, condition: Condition) -> bool {
+    /// A controller has come to this; true where the event waits for it no longer.
+    pub fn reached(&self, controller: ControllerId, condition: Condition) -> bool {
         let mut phase = self.phase();
         let took = phase.began.elapsed();
-        let Some(waited) = phase.reached.missing.get_mut(&governor) else { return false };
+        let Some(waited) = phase.reached.missing.get_mut(&controller) else { return false };
         waited.retain(|waited| match (*waited, condition) {
             (Condition::ListVersion(waited), Condition::ListVersion(told)) => told < waited,
             (waited, condition) => waited != condition,
         });
         if waited.is_empty() {
-            phase.reached.missing.remove(&governor);
-            phase.reached.times.insert(governor, took);
+            phase.reached.missing.remove(&controller);
+            phase.reached.times.insert(controller, took);
             self.done.notify_one();
             return true;
         }
         false
     }
 
-    /// The event has cost an in-process governor so much processor time.
-    pub fn spent(&self, governor: GovernorId, processor: Duration) {
-        self.phase().reached.processor.insert(governor, processor);
+    /// The event has cost an in-process controller so much processor time.
+    pub fn spent(&self, controller: ControllerId, processor: Duration) {
+        self.phase().reached.processor.insert(controller, processor);
     }
 
-    /// Whether the event waits for this governor yet.
-    pub fn waits_for(&self, governor: GovernorId) -> bool {
-        self.phase().reached.missing.contains_key(&governor)
+    /// Whether the event waits for this controller yet.
+    pub fn waits_for(&self, controller: ControllerId) -> bool {
+        self.phase().reached.missing.contains_key(&controller)
     }
 
-    /// Whether an event goes on: some governor has not come to its end.
+    /// Whether an event goes on: some controller has not come to its end.
     pub fn in_event(&self) -> bool {
         !self.phase().reached.missing.is_empty()
     }
 
-    /// A governor was sent so much.
-    pub fn sent(&self, governor: GovernorId, traffic: Traffic, bytes: usize) {
+    /// A controller was sent so much.
+    pub fn sent(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
         let mut phase = self.phase();
         let bin = phase.began.elapsed().as_nanos() / BIN.as_nanos();
         let reached = &mut phase.reached;
-        let demand = if governor < self.real { &mut reached.real } else { &mut reached.hollow };
+        let demand = if controller < self.real { &mut reached.real } else { &mut reached.hollow };
         *demand.bins.entry((traffic, bin)).or_default() += bytes as u64;
     }
 
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -1,7 +1,7 @@
-//! Threads that share the in-process governors between them.
+//! Threads that share the in-process controllers between them.
 
 use super::hollow::{Hollow, Surroundings};
-use super::plan::{GovernorId, CUT_REGION};
+use super::plan::{ControllerId, CUT_REGION};
 use super::tracker::Site;
 use super::ManyError;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,7 +13,7 @@
 /// A change of the list is looked for so often.
 const LOOK: Duration = Duration::from_millis(5);
 
-/// What all in-process governors of a thread are told.
+/// What all in-process controllers of a thread are told.
 #[derive(Clone)]
 enum Command {
     Configure(Site),
@@ -30,7 +30,7 @@
     thread: JoinHandle<()>,
 }
 
-/// All in-process governors.
+/// All in-process controllers.
 #[derive(Default)]
 pub struct Workers {
     workers: Vec<Worker>,
@@ -38,12 +38,12 @@
 }
 
 impl Workers {
-    /// Starts the threads; each starts its governors at once.
+    /// Starts the threads; each starts its controllers at once.
     pub fn start(around: &Arc<Surroundings>) -> Result<Self, ManyError> {
         let (plan, mut workers, processor) = (&around.plan, Vec::new(), Arc::new(AtomicU64::new(0)));
         for worker in 0..plan.workers {
-            let all = plan.real..plan.governors();
-            let own: Vec<GovernorId> = all.skip(worker).step_by(plan.workers).collect();
+            let all = plan.real..plan.controllers();
+            let own: Vec<ControllerId> = all.skip(worker).step_by(plan.workers).collect();
             let (commands, told) = channel();
             let (around, processor) = (around.clone(), processor.clone());
             let thread = std::thread::Builder::new().name(format!("hollow-{worker}"));
@@ -55,7 +55,7 @@
     }
 
     fn tell(&self, command: &Command) {
-        // One that has ended is missed by whoever waits for its governors.
+        // One that has ended is missed by whoever waits for its controllers.
         self.workers.iter().for_each(|worker| _ = worker.commands.send(command.clone()));
     }
 
@@ -88,46 +88,49 @@
     pub fn end(self) {
         for Worker { commands, thread } in self.workers {
             drop(commands);
-            // Where it panicked the event has failed for want of its governors.
+            // Where it panicked the event has failed for want of its controllers.
             _ = thread.join();
         }
     }
 }
 
 fn run(
-    own: &[GovernorId],
+    own: &[ControllerId],
     around: &Arc<Surroundings>,
     processor: &Arc<AtomicU64>,
     commands: &Receiver<Command>,
 ) {
-    let start = |governor: &GovernorId| Hollow::start(*governor, around.clone(), processor.clone());
-    let Ok(mut governors) = own.iter().map(start).collect::<Result<Vec<_>, _>>() else { return };
+    let start = |controller: &ControllerId| Hollow::start(*controller, around.clone(), processor.clone());
+    let Ok(mut controllers) = own.iter().map(start).collect::<Result<Vec<_>, _>>() else { return };
     loop {
-        let busy = governors.iter_mut().fold(false, |busy, governor| governor.step() | busy);
-        let due = governors.iter().map(Hollow::due_in).min().unwrap_or(LOOK);
+        let busy = controllers.iter_mut().fold(false, |busy, controller| controller.step() | busy);
+        let due = controllers.iter().map(Hollow::due_in).min().unwrap_or(LOOK);
         let wait = if busy { Duration::ZERO } else { due.min(LOOK) };
         match commands.recv_timeout(wait) {
-            Ok(command) => carry_out(&mut governors, around, command),
+            Ok(command) => carry_out(&mut controllers, around, command),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
     }
 }
 
-fn carry_out(governors: &mut [Hollow], around: &Surroundings, command: Command) {
+fn carry_out(controllers: &mut [Hollow], around: &Surroundings, command: Command) {
     let plan = &around.plan;
     match command {
-        Command::Configure(site) => governors.iter_mut().for_each(|governor| governor.configure(site)),
+        Command::Configure(site) => controllers.iter_mut().for_each(|controller| controller.configure(site)),
         Command::Restart => {
-            let restarted = governors.iter_mut().filter(|governor| plan.is_restarted(governor.governor()));
+            let restarted =
+                controllers.iter_mut().filter(|controller| plan.is_restarted(controller.controller()));
             restarted.for_each(Hollow::restart);
         }
         Command::Cut => {
-            let cut = governors.iter_mut().filter(|governor| plan.region(governor.governor()) == CUT_REGION);
+            let cut = controllers
+                .iter_mut()
+                .filter(|controller| plan.region(controller.controller()) == CUT_REGION);
             cut.for_each(Hollow::cut);
         }
         Command::Reconnect => {
-            governors.iter_mut().filter(|governor| governor.is_cut()).for_each(Hollow::reconnect);
+            controllers.iter_mut().filter(|controller| controller.is_cut()).for_each(Hollow::reconnect);
         }
     }
 }
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -1,10 +1,10 @@
-//! One real governor told by real aggregators: collectors of all zones tell each aggregator of the whole fleet, the
-//! aggregators tell the governor of its subset, and a tap between them counts what it is told.
+//! One real controller told by real aggregators: collectors of all zones tell each aggregator of the whole fleet, the
+//! aggregators tell the controller of its subset, and a tap between them counts what it is told.
 
 use super::rig::Setup;
 use super::steady::{machine_load, Times};
 use super::MeasureError;
-use crate::process::{Governor, Launch, ProcessError, Running, Usage};
+use crate::process::{Controller, Launch, ProcessError, Running, Usage};
 use crate::stand_ins::collectors::Collectors;
 use crate::stand_ins::discovery::Discovery;
 use crate::stand_ins::relay::Relay;
@@ -27,30 +27,30 @@
 pub struct Subsetting {
     /// Aggregators that run.
     pub aggregators: usize,
-    /// Wished replicas a governor.
+    /// Wished replicas a controller.
     pub subset: usize,
-    /// What a governor may be told, in bytes a second.
+    /// What a controller may be told, in bytes a second.
     pub bytes_per_second: u64,
 }
 
-/// What the governor and the aggregators used meanwhile.
+/// What the controller and the aggregators used meanwhile.
 #[derive(Clone, Debug)]
 pub struct Aggregated {
     /// How it was set up.
     pub subsetting: Subsetting,
-    /// From the governor's start to its first PONG.
+    /// From the controller's start to its first PONG.
     pub time_to_ready: Duration,
-    /// From the aggregators' start until the first report came to the governor, where one came.
+    /// From the aggregators' start until the first report came to the controller, where one came.
     pub first_report: Option<Duration>,
     /// For how long it was measured.
     pub lasted: Duration,
-    /// Bytes of reports that came to the governor.
+    /// Bytes of reports that came to the controller.
     pub reports: u64,
-    /// Lines of reports that came to the governor.
+    /// Lines of reports that came to the controller.
     pub lines: u64,
-    /// Bytes that came to the governor in all.
+    /// Bytes that came to the controller in all.
     pub bytes_in: u64,
-    /// Bytes that the governor sent in all.
+    /// Bytes that the controller sent in all.
     pub bytes_out: u64,
     /// Its processor time.
     pub processor: Duration,
@@ -60,7 +60,7 @@
     pub aggregators: Vec<(Duration, Usage)>,
     /// Bytes that all collectors told all aggregators.
     pub told: u64,
-    /// The last lines of the governor's log.
+    /// The last lines of the controller's log.
     pub log: Vec<String>,
     /// Average number of runnable processes on the machine in the last minute.
     pub machine_load: f64,
@@ -72,7 +72,7 @@
         count as f64 / self.lasted.as_secs_f64()
     }
 
-    /// The part of one core that the governor used.
+    /// The part of one core that the controller used.
     pub fn processor_share(&self) -> f64 {
         self.processor.as_secs_f64() / self.lasted.as_secs_f64()
     }
@@ -89,12 +89,12 @@
     }
 }
 
-/// The operators' file of a fleet in which one governor is served: `n0`, behind the tap. The others are members
+/// The operators' file of a fleet in which one controller is served: `n0`, behind the tap. The others are members
 /// without an address.
 fn operators(setup: &Setup, subsetting: &Subsetting, tap: SocketAddr, aggregators: &[SocketAddr]) -> String {
     let last = setup.size.slices.saturating_sub(1);
     let served = format!("<governor name=\"n0\" address=\"{tap}\" slices=\"0-{last}\"/>");
-    let others: String = (1..setup.size.governors).map(|n| format!("<governor name=\"n{n}\"/>")).collect();
+    let others: String = (1..setup.size.controllers).map(|n| format!("<governor name=\"n{n}\"/>")).collect();
     let aggregators: String = aggregators
         .iter()
         .enumerate()
@@ -147,7 +147,7 @@
     }
 }
 
-/// Waits until more than the first line of a connection has gone to the governor.
+/// Waits until more than the first line of a connection has gone to the controller.
 fn wait_for_reports(tap: &Tap, since: Instant) -> Option<Duration> {
     while since.elapsed() < FIRST_REPORT_TIMEOUT {
         if tap.through.inward.read().lines > 2 {
@@ -158,9 +158,9 @@
     None
 }
 
-/// Measures the governor at rest behind its aggregators.
+/// Measures the controller at rest behind its aggregators.
 pub fn measure(
-    governor: &Path,
+    controller: &Path,
     aggregator: &Path,
     setup: &Setup,
     subsetting: &Subsetting,
@@ -172,15 +172,15 @@
     let tap = Tap::start()?;
     let addresses = free_addresses(subsetting.aggregators)?;
     let operators = operators(setup, subsetting, tap.address(), &addresses);
-    let governor = Governor::start(&Launch {
-        program: governor.into(),
+    let controller = Controller::start(&Launch {
+        program: controller.into(),
         configuration: setup.size.configuration(relay.address()),
         discovery: discovery.address(),
         operators: Some(operators.clone()),
     })?;
-    governor.ping()?;
-    let time_to_ready = governor.started().elapsed();
-    tap.lead_to(governor.address());
+    controller.ping()?;
+    let time_to_ready = controller.started().elapsed();
+    tap.lead_to(controller.address());
     let asked = Instant::now();
     let aggregators = Aggregators::start(aggregator, addresses, &operators, aggregators_discovery.address())?;
     let collectors: Vec<Collectors> = aggregators
@@ -191,12 +191,12 @@
     let first_report = wait_for_reports(&tap, asked);
     thread::sleep(times.warm_up);
 
-    let (usage, others, began) = (governor.usage()?, aggregators.usages()?, Instant::now());
+    let (usage, others, began) = (controller.usage()?, aggregators.usages()?, Instant::now());
     let (seen, inward, all_told) = (traffic.read(), tap.through.inward.read(), told.read());
     let outward = tap.through.outward.read();
     thread::sleep(times.measured);
     let lasted = began.elapsed();
-    let (usage_after, others_after) = (governor.usage()?, aggregators.usages()?);
+    let (usage_after, others_after) = (controller.usage()?, aggregators.usages()?);
     let (seen, inward) = (traffic.read().since(seen), tap.through.inward.read().since(inward));
     let outward = tap.through.outward.read().since(outward);
     drop(collectors);
@@ -214,7 +214,7 @@
         usage: usage_after,
         aggregators: others_after.into_iter().zip(others).map(used).collect(),
         told: told.read().since(all_told).reports.bytes,
-        log: governor.logged(),
+        log: controller.logged(),
         machine_load: machine_load(),
     })
 }
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -1,4 +1,4 @@
-//! One governor in events: what it uses, how much is told, and how soon it acts, when some entries of the list change
+//! One controller in events: what it uses, how much is told, and how soon it acts, when some entries of the list change
 //! at once, when the whole list is told again, and when it starts.
 
 use super::rig::{Rig, Setup};
@@ -12,10 +12,10 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A governor that has not acted by then is not going to.
+/// A controller that has not acted by then is not going to.
 const LONGEST: Duration = Duration::from_secs(20);
 
-/// What the governor logs when it has read its files anew.
+/// What the controller logs when it has read its files anew.
 const RELOADED: &str = "SIGHUP: relay at";
 
 /// What happens.
@@ -73,21 +73,21 @@
 pub fn start(program: &Path, setup: &Setup) -> Result<Outcome, MeasureError> {
     let rig = Rig::start(program, setup)?;
     let (first_order, orders) = rig.wait_for_first_order(LONGEST);
-    let usage = rig.governor.usage()?;
+    let usage = rig.controller.usage()?;
     Ok(Outcome {
         name: format!("a start, ready after {:.1} ms", rig.time_to_ready.as_secs_f64() * 1e3),
         first_order,
         last_order: None,
         traffic: rig.traffic.read(),
         processor: usage.processor,
-        lasted: rig.governor.started().elapsed(),
+        lasted: rig.controller.started().elapsed(),
         resident_peak: usage.resident_peak,
         orders,
         machine_load: machine_load(),
     })
 }
 
-/// Plays the events in turn at one governor that is told reports all along.
+/// Plays the events in turn at one controller that is told reports all along.
 pub fn play(
     program: &Path,
     setup: &Setup,
@@ -102,15 +102,15 @@
 
 fn play_one(rig: &Rig, setup: &Setup, event: Event, settling: Duration) -> Result<Outcome, MeasureError> {
     rig.relay.calls();
-    rig.governor.logged();
+    rig.controller.logged();
     let change = concerned(rig, setup, event);
-    let (usage, traffic, began) = (rig.governor.usage()?, rig.traffic.read(), Instant::now());
+    let (usage, traffic, began) = (rig.controller.usage()?, rig.traffic.read(), Instant::now());
     let mut first_order = None;
     match event {
         Event::Nothing => {}
         Event::Configured => {
-            rig.governor.process.reload()?;
-            first_order = rig.governor.process.logs(RELOADED, LONGEST).then(|| began.elapsed());
+            rig.controller.process.reload()?;
+            first_order = rig.controller.process.logs(RELOADED, LONGEST).then(|| began.elapsed());
         }
         Event::WholeList => rig.discovery.change_and_tell_all(change.entries()),
         Event::Drain(_) | Event::Back(_) => rig.discovery.change(change.entries()),
@@ -126,7 +126,7 @@
     if drains {
         first_order = first_withdrawal(&calls, &names).map(|call| call.at - began);
     }
-    let after = rig.governor.usage()?;
+    let after = rig.controller.usage()?;
     Ok(Outcome {
         name: event.name(),
         first_order,
@@ -181,18 +181,18 @@
     calls.iter().find(|call| call.orders.iter().any(withdraws))
 }
 
-/// Floods the governor with lines and returns lines a second and processor time a line in seconds.
+/// Floods the controller with lines and returns lines a second and processor time a line in seconds.
 pub fn flood(program: &Path, setup: &Setup, times: usize) -> Result<(f64, f64, Usage), MeasureError> {
     let rig = Rig::start(program, setup)?;
     // Reports on what is not listed yet would be passed over.
     rig.wait_for_first_order(LONGEST);
     let schedules = setup.schedules();
     // Once without being measured: names, windows and buffers are there then.
-    crate::stand_ins::collectors::flood(rig.governor.address(), &schedules, 1, &rig.traffic)?;
-    let before = rig.governor.usage()?;
+    crate::stand_ins::collectors::flood(rig.controller.address(), &schedules, 1, &rig.traffic)?;
+    let before = rig.controller.usage()?;
     let (lines, took) =
-        crate::stand_ins::collectors::flood(rig.governor.address(), &schedules, times, &rig.traffic)?;
-    let after = rig.governor.usage()?;
+        crate::stand_ins::collectors::flood(rig.controller.address(), &schedules, times, &rig.traffic)?;
+    let after = rig.controller.usage()?;
     let processor = (after.processor - before.processor).as_secs_f64();
     Ok((lines as f64 / took.as_secs_f64(), processor / lines as f64, after))
 }
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -8,7 +8,7 @@
 pub mod steady;
 pub mod sweep;
 
-use crate::process::{governor_program, ProcessError};
+use crate::process::{controller_program, ProcessError};
 use crate::results::{Folder, ResultsError};
 use crate::stand_ins::fleet::FleetSize;
 use aggregated::Subsetting;
@@ -68,7 +68,7 @@
 
 /// Plays all sweeps and writes what came of them.
 pub fn run(args: Args) -> Result<(), MeasureError> {
-    let program = args.program.clone().map_or_else(governor_program, Ok)?;
+    let program = args.program.clone().map_or_else(controller_program, Ok)?;
     let folder = Folder::create(&args.out)?;
     let times = Times {
         warm_up: Duration::from_secs_f64(args.warm_up),
@@ -99,7 +99,7 @@
 
 fn measure_aggregated(
     args: &Args,
-    governor: &Path,
+    controller: &Path,
     aggregator: &Path,
     folder: &Folder,
     times: Times,
@@ -109,7 +109,7 @@
     for subset in (0..args.plays).flat_map(|_| &args.subset) {
         let Args { aggregators, bytes_per_second, .. } = *args;
         let subsetting = Subsetting { aggregators, subset: *subset, bytes_per_second };
-        measured.push(aggregated::measure(governor, aggregator, &setup, &subsetting, times)?);
+        measured.push(aggregated::measure(controller, aggregator, &setup, &subsetting, times)?);
         report::write_aggregated(folder, &measured)?;
     }
     Ok(())
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -11,7 +11,7 @@
 
 const KILOBYTE: f64 = 1000.0;
 const MEGABYTE: f64 = 1e6;
-/// What the target allows a governor for control.
+/// What the target allows a controller for control.
 const PROCESSOR_BUDGET: f64 = 0.029;
 const BYTES_BUDGET: f64 = 27.0 * KILOBYTE;
 
@@ -272,7 +272,7 @@
     folder.text("floods.md", &format!("# Floods\n\n{}", markdown(&columns)))
 }
 
-/// Writes rows, table and fits of a governor behind aggregators, and the last log of the governor.
+/// Writes rows, table and fits of a controller behind aggregators, and the last log of the controller.
 pub fn write_aggregated(folder: &Folder, measured: &[Aggregated]) -> Result<(), ResultsError> {
     let whole = |name, of: fn(&Aggregated) -> u64| Column::whole(name, measured.iter().map(|m| of(m) as i64));
     let real = |name, of: fn(&Aggregated) -> f64| Column::real(name, measured.iter().map(of));
--- a/crates/scale-tests/src/one/rig.rs
+++ b/crates/scale-tests/src/one/rig.rs
@@ -1,7 +1,7 @@
-//! A governor with all its stand-ins, set up for one case.
+//! A controller with all its stand-ins, set up for one case.
 
 use super::MeasureError;
-use crate::process::{Governor, Launch};
+use crate::process::{Controller, Launch};
 use crate::stand_ins::collectors::{Collectors, Schedule};
 use crate::stand_ins::discovery::Discovery;
 use crate::stand_ins::fleet::{FleetSize, ReportShape};
@@ -14,7 +14,7 @@
 /// How soon the end of a wait is noticed.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// How a governor is set up and what it is told.
+/// How a controller is set up and what it is told.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The fleet.
@@ -44,12 +44,12 @@
     }
 }
 
-/// A running governor with its stand-ins; all end when it is dropped.
+/// A running controller with its stand-ins; all end when it is dropped.
 pub struct Rig {
-    /// What the collectors say; declared first, so that they end before the governor does.
+    /// What the collectors say; declared first, so that they end before the controller does.
     pub collectors: Option<Collectors>,
-    /// The governor.
-    pub governor: Governor,
+    /// The controller.
+    pub controller: Controller,
     /// Its relay.
     pub relay: Relay,
     /// Its discovery agent.
@@ -61,26 +61,26 @@
 }
 
 impl Rig {
-    /// Starts the stand-ins, then the governor, and pings it; collectors are not there yet.
+    /// Starts the stand-ins, then the controller, and pings it; collectors are not there yet.
     pub fn start(program: &Path, setup: &Setup) -> Result<Rig, MeasureError> {
         let traffic = Arc::new(Traffic::default());
         let relay = Relay::start(&setup.size, &traffic)?;
         let discovery = Discovery::start(&setup.size, &traffic)?;
-        let governor = Governor::start(&Launch {
+        let controller = Controller::start(&Launch {
             program: program.into(),
             configuration: setup.size.configuration(relay.address()),
             discovery: discovery.address(),
             operators: setup.operators.clone(),
         })?;
-        governor.ping()?;
-        let time_to_ready = governor.started().elapsed();
-        Ok(Rig { collectors: None, governor, relay, discovery, traffic, time_to_ready })
+        controller.ping()?;
+        let time_to_ready = controller.started().elapsed();
+        Ok(Rig { collectors: None, controller, relay, discovery, traffic, time_to_ready })
     }
 
-    /// Waits for the first order that sets a line of a table, which a governor makes once it knows the list and what
+    /// Waits for the first order that sets a line of a table, which a controller makes once it knows the list and what
     /// stands in the store. Returns the time since its start and the orders made so far; no time where none came.
     pub fn wait_for_first_order(&self, longest: Duration) -> (Option<Duration>, usize) {
-        let started = self.governor.started();
+        let started = self.controller.started();
         let mut orders = 0;
         while started.elapsed() < longest {
             let Some(call) = self.relay.next_call(LOOK) else { continue };
@@ -95,7 +95,7 @@
     /// Has the collectors of the setup begin.
     pub fn report(&mut self, setup: &Setup) -> Result<(), MeasureError> {
         let schedules = setup.schedules();
-        self.collectors = Some(Collectors::start(self.governor.address(), schedules, &self.traffic)?);
+        self.collectors = Some(Collectors::start(self.controller.address(), schedules, &self.traffic)?);
         Ok(())
     }
 }
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -1,4 +1,4 @@
-//! One governor at rest: what it uses while the stand-ins go on at their pace.
+//! One controller at rest: what it uses while the stand-ins go on at their pace.
 
 use super::rig::{Rig, Setup};
 use super::MeasureError;
@@ -36,7 +36,7 @@
 pub struct Steady {
     /// The case.
     pub case: Case,
-    /// From the governor's start to its first PONG.
+    /// From the controller's start to its first PONG.
     pub time_to_ready: Duration,
     /// For how long it was measured.
     pub lasted: Duration,
@@ -48,7 +48,7 @@
     pub usage: Usage,
     /// Processor time of the harness meanwhile.
     pub harness: Duration,
-    /// Orders that the governor made meanwhile.
+    /// Orders that the controller made meanwhile.
     pub orders: usize,
     /// Average number of runnable processes on the machine in the last minute.
     pub machine_load: f64,
@@ -57,7 +57,7 @@
 }
 
 impl Steady {
-    /// The part of one core that the governor used.
+    /// The part of one core that the controller used.
     pub fn processor_share(&self) -> f64 {
         self.processor.as_secs_f64() / self.lasted.as_secs_f64()
     }
@@ -79,11 +79,11 @@
     rig.report(&case.setup)?;
     thread::sleep(times.warm_up);
     rig.relay.calls();
-    let (usage, harness) = (rig.governor.usage()?, Usage::of_self()?);
+    let (usage, harness) = (rig.controller.usage()?, Usage::of_self()?);
     let (traffic, began) = (rig.traffic.read(), Instant::now());
     churn(&rig, case, began + times.measured);
     let lasted = began.elapsed();
-    let (usage_after, harness_after) = (rig.governor.usage()?, Usage::of_self()?);
+    let (usage_after, harness_after) = (rig.controller.usage()?, Usage::of_self()?);
     Ok(Steady {
         case: case.clone(),
         time_to_ready: rig.time_to_ready,
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -108,7 +108,7 @@
     pub resident_peak: u64,
 }
 
-/// Four collectors flood one governor, on one core and with readers beside it.
+/// Four collectors flood one controller, on one core and with readers beside it.
 pub fn play_floods(program: &Path) -> Result<Vec<Flood>, MeasureError> {
     let mut floods = Vec::new();
     for cores in [1, 2, 4] {
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -1,4 +1,4 @@
-//! Real governor processes: building, starting, observing through `/proc`, and ending them by their id.
+//! Real controller processes: building, starting, observing through `/proc`, and ending them by their id.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -14,7 +14,7 @@
 /// Far longer than a start takes, also on a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const PING_TIMEOUT: Duration = Duration::from_secs(30);
-const GOVERNOR: &str = "whinwall-controller";
+const CONTROLLER: &str = "whinwall-controller";
 /// What a program of whinwall's logs once it listens; its address follows.
 const SERVES: &str = "serves at ";
 
@@ -48,9 +48,9 @@
     |source| ProcessError::Io { what, source }
 }
 
-/// The governor's program beside the running executable; under cargo it is built first.
-pub fn governor_program() -> Result<PathBuf, ProcessError> {
-    program(GOVERNOR, GOVERNOR)
+/// The controller's program beside the running executable; under cargo it is built first.
+pub fn controller_program() -> Result<PathBuf, ProcessError> {
+    program(CONTROLLER, CONTROLLER)
 }
 
 /// A program of the workspace beside the running executable. Under cargo it is built first, so that it is never stale.
@@ -151,7 +151,7 @@
     Ok(Duration::from_secs_f64(count as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
-/// What a governor is started with.
+/// What a controller is started with.
 #[derive(Clone, Debug)]
 pub struct Launch {
     /// The program.
@@ -239,17 +239,17 @@
     }
 }
 
-/// A running governor; it is killed when dropped.
-pub struct Governor {
+/// A running controller; it is killed when dropped.
+pub struct Controller {
     /// Its process.
     pub process: Running,
     address: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
-impl Governor {
+impl Controller {
     /// Starts it, and waits until it listens.
-    pub fn start(launch: &Launch) -> Result<Governor, ProcessError> {
+    pub fn start(launch: &Launch) -> Result<Controller, ProcessError> {
         let folder = tempfile::tempdir().map_err(io("temporary folder"))?;
         let mut configuration = launch.configuration.clone();
         configuration["listen"] = "127.0.0.1:0".into();
@@ -264,7 +264,7 @@
         }
         let process = Running::start(command)?;
         let address = process.address()?;
-        Ok(Governor { process, address, _folder: folder })
+        Ok(Controller { process, address, _folder: folder })
     }
 
     /// Where it listens.
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -1,4 +1,4 @@
-//! Collectors: connections to the governor's address that say SOURCE and then lines at a pace, or as fast as they are
+//! Collectors: connections to the controller's address that say SOURCE and then lines at a pace, or as fast as they are
 //! taken.
 
 use super::fleet::{Draw, FleetSize, ReportShape};
@@ -76,7 +76,7 @@
 impl Collectors {
     /// Connects each, and has them begin together.
     pub fn start(
-        governor: SocketAddr,
+        controller: SocketAddr,
         schedules: Vec<Schedule>,
         traffic: &Arc<Traffic>,
     ) -> std::io::Result<Collectors> {
@@ -84,7 +84,7 @@
         let begin = Instant::now();
         let mut threads = Vec::new();
         for schedule in schedules {
-            let stream = join(governor, &schedule.zone, traffic)?;
+            let stream = join(controller, &schedule.zone, traffic)?;
             let (ends, traffic) = (ends.clone(), traffic.clone());
             threads.push(thread::spawn(move || tell(&stream, &schedule, begin, &ends, &traffic)));
         }
@@ -102,8 +102,8 @@
 }
 
 /// A connection that has named its zone.
-pub fn join(governor: SocketAddr, zone: &str, traffic: &Traffic) -> std::io::Result<TcpStream> {
-    let mut stream = TcpStream::connect(governor)?;
+pub fn join(controller: SocketAddr, zone: &str, traffic: &Traffic) -> std::io::Result<TcpStream> {
+    let mut stream = TcpStream::connect(controller)?;
     stream.set_nodelay(true)?;
     let line = format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}\n");
     stream.write_all(line.as_bytes())?;
@@ -147,10 +147,10 @@
     }
 }
 
-/// Writes a collector's periods as fast as the governor takes them, so many times on each of several connections, and
+/// Writes a collector's periods as fast as the controller takes them, so many times on each of several connections, and
 /// waits until all lines have been read. Returns the lines written and the time that it took.
 pub fn flood(
-    governor: SocketAddr,
+    controller: SocketAddr,
     schedules: &[Schedule],
     times: usize,
     traffic: &Arc<Traffic>,
@@ -158,7 +158,7 @@
     let failed = |source| ProcessError::Io { what: "flood".into(), source };
     let streams: Vec<_> = schedules
         .iter()
-        .map(|schedule| join(governor, &schedule.zone, traffic))
+        .map(|schedule| join(controller, &schedule.zone, traffic))
         .collect::<Result<_, _>>()
         .map_err(failed)?;
     let (before, begin) = (traffic.reports.read(), Instant::now());
--- a/crates/scale-tests/src/stand_ins/discovery.rs
+++ b/crates/scale-tests/src/stand_ins/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's agent: the registry's list over HTTP, whole or as a watch with chunks.
 
 use super::fleet::FleetSize;
-use super::{Server, Traffic};
+use super::{Replica, Traffic};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -41,8 +41,9 @@
         let entry = |(at, (listed, _)): (&usize, &(Listed, u64))| {
             self.size.entry(*at, listed.state, listed.started_ms)
         };
-        let servers: Vec<Value> = self.entries.iter().filter(|(_, entry)| wanted(entry)).map(entry).collect();
-        json!({"version": self.version, "full": since.is_none(), "servers": servers})
+        let replicas: Vec<Value> =
+            self.entries.iter().filter(|(_, entry)| wanted(entry)).map(entry).collect();
+        json!({"version": self.version, "full": since.is_none(), "servers": replicas})
     }
 }
 
@@ -57,7 +58,7 @@
 
 /// The agent; its watches end when it is dropped.
 pub struct Discovery {
-    server: Server,
+    replica: Replica,
     shared: Shared,
 }
 
@@ -69,15 +70,15 @@
         let registry = Registry { size: size.clone(), version: 1, entries, whole_from: 1, ended: false };
         let shared = Shared(Arc::new((Mutex::new(registry), Condvar::new())));
         let (serving, traffic) = (shared.clone(), traffic.clone());
-        let server = Server::start(move |stream| {
+        let replica = Replica::start(move |stream| {
             _ = serve(stream, &serving, &traffic);
         })?;
-        Ok(Discovery { server, shared })
+        Ok(Discovery { replica, shared })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.server.address
+        self.replica.address
     }
 
     /// Changes the entries of some replicas in one version; watches are told the change at once.
--- a/crates/scale-tests/src/stand_ins/fleet.rs
+++ b/crates/scale-tests/src/stand_ins/fleet.rs
@@ -8,27 +8,27 @@
 /// Mean latency of an answer in milliseconds: the least, and by how much it varies.
 const LATENCY_MS: (f64, f64) = (20.0, 40.0);
 
-/// How large the fleet is that one governor is told of.
+/// How large the fleet is that one controller is told of.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSize {
     /// Replicas in the list.
     pub replicas: usize,
     /// Zones, each with a collector.
     pub zones: usize,
-    /// Slices in the governor's charge.
+    /// Slices in the controller's charge.
     pub slices: usize,
     /// Proxies that are joined.
     pub proxies: usize,
     /// Request classes, 1 to 4.
     pub classes: usize,
-    /// Governors of the tier, as the settings name them.
-    pub governors: usize,
+    /// Controllers of the tier, as the settings name them.
+    pub controllers: usize,
     /// Requests a second to all replicas.
     pub requests: f64,
 }
 
 impl FleetSize {
-    /// The target's size at one governor: 2,200 replicas, 9 zones, 20 slices, 650 governors, 58,000 requests a second.
+    /// The target's size at one controller: 2,200 replicas, 9 zones, 20 slices, 650 controllers, 58,000 requests a second.
     pub fn target() -> Self {
         FleetSize {
             replicas: 2200,
@@ -36,7 +36,7 @@
             slices: 20,
             proxies: 100,
             classes: 2,
-            governors: 650,
+            controllers: 650,
             requests: 58_000.0,
         }
     }
@@ -53,7 +53,7 @@
 
     /// The replica that owns a slice at the start.
     pub fn owner(&self, slice: usize) -> usize {
-        // Spread over the fleet, so that a governor's slices sit on many replicas.
+        // Spread over the fleet, so that a controller's slices sit on many replicas.
         (slice * self.replicas / self.slices.max(1)) % self.replicas.max(1)
     }
 
@@ -64,14 +64,14 @@
             "started_ms": started_ms})
     }
 
-    /// The settings of one governor of the tier.
+    /// The settings of one controller of the tier.
     pub fn settings(&self) -> Value {
         let class = |name: &&str| json!({"name": name, "value": 2.0, "targetNs": 1_200_000_000u64});
         json!({
             "classes": CLASSES[..self.classes].iter().map(class).collect::<Vec<_>>(),
             "familyInfo": {
                 "periodNs": 1_000_000_000u64, "levelKind": "fraction", "singleWriter": false,
-                "partitionsN": self.slices * self.governors, "tenureNs": 4_000_000_000u64,
+                "partitionsN": self.slices * self.controllers, "tenureNs": 4_000_000_000u64,
                 "writeLifeNs": 20_000_000u64, "fixedCost": 8.0, "pushRate": 40_000.0, "queueCap": 60_000.0,
                 "updateCap": 0, "reloadSpanNs": 10_000_000_000u64
             },
@@ -80,14 +80,14 @@
                 "drainGraceNs": 2_500_000_000u64
             },
             "me": 0,
-            "peersTotal": self.governors,
+            "peersTotal": self.controllers,
             "membershipMode": "push",
             "weights": "rough",
             "zones": (0..self.zones).map(|at| self.zone(at)).collect::<Vec<_>>()
         })
     }
 
-    /// The whole configuration file of a governor in front of this relay.
+    /// The whole configuration file of a controller in front of this relay.
     pub fn configuration(&self, relay: std::net::SocketAddr) -> Value {
         json!({
             "name": "n0", "seed": "8c1f30d27a5be964",
@@ -132,7 +132,7 @@
     pub window_ms: f64,
     /// Of how many zones a line is the sum.
     pub zones_summed: usize,
-    /// Whether it reports on each slice of the governor too.
+    /// Whether it reports on each slice of the controller too.
     pub slices: bool,
 }
 
@@ -160,11 +160,11 @@
     }
 
     fn load_line(&self, size: &FleetSize, zone: usize, at: usize, draw: &mut Draw) -> String {
-        let tries = draw.near(self.part(size) / size.replicas as f64);
+        let attempts = draw.near(self.part(size) / size.replicas as f64);
         let latency = LATENCY_MS.0 + LATENCY_MS.1 * draw.uniform();
         let (in_flight, utilisation) = (draw.near(4.0), draw.uniform());
         format!(
-            "{{\"@type\":\"LOAD\",\"az\":\"{}\",\"host\":\"{}\",\"n\":{tries},\"bad\":0,\"avg\":{latency:.1},\
+            "{{\"@type\":\"LOAD\",\"az\":\"{}\",\"host\":\"{}\",\"n\":{attempts},\"bad\":0,\"avg\":{latency:.1},\
              \"window\":{:.1},\"report\":{{\"inflight\":{in_flight},\"util\":{utilisation:.2}}}}}",
             size.zone(zone),
             size.replica(at),
@@ -173,7 +173,7 @@
     }
 
     fn shard_line(&self, size: &FleetSize, slice: usize, class: usize, draw: &mut Draw) -> String {
-        let all = (size.slices * size.governors * size.classes) as f64;
+        let all = (size.slices * size.controllers * size.classes) as f64;
         let came = draw.near(self.part(size) / all);
         format!(
             "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"{}\",\"n\":{came},\"bad\":0,\"window\":{:.1}}}",
--- a/crates/scale-tests/src/stand_ins/mod.rs
+++ b/crates/scale-tests/src/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback for what a governor connects to or is connected by. Each paces what it says and counts the
+//! Stand-ins on loopback for what a controller connects to or is connected by. Each paces what it says and counts the
 //! bytes and lines in each direction; each ends when it is dropped.
 
 pub mod collectors;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Counters of all channels of one governor.
+/// Counters of all channels of one controller.
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// From collectors: reports on replicas and slices.
@@ -113,28 +113,28 @@
         }
     }
 
-    /// All that came to the governor.
+    /// All that came to the controller.
     pub fn bytes_in(&self) -> u64 {
         self.reports.bytes + self.news.bytes + self.answers.bytes + self.list.bytes
     }
 
-    /// All that the governor sent.
+    /// All that the controller sent.
     pub fn bytes_out(&self) -> u64 {
         self.calls.bytes + self.requests.bytes
     }
 }
 
 /// A listener on a free port of loopback with a thread for each connection; it ends when dropped.
-struct Server {
+struct Replica {
     address: SocketAddr,
     ends: Arc<AtomicBool>,
 }
 
-impl Server {
-    fn start(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> std::io::Result<Server> {
+impl Replica {
+    fn start(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> std::io::Result<Replica> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let server = Server { address: listener.local_addr()?, ends: Arc::default() };
-        let ends = server.ends.clone();
+        let replica = Replica { address: listener.local_addr()?, ends: Arc::default() };
+        let ends = replica.ends.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 if ends.load(Ordering::Relaxed) {
@@ -146,11 +146,11 @@
                 thread::spawn(move || serve(stream));
             }
         });
-        Ok(server)
+        Ok(replica)
     }
 }
 
-impl Drop for Server {
+impl Drop for Replica {
     fn drop(&mut self) {
         self.ends.store(true, Ordering::Relaxed);
         // The listener's thread looks once somebody comes.
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -1,8 +1,8 @@
 //! The relay: the store of tables and the way to the proxies. It tells what stands and signs of life to whoever
-//! watches, carries out calls, and has all proxies ack marks at once.
+//! watches, carries out calls, and has all proxies ack versions at once.
 
 use super::fleet::FleetSize;
-use super::{Server, Traffic};
+use super::{Replica, Traffic};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -58,7 +58,7 @@
                 let (Ok(slice), Ok(weight)) = (slice.parse::<usize>(), weight.parse::<f64>()) else {
                     return false;
                 };
-                // Orders for a slice that the governor does not hold change nothing.
+                // Orders for a slice that the controller does not hold change nothing.
                 if let Some(table) = self.tables.get_mut(&slice) {
                     table.insert(replica.into(), weight);
                     table.retain(|_, weight| *weight > 0.0);
@@ -81,8 +81,8 @@
         traffic.news.add(text.len() * told, lines * told);
     }
 
-    fn acks(&self, mark: &str) -> String {
-        (0..self.size.proxies).map(|proxy| format!("* ACK {proxy} {mark} {ACK_LAG_MS}\r\n")).collect()
+    fn acks(&self, version: &str) -> String {
+        (0..self.size.proxies).map(|proxy| format!("* ACK {proxy} {version} {ACK_LAG_MS}\r\n")).collect()
     }
 }
 
@@ -95,9 +95,9 @@
     }
 }
 
-/// The relay of one governor; it ends when dropped.
+/// The relay of one controller; it ends when dropped.
 pub struct Relay {
-    server: Server,
+    replica: Replica,
     shared: Shared,
     calls: Receiver<Call>,
     ends: Arc<AtomicBool>,
@@ -112,7 +112,7 @@
         let shared = Shared(Arc::new(Mutex::new(store)));
         let (say, calls) = channel();
         let (serving, counting) = (shared.clone(), traffic.clone());
-        let server = Server::start(move |stream| {
+        let replica = Replica::start(move |stream| {
             _ = serve(stream, &serving, &counting, &say);
         })?;
         let ends = Arc::new(AtomicBool::new(false));
@@ -123,12 +123,12 @@
                 alive.lock().tell("*\r\n", 1, &counting);
             }
         });
-        Ok(Relay { server, shared, calls, ends })
+        Ok(Relay { replica, shared, calls, ends })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.server.address
+        self.replica.address
     }
 
     /// The next call, if one comes in this time.
@@ -191,9 +191,9 @@
     let orders: Vec<String> = orders.split(';').map(String::from).collect();
     let mut store = shared.lock();
     let taken = orders.iter().take_while(|order| store.carry_out(order)).count();
-    let marks = orders[..taken].iter().filter_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
-    for mark in marks {
-        let acks = store.acks(mark);
+    let versions = orders[..taken].iter().filter_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
+    for version in versions {
+        let acks = store.acks(version);
         let lines = store.size.proxies;
         store.tell(&acks, lines, traffic);
     }
--- a/crates/scale-tests/src/stand_ins/tap.rs
+++ b/crates/scale-tests/src/stand_ins/tap.rs
@@ -1,6 +1,6 @@
-//! A forwarder between whoever connects to a governor and the governor, which counts the bytes and lines each way.
+//! A forwarder between whoever connects to a controller and the controller, which counts the bytes and lines each way.
 
-use super::{Counter, Server};
+use super::{Counter, Replica};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,15 +11,15 @@
 /// What went through a tap.
 #[derive(Debug, Default)]
 pub struct Through {
-    /// To the governor.
+    /// To the controller.
     pub inward: Counter,
-    /// From the governor.
+    /// From the controller.
     pub outward: Counter,
 }
 
 /// The forwarder. Connections are refused until its target is known; it takes none any more once it is dropped.
 pub struct Tap {
-    server: Server,
+    replica: Replica,
     target: Arc<Mutex<Option<SocketAddr>>>,
     /// What went through it.
     pub through: Arc<Through>,
@@ -31,17 +31,17 @@
         let target: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         let through: Arc<Through> = Arc::default();
         let (at, counts) = (target.clone(), through.clone());
-        let server = Server::start(move |stream| {
+        let replica = Replica::start(move |stream| {
             let target = *at.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(Ok(onward)) = target.map(TcpStream::connect) else { return };
             forward_both(&stream, &onward, &counts);
         })?;
-        Ok(Tap { server, target, through })
+        Ok(Tap { replica, target, through })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.server.address
+        self.replica.address
     }
 
     /// Where connections lead from now on.
--- a/crates/scale-tests/tests/aggregated.rs
+++ b/crates/scale-tests/tests/aggregated.rs
@@ -1,24 +1,24 @@
-//! One real governor behind two real aggregators at small size: it is told of its subset only, each replica and slice
+//! One real controller behind two real aggregators at small size: it is told of its subset only, each replica and slice
 //! in lines that it reads, and by both programs as their file says. Nothing here depends on how fast the machine is.
 
 use std::time::Duration;
 use whinwall_scale_tests::one::aggregated::{measure, Subsetting};
 use whinwall_scale_tests::one::rig::Setup;
 use whinwall_scale_tests::one::steady::Times;
-use whinwall_scale_tests::process::{governor_program, program};
+use whinwall_scale_tests::process::{controller_program, program};
 use whinwall_scale_tests::stand_ins::fleet::FleetSize;
 
 const MEMORY_BOUND: u64 = 64 << 20;
 const TIMES: Times = Times { warm_up: Duration::from_secs(2), measured: Duration::from_secs(4) };
 
 #[test]
-fn a_governor_behind_aggregators_is_told_less_than_collectors_tell() {
+fn a_controller_behind_aggregators_is_told_less_than_collectors_tell() {
     let size =
-        FleetSize { replicas: 60, zones: 3, slices: 6, proxies: 5, governors: 20, ..FleetSize::target() };
+        FleetSize { replicas: 60, zones: 3, slices: 6, proxies: 5, controllers: 20, ..FleetSize::target() };
     let setup = Setup::reported(size);
     let subsetting = Subsetting { aggregators: 2, subset: 8, bytes_per_second: 27_000 };
     let aggregator = program("whinwall-aggregation", "whinwall-aggregator").unwrap();
-    let measured = measure(&governor_program().unwrap(), &aggregator, &setup, &subsetting, TIMES).unwrap();
+    let measured = measure(&controller_program().unwrap(), &aggregator, &setup, &subsetting, TIMES).unwrap();
     assert!(measured.first_report.is_some(), "{measured:?}");
     // 3 zones and 60 replicas become one line each for about 8 replicas: a small part, whatever came late.
     assert!(measured.reports * 2 * 2 < measured.told, "{measured:?}");
--- a/crates/scale-tests/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The sweep of the number of governors, at small size.
+//! The sweep of the number of controllers, at small size.
 
 use whinwall_emulator::sizes::Sizes;
 use whinwall_policy::time::Span;
@@ -6,8 +6,8 @@
 
 fn plan(kinds: Vec<DayKind>) -> Plan {
     let sizes =
-        Sizes { servers: 12, slices: 60, proxies: 20, load: 0.4, lasts: Span::ms(16_000), ..Sizes::small() };
-    Plan { sizes, governors: vec![2, 12], subsets: vec![0, 6], kinds, begins_ms: 8000, seeds: vec![1, 2] }
+        Sizes { replicas: 12, slices: 60, proxies: 20, load: 0.4, lasts: Span::ms(16_000), ..Sizes::small() };
+    Plan { sizes, controllers: vec![2, 12], subsets: vec![0, 6], kinds, begins_ms: 8000, seeds: vec![1, 2] }
 }
 
 #[test]
@@ -30,7 +30,7 @@
     assert!(outcomes(&first) == outcomes(&again), "two plays of one plan differ");
     for one in &first {
         assert!(one.outcome.broken.is_empty(), "{:?}: {:?}", one.day, one.outcome.violations.first());
-        assert!(one.outcome.ops > 0 && one.outcome.moves > 0);
+        assert!(one.outcome.requests > 0 && one.outcome.moves > 0);
     }
     let text = table(&first);
     assert_eq!(text.lines().count(), 2 + 2 * 2 * 2, "{text}");
--- a/crates/scale-tests/tests/many.rs
+++ b/crates/scale-tests/tests/many.rs
@@ -1,4 +1,4 @@
-//! A few governor processes beside some tens of in-process ones: every event comes to its end at all of them. Times
+//! A few controller processes beside some tens of in-process ones: every event comes to its end at all of them. Times
 //! are measured and printed, and not judged.
 
 use std::time::Duration;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn every_event_comes_to_its_end_at_all_governors() {
+fn every_event_comes_to_its_end_at_all_controllers() {
     let plan = plan();
     let results = play(&plan).unwrap();
     println!("{}", table(&plan, &results));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_governor_that_does_not_serve_ends_the_run() {
+fn a_controller_that_does_not_serve_ends_the_run() {
     // It ends at once, without a word.
     let plan = Plan { program: "/bin/true".into(), ..plan() };
     let failure = play(&plan).unwrap_err().to_string();
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -1,4 +1,4 @@
-//! One real governor at small size: lines arrive and are counted as computed, figures fit, memory is bounded, a drain
+//! One real controller at small size: lines arrive and are counted as computed, figures fit, memory is bounded, a drain
 //! is acted on. Nothing here depends on how fast the machine is.
 
 use std::io::Write;
@@ -10,22 +10,22 @@
 use whinwall_scale_tests::one::report;
 use whinwall_scale_tests::one::rig::{Rig, Setup};
 use whinwall_scale_tests::one::steady::{self, Case, Times};
-use whinwall_scale_tests::process::{governor_program, Usage};
+use whinwall_scale_tests::process::{controller_program, Usage};
 use whinwall_scale_tests::results::Folder;
 use whinwall_scale_tests::stand_ins::collectors::{flood, join};
 use whinwall_scale_tests::stand_ins::fleet::{Draw, FleetSize, ReportShape};
 
-/// What a small governor never needs, in a debug build with much room.
+/// What a small controller never needs, in a debug build with much room.
 const MEMORY_BOUND: u64 = 64 << 20;
 /// Far longer than anything takes: a test that waits so long has failed.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// What the governor logs of a report that can't be used.
+/// What the controller logs of a report that can't be used.
 const PASSED_OVER: &str = "a report is passed over";
 const SHORT: Times = Times { warm_up: Duration::from_millis(100), measured: Duration::from_millis(500) };
 
 fn program() -> &'static PathBuf {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
-    PROGRAM.get_or_init(|| governor_program().unwrap())
+    PROGRAM.get_or_init(|| controller_program().unwrap())
 }
 
 fn setup(replicas: usize, zones: usize) -> Setup {
@@ -43,7 +43,7 @@
         assert!(rig.wait_for_first_order(PATIENCE).0.is_some());
         let schedules = setup.schedules();
         let before = rig.traffic.read().reports;
-        let (lines, _) = flood(rig.governor.address(), &schedules, PERIODS, &rig.traffic).unwrap();
+        let (lines, _) = flood(rig.controller.address(), &schedules, PERIODS, &rig.traffic).unwrap();
         let told = rig.traffic.read().reports.since(before);
         let written =
             schedules.iter().flat_map(|schedule| schedule.periods.iter().cycle().take(PERIODS).flatten());
@@ -58,13 +58,13 @@
         assert_eq!(many, PERIODS * zones * (replicas + 6 * 2));
         // A line that could not be read would be logged, or have cost the connection before its PONG.
         let complaints: Vec<String> = rig
-            .governor
+            .controller
             .logged()
             .into_iter()
             .filter(|line| [PASSED_OVER, " warn ", " error "].iter().any(|sign| line.contains(sign)))
             .collect();
         assert!(complaints.is_empty(), "{complaints:?}");
-        let usage = rig.governor.usage().unwrap();
+        let usage = rig.controller.usage().unwrap();
         assert!(usage.resident_peak < MEMORY_BOUND && usage.resident <= usage.resident_peak, "{usage:?}");
         assert!(!usage.processor.is_zero() && usage.threads >= 1, "{usage:?}");
         points.push(Point { regressors: vec![many as f64], measured: told.bytes as f64 });
@@ -78,10 +78,10 @@
 fn a_spoilt_line_is_logged() {
     let setup = setup(20, 1);
     let rig = Rig::start(program(), &setup).unwrap();
-    let mut collector = join(rig.governor.address(), "z0", &rig.traffic).unwrap();
+    let mut collector = join(rig.controller.address(), "z0", &rig.traffic).unwrap();
     let spoilt = setup.reports.unwrap().lines(&setup.size, 0, &mut Draw::new(1)).remove(0);
     writeln!(collector, "{}", spoilt.replace("\"bad\":0", "\"bad\":-1")).unwrap();
-    assert!(rig.governor.process.logs(PASSED_OVER, PATIENCE));
+    assert!(rig.controller.process.logs(PASSED_OVER, PATIENCE));
 }
 
 #[test]
@@ -89,9 +89,9 @@
     let mut setup = setup(60, 3);
     setup.operators = Some("<operators version=\"1\"><cores most=\"2\"/></operators>".into());
     let rig = Rig::start(program(), &setup).unwrap();
-    let (lines, _) = flood(rig.governor.address(), &setup.schedules(), 5, &rig.traffic).unwrap();
+    let (lines, _) = flood(rig.controller.address(), &setup.schedules(), 5, &rig.traffic).unwrap();
     assert_eq!(lines, 5 * 3 * (60 + 12));
-    assert!(rig.governor.usage().unwrap().threads >= 3);
+    assert!(rig.controller.usage().unwrap().threads >= 3);
 }
 
 #[test]
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_report_line_is_one_that_the_governor_reads() {
+fn each_report_line_is_one_that_the_controller_reads() {
     let size = small();
     let lines = ReportShape::whole(&size).lines(&size, 1, &mut Draw::new(7));
     assert_eq!(lines.len(), size.replicas + size.slices * size.classes);
@@ -50,7 +50,7 @@
     let told: f64 = (0..size.zones)
         .flat_map(|zone| ReportShape::whole(&size).lines(&size, zone, &mut Draw::new(zone as u64)))
         .filter_map(|line| match collector::decode(&line) {
-            Ok(collector::Message::Met(met)) => Some(met.tries),
+            Ok(collector::Message::EndpointReport(met)) => Some(met.attempts),
             _ => None,
         })
         .sum();
@@ -77,7 +77,7 @@
     let relay = Relay::start(&size, &traffic).unwrap();
     let mut watcher = Peer::asks(relay.address(), "WATCH\r\n");
     let stands: Vec<String> = (0..1 + size.proxies + 2 * size.slices + 1).map(|_| watcher.line()).collect();
-    assert!(stands.iter().all(|line| news::decode_news(line).is_ok()), "{stands:?}");
+    assert!(stands.iter().all(|line| news::decode_event(line).is_ok()), "{stands:?}");
     assert_eq!(stands.iter().filter(|line| line.starts_with("* ROW")).count(), size.slices);
 
     let mut caller = Peer::asks(relay.address(), "APPLY SET,1,s-new,2;SYNC,9,1;NONSENSE;SET,2,s-new,2\r\n");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! Parses and validates the deployment settings that a governor receives at startup: JSON with the names and units
-//! of the protocol's first message. The simulator adapter and the governor share this package, so that the decision
+//! Parses and validates the deployment settings that a controller receives at startup: JSON with the names and units
+//! of the protocol's first message. The simulator adapter and the controller share this package, so that the decision
 //! module needs no JSON.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
-use whinwall_policy::deployment::{Deployment, OpType};
+use whinwall_policy::deployment::{Deployment, RequestClass};
 use whinwall_policy::time::Span;
 
 /// The most request classes of one deployment: the decisions address them by the bits of one `u64`.
@@ -17,7 +17,7 @@
 pub struct Settings {
     /// The typed facts that the decision module works with.
     pub deployment: Deployment,
-    /// Names of the request classes, by their position in `deployment.op_types`.
+    /// Names of the request classes, by their position in `deployment.request_classes`.
     pub request_classes: Vec<String>,
     /// Names of the zones, by the position under which the decision module knows them.
     pub zones: Vec<String>,
@@ -44,7 +44,7 @@
 #[derive(Deserialize)]
 struct Document {
     #[serde(rename = "classes")]
-    request_classes: Vec<RequestClass>,
+    request_classes: Vec<RequestClassSection>,
     #[serde(rename = "familyInfo")]
     fleet: FleetSection,
     #[serde(rename = "obligations")]
@@ -55,18 +55,18 @@
     replica_weights: String,
     #[serde(rename = "zones", default)]
     zones: Vec<String>,
-    #[serde(rename = "peersTotal", default = "single_governor", deserialize_with = "count")]
-    governors: u32,
+    #[serde(rename = "peersTotal", default = "single_controller", deserialize_with = "count")]
+    controllers: u32,
     #[serde(rename = "me", default, deserialize_with = "optional_count")]
     number: Option<u32>,
 }
 
-fn single_governor() -> u32 {
+fn single_controller() -> u32 {
     1
 }
 
 #[derive(Deserialize)]
-struct RequestClass {
+struct RequestClassSection {
     name: String,
     #[serde(rename = "value", deserialize_with = "non_negative")]
     value: f64,
@@ -94,7 +94,7 @@
     #[serde(rename = "tenureNs", default, deserialize_with = "duration")]
     tenure: Span,
     #[serde(rename = "writeLifeNs", default, deserialize_with = "duration")]
-    write_life: Span,
+    write_lifetime: Span,
     #[serde(rename = "fixedCost", deserialize_with = "non_negative")]
     message_head: f64,
     #[serde(rename = "pushRate", deserialize_with = "non_negative")]
@@ -147,22 +147,24 @@
 impl Document {
     fn into_settings(self) -> Settings {
         let Document { fleet, rules, .. } = self;
-        let op_type =
-            |class: &RequestClass| OpType { payoff: class.value, target_latency: class.target_latency };
+        let request_class = |class: &RequestClassSection| RequestClass {
+            priority_weight: class.value,
+            target_latency: class.target_latency,
+        };
         let deployment = Deployment {
-            op_types: self.request_classes.iter().map(op_type).collect(),
+            request_classes: self.request_classes.iter().map(request_class).collect(),
             report_period: fleet.report_period,
             gone_is_advice: rules.gone_is_advice,
             list_pushed: self.registry_mode == RegistryMode::Push,
             sizes_known: matches!(self.replica_weights.as_str(), "nominal" | "rough"),
             levels_followed: fleet.level_kind == "fraction",
-            governors: self.governors,
-            // Without a number of its own, one of several governors takes no part in draws among them.
-            number: self.number.unwrap_or(if self.governors > 1 { u32::MAX } else { 0 }),
+            controllers: self.controllers,
+            // Without a number of its own, one of several controllers takes no part in draws among them.
+            number: self.number.unwrap_or(if self.controllers > 1 { u32::MAX } else { 0 }),
             slices: fleet.slices,
             single_writer: fleet.single_writer,
             tenure: fleet.tenure,
-            write_life: fleet.write_life,
+            write_lifetime: fleet.write_lifetime,
             cold_share: rules.cold_share,
             warm_after: rules.warm_after,
             fall_multiple: rules.fall_multiple,
--- a/crates/settings/tests/every_key.rs
+++ b/crates/settings/tests/every_key.rs
@@ -33,7 +33,7 @@
     let Settings { deployment, request_classes, zones } = parsed(&every_key());
     assert_eq!(request_classes, ["lookup", "write"]);
     assert_eq!(zones, ["a", "b", "c"]);
-    assert_eq!(deployment.governors, 5);
+    assert_eq!(deployment.controllers, 5);
     assert_eq!(deployment.number, 3);
     assert!(deployment.list_pushed);
     assert!(deployment.sizes_known);
@@ -42,8 +42,11 @@
 #[test]
 fn keys_of_request_classes_are_read() {
     let deployment = parsed(&every_key()).deployment;
-    let classes: Vec<_> =
-        deployment.op_types.iter().map(|class| (class.payoff, class.target_latency)).collect();
+    let classes: Vec<_> = deployment
+        .request_classes
+        .iter()
+        .map(|class| (class.priority_weight, class.target_latency))
+        .collect();
     assert_eq!(classes, [(1.5, Span::ms(20)), (4.0, Span::ms(45))]);
 }
 
@@ -55,7 +58,7 @@
     assert_eq!(deployment.slices, 96);
     assert!(deployment.single_writer);
     assert_eq!(deployment.tenure, Span::ms(3000));
-    assert_eq!(deployment.write_life, Span::ms(1100));
+    assert_eq!(deployment.write_lifetime, Span::ms(1100));
     assert_eq!(deployment.message_head, 12.5);
     assert_eq!(deployment.pace, 800.0);
     assert_eq!(deployment.queue_cap, 640.0);
@@ -76,7 +79,7 @@
 #[test]
 fn optional_keys_have_defaults() {
     let deployment_without = |pointer, key| parsed(&without(pointer, key)).deployment;
-    assert_eq!(deployment_without("", "peersTotal").governors, 1);
+    assert_eq!(deployment_without("", "peersTotal").controllers, 1);
     assert_eq!(deployment_without("", "me").number, u32::MAX);
     assert!(!deployment_without("", "weights").sizes_known);
     assert!(parsed(&without("", "zones")).zones.is_empty());
@@ -85,7 +88,7 @@
     assert_eq!(deployment_without("/familyInfo", "partitionsN").slices, 0);
     assert!(!deployment_without("/familyInfo", "singleWriter").single_writer);
     assert_eq!(deployment_without("/familyInfo", "tenureNs").tenure, Span::default());
-    assert_eq!(deployment_without("/familyInfo", "writeLifeNs").write_life, Span::default());
+    assert_eq!(deployment_without("/familyInfo", "writeLifeNs").write_lifetime, Span::default());
     assert_eq!(deployment_without("/familyInfo", "updateCap").message_cap, 0);
     assert_eq!(deployment_without("/familyInfo", "reloadSpanNs").message_window, Span::default());
     assert!(!deployment_without("/obligations", "goneIsAdvice").gone_is_advice);
@@ -109,9 +112,9 @@
         ("/obligations", "warmAfterNs", "obligations: "),
         ("/obligations", "fallMultiple", "obligations: "),
     ];
-    for (pointer, key, place) in required {
+    for (pointer, key, zone) in required {
         let error = read(&without(pointer, key)).unwrap_err();
-        assert_eq!(error, format!("{place}missing field `{key}`"));
+        assert_eq!(error, format!("{zone}missing field `{key}`"));
     }
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,19 +2,19 @@
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use whinwall_policy::interface::*;
-use whinwall_policy::logic::Governor;
+use whinwall_policy::api::*;
 use whinwall_policy::time::{Moment, Span};
+use whinwall_policy::Policy;
 
 /// The wire's table number that stands for all tables.
 const EVERY_TABLE: u64 = 65535;
 
 #[derive(Default)]
 pub struct Host {
-    governors: BTreeMap<u64, Governor>,
-    /// The names of each instance's op types and places, in order: the decisions know their positions only.
-    op_types: BTreeMap<u64, Vec<String>>,
-    places: BTreeMap<u64, Vec<String>>,
+    controllers: BTreeMap<u64, Policy>,
+    /// The names of each instance's request classes and places, in order: the decisions know their positions only.
+    request_classes: BTreeMap<u64, Vec<String>>,
+    zones: BTreeMap<u64, Vec<String>>,
     /// The numbered lists as they stand at this point of the stream: each instance reads them with its own
     /// names of places.
     sheets: BTreeMap<u64, Value>,
@@ -78,9 +78,9 @@
         let mut replies = Vec::new();
         for (id, input) in inputs {
             let mut output = self.instance(now, id, input);
-            if let Some(governor) = self.governors.get_mut(&id) {
-                let steps = governor.collect(now);
-                // A mark by itself reaches nobody, unless all are asked.
+            if let Some(policy) = self.controllers.get_mut(&id) {
+                let steps = policy.collect(now);
+                // A version by itself reaches nobody, unless all are asked.
                 let all = !steps.iter().any(Step::reaches_proxies);
                 output.extend(steps.into_iter().map(|step| encode(step, all)));
             }
@@ -96,7 +96,7 @@
         let mut at = 0;
         while at < input.len() {
             let event = Event::read(&input[at]);
-            // The lines of a table handed over belong to the hand-over: the governor gets both as one call.
+            // The lines of a table handed over belong to the hand-over: the controller gets both as one call.
             let lines = input[at + 1..].iter().take_while(|raw| raw.get(0).is_some_and(|n| n == "recorded"));
             let follows = match &event {
                 Ok(event) if event.name == "charge" => lines.count(),
@@ -125,9 +125,9 @@
                 let seed = event.whole(0, "rngSeed")?;
                 match whinwall_settings::read(event.value(1)) {
                     Ok(settings) => {
-                        self.op_types.insert(id, settings.request_classes);
-                        self.places.insert(id, settings.zones);
-                        self.governors.insert(id, Governor::start(settings.deployment, seed, now));
+                        self.request_classes.insert(id, settings.request_classes);
+                        self.zones.insert(id, settings.zones);
+                        self.controllers.insert(id, Policy::start(settings.deployment, seed, now));
                     }
                     Err(wrong) => output.push(json!(["fault", format!("config: {wrong}")])),
                 }
@@ -138,16 +138,16 @@
                 return Ok(());
             }
             "killed" => {
-                self.governors.remove(&id);
+                self.controllers.remove(&id);
                 return Ok(());
             }
             _ => {}
         }
-        let Some(governor) = self.governors.get_mut(&id) else {
+        let Some(policy) = self.controllers.get_mut(&id) else {
             return Err(format!("event {}: this instance has not been started", event.name));
         };
-        let places = &self.places[&id];
-        let place = |name: &str| places.iter().position(|known| known == name).unwrap_or(PlaceId::MAX);
+        let zones = &self.zones[&id];
+        let zone = |name: &str| zones.iter().position(|known| known == name).unwrap_or(ZoneId::MAX);
         match event.name {
             "members" => {
                 let scope = match event.text(0, "mode")? {
@@ -155,41 +155,41 @@
                     "whole" => ListScope::Whole,
                     "stale_copy" => ListScope::Remembered,
                     "broken" => {
-                        governor.list_failed(now);
+                        policy.list_failed(now);
                         return Ok(());
                     }
                     other => return Err(format!("event members: field mode is unknown: {other}")),
                 };
                 let sheet = self.sheets.get(&event.whole(2, "sheet")?).and_then(Value::as_array);
                 let entries = event.wrong("sheet", sheet)?.iter();
-                let list: Option<Vec<Listing>> = entries.map(|entry| listing(entry, place)).collect();
-                governor.listed(now, scope, &event.wrong("sheet", list)?);
+                let list: Option<Vec<ReplicaListing>> = entries.map(|entry| listing(entry, zone)).collect();
+                policy.listed(now, scope, &event.wrong("sheet", list)?);
             }
-            "bell" => governor.woken(now, event.whole(0, "name")?),
+            "bell" => policy.woken(now, event.whole(0, "name")?),
             "connected" => {
-                governor.proxy_joined(now, event.id(0, "clientLb")?, event.flag(3, "set")?);
+                policy.proxy_joined(now, event.id(0, "clientLb")?, event.flag(3, "set")?);
             }
-            "parted" => governor.proxy_left(now, event.id(0, "clientLb")?),
+            "parted" => policy.proxy_left(now, event.id(0, "clientLb")?),
             "trafficReport" => {
-                let met = Met {
-                    place: place(event.text(2, "hall")?),
+                let met = EndpointReport {
+                    zone: zone(event.text(2, "hall")?),
                     covers: Span::ns(event.whole(0, "periodLenNs")?),
-                    aborted: event.number(1, "bad")?,
-                    tries: event.number(3, "many")?,
+                    failed: event.number(1, "bad")?,
+                    attempts: event.number(3, "many")?,
                     mean_latency: Span::ns(event.whole(4, "latencyNs")?),
                 };
-                governor.met(now, event.id(5, "replica")?, met);
+                policy.met(now, event.id(5, "replica")?, met);
             }
             "sliceLoad" => {
-                let op_type = event.text(1, "category")?;
-                let op_type = self.op_types[&id].iter().position(|name| name == op_type);
-                let asked = Asked {
-                    op_type: event.wrong("category", op_type)?,
+                let request_class = event.text(1, "category")?;
+                let request_class = self.request_classes[&id].iter().position(|name| name == request_class);
+                let asked = DemandReport {
+                    request_class: event.wrong("category", request_class)?,
                     covers: Span::ns(event.whole(4, "periodLenNs")?),
                     came: event.number(2, "many")?,
-                    aborted: event.number(3, "bad")?,
+                    failed: event.number(3, "bad")?,
                 };
-                governor.asked(now, event.id(0, "mapId")?, asked);
+                policy.asked(now, event.id(0, "mapId")?, asked);
             }
             "charge" if event.flag(0, "set")? => {
                 let mut table = Vec::new();
@@ -197,12 +197,12 @@
                     let line = Event::read(raw)?;
                     table.push((line.id(2, "replica")?, line.number(1, "weight")?));
                 }
-                governor.slice_given(now, event.id(1, "mapId")?, &table);
+                policy.slice_given(now, event.id(1, "mapId")?, &table);
             }
-            "charge" => governor.slice_taken(now, event.id(1, "mapId")?),
+            "charge" => policy.slice_taken(now, event.id(1, "mapId")?),
             "installed" => {
                 let number = event.wrong("number", u16::try_from(event.whole(1, "number")?).ok())?;
-                governor.applied(now, event.id(0, "clientLb")?, number);
+                policy.applied(now, event.id(0, "clientLb")?, number);
             }
             "usage" | "datagram" | "pong" => {}
             "recorded" => return Err("event recorded: it follows no charge".into()),
@@ -212,18 +212,18 @@
     }
 }
 
-fn listing(entry: &Value, place: impl Fn(&str) -> PlaceId) -> Option<Listing> {
-    let server = ServerId::try_from(entry.get(0)?.as_u64()?).ok()?;
-    Some(Listing {
-        server,
-        lot: u64::from(server),
-        share: Share::Everyone,
-        place: place(entry.get(1)?.as_str()?),
+fn listing(entry: &Value, zone: impl Fn(&str) -> ZoneId) -> Option<ReplicaListing> {
+    let replica = ReplicaId::try_from(entry.get(0)?.as_u64()?).ok()?;
+    Some(ReplicaListing {
+        replica,
+        lot: u64::from(replica),
+        share: SubsetMembership::Everyone,
+        zone: zone(entry.get(1)?.as_str()?),
         machine: entry.get(2)?.as_str()?.to_string(),
         standing: match entry.get(4)?.as_str()? {
-            "live" => Standing::Ready,
-            "quiescing" => Standing::Draining,
-            "dead" => Standing::Gone,
+            "live" => ReplicaState::Ready,
+            "quiescing" => ReplicaState::Draining,
+            "dead" => ReplicaState::Gone,
             _ => return None,
         },
         size: entry.get(5).and_then(Value::as_f64).unwrap_or(1.0),
@@ -233,14 +233,16 @@
 
 fn encode(step: Step, all: bool) -> Value {
     match step {
-        Step::Line { slice, server, weight } => json!(["setWeight", server, slice, weight]),
-        Step::Withdraw { server, out } => json!(["takeOut", out, server]),
-        Step::Level { slice, op_types, share, tries } => {
-            json!(["ration", share, tries, op_types, slice.map_or(EVERY_TABLE, u64::from)])
+        Step::Line { slice, replica, weight } => json!(["setWeight", replica, slice, weight]),
+        Step::Withdraw { replica, out } => json!(["takeOut", out, replica]),
+        Step::Level { slice, request_classes, share, retries } => {
+            json!(["ration", share, retries, request_classes, slice.map_or(EVERY_TABLE, u64::from)])
         }
-        Step::Mark { number } => json!(["barrier", number, all]),
+        Step::Version { number } => json!(["barrier", number, all]),
         Step::FollowList => json!(["keepInformed", true]),
         Step::Wake { token, after } => json!(["wakeAt", token, after.as_ns()]),
-        Step::Sick { server, cause } => json!(["sayLog", format!("server {server} taken for sick: {cause}")]),
+        Step::Sick { replica, cause } => {
+            json!(["sayLog", format!("server {replica} taken for sick: {cause}")])
+        }
     }
 }
--- a/crates/subsetting/examples/subset_costs.rs
+++ b/crates/subsetting/examples/subset_costs.rs
@@ -1,10 +1,10 @@
-//! Measures computations at 650 governors before 2,200 replicas in 9 zones: `cargo run --release -p
+//! Measures computations at 650 controllers before 2,200 replicas in 9 zones: `cargo run --release -p
 //! whinwall-subsetting --example subset_costs [subset size]`.
 
 use std::time::Instant;
 use whinwall_subsetting::{Assignment, Membership, Parameters, Planner, Replica};
 
-const GOVERNORS: usize = 650;
+const CONTROLLERS: usize = 650;
 const REPLICAS: usize = 2200;
 const ZONES: usize = 9;
 const GROUPS: usize = 69;
@@ -38,7 +38,7 @@
 }
 
 fn membership(leaving: Option<usize>) -> Membership {
-    let there = (0..GOVERNORS).filter(|number| Some(*number) != leaving);
+    let there = (0..CONTROLLERS).filter(|number| Some(*number) != leaving);
     Membership::new(there.map(|number| format!("governor-{number}"))).expect("names differ")
 }
 
@@ -63,15 +63,15 @@
     let mut sizes: Vec<_> =
         assignment.membership().names().map(|name| assignment.subset_of(name).len()).collect();
     sizes.sort_unstable();
-    let governors: Vec<_> = assignment.replicas().map(|(_, governors)| governors.len()).collect();
+    let controllers: Vec<_> = assignment.replicas().map(|(_, controllers)| controllers.len()).collect();
     println!(
         "subsets: smallest {}, median {}, largest {}, bound {}; governors a replica: {} to {}",
         sizes[0],
         sizes[sizes.len() / 2],
         sizes[sizes.len() - 1],
         assignment.size_bound(),
-        governors.iter().min().unwrap_or(&0),
-        governors.iter().max().unwrap_or(&0),
+        controllers.iter().min().unwrap_or(&0),
+        controllers.iter().max().unwrap_or(&0),
     );
 }
 
--- a/crates/subsetting/src/assignment.rs
+++ b/crates/subsetting/src/assignment.rs
@@ -1,19 +1,19 @@
-//! The result: for every replica the governors that steer it.
+//! The result: for every replica the controllers that steer it.
 
 use crate::membership::Membership;
 use crate::planner::{Parameters, Planner, Replica};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A governor's place among the governors of one replica.
+/// A controller's place among the controllers of one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// How many governors steer the replica.
-    pub governors: u32,
+    /// How many controllers steer the replica.
+    pub controllers: u32,
     /// This one's rank among them in rendezvous order, from 0 on.
     pub position: u32,
 }
 
-/// For every replica the governors that steer it, in rendezvous order.
+/// For every replica the controllers that steer it, in rendezvous order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
     membership: Membership,
@@ -35,38 +35,38 @@
         Assignment { membership, by_replica, size_bound }
     }
 
-    /// The governors that it was computed for.
+    /// The controllers that it was computed for.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Positions in the membership of the governors that steer a replica; empty for an unknown replica.
-    pub fn governors_of(&self, replica: &str) -> &[u32] {
+    /// Positions in the membership of the controllers that steer a replica; empty for an unknown replica.
+    pub fn controllers_of(&self, replica: &str) -> &[u32] {
         self.by_replica.get(replica).map_or(&[], Vec::as_slice)
     }
 
-    /// The replicas that a governor steers; empty for an unknown governor.
-    pub fn subset_of(&self, governor: &str) -> BTreeSet<&str> {
-        let Some(index) = self.membership.index(governor) else { return BTreeSet::new() };
-        let holds = |governors: &Vec<u32>| governors.contains(&(index as u32));
-        let held = self.by_replica.iter().filter(|(_, governors)| holds(governors));
+    /// The replicas that a controller steers; empty for an unknown controller.
+    pub fn subset_of(&self, controller: &str) -> BTreeSet<&str> {
+        let Some(index) = self.membership.index(controller) else { return BTreeSet::new() };
+        let holds = |controllers: &Vec<u32>| controllers.contains(&(index as u32));
+        let held = self.by_replica.iter().filter(|(_, controllers)| holds(controllers));
         held.map(|(replica, _)| replica.as_str()).collect()
     }
 
-    /// A governor's place at a replica; none where it does not steer it.
-    pub fn position(&self, replica: &str, governor: &str) -> Option<Position> {
-        let index = self.membership.index(governor)? as u32;
-        let governors = self.governors_of(replica);
-        let position = governors.iter().position(|one| *one == index)?;
-        Some(Position { governors: governors.len() as u32, position: position as u32 })
+    /// A controller's place at a replica; none where it does not steer it.
+    pub fn position(&self, replica: &str, controller: &str) -> Option<Position> {
+        let index = self.membership.index(controller)? as u32;
+        let controllers = self.controllers_of(replica);
+        let position = controllers.iter().position(|one| *one == index)?;
+        Some(Position { controllers: controllers.len() as u32, position: position as u32 })
     }
 
-    /// All replicas with their governors.
+    /// All replicas with their controllers.
     pub fn replicas(&self) -> impl Iterator<Item = (&str, &[u32])> {
-        self.by_replica.iter().map(|(replica, governors)| (replica.as_str(), governors.as_slice()))
+        self.by_replica.iter().map(|(replica, controllers)| (replica.as_str(), controllers.as_slice()))
     }
 
-    /// The number of pairs of a replica and a governor that steers it.
+    /// The number of pairs of a replica and a controller that steers it.
     pub fn pairs(&self) -> usize {
         self.by_replica.values().map(Vec::len).sum()
     }
@@ -76,20 +76,20 @@
         self.size_bound
     }
 
-    /// How many pairs of a replica and a governor are in this assignment and not in the other.
+    /// How many pairs of a replica and a controller are in this assignment and not in the other.
     pub fn pairs_beyond(&self, other: &Assignment) -> usize {
-        let beyond = |(replica, governors): (&str, &[u32])| {
+        let beyond = |(replica, controllers): (&str, &[u32])| {
             let theirs: BTreeSet<_> = other.names_of(replica).collect();
-            governors.iter().filter(|governor| !theirs.contains(&self.name(**governor))).count()
+            controllers.iter().filter(|controller| !theirs.contains(&self.name(**controller))).count()
         };
         self.replicas().map(beyond).sum()
     }
 
     fn names_of(&self, replica: &str) -> impl Iterator<Item = Option<&str>> {
-        self.governors_of(replica).iter().map(|governor| self.name(*governor))
+        self.controllers_of(replica).iter().map(|controller| self.name(*controller))
     }
 
-    fn name(&self, governor: u32) -> Option<&str> {
-        self.membership.name(governor as usize)
+    fn name(&self, controller: u32) -> Option<&str> {
+        self.membership.name(controller as usize)
     }
 }
--- a/crates/subsetting/src/hashing.rs
+++ b/crates/subsetting/src/hashing.rs
@@ -1,20 +1,20 @@
-//! Hashes that are the same at every governor and in every build (xxh3 of the names' bytes).
+//! Hashes that are the same at every controller and in every build (xxh3 of the names' bytes).
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Keeps the hash of a name by itself apart from its hashes with a governor as the seed.
+/// Keeps the hash of a name by itself apart from its hashes with a controller as the seed.
 const LOT_SEED: u64 = 0x006c_6f74;
 /// 2 to the power of 53: every whole number below it is exact as a float.
 const EXACT: f64 = 9_007_199_254_740_992.0;
 
-/// A governor's seed for [`score`].
-pub(crate) fn seed(governor: &str) -> u64 {
-    xxh3_64(governor.as_bytes())
+/// A controller's seed for [`score`].
+pub(crate) fn seed(controller: &str) -> u64 {
+    xxh3_64(controller.as_bytes())
 }
 
-/// How high a governor ranks at a replica, and the replica at the governor.
-pub(crate) fn score(replica: &str, governor_seed: u64) -> u64 {
-    xxh3_64_with_seed(replica.as_bytes(), governor_seed)
+/// How high a controller ranks at a replica, and the replica at the controller.
+pub(crate) fn score(replica: &str, controller_seed: u64) -> u64 {
+    xxh3_64_with_seed(replica.as_bytes(), controller_seed)
 }
 
 /// A number in [0, 1) that stands for the name.
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,7 +1,7 @@
 //! Deterministic subsetting of replicas by rendezvous hashing, without I/O or clock.
 //!
-//! Each governor of a fleet steers a subset of the replicas. Every governor computes the whole assignment from the
-//! governors' names and the registry's replicas, and all of them get the same result, whatever order they learned
+//! Each controller of a fleet steers a subset of the replicas. Every controller computes the whole assignment from the
+//! controllers' names and the registry's replicas, and all of them get the same result, whatever order they learned
 //! these in. [`Planner`] keeps what one computation can leave to the next.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -15,5 +15,5 @@
 
 pub use assignment::{Assignment, Position};
 pub use hashing::rendezvous;
-pub use membership::{Governor, Membership, MembershipError, MAX_GOVERNORS};
-pub use planner::{Parameters, ParametersError, Planner, Replica, FEWEST_GOVERNORS, STRICT_BOUND_FROM};
+pub use membership::{Controller, Membership, MembershipError, MAX_CONTROLLERS};
+pub use planner::{Parameters, ParametersError, Planner, Replica, FEWEST_CONTROLLERS, STRICT_BOUND_FROM};
--- a/crates/subsetting/src/matching.rs
+++ b/crates/subsetting/src/matching.rs
@@ -1,11 +1,11 @@
-//! Stable matching of the replicas of one zone with governors of bounded capacity (deferred acceptance of Gale and
+//! Stable matching of the replicas of one zone with controllers of bounded capacity (deferred acceptance of Gale and
 //! Shapley). Both sides rank by the same score, so there is one stable result, whatever the order of the proposals.
 
 use crate::planner::{Candidate, Order};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// One replica that proposes to governors in its order.
+/// One replica that proposes to controllers in its order.
 struct Proposer<'a> {
     order: &'a mut Order,
     id: &'a str,
@@ -13,11 +13,11 @@
     open: usize,
 }
 
-/// What a governor holds; the replica with the lowest score is displaced first.
+/// What a controller holds; the replica with the lowest score is displaced first.
 type Held = BinaryHeap<Reverse<(u64, usize)>>;
 
-/// The governors of each replica, given as its id, its order and how many governors it is to have. A replica gets
-/// fewer only where every other governor is full.
+/// The controllers of each replica, given as its id, its order and how many controllers it is to have. A replica gets
+/// fewer only where every other controller is full.
 pub(crate) fn stable(
     replicas: Vec<(&str, &mut Order, usize)>,
     capacities: &[usize],
@@ -32,25 +32,25 @@
             let proposer = &mut proposers[index];
             let Some(candidate) = proposer.order.candidate(proposer.next, proposer.id, seeds) else { break };
             proposer.next += 1;
-            let governor = candidate.governor as usize;
+            let controller = candidate.controller as usize;
             let proposal = Reverse((candidate.score, index));
-            let full = held[governor].len() >= capacities[governor];
-            if full && held[governor].peek().is_none_or(|lowest| proposal >= *lowest) {
+            let full = held[controller].len() >= capacities[controller];
+            if full && held[controller].peek().is_none_or(|lowest| proposal >= *lowest) {
                 continue;
             }
-            held[governor].push(proposal);
+            held[controller].push(proposal);
             proposers[index].open -= 1;
             if full {
-                let Some(Reverse((_, displaced))) = held[governor].pop() else { continue };
+                let Some(Reverse((_, displaced))) = held[controller].pop() else { continue };
                 proposers[displaced].open += 1;
                 waiting.push(displaced);
             }
         }
     }
     let mut result = vec![Vec::new(); proposers.len()];
-    for (governor, held) in held.into_iter().enumerate() {
+    for (controller, held) in held.into_iter().enumerate() {
         for Reverse((score, index)) in held {
-            result[index].push(Candidate { score, governor: governor as u32 });
+            result[index].push(Candidate { score, controller: controller as u32 });
         }
     }
     result
--- a/crates/subsetting/src/membership.rs
+++ b/crates/subsetting/src/membership.rs
@@ -1,13 +1,13 @@
-//! The governors of a fleet, by name.
+//! The controllers of a fleet, by name.
 
 use std::sync::Arc;
 
-/// More governors than that are a mistake in a file.
-pub const MAX_GOVERNORS: usize = 4096;
+/// More controllers than that are a mistake in a file.
+pub const MAX_CONTROLLERS: usize = 4096;
 
-/// One governor of the fleet.
+/// One controller of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Governor {
+pub struct Controller {
     /// Unique in the fleet.
     pub name: String,
 }
@@ -21,35 +21,35 @@
     /// The same name more than once.
     #[error("governor {0:?} is there twice")]
     Duplicate(String),
-    /// More than [`MAX_GOVERNORS`].
-    #[error("{0} governors are more than {MAX_GOVERNORS}")]
+    /// More than [`MAX_CONTROLLERS`].
+    #[error("{0} governors are more than {MAX_CONTROLLERS}")]
     TooMany(usize),
     /// A name that should be among them is not.
     #[error("this governor's own name, {0:?}, is not among the governors")]
     Absent(String),
 }
 
-/// The sorted, unique names of a fleet's governors. Cheap to clone.
+/// The sorted, unique names of a fleet's controllers. Cheap to clone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
-    governors: Arc<[Governor]>,
+    controllers: Arc<[Controller]>,
 }
 
 impl Membership {
     /// Sorts and checks the names.
     pub fn new(names: impl IntoIterator<Item = String>) -> Result<Self, MembershipError> {
-        let mut governors: Vec<_> = names.into_iter().map(|name| Governor { name }).collect();
-        governors.sort_unstable();
-        if governors.is_empty() {
+        let mut controllers: Vec<_> = names.into_iter().map(|name| Controller { name }).collect();
+        controllers.sort_unstable();
+        if controllers.is_empty() {
             return Err(MembershipError::Empty);
         }
-        if governors.len() > MAX_GOVERNORS {
-            return Err(MembershipError::TooMany(governors.len()));
+        if controllers.len() > MAX_CONTROLLERS {
+            return Err(MembershipError::TooMany(controllers.len()));
         }
-        if let Some(pair) = governors.windows(2).find(|pair| pair[0] == pair[1]) {
+        if let Some(pair) = controllers.windows(2).find(|pair| pair[0] == pair[1]) {
             return Err(MembershipError::Duplicate(pair[0].name.clone()));
         }
-        Ok(Membership { governors: governors.into() })
+        Ok(Membership { controllers: controllers.into() })
     }
 
     /// Fails where the name is not among them.
@@ -64,26 +64,26 @@
 
     /// The name's position among the sorted names.
     pub fn index(&self, name: &str) -> Option<usize> {
-        self.governors.binary_search_by(|governor| governor.name.as_str().cmp(name)).ok()
+        self.controllers.binary_search_by(|controller| controller.name.as_str().cmp(name)).ok()
     }
 
     /// The sorted names.
     pub fn names(&self) -> impl ExactSizeIterator<Item = &str> {
-        self.governors.iter().map(|governor| governor.name.as_str())
+        self.controllers.iter().map(|controller| controller.name.as_str())
     }
 
     /// The name at a position; none beyond the last.
     pub fn name(&self, index: usize) -> Option<&str> {
-        self.governors.get(index).map(|governor| governor.name.as_str())
+        self.controllers.get(index).map(|controller| controller.name.as_str())
     }
 
     /// How many there are; at least one.
     pub fn len(&self) -> usize {
-        self.governors.len()
+        self.controllers.len()
     }
 
     /// Never true; here for the linter's sake and for generic callers.
     pub fn is_empty(&self) -> bool {
-        self.governors.is_empty()
+        self.controllers.is_empty()
     }
 }
--- a/crates/subsetting/src/planner.rs
+++ b/crates/subsetting/src/planner.rs
@@ -1,4 +1,4 @@
-//! Computes assignments, and keeps each replica's order of governors from one computation to the next.
+//! Computes assignments, and keeps each replica's order of controllers from one computation to the next.
 
 use crate::assignment::Assignment;
 use crate::hashing::{lot, score, seed};
@@ -8,12 +8,12 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Each replica has so many governors where the fleet has them: one that fails leaves no replica without.
-pub const FEWEST_GOVERNORS: usize = 2;
-/// From so many governors on [`Assignment::size_bound`] holds without exception; with fewer, a replica that finds
-/// all governors but one full is given a second one beyond the bound.
+/// Each replica has so many controllers where the fleet has them: one that fails leaves no replica without.
+pub const FEWEST_CONTROLLERS: usize = 2;
+/// From so many controllers on [`Assignment::size_bound`] holds without exception; with fewer, a replica that finds
+/// all controllers but one full is given a second one beyond the bound.
 pub const STRICT_BOUND_FROM: usize = 9;
-/// The part of a replica's order that is kept, beyond twice the governors that it is to have.
+/// The part of a replica's order that is kept, beyond twice the controllers that it is to have.
 const SPARE_CANDIDATES: usize = 16;
 
 /// What subsets need to know of a replica (from the registry).
@@ -23,16 +23,16 @@
     pub id: &'a str,
     /// Subsets are spread over zones.
     pub zone: &'a str,
-    /// A kind, cell or service; subsets have replicas of each group that is large enough for all governors.
+    /// A kind, cell or service; subsets have replicas of each group that is large enough for all controllers.
     pub group: &'a str,
-    /// The listed size; a replica of twice the size has twice the governors.
+    /// The listed size; a replica of twice the size has twice the controllers.
     pub weight: f64,
 }
 
 /// Why parameters can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParametersError {
-    /// A governor would steer nothing.
+    /// A controller would steer nothing.
     #[error("a subset of 0 replicas steers nothing")]
     EmptySubset,
 }
@@ -40,7 +40,7 @@
 /// Validated parameters of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Parameters {
-    /// Wished replicas a governor.
+    /// Wished replicas a controller.
     pub subset_size: usize,
 }
 
@@ -54,17 +54,17 @@
     }
 }
 
-/// A governor with its score at one replica.
+/// A controller with its score at one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Candidate {
     pub score: u64,
-    pub governor: u32,
+    pub controller: u32,
 }
 
 impl Candidate {
     /// Sorts the highest score first.
     fn rank(&self) -> (Reverse<u64>, u32) {
-        (Reverse(self.score), self.governor)
+        (Reverse(self.score), self.controller)
     }
 }
 
@@ -77,9 +77,9 @@
 impl Order {
     fn new(replica: &str, seeds: &[u64], length: usize) -> Self {
         let scored = seeds.iter().enumerate();
-        let candidate = |(governor, seed): (usize, &u64)| Candidate {
+        let candidate = |(controller, seed): (usize, &u64)| Candidate {
             score: score(replica, *seed),
-            governor: governor as u32,
+            controller: controller as u32,
         };
         let mut head: Vec<_> = scored.map(candidate).collect();
         if length < head.len() {
@@ -91,7 +91,7 @@
         Order { head }
     }
 
-    /// The candidate at a position; none beyond the last governor.
+    /// The candidate at a position; none beyond the last controller.
     pub fn candidate(&mut self, position: usize, replica: &str, seeds: &[u64]) -> Option<Candidate> {
         if position >= self.head.len() && self.head.len() < seeds.len() {
             *self = Order::new(replica, seeds, seeds.len());
@@ -113,14 +113,14 @@
 }
 
 impl Planner {
-    /// Nothing is hashed yet but the governors' names.
+    /// Nothing is hashed yet but the controllers' names.
     pub fn new(membership: Membership, parameters: Parameters) -> Self {
         let seeds = membership.names().map(seed).collect();
         let lots = membership.names().map(lot).collect();
         Planner { membership, parameters, seeds, lots, orders: BTreeMap::new() }
     }
 
-    /// The governors that it computes for.
+    /// The controllers that it computes for.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
@@ -133,20 +133,20 @@
     /// The assignment for these replicas. Of replicas with the same id one counts.
     pub fn assign(&mut self, replicas: &[Replica]) -> Assignment {
         let replicas = canonical(replicas);
-        let governors = self.membership.len();
-        let demands = demands(&replicas, governors, &self.parameters);
+        let controllers = self.membership.len();
+        let demands = demands(&replicas, controllers, &self.parameters);
         self.renew_orders(&replicas, &demands);
-        let zones = strata(&replicas, &demands, governors, |replica| replica.zone);
-        let groups = strata(&replicas, &demands, governors, |replica| replica.group);
+        let zones = strata(&replicas, &demands, controllers, |replica| replica.zone);
+        let groups = strata(&replicas, &demands, controllers, |replica| replica.group);
         let mut draft = self.matched(&replicas, &demands, &zones);
         draft.fill(&zones, Stratum::zone_floor);
         draft.fill(&groups, Stratum::group_floor);
         draft.complete();
         let size_bound = zones.iter().map(Stratum::largest_capacity).sum();
-        let by_replica = replicas.iter().zip(draft.governors);
-        let by_replica = by_replica.map(|(replica, mut governors)| {
-            governors.sort_unstable_by_key(Candidate::rank);
-            (replica.id.to_string(), governors.iter().map(|candidate| candidate.governor).collect())
+        let by_replica = replicas.iter().zip(draft.controllers);
+        let by_replica = by_replica.map(|(replica, mut controllers)| {
+            controllers.sort_unstable_by_key(Candidate::rank);
+            (replica.id.to_string(), controllers.iter().map(|candidate| candidate.controller).collect())
         });
         Assignment::new(self.membership.clone(), by_replica.collect(), size_bound)
     }
@@ -170,7 +170,7 @@
             zones.iter().map(|zone| lots.iter().map(|lot| zone.capacity(*lot)).collect()).collect();
         // Both are sorted by id.
         let mut orders: Vec<_> = self.orders.values_mut().map(Some).collect();
-        let mut governors = vec![Vec::new(); replicas.len()];
+        let mut controllers = vec![Vec::new(); replicas.len()];
         let mut zone_of = vec![0; replicas.len()];
         for (zone, stratum) in zones.iter().enumerate() {
             let proposers = stratum
@@ -180,10 +180,10 @@
             let matched = matching::stable(proposers.collect(), &capacities[zone], seeds);
             for (member, held) in stratum.members.iter().zip(matched) {
                 zone_of[*member] = zone;
-                governors[*member] = held;
+                controllers[*member] = held;
             }
         }
-        Draft { replicas, seeds, lots, capacities, zone_of, governors }
+        Draft { replicas, seeds, lots, capacities, zone_of, controllers }
     }
 }
 
@@ -192,71 +192,73 @@
     replicas: &'a [Replica<'a>],
     seeds: &'a [u64],
     lots: &'a [f64],
-    /// By zone and governor.
+    /// By zone and controller.
     capacities: Vec<Vec<usize>>,
     /// By replica.
     zone_of: Vec<usize>,
     /// By replica, unsorted.
-    governors: Vec<Vec<Candidate>>,
+    controllers: Vec<Vec<Candidate>>,
 }
 
 impl Draft<'_> {
-    /// How many replicas of each zone each governor has.
+    /// How many replicas of each zone each controller has.
     fn sizes(&self) -> Vec<Vec<usize>> {
         let mut sizes = vec![vec![0; self.seeds.len()]; self.capacities.len()];
-        for (zone, governors) in self.zone_of.iter().zip(&self.governors) {
-            governors.iter().for_each(|candidate| sizes[*zone][candidate.governor as usize] += 1);
+        for (zone, controllers) in self.zone_of.iter().zip(&self.controllers) {
+            controllers.iter().for_each(|candidate| sizes[*zone][candidate.controller as usize] += 1);
         }
         sizes
     }
 
-    /// A governor below its floor of a stratum takes the replicas that rank highest at it, within its capacity.
+    /// A controller below its floor of a stratum takes the replicas that rank highest at it, within its capacity.
     fn fill(&mut self, strata: &[Stratum], floor: fn(&Stratum, f64) -> usize) {
         let mut sizes = self.sizes();
         for stratum in strata {
             let mut held = vec![0; self.seeds.len()];
             for member in &stratum.members {
-                self.governors[*member].iter().for_each(|candidate| held[candidate.governor as usize] += 1);
+                self.controllers[*member]
+                    .iter()
+                    .for_each(|candidate| held[candidate.controller as usize] += 1);
             }
-            for (governor, held) in held.into_iter().enumerate() {
-                let floor = floor(stratum, self.lots[governor]);
+            for (controller, held) in held.into_iter().enumerate() {
+                let floor = floor(stratum, self.lots[controller]);
                 if held < floor {
-                    self.take(governor, stratum, floor - held, &mut sizes);
+                    self.take(controller, stratum, floor - held, &mut sizes);
                 }
             }
         }
     }
 
-    fn take(&mut self, governor: usize, stratum: &Stratum, mut wanted: usize, sizes: &mut [Vec<usize>]) {
+    fn take(&mut self, controller: usize, stratum: &Stratum, mut wanted: usize, sizes: &mut [Vec<usize>]) {
         let ranked = |member: &usize| {
-            let score = score(self.replicas[*member].id, self.seeds[governor]);
-            (Candidate { score, governor: governor as u32 }, *member)
+            let score = score(self.replicas[*member].id, self.seeds[controller]);
+            (Candidate { score, controller: controller as u32 }, *member)
         };
         let mut ranked: Vec<_> = stratum.members.iter().map(ranked).collect();
         ranked.sort_unstable_by_key(|(candidate, member)| (candidate.rank(), *member));
         for (candidate, member) in ranked {
             let zone = self.zone_of[member];
-            let full = sizes[zone][governor] >= self.capacities[zone][governor];
+            let full = sizes[zone][controller] >= self.capacities[zone][controller];
             if wanted == 0 {
                 break;
             }
-            if !full && !self.governors[member].contains(&candidate) {
-                self.governors[member].push(candidate);
-                sizes[zone][governor] += 1;
+            if !full && !self.controllers[member].contains(&candidate) {
+                self.controllers[member].push(candidate);
+                sizes[zone][controller] += 1;
                 wanted -= 1;
             }
         }
     }
 
-    /// A replica with too few governors, as all others are full, gets the first of its order all the same.
+    /// A replica with too few controllers, as all others are full, gets the first of its order all the same.
     fn complete(&mut self) {
-        let fewest = self.seeds.len().min(FEWEST_GOVERNORS);
-        for (replica, governors) in self.replicas.iter().zip(&mut self.governors) {
-            if governors.len() < fewest {
+        let fewest = self.seeds.len().min(FEWEST_CONTROLLERS);
+        for (replica, controllers) in self.replicas.iter().zip(&mut self.controllers) {
+            if controllers.len() < fewest {
                 let order = Order::new(replica.id, self.seeds, self.seeds.len()).head;
-                let missing = order.into_iter().filter(|candidate| !governors.contains(candidate));
-                let missing: Vec<_> = missing.take(fewest - governors.len()).collect();
-                governors.extend(missing);
+                let missing = order.into_iter().filter(|candidate| !controllers.contains(candidate));
+                let missing: Vec<_> = missing.take(fewest - controllers.len()).collect();
+                controllers.extend(missing);
             }
         }
     }
--- a/crates/subsetting/tests/changes.rs
+++ b/crates/subsetting/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the registry and of the fleet cost: pairs of a replica and a governor that are new.
+//! What changes of the registry and of the fleet cost: pairs of a replica and a controller that are new.
 
 mod fleet;
 
@@ -9,17 +9,17 @@
 
 const SUBSET_SIZE: usize = 48;
 /// The fleet that the project aims at.
-const GOVERNORS: usize = 650;
+const CONTROLLERS: usize = 650;
 const REPLICAS: usize = 2200;
 const ZONES: usize = 9;
 const GROUPS: usize = 69;
 /// Restarts and replacements of one day.
 const CHANGES: usize = 470;
-/// A replica or governor more or less moves at most so many times the pairs that are its own.
+/// A replica or controller more or less moves at most so many times the pairs that are its own.
 const MOST_PER_MEMBER: f64 = 3.0;
 
-fn planner(governors: usize) -> Planner {
-    Planner::new(membership(governors), Parameters::new(SUBSET_SIZE).expect("not 0"))
+fn planner(controllers: usize) -> Planner {
+    Planner::new(membership(controllers), Parameters::new(SUBSET_SIZE).expect("not 0"))
 }
 
 /// The pairs that are new, beside those that one of so many members has on average.
@@ -30,7 +30,7 @@
 #[test]
 fn one_replica_more_or_less_moves_few_pairs() {
     let all = replicas(REPLICAS, ZONES, GROUPS);
-    let mut planner = planner(GOVERNORS);
+    let mut planner = planner(CONTROLLERS);
     let with = planner.assign(&lend(&all));
     for leaving in [0, 700, REPLICAS - 1] {
         let mut rest = all.clone();
@@ -42,25 +42,25 @@
 }
 
 #[test]
-fn one_governor_more_or_less_moves_few_pairs() {
+fn one_controller_more_or_less_moves_few_pairs() {
     let all = replicas(REPLICAS, ZONES, GROUPS);
-    let with = planner(GOVERNORS).assign(&lend(&all));
+    let with = planner(CONTROLLERS).assign(&lend(&all));
     for leaving in ["governor-0", "governor-99", "governor-649"] {
-        let rest = names(GOVERNORS).into_iter().filter(|name| name != leaving);
+        let rest = names(CONTROLLERS).into_iter().filter(|name| name != leaving);
         let rest = Membership::new(rest).expect("names differ");
         let without = Assignment::compute(&rest, &lend(&all), &planner(1).parameters());
-        assert!(per_member(&without, &with, GOVERNORS) < MOST_PER_MEMBER);
-        assert!(per_member(&with, &without, GOVERNORS) < MOST_PER_MEMBER);
+        assert!(per_member(&without, &with, CONTROLLERS) < MOST_PER_MEMBER);
+        assert!(per_member(&with, &without, CONTROLLERS) < MOST_PER_MEMBER);
     }
 }
 
-/// At a fifth of the size: replicas and governors that are replaced under a new name, in an order that is drawn.
+/// At a fifth of the size: replicas and controllers that are replaced under a new name, in an order that is drawn.
 #[test]
 fn a_day_of_replacements_moves_few_pairs_each_and_keeps_the_bounds() {
-    let (governors, count) = (GOVERNORS / 5, REPLICAS / 5);
+    let (controllers, count) = (CONTROLLERS / 5, REPLICAS / 5);
     let mut drawn = Gen::from_size_and_seed(CHANGES, 1);
-    let (mut all, mut fleet) = (replicas(count, ZONES, GROUPS), names(governors));
-    let mut planner = planner(governors);
+    let (mut all, mut fleet) = (replicas(count, ZONES, GROUPS), names(controllers));
+    let mut planner = planner(controllers);
     let mut latest = planner.assign(&lend(&all));
     for change in 0..CHANGES {
         let number = usize::arbitrary(&mut drawn);
@@ -68,17 +68,17 @@
             all[number % count].id = format!("replacement-{change}");
             count
         } else {
-            fleet[number % governors] = format!("new-governor-{change}");
+            fleet[number % controllers] = format!("new-governor-{change}");
             let membership = Membership::new(fleet.clone()).expect("names differ");
             planner = Planner::new(membership, planner.parameters());
-            governors
+            controllers
         };
         let next = planner.assign(&lend(&all));
         let moved = per_member(&next, &latest, members);
         assert!(moved < MOST_PER_MEMBER, "change {change}: {moved}");
-        assert!(next.replicas().all(|(_, governors)| governors.len() >= FEWEST_GOVERNORS));
-        let mut sizes = vec![0; governors];
-        next.replicas().flat_map(|(_, governors)| governors).for_each(|one| sizes[*one as usize] += 1);
+        assert!(next.replicas().all(|(_, controllers)| controllers.len() >= FEWEST_CONTROLLERS));
+        let mut sizes = vec![0; controllers];
+        next.replicas().flat_map(|(_, controllers)| controllers).for_each(|one| sizes[*one as usize] += 1);
         assert!(sizes.iter().all(|size| *size <= next.size_bound()));
         latest = next;
     }
@@ -89,7 +89,7 @@
     let all = replicas(REPLICAS, ZONES, GROUPS);
     let rest: Vec<_> = all.iter().filter(|replica| replica.zone != "zone-0").cloned().collect();
     assert_eq!(all.len() - rest.len(), 245);
-    let mut planner = planner(GOVERNORS);
+    let mut planner = planner(CONTROLLERS);
     let before = planner.assign(&lend(&all));
     let lost = planner.assign(&lend(&rest));
     let back = planner.assign(&lend(&all));
@@ -102,28 +102,28 @@
 }
 
 #[test]
-fn every_governor_has_each_zone_at_full_size() {
+fn every_controller_has_each_zone_at_full_size() {
     let all = replicas(REPLICAS, ZONES, GROUPS);
-    let assignment = planner(GOVERNORS).assign(&lend(&all));
+    let assignment = planner(CONTROLLERS).assign(&lend(&all));
     let zone_of = |id: &str| all.iter().find(|replica| replica.id == id).map(|replica| &replica.zone);
-    for name in names(GOVERNORS).iter().step_by(7) {
+    for name in names(CONTROLLERS).iter().step_by(7) {
         let zones: BTreeSet<_> = assignment.subset_of(name).into_iter().filter_map(zone_of).collect();
         assert_eq!(zones.len(), ZONES, "{name}");
     }
 }
 
 #[test]
-fn a_replica_of_twice_the_size_has_twice_the_governors() {
+fn a_replica_of_twice_the_size_has_twice_the_controllers() {
     let weighted = |(number, replica): (usize, OwnedReplica)| {
         let weight = if number % 2 == 0 { 2.0 } else { 1.0 };
         OwnedReplica { weight, ..replica }
     };
     let all: Vec<_> = replicas(REPLICAS, ZONES, GROUPS).into_iter().enumerate().map(weighted).collect();
-    let assignment = planner(GOVERNORS).assign(&lend(&all));
-    let governors = |weight: f64| -> usize {
+    let assignment = planner(CONTROLLERS).assign(&lend(&all));
+    let controllers = |weight: f64| -> usize {
         let of_weight = all.iter().filter(|replica| replica.weight == weight);
-        of_weight.map(|replica| assignment.governors_of(&replica.id).len()).sum()
+        of_weight.map(|replica| assignment.controllers_of(&replica.id).len()).sum()
     };
-    let ratio = governors(2.0) as f64 / governors(1.0) as f64;
+    let ratio = controllers(2.0) as f64 / controllers(1.0) as f64;
     assert!((1.9..=2.1).contains(&ratio), "{ratio}");
 }
--- a/crates/subsetting/tests/fleet/mod.rs
+++ b/crates/subsetting/tests/fleet/mod.rs
@@ -21,12 +21,12 @@
     replicas.iter().map(OwnedReplica::lend).collect()
 }
 
-pub fn names(governors: usize) -> Vec<String> {
-    (0..governors).map(|number| format!("governor-{number}")).collect()
+pub fn names(controllers: usize) -> Vec<String> {
+    (0..controllers).map(|number| format!("governor-{number}")).collect()
 }
 
-pub fn membership(governors: usize) -> Membership {
-    Membership::new(names(governors)).expect("names differ")
+pub fn membership(controllers: usize) -> Membership {
+    Membership::new(names(controllers)).expect("names differ")
 }
 
 /// Replicas in turn over zones and groups, all of one size.
--- a/crates/subsetting/tests/membership.rs
+++ b/crates/subsetting/tests/membership.rs
@@ -1,6 +1,6 @@
 //! Which names make a fleet.
 
-use whinwall_subsetting::{Membership, MembershipError, Parameters, ParametersError, MAX_GOVERNORS};
+use whinwall_subsetting::{Membership, MembershipError, Parameters, ParametersError, MAX_CONTROLLERS};
 
 fn named(names: &[&str]) -> Result<Membership, MembershipError> {
     Membership::new(names.iter().map(|name| name.to_string()))
@@ -21,8 +21,8 @@
     assert_eq!(named(&["b", "a", "b"]), Err(MembershipError::Duplicate("b".into())));
     let absent = named(&["a"]).expect("a fleet").require("b").expect_err("not there");
     assert_eq!(absent.to_string(), "this governor's own name, \"b\", is not among the governors");
-    let many = (0..=MAX_GOVERNORS).map(|number| number.to_string());
-    assert_eq!(Membership::new(many), Err(MembershipError::TooMany(MAX_GOVERNORS + 1)));
+    let many = (0..=MAX_CONTROLLERS).map(|number| number.to_string());
+    assert_eq!(Membership::new(many), Err(MembershipError::TooMany(MAX_CONTROLLERS + 1)));
 }
 
 #[test]
--- a/crates/subsetting/tests/properties.rs
+++ b/crates/subsetting/tests/properties.rs
@@ -12,7 +12,7 @@
 /// A fleet of any shape, with every size of subset.
 #[derive(Clone, Debug)]
 struct Fleet {
-    governors: usize,
+    controllers: usize,
     replicas: Vec<OwnedReplica>,
     subset_size: usize,
 }
@@ -20,7 +20,7 @@
 impl Arbitrary for Fleet {
     fn arbitrary(g: &mut Gen) -> Self {
         let up_to = |g: &mut Gen, most: usize| 1 + usize::arbitrary(g) % most;
-        let (governors, zones, groups) = (up_to(g, 40), up_to(g, 9), up_to(g, 5));
+        let (controllers, zones, groups) = (up_to(g, 40), up_to(g, 9), up_to(g, 5));
         let replica = |number: usize, g: &mut Gen| OwnedReplica {
             id: format!("replica-{number}"),
             zone: format!("zone-{}", usize::arbitrary(g) % zones),
@@ -30,7 +30,7 @@
                 .expect("a choice"),
         };
         let replicas = (0..up_to(g, 120)).map(|number| replica(number, g)).collect();
-        Fleet { governors, replicas, subset_size: up_to(g, 140) }
+        Fleet { controllers, replicas, subset_size: up_to(g, 140) }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -39,15 +39,15 @@
             let replicas = fleet.replicas[..fleet.replicas.len() / 2].to_vec();
             Fleet { replicas, ..fleet.clone() }
         });
-        let fewer_governors =
-            (self.governors > 1).then(|| Fleet { governors: fleet.governors - 1, ..fleet.clone() });
-        Box::new(fewer_replicas.into_iter().chain(fewer_governors))
+        let fewer_controllers =
+            (self.controllers > 1).then(|| Fleet { controllers: fleet.controllers - 1, ..fleet.clone() });
+        Box::new(fewer_replicas.into_iter().chain(fewer_controllers))
     }
 }
 
 impl Fleet {
     fn assignment(&self) -> Assignment {
-        Assignment::compute(&membership(self.governors), &lend(&self.replicas), &self.parameters())
+        Assignment::compute(&membership(self.controllers), &lend(&self.replicas), &self.parameters())
     }
 
     fn parameters(&self) -> Parameters {
@@ -55,7 +55,7 @@
     }
 
     fn subset_sizes(&self, assignment: &Assignment) -> Vec<usize> {
-        names(self.governors).iter().map(|name| assignment.subset_of(name).len()).collect()
+        names(self.controllers).iter().map(|name| assignment.subset_of(name).len()).collect()
     }
 }
 
@@ -66,7 +66,7 @@
 #[test]
 fn the_order_of_the_input_has_no_effect() {
     fn property(fleet: Fleet) -> bool {
-        let turned = Membership::new(names(fleet.governors).into_iter().rev()).expect("names differ");
+        let turned = Membership::new(names(fleet.controllers).into_iter().rev()).expect("names differ");
         let mut replicas = lend(&fleet.replicas);
         replicas.reverse();
         let mid = replicas.len() / 2;
@@ -79,7 +79,7 @@
 #[test]
 fn a_planner_that_has_seen_other_registries_agrees_with_a_new_one() {
     fn property(fleet: Fleet) -> bool {
-        let mut planner = Planner::new(membership(fleet.governors), fleet.parameters());
+        let mut planner = Planner::new(membership(fleet.controllers), fleet.parameters());
         let all = lend(&fleet.replicas);
         planner.assign(&all[all.len() / 2..]);
         planner.assign(&all[..all.len() / 3]);
@@ -89,16 +89,17 @@
 }
 
 #[test]
-fn every_replica_has_governors_and_two_where_the_fleet_has_them() {
+fn every_replica_has_controllers_and_two_where_the_fleet_has_them() {
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
-        let fewest = fleet.governors.min(FEWEST_GOVERNORS);
-        let distinct = |governors: &[u32]| governors.iter().collect::<BTreeSet<_>>().len() == governors.len();
-        let known = |governors: &[u32]| governors.iter().all(|one| (*one as usize) < fleet.governors);
+        let fewest = fleet.controllers.min(FEWEST_CONTROLLERS);
+        let distinct =
+            |controllers: &[u32]| controllers.iter().collect::<BTreeSet<_>>().len() == controllers.len();
+        let known = |controllers: &[u32]| controllers.iter().all(|one| (*one as usize) < fleet.controllers);
         assignment.replicas().count() == fleet.replicas.len()
-            && assignment
-                .replicas()
-                .all(|(_, governors)| governors.len() >= fewest && distinct(governors) && known(governors))
+            && assignment.replicas().all(|(_, controllers)| {
+                controllers.len() >= fewest && distinct(controllers) && known(controllers)
+            })
     }
     check(property);
 }
@@ -108,7 +109,7 @@
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
         let largest = fleet.subset_sizes(&assignment).into_iter().max().unwrap_or(0);
-        fleet.governors < STRICT_BOUND_FROM || largest <= assignment.size_bound()
+        fleet.controllers < STRICT_BOUND_FROM || largest <= assignment.size_bound()
     }
     check(property);
 }
@@ -117,17 +118,17 @@
 fn the_bound_is_an_eighth_and_two_replicas_a_zone_above_the_average() {
     fn property(fleet: Fleet) -> bool {
         let zones: BTreeSet<_> = fleet.replicas.iter().map(|replica| &replica.zone).collect();
-        let fewest = fleet.governors.min(FEWEST_GOVERNORS) * fleet.replicas.len();
+        let fewest = fleet.controllers.min(FEWEST_CONTROLLERS) * fleet.replicas.len();
         let heavy = fleet.replicas.iter().filter(|replica| replica.weight != 1.0).count();
-        let pairs = fewest + (fleet.subset_size + 1) * fleet.governors + heavy + fleet.replicas.len();
-        let average = pairs as f64 / fleet.governors as f64;
+        let pairs = fewest + (fleet.subset_size + 1) * fleet.controllers + heavy + fleet.replicas.len();
+        let average = pairs as f64 / fleet.controllers as f64;
         fleet.assignment().size_bound() as f64 <= 1.125 * average + 2.0 * zones.len() as f64
     }
     check(property);
 }
 
 #[test]
-fn every_governor_has_replicas_of_each_zone_that_has_enough() {
+fn every_controller_has_replicas_of_each_zone_that_has_enough() {
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
         let mut zones: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
@@ -135,12 +136,12 @@
             zones.entry(&replica.zone).or_default().push(&replica.id);
         }
         zones.values().all(|members| {
-            let pairs: usize = members.iter().map(|member| assignment.governors_of(member).len()).sum();
-            // A governor that lacks a zone is given more: the average may exceed what made the floor by this.
-            let enough = pairs >= 2 * fleet.governors;
+            let pairs: usize = members.iter().map(|member| assignment.controllers_of(member).len()).sum();
+            // A controller that lacks a zone is given more: the average may exceed what made the floor by this.
+            let enough = pairs >= 2 * fleet.controllers;
             let has =
                 |name: &String| members.iter().any(|member| assignment.position(member, name).is_some());
-            !enough || names(fleet.governors).iter().all(has)
+            !enough || names(fleet.controllers).iter().all(has)
         })
     }
     check(property);
@@ -160,11 +161,11 @@
 fn positions_are_the_rendezvous_order() {
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
-        let ordered = |(replica, governors): (&str, &[u32])| {
+        let ordered = |(replica, controllers): (&str, &[u32])| {
             let named: Vec<_> =
-                governors.iter().filter_map(|one| assignment.membership().name(*one as usize)).collect();
+                controllers.iter().filter_map(|one| assignment.membership().name(*one as usize)).collect();
             let position = |(rank, name): (usize, &&str)| {
-                let expected = Position { governors: governors.len() as u32, position: rank as u32 };
+                let expected = Position { controllers: controllers.len() as u32, position: rank as u32 };
                 assignment.position(replica, name) == Some(expected)
             };
             rendezvous(replica, named.iter().copied()) == Some(named[0])
@@ -179,7 +180,7 @@
 #[test]
 fn a_key_changes_members_only_where_its_own_leaves() {
     fn property(fleet: Fleet) -> bool {
-        let all = names(fleet.governors + 1);
+        let all = names(fleet.controllers + 1);
         let rest: Vec<_> = all.iter().skip(1).map(String::as_str).collect();
         fleet.replicas.iter().all(|replica| {
             let before = rendezvous(&replica.id, all.iter().map(String::as_str));
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -43,7 +43,7 @@
     /// It will say nothing more, and has said so many chunks.
     Ended(ConnectionId, u64),
     /// What is followed says something, or is no more.
-    News(FollowId, Result<String, StreamError>),
+    RelayEvent(FollowId, Result<String, StreamError>),
     List(FollowId, Result<String, StreamError>),
     Answer(Result<String, CallError>),
     /// The relay answers what nobody asked: an answer before may have been another call's.
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -47,7 +47,7 @@
 pub const FIRST_LINE: usize = 4 << 10;
 /// A buffer that grew beyond this for one long line is given back after it.
 pub const BUFFER: usize = 64 << 10;
-/// A whole list of servers.
+/// A whole list of replicas.
 pub const LIST: usize = 8 << 20;
 /// Whoever has joined is read in pieces of this size: some hundreds of lines, a fraction of a millisecond's
 /// work.
--- a/crates/transport/src/news.rs
+++ b/crates/transport/src/news.rs
@@ -8,7 +8,7 @@
 
 pub async fn follow(id: FollowId, relay: SocketAddr, request: &'static str, inbox: Inbox) {
     let why = contained(read(id, relay, request, &inbox)).await.unwrap_or_else(|panicked| panicked);
-    _ = inbox.send(Input::News(id, Err(why))).await;
+    _ = inbox.send(Input::RelayEvent(id, Err(why))).await;
 }
 
 async fn read(id: FollowId, relay: SocketAddr, request: &'static str, inbox: &Inbox) -> StreamError {
@@ -31,7 +31,7 @@
             Err(why) => return why,
         };
         patience = limits::NEWS_SILENCE;
-        if inbox.send(Input::News(id, Ok(line))).await.is_err() {
+        if inbox.send(Input::RelayEvent(id, Ok(line))).await.is_err() {
             return StreamError::Closed;
         }
     }
