--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -388,7 +388,7 @@
         if request == Request::Metrics {
             let readers = self.pool.as_ref().map(|(_, meters)| &**meters);
             let freshness = self.reducer.report_freshness(self.clock.now());
-            let measured_load = self.reducer.measured_load_in_all();
+            let measured_load = self.reducer.total_measured_load();
             let reports = freshness.map(|freshness| ReportFigures { freshness, measured_load });
             if readers.is_some() || reports.is_some() {
                 let text = meters::text(readers, reports.as_ref());
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -2,7 +2,7 @@
 //! word, a moved field or another separator fails here.
 
 use whinwall_protocol::relay::{
-    decode_answer, decode_event, encode_call, Answer, Order, RelayEvent, CALL_LIMIT, WATCH,
+    decode_answer, decode_event, encode_call, Answer, Command, RelayEvent, CALL_LIMIT, WATCH,
 };
 
 fn news(line: &str) -> RelayEvent {
@@ -19,11 +19,11 @@
 
 #[test]
 fn relay_commands_are_encoded_to_the_letter() {
-    let line = Order::Line { slice: 12, replica: "s-5be2a07c".into(), weight: 0.25 };
+    let line = Command::SetEndpoint { slice: 12, replica: "s-5be2a07c".into(), weight: 0.25 };
     assert_eq!(line.encode(false), "SET,12,s-5be2a07c,0.25");
-    let withdrawn = Order::Withdraw { replica: "s-1".into(), out: true };
+    let withdrawn = Command::Withdraw { replica: "s-1".into(), out: true };
     assert_eq!(withdrawn.encode(false), "OUT,s-1");
-    let restored = Order::Withdraw { replica: "s-1".into(), out: false };
+    let restored = Command::Withdraw { replica: "s-1".into(), out: false };
     assert_eq!(restored.encode(false), "IN,s-1");
 }
 
@@ -31,7 +31,7 @@
 fn limits_are_encoded_to_the_letter() {
     let limit = |slice, request_classes: &[&str], share, retries| {
         let request_classes = request_classes.iter().map(|name| name.to_string()).collect();
-        Order::Level { slice, request_classes, share, retries }.encode(false)
+        Command::SetAdmission { slice, request_classes, share, retries }.encode(false)
     };
     assert_eq!(limit(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
     assert_eq!(limit(Some(7), &["lookup"], 0.5, 3), "LIMIT,7,lookup,0.5,3");
@@ -40,14 +40,14 @@
 
 #[test]
 fn a_version_is_encoded_with_whether_all_proxies_answer_it() {
-    let version = Order::Version { number: 65535 };
+    let version = Command::Sync { number: 65535 };
     assert_eq!(version.encode(true), "SYNC,65535,1");
     assert_eq!(version.encode(false), "SYNC,65535,0");
 }
 
 #[test]
 fn weights_are_encoded_without_needless_digits() {
-    let set = |weight| Order::Line { slice: 0, replica: "s".into(), weight }.encode(false);
+    let set = |weight| Command::SetEndpoint { slice: 0, replica: "s".into(), weight }.encode(false);
     assert_eq!(set(0.0), "SET,0,s,0");
     assert_eq!(set(1.0), "SET,0,s,1");
     assert_eq!(set(0.1), "SET,0,s,0.1");
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -151,8 +151,8 @@
 
 /// A step of a reply. Steps take effect in order: a withdrawal never overtakes the line that replaces it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    Line {
+pub enum Action {
+    SetEndpoint {
         slice: SliceId,
         replica: ReplicaId,
         weight: f64,
@@ -161,30 +161,30 @@
         replica: ReplicaId,
         out: bool,
     },
-    Level {
+    SetAdmission {
         slice: Option<SliceId>,
         request_classes: u64,
         share: f64,
         retries: u8,
     },
-    Version {
+    Sync {
         number: u16,
     },
-    FollowList,
-    Wake {
+    RequestReplicaList,
+    StartTimer {
         token: u64,
         after: Span,
     },
     /// For whoever watches: a replica is taken for sick, and why.
-    Sick {
+    ReplicaEjected {
         replica: ReplicaId,
         cause: &'static str,
     },
 }
 
-impl Step {
+impl Action {
     /// Changes what proxies hold.
     pub fn reaches_proxies(&self) -> bool {
-        matches!(self, Step::Line { .. } | Step::Withdraw { .. } | Step::Level { .. })
+        matches!(self, Action::SetEndpoint { .. } | Action::Withdraw { .. } | Action::SetAdmission { .. })
     }
 }
--- a/crates/policy/src/logic.rs
+++ b/crates/policy/src/logic.rs
@@ -1,5 +1,5 @@
 //! All decisions of a controller. To use them: `Policy::start`, then one call for each piece of news (here
-//! and in `news.rs`), then `collect` once the batch is through: it returns the steps of the reply, in order.
+//! and in `news.rs`), then `collect` once the batch is through: it returns the actions of the reply, in order.
 //! The types of the calls are in `api.rs`, what is told at start in `deployment.rs`, plain records in
 //! `state.rs`, sums and means of them in `measures.rs`.
 //! After every call the RULES are gone through, in order, until none fires. What needs a look at the whole
@@ -120,7 +120,7 @@
         policy
     }
 
-    pub fn listed(&mut self, now: Moment, scope: ListScope, list: &[ReplicaListing]) {
+    pub fn replicas_listed(&mut self, now: Moment, scope: ListScope, list: &[ReplicaListing]) {
         if scope != ListScope::Changes {
             self.replicas.values_mut().for_each(|s| s.listed = false);
         }
@@ -132,15 +132,15 @@
         self.settle(now);
     }
 
-    pub fn list_failed(&mut self, now: Moment) {
+    pub fn list_request_failed(&mut self, now: Moment) {
         // Drawn, so that controllers whose calls failed together do not come again together.
         let pause = ASK_AGAIN.times(1.0 + self.random.draw());
         self.due.list = (!self.site.list_pushed).then_some(now + pause);
         self.settle(now);
     }
 
-    /// The steps of the reply to the batch at this moment.
-    pub fn collect(&mut self, now: Moment) -> Vec<Step> {
+    /// The actions of the reply to the batch at this moment.
+    pub fn collect_actions(&mut self, now: Moment) -> Vec<Action> {
         // Only now is it known who all will get the message: proxies may join with the batch's last news.
         self.replying = true;
         if take(&mut self.alarm) {
@@ -148,9 +148,9 @@
         }
         self.settle(now);
         let version = self.channel.open_version.take();
-        self.steps.extend(version.map(|number| Step::Version { number }));
+        self.actions.extend(version.map(|number| Action::Sync { number }));
         self.replying = false;
-        take(&mut self.steps)
+        take(&mut self.actions)
     }
 
     pub(crate) fn settle(&mut self, now: Moment) {
@@ -263,7 +263,7 @@
 
     /// Where it fits in beside itself, or no ack has come for so long that nothing can wait any more; and as one
     /// more message to all, for each attempt may have been carried out (rule 5).
-    pub fn may_order_again(&self, now: Moment, version: u16) -> bool {
+    pub fn may_resend(&self, now: Moment, version: u16) -> bool {
         let (waiting, again) = (self.channel.lines_waiting(), self.channel.lines_of(version));
         let fits = waiting + again <= self.site.queue_cap * QUEUE_PART;
         (fits || now - self.channel.heard > NO_ACKS) && self.messages_left(now, 1.0) >= 1.0
@@ -289,7 +289,7 @@
 
     fn follow_list(&mut self) -> bool {
         let due = self.due.list.take_if(|at| *at <= self.now);
-        self.steps.extend(due.map(|_| Step::FollowList));
+        self.actions.extend(due.map(|_| Action::RequestReplicaList));
         due.is_some()
     }
 
@@ -302,10 +302,10 @@
         let shut = due.filter(|_| self.has_room(1.0, Priority::Bare)).map(|(id, _)| (*id, true));
         let lift = || self.to_lift.first().filter(|_| lifts).map(|id| (*id, false));
         let Some((replica, out)) = shut.or_else(lift) else { return false };
-        let step = Step::Withdraw { replica, out };
+        let step = Action::Withdraw { replica, out };
         self.write(1.0);
         self.note_withdrawal(&step);
-        self.steps.push(step);
+        self.actions.push(step);
         true
     }
 
@@ -318,9 +318,10 @@
             return false;
         }
         let (retries, share) = (self.retries(self.cut), |at| self.level(self.cut, at));
-        let order = |at| Step::Level { slice: None, request_classes: 1u64 << at, share: share(at), retries };
+        let order =
+            |at| Action::SetAdmission { slice: None, request_classes: 1u64 << at, share: share(at), retries };
         let orders: Vec<_> = (0..many).map(order).collect();
-        self.steps.extend(orders);
+        self.actions.extend(orders);
         self.write(many as f64);
         self.cut_told = Some(self.cut);
         true
@@ -402,7 +403,7 @@
             s.strikes += 1;
             s.sick_until = Some(self.now + SICK_FOR.times(f64::from(s.strikes.min(4))));
             s.forget();
-            self.steps.push(Step::Sick { replica: id, cause });
+            self.actions.push(Action::ReplicaEjected { replica: id, cause });
         }
         true
     }
@@ -798,14 +799,15 @@
         // New lines go before old ones leave: a table is at no moment empty (rule 1).
         let mut lines = slice.differences(!self.site.single_writer);
         lines.retain(|line| !halts && matters(line));
-        let line = |(replica, weight): &(_, _)| Step::Line { slice: n, replica: *replica, weight: *weight };
+        let line =
+            |(replica, weight): &(_, _)| Action::SetEndpoint { slice: n, replica: *replica, weight: *weight };
         let mut orders: Vec<_> = lines.iter().map(line).collect();
         orders.extend(self.level_orders(n, slice.cut_held, cut));
         if !self.has_room(orders.len() as f64, priority) {
             return false;
         }
         self.note_sent(n, cut, &lines, orders.len() as f64);
-        self.steps.extend(orders);
+        self.actions.extend(orders);
         let slice = &self.slices[&n];
         match priority {
             _ if slice.is_told() => {}
@@ -832,7 +834,7 @@
             return false;
         }
         (self.token, self.due.wake) = (self.token + 1, Some(self.now + BEAT));
-        self.steps.push(Step::Wake { token: self.token, after: BEAT });
+        self.actions.push(Action::StartTimer { token: self.token, after: BEAT });
         true
     }
 }
--- a/crates/policy/src/measures.rs
+++ b/crates/policy/src/measures.rs
@@ -1,6 +1,6 @@
 //! What a controller works out from its records: sums, rates and means, no decisions.
 
-use crate::api::{ReplicaId, ReportFlow, SliceId, Step, ZoneId};
+use crate::api::{Action, ReplicaId, ReportFlow, SliceId, ZoneId};
 use crate::logic::{BEAT, CALM_PART, JUDGED_OVER, NO_ACKS, QUEUE_PART, WAITING_PART, WAITS};
 use crate::state::{Lately, Picture, Policy, Replica, Slice};
 use crate::time::{Moment, Span};
@@ -287,9 +287,10 @@
     }
 
     /// The orders from one cut of a slice to another; one serves where all request classes are let in alike.
-    pub(crate) fn level_orders(&self, n: SliceId, held: f64, cut: f64) -> Vec<Step> {
+    pub(crate) fn level_orders(&self, n: SliceId, held: f64, cut: f64) -> Vec<Action> {
         let (many, retries) = (self.site.request_classes.len(), self.retries(cut));
-        let order = |request_classes, share| Step::Level { slice: Some(n), request_classes, share, retries };
+        let order =
+            |request_classes, share| Action::SetAdmission { slice: Some(n), request_classes, share, retries };
         let share = |at| self.level(cut, at);
         let changed = |at: &usize| retries != self.retries(held) || share(*at) != self.level(held, *at);
         if (0..many).all(|at| changed(&at) && share(at) == share(0)) {
--- a/crates/policy/src/news.rs
+++ b/crates/policy/src/news.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl Policy {
-    pub fn woken(&mut self, now: Moment, token: u64) {
+    pub fn timer_fired(&mut self, now: Moment, token: u64) {
         if token == self.token {
             self.due.wake = None;
         }
@@ -38,7 +38,7 @@
 
     /// All that operators override now, the oldest first; what is not named any more has ended. One that stands
     /// already goes on as it is.
-    pub fn wished(&mut self, now: Moment, wishes: &[(OverrideId, OverrideSpec)]) {
+    pub fn set_overrides(&mut self, now: Moment, wishes: &[(OverrideId, OverrideSpec)]) {
         let mut former = std::mem::take(&mut self.wishes);
         self.pins = SlicePins::default();
         for (id, wish) in wishes {
@@ -62,7 +62,7 @@
     }
 
     /// What has become of a override.
-    pub fn heeded(&self, id: OverrideId) -> Option<OverrideStatus> {
+    pub fn override_status(&self, id: OverrideId) -> Option<OverrideStatus> {
         self.wishes.get(&id).map(|wished| wished.heeded)
     }
 
@@ -72,7 +72,7 @@
         self.settle(now);
     }
 
-    pub fn applied(&mut self, now: Moment, proxy: ProxyId, version: u16) {
+    pub fn ack_received(&mut self, now: Moment, proxy: ProxyId, version: u16) {
         let at = self.channel.acked(now, proxy, version);
         at.zip(self.known.get_mut(&proxy)).into_iter().for_each(|(at, known)| *known = at.max(*known));
         self.settle(now);
@@ -85,35 +85,39 @@
 
     /// Steps that need no way to the proxies: they can be taken while no order can be made, lest one broken
     /// way break the others (against a list lost while orders wait).
-    pub fn asides(&mut self) -> Vec<Step> {
-        let is_order =
-            |step: &Step| !matches!(step, Step::FollowList | Step::Wake { .. } | Step::Sick { .. });
-        let (orders, asides) = std::mem::take(&mut self.steps).into_iter().partition(is_order);
-        self.steps = orders;
+    pub fn take_background_actions(&mut self) -> Vec<Action> {
+        let is_order = |step: &Action| {
+            !matches!(
+                step,
+                Action::RequestReplicaList | Action::StartTimer { .. } | Action::ReplicaEjected { .. }
+            )
+        };
+        let (orders, asides) = std::mem::take(&mut self.actions).into_iter().partition(is_order);
+        self.actions = orders;
         asides
     }
 
     /// The reply with this version is ordered once more, as its outcome is not known: its lines may be in the
     /// channel twice, and its message counts again (rule 5).
-    pub fn ordered_again(&mut self, now: Moment, version: u16) {
+    pub fn command_resent(&mut self, now: Moment, version: u16) {
         self.channel.repeat(now, version);
         self.settle(now);
     }
 
-    pub fn met(&mut self, now: Moment, replica: ReplicaId, met: EndpointReport) {
+    pub fn endpoint_reported(&mut self, now: Moment, replica: ReplicaId, met: EndpointReport) {
         let what = ReportBody::EndpointReport { replica, met, latest: met.mean_latency };
-        self.reported(now, &[Report { at: now, lines: 1.0, what }]);
+        self.load_reported(now, &[Report { at: now, lines: 1.0, what }]);
     }
 
-    pub fn asked(&mut self, now: Moment, slice: SliceId, asked: DemandReport) {
-        self.reported(
+    pub fn demand_reported(&mut self, now: Moment, slice: SliceId, asked: DemandReport) {
+        self.load_reported(
             now,
             &[Report { at: now, lines: 1.0, what: ReportBody::DemandReport { slice, asked } }],
         );
     }
 
     /// Many reports at once, each with its own time.
-    pub fn reported(&mut self, now: Moment, reports: &[Report]) {
+    pub fn load_reported(&mut self, now: Moment, reports: &[Report]) {
         for Report { at, lines, what } in reports {
             let covers = match what {
                 ReportBody::EndpointReport { replica, met, latest } => {
@@ -135,7 +139,7 @@
 
     /// How reports come from now on. Where that was or is interrupted, rounds outside the band begin anew: those before
     /// rest on what was known then.
-    pub fn reports_flow(&mut self, now: Moment, flow: ReportFlow) {
+    pub fn set_report_flow(&mut self, now: Moment, flow: ReportFlow) {
         let former = std::mem::replace(&mut self.report_flow, flow);
         if former != flow && [former, flow].contains(&ReportFlow::Interrupted) {
             self.replicas.values_mut().for_each(|s| s.outside = 0);
@@ -149,7 +153,7 @@
     }
 
     /// Figures on it up to now were lost on the way, or left out of a sum: no replica is judged by them.
-    pub fn reported_incompletely(&mut self, now: Moment, about: ReportSubject) {
+    pub fn report_incomplete(&mut self, now: Moment, about: ReportSubject) {
         let replicas: Vec<_> = match about {
             ReportSubject::Replica(replica) => vec![replica],
             ReportSubject::Slice(slice) => {
@@ -171,12 +175,12 @@
 
     /// How many of the listed replicas that this controller steers can't be judged, as reports on them are not whole, or none
     /// have come of late.
-    pub fn partly_observed(&self) -> usize {
+    pub fn partly_observed_count(&self) -> usize {
         self.many(|s| s.is_ready() && s.share != SubsetMembership::Others && !self.is_observed(s))
     }
 
     /// What is asked of all slices a second, as of the last survey.
-    pub fn measured_load_in_all(&self) -> f64 {
+    pub fn total_measured_load(&self) -> f64 {
         self.slices.values().map(|s| s.load).sum()
     }
 
@@ -209,8 +213,8 @@
         }
     }
 
-    pub fn slice_given(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
-        self.slice_taken(now, slice);
+    pub fn slice_granted(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
+        self.slice_revoked(now, slice);
         self.slices.insert(slice, Slice::new(table, now));
         self.retable(slice, |_| {});
         // Proxies that joined while no table of ours named it did not hear that it is withdrawn.
@@ -223,14 +227,14 @@
     }
 
     /// It was in our charge, and its table is another than we left it: nobody knows its levels, which are told anew.
-    pub fn slice_reread(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
-        self.slice_given(now, slice, table);
+    pub fn slice_table_reread(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
+        self.slice_granted(now, slice, table);
         self.slices.get_mut(&slice).into_iter().for_each(|s| s.cut_held = UNKNOWN);
         self.tell(slice, Priority::Calm);
         self.settle(now);
     }
 
-    pub fn slice_taken(&mut self, now: Moment, slice: SliceId) {
+    pub fn slice_revoked(&mut self, now: Moment, slice: SliceId) {
         self.told(slice);
         self.retable(slice, |s| (s.wanted, s.held) = Default::default());
         self.slices.remove(&slice);
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,8 +1,8 @@
 //! What a controller remembers: plain records, no decisions.
 
 use crate::api::{
-    EndpointReport, OverrideId, OverrideSpec, OverrideStatus, ProxyId, ReplicaId, ReplicaListing,
-    ReplicaState, ReportFlow, SliceId, Step, SubsetMembership, ZoneId,
+    Action, EndpointReport, OverrideId, OverrideSpec, OverrideStatus, ProxyId, ReplicaId, ReplicaListing,
+    ReplicaState, ReportFlow, SliceId, SubsetMembership, ZoneId,
 };
 use crate::deployment::Deployment;
 use crate::pins::SlicePins;
@@ -81,7 +81,7 @@
     pub(crate) replicas: BTreeMap<ReplicaId, Replica>,
     pub(crate) slices: BTreeMap<SliceId, Slice>,
     pub(crate) channel: Channel,
-    pub(crate) steps: Vec<Step>,
+    pub(crate) actions: Vec<Action>,
     /// The batch's news is through, and the reply is being made.
     pub(crate) replying: bool,
     pub(crate) due: Due,
@@ -144,7 +144,7 @@
             born: now,
             replicas: BTreeMap::new(),
             slices: BTreeMap::new(),
-            steps: Vec::new(),
+            actions: Vec::new(),
             replying: false,
             due: Due::default(),
             agenda: Agenda::default(),
@@ -173,12 +173,12 @@
         }
     }
 
-    pub fn knows(&self, replica: ReplicaId) -> bool {
+    pub fn knows_replica(&self, replica: ReplicaId) -> bool {
         self.replicas.contains_key(&replica)
     }
 
     /// What the list last said of it, and of which start.
-    pub fn standing(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
+    pub fn replica_state(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
         self.replicas.get(&replica).map(|s| (s.standing, s.started))
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Which controllers steer a replica, as the decisions were told last.
-    pub fn share(&self, replica: ReplicaId) -> Option<SubsetMembership> {
+    pub fn subset_membership(&self, replica: ReplicaId) -> Option<SubsetMembership> {
         self.replicas.get(&replica).map(|s| s.share)
     }
 
@@ -208,7 +208,7 @@
         self.settle(now);
     }
 
-    pub fn replicas_known(&self) -> usize {
+    pub fn known_replica_count(&self) -> usize {
         self.replicas.len()
     }
 
@@ -368,8 +368,8 @@
         *due = at.min(*due);
     }
 
-    pub(crate) fn note_withdrawal(&mut self, step: &Step) {
-        let Step::Withdraw { replica, out } = step else { return };
+    pub(crate) fn note_withdrawal(&mut self, step: &Action) {
+        let Action::Withdraw { replica, out } = step else { return };
         self.to_shut.remove(replica);
         self.replicas.get_mut(replica).into_iter().for_each(|s| s.turned = self.now);
         if !out {
--- a/crates/policy/tests/cases.rs
+++ b/crates/policy/tests/cases.rs
@@ -85,8 +85,8 @@
 fn plain(site: Deployment, replicas: u32) -> Policy {
     let mut policy = Policy::start(site, 1, at(0));
     let list: Vec<_> = (0..replicas).map(|s| listing(s, ReplicaState::Ready, 0)).collect();
-    policy.listed(at(0), ListScope::Whole, &list);
-    (0..replicas).for_each(|n| policy.slice_given(at(0), n, &[(n, 1.0)]));
+    policy.replicas_listed(at(0), ListScope::Whole, &list);
+    (0..replicas).for_each(|n| policy.slice_granted(at(0), n, &[(n, 1.0)]));
     policy.proxy_joined(at(0), 0, true);
     policy
 }
@@ -98,8 +98,8 @@
 /// At a second, a replica and a place: how many of three tries a second it aborts, and how long others take.
 type Fate<'a> = &'a dyn Fn(u64, u32, usize) -> (f64, u64);
 
-fn hear(policy: &mut Policy, seconds: Range<u64>, every: u64, replicas: u32, met: Fate) -> Vec<Step> {
-    let mut steps = Vec::new();
+fn hear(policy: &mut Policy, seconds: Range<u64>, every: u64, replicas: u32, met: Fate) -> Vec<Action> {
+    let mut actions = Vec::new();
     let length = every as f64;
     for second in seconds {
         let (now, covers) = (at(second * 1000), Span::ms(every * 1000));
@@ -108,7 +108,7 @@
             for zone in (0..3).filter(|_| since == 0) {
                 let (failed, ms) = met(second, s, zone);
                 let (attempts, failed) = (3.0 * length, failed * length);
-                policy.met(
+                policy.endpoint_reported(
                     now,
                     s,
                     EndpointReport { zone, covers, attempts, failed, mean_latency: Span::ms(ms) },
@@ -117,27 +117,27 @@
             let (came, failed) = (9.0 * length, 3.0 * length * met(second, s, 0).0);
             let told = (0..2).filter(|_| since == every / 2);
             told.for_each(|request_class| {
-                policy.asked(now, s, DemandReport { request_class, covers, came, failed })
+                policy.demand_reported(now, s, DemandReport { request_class, covers, came, failed })
             });
         }
-        policy.woken(now, second);
-        let reply = policy.collect(now);
+        policy.timer_fired(now, second);
+        let reply = policy.collect_actions(now);
         for step in &reply {
-            if let Step::Version { number } = step {
-                policy.applied(now, 0, *number);
+            if let Action::Sync { number } = step {
+                policy.ack_received(now, 0, *number);
             }
         }
-        steps.extend(reply);
+        actions.extend(reply);
     }
-    steps
+    actions
 }
 
-fn verdicts(steps: &[Step]) -> usize {
-    steps.iter().filter(|s| matches!(s, Step::Sick { .. })).count()
+fn verdicts(actions: &[Action]) -> usize {
+    actions.iter().filter(|s| matches!(s, Action::ReplicaEjected { .. })).count()
 }
 
-fn is_cut(step: &Step, of: Option<SliceId>, mask: u64) -> bool {
-    matches!(step, Step::Level { slice, request_classes, share, .. }
+fn is_cut(step: &Action, of: Option<SliceId>, mask: u64) -> bool {
+    matches!(step, Action::SetAdmission { slice, request_classes, share, .. }
         if *slice == of && request_classes & mask > 0 && *share < 1.0)
 }
 
@@ -145,9 +145,9 @@
 #[test]
 fn late_before_silent_is_full_not_dead() {
     let late = |second, s, _| if s == 0 { (if second > 12 { 3.0 } else { 0.0 }, 900) } else { (0.0, 100) };
-    let steps = hear(&mut plain(lone(), 6), 1..16, 1, 6, &late);
-    assert_eq!(verdicts(&steps), 0);
-    let first = |mask| steps.iter().position(|s| is_cut(s, Some(0), mask));
+    let actions = hear(&mut plain(lone(), 6), 1..16, 1, 6, &late);
+    assert_eq!(verdicts(&actions), 0);
+    let first = |mask| actions.iter().position(|s| is_cut(s, Some(0), mask));
     assert!(first(1).is_some() && first(1) <= first(2).or(Some(usize::MAX)));
 }
 
@@ -178,9 +178,9 @@
 fn what_ails_the_usual_replica_is_cut_for_all_at_once() {
     let lost = |s| if s == 0 { 3.0 } else { 1.5 };
     let given_up = |second, s, _| (if second > 5 { lost(s) } else { 0.0 }, 300);
-    let steps = hear(&mut plain(Deployment { pace: 5.0, ..site() }, 6), 1..20, 1, 6, &given_up);
-    assert!(steps.iter().any(|s| is_cut(s, None, 1)) && verdicts(&steps) == 0);
-    assert!(!steps.iter().any(|s| matches!(s, Step::Level { slice: Some(_), .. })));
+    let actions = hear(&mut plain(Deployment { pace: 5.0, ..site() }, 6), 1..20, 1, 6, &given_up);
+    assert!(actions.iter().any(|s| is_cut(s, None, 1)) && verdicts(&actions) == 0);
+    assert!(!actions.iter().any(|s| matches!(s, Action::SetAdmission { slice: Some(_), .. })));
 }
 
 /// Against a list that wrongly drops running replicas, as advice; one that drained first is left (idd6c4b).
@@ -189,15 +189,15 @@
     let mut policy = plain(Deployment { gone_is_advice: true, ..site() }, 6);
     let well = |_, _, _| (0.0, 100);
     hear(&mut policy, 1..5, 1, 6, &well);
-    policy.listed(at(5000), ListScope::Changes, &[listing(5, ReplicaState::Draining, 0)]);
+    policy.replicas_listed(at(5000), ListScope::Changes, &[listing(5, ReplicaState::Draining, 0)]);
     let gone: Vec<_> = (2..6).map(|s| listing(s, ReplicaState::Gone, 0)).collect();
-    policy.listed(at(6000), ListScope::Changes, &gone);
-    let steps = hear(&mut policy, 6..20, 1, 5, &well);
+    policy.replicas_listed(at(6000), ListScope::Changes, &gone);
+    let actions = hear(&mut policy, 6..20, 1, 5, &well);
     let leaves =
-        |id: u32| move |s: &Step| matches!(s, Step::Withdraw { replica, out: true } if *replica == id);
-    assert!(steps.iter().any(leaves(5)) && (2..5).all(|id| !steps.iter().any(leaves(id))));
-    let back = |s: &Step| matches!(s, Step::Line { replica: 5, weight, .. } if *weight > 0.0);
-    assert!(!steps.iter().any(|s| back(s) || matches!(s, Step::Withdraw { replica: 5, out: false })));
+        |id: u32| move |s: &Action| matches!(s, Action::Withdraw { replica, out: true } if *replica == id);
+    assert!(actions.iter().any(leaves(5)) && (2..5).all(|id| !actions.iter().any(leaves(id))));
+    let back = |s: &Action| matches!(s, Action::SetEndpoint { replica: 5, weight, .. } if *weight > 0.0);
+    assert!(!actions.iter().any(|s| back(s) || matches!(s, Action::Withdraw { replica: 5, out: false })));
 }
 
 /// Against one failure that doubles another replica's load.
@@ -215,18 +215,19 @@
 fn a_replica_back_before_its_slices_left_stays_withdrawn() {
     let mut policy = plain(Deployment { queue_cap: 60.0, ..site() }, 6);
     let well = |_, _, _| (0.0, 100);
-    (50..80).for_each(|n| policy.slice_given(at(0), n, &[(0, 1.0)]));
+    (50..80).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
     hear(&mut policy, 1..15, 1, 6, &well);
-    policy.listed(at(15_000), ListScope::Changes, &[listing(0, ReplicaState::Gone, 0)]);
-    let mut steps = policy.collect(at(15_000));
-    policy.listed(at(15_010), ListScope::Changes, &[listing(0, ReplicaState::Ready, 15_005)]);
-    steps.extend(policy.collect(at(15_010)));
-    (0..200).for_each(|version| policy.applied(at(16_000), 0, version));
-    steps.extend(hear(&mut policy, 16..30, 1, 6, &well));
-    let left =
-        steps.iter().rposition(|s| matches!(s, Step::Line { replica: 0, weight, .. } if *weight == 0.0));
-    let turned = |on: bool| move |s: &Step| matches!(s, Step::Withdraw { replica: 0, out } if *out == on);
-    let (out, lifted) = (steps.iter().position(turned(true)), steps.iter().position(turned(false)));
+    policy.replicas_listed(at(15_000), ListScope::Changes, &[listing(0, ReplicaState::Gone, 0)]);
+    let mut actions = policy.collect_actions(at(15_000));
+    policy.replicas_listed(at(15_010), ListScope::Changes, &[listing(0, ReplicaState::Ready, 15_005)]);
+    actions.extend(policy.collect_actions(at(15_010)));
+    (0..200).for_each(|version| policy.ack_received(at(16_000), 0, version));
+    actions.extend(hear(&mut policy, 16..30, 1, 6, &well));
+    let left = actions
+        .iter()
+        .rposition(|s| matches!(s, Action::SetEndpoint { replica: 0, weight, .. } if *weight == 0.0));
+    let turned = |on: bool| move |s: &Action| matches!(s, Action::Withdraw { replica: 0, out } if *out == on);
+    let (out, lifted) = (actions.iter().position(turned(true)), actions.iter().position(turned(false)));
     assert!(out.is_some() && out < left && left < lifted, "{out:?} {left:?} {lifted:?}");
 }
 
@@ -249,22 +250,22 @@
 fn a_table_read_from_the_store_is_mended_once_the_list_is_fresh() {
     let mut policy = Policy::start(site(), 1, at(0));
     let list = [0, 1].map(|s| listing(s, ReplicaState::Ready, 0));
-    policy.listed(at(0), ListScope::Remembered, &list);
-    policy.slice_given(at(0), 5, &[(9, 1.0)]);
-    policy.slice_given(at(0), 6, &[]);
-    let of = |s: &Step| {
-        if let Step::Line { slice, weight, .. } = s {
+    policy.replicas_listed(at(0), ListScope::Remembered, &list);
+    policy.slice_granted(at(0), 5, &[(9, 1.0)]);
+    policy.slice_granted(at(0), 6, &[]);
+    let of = |s: &Action| {
+        if let Action::SetEndpoint { slice, weight, .. } = s {
             Some((*slice, *weight > 0.0))
         } else {
             None
         }
     };
-    let line = |steps: &[Step], n: u32, add: bool| steps.iter().position(|s| of(s) == Some((n, add)));
-    let steps = policy.collect(at(0));
-    assert!(line(&steps, 6, true).is_some() && line(&steps, 5, true).is_none());
-    policy.listed(at(100), ListScope::Whole, &list);
-    let steps = policy.collect(at(100));
-    assert!(line(&steps, 5, true).is_some() && line(&steps, 5, true) < line(&steps, 5, false));
+    let line = |actions: &[Action], n: u32, add: bool| actions.iter().position(|s| of(s) == Some((n, add)));
+    let actions = policy.collect_actions(at(0));
+    assert!(line(&actions, 6, true).is_some() && line(&actions, 5, true).is_none());
+    policy.replicas_listed(at(100), ListScope::Whole, &list);
+    let actions = policy.collect_actions(at(100));
+    assert!(line(&actions, 5, true).is_some() && line(&actions, 5, true) < line(&actions, 5, false));
 }
 
 /// Where the list must be asked for: once at the start, again some time after a failure, and not in between.
@@ -274,10 +275,12 @@
     let mut asked = Vec::new();
     for ms in (0..20_000).step_by(100) {
         if ms % 5000 == 0 && ms > 0 {
-            policy.list_failed(at(ms));
+            policy.list_request_failed(at(ms));
         }
-        policy.woken(at(ms), ms);
-        asked.extend(policy.collect(at(ms)).iter().filter(|s| **s == Step::FollowList).map(|_| ms));
+        policy.timer_fired(at(ms), ms);
+        asked.extend(
+            policy.collect_actions(at(ms)).iter().filter(|s| **s == Action::RequestReplicaList).map(|_| ms),
+        );
     }
     assert_eq!(asked.len(), 4);
     assert!(asked[0] == 0 && asked[1] > 6000 && asked[1] <= 8100);
@@ -292,14 +295,15 @@
             let standing = |s| if s == draining { ReplicaState::Draining } else { ReplicaState::Ready };
             (0..3).map(|s| listing(s, standing(s), 0)).collect()
         };
-        policy.listed(at(1000), ListScope::Whole, &list(9));
-        (0..3).for_each(|n| policy.slice_given(at(1000), n, &[(n, 1.0)]));
+        policy.replicas_listed(at(1000), ListScope::Whole, &list(9));
+        (0..3).for_each(|n| policy.slice_granted(at(1000), n, &[(n, 1.0)]));
         (0..3).for_each(|proxy| policy.proxy_joined(at(1000), proxy, true));
-        let first = policy.collect(at(1000));
-        let Some(Step::Version { number }) = first.last() else { panic!("no mark: {first:?}") };
-        (0..times).for_each(|_| policy.ordered_again(at(1010), *number));
-        policy.listed(at(2000), ListScope::Changes, &list(1)[1..2]);
-        let withdrawn = policy.collect(at(2000)).contains(&Step::Withdraw { replica: 1, out: true });
+        let first = policy.collect_actions(at(1000));
+        let Some(Action::Sync { number }) = first.last() else { panic!("no mark: {first:?}") };
+        (0..times).for_each(|_| policy.command_resent(at(1010), *number));
+        policy.replicas_listed(at(2000), ListScope::Changes, &list(1)[1..2]);
+        let withdrawn =
+            policy.collect_actions(at(2000)).contains(&Action::Withdraw { replica: 1, out: true });
         assert_eq!(withdrawn, times == 0);
     }
 }
@@ -312,7 +316,7 @@
         fleet.introduce(seed);
         fleet.log.clear();
         fleet.advance(3000);
-        let version = |step: &Step| if let Step::Version { number } = step { Some(*number) } else { None };
+        let version = |step: &Action| if let Action::Sync { number } = step { Some(*number) } else { None };
         fleet.log.iter().filter_map(version).collect::<Vec<_>>()
     };
     let (one, other) = (versions(0x8c1f30d27a5be964), versions(0x8c1f30d27a5b7777));
@@ -324,7 +328,7 @@
 #[test]
 fn proxies_that_join_do_not_starve_a_withdrawal_that_nobody_heard() {
     let mut policy = plain(Deployment { queue_cap: 1200.0, pace: 12_000.0, message_cap: 0, ..site() }, 100);
-    (100..900).for_each(|n| policy.slice_given(at(0), n, &[(n % 100, 1.0)]));
+    (100..900).for_each(|n| policy.slice_granted(at(0), n, &[(n % 100, 1.0)]));
     (1..30).for_each(|proxy| policy.proxy_joined(at(0), proxy, true));
     let mut proxies = 30;
     let mut replies = |policy: &mut Policy, times: std::ops::Range<u64>, joins: bool| {
@@ -334,12 +338,12 @@
                 policy.proxy_joined(at(now), proxies, false);
                 proxies += 1;
             }
-            policy.woken(at(now), now);
-            for step in policy.collect(at(now)) {
-                let last = matches!(step, Step::Withdraw { replica: 99, out: true });
+            policy.timer_fired(at(now), now);
+            for step in policy.collect_actions(at(now)) {
+                let last = matches!(step, Action::Withdraw { replica: 99, out: true });
                 first = first.or(last.then_some(now));
-                if let Step::Version { number } = step {
-                    (0..proxies).for_each(|proxy| policy.applied(at(now), proxy, number));
+                if let Action::Sync { number } = step {
+                    (0..proxies).for_each(|proxy| policy.ack_received(at(now), proxy, number));
                 }
             }
         }
@@ -349,9 +353,9 @@
     let drain = |ids: std::ops::Range<u32>| -> Vec<_> {
         ids.map(|s| listing(s, ReplicaState::Draining, 0)).collect()
     };
-    policy.listed(at(2000), ListScope::Changes, &drain(0..60));
+    policy.replicas_listed(at(2000), ListScope::Changes, &drain(0..60));
     replies(&mut policy, 2000..5000, false);
-    policy.listed(at(5000), ListScope::Changes, &drain(99..100));
+    policy.replicas_listed(at(5000), ListScope::Changes, &drain(99..100));
     let told = replies(&mut policy, 5000..7500, true);
     assert!(told.is_some_and(|at| at < 6000), "{told:?}");
 }
@@ -362,30 +366,34 @@
     let mut policy = plain(site(), 6);
     let well = |_, _, _| (0.0, 100);
     hear(&mut policy, 1..5, 1, 6, &well);
-    policy.listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
-    let out = |s: &Step| *s == Step::Withdraw { replica: 0, out: true };
+    policy.replicas_listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
+    let out = |s: &Action| *s == Action::Withdraw { replica: 0, out: true };
     assert!(hear(&mut policy, 5..12, 1, 6, &well).iter().any(out));
     policy.proxy_joined(at(12_000), 1, false);
-    assert!(!policy.collect(at(12_000)).iter().any(out), "no table names it");
-    policy.slice_given(at(12_500), 40, &[(0, 1.0), (1, 0.01)]);
-    assert!(policy.collect(at(12_500)).iter().any(out));
+    assert!(!policy.collect_actions(at(12_000)).iter().any(out), "no table names it");
+    policy.slice_granted(at(12_500), 40, &[(0, 1.0), (1, 0.01)]);
+    assert!(policy.collect_actions(at(12_500)).iter().any(out));
 }
 
 /// Tries at each of six replicas in a second, all answered in 100 ms, and what came for its slice.
 fn report(policy: &mut Policy, now: whinwall_policy::time::Moment, of: impl Fn(u32) -> (f64, f64)) {
     for s in 0..6 {
         let ((attempts, came), covers, mean_latency) = (of(s), Span::ms(1000), Span::ms(100));
-        policy.met(now, s, EndpointReport { zone: 0, covers, attempts, failed: 0.0, mean_latency });
-        policy.asked(now, s, DemandReport { request_class: 0, covers, came, failed: 0.0 });
+        policy.endpoint_reported(
+            now,
+            s,
+            EndpointReport { zone: 0, covers, attempts, failed: 0.0, mean_latency },
+        );
+        policy.demand_reported(now, s, DemandReport { request_class: 0, covers, came, failed: 0.0 });
     }
 }
 
 /// The reply of this second, its version acked at once by the one proxy.
-fn acked_reply(policy: &mut Policy, now: whinwall_policy::time::Moment) -> Vec<Step> {
-    policy.woken(now, 0);
-    let reply = policy.collect(now);
-    if let Some(Step::Version { number }) = reply.last() {
-        policy.applied(now, 0, *number);
+fn acked_reply(policy: &mut Policy, now: whinwall_policy::time::Moment) -> Vec<Action> {
+    policy.timer_fired(now, 0);
+    let reply = policy.collect_actions(now);
+    if let Some(Action::Sync { number }) = reply.last() {
+        policy.ack_received(now, 0, *number);
     }
     reply
 }
@@ -395,25 +403,25 @@
 #[test]
 fn cold_replicas_that_nobody_asks_do_not_prove_that_replicas_can_do_little() {
     let mut policy = plain(site(), 6);
-    let mut steps = Vec::new();
+    let mut actions = Vec::new();
     for second in 1..20 {
         let now = at(second * 1000);
         report(&mut policy, now, |_| (20.0, 2.0));
         if second == 10 {
             let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, 10_000)).collect();
-            policy.listed(now, ListScope::Changes, &new);
+            policy.replicas_listed(now, ListScope::Changes, &new);
         }
         if second == 17 {
-            policy.listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
+            policy.replicas_listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
         }
         let reply = acked_reply(&mut policy, now);
-        steps.extend(reply.into_iter().filter(|_| second >= 17));
+        actions.extend(reply.into_iter().filter(|_| second >= 17));
     }
-    let went = |s: &Step| match s {
-        Step::Line { slice: 0, replica, weight } if *weight >= 1.0 => Some(*replica),
+    let went = |s: &Action| match s {
+        Action::SetEndpoint { slice: 0, replica, weight } if *weight >= 1.0 => Some(*replica),
         _ => None,
     };
-    let went = steps.iter().find_map(went);
+    let went = actions.iter().find_map(went);
     assert!(went.is_some_and(|replica| replica >= 6), "{went:?}");
 }
 
@@ -423,27 +431,29 @@
 fn a_cold_replica_is_the_whole_of_one_controller() {
     let went = |number, slices, begins: u64| {
         let mut policy = plain(Deployment { controllers: 5, number, slices, ..site() }, 6);
-        (6..12).for_each(|n| policy.slice_given(at(0), n, &[(n - 6, 1.0)]));
-        let mut steps = Vec::new();
+        (6..12).for_each(|n| policy.slice_granted(at(0), n, &[(n - 6, 1.0)]));
+        let mut actions = Vec::new();
         for second in 1..12 {
             let now = at(second * 1000);
             report(&mut policy, now, |_| (2.0, 1.0));
             let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1.0, failed: 0.0 };
-            (6..12).for_each(|n| policy.asked(now, n, asked));
+            (6..12).for_each(|n| policy.demand_reported(now, n, asked));
             if second == begins {
                 let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, begins * 1000)).collect();
-                policy.listed(now, ListScope::Changes, &new);
+                policy.replicas_listed(now, ListScope::Changes, &new);
             }
             if second == 11 {
-                policy.listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
+                policy.replicas_listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
             }
-            steps = acked_reply(&mut policy, now);
+            actions = acked_reply(&mut policy, now);
         }
-        let went = |s: Step| match s {
-            Step::Line { slice: 0 | 6, replica, weight } if weight >= 1.0 && replica >= 6 => Some(replica),
+        let went = |s: Action| match s {
+            Action::SetEndpoint { slice: 0 | 6, replica, weight } if weight >= 1.0 && replica >= 6 => {
+                Some(replica)
+            }
             _ => None,
         };
-        steps.into_iter().filter_map(went).collect::<Vec<_>>()
+        actions.into_iter().filter_map(went).collect::<Vec<_>>()
     };
     let all: Vec<_> = (0..5).flat_map(|number| went(number, 60, 10)).collect();
     assert!(all.len() >= 4, "{all:?}");
@@ -458,17 +468,18 @@
 fn a_replica_that_is_ours_alone_has_the_band_of_a_whole_one() {
     let taken = |number| {
         let mut policy = plain(Deployment { controllers: 5, number, slices: 55, ..site() }, 6);
-        (6..11).for_each(|n| policy.slice_given(at(0), n, &[(0, 1.0)]));
+        (6..11).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
         let mut taken = 0;
         for second in 1..15 {
             let now = at(second * 1000);
             report(&mut policy, now, |s| (if s == 0 { 6.0 } else { 1.0 }, 1.0));
             let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1.0, failed: 0.0 };
-            (6..11).for_each(|n| policy.asked(now, n, asked));
+            (6..11).for_each(|n| policy.demand_reported(now, n, asked));
             if second == 5 {
-                policy.listed(now, ListScope::Changes, &[listing(6, ReplicaState::Ready, 5000)]);
+                policy.replicas_listed(now, ListScope::Changes, &[listing(6, ReplicaState::Ready, 5000)]);
             }
-            let whole = |s: &&Step| matches!(s, Step::Line { replica: 6, weight, .. } if *weight >= 1.0);
+            let whole =
+                |s: &&Action| matches!(s, Action::SetEndpoint { replica: 6, weight, .. } if *weight >= 1.0);
             taken += acked_reply(&mut policy, now).iter().filter(whole).count();
         }
         taken
@@ -485,12 +496,16 @@
         let mut policy = Policy::start(site(), 1, at(5000));
         policy.proxy_joined(at(5000), 0, false);
         match by_store {
-            true => policy.slice_given(at(5100), 0, &[(3, 1.0)]),
+            true => policy.slice_granted(at(5100), 0, &[(3, 1.0)]),
             false => {
-                policy.listed(at(5100), ListScope::Whole, &[listing(3, ReplicaState::Ready, started)]);
+                policy.replicas_listed(
+                    at(5100),
+                    ListScope::Whole,
+                    &[listing(3, ReplicaState::Ready, started)],
+                );
             }
         }
-        let let_in = |step: &Step| *step == Step::Withdraw { replica: 3, out: false };
+        let let_in = |step: &Action| *step == Action::Withdraw { replica: 3, out: false };
         let told = (5200..8000).step_by(100).any(|now| acked_reply(&mut policy, at(now)).iter().any(let_in));
         assert_eq!(told, lifted, "by store {by_store}, started {started}");
     }
@@ -501,27 +516,27 @@
 fn a_proxy_that_comes_back_hears_only_what_it_missed() {
     for missed in [false, true] {
         let mut policy = plain(site(), 6);
-        let out = |s: &Step| *s == Step::Withdraw { replica: 0, out: true };
+        let out = |s: &Action| *s == Action::Withdraw { replica: 0, out: true };
         // Slices enough that some still name the replica when the proxy is back.
-        (50..450).for_each(|n| policy.slice_given(at(0), n, &[(0, 1.0)]));
+        (50..450).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
         policy.proxy_joined(at(0), 1, true);
-        policy.collect(at(0));
-        (0..200).for_each(|version| (0..2).for_each(|proxy| policy.applied(at(500), proxy, version)));
-        policy.listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
-        let reply = policy.collect(at(5000));
+        policy.collect_actions(at(0));
+        (0..200).for_each(|version| (0..2).for_each(|proxy| policy.ack_received(at(500), proxy, version)));
+        policy.replicas_listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
+        let reply = policy.collect_actions(at(5000));
         assert!(reply.iter().any(out), "{reply:?}");
-        let Some(Step::Version { number }) = reply.last() else { panic!("no mark: {reply:?}") };
-        policy.applied(at(5300), 0, *number);
+        let Some(Action::Sync { number }) = reply.last() else { panic!("no mark: {reply:?}") };
+        policy.ack_received(at(5300), 0, *number);
         if !missed {
-            policy.applied(at(5300), 1, *number);
+            policy.ack_received(at(5300), 1, *number);
         }
         policy.proxy_left(at(5400), 1);
         policy.proxy_joined(at(5600), 1, false);
         let told = (5600..7000).step_by(100).any(|now| {
-            policy.woken(at(now), now);
-            let reply = policy.collect(at(now));
-            if let Some(Step::Version { number }) = reply.last() {
-                (0..2).for_each(|proxy| policy.applied(at(now), proxy, *number));
+            policy.timer_fired(at(now), now);
+            let reply = policy.collect_actions(at(now));
+            if let Some(Action::Sync { number }) = reply.last() {
+                (0..2).for_each(|proxy| policy.ack_received(at(now), proxy, *number));
             }
             reply.iter().any(out)
         });
@@ -539,7 +554,8 @@
         for second in 1..12 {
             let now = at(second * 1000);
             report(&mut policy, now, |s| if s == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
-            let whole = |s: &&Step| matches!(s, Step::Line { slice: 0, weight, .. } if *weight >= 1.0);
+            let whole =
+                |s: &&Action| matches!(s, Action::SetEndpoint { slice: 0, weight, .. } if *weight >= 1.0);
             whole_lines += acked_reply(&mut policy, now).iter().filter(whole).count();
         }
         assert_eq!(whole_lines > 0, spreads, "{slices} slices in all");
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -70,7 +70,7 @@
     proxy: ProxyId,
     lines: f64,
     versions: Vec<u16>,
-    steps: Vec<Step>,
+    actions: Vec<Action>,
 }
 
 #[derive(Default, Clone)]
@@ -96,7 +96,7 @@
     pub store: BTreeMap<SliceId, BTreeMap<ReplicaId, f64>>,
     pub lines_a_tick: f64,
     pub slow_ms: u64,
-    pub log: Vec<Step>,
+    pub log: Vec<Action>,
     proxies: BTreeMap<ProxyId, Proxy>,
     queue: VecDeque<Message>,
     wakes: BTreeMap<u64, Vec<u64>>,
@@ -133,12 +133,12 @@
         self.policy = Policy::start(self.site.clone(), seed, now);
         (self.queue, self.wakes) = (VecDeque::new(), BTreeMap::new());
         let list: Vec<_> = self.nodes.keys().map(|id| self.entry(*id)).collect();
-        self.policy.listed(now, ListScope::Remembered, &list);
-        self.policy.listed(now, ListScope::Whole, &list);
+        self.policy.replicas_listed(now, ListScope::Remembered, &list);
+        self.policy.replicas_listed(now, ListScope::Whole, &list);
         self.nodes.values_mut().for_each(|n| n.told_ms = self.now_ms);
         for (n, table) in &self.store {
             let table: Vec<_> = table.iter().map(|(s, w)| (*s, *w)).collect();
-            self.policy.slice_given(now, *n, &table);
+            self.policy.slice_granted(now, *n, &table);
         }
         for p in self.proxies.keys().copied().collect::<Vec<_>>() {
             self.join(p);
@@ -170,21 +170,21 @@
         let node = self.nodes.get_mut(&replica).expect("a known server");
         node.told_ms = self.now_ms;
         let entry = self.entry(replica);
-        self.policy.listed(at(self.now_ms), ListScope::Changes, &[entry]);
+        self.policy.replicas_listed(at(self.now_ms), ListScope::Changes, &[entry]);
         self.reply();
     }
 
     /// Takes the reply, in order, and puts it on the channel.
     pub fn reply(&mut self) {
-        let steps = self.policy.collect(at(self.now_ms));
-        let versions: Vec<u16> = steps
+        let actions = self.policy.collect_actions(at(self.now_ms));
+        let versions: Vec<u16> = actions
             .iter()
-            .filter_map(|s| if let Step::Version { number } = s { Some(*number) } else { None })
+            .filter_map(|s| if let Action::Sync { number } = s { Some(*number) } else { None })
             .collect();
         let mut orders = Vec::new();
-        for step in &steps {
+        for step in &actions {
             match step {
-                Step::Line { slice, replica, weight } => {
+                Action::SetEndpoint { slice, replica, weight } => {
                     let table = self.store.get_mut(slice).expect("rule: only slices that exist");
                     if self.site.single_writer {
                         table.clear();
@@ -194,12 +194,12 @@
                     assert!(!table.is_empty(), "rule 1: slice {slice} left bare by {step:?}");
                     orders.push(step.clone());
                 }
-                Step::Level { retries, .. } => {
+                Action::SetAdmission { retries, .. } => {
                     assert!(*retries <= 1, "rule 2: tries without proof");
                     orders.push(step.clone());
                 }
-                Step::Withdraw { .. } => orders.push(step.clone()),
-                Step::Wake { token, after } => {
+                Action::Withdraw { .. } => orders.push(step.clone()),
+                Action::StartTimer { token, after } => {
                     self.wakes.entry(self.now_ms + after.as_ns() / 1_000_000).or_default().push(*token);
                 }
                 _ => {}
@@ -212,7 +212,7 @@
                     proxy: *id,
                     lines,
                     versions: versions.clone(),
-                    steps: orders.clone(),
+                    actions: orders.clone(),
                 });
                 p.written_ms.push_back(self.now_ms);
                 p.written_ms.retain(|ms| ms + 10_000 > self.now_ms);
@@ -221,7 +221,7 @@
         }
         let waiting: f64 = self.queue.iter().map(|m| m.lines).sum();
         assert!(waiting <= self.site.queue_cap, "rule 5: {waiting} lines wait");
-        self.log.extend(steps);
+        self.log.extend(actions);
     }
 
     fn deliver(&mut self) {
@@ -243,10 +243,10 @@
         let due = |p: &mut Proxy| p.joined.then(|| p.inbox.pop_front_if(|(ms, _)| *ms <= now_ms))?;
         while let Some((_, message)) = self.proxies.values_mut().find_map(due) {
             let single = self.site.single_writer;
-            for step in &message.steps {
+            for step in &message.actions {
                 let p = self.proxies.get_mut(&message.proxy).expect("a known proxy");
                 match step {
-                    Step::Line { slice, replica, weight } => {
+                    Action::SetEndpoint { slice, replica, weight } => {
                         let table = p.tables.entry(*slice).or_default();
                         let new = !table.contains_key(replica);
                         if single {
@@ -262,17 +262,17 @@
                             "rule 2: two owners write"
                         );
                     }
-                    Step::Withdraw { replica, out } => {
+                    Action::Withdraw { replica, out } => {
                         _ = if *out { p.shut.insert(*replica) } else { p.shut.remove(replica) };
                     }
-                    Step::Level { slice: Some(n), share, .. } => {
+                    Action::SetAdmission { slice: Some(n), share, .. } => {
                         _ = if *share == 0.0 { p.halted.insert(*n) } else { p.halted.remove(n) };
                     }
                     _ => {}
                 }
             }
             for version in &message.versions {
-                self.policy.applied(at(self.now_ms), message.proxy, *version);
+                self.policy.ack_received(at(self.now_ms), message.proxy, *version);
             }
             self.reply();
         }
@@ -287,7 +287,11 @@
             let whole: f64 = table.values().sum();
             let dead = table.iter().filter(|(s, _)| self.nodes.get(s).is_none_or(|n| !n.answers));
             let failed = came * dead.map(|(_, weight)| weight).sum::<f64>() / whole;
-            self.policy.asked(now, *n, DemandReport { request_class: 0, covers, came: *came, failed });
+            self.policy.demand_reported(
+                now,
+                *n,
+                DemandReport { request_class: 0, covers, came: *came, failed },
+            );
             for (s, weight) in table {
                 *sent.entry(*s).or_default() += came * weight / whole;
             }
@@ -301,7 +305,7 @@
                 mean_latency: Span::ms(200),
                 ..EndpointReport::default()
             };
-            self.policy.met(now, s, met);
+            self.policy.endpoint_reported(now, s, met);
         }
         self.reply();
     }
@@ -313,7 +317,7 @@
             self.arrive();
             let later = self.wakes.split_off(&(self.now_ms + 1));
             for token in std::mem::replace(&mut self.wakes, later).into_values().flatten() {
-                self.policy.woken(at(self.now_ms), token);
+                self.policy.timer_fired(at(self.now_ms), token);
             }
             self.reply();
             if self.now_ms.is_multiple_of(1000) {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -49,16 +49,16 @@
         }
         "restart" => fleet.introduce(u64::from(n)),
         "hand" => {
-            fleet.policy.slice_taken(at(now), n % 40);
+            fleet.policy.slice_revoked(at(now), n % 40);
             let table: Vec<_> = fleet.store[&(n % 40)].iter().map(|(s, w)| (*s, *w)).collect();
-            fleet.policy.slice_given(at(now), n % 40, &table);
+            fleet.policy.slice_granted(at(now), n % 40, &table);
         }
         _ => fleet.advance(3000),
     }
     fleet.advance(700);
 }
 
-fn runs(single_writer: bool, seeds: std::ops::Range<u64>) -> Vec<Step> {
+fn runs(single_writer: bool, seeds: std::ops::Range<u64>) -> Vec<Action> {
     let mut log = Vec::new();
     for seed in seeds {
         let mut deeds = Vec::<Deed>::arbitrary(&mut Gen::from_size_and_seed(60, seed));
@@ -87,7 +87,7 @@
 #[test]
 fn the_same_calls_give_the_same_steps() {
     let once = runs(false, 200..204);
-    assert!(once.iter().any(|s| matches!(s, Step::Line { .. })) && once == runs(false, 200..204));
+    assert!(once.iter().any(|s| matches!(s, Action::SetEndpoint { .. })) && once == runs(false, 200..204));
 }
 
 /// Calls in any order, with ids nobody has heard of: never a panic, never rules without end.
@@ -105,26 +105,26 @@
             let (failed, mean_latency) = (f64::from(n % 50), Span::ms(900));
             let table = [listing(id, standing, u64::from(m % 2) * i as u64 * 120)];
             match call % 11 {
-                0 | 1 => policy.listed(now, scope, &table),
-                2 => policy.slice_given(now, id, &[(n % 9, rate)]),
-                3 => policy.slice_taken(now, id),
+                0 | 1 => policy.replicas_listed(now, scope, &table),
+                2 => policy.slice_granted(now, id, &[(n % 9, rate)]),
+                3 => policy.slice_revoked(now, id),
                 4 => policy.proxy_joined(now, id, m % 2 == 0),
                 5 => policy.proxy_left(now, id),
-                6 => policy.applied(now, id, *m % 20),
-                7 => policy.asked(
+                6 => policy.ack_received(now, id, *m % 20),
+                7 => policy.demand_reported(
                     now,
                     id,
                     DemandReport { request_class, covers, came: rate, failed: rate / 2.0 },
                 ),
-                8 => policy.woken(now, u64::from(*n)),
-                9 => policy.list_failed(now),
-                _ => policy.met(
+                8 => policy.timer_fired(now, u64::from(*n)),
+                9 => policy.list_request_failed(now),
+                _ => policy.endpoint_reported(
                     now,
                     id,
                     EndpointReport { zone: request_class, covers, attempts: rate, failed, mean_latency },
                 ),
             }
-            policy.collect(now);
+            policy.collect_actions(now);
         }
     }
 }
--- a/crates/policy/tests/wishes.rs
+++ b/crates/policy/tests/wishes.rs
@@ -19,7 +19,7 @@
 }
 
 fn tell(fleet: &mut Fleet, wishes: &[(OverrideId, OverrideSpec)]) {
-    fleet.policy.wished(at(fleet.now_ms), wishes);
+    fleet.policy.set_overrides(at(fleet.now_ms), wishes);
     fleet.reply();
 }
 
@@ -44,21 +44,21 @@
 
 /// Counts moves of a slice onto a replica.
 fn pulls(fleet: &Fleet, slice: SliceId, replica: ReplicaId) -> usize {
-    let whole = |step: &&Step| matches!(step, Step::Line { slice: n, replica: s, weight } if (*n, *s) == (slice, replica) && *weight >= 1.0);
+    let whole = |step: &&Action| matches!(step, Action::SetEndpoint { slice: n, replica: s, weight } if (*n, *s) == (slice, replica) && *weight >= 1.0);
     fleet.log.iter().filter(whole).count()
 }
 
 #[test]
 fn out_of_service_goes_the_way_of_a_drain() {
     let mut fleet = told(&OUT_OF_0);
-    let withdrawn = Step::Withdraw { replica: 0, out: true };
+    let withdrawn = Action::Withdraw { replica: 0, out: true };
     assert!(fleet.log.contains(&withdrawn), "at once, as for a drain");
     fleet.advance(fleet::GRACE_MS);
     assert_eq!(named(&fleet, 0), 0);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
     tell(&mut fleet, &[]);
     fleet.advance(500);
-    assert!(fleet.log.contains(&Step::Withdraw { replica: 0, out: false }), "let in within a second");
+    assert!(fleet.log.contains(&Action::Withdraw { replica: 0, out: false }), "let in within a second");
     fleet.rates.values_mut().for_each(|rate| *rate += 1.0);
     fleet.advance(30_000);
     assert!(named(&fleet, 0) > 0, "used again");
@@ -73,7 +73,7 @@
     tell(&mut fleet, &[]);
     fleet.advance(20_000);
     assert_eq!(named(&fleet, 0), 0);
-    assert!(!fleet.log[before..].contains(&Step::Withdraw { replica: 0, out: false }));
+    assert!(!fleet.log[before..].contains(&Action::Withdraw { replica: 0, out: false }));
 }
 
 #[test]
@@ -81,12 +81,12 @@
     let outs = [0, 1, 2, 3].map(|replica| (u64::from(replica) + 1, OverrideSpec::Out { replica }));
     let mut fleet = told(&outs);
     fleet.advance(4000);
-    let heeded = [1, 2, 3, 4].map(|id| fleet.policy.heeded(id).unwrap());
+    let heeded = [1, 2, 3, 4].map(|id| fleet.policy.override_status(id).unwrap());
     assert!(matches!(heeded, [InForce, InForce, Suspended(_), Suspended(_)]), "{heeded:?}");
     // One that ends makes room for the next, but not at once for one that had to stand back before.
     tell(&mut fleet, &outs[1..]);
     fleet.advance(4000);
-    assert_eq!(fleet.policy.heeded(3), Some(InForce));
+    assert_eq!(fleet.policy.override_status(3), Some(InForce));
     assert_eq!((named(&fleet, 1), named(&fleet, 2)), (0, 0));
 }
 
@@ -96,26 +96,26 @@
     fleet.advance(2000);
     tell(&mut fleet, &OUT_OF_0);
     fleet.advance(3000);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
     restand(&mut fleet, 1, ReplicaState::Draining);
     fleet.advance(3000);
-    assert!(matches!(fleet.policy.heeded(1), Some(Suspended(why)) if why.starts_with("rule 1")));
+    assert!(matches!(fleet.policy.override_status(1), Some(Suspended(why)) if why.starts_with("rule 1")));
     assert_eq!((named(&fleet, 0), named(&fleet, 1)), (6, 0));
     // The other is back, as warm as ever: it comes into force again, but not at once.
     restand(&mut fleet, 1, ReplicaState::Ready);
     fleet.advance(3000);
-    assert_eq!(fleet.policy.heeded(1), Some(Suspended("rule 1: it stood back a moment ago")));
+    assert_eq!(fleet.policy.override_status(1), Some(Suspended("rule 1: it stood back a moment ago")));
     fleet.advance(9000);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
     restand(&mut fleet, 1, ReplicaState::Draining);
     fleet.advance(3000);
     // A cold one is no other one.
     cold(&mut fleet, 1);
     restand(&mut fleet, 1, ReplicaState::Ready);
     fleet.advance(5000);
-    assert!(matches!(fleet.policy.heeded(1), Some(Suspended(_))));
+    assert!(matches!(fleet.policy.override_status(1), Some(Suspended(_))));
     fleet.advance(20_000);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
 }
 
 #[test]
@@ -124,7 +124,7 @@
     fleet.advance(2000);
     tell(&mut fleet, &[(1, OverrideSpec::Weight { replica: 0, factor: 0.25 })]);
     fleet.advance(60_000);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
     let owned = |fleet: &Fleet| (0..40).filter(|n| owner(fleet, *n) == [0]).count();
     let light = owned(&fleet);
     assert!(light < 6, "{light} of 40 slices at a quarter of the weight");
@@ -145,11 +145,11 @@
     tell(&mut fleet, &[(1, OverrideSpec::Weight { replica: 0, factor: 10.0 })]);
     cold(&mut fleet, 0);
     fleet.advance(500);
-    assert!(matches!(fleet.policy.heeded(1), Some(Suspended(why)) if why.starts_with("rule 4")));
+    assert!(matches!(fleet.policy.override_status(1), Some(Suspended(why)) if why.starts_with("rule 4")));
     fleet.advance(8000);
-    assert!(matches!(fleet.policy.heeded(1), Some(Suspended(_))));
+    assert!(matches!(fleet.policy.override_status(1), Some(Suspended(_))));
     fleet.advance(3000);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
 }
 
 /// 120 requests a second on four replicas: a fresh one may be sent 0.55 * 3 * 0.2 * 30, and a fifth more where it
@@ -173,7 +173,7 @@
     let mut fleet = told(&[(7, OverrideSpec::Pin { first: 4, last: 6, replica: 3 })]);
     fleet.advance(4000);
     assert_eq!([4, 5, 6].map(|n| owner(&fleet, n)), [vec![3], vec![3], vec![3]]);
-    assert_eq!(fleet.policy.heeded(7), Some(InForce));
+    assert_eq!(fleet.policy.override_status(7), Some(InForce));
     // Hot or not, the ordinary path leaves them there.
     fleet.rates.extend((4..=6).map(|n| (n, 12.0)));
     fleet.advance(20_000);
@@ -202,17 +202,17 @@
         (2, OverrideSpec::Out { replica: 2 }),
     ]);
     fleet.advance(5000);
-    assert_eq!((named(&fleet, 2), fleet.policy.heeded(2)), (0, Some(InForce)));
-    assert_eq!(fleet.policy.heeded(1), Some(Suspended("the server is out of service")));
+    assert_eq!((named(&fleet, 2), fleet.policy.override_status(2)), (0, Some(InForce)));
+    assert_eq!(fleet.policy.override_status(1), Some(Suspended("the server is out of service")));
     tell(&mut fleet, &[(1, OverrideSpec::Pin { first: 0, last: 3, replica: 2 })]);
     fleet.advance(6000);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
     restand(&mut fleet, 2, ReplicaState::Draining);
     fleet.advance(fleet::GRACE_MS);
     assert_eq!(named(&fleet, 2), 0);
-    assert_eq!(fleet.policy.heeded(1), Some(Suspended("rule 3: the server drains")));
+    assert_eq!(fleet.policy.override_status(1), Some(Suspended("rule 3: the server drains")));
     restand(&mut fleet, 2, ReplicaState::Gone);
-    assert_eq!(fleet.policy.heeded(1), Some(Absent));
+    assert_eq!(fleet.policy.override_status(1), Some(Absent));
 }
 
 #[test]
@@ -222,7 +222,11 @@
     tell(&mut fleet, &[(1, OverrideSpec::Pin { first: 0, last: 11, replica: 2 })]);
     fleet.advance(5000);
     let there = |fleet: &Fleet| (0..12).filter(|n| owner(fleet, *n) == [2]).count();
-    assert!(there(&fleet) < 12 && !matches!(fleet.policy.heeded(1), Some(InForce)), "{}", there(&fleet));
+    assert!(
+        there(&fleet) < 12 && !matches!(fleet.policy.override_status(1), Some(InForce)),
+        "{}",
+        there(&fleet)
+    );
     fleet.advance(120_000);
     assert_eq!(there(&fleet), 12);
     assert!((0..12).all(|n| pulls(&fleet, n, 2) <= 1), "none had to leave again");
@@ -252,8 +256,8 @@
     let mut fleet = told(&wishes);
     fleet.advance(3000);
     fleet.store.insert(4, [(1, 1.0)].into());
-    fleet.policy.slice_taken(at(fleet.now_ms), 4);
-    fleet.policy.slice_given(at(fleet.now_ms), 4, &[(1, 1.0)]);
+    fleet.policy.slice_revoked(at(fleet.now_ms), 4);
+    fleet.policy.slice_granted(at(fleet.now_ms), 4, &[(1, 1.0)]);
     fleet.advance(10_000);
     assert_eq!((owner(&fleet, 4), named(&fleet, 1)), (vec![3], 0));
     // It leaves and rejoins; the fresh start is cold and out of service still.
@@ -262,7 +266,7 @@
     cold(&mut fleet, 1);
     restand(&mut fleet, 1, ReplicaState::Ready);
     fleet.advance(40_000);
-    assert_eq!((named(&fleet, 1), fleet.policy.heeded(2)), (0, Some(InForce)));
+    assert_eq!((named(&fleet, 1), fleet.policy.override_status(2)), (0, Some(InForce)));
 }
 
 #[test]
@@ -288,10 +292,14 @@
     fleet.advance(3000);
     tell(&mut fleet, &[(1, OverrideSpec::Pin { first: 0, last: 11, replica: 2 })]);
     fleet.advance(12_000);
-    assert!(matches!(fleet.policy.heeded(1), Some(Waiting(_))), "{:?}", fleet.policy.heeded(1));
+    assert!(
+        matches!(fleet.policy.override_status(1), Some(Waiting(_))),
+        "{:?}",
+        fleet.policy.override_status(1)
+    );
     fleet.lines_a_tick = 150.0;
     fleet.advance(60_000);
-    assert_eq!(fleet.policy.heeded(1), Some(InForce));
+    assert_eq!(fleet.policy.override_status(1), Some(InForce));
 }
 
 /// Wishes come and go while replicas drain, vanish, return and fall silent: the checkers of the fleet look on.
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -83,26 +83,26 @@
 
 /// An order, in the names that the relay knows.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
-    Line { slice: SliceId, replica: String, weight: f64 },
+pub enum Command {
+    SetEndpoint { slice: SliceId, replica: String, weight: f64 },
     Withdraw { replica: String, out: bool },
-    Level { slice: Option<SliceId>, request_classes: Vec<String>, share: f64, retries: u8 },
-    Version { number: u16 },
+    SetAdmission { slice: Option<SliceId>, request_classes: Vec<String>, share: f64, retries: u8 },
+    Sync { number: u16 },
 }
 
-impl Order {
+impl Command {
     /// The slice whose table it changes.
     pub fn slice(&self) -> Option<SliceId> {
         match self {
-            Order::Line { slice, .. } => Some(*slice),
-            Order::Level { slice, .. } => *slice,
-            Order::Withdraw { .. } | Order::Version { .. } => None,
+            Command::SetEndpoint { slice, .. } => Some(*slice),
+            Command::SetAdmission { slice, .. } => *slice,
+            Command::Withdraw { .. } | Command::Sync { .. } => None,
         }
     }
 
     pub fn version(&self) -> Option<u16> {
         match self {
-            Order::Version { number } => Some(*number),
+            Command::Sync { number } => Some(*number),
             _ => None,
         }
     }
@@ -110,16 +110,16 @@
     /// A version is answered by the proxies that the call reaches, or by all that are joined.
     pub fn encode(&self, by_all: bool) -> String {
         match self {
-            Order::Line { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
-            Order::Withdraw { replica, out: true } => format!("OUT,{replica}"),
-            Order::Withdraw { replica, out: false } => format!("IN,{replica}"),
-            Order::Level { slice, request_classes, share, retries } => {
+            Command::SetEndpoint { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
+            Command::Withdraw { replica, out: true } => format!("OUT,{replica}"),
+            Command::Withdraw { replica, out: false } => format!("IN,{replica}"),
+            Command::SetAdmission { slice, request_classes, share, retries } => {
                 let slice = slice.map_or("*".into(), |n| n.to_string());
                 let request_classes =
                     if request_classes.is_empty() { "*".into() } else { request_classes.join("+") };
                 format!("LIMIT,{slice},{request_classes},{share},{retries}")
             }
-            Order::Version { number } => format!("SYNC,{number},{}", u8::from(by_all)),
+            Command::Sync { number } => format!("SYNC,{number},{}", u8::from(by_all)),
         }
     }
 }
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 use whinwall_policy::api::SliceId;
-use whinwall_protocol::relay::{self, Order};
+use whinwall_protocol::relay::{self, Command};
 
 #[derive(Default)]
 pub struct Outbox {
@@ -45,7 +45,7 @@
     /// One reply is one call, unless it is too large. Of the pieces the last alone has the version, and asks all
     /// proxies to answer: some may have got an earlier piece only, and a version by itself reaches none. Comes only
     /// while nothing is open.
-    pub fn put(&mut self, orders: &[Order]) {
+    pub fn put(&mut self, orders: &[Command]) {
         (self.calls, self.refused, self.unclear, self.proven) = (VecDeque::new(), false, false, false);
         let (mut call, mut bytes) = (Vec::new(), 0);
         for order in orders {
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -44,13 +44,14 @@
         };
         let wishes: Vec<_> = self.clerk.book().standing().filter_map(wish).collect();
         if wishes != self.told {
-            policy.wished(now, &wishes);
+            policy.set_overrides(now, &wishes);
             self.told = wishes;
         }
     }
 
     pub fn shown(&self, policy: &Policy, one: &Override) -> Shown {
-        let heeded = one.stands().then(|| policy.heeded(one.number).unwrap_or(OverrideStatus::Absent));
+        let heeded =
+            one.stands().then(|| policy.override_status(one.number).unwrap_or(OverrideStatus::Absent));
         Shown { one: one.clone(), heeded }
     }
 
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -22,7 +22,7 @@
 use whinwall_policy::Policy;
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery::{Entry, List};
-use whinwall_protocol::relay::{Answer, Order, RelayEvent};
+use whinwall_protocol::relay::{Answer, Command, RelayEvent};
 use whinwall_protocol::InvalidMessage;
 use whinwall_settings::Settings;
 use whinwall_transport::{limits, CallError, ConnectionId, StreamError, Targets};
@@ -131,7 +131,7 @@
             effects: Vec::new(),
         };
         let list = reducer.listings(known);
-        reducer.policy.listed(now, ListScope::Remembered, &list);
+        reducer.policy.replicas_listed(now, ListScope::Remembered, &list);
         reducer
     }
 
@@ -190,7 +190,7 @@
                 match self.settings.deployment.list_pushed {
                     true => self.after_pause(now, Due::List),
                     // Where the list is asked for, the decisions say when to ask again.
-                    false => self.policy.list_failed(now),
+                    false => self.policy.list_request_failed(now),
                 }
             }
             Event::OperatorConfigChanged(wanted, reading) => self.wanted(now, wanted, &reading),
@@ -264,7 +264,7 @@
         if list.version < self.list_version {
             // An agent that is behind can tell what is new to us, and takes nothing back: no replica that leaves
             // returns without a new start, and none is gone for being absent.
-            let known = |entry: &ReplicaListing| self.policy.standing(entry.replica);
+            let known = |entry: &ReplicaListing| self.policy.replica_state(entry.replica);
             let returns = |entry: &ReplicaListing| {
                 entry.standing == ReplicaState::Ready
                     && known(entry)
@@ -281,7 +281,7 @@
         } else {
             (self.list_version, self.behind_since) = (list.version, None);
         }
-        self.policy.listed(now, scope, &listings);
+        self.policy.replicas_listed(now, scope, &listings);
         self.subsets_due(now, list);
         if !list.entries.is_empty() {
             self.skipped.clear();
@@ -435,7 +435,7 @@
             RelayEvent::Left { proxy } => self.left(now, proxy),
             RelayEvent::Acked { proxy, version } => {
                 self.outbox.acked(version);
-                self.policy.applied(now, proxy, version);
+                self.policy.ack_received(now, proxy, version);
             }
             RelayEvent::Granted { slice } => {
                 self.first_given.extend((!self.tables.contains_key(&slice)).then_some(slice));
@@ -459,7 +459,7 @@
         self.tables.remove(&slice);
         self.drop_reports_on(slice);
         self.outbox.changed_hands(slice);
-        self.policy.slice_taken(now, slice);
+        self.policy.slice_revoked(now, slice);
     }
 
     /// Lines belong with their grant: the decisions get both at once, or they would take a table for empty
@@ -474,8 +474,8 @@
                 let lines: Vec<_> = table.iter().map(|(replica, weight)| (*replica, *weight)).collect();
                 self.outbox.changed_hands(slice);
                 match again && ours.is_some() {
-                    true => self.policy.slice_reread(now, slice, &lines),
-                    false => self.policy.slice_given(now, slice, &lines),
+                    true => self.policy.slice_table_reread(now, slice, &lines),
+                    false => self.policy.slice_granted(now, slice, &lines),
                 }
                 self.tables.insert(slice, table);
                 self.snapshot.differed();
@@ -528,7 +528,7 @@
                 }
                 // Should the figure be wrong, they have one message more.
                 let version = self.outbox.version().filter(|_| refused);
-                version.into_iter().for_each(|version| self.policy.ordered_again(now, version));
+                version.into_iter().for_each(|version| self.policy.command_resent(now, version));
             }
             Ok(Answer::Unusable(why)) => {
                 self.note(format!("a call is dropped, the relay can't use it: {why}"));
@@ -561,8 +561,8 @@
     fn weigh_again(&mut self, now: Moment) {
         self.outbox.forget_proven();
         let Some(version) = self.outbox.unclear() else { return };
-        if self.policy.may_order_again(now, version) {
-            self.policy.ordered_again(now, version);
+        if self.policy.may_resend(now, version) {
+            self.policy.command_resent(now, version);
         } else {
             self.outbox.hold();
             self.after_pause(now, Due::Call);
@@ -592,7 +592,7 @@
         while let Some((at, due)) = self.agenda.first().copied().filter(|(at, _)| *at <= now) {
             self.agenda.remove(&(at, due));
             match due {
-                Due::Decisions(token) => self.policy.woken(now, token),
+                Due::Decisions(token) => self.policy.timer_fired(now, token),
                 Due::Call => self.outbox.release(),
                 Due::RelayEvent => self.follow_news(),
                 Due::List => self.follow_list(now),
@@ -609,7 +609,7 @@
         if self.outbox.is_clear() && self.snapshot.settles().is_none() && !self.in_doubt {
             self.collect(now);
         } else {
-            let asides = self.policy.asides();
+            let asides = self.policy.take_background_actions();
             asides.into_iter().for_each(|step| _ = self.order(now, step));
         }
         self.weigh_again(now);
@@ -623,14 +623,14 @@
     }
 
     fn collect(&mut self, now: Moment) {
-        let steps = self.policy.collect(now);
-        let orders: Vec<_> = steps.into_iter().filter_map(|step| self.order(now, step)).collect();
-        let moved = orders.iter().filter_map(Order::slice);
+        let actions = self.policy.collect_actions(now);
+        let orders: Vec<_> = actions.into_iter().filter_map(|step| self.order(now, step)).collect();
+        let moved = orders.iter().filter_map(Command::slice);
         self.in_motion.extend(moved.filter(|slice| !self.first_given.contains(slice)));
         self.outbox.put(&orders);
         // Only now: an order may be the last that a replica is named in.
-        if self.names.len() > self.policy.replicas_known() {
-            let needed = |replica| self.policy.knows(replica) || self.snapshot.mentions(replica);
+        if self.names.len() > self.policy.known_replica_count() {
+            let needed = |replica| self.policy.knows_replica(replica) || self.snapshot.mentions(replica);
             self.names.keep(needed);
             self.drop_reports_on_unknown();
             self.with_overrides(now, |_| {});
@@ -638,9 +638,9 @@
     }
 
     /// The order that a step stands for; what concerns nobody but us is seen to here.
-    fn order(&mut self, now: Moment, step: Step) -> Option<Order> {
+    fn order(&mut self, now: Moment, step: Action) -> Option<Command> {
         Some(match step {
-            Step::Line { slice, replica, weight } => {
+            Action::SetEndpoint { slice, replica, weight } => {
                 let name = self.names.name(replica)?;
                 let table = self.tables.entry(slice).or_default();
                 if weight > 0.0 {
@@ -652,25 +652,27 @@
                 } else {
                     table.remove(&replica);
                 }
-                Order::Line { slice, replica: name, weight }
+                Command::SetEndpoint { slice, replica: name, weight }
             }
-            Step::Withdraw { replica, out } => Order::Withdraw { replica: self.names.name(replica)?, out },
-            Step::Level { slice, request_classes, share, retries } => {
+            Action::Withdraw { replica, out } => {
+                Command::Withdraw { replica: self.names.name(replica)?, out }
+            }
+            Action::SetAdmission { slice, request_classes, share, retries } => {
                 let named = self.settings.request_classes.iter().enumerate();
                 let meant = named.filter(|(at, _)| request_classes >> at & 1 == 1);
                 let request_classes = meant.map(|(_, name)| name.clone()).collect();
-                Order::Level { slice, request_classes, share, retries }
+                Command::SetAdmission { slice, request_classes, share, retries }
             }
-            Step::Version { number } => Order::Version { number },
-            Step::FollowList => {
+            Action::Sync { number } => Command::Sync { number },
+            Action::RequestReplicaList => {
                 self.follow_list(now);
                 return None;
             }
-            Step::Wake { token, after } => {
+            Action::StartTimer { token, after } => {
                 self.agenda.insert((now + after, Due::Decisions(token)));
                 return None;
             }
-            Step::Sick { replica, cause } => {
+            Action::ReplicaEjected { replica, cause } => {
                 let name = self.names.name(replica)?;
                 self.note(format!("server {name} is taken for sick: {cause}"));
                 return None;
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -36,7 +36,7 @@
             told: ReportFlow::Direct,
         });
         if !on {
-            self.policy.reports_flow(now, ReportFlow::Direct);
+            self.policy.set_report_flow(now, ReportFlow::Direct);
         }
         self.follow_reports(now);
     }
@@ -52,8 +52,8 @@
     }
 
     /// The same for all slices together.
-    pub fn measured_load_in_all(&self) -> f64 {
-        self.policy.measured_load_in_all()
+    pub fn total_measured_load(&self) -> f64 {
+        self.policy.total_measured_load()
     }
 
     /// Reports that a reader took apart.
@@ -65,7 +65,7 @@
             };
             known && self.counts(from, report, 0)
         });
-        self.policy.reported(now, &reports);
+        self.policy.load_reported(now, &reports);
     }
 
     /// Reports invent neither places nor replicas.
@@ -108,7 +108,7 @@
     fn report(&mut self, now: Moment, from: ConnectionId, what: ReportBody, missing: u32) {
         let mut report = Report { at: now, lines: 1.0, what };
         if self.counts(from, &mut report, missing) {
-            self.policy.reported(now, &[report]);
+            self.policy.load_reported(now, &[report]);
         }
     }
 
@@ -129,7 +129,7 @@
         let flow = aggregated.feed.flow();
         if flow != aggregated.told {
             aggregated.told = flow;
-            self.policy.reports_flow(now, flow);
+            self.policy.set_report_flow(now, flow);
         }
         match change {
             Some(FeedChange::Stale(silent)) => self.note(format!(
@@ -154,7 +154,7 @@
             bytes_per_second: feed.bytes_per_second(now),
             age: feed.age(now),
             stale: feed.is_stale(),
-            partial_replicas: self.policy.partly_observed(),
+            partial_replicas: self.policy.partly_observed_count(),
         })
     }
 
@@ -203,7 +203,7 @@
             Before::Unknown => matches!(about, ReportSubject::Replica(_)),
         };
         if lacks || missing > 0 {
-            policy.reported_incompletely(report.at, about);
+            policy.report_incomplete(report.at, about);
         }
         cut_down(report, &counted);
         true
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -14,7 +14,9 @@
     /// Which controllers steer each replica, as the decisions were told last.
     pub fn shares(&self) -> BTreeMap<&str, SubsetMembership> {
         let numbers = self.names.numbers().iter();
-        numbers.filter_map(|(name, replica)| Some((name.as_str(), self.policy.share(*replica)?))).collect()
+        numbers
+            .filter_map(|(name, replica)| Some((name.as_str(), self.policy.subset_membership(*replica)?)))
+            .collect()
     }
 
     /// The operators' file names a fleet, another fleet, or none any more.
@@ -64,7 +66,7 @@
 
     fn tell_shares(&mut self, now: Moment) {
         let changed = |(name, replica): (&String, &ReplicaId)| {
-            let (known, share) = (self.policy.share(*replica)?, self.share(name));
+            let (known, share) = (self.policy.subset_membership(*replica)?, self.share(name));
             (known != share).then_some((*replica, share))
         };
         let changed: Vec<_> = self.names.numbers().iter().filter_map(changed).collect();
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -79,10 +79,10 @@
         for (id, input) in inputs {
             let mut output = self.instance(now, id, input);
             if let Some(policy) = self.controllers.get_mut(&id) {
-                let steps = policy.collect(now);
+                let actions = policy.collect_actions(now);
                 // A version by itself reaches nobody, unless all are asked.
-                let all = !steps.iter().any(Step::reaches_proxies);
-                output.extend(steps.into_iter().map(|step| encode(step, all)));
+                let all = !actions.iter().any(Action::reaches_proxies);
+                output.extend(actions.into_iter().map(|step| encode(step, all)));
             }
             if !output.is_empty() {
                 replies.push(json!({"governorId": id, "output": output}));
@@ -155,7 +155,7 @@
                     "whole" => ListScope::Whole,
                     "stale_copy" => ListScope::Remembered,
                     "broken" => {
-                        policy.list_failed(now);
+                        policy.list_request_failed(now);
                         return Ok(());
                     }
                     other => return Err(format!("event members: field mode is unknown: {other}")),
@@ -163,9 +163,9 @@
                 let sheet = self.sheets.get(&event.whole(2, "sheet")?).and_then(Value::as_array);
                 let entries = event.wrong("sheet", sheet)?.iter();
                 let list: Option<Vec<ReplicaListing>> = entries.map(|entry| listing(entry, zone)).collect();
-                policy.listed(now, scope, &event.wrong("sheet", list)?);
+                policy.replicas_listed(now, scope, &event.wrong("sheet", list)?);
             }
-            "bell" => policy.woken(now, event.whole(0, "name")?),
+            "bell" => policy.timer_fired(now, event.whole(0, "name")?),
             "connected" => {
                 policy.proxy_joined(now, event.id(0, "clientLb")?, event.flag(3, "set")?);
             }
@@ -178,7 +178,7 @@
                     attempts: event.number(3, "many")?,
                     mean_latency: Span::ns(event.whole(4, "latencyNs")?),
                 };
-                policy.met(now, event.id(5, "replica")?, met);
+                policy.endpoint_reported(now, event.id(5, "replica")?, met);
             }
             "sliceLoad" => {
                 let request_class = event.text(1, "category")?;
@@ -189,7 +189,7 @@
                     came: event.number(2, "many")?,
                     failed: event.number(3, "bad")?,
                 };
-                policy.asked(now, event.id(0, "mapId")?, asked);
+                policy.demand_reported(now, event.id(0, "mapId")?, asked);
             }
             "charge" if event.flag(0, "set")? => {
                 let mut table = Vec::new();
@@ -197,12 +197,12 @@
                     let line = Event::read(raw)?;
                     table.push((line.id(2, "replica")?, line.number(1, "weight")?));
                 }
-                policy.slice_given(now, event.id(1, "mapId")?, &table);
+                policy.slice_granted(now, event.id(1, "mapId")?, &table);
             }
-            "charge" => policy.slice_taken(now, event.id(1, "mapId")?),
+            "charge" => policy.slice_revoked(now, event.id(1, "mapId")?),
             "installed" => {
                 let number = event.wrong("number", u16::try_from(event.whole(1, "number")?).ok())?;
-                policy.applied(now, event.id(0, "clientLb")?, number);
+                policy.ack_received(now, event.id(0, "clientLb")?, number);
             }
             "usage" | "datagram" | "pong" => {}
             "recorded" => return Err("event recorded: it follows no charge".into()),
@@ -231,17 +231,17 @@
     })
 }
 
-fn encode(step: Step, all: bool) -> Value {
+fn encode(step: Action, all: bool) -> Value {
     match step {
-        Step::Line { slice, replica, weight } => json!(["setWeight", replica, slice, weight]),
-        Step::Withdraw { replica, out } => json!(["takeOut", out, replica]),
-        Step::Level { slice, request_classes, share, retries } => {
+        Action::SetEndpoint { slice, replica, weight } => json!(["setWeight", replica, slice, weight]),
+        Action::Withdraw { replica, out } => json!(["takeOut", out, replica]),
+        Action::SetAdmission { slice, request_classes, share, retries } => {
             json!(["ration", share, retries, request_classes, slice.map_or(EVERY_TABLE, u64::from)])
         }
-        Step::Version { number } => json!(["barrier", number, all]),
-        Step::FollowList => json!(["keepInformed", true]),
-        Step::Wake { token, after } => json!(["wakeAt", token, after.as_ns()]),
-        Step::Sick { replica, cause } => {
+        Action::Sync { number } => json!(["barrier", number, all]),
+        Action::RequestReplicaList => json!(["keepInformed", true]),
+        Action::StartTimer { token, after } => json!(["wakeAt", token, after.as_ns()]),
+        Action::ReplicaEjected { replica, cause } => {
             json!(["sayLog", format!("server {replica} taken for sick: {cause}")])
         }
     }
