--- a/crates/aggregation/src/program/mod.rs
+++ b/crates/aggregation/src/program/mod.rs
@@ -28,8 +28,12 @@
         Exit codes: 0 ended by a signal, or the file is fine; 1 it can't serve; 2 the file is faulty."
 )]
 struct Arguments {
-    /// The operators' file (XML) with the element <subsetting>, the same as the governors'
-    #[arg(long, value_name = "FILE")]
+    /// The operators' XML file with the element `subsetting`, the same as the controllers'.
+    #[arg(
+        long,
+        value_name = "FILE",
+        help = "The operators' file (XML) with the element <subsetting>, the same as the governors'"
+    )]
     operators: PathBuf,
     /// This aggregator's name in the file
     #[arg(long)]
