--- a/crates/scale-tests/src/many/hollow.rs
+++ b/crates/scale-tests/src/many/hollow.rs
@@ -122,7 +122,8 @@
         around: Arc<Surroundings>,
         processor: Arc<AtomicU64>,
     ) -> Result<Self, String> {
-        let settings = whinwall_settings::read(&around.plan.configuration(controller)["settings"])?;
+        let settings = whinwall_settings::read(&around.plan.configuration(controller)["settings"])
+            .map_err(|error| error.to_string())?;
         let now = around.began.1 + span(around.began.0.elapsed());
         let site = Site::First;
         let reducer =
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! of the protocol's first message. The simulator adapter and the controller share this package, so that the decision
 //! module needs no JSON.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::unwrap_used)]
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
@@ -35,9 +35,18 @@
     }
 }
 
-/// Parses the settings; the error names the key that is missing or has the wrong type.
-pub fn read(settings: &serde_json::Value) -> Result<Settings, String> {
-    serde_path_to_error::deserialize(settings).map_err(|error| error.to_string())
+/// The settings can't be used; the text names the key that is missing or has the wrong type.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct SettingsError(#[from] serde_path_to_error::Error<serde_json::Error>);
+
+/// Parses the settings.
+///
+/// # Errors
+///
+/// Where a key is missing, has the wrong type, or its value is outside its range.
+pub fn read(settings: &serde_json::Value) -> Result<Settings, SettingsError> {
+    Ok(serde_path_to_error::deserialize(settings)?)
 }
 
 /// The settings as they are written.
