--- a/crates/aggregation/src/bin/aggregation-bench/in_process.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/in_process.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::configuration::{Configuration, ControllerMember};
+use whinwall_aggregation::coverage::ConnectionId;
 use whinwall_aggregation::limits::{HEARTBEAT, TICK};
-use whinwall_aggregation::messages::{ConnectionId, Effect, Event};
+use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::{collector, discovery};
 use whinwall_subsetting::Parameters;
@@ -44,7 +45,7 @@
         self.answer(effects);
     }
 
-    /// Controllers take a connection at once, and answer each sign of life.
+    /// Controllers take a connection at once, and answer each heartbeat.
     fn answer(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -59,7 +60,7 @@
         let began = processor();
         for line in text.lines() {
             if let Some(report) = collector::quick(line) {
-                _ = self.aggregator.apply(self.now, Event::ReportBody { connection, report });
+                _ = self.aggregator.apply(self.now, Event::ReportReceived { connection, report });
             }
         }
         self.busy += processor() - began;
@@ -98,7 +99,7 @@
     let before = (bench.busy, bench.bytes_in, bench.aggregator.counters());
     bench.longest_tick = Duration::ZERO;
     run(&mut bench, size, seconds);
-    let (counters, state) = (bench.aggregator.counters(), bench.aggregator.state());
+    let (counters, status) = (bench.aggregator.counters(), bench.aggregator.status());
     let each = seconds as f64;
     let bytes_out = (counters.bytes_sent - before.2.bytes_sent) as f64 / each / 1000.0;
     Ok(Figures {
@@ -110,10 +111,10 @@
         memory_peak_mb: memory_mb("self", "VmHWM")?,
         lines_in_per_second: (counters.reports - before.2.reports) as f64 / each,
         kb_in_per_second: (bench.bytes_in - before.1) as f64 / each / 1000.0,
-        controllers_served: state.controllers_connected,
+        controllers_served: status.controllers_connected,
         lines_out_per_second: (counters.lines_sent - before.2.lines_sent) as f64 / each,
         kb_out_per_second: bytes_out,
-        kb_out_per_second_each: bytes_out / state.controllers_connected.max(1) as f64,
+        kb_out_per_second_each: bytes_out / status.controllers_connected.max(1) as f64,
         budget_stretches: counters.budget_stretches - before.2.budget_stretches,
         longest_tick_ms: Some(bench.longest_tick.as_secs_f64() * 1000.0),
         longest_start_tick_ms: Some(start_tick.as_secs_f64() * 1000.0),
--- a/crates/aggregation/src/bin/aggregation-bench/load.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/load.rs
@@ -1,7 +1,7 @@
 //! A fleet of a given size: its list, its members, and what its collectors say.
 
 use serde::Serialize;
-use whinwall_aggregation::membership::Heartbeat;
+use whinwall_aggregation::heartbeat::Heartbeat;
 
 /// How large the fleet is.
 #[derive(Clone, Copy, Debug, Serialize)]
--- a/crates/aggregation/src/coverage.rs
+++ b/crates/aggregation/src/coverage.rs
@@ -2,17 +2,20 @@
 //! *missing*: sums made meanwhile lack its part.
 
 use crate::limits;
-use crate::messages::{ConnectionId, Note};
+use crate::log_event::LogEvent;
 use std::collections::BTreeMap;
 use whinwall_policy::time::Moment;
 
+/// One connection to the aggregator's address.
+pub type ConnectionId = u64;
+
 /// One zone. Owned by [`Coverage`], which has no more than `MAX_ZONES`; it ends when it is missing for
 /// `ZONE_FORGOTTEN`.
 #[derive(Clone, Debug)]
 struct Zone {
     /// Collectors that are connected.
     collectors: usize,
-    /// It reported once, here or to a peer: a zone that a stranger made up never does.
+    /// It reported once, here or to a peer: a zone that an unauthenticated peer made up never does.
     is_known: bool,
     last_heard: Moment,
     missing_since: Option<Moment>,
@@ -57,7 +60,11 @@
     }
 
     /// A collector reports.
-    pub fn heard(&mut self, now: Moment, connection: ConnectionId) -> Result<Option<Note>, UnknownCollector> {
+    pub fn heard(
+        &mut self,
+        now: Moment,
+        connection: ConnectionId,
+    ) -> Result<Option<LogEvent>, UnknownCollector> {
         let name = self.collectors.get(&connection).ok_or(UnknownCollector)?;
         let Some(zone) = self.zones.get_mut(name) else { return Ok(None) };
         zone.last_heard = now;
@@ -66,11 +73,11 @@
             return Ok(None);
         }
         zone.was_missing_until = Some(now);
-        Ok(was_known.then(|| Note::ZoneBack(name.clone())))
+        Ok(was_known.then(|| LogEvent::ZoneBack(name.clone())))
     }
 
     /// A connection ended: the zone is missing at once where it was its last.
-    pub fn end(&mut self, connection: ConnectionId) -> Option<Note> {
+    pub fn end(&mut self, connection: ConnectionId) -> Option<LogEvent> {
         let name = self.collectors.remove(&connection)?;
         let zone = self.zones.get_mut(&name)?;
         zone.collectors = zone.collectors.saturating_sub(1);
@@ -82,16 +89,16 @@
             return None;
         }
         zone.missing_since = Some(zone.last_heard);
-        Some(Note::ZoneMissing(name))
+        Some(LogEvent::ZoneMissing(name))
     }
 
     /// Time passed.
-    pub fn tick(&mut self, now: Moment) -> Vec<Note> {
-        let mut notes = Vec::new();
+    pub fn tick(&mut self, now: Moment) -> Vec<LogEvent> {
+        let mut events = Vec::new();
         for (name, zone) in &mut self.zones {
             if zone.missing_since.is_none() && now - zone.last_heard > limits::ZONE_SILENT {
                 zone.missing_since = Some(zone.last_heard);
-                notes.push(Note::ZoneMissing(name.clone()));
+                events.push(LogEvent::ZoneMissing(name.clone()));
             }
         }
         let collectors = &self.collectors;
@@ -99,11 +106,11 @@
             let gone = zone.missing_since.is_some_and(|since| now - since > limits::ZONE_FORGOTTEN);
             let connected = collectors.values().any(|speaks_for| speaks_for == name);
             if gone && !connected {
-                notes.push(Note::ZoneForgotten(name.clone()));
+                events.push(LogEvent::ZoneForgotten(name.clone()));
             }
             !gone || connected
         });
-        notes
+        events
     }
 
     /// What was heard before counts for nothing: all zones are missing until they are heard again.
--- a/crates/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -25,20 +25,20 @@
 
 /// What the last line of a key said, for comparison with the next.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct LineValues {
     per_second: f64,
     failed_share: f64,
     mean_latency_ms: f64,
 }
 
-impl Told {
+impl LineValues {
     fn of(sum: &Sum, window: Span) -> Self {
         let per_second = sum.attempts / window.seconds().max(f64::MIN_POSITIVE);
         let failed_share = if sum.attempts > 0.0 { sum.failed / sum.attempts } else { 0.0 };
-        Told { per_second, failed_share, mean_latency_ms: sum.mean_latency_ms() }
+        LineValues { per_second, failed_share, mean_latency_ms: sum.mean_latency_ms() }
     }
 
-    fn differs_by(&self, other: &Told) -> f64 {
+    fn differs_by(&self, other: &LineValues) -> f64 {
         let ratio = |a: f64, b: f64| ((a + 1.0) / (b + 1.0)).log2().abs();
         ratio(self.per_second, other.per_second)
             + ratio(self.mean_latency_ms, other.mean_latency_ms)
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     cursor: Cursor,
-    told: Told,
+    last_sent: LineValues,
 }
 
 /// The connection to the controller.
@@ -77,7 +77,7 @@
 /// What a turn came to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Turn {
-    /// Whole lines, the first of them asks for a sign of life.
+    /// Whole lines, the first of them asks for a heartbeat.
     pub text: String,
     /// How many of them are reports.
     pub lines: u64,
@@ -100,7 +100,7 @@
     /// The next pause between dials.
     pub pause: Span,
     pub overdue: bool,
-    /// Its last sign of life.
+    /// Its last heartbeat.
     pub answered: Moment,
     readings: BTreeMap<Key, Reading>,
     phase: Span,
@@ -150,7 +150,7 @@
         self.readings.clear();
     }
 
-    /// It is connected and gives no sign of life.
+    /// It is connected and gives no heartbeat.
     pub fn is_silent(&self, now: Moment) -> bool {
         self.link == Link::Connected && now - self.answered > limits::CONTROLLER_SILENT
     }
@@ -201,10 +201,14 @@
                 Key::Replica(replica) => wire::load(zone, replica, &covered),
                 Key::Shard(slice, class) => wire::shard(*slice, class, &covered),
             };
-            let told = Told::of(&sum, window);
-            let change = told.differs_by(&reading.told);
+            let values = LineValues::of(&sum, window);
+            let change = values.differs_by(&reading.last_sent);
             candidates.push(Candidate { bytes: text.len(), begins, change });
-            lines.push(Line { key, text, reading: Reading { cursor: series.read_at(now), told } });
+            lines.push(Line {
+                key,
+                text,
+                reading: Reading { cursor: series.read_at(now), last_sent: values },
+            });
         };
         for replica in &self.subset {
             if let Some(series) = sums.replica(replica) {
@@ -232,5 +236,5 @@
 /// Where the key is read from; a key that is new here, or whose series is another, starts late.
 fn known_reading(readings: &mut BTreeMap<Key, Reading>, key: &Key, series: &Series, now: Moment) -> Reading {
     let known = readings.remove(key).filter(|reading| series.has(&reading.cursor));
-    known.unwrap_or_else(|| Reading { cursor: series.late_start(now), told: Told::default() })
+    known.unwrap_or_else(|| Reading { cursor: series.late_start(now), last_sent: LineValues::default() })
 }
--- a/crates/aggregation/src/limits.rs
+++ b/crates/aggregation/src/limits.rs
@@ -29,7 +29,7 @@
 pub const ZONE_SILENT: Span = Span::ms(2500);
 /// A zone that is missing for so long is gone for good.
 pub const ZONE_FORGOTTEN: Span = Span::ms(2 * 3600 * 1000);
-/// Discovery's watch gives a sign of life each two seconds; the list is old where it is silent for so long.
+/// Discovery's watch gives a heartbeat each two seconds; the list is old where it is silent for so long.
 pub const REGISTRY_STALE: Span = Span::ms(6000);
 /// A list below the version that is held comes from an agent that is behind, for so long; then it is a new count.
 pub const REGISTRY_BEHIND: Span = Span::ms(6000);
@@ -39,7 +39,7 @@
 pub const RETRY: Span = Span::ms(1000);
 /// The longest pause between dials to a controller that can't be reached.
 pub const MAX_RETRY: Span = Span::ms(5000);
-/// A controller is asked for a sign of life in each of its turns, and is lost where it gives none for so long.
+/// A controller is asked for a heartbeat in each of its turns, and is lost where it gives none for so long.
 pub const CONTROLLER_SILENT: Span = Span::ms(5000);
 /// Subsets are computed anew at most this often, however many changes the registry tells.
 pub const SUBSETS_EVERY: Span = Span::ms(1000);
--- a/crates/aggregation/src/program/controllers.rs
+++ b/crates/aggregation/src/program/controllers.rs
@@ -14,7 +14,7 @@
 const EVENTS: usize = 1024;
 /// A write that takes longer is given up.
 const WRITE: Duration = Duration::from_secs(5);
-/// A sign of life has some twenty bytes.
+/// A heartbeat has some twenty bytes.
 const PIECE: usize = 1024;
 
 /// What happened at a connection.
--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -13,8 +13,9 @@
 use tokio::sync::mpsc::{self, Receiver};
 use tokio::time::{interval, MissedTickBehavior};
 use whinwall_aggregation::aggregator::Aggregator;
+use whinwall_aggregation::coverage::ConnectionId;
 use whinwall_aggregation::limits::TICK;
-use whinwall_aggregation::messages::{ConnectionId, Effect, Event};
+use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_aggregation::wire;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::{self, Message, Reply, Report};
@@ -141,18 +142,18 @@
         self.apply(Event::Tick);
         self.traffic.batches_dropped = self.links.dropped;
         let (traffic, counters) = (self.traffic, self.aggregator.counters());
-        let state = self.aggregator.state();
-        *self.figures.borrow_mut() = Figures { traffic, counters, state };
+        let status = self.aggregator.status();
+        *self.figures.borrow_mut() = Figures { traffic, counters, status };
         if self.clock.now() >= self.next_summary {
             self.next_summary = self.clock.now() + SUMMARY_EACH;
             tracing::info!(
                 "{} of {} governors connected, {} peers, {} of {} zones missing, {} replicas, {} lines in, {} out",
-                state.controllers_connected,
-                state.controllers_owned,
-                state.peers_alive,
-                state.zones_missing,
-                state.zones,
-                state.replicas,
+                status.controllers_connected,
+                status.controllers_owned,
+                status.peers_alive,
+                status.zones_missing,
+                status.zones,
+                status.replicas,
                 traffic.lines_in,
                 counters.lines_sent
             );
@@ -258,7 +259,7 @@
     }
 
     fn report(&mut self, speaker: &Speaker, report: Report) {
-        self.apply_for(Event::ReportBody { connection: speaker.id, report }, Some(speaker));
+        self.apply_for(Event::ReportReceived { connection: speaker.id, report }, Some(speaker));
     }
 
     fn keep(&mut self, speaker: &Speaker) {
--- a/crates/aggregation/src/program/metrics.rs
+++ b/crates/aggregation/src/program/metrics.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use whinwall_aggregation::aggregator::{Counters, State};
+use whinwall_aggregation::status::{Counters, Status};
 
 /// Before the next connection is taken, after one that could not be.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -38,14 +38,14 @@
     /// The reducer's.
     pub counters: Counters,
     /// What is so now.
-    pub state: State,
+    pub status: Status,
 }
 
 /// The latest figures, shared with who serves them.
 pub type Shared = Rc<RefCell<Figures>>;
 
 fn text(figures: &Figures) -> String {
-    let Figures { traffic, counters, state } = *figures;
+    let Figures { traffic, counters, status } = *figures;
     let mut registry = Registry::with_prefix("whinwall_aggregator");
     let counts = [
         ("lines_in", "Lines that came", traffic.lines_in),
@@ -71,15 +71,15 @@
         registry.register(name, help, counter);
     }
     let levels = [
-        ("ready", "Whether it passes reports on", usize::from(state.ready)),
-        ("governors_owned", "Governors that are its to serve", state.controllers_owned),
-        ("governors_connected", "Governors that it is connected to", state.controllers_connected),
-        ("peers_alive", "Other aggregators that are alive", state.peers_alive),
-        ("zones", "Zones that are known", state.zones),
-        ("zones_missing", "Zones that are missing", state.zones_missing),
-        ("replicas", "Replicas listed", state.replicas),
-        ("series", "Series held", state.series),
-        ("registry_version", "The version of the list", state.registry_version as usize),
+        ("ready", "Whether it passes reports on", usize::from(status.ready)),
+        ("governors_owned", "Governors that are its to serve", status.controllers_owned),
+        ("governors_connected", "Governors that it is connected to", status.controllers_connected),
+        ("peers_alive", "Other aggregators that are alive", status.peers_alive),
+        ("zones", "Zones that are known", status.zones),
+        ("zones_missing", "Zones that are missing", status.zones_missing),
+        ("replicas", "Replicas listed", status.replicas),
+        ("series", "Series held", status.series),
+        ("registry_version", "The version of the list", status.registry_version as usize),
     ];
     for (name, help, level) in levels {
         let gauge: Gauge = Gauge::default();
--- a/crates/aggregation/src/registry.rs
+++ b/crates/aggregation/src/registry.rs
@@ -22,7 +22,7 @@
     /// The replicas are others than before.
     pub changed: bool,
     /// The list is older than ours and was left out; a whole one has to be asked for.
-    pub is_old: bool,
+    pub is_outdated: bool,
     /// Some replicas were left out: there are too many, or their names are too long.
     pub left_out: bool,
 }
@@ -34,7 +34,7 @@
         if list.version < self.version {
             let since = *self.behind_since.get_or_insert(now);
             if now - since < limits::REGISTRY_BEHIND || !list.whole {
-                return Applied { is_old: true, ..Applied::default() };
+                return Applied { is_outdated: true, ..Applied::default() };
             }
         }
         self.behind_since = None;
@@ -43,14 +43,14 @@
         let before = list.whole.then(|| std::mem::take(&mut self.replicas));
         let mut applied = Applied::default();
         for entry in list.entries {
-            applied.left_out |= !self.take(entry, &mut applied.changed);
+            applied.left_out |= !self.insert_or_remove(entry, &mut applied.changed);
         }
         applied.changed |= before.is_some_and(|before| before != self.replicas);
         applied
     }
 
     /// False where there is no room for it.
-    fn take(&mut self, entry: Entry, changed: &mut bool) -> bool {
+    fn insert_or_remove(&mut self, entry: Entry, changed: &mut bool) -> bool {
         if entry.state == State::Gone {
             *changed |= self.replicas.remove(&entry.replica).is_some();
             return true;
@@ -64,7 +64,7 @@
         true
     }
 
-    /// Discovery gave a sign of life.
+    /// Discovery gave a heartbeat.
     pub fn alive(&mut self, now: Moment) {
         self.last_heard = Some(now);
     }
--- a/crates/aggregation/src/sums.rs
+++ b/crates/aggregation/src/sums.rs
@@ -177,13 +177,13 @@
 
 /// What became of a line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum AddOutcome {
     /// It is in a sum.
-    Summed,
+    Added,
     /// It is of a replica that the registry lacks, or of a slice that no controller has.
     Unknown,
     /// There is no room for one more class.
-    NoRoom,
+    Full,
 }
 
 /// All series.
@@ -234,29 +234,29 @@
     }
 
     /// Adds a line about a replica.
-    pub fn add_load(&mut self, now: Moment, replica: &str, covers: Span, sum: Sum) -> Taken {
+    pub fn add_load(&mut self, now: Moment, replica: &str, covers: Span, sum: Sum) -> AddOutcome {
         match self.replicas.get_mut(replica) {
             Some(series) => series.add(now, covers, sum),
-            None => return Taken::Unknown,
+            None => return AddOutcome::Unknown,
         }
-        Taken::Summed
+        AddOutcome::Added
     }
 
     /// Adds a line about a slice.
-    pub fn add_shard(&mut self, now: Moment, slice: u32, class: &str, covers: Span, sum: Sum) -> Taken {
-        let Some(Slice { since, classes }) = self.slices.get_mut(&slice) else { return Taken::Unknown };
+    pub fn add_shard(&mut self, now: Moment, slice: u32, class: &str, covers: Span, sum: Sum) -> AddOutcome {
+        let Some(Slice { since, classes }) = self.slices.get_mut(&slice) else { return AddOutcome::Unknown };
         if let Some((_, series)) = classes.iter_mut().find(|(known, _)| **known == *class) {
             series.add(now, covers, sum);
-            return Taken::Summed;
+            return AddOutcome::Added;
         }
         if classes.len() >= limits::MAX_CLASSES || class.len() > limits::MAX_NAME {
-            return Taken::NoRoom;
+            return AddOutcome::Full;
         }
         self.series += 1;
         let mut series = Series::new(self.series, (now - covers).max(*since));
         series.add(now, covers, sum);
         classes.push((class.into(), series));
-        Taken::Summed
+        AddOutcome::Added
     }
 
     /// The series of a replica.
--- a/crates/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -1,7 +1,7 @@
 //! Lines as controllers read them, and the heartbeat between aggregators.
 
+use crate::heartbeat::Heartbeat;
 use crate::limits;
-use crate::membership::Heartbeat;
 use crate::sums::Sum;
 use serde::{Deserialize, Serialize};
 use whinwall_policy::time::Span;
@@ -38,7 +38,7 @@
     missing: usize,
 }
 
-/// Asks a controller for a sign of life, in a line with its end.
+/// Asks a controller for a heartbeat, in a line with its end.
 pub const PING: &str = "{\"@type\":\"PING\"}\n";
 
 /// A count as the protocol writes it: whole where it is whole.
@@ -117,7 +117,7 @@
     text
 }
 
-/// Bytes of a report period that are not for reports: the first line of a connection and a sign of life.
+/// Bytes of a report period that are not for reports: the first line of a connection and a heartbeat.
 pub fn overhead() -> usize {
     source(&"x".repeat(limits::MAX_NAME)).len() + PING.len()
 }
--- a/crates/aggregation/tests/bounds.rs
+++ b/crates/aggregation/tests/bounds.rs
@@ -5,7 +5,8 @@
 use virtual_fleet::{moment, replica, Fleet};
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::limits::{CLASS_IDLE, MAX_CLASSES, MAX_NAME, MAX_ZONES};
-use whinwall_aggregation::messages::{Effect, Event, Note};
+use whinwall_aggregation::log_event::LogEvent;
+use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_aggregation::registry::Registry;
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::Report;
@@ -37,7 +38,7 @@
 }
 
 fn report<'a>(aggregator: &mut Aggregator, now: Moment, report: Report<'a>) -> Vec<Effect> {
-    aggregator.apply(now, Event::ReportBody { connection: 1, report })
+    aggregator.apply(now, Event::ReportReceived { connection: 1, report })
 }
 
 #[test]
@@ -48,16 +49,16 @@
         report(&mut aggregator, now, shard(0, &format!("class-{class}")));
     }
     report(&mut aggregator, now, shard(1, &"x".repeat(MAX_NAME + 1)));
-    assert_eq!(aggregator.state().series, 2 + MAX_CLASSES);
+    assert_eq!(aggregator.status().series, 2 + MAX_CLASSES);
     assert_eq!(aggregator.counters().reports_dropped, 1000 - MAX_CLASSES as u64 + 1);
     // A slice that no controller has is in no sum at all.
     report(&mut aggregator, now, shard(77, "lookup"));
-    assert_eq!((aggregator.state().series, aggregator.counters().reports_unknown), (2 + MAX_CLASSES, 1));
+    assert_eq!((aggregator.status().series, aggregator.counters().reports_unknown), (2 + MAX_CLASSES, 1));
     for _ in 0..3 * CLASS_IDLE.as_ns() / 1_000_000_000 {
         now = moment(START_MS + (now - moment(START_MS)).seconds() * 1000.0 + 1000.0);
         aggregator.apply(now, Event::Tick);
     }
-    assert_eq!(aggregator.state().series, 2);
+    assert_eq!(aggregator.status().series, 2);
 }
 
 #[test]
@@ -70,12 +71,12 @@
         let refused = effects.contains(&Effect::RefuseCollector(100 + zone));
         assert_eq!(refused, zone as usize + 1 >= MAX_ZONES, "zone {zone}");
     }
-    assert_eq!(aggregator.state().zones, MAX_ZONES);
+    assert_eq!(aggregator.status().zones, MAX_ZONES);
     // They end with their connections, as none has reported ever.
     for zone in 0..1000 {
         aggregator.apply(now, Event::ConnectionEnded(100 + zone));
     }
-    assert_eq!(aggregator.state().zones, 1);
+    assert_eq!(aggregator.status().zones, 1);
 }
 
 #[test]
@@ -97,7 +98,7 @@
 #[test]
 fn whoever_reports_without_a_zone_is_let_go() {
     let mut aggregator = aggregator();
-    let event = Event::ReportBody { connection: 9, report: shard(0, "lookup") };
+    let event = Event::ReportReceived { connection: 9, report: shard(0, "lookup") };
     let effects = aggregator.apply(moment(START_MS + 100.0), event);
     assert_eq!(effects, vec![Effect::RefuseCollector(9)]);
     assert_eq!(aggregator.counters().reports, 0);
@@ -117,11 +118,11 @@
     let at = |ms| moment(START_MS + ms);
     registry.apply(at(0.0), list(41, true, vec![replica("s-0", 0), replica("s-1", 0)]));
     let applied = registry.apply(at(1000.0), list(3, true, vec![replica("s-9", 0)]));
-    assert!(applied.is_old && !applied.changed);
+    assert!(applied.is_outdated && !applied.changed);
     assert_eq!((entries(&registry), registry.version()), (vec!["s-0", "s-1"], 41));
     // A new count: the old one does not come back.
     let applied = registry.apply(at(7500.0), list(3, true, vec![replica("s-9", 0)]));
-    assert!(!applied.is_old && applied.changed);
+    assert!(!applied.is_outdated && applied.changed);
     assert_eq!((entries(&registry), registry.version()), (vec!["s-9"], 3));
 }
 
@@ -159,7 +160,9 @@
                     aggregator.apply(now, Event::ControllerConnected(&controller));
                 }
                 Effect::Disconnect { .. } => lost += 1,
-                Effect::Log(Note::ControllerReachable { reachable, .. }) => assert!(!reachable || dials > 0),
+                Effect::Log(LogEvent::ControllerReachable { reachable, .. }) => {
+                    assert!(!reachable || dials > 0)
+                }
                 _ => {}
             }
         }
--- a/crates/aggregation/tests/failures.rs
+++ b/crates/aggregation/tests/failures.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 use virtual_fleet::{member, replica, Fleet, Health};
-use whinwall_aggregation::messages::Note;
+use whinwall_aggregation::log_event::LogEvent;
 
 const BUDGET: u64 = 27_000;
 /// Suspicion, the dial, and the controller's turn.
@@ -80,7 +80,7 @@
     record("one of four hangs for 10 s and goes on, from then", recovered);
     assert!(recovered <= RETURNED_MS, "{recovered} ms");
     assert_eq!(fleet.aggregator(1).counters().stalls, 1);
-    assert!(fleet.notes(1).iter().any(|note| matches!(note, Note::Stalled(_))));
+    assert!(fleet.notes(1).iter().any(|note| matches!(note, LogEvent::Stalled(_))));
     let (gap, _) = fleet.gaps_and_overlaps_ms(from - 2_000);
     assert!(gap < 0.01, "{gap} ms are in no line");
     assert_exact(&fleet);
@@ -138,8 +138,8 @@
     fleet.run(12_000);
     // Those with a fresh list serve its controllers, so that all are told of the new replica.
     assert!(served_by(&fleet, 1).is_empty());
-    assert!(fleet.notes(1).contains(&Note::RegistryStale(true)));
-    assert!(fleet.notes(1).iter().any(|note| matches!(note, Note::RegistryBehind { .. })));
+    assert!(fleet.notes(1).contains(&LogEvent::RegistryStale(true)));
+    assert!(fleet.notes(1).iter().any(|note| matches!(note, LogEvent::RegistryBehind { .. })));
     let recovered = fleet.served_alone_at_ms(from) - from as f64;
     record("one of four sees an old list", recovered);
     assert!(recovered <= 9_000.0, "{recovered} ms");
@@ -202,7 +202,7 @@
     assert_eq!(all, 12);
     let (gap, overlap) = fleet.gaps_and_overlaps_ms(0);
     assert!(gap < 0.01 && overlap < 0.01, "{gap} ms of gaps, {overlap} ms of overlaps");
-    assert!((0..4).all(|machine| fleet.notes(machine).contains(&Note::RegistryStale(true))));
+    assert!((0..4).all(|machine| fleet.notes(machine).contains(&LogEvent::RegistryStale(true))));
 }
 
 #[test]
@@ -256,11 +256,11 @@
     };
     let noticed = cut as f64 + 3_700.0;
     assert!(during(&fleet, 1, noticed, fleet.now_ms as f64 + 1.0));
-    assert!(fleet.notes(0).contains(&Note::ZoneMissing("z2".into())));
+    assert!(fleet.notes(0).contains(&LogEvent::ZoneMissing("z2".into())));
     let back = fleet.now_ms;
     fleet.silent_zones.remove(&2);
     fleet.run(10_000);
-    assert!(fleet.notes(0).contains(&Note::ZoneBack("z2".into())));
+    assert!(fleet.notes(0).contains(&LogEvent::ZoneBack("z2".into())));
     let last_marked = fleet.controllers.iter().flat_map(|controller| {
         let lines = fleet.reports(&controller.name).filter(|(_, told)| told.missing > 0);
         lines.map(|(heard, _)| heard.at_ms).collect::<Vec<_>>()
@@ -329,8 +329,8 @@
         fleet.cut_zone(machine, 1);
     }
     fleet.run(2 * 3_600_000 + 10_000);
-    assert!((0..4).all(|machine| fleet.aggregator(machine).state().zones_missing == 0));
-    assert!(fleet.notes(0).contains(&Note::ZoneForgotten("z1".into())));
+    assert!((0..4).all(|machine| fleet.aggregator(machine).status().zones_missing == 0));
+    assert!(fleet.notes(0).contains(&LogEvent::ZoneForgotten("z1".into())));
     let last = fleet.reports("g0").last().unwrap().1.clone();
     assert_eq!(last.missing, 0);
 }
@@ -413,8 +413,8 @@
     assert_exact(&fleet);
     assert_budget(&fleet);
     for machine in 0..4 {
-        let state = fleet.aggregator(machine).state();
-        assert_eq!(state.series, state.replicas + 12 * 2 * 2, "series that nobody needs");
+        let status = fleet.aggregator(machine).status();
+        assert_eq!(status.series, status.replicas + 12 * 2 * 2, "series that nobody needs");
     }
     let after = fleet.now_ms as f64 - 1_100.0;
     for controller in &fleet.controllers {
--- a/crates/aggregation/tests/line_bytes.rs
+++ b/crates/aggregation/tests/line_bytes.rs
@@ -1,7 +1,7 @@
 //! The exact text between aggregators, controllers and collectors. Each line is written out, so that a renamed
 //! field or another number format fails here.
 
-use whinwall_aggregation::membership::Heartbeat;
+use whinwall_aggregation::heartbeat::Heartbeat;
 use whinwall_aggregation::sums::Sum;
 use whinwall_aggregation::wire::{self, Covered};
 use whinwall_policy::time::Span;
--- a/crates/aggregation/tests/steady.rs
+++ b/crates/aggregation/tests/steady.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 use virtual_fleet::Fleet;
-use whinwall_aggregation::messages::Note;
+use whinwall_aggregation::log_event::LogEvent;
 
 const BUDGET: u64 = 27_000;
 
@@ -122,7 +122,7 @@
     fleet.run(30_000);
     assert!(fleet.most_bytes_within(1000.0) <= budget as usize);
     let noted = (0..4).flat_map(|machine| fleet.notes(machine));
-    assert!(noted.into_iter().any(|note| matches!(note, Note::BudgetTooSmall { .. })));
+    assert!(noted.into_iter().any(|note| matches!(note, LogEvent::BudgetTooSmall { .. })));
     let zones = fleet.all_zones();
     fleet.assert_counts_exact(|_| zones.clone());
 }
--- a/crates/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::configuration::{Configuration, ControllerMember};
-use whinwall_aggregation::messages::{Effect, Event, Note};
+use whinwall_aggregation::log_event::LogEvent;
+use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::Report;
 use whinwall_protocol::discovery::{Entry, List, State};
@@ -96,7 +97,7 @@
     connections: BTreeMap<String, u64>,
     /// Events for its next step.
     queue: Vec<Answer>,
-    notes: Vec<Note>,
+    notes: Vec<LogEvent>,
 }
 
 enum Answer {
@@ -260,7 +261,7 @@
         self.machines[index].aggregator.as_ref().unwrap()
     }
 
-    pub fn notes(&self, index: usize) -> &[Note] {
+    pub fn notes(&self, index: usize) -> &[LogEvent] {
         &self.machines[index].notes
     }
 
@@ -452,7 +453,7 @@
             if self.machines[index].cut_zones.contains(&zone) {
                 continue;
             }
-            let event = Event::ReportBody { connection: connection_of(zone), report };
+            let event = Event::ReportReceived { connection: connection_of(zone), report };
             self.event_at(index, at_ms, event);
         }
     }
--- a/crates/aggregation/tests/wire.rs
+++ b/crates/aggregation/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Lines as the protocol has them.
 
-use whinwall_aggregation::membership::Heartbeat;
+use whinwall_aggregation::heartbeat::Heartbeat;
 use whinwall_aggregation::sums::Sum;
 use whinwall_aggregation::wire::{self, Covered};
 use whinwall_policy::time::Span;
