--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -56,11 +56,11 @@
             for item in batch.items {
                 match item {
                     Item::Reports(reports) => {
-                        counted.extend(reports.iter().map(|report| match report.what {
-                            ReportBody::DemandReport { slice, asked } => {
-                                Counted::DemandReport(from, slice, asked.came, report.lines)
+                        counted.extend(reports.iter().map(|report| match report.body {
+                            ReportBody::Demand { slice, report: asked } => {
+                                Counted::DemandReport(from, slice, asked.requests, report.line_count)
                             }
-                            ReportBody::EndpointReport { replica, met, .. } => {
+                            ReportBody::Endpoint { replica, report: met, .. } => {
                                 Counted::EndpointReport(from, replica, met.attempts)
                             }
                         }))
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -769,17 +769,17 @@
 /// asked.
 fn chunks() -> Vec<(u64, Vec<Report>)> {
     let covers = Span::ms(1000);
-    let told = |what| Report { at: Moment::default(), lines: 1.0, what };
+    let told = |what| Report { at: Moment::default(), line_count: 1.0, body: what };
     let met = |zone, replica: u32| {
         let failed = if replica == 3 { 9.0 } else { 0.0 };
         let mean_latency = Span::ms(40);
-        let met = EndpointReport { zone, covers, attempts: 9.0, failed, mean_latency };
-        told(ReportBody::EndpointReport { replica, met, latest: mean_latency })
+        let met = EndpointReport { zone, window: covers, attempts: 9.0, failed, mean_latency };
+        told(ReportBody::Endpoint { replica, report: met, latest_latency: mean_latency })
     };
     let asked = |slice, request_class| {
-        told(ReportBody::DemandReport {
+        told(ReportBody::Demand {
             slice,
-            asked: DemandReport { request_class, covers, came: 9.0, failed: 0.0 },
+            report: DemandReport { request_class, window: covers, requests: 9.0, failed: 0.0 },
         })
     };
     let chunk = |from: u64| {
@@ -842,8 +842,12 @@
     joined(&mut rig);
     rig.news("* GRANT 4 0");
     let fails = |slice| {
-        let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1e6, failed: 1e6 };
-        vec![Report { at: Moment::default(), lines: 1.0, what: ReportBody::DemandReport { slice, asked } }]
+        let asked = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1e6, failed: 1e6 };
+        vec![Report {
+            at: Moment::default(),
+            line_count: 1.0,
+            body: ReportBody::Demand { slice, report: asked },
+        }]
     };
     let before = rig.calls.len();
     for _ in 0..5 {
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -543,9 +543,10 @@
     let known = known();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-2","n":9,"bad":0,"avg":41.7,"window":1000.0}"#;
     let what = known.numbered(&collector::quick(met).unwrap()).unwrap();
-    served
-        .rig
-        .tell(Event::Reports { from: 1, reports: vec![Report { at: served.rig.now, lines: 1.0, what }] });
+    served.rig.tell(Event::Reports {
+        from: 1,
+        reports: vec![Report { at: served.rig.now, line_count: 1.0, body: what }],
+    });
     assert_eq!(served.rig.reducer.covered_subjects(), 5 + 10);
     served.rig.tell(Event::SubsettingConfigured(None));
     assert_eq!(served.rig.reducer.covered_subjects(), 0);
--- a/crates/ingest/src/sums.rs
+++ b/crates/ingest/src/sums.rs
@@ -33,13 +33,13 @@
         lines.sort_by_key(key);
         let mut reports: Vec<Report> = Vec::new();
         for what in lines {
-            let same = reports.last_mut().filter(|last| key(&last.what) == key(&what));
-            match same.map(|last| (&mut last.lines, &mut last.what)) {
+            let same = reports.last_mut().filter(|last| key(&last.body) == key(&what));
+            match same.map(|last| (&mut last.line_count, &mut last.body)) {
                 Some((lines, sum)) => {
                     *lines += 1.0;
                     add(sum, what);
                 }
-                None => reports.push(Report { at: self.at, lines: 1.0, what }),
+                None => reports.push(Report { at: self.at, line_count: 1.0, body: what }),
             }
         }
         reports
@@ -49,16 +49,16 @@
 /// Kind, then replica or slice, then place or request class, then the window.
 fn key(what: &ReportBody) -> (u8, u32, usize, Span) {
     match what {
-        ReportBody::EndpointReport { replica, met, .. } => (0, *replica, met.zone, met.covers),
-        ReportBody::DemandReport { slice, asked } => (1, *slice, asked.request_class, asked.covers),
+        ReportBody::Endpoint { replica, report: met, .. } => (0, *replica, met.zone, met.window),
+        ReportBody::Demand { slice, report: asked } => (1, *slice, asked.request_class, asked.window),
     }
 }
 
 fn add(sum: &mut ReportBody, more: ReportBody) {
     match (sum, more) {
         (
-            ReportBody::EndpointReport { met, latest, .. },
-            ReportBody::EndpointReport { met: more, latest: newer, .. },
+            ReportBody::Endpoint { report: met, latest_latency: latest, .. },
+            ReportBody::Endpoint { report: more, latest_latency: newer, .. },
         ) => {
             let (answered, others) = (answered(met), answered(&more));
             let busy = met.mean_latency.times(answered) + more.mean_latency.times(others);
@@ -68,8 +68,8 @@
             met.attempts += more.attempts;
             met.failed += more.failed;
         }
-        (ReportBody::DemandReport { asked, .. }, ReportBody::DemandReport { asked: more, .. }) => {
-            asked.came += more.came;
+        (ReportBody::Demand { report: asked, .. }, ReportBody::Demand { report: more, .. }) => {
+            asked.requests += more.requests;
             asked.failed += more.failed;
         }
         // Alike are only those of one kind.
@@ -83,9 +83,9 @@
 
 /// For who has one of them.
 pub fn met(replica: u32, met: EndpointReport) -> ReportBody {
-    ReportBody::EndpointReport { replica, met, latest: met.mean_latency }
+    ReportBody::Endpoint { replica, report: met, latest_latency: met.mean_latency }
 }
 
 pub fn asked(slice: u32, asked: DemandReport) -> ReportBody {
-    ReportBody::DemandReport { slice, asked }
+    ReportBody::Demand { slice, report: asked }
 }
--- a/crates/ingest/tests/cores.rs
+++ b/crates/ingest/tests/cores.rs
@@ -136,10 +136,10 @@
                 let (attempts, failed) = (f64::from(few(9)), f64::from(few(4)));
                 let mean_latency = Span::ms(u64::from(few(400)));
                 let (attempts, zone) = (attempts + failed, few(2) as usize);
-                met(few(3), EndpointReport { zone, covers, attempts, failed, mean_latency })
+                met(few(3), EndpointReport { zone, window: covers, attempts, failed, mean_latency })
             } else {
                 let (came, failed, request_class) = (f64::from(few(9)), f64::from(few(9)), few(2) as usize);
-                asked(few(3), DemandReport { request_class, covers, came, failed })
+                asked(few(3), DemandReport { request_class, window: covers, requests: came, failed })
             }
         };
         Lines((0..40).map(|_| line(&mut few)).collect())
@@ -153,13 +153,14 @@
         let mut totals = Totals::new();
         for (lines, what) in reports {
             let (key, figures) = match what {
-                ReportBody::EndpointReport { replica, met, .. } => {
+                ReportBody::Endpoint { replica, report: met, .. } => {
                     let busy = (met.attempts - met.failed) * met.mean_latency.seconds();
-                    ((0, replica, met.zone, met.covers), [lines, met.attempts, met.failed, busy])
-                }
-                ReportBody::DemandReport { slice, asked } => {
-                    ((1, slice, asked.request_class, asked.covers), [lines, asked.came, asked.failed, 0.0])
+                    ((0, replica, met.zone, met.window), [lines, met.attempts, met.failed, busy])
                 }
+                ReportBody::Demand { slice, report: asked } => (
+                    (1, slice, asked.request_class, asked.window),
+                    [lines, asked.requests, asked.failed, 0.0],
+                ),
             };
             let sum = totals.entry(key).or_default();
             (0..4).for_each(|n| sum[n] += figures[n]);
@@ -173,7 +174,7 @@
         assert!(summed.iter().all(|report| report.at == at(7)));
         let (one, many) = (
             totals(lines.0.iter().map(|line| (1.0, *line))),
-            totals(summed.iter().map(|r| (r.lines, r.what))),
+            totals(summed.iter().map(|r| (r.line_count, r.body))),
         );
         assert_eq!(summed.len(), many.len(), "each sum is there once");
         let near = |a: &[f64; 4], b: &[f64; 4]| a.iter().zip(b).all(|(a, b)| (a - b).abs() < 1e-6);
@@ -186,13 +187,13 @@
 fn of_a_sum_the_latest_answers_time_is_kept() {
     let line = |attempts, failed, ms| {
         let (covers, mean_latency) = (Span::ms(1000), Span::ms(ms));
-        met(1, EndpointReport { zone: 0, covers, attempts, failed, mean_latency })
+        met(1, EndpointReport { zone: 0, window: covers, attempts, failed, mean_latency })
     };
     let mut sums = Sums::at(at(0));
     [line(1.0, 0.0, 100), line(3.0, 0.0, 300), line(2.0, 2.0, 900)]
         .into_iter()
         .for_each(|line| sums.add(line));
-    let ReportBody::EndpointReport { met, latest, .. } = sums.summed()[0].what else {
+    let ReportBody::Endpoint { report: met, latest_latency: latest, .. } = sums.summed()[0].body else {
         panic!("a sum of these")
     };
     assert_eq!(
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,18 +1,24 @@
-//! What goes in and out of the decisions, in no protocol's terms.
+//! The types of the calls to [`Policy`](crate::Policy) and of the actions that it returns, free of any wire protocol.
 
 use crate::time::{Moment, Span};
 
-/// Ids stay as the protocol gives them; they carry no meaning.
+/// A replica's id. Ids stay as the protocol gives them; they carry no meaning.
 pub type ReplicaId = u32;
+/// The id of a slice of the key space, which is the unit of routing: each slice has a routing table of its own.
 pub type SliceId = u32;
+/// The id of a proxy.
 pub type ProxyId = u32;
-/// A site of the deployment, by its position among them.
+/// A zone of the deployment, by its position among them.
 pub type ZoneId = usize;
 
+/// What the list says of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
+    /// It serves requests.
     Ready,
+    /// It shuts down gracefully and must be left.
     Draining,
+    /// It is not listed any more.
     Gone,
 }
 
@@ -22,49 +28,78 @@
     /// Subsetting is off: every controller steers every replica.
     #[default]
     Everyone,
-    /// The replica is in this controller's subset and in those of `controllers - 1` others. `position` is this controller's
-    /// rank among them, from 0 on; all of them compute the same order.
-    Subset { controllers: u32, position: u32 },
+    /// The replica is in this controller's subset and in those of `controllers - 1` others.
+    Subset {
+        /// The number of controllers that steer the replica.
+        controllers: u32,
+        /// This controller's rank among them, from 0 on; all of them compute the same order.
+        position: u32,
+    },
     /// The replica is in the subsets of other controllers only.
     Others,
 }
 
-/// One replica as the list shows it.
+/// One entry of the replica list.
 #[derive(Clone, Debug)]
 pub struct ReplicaListing {
+    /// Which replica.
     pub replica: ReplicaId,
+    /// The zone that it runs in; `ZoneId::MAX` where that is not known.
     pub zone: ZoneId,
+    /// The kind of machine that it runs on.
     pub machine: String,
-    pub standing: ReplicaState,
-    pub size: f64,
+    /// Whether it serves.
+    pub state: ReplicaState,
+    /// Its capacity against that of the others, as listed.
+    pub weight: f64,
+    /// When its process started, if known.
     pub started: Option<Moment>,
-    /// Stands for the replica at all controllers alike, whatever its id is here: draws that they make about it
-    /// fall alike.
-    pub lot: u64,
+    /// Identifies the replica at all controllers alike, whatever its id is here: random draws about it give all of them
+    /// the same result.
+    pub stable_hash: u64,
     /// Which controllers steer it.
-    pub share: SubsetMembership,
+    pub subset: SubsetMembership,
 }
 
+/// How much of the replica list an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
+    /// Only the entries that changed.
     Changes,
-    Whole,
-    /// The whole list as a former life of this controller knew it.
-    Remembered,
+    /// All entries: a replica that is missing has gone.
+    Complete,
+    /// All entries as an earlier incarnation of this controller knew them.
+    Cached,
 }
 
-/// What operators want for a while, whatever the list says.
+/// A temporary operators' override of what the list says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OverrideSpec {
-    /// A factor on a replica's listed size.
-    Weight { replica: ReplicaId, factor: f64 },
-    /// Out of service: left as one that drains is.
-    Out { replica: ReplicaId },
-    /// These slices, both ends included, are to be on this replica; where overrides overlap the newer one counts.
-    Pin { first: SliceId, last: SliceId, replica: ReplicaId },
+    /// A factor on a replica's listed weight.
+    Weight {
+        /// Which replica.
+        replica: ReplicaId,
+        /// The factor, above 0.
+        factor: f64,
+    },
+    /// Out of service: left as a draining replica is.
+    Out {
+        /// Which replica.
+        replica: ReplicaId,
+    },
+    /// These slices are to be on this replica; where overrides overlap the newer one counts.
+    Pin {
+        /// The first slice of the range.
+        first: SliceId,
+        /// The last slice of the range, included.
+        last: SliceId,
+        /// Where they belong.
+        replica: ReplicaId,
+    },
 }
 
 impl OverrideSpec {
+    /// The replica that the override is about.
     pub fn replica(&self) -> ReplicaId {
         match self {
             OverrideSpec::Weight { replica, .. }
@@ -74,117 +109,184 @@
     }
 }
 
-/// Given by whoever tells of a override; it stays the same for as long as the override stands.
+/// An override's id, given by the caller; it stays the same for as long as the override exists.
 pub type OverrideId = u64;
 
-/// How far a override has come, and what it waits for or stands back for.
+/// Whether an override is in force, and if not, what it waits for or which rule suspends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideStatus {
+    /// It is in force.
     InForce,
+    /// It will be in force once this is done.
     Waiting(&'static str),
+    /// It is not in force while this holds.
     Suspended(&'static str),
-    /// The list does not have its replica.
+    /// Its replica is not on the list.
     Absent,
 }
 
-/// What the proxies of one place met at one replica within the time that the report covers.
+/// What the proxies of one zone observed at one replica within a time window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointReport {
+    /// The proxies' zone.
     pub zone: ZoneId,
-    pub covers: Span,
+    /// The length of the time window that the report covers.
+    pub window: Span,
+    /// Requests sent to the replica, retries included.
     pub attempts: f64,
+    /// Those of them that failed.
     pub failed: f64,
+    /// The mean latency of the others.
     pub mean_latency: Span,
 }
 
-/// What came for one slice, of one request class, within the time that the report covers.
+/// The requests for one slice, of one request class, within a time window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandReport {
+    /// The request class, by its position among those of the deployment.
     pub request_class: usize,
-    pub covers: Span,
-    pub came: f64,
+    /// The length of the time window that the report covers.
+    pub window: Span,
+    /// Requests received, before admission control.
+    pub requests: f64,
+    /// Those of them that failed.
     pub failed: f64,
 }
 
-/// One line of a report, or the sum of several that are alike, with the time at which it was told: what comes
-/// late to the decisions is late, and not fresh.
+/// One line of a load report, or the sum of several of the same subject, with the time at which it was sent: a line that
+/// arrives late counts for the time that it covers.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
+    /// When it was sent, which is the end of its time window.
     pub at: Moment,
     /// How many lines it is the sum of.
-    pub lines: f64,
-    pub what: ReportBody,
+    pub line_count: f64,
+    /// What it says.
+    pub body: ReportBody,
 }
 
+/// What a line of a load report is about, and its figures.
 #[derive(Clone, Copy, Debug)]
 pub enum ReportBody {
-    EndpointReport {
+    /// On a replica.
+    Endpoint {
+        /// Which replica.
         replica: ReplicaId,
-        met: EndpointReport,
-        /// What the latest of its answers took on average, where it is a sum.
-        latest: Span,
+        /// The figures.
+        report: EndpointReport,
+        /// The mean latency in the newest of the lines that were added up.
+        latest_latency: Span,
     },
-    DemandReport {
+    /// On a slice.
+    Demand {
+        /// Which slice.
         slice: SliceId,
-        asked: DemandReport,
+        /// The figures.
+        report: DemandReport,
     },
 }
 
-/// How reports reach the controller.
+/// How load reports reach the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportFlow {
-    /// As the collectors make them, each second.
+    /// From the collectors themselves, once a second.
     #[default]
     Direct,
-    /// Summed by aggregators; the longest time that a line of late covers.
-    Aggregated { longest_window: Span },
-    /// They are to be aggregated, but nothing comes, or it has come again only just now: what was known last stays.
+    /// Summed by aggregators.
+    Aggregated {
+        /// The longest time window of the lines received recently.
+        longest_window: Span,
+    },
+    /// They should come from aggregators but do not, or have started again only just now: the last estimates stay in use.
     Interrupted,
 }
 
-/// What reports are on.
+/// What a load report is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSubject {
+    /// The replica of an [`EndpointReport`].
     Replica(ReplicaId),
+    /// The slice of a [`DemandReport`].
     Slice(SliceId),
 }
 
-/// A step of a reply. Steps take effect in order: a withdrawal never overtakes the line that replaces it.
+/// The tables that a proxy holds when it joins.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProxyTables {
+    /// What it applied before its stream broke, withdrawals included.
+    Retained,
+    /// Nothing: it has just started, or has dropped its state.
+    Empty,
+}
+
+/// One action of a reply. Actions take effect in order: a withdrawal never overtakes the endpoint that replaces it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Sets one endpoint of a slice's routing table.
     SetEndpoint {
+        /// Whose table.
         slice: SliceId,
+        /// Which endpoint.
         replica: ReplicaId,
+        /// Its weight in the table; 0 removes it.
         weight: f64,
     },
+    /// Takes a replica out of all routing tables, whose endpoints stay as they are.
     Withdraw {
+        /// Which replica.
         replica: ReplicaId,
-        out: bool,
     },
+    /// Ends a replica's withdrawal.
+    Reinstate {
+        /// Which replica.
+        replica: ReplicaId,
+    },
+    /// Sets which share of the requests is admitted, and the retries of those.
     SetAdmission {
+        /// Of which slice, or of all.
         slice: Option<SliceId>,
+        /// Of which request classes: bit n stands for the class at position n; 0 stands for all.
         request_classes: u64,
+        /// The share of requests that is admitted, from 0 to 1.
         share: f64,
+        /// Retries that a request may have.
         retries: u8,
     },
+    /// Asks all proxies to acknowledge what was sent up to here.
     Sync {
+        /// The version of this reply.
         number: u16,
     },
+    /// Asks for the replica list.
     RequestReplicaList,
+    /// Asks for [`Policy::timer_fired`](crate::Policy::timer_fired).
     StartTimer {
+        /// Comes back with the call.
         token: u64,
+        /// How long until the call.
         after: Span,
     },
-    /// For whoever watches: a replica is taken for sick, and why.
+    /// For observers: a replica was ejected as an outlier.
     ReplicaEjected {
+        /// Which replica.
         replica: ReplicaId,
+        /// Why, for operators.
         cause: &'static str,
     },
 }
 
 impl Action {
-    /// Changes what proxies hold.
+    /// Whether the action changes what proxies hold.
     pub fn reaches_proxies(&self) -> bool {
-        matches!(self, Action::SetEndpoint { .. } | Action::Withdraw { .. } | Action::SetAdmission { .. })
+        match self {
+            Action::SetEndpoint { .. }
+            | Action::Withdraw { .. }
+            | Action::Reinstate { .. }
+            | Action::SetAdmission { .. } => true,
+            Action::Sync { .. }
+            | Action::RequestReplicaList
+            | Action::StartTimer { .. }
+            | Action::ReplicaEjected { .. } => false,
+        }
     }
 }
--- a/crates/policy/src/logic.rs
+++ b/crates/policy/src/logic.rs
@@ -124,7 +124,7 @@
         if scope != ListScope::Changes {
             self.replicas.values_mut().for_each(|s| s.listed = false);
         }
-        self.list_fresh |= scope != ListScope::Remembered;
+        self.list_fresh |= scope != ListScope::Cached;
         for entry in list {
             self.replica(entry.replica, entry.started).relist(entry);
         }
@@ -161,23 +161,18 @@
     /// To be left whatever it does (rule 3). Where being dropped from the list does not bind, the list may be
     /// wrong, and what is met there counts.
     fn is_lost(&self, s: &Replica) -> bool {
-        match s.standing {
+        match s.state {
             ReplicaState::Draining => true,
             _ if s.out => true,
             ReplicaState::Ready if s.listed => false,
-            _ => (self.list_fresh || self.now - self.born > ACK_WAIT) && !self.site.gone_is_advice,
+            _ => (self.list_fresh || self.now - self.born > ACK_WAIT) && !self.site.delisting_is_advisory,
         }
     }
 
     /// In its place, and so in the averages.
     pub(crate) fn is_fit(&self, s: &Replica) -> bool {
-        let there = s.listed || (self.site.gone_is_advice && s.seen.answered > 0.0);
-        there
-            && !s.is_foreign()
-            && !s.shut
-            && !s.out
-            && s.standing != ReplicaState::Draining
-            && !self.is_sick(s)
+        let there = s.listed || (self.site.delisting_is_advisory && s.seen.answered > 0.0);
+        there && !s.is_foreign() && !s.shut && !s.out && s.state != ReplicaState::Draining && !self.is_sick(s)
     }
 
     /// What a cold replica may be sent now: of what would push it over, a safe part. What the fleet answers is
@@ -186,15 +181,20 @@
         if !self.is_cold(s) {
             return f64::INFINITY;
         }
-        s.able * self.picture.proven * self.part(s) * self.site.fall_multiple * self.warmth(s) * COLD_SAFETY
+        s.able
+            * self.picture.proven
+            * self.part(s)
+            * self.site.collapse_multiple
+            * self.warmth(s)
+            * COLD_SAFETY
     }
 
     /// How much more of a replica is ours than our part. A cold one is one controller's alone, by a draw that
     /// falls alike at all: a part of its budget for each would be less than most slices need. Where nobody else
     /// holds slices, or slices are not what is shared out, there is nothing to draw.
     fn part(&self, s: &Replica) -> f64 {
-        let (whole, drawn) = (self.whole(), s.drawn(self.site.controllers));
-        match drawn == self.site.number {
+        let (whole, drawn) = (self.whole(), s.drawn(self.site.controller_count));
+        match drawn == self.site.controller_index {
             _ if whole == 1.0 || !self.is_cold(s) => 1.0,
             true => whole,
             false => 0.0,
@@ -248,13 +248,13 @@
         let all = self.channel.proxies.len() as f64;
         let (waiting, open) = (self.channel.lines_waiting(), self.channel.open_lines());
         let (fresh, bare) = (self.channel.open_version.is_none(), priority == Priority::Bare);
-        let head = if fresh { (self.site.message_head + 1.0) * all } else { 0.0 };
-        let heads = Span::ms(1000).times(head / self.site.pace.max(1.0) / HEADS_PART);
+        let head = if fresh { (self.site.message_overhead_lines + 1.0) * all } else { 0.0 };
+        let heads = Span::ms(1000).times(head / self.site.lines_per_second.max(1.0) / HEADS_PART);
         let (part, gap) = match priority {
             Priority::Calm | Priority::Spare => (CALM_PART, heads + heads),
             _ => (1.0, if waiting == 0.0 { Span::default() } else { heads }),
         };
-        let (more, most) = (lines * all + head, self.site.queue_cap * QUEUE_PART);
+        let (more, most) = (lines * all + head, self.site.queue_capacity_lines * QUEUE_PART);
         // Twice, for a repeat; but parted into small messages what can't wait would come too late, mostly heads.
         let twice = || waiting + open + more + more <= most;
         let fits = || waiting + more <= most * part && (bare || twice());
@@ -265,7 +265,7 @@
     /// more message to all, for each attempt may have been carried out (rule 5).
     pub fn may_resend(&self, now: Moment, version: u16) -> bool {
         let (waiting, again) = (self.channel.lines_waiting(), self.channel.lines_of(version));
-        let fits = waiting + again <= self.site.queue_cap * QUEUE_PART;
+        let fits = waiting + again <= self.site.queue_capacity_lines * QUEUE_PART;
         (fits || now - self.channel.heard > NO_ACKS) && self.messages_left(now, 1.0) >= 1.0
     }
 
@@ -299,10 +299,11 @@
     fn withdraw(&mut self) -> bool {
         let lifts = self.lifts_are_due() && self.has_room(1.0, Priority::Calm);
         let due = self.to_shut.iter().filter(|(_, at)| **at <= self.now).min_by_key(|(_, at)| **at);
-        let shut = due.filter(|_| self.has_room(1.0, Priority::Bare)).map(|(id, _)| (*id, true));
-        let lift = || self.to_lift.first().filter(|_| lifts).map(|id| (*id, false));
-        let Some((replica, out)) = shut.or_else(lift) else { return false };
-        let step = Action::Withdraw { replica, out };
+        let shut = due
+            .filter(|_| self.has_room(1.0, Priority::Bare))
+            .map(|(id, _)| Action::Withdraw { replica: *id });
+        let lift = || self.to_lift.first().filter(|_| lifts).map(|id| Action::Reinstate { replica: *id });
+        let Some(step) = shut.or_else(lift) else { return false };
         self.write(1.0);
         self.note_withdrawal(&step);
         self.actions.push(step);
@@ -367,7 +368,7 @@
         let slownesses = self.slownesses(LOAD_OVER + self.behind, ENOUGH, |s| self.is_fit(s));
         let parts: Vec<_> = self.replicas.values().map(|s| self.part(s)).collect();
         for ((s, slowness), part) in self.replicas.values_mut().zip(slownesses).zip(parts) {
-            s.able = s.size.clamp(0.01, 1e6) * (1.0 / slowness).sqrt().clamp(0.5, 1.3);
+            s.able = s.weight.clamp(0.01, 1e6) * (1.0 / slowness).sqrt().clamp(0.5, 1.3);
             (s.part, s.power) = (part, s.able * s.factor * part.max(1.0));
         }
         self.see_slices(LOAD_OVER, SPREAD_OVER, REPEATED);
@@ -452,8 +453,7 @@
         let good = left.0 > usize::from(self.is_good(s));
         let missing = left.2 + usize::from(!s.out && !self.is_sick(s));
         let again = w.stood_back.is_some_and(|at| self.now - at < SICK_FOR);
-        let out =
-            s.standing == ReplicaState::Draining || (good && (s.out || !(missing * 2 > left.1 || again)));
+        let out = s.state == ReplicaState::Draining || (good && (s.out || !(missing * 2 > left.1 || again)));
         if out && !s.out {
             (left.0, left.2) = (left.0 - usize::from(self.is_good(s)), missing);
         }
@@ -475,7 +475,7 @@
     fn heed_weight(&mut self, id: ReplicaId, factor: f64) -> OverrideStatus {
         let Some(s) = self.replicas.get(&id).filter(|s| s.listed) else { return Absent };
         let heeded = match () {
-            _ if s.standing == ReplicaState::Draining => Suspended("rule 3: the server drains"),
+            _ if s.state == ReplicaState::Draining => Suspended("rule 3: the server drains"),
             _ if s.out => Suspended("the server is out of service"),
             _ if factor > 1.0 && self.is_cold(s) => Suspended("rule 4: the server is cold"),
             _ => InForce,
@@ -510,7 +510,7 @@
         let wait = ACK_WAIT.times(slice.pulls(id).min(MOST_PULLS));
         let Some(s) = self.replicas.get(&to).filter(|s| s.listed) else { return Absent };
         match () {
-            _ if s.standing == ReplicaState::Draining => Suspended("rule 3: the server drains"),
+            _ if s.state == ReplicaState::Draining => Suspended("rule 3: the server drains"),
             _ if s.out => Suspended("the server is out of service"),
             _ if self.is_sick(s) || s.shut => Suspended("rule 1: the server is sick or withdrawn"),
             _ if self.is_at_pin(n, slice) && slice.is_told() => InForce,
@@ -663,7 +663,7 @@
             return false;
         }
         self.due.round = self.now + ROUND;
-        (self.agenda.shift, self.agenda.ration) = (true, self.site.levels_followed);
+        (self.agenda.shift, self.agenda.ration) = (true, self.site.admission_supported);
         for s in self.replicas.values_mut() {
             let (low, high) = self.picture.band(s);
             let side = i32::from(s.level() > high) - i32::from(s.level() < low);
@@ -686,7 +686,7 @@
         // Where orders a slice take few seconds of the channel, each owner's own cut is the finer tool.
         let orders =
             (self.slices.len() * self.site.request_classes.len() * self.channel.proxies.len()) as f64;
-        let dear = f64::from(u8::from(orders > self.site.pace * ONE_BY_ONE));
+        let dear = f64::from(u8::from(orders > self.site.lines_per_second * ONE_BY_ONE));
         let late = dear * if lost > FAILING_SHARE { 1.0 } else { usual };
         let wait = if self.cut <= RETRIES_ONLY { ROUND } else { ROUND + self.behind };
         if self.now - self.cut_at >= wait {
--- a/crates/policy/src/measures.rs
+++ b/crates/policy/src/measures.rs
@@ -13,14 +13,14 @@
     }
 
     pub(crate) fn is_cold(&self, s: &Replica) -> bool {
-        s.started.is_some_and(|at| self.now - at < self.site.warm_after)
+        s.started.is_some_and(|at| self.now - at < self.site.warm_up)
     }
 
     /// From the share that a replica starts with, evenly up to the whole.
     pub(crate) fn warmth(&self, s: &Replica) -> f64 {
         let age = (self.now - s.started.unwrap_or_default()).seconds();
-        let part = age / self.site.warm_after.seconds().max(0.1);
-        (self.site.cold_share + (1.0 - self.site.cold_share) * part).min(1.0)
+        let part = age / self.site.warm_up.seconds().max(0.1);
+        (self.site.cold_capacity_share + (1.0 - self.site.cold_capacity_share) * part).min(1.0)
     }
 
     pub(crate) fn is_sick(&self, s: &Replica) -> bool {
@@ -29,7 +29,7 @@
 
     /// How many messages each proxy may still get within the window, where we use this part of the cap.
     pub(crate) fn messages_left(&self, now: Moment, part: f64) -> f64 {
-        let cap = f64::from(self.site.message_cap);
+        let cap = f64::from(self.site.message_limit);
         let written = self.channel.messages.sum(now, self.site.message_window + BEAT);
         if cap == 0.0 {
             f64::INFINITY
@@ -70,16 +70,18 @@
     /// itself fits into the part of the queue cap that orders leave; its acks show that all before it has left.
     pub(crate) fn lacks_acks(&self) -> bool {
         let all = self.channel.proxies.len() as f64;
-        let (waiting, version) = (self.channel.lines_waiting(), (self.site.message_head + 1.0) * all);
+        let (waiting, version) =
+            (self.channel.lines_waiting(), (self.site.message_overhead_lines + 1.0) * all);
         let is_overdue = self.channel.acks_lost || self.now - self.channel.heard > NO_ACKS;
-        let is_in_the_way = waiting + version + all > self.site.queue_cap * QUEUE_PART * CALM_PART;
-        let fits = waiting + version <= self.site.queue_cap && self.messages_left(self.now, 1.0) > 1.0;
+        let is_in_the_way = waiting + version + all > self.site.queue_capacity_lines * QUEUE_PART * CALM_PART;
+        let fits =
+            waiting + version <= self.site.queue_capacity_lines && self.messages_left(self.now, 1.0) > 1.0;
         is_overdue && is_in_the_way && fits && waiting > 0.0 && self.channel.open_version.is_none()
     }
 
     /// The same way for all replicas of a kind, where the list tells kinds apart by size.
     fn kind<'a>(&self, s: &'a Replica) -> &'a str {
-        if self.site.sizes_known {
+        if self.site.weights_known {
             &s.machine
         } else {
             ""
@@ -136,7 +138,7 @@
         }
         self.forget_gone();
         for s in self.replicas.values_mut() {
-            s.able = if s.attempts.newest() < self.born { s.size.clamp(0.01, 1e6) } else { s.able };
+            s.able = if s.attempts.newest() < self.born { s.weight.clamp(0.01, 1e6) } else { s.able };
             s.power = s.able * s.factor * s.part.max(1.0);
         }
         self.rank_all();
@@ -215,7 +217,7 @@
     pub(crate) fn whole(&self) -> f64 {
         match self.sharing.active {
             true => 1.0,
-            false => (f64::from(self.site.slices) / self.slices.len().max(1) as f64).max(1.0),
+            false => (f64::from(self.site.slice_count) / self.slices.len().max(1) as f64).max(1.0),
         }
     }
 
--- a/crates/policy/src/news.rs
+++ b/crates/policy/src/news.rs
@@ -17,7 +17,8 @@
 
     /// A proxy holds what a former life of ours withdrew, and misses what is ordered while it is away. What it
     /// applied before it left it still holds, unless it comes bare.
-    pub fn proxy_joined(&mut self, now: Moment, proxy: ProxyId, bare: bool) {
+    pub fn proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
+        let bare = tables == ProxyTables::Empty;
         self.channel.proxies.insert(proxy);
         let applied = self.known.get(&proxy).copied();
         self.known.insert(proxy, if bare { Moment::default() } else { applied.unwrap_or_default() });
@@ -105,28 +106,28 @@
     }
 
     pub fn endpoint_reported(&mut self, now: Moment, replica: ReplicaId, met: EndpointReport) {
-        let what = ReportBody::EndpointReport { replica, met, latest: met.mean_latency };
-        self.load_reported(now, &[Report { at: now, lines: 1.0, what }]);
+        let what = ReportBody::Endpoint { replica, report: met, latest_latency: met.mean_latency };
+        self.load_reported(now, &[Report { at: now, line_count: 1.0, body: what }]);
     }
 
     pub fn demand_reported(&mut self, now: Moment, slice: SliceId, asked: DemandReport) {
         self.load_reported(
             now,
-            &[Report { at: now, lines: 1.0, what: ReportBody::DemandReport { slice, asked } }],
+            &[Report { at: now, line_count: 1.0, body: ReportBody::Demand { slice, report: asked } }],
         );
     }
 
     /// Many reports at once, each with its own time.
     pub fn load_reported(&mut self, now: Moment, reports: &[Report]) {
-        for Report { at, lines, what } in reports {
+        for Report { at, line_count: lines, body: what } in reports {
             let covers = match what {
-                ReportBody::EndpointReport { replica, met, latest } => {
+                ReportBody::Endpoint { replica, report: met, latest_latency: latest } => {
                     self.note_met(*at, *replica, met, *latest);
-                    met.covers
+                    met.window
                 }
-                ReportBody::DemandReport { slice, asked } => {
+                ReportBody::Demand { slice, report: asked } => {
                     self.note_asked(*at, *slice, asked);
-                    asked.covers
+                    asked.window
                 }
             };
             if covers > Span::default() {
@@ -176,7 +177,7 @@
     /// How many of the listed replicas that this controller steers can't be judged, as reports on them are not whole, or none
     /// have come of late.
     pub fn partly_observed_count(&self) -> usize {
-        self.many(|s| s.is_ready() && s.share != SubsetMembership::Others && !self.is_observed(s))
+        self.many(|s| s.is_ready() && s.subset != SubsetMembership::Others && !self.is_observed(s))
     }
 
     /// What is asked of all slices a second, as of the last survey.
@@ -188,7 +189,7 @@
         if let Some(s) = self.replicas.get_mut(&replica) {
             let way = (met.zone, s.zone);
             // What the way adds is no fault of the replica: else a slow link would look like a full site.
-            s.shared.window = met.covers;
+            s.shared.window = met.window;
             s.record(at, met, latest, self.delays.get(&way).copied().unwrap_or(0.0));
             self.links.entry(way).or_default().record(at, met);
         }
@@ -196,18 +197,18 @@
 
     fn note_asked(&mut self, at: Moment, slice: SliceId, asked: &DemandReport) {
         let cut = self.slices.get(&slice).map_or(0.0, |s| s.cut_held).max(self.cut_told.unwrap_or(0.0));
-        let let_in = asked.came * self.level(cut, asked.request_class);
+        let let_in = asked.requests * self.level(cut, asked.request_class);
         let stands = self.slices.get(&slice).is_some_and(|s| self.has_stood(s));
         if let Some((came, failed)) = self.fates.get_mut(asked.request_class) {
-            came.spread(at, asked.covers, let_in);
-            failed.spread(at, asked.covers, asked.failed);
+            came.spread(at, asked.window, let_in);
+            failed.spread(at, asked.window, asked.failed);
         }
         if let Some(s) = self.slices.get_mut(&slice) {
-            s.came.spread(at, asked.covers, let_in);
-            s.failed.spread(at, asked.covers, asked.failed);
+            s.came.spread(at, asked.window, let_in);
+            s.failed.spread(at, asked.window, asked.failed);
             for (replica, part) in s.parts().filter(|_| stands) {
                 if let Some(owner) = self.replicas.get_mut(&replica) {
-                    owner.asked.spread(at, asked.covers, let_in * part);
+                    owner.asked.spread(at, asked.window, let_in * part);
                 }
             }
         }
--- a/crates/policy/src/sharing.rs
+++ b/crates/policy/src/sharing.rs
@@ -98,7 +98,7 @@
 impl Replica {
     /// Steered by other controllers only.
     pub(crate) fn is_foreign(&self) -> bool {
-        self.share == SubsetMembership::Others
+        self.subset == SubsetMembership::Others
     }
 
     /// A replica that may be chosen at all.
@@ -116,7 +116,7 @@
 impl Policy {
     /// Adds to each replica's load what other controllers' slices bring. Does nothing where all is everyone's.
     pub(crate) fn add_others(&mut self, repeated: f64) {
-        self.sharing.active = self.replicas.values().any(|s| s.share != SubsetMembership::Everyone);
+        self.sharing.active = self.replicas.values().any(|s| s.subset != SubsetMembership::Everyone);
         if !self.sharing.active {
             return;
         }
@@ -130,7 +130,7 @@
         let oldest = newest - NOTHING_COMES.max(self.behind + self.site.report_period);
         // Nobody else brings anything to a replica that this controller steers alone.
         let is_shared =
-            |s: &&mut Replica| !matches!(s.share, SubsetMembership::Subset { controllers: 1, .. });
+            |s: &&mut Replica| !matches!(s.subset, SubsetMembership::Subset { controllers: 1, .. });
         for s in self.replicas.values_mut().filter(is_shared) {
             let end = s.attempts.newest().max(oldest).min(now) - SAMPLE_BUCKET;
             s.shared.others_press = s.others_rate(end, OTHERS_OVER).max(s.others_rate(end, OTHERS_LATELY));
@@ -187,7 +187,7 @@
 
     /// Whether this controller may move slices to a replica of its own accord.
     pub(crate) fn holds_claim(&self, s: &Replica) -> bool {
-        s.share.is_claimed(s.lot, self.now, self.sharing.stretch)
+        s.subset.is_claimed(s.stable_hash, self.now, self.sharing.stretch)
     }
 
     /// The order by room in which refuges are looked through: claimed ones below the average first, by room; then the others by a
@@ -245,7 +245,7 @@
     /// Whether it is this controller's turn, by draw, to take a slice from a replica above the average: the chances of
     /// all controllers add up to what is too much, spread over the rounds until it shows. Others take part at any time.
     pub(crate) fn may_shed(&self, s: &Replica) -> bool {
-        let SubsetMembership::Subset { controllers: 2.., .. } = s.share else { return true };
+        let SubsetMembership::Subset { controllers: 2.., .. } = s.subset else { return true };
         let excess = 1.0 - self.picture.average / s.level().max(f64::MIN_POSITIVE);
         let rounds_unseen = ROUNDS_UNSEEN + self.sharing.stretch.seconds();
         excess <= 0.0 || s.shared.draw < excess * s.lines.len() as f64 / rounds_unseen
@@ -254,7 +254,7 @@
     /// The same for a cold replica that is sent too much: one of its controllers is drawn, in proportion to what its own
     /// slices bring.
     pub(crate) fn may_relieve(&self, s: &Replica) -> bool {
-        let SubsetMembership::Subset { controllers: 2.., .. } = s.share else { return true };
+        let SubsetMembership::Subset { controllers: 2.., .. } = s.subset else { return true };
         s.shared.draw < 1.0 - s.shared.others_press / s.press.max(f64::MIN_POSITIVE)
     }
 
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -22,13 +22,14 @@
 pub struct Replica {
     pub zone: ZoneId,
     pub machine: String,
-    pub standing: ReplicaState,
-    pub size: f64,
+    pub state: ReplicaState,
+    /// Its listed capacity.
+    pub weight: f64,
     pub started: Option<Moment>,
     /// Stands for it at all controllers alike.
-    pub lot: u64,
+    pub stable_hash: u64,
     /// Which controllers steer it.
-    pub share: SubsetMembership,
+    pub subset: SubsetMembership,
     pub shared: SharedLoad,
     pub listed: bool,
     pub attempts: WindowedCounter,
@@ -179,7 +180,7 @@
 
     /// What the list last said of it, and of which start.
     pub fn replica_state(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
-        self.replicas.get(&replica).map(|s| (s.standing, s.started))
+        self.replicas.get(&replica).map(|s| (s.state, s.started))
     }
 
     /// What its slices ask for a second, as of the last survey.
@@ -194,14 +195,14 @@
 
     /// Which controllers steer a replica, as the decisions were told last.
     pub fn subset_membership(&self, replica: ReplicaId) -> Option<SubsetMembership> {
-        self.replicas.get(&replica).map(|s| s.share)
+        self.replicas.get(&replica).map(|s| s.subset)
     }
 
     /// Other controllers steer these replicas now; nothing else that the list says of them changed.
-    pub fn shares_changed(&mut self, now: Moment, shares: &[(ReplicaId, SubsetMembership)]) {
+    pub fn subsets_changed(&mut self, now: Moment, shares: &[(ReplicaId, SubsetMembership)]) {
         for (replica, share) in shares {
             if let Some(known) = self.replicas.get_mut(replica) {
-                known.share = *share;
+                known.subset = *share;
             }
         }
         self.alarm = true;
@@ -239,7 +240,7 @@
     /// A round has passed for whoever joins late; and where slices are shared out, one is ours: without tables of ours
     /// at the proxies, what is lifted reaches none of them, and none acks it.
     pub(crate) fn lifts_are_due(&self) -> bool {
-        let reaches_proxies = self.site.slices == 0 || !self.slices.is_empty();
+        let reaches_proxies = self.site.slice_count == 0 || !self.slices.is_empty();
         reaches_proxies && self.due.lift.is_none_or(|at| at <= self.now)
     }
 
@@ -321,7 +322,7 @@
 
     /// Opens this reply's message if need be, and adds lines to it.
     pub(crate) fn write(&mut self, lines: f64) -> u16 {
-        self.channel.write(self.now, self.site.message_head + 1.0, lines)
+        self.channel.write(self.now, self.site.message_overhead_lines + 1.0, lines)
     }
 
     /// Notes what went out in this reply for a slice: lines of its table and its cut. Without lines a change
@@ -369,10 +370,14 @@
     }
 
     pub(crate) fn note_withdrawal(&mut self, step: &Action) {
-        let Action::Withdraw { replica, out } = step else { return };
+        let (replica, withdraws) = match step {
+            Action::Withdraw { replica } => (replica, true),
+            Action::Reinstate { replica } => (replica, false),
+            _ => return,
+        };
         self.to_shut.remove(replica);
         self.replicas.get_mut(replica).into_iter().for_each(|s| s.turned = self.now);
-        if !out {
+        if !withdraws {
             self.to_lift.remove(replica);
             self.due.lift = self.due.lift.filter(|_| !self.to_lift.is_empty());
             self.replicas.get_mut(replica).into_iter().for_each(|s| s.shut = false);
@@ -459,8 +464,8 @@
 impl Link {
     pub fn record(&mut self, now: Moment, met: &EndpointReport) {
         let answered = (met.attempts - met.failed).max(0.0);
-        self.answered.spread(now, met.covers, answered);
-        self.busy.spread(now, met.covers, answered * met.mean_latency.seconds());
+        self.answered.spread(now, met.window, answered);
+        self.busy.spread(now, met.window, answered * met.mean_latency.seconds());
     }
 }
 
@@ -479,11 +484,11 @@
         Replica {
             zone: ZoneId::MAX,
             machine: String::new(),
-            standing: ReplicaState::Gone,
-            size: 1.0,
+            state: ReplicaState::Gone,
+            weight: 1.0,
             started: None,
-            lot: 0,
-            share: SubsetMembership::default(),
+            stable_hash: 0,
+            subset: SubsetMembership::default(),
             shared: SharedLoad::default(),
             listed: false,
             attempts: windowed_counter(),
@@ -519,28 +524,28 @@
 
     /// Takes over what the list says.
     pub fn relist(&mut self, entry: &ReplicaListing) {
-        if self.started != entry.started && entry.standing != ReplicaState::Gone {
+        if self.started != entry.started && entry.state != ReplicaState::Gone {
             // A restarted process has shed what ailed it, and what was met at it before says nothing now.
             self.sick_until = None;
             self.forget();
         }
         self.zone = entry.zone;
-        (self.started, self.lot, self.share) = (entry.started, entry.lot, entry.share);
+        (self.started, self.stable_hash, self.subset) = (entry.started, entry.stable_hash, entry.subset);
         // One that drained and then left the list has gone for good, whatever else a dropped line may mean.
-        let left = self.standing == ReplicaState::Draining && entry.standing == ReplicaState::Gone;
-        self.standing = if left { ReplicaState::Draining } else { entry.standing };
-        self.size = entry.size;
+        let left = self.state == ReplicaState::Draining && entry.state == ReplicaState::Gone;
+        self.state = if left { ReplicaState::Draining } else { entry.state };
+        self.weight = entry.weight;
         self.machine.clone_from(&entry.machine);
-        self.listed = entry.standing != ReplicaState::Gone;
+        self.listed = entry.state != ReplicaState::Gone;
     }
 
     pub fn record(&mut self, now: Moment, met: &EndpointReport, latest: Span, delay: f64) {
         let answered = (met.attempts - met.failed).max(0.0);
         let took = |mean: Span| (mean.seconds() - delay).max(0.0);
-        self.attempts.spread(now, met.covers, met.attempts);
-        self.failed.spread(now, met.covers, met.failed);
-        self.answered.spread(now, met.covers, answered);
-        self.busy.spread(now, met.covers, answered * took(met.mean_latency));
+        self.attempts.spread(now, met.window, met.attempts);
+        self.failed.spread(now, met.window, met.failed);
+        self.answered.spread(now, met.window, answered);
+        self.busy.spread(now, met.window, answered * took(met.mean_latency));
         if answered > 0.0 {
             self.last_took = took(latest);
         }
@@ -573,14 +578,14 @@
     }
 
     pub fn is_ready(&self) -> bool {
-        self.listed && self.standing == ReplicaState::Ready
+        self.listed && self.state == ReplicaState::Ready
     }
 
     /// One of so many, drawn by what all controllers know of this start of it alike.
     pub fn drawn(&self, of: u32) -> u32 {
         let start = (self.started.unwrap_or_default() - Moment::default()).as_ns();
         // Seeds that are near each other have near first numbers: they are parted by the golden ratio first.
-        let seed = (self.lot ^ start).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+        let seed = (self.stable_hash ^ start).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         (Random::from_seed(seed).draw() * f64::from(of)) as u32
     }
 
--- a/crates/policy/tests/cases.rs
+++ b/crates/policy/tests/cases.rs
@@ -85,9 +85,9 @@
 fn plain(site: Deployment, replicas: u32) -> Policy {
     let mut policy = Policy::start(site, 1, at(0));
     let list: Vec<_> = (0..replicas).map(|s| listing(s, ReplicaState::Ready, 0)).collect();
-    policy.replicas_listed(at(0), ListScope::Whole, &list);
+    policy.replicas_listed(at(0), ListScope::Complete, &list);
     (0..replicas).for_each(|n| policy.slice_granted(at(0), n, &[(n, 1.0)]));
-    policy.proxy_joined(at(0), 0, true);
+    policy.proxy_joined(at(0), 0, ProxyTables::Empty);
     policy
 }
 
@@ -111,13 +111,17 @@
                 policy.endpoint_reported(
                     now,
                     s,
-                    EndpointReport { zone, covers, attempts, failed, mean_latency: Span::ms(ms) },
+                    EndpointReport { zone, window: covers, attempts, failed, mean_latency: Span::ms(ms) },
                 );
             }
             let (came, failed) = (9.0 * length, 3.0 * length * met(second, s, 0).0);
             let told = (0..2).filter(|_| since == every / 2);
             told.for_each(|request_class| {
-                policy.demand_reported(now, s, DemandReport { request_class, covers, came, failed })
+                policy.demand_reported(
+                    now,
+                    s,
+                    DemandReport { request_class, window: covers, requests: came, failed },
+                )
             });
         }
         policy.timer_fired(now, second);
@@ -178,7 +182,7 @@
 fn what_ails_the_usual_replica_is_cut_for_all_at_once() {
     let lost = |s| if s == 0 { 3.0 } else { 1.5 };
     let given_up = |second, s, _| (if second > 5 { lost(s) } else { 0.0 }, 300);
-    let actions = hear(&mut plain(Deployment { pace: 5.0, ..site() }, 6), 1..20, 1, 6, &given_up);
+    let actions = hear(&mut plain(Deployment { lines_per_second: 5.0, ..site() }, 6), 1..20, 1, 6, &given_up);
     assert!(actions.iter().any(|s| is_cut(s, None, 1)) && verdicts(&actions) == 0);
     assert!(!actions.iter().any(|s| matches!(s, Action::SetAdmission { slice: Some(_), .. })));
 }
@@ -186,18 +190,17 @@
 /// Against a list that wrongly drops running replicas, as advice; one that drained first is left (idd6c4b).
 #[test]
 fn a_wrong_list_is_not_fled_from_where_it_is_advice() {
-    let mut policy = plain(Deployment { gone_is_advice: true, ..site() }, 6);
+    let mut policy = plain(Deployment { delisting_is_advisory: true, ..site() }, 6);
     let well = |_, _, _| (0.0, 100);
     hear(&mut policy, 1..5, 1, 6, &well);
     policy.replicas_listed(at(5000), ListScope::Changes, &[listing(5, ReplicaState::Draining, 0)]);
     let gone: Vec<_> = (2..6).map(|s| listing(s, ReplicaState::Gone, 0)).collect();
     policy.replicas_listed(at(6000), ListScope::Changes, &gone);
     let actions = hear(&mut policy, 6..20, 1, 5, &well);
-    let leaves =
-        |id: u32| move |s: &Action| matches!(s, Action::Withdraw { replica, out: true } if *replica == id);
+    let leaves = |id: u32| move |s: &Action| matches!(s, Action::Withdraw { replica } if *replica == id);
     assert!(actions.iter().any(leaves(5)) && (2..5).all(|id| !actions.iter().any(leaves(id))));
     let back = |s: &Action| matches!(s, Action::SetEndpoint { replica: 5, weight, .. } if *weight > 0.0);
-    assert!(!actions.iter().any(|s| back(s) || matches!(s, Action::Withdraw { replica: 5, out: false })));
+    assert!(!actions.iter().any(|s| back(s) || matches!(s, Action::Reinstate { replica: 5 })));
 }
 
 /// Against one failure that doubles another replica's load.
@@ -213,7 +216,7 @@
 /// Against a restart before the tables have caught up (h16e476): it is let in once no table names it.
 #[test]
 fn a_replica_back_before_its_slices_left_stays_withdrawn() {
-    let mut policy = plain(Deployment { queue_cap: 60.0, ..site() }, 6);
+    let mut policy = plain(Deployment { queue_capacity_lines: 60.0, ..site() }, 6);
     let well = |_, _, _| (0.0, 100);
     (50..80).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
     hear(&mut policy, 1..15, 1, 6, &well);
@@ -226,8 +229,9 @@
     let left = actions
         .iter()
         .rposition(|s| matches!(s, Action::SetEndpoint { replica: 0, weight, .. } if *weight == 0.0));
-    let turned = |on: bool| move |s: &Action| matches!(s, Action::Withdraw { replica: 0, out } if *out == on);
-    let (out, lifted) = (actions.iter().position(turned(true)), actions.iter().position(turned(false)));
+    let withdrawn = |s: &Action| *s == Action::Withdraw { replica: 0 };
+    let reinstated = |s: &Action| *s == Action::Reinstate { replica: 0 };
+    let (out, lifted) = (actions.iter().position(withdrawn), actions.iter().position(reinstated));
     assert!(out.is_some() && out < left && left < lifted, "{out:?} {left:?} {lifted:?}");
 }
 
@@ -250,7 +254,7 @@
 fn a_table_read_from_the_store_is_mended_once_the_list_is_fresh() {
     let mut policy = Policy::start(site(), 1, at(0));
     let list = [0, 1].map(|s| listing(s, ReplicaState::Ready, 0));
-    policy.replicas_listed(at(0), ListScope::Remembered, &list);
+    policy.replicas_listed(at(0), ListScope::Cached, &list);
     policy.slice_granted(at(0), 5, &[(9, 1.0)]);
     policy.slice_granted(at(0), 6, &[]);
     let of = |s: &Action| {
@@ -263,7 +267,7 @@
     let line = |actions: &[Action], n: u32, add: bool| actions.iter().position(|s| of(s) == Some((n, add)));
     let actions = policy.collect_actions(at(0));
     assert!(line(&actions, 6, true).is_some() && line(&actions, 5, true).is_none());
-    policy.replicas_listed(at(100), ListScope::Whole, &list);
+    policy.replicas_listed(at(100), ListScope::Complete, &list);
     let actions = policy.collect_actions(at(100));
     assert!(line(&actions, 5, true).is_some() && line(&actions, 5, true) < line(&actions, 5, false));
 }
@@ -295,15 +299,14 @@
             let standing = |s| if s == draining { ReplicaState::Draining } else { ReplicaState::Ready };
             (0..3).map(|s| listing(s, standing(s), 0)).collect()
         };
-        policy.replicas_listed(at(1000), ListScope::Whole, &list(9));
+        policy.replicas_listed(at(1000), ListScope::Complete, &list(9));
         (0..3).for_each(|n| policy.slice_granted(at(1000), n, &[(n, 1.0)]));
-        (0..3).for_each(|proxy| policy.proxy_joined(at(1000), proxy, true));
+        (0..3).for_each(|proxy| policy.proxy_joined(at(1000), proxy, ProxyTables::Empty));
         let first = policy.collect_actions(at(1000));
         let Some(Action::Sync { number }) = first.last() else { panic!("no mark: {first:?}") };
         (0..times).for_each(|_| policy.command_resent(at(1010), *number));
         policy.replicas_listed(at(2000), ListScope::Changes, &list(1)[1..2]);
-        let withdrawn =
-            policy.collect_actions(at(2000)).contains(&Action::Withdraw { replica: 1, out: true });
+        let withdrawn = policy.collect_actions(at(2000)).contains(&Action::Withdraw { replica: 1 });
         assert_eq!(withdrawn, times == 0);
     }
 }
@@ -327,20 +330,23 @@
 /// join in each reply and have to hear of the sixty again (seen on `herd+mass`, seed 112).
 #[test]
 fn proxies_that_join_do_not_starve_a_withdrawal_that_nobody_heard() {
-    let mut policy = plain(Deployment { queue_cap: 1200.0, pace: 12_000.0, message_cap: 0, ..site() }, 100);
+    let mut policy = plain(
+        Deployment { queue_capacity_lines: 1200.0, lines_per_second: 12_000.0, message_limit: 0, ..site() },
+        100,
+    );
     (100..900).for_each(|n| policy.slice_granted(at(0), n, &[(n % 100, 1.0)]));
-    (1..30).for_each(|proxy| policy.proxy_joined(at(0), proxy, true));
+    (1..30).for_each(|proxy| policy.proxy_joined(at(0), proxy, ProxyTables::Empty));
     let mut proxies = 30;
     let mut replies = |policy: &mut Policy, times: std::ops::Range<u64>, joins: bool| {
         let mut first = None;
         for now in times.step_by(100) {
             if joins {
-                policy.proxy_joined(at(now), proxies, false);
+                policy.proxy_joined(at(now), proxies, ProxyTables::Retained);
                 proxies += 1;
             }
             policy.timer_fired(at(now), now);
             for step in policy.collect_actions(at(now)) {
-                let last = matches!(step, Action::Withdraw { replica: 99, out: true });
+                let last = matches!(step, Action::Withdraw { replica: 99 });
                 first = first.or(last.then_some(now));
                 if let Action::Sync { number } = step {
                     (0..proxies).for_each(|proxy| policy.ack_received(at(now), proxy, number));
@@ -367,9 +373,9 @@
     let well = |_, _, _| (0.0, 100);
     hear(&mut policy, 1..5, 1, 6, &well);
     policy.replicas_listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
-    let out = |s: &Action| *s == Action::Withdraw { replica: 0, out: true };
+    let out = |s: &Action| *s == Action::Withdraw { replica: 0 };
     assert!(hear(&mut policy, 5..12, 1, 6, &well).iter().any(out));
-    policy.proxy_joined(at(12_000), 1, false);
+    policy.proxy_joined(at(12_000), 1, ProxyTables::Retained);
     assert!(!policy.collect_actions(at(12_000)).iter().any(out), "no table names it");
     policy.slice_granted(at(12_500), 40, &[(0, 1.0), (1, 0.01)]);
     assert!(policy.collect_actions(at(12_500)).iter().any(out));
@@ -382,9 +388,13 @@
         policy.endpoint_reported(
             now,
             s,
-            EndpointReport { zone: 0, covers, attempts, failed: 0.0, mean_latency },
+            EndpointReport { zone: 0, window: covers, attempts, failed: 0.0, mean_latency },
+        );
+        policy.demand_reported(
+            now,
+            s,
+            DemandReport { request_class: 0, window: covers, requests: came, failed: 0.0 },
         );
-        policy.demand_reported(now, s, DemandReport { request_class: 0, covers, came, failed: 0.0 });
     }
 }
 
@@ -430,13 +440,16 @@
 #[test]
 fn a_cold_replica_is_the_whole_of_one_controller() {
     let went = |number, slices, begins: u64| {
-        let mut policy = plain(Deployment { controllers: 5, number, slices, ..site() }, 6);
+        let mut policy = plain(
+            Deployment { controller_count: 5, controller_index: number, slice_count: slices, ..site() },
+            6,
+        );
         (6..12).for_each(|n| policy.slice_granted(at(0), n, &[(n - 6, 1.0)]));
         let mut actions = Vec::new();
         for second in 1..12 {
             let now = at(second * 1000);
             report(&mut policy, now, |_| (2.0, 1.0));
-            let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1.0, failed: 0.0 };
+            let asked = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1.0, failed: 0.0 };
             (6..12).for_each(|n| policy.demand_reported(now, n, asked));
             if second == begins {
                 let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, begins * 1000)).collect();
@@ -467,13 +480,14 @@
 #[test]
 fn a_replica_that_is_ours_alone_has_the_band_of_a_whole_one() {
     let taken = |number| {
-        let mut policy = plain(Deployment { controllers: 5, number, slices: 55, ..site() }, 6);
+        let mut policy =
+            plain(Deployment { controller_count: 5, controller_index: number, slice_count: 55, ..site() }, 6);
         (6..11).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
         let mut taken = 0;
         for second in 1..15 {
             let now = at(second * 1000);
             report(&mut policy, now, |s| (if s == 0 { 6.0 } else { 1.0 }, 1.0));
-            let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1.0, failed: 0.0 };
+            let asked = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1.0, failed: 0.0 };
             (6..11).for_each(|n| policy.demand_reported(now, n, asked));
             if second == 5 {
                 policy.replicas_listed(now, ListScope::Changes, &[listing(6, ReplicaState::Ready, 5000)]);
@@ -494,18 +508,18 @@
 fn a_replica_heard_of_late_is_let_in_where_a_former_incarnation_may_have_withdrawn_it() {
     for (by_store, started, lifted) in [(false, 0, true), (false, 6000, false), (true, 0, true)] {
         let mut policy = Policy::start(site(), 1, at(5000));
-        policy.proxy_joined(at(5000), 0, false);
+        policy.proxy_joined(at(5000), 0, ProxyTables::Retained);
         match by_store {
             true => policy.slice_granted(at(5100), 0, &[(3, 1.0)]),
             false => {
                 policy.replicas_listed(
                     at(5100),
-                    ListScope::Whole,
+                    ListScope::Complete,
                     &[listing(3, ReplicaState::Ready, started)],
                 );
             }
         }
-        let let_in = |step: &Action| *step == Action::Withdraw { replica: 3, out: false };
+        let let_in = |step: &Action| *step == Action::Reinstate { replica: 3 };
         let told = (5200..8000).step_by(100).any(|now| acked_reply(&mut policy, at(now)).iter().any(let_in));
         assert_eq!(told, lifted, "by store {by_store}, started {started}");
     }
@@ -516,10 +530,10 @@
 fn a_proxy_that_comes_back_hears_only_what_it_missed() {
     for missed in [false, true] {
         let mut policy = plain(site(), 6);
-        let out = |s: &Action| *s == Action::Withdraw { replica: 0, out: true };
+        let out = |s: &Action| *s == Action::Withdraw { replica: 0 };
         // Slices enough that some still name the replica when the proxy is back.
         (50..450).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
-        policy.proxy_joined(at(0), 1, true);
+        policy.proxy_joined(at(0), 1, ProxyTables::Empty);
         policy.collect_actions(at(0));
         (0..200).for_each(|version| (0..2).for_each(|proxy| policy.ack_received(at(500), proxy, version)));
         policy.replicas_listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
@@ -531,7 +545,7 @@
             policy.ack_received(at(5300), 1, *number);
         }
         policy.proxy_left(at(5400), 1);
-        policy.proxy_joined(at(5600), 1, false);
+        policy.proxy_joined(at(5600), 1, ProxyTables::Retained);
         let told = (5600..7000).step_by(100).any(|now| {
             policy.timer_fired(at(now), now);
             let reply = policy.collect_actions(at(now));
@@ -549,7 +563,7 @@
 #[test]
 fn bands_are_those_of_whole_replicas_where_others_fill_them_too() {
     for (slices, spreads) in [(0, true), (6, true), (30, false)] {
-        let mut policy = plain(Deployment { slices, ..site() }, 6);
+        let mut policy = plain(Deployment { slice_count: slices, ..site() }, 6);
         let mut whole_lines = 0;
         for second in 1..12 {
             let now = at(second * 1000);
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -17,23 +17,23 @@
         request_classes: vec![request_class(1.0), request_class(4.0)],
         report_period: Span::ms(1000),
         list_pushed: true,
-        gone_is_advice: false,
-        sizes_known: false,
-        levels_followed: true,
-        controllers: 1,
-        number: 0,
-        slices: 0,
+        delisting_is_advisory: false,
+        weights_known: false,
+        admission_supported: true,
+        controller_count: 1,
+        controller_index: 0,
+        slice_count: 0,
         single_writer: false,
         tenure: Span::ms(1000),
         write_lifetime: Span::ms(50),
-        cold_share: 0.2,
-        warm_after: Span::ms(10_000),
-        fall_multiple: 3.0,
+        cold_capacity_share: 0.2,
+        warm_up: Span::ms(10_000),
+        collapse_multiple: 3.0,
         drain_grace: Span::ms(GRACE_MS),
-        message_head: 8.0,
-        pace: 1500.0,
-        queue_cap: 300.0,
-        message_cap: 30,
+        message_overhead_lines: 8.0,
+        lines_per_second: 1500.0,
+        queue_capacity_lines: 300.0,
+        message_limit: 30,
         message_window: Span::ms(10_000),
     }
 }
@@ -49,11 +49,11 @@
         replica,
         zone,
         machine: "m".into(),
-        standing,
-        size: 1.0,
+        state: standing,
+        weight: 1.0,
         started,
-        lot,
-        share: SubsetMembership::Everyone,
+        stable_hash: lot,
+        subset: SubsetMembership::Everyone,
     }
 }
 
@@ -133,8 +133,8 @@
         self.policy = Policy::start(self.site.clone(), seed, now);
         (self.queue, self.wakes) = (VecDeque::new(), BTreeMap::new());
         let list: Vec<_> = self.nodes.keys().map(|id| self.entry(*id)).collect();
-        self.policy.replicas_listed(now, ListScope::Remembered, &list);
-        self.policy.replicas_listed(now, ListScope::Whole, &list);
+        self.policy.replicas_listed(now, ListScope::Cached, &list);
+        self.policy.replicas_listed(now, ListScope::Complete, &list);
         self.nodes.values_mut().for_each(|n| n.told_ms = self.now_ms);
         for (n, table) in &self.store {
             let table: Vec<_> = table.iter().map(|(s, w)| (*s, *w)).collect();
@@ -149,14 +149,14 @@
     fn entry(&self, replica: ReplicaId) -> ReplicaListing {
         let node = &self.nodes[&replica];
         let share = self.shares.get(&replica).copied().unwrap_or_default();
-        ReplicaListing { share, ..listing(replica, node.standing, node.started_ms) }
+        ReplicaListing { subset: share, ..listing(replica, node.standing, node.started_ms) }
     }
 
     pub fn join(&mut self, proxy: ProxyId) {
         let Some(p) = self.proxies.get_mut(&proxy) else { return };
         let shut = std::mem::take(&mut p.shut);
         *p = Proxy { joined: true, tables: self.store.clone(), shut, ..Proxy::default() };
-        self.policy.proxy_joined(at(self.now_ms), proxy, false);
+        self.policy.proxy_joined(at(self.now_ms), proxy, ProxyTables::Retained);
     }
 
     pub fn part(&mut self, proxy: ProxyId) {
@@ -198,7 +198,7 @@
                     assert!(*retries <= 1, "rule 2: tries without proof");
                     orders.push(step.clone());
                 }
-                Action::Withdraw { .. } => orders.push(step.clone()),
+                Action::Withdraw { .. } | Action::Reinstate { .. } => orders.push(step.clone()),
                 Action::StartTimer { token, after } => {
                     self.wakes.entry(self.now_ms + after.as_ns() / 1_000_000).or_default().push(*token);
                 }
@@ -207,7 +207,7 @@
         }
         if !orders.is_empty() {
             for (id, p) in self.proxies.iter_mut().filter(|(_, p)| p.joined) {
-                let lines = self.site.message_head + orders.len() as f64 + versions.len() as f64;
+                let lines = self.site.message_overhead_lines + orders.len() as f64 + versions.len() as f64;
                 self.queue.push_back(Message {
                     proxy: *id,
                     lines,
@@ -216,11 +216,11 @@
                 });
                 p.written_ms.push_back(self.now_ms);
                 p.written_ms.retain(|ms| ms + 10_000 > self.now_ms);
-                assert!(p.written_ms.len() <= self.site.message_cap as usize, "rule 5: too many messages");
+                assert!(p.written_ms.len() <= self.site.message_limit as usize, "rule 5: too many messages");
             }
         }
         let waiting: f64 = self.queue.iter().map(|m| m.lines).sum();
-        assert!(waiting <= self.site.queue_cap, "rule 5: {waiting} lines wait");
+        assert!(waiting <= self.site.queue_capacity_lines, "rule 5: {waiting} lines wait");
         self.log.extend(actions);
     }
 
@@ -262,9 +262,8 @@
                             "rule 2: two owners write"
                         );
                     }
-                    Action::Withdraw { replica, out } => {
-                        _ = if *out { p.shut.insert(*replica) } else { p.shut.remove(replica) };
-                    }
+                    Action::Withdraw { replica } => _ = p.shut.insert(*replica),
+                    Action::Reinstate { replica } => _ = p.shut.remove(replica),
                     Action::SetAdmission { slice: Some(n), share, .. } => {
                         _ = if *share == 0.0 { p.halted.insert(*n) } else { p.halted.remove(n) };
                     }
@@ -290,7 +289,7 @@
             self.policy.demand_reported(
                 now,
                 *n,
-                DemandReport { request_class: 0, covers, came: *came, failed },
+                DemandReport { request_class: 0, window: covers, requests: *came, failed },
             );
             for (s, weight) in table {
                 *sent.entry(*s).or_default() += came * weight / whole;
@@ -301,7 +300,7 @@
             let met = EndpointReport {
                 attempts,
                 failed,
-                covers,
+                window: covers,
                 mean_latency: Span::ms(200),
                 ..EndpointReport::default()
             };
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -100,7 +100,7 @@
             let (now, id, rate) = (at(i as u64 * 130), n % 7, f64::from(*m % 50));
             let standing =
                 [ReplicaState::Ready, ReplicaState::Draining, ReplicaState::Gone][usize::from(m % 3)];
-            let scope = [ListScope::Changes, ListScope::Whole, ListScope::Remembered][(n % 3) as usize];
+            let scope = [ListScope::Changes, ListScope::Complete, ListScope::Cached][(n % 3) as usize];
             let (covers, request_class) = (Span::ms(u64::from(n % 5) * 900), usize::from(m % 4));
             let (failed, mean_latency) = (f64::from(n % 50), Span::ms(900));
             let table = [listing(id, standing, u64::from(m % 2) * i as u64 * 120)];
@@ -108,20 +108,30 @@
                 0 | 1 => policy.replicas_listed(now, scope, &table),
                 2 => policy.slice_granted(now, id, &[(n % 9, rate)]),
                 3 => policy.slice_revoked(now, id),
-                4 => policy.proxy_joined(now, id, m % 2 == 0),
+                4 => policy.proxy_joined(
+                    now,
+                    id,
+                    [ProxyTables::Empty, ProxyTables::Retained][usize::from(m % 2)],
+                ),
                 5 => policy.proxy_left(now, id),
                 6 => policy.ack_received(now, id, *m % 20),
                 7 => policy.demand_reported(
                     now,
                     id,
-                    DemandReport { request_class, covers, came: rate, failed: rate / 2.0 },
+                    DemandReport { request_class, window: covers, requests: rate, failed: rate / 2.0 },
                 ),
                 8 => policy.timer_fired(now, u64::from(*n)),
                 9 => policy.list_request_failed(now),
                 _ => policy.endpoint_reported(
                     now,
                     id,
-                    EndpointReport { zone: request_class, covers, attempts: rate, failed, mean_latency },
+                    EndpointReport {
+                        zone: request_class,
+                        window: covers,
+                        attempts: rate,
+                        failed,
+                        mean_latency,
+                    },
                 ),
             }
             policy.collect_actions(now);
--- a/crates/policy/tests/sharing.rs
+++ b/crates/policy/tests/sharing.rs
@@ -17,7 +17,12 @@
 /// this much.
 fn shared(controllers: u32, replicas: u32, slices: u32, others: impl Fn(ReplicaId) -> f64) -> Fleet {
     let all = controllers * slices;
-    let mut fleet = Fleet::new(Deployment { controllers, slices: all, ..site() }, replicas, slices, 3);
+    let mut fleet = Fleet::new(
+        Deployment { controller_count: controllers, slice_count: all, ..site() },
+        replicas,
+        slices,
+        3,
+    );
     fleet.shares = (0..replicas).map(|s| (s, subset(14, (s * 5 + 3) % 14))).collect();
     fleet.others = (0..replicas).map(|s| (s, others(s))).collect();
     fleet.introduce(5);
--- a/crates/policy/tests/wishes.rs
+++ b/crates/policy/tests/wishes.rs
@@ -51,14 +51,14 @@
 #[test]
 fn out_of_service_goes_the_way_of_a_drain() {
     let mut fleet = told(&OUT_OF_0);
-    let withdrawn = Action::Withdraw { replica: 0, out: true };
+    let withdrawn = Action::Withdraw { replica: 0 };
     assert!(fleet.log.contains(&withdrawn), "at once, as for a drain");
     fleet.advance(fleet::GRACE_MS);
     assert_eq!(named(&fleet, 0), 0);
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
     tell(&mut fleet, &[]);
     fleet.advance(500);
-    assert!(fleet.log.contains(&Action::Withdraw { replica: 0, out: false }), "let in within a second");
+    assert!(fleet.log.contains(&Action::Reinstate { replica: 0 }), "let in within a second");
     fleet.rates.values_mut().for_each(|rate| *rate += 1.0);
     fleet.advance(30_000);
     assert!(named(&fleet, 0) > 0, "used again");
@@ -73,7 +73,7 @@
     tell(&mut fleet, &[]);
     fleet.advance(20_000);
     assert_eq!(named(&fleet, 0), 0);
-    assert!(!fleet.log[before..].contains(&Action::Withdraw { replica: 0, out: false }));
+    assert!(!fleet.log[before..].contains(&Action::Reinstate { replica: 0 }));
 }
 
 #[test]
--- a/crates/routing/src/known.rs
+++ b/crates/routing/src/known.rs
@@ -53,17 +53,17 @@
             } => {
                 let (zone, replica) = (self::zone(&self.zones, zone)?, *self.replicas.get(replica)?);
                 let (covers, mean_latency) = (span(covers_ms), span(mean_latency_ms));
-                let met = EndpointReport { zone, covers, attempts, failed, mean_latency };
-                Some(ReportBody::EndpointReport { replica, met, latest: mean_latency })
+                let met = EndpointReport { zone, window: covers, attempts, failed, mean_latency };
+                Some(ReportBody::Endpoint { replica, report: met, latest_latency: mean_latency })
             }
             Report::DemandReport { slice, request_class, came, failed, covers_ms, missing: 0 } => {
                 let asked = DemandReport {
                     request_class: self.request_class(request_class)?,
-                    covers: span(covers_ms),
-                    came,
+                    window: span(covers_ms),
+                    requests: came,
                     failed,
                 };
-                Some(ReportBody::DemandReport { slice, asked })
+                Some(ReportBody::Demand { slice, report: asked })
             }
         }
     }
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -131,7 +131,7 @@
             effects: Vec::new(),
         };
         let list = reducer.listings(known);
-        reducer.policy.replicas_listed(now, ListScope::Remembered, &list);
+        reducer.policy.replicas_listed(now, ListScope::Cached, &list);
         reducer
     }
 
@@ -260,13 +260,13 @@
         self.found(Source::List);
         self.renew_later(now);
         let mut listings = self.listings(list);
-        let mut scope = if list.whole { ListScope::Whole } else { ListScope::Changes };
+        let mut scope = if list.whole { ListScope::Complete } else { ListScope::Changes };
         if list.version < self.list_version {
             // An agent that is behind can tell what is new to us, and takes nothing back: no replica that leaves
             // returns without a new start, and none is gone for being absent.
             let known = |entry: &ReplicaListing| self.policy.replica_state(entry.replica);
             let returns = |entry: &ReplicaListing| {
-                entry.standing == ReplicaState::Ready
+                entry.state == ReplicaState::Ready
                     && known(entry)
                         .is_some_and(|(was, start)| was != ReplicaState::Ready && start == entry.started)
             };
@@ -393,11 +393,11 @@
             zone: self.zone(&entry.zone),
             replica: self.names.number(&entry.replica),
             machine: entry.machine.clone(),
-            standing: entry.state.into(),
-            size: entry.size,
+            state: entry.state.into(),
+            weight: entry.size,
             started: (entry.started_ms > 0).then(|| Moment::default() + Span::ms(entry.started_ms)),
-            lot: known::lot(&entry.replica),
-            share: self.share(&entry.replica),
+            stable_hash: known::lot(&entry.replica),
+            subset: self.share(&entry.replica),
         };
         list.entries.iter().map(listing).collect()
     }
@@ -430,7 +430,8 @@
             RelayEvent::Joined { proxy, bare } => {
                 self.snapshot.joined(proxy);
                 self.proxies.insert(proxy);
-                self.policy.proxy_joined(now, proxy, bare);
+                let tables = if bare { ProxyTables::Empty } else { ProxyTables::Retained };
+                self.policy.proxy_joined(now, proxy, tables);
             }
             RelayEvent::Left { proxy } => self.left(now, proxy),
             RelayEvent::Acked { proxy, version } => {
@@ -654,8 +655,11 @@
                 }
                 Command::SetEndpoint { slice, replica: name, weight }
             }
-            Action::Withdraw { replica, out } => {
-                Command::Withdraw { replica: self.names.name(replica)?, out }
+            Action::Withdraw { replica } => {
+                Command::Withdraw { replica: self.names.name(replica)?, out: true }
+            }
+            Action::Reinstate { replica } => {
+                Command::Withdraw { replica: self.names.name(replica)?, out: false }
             }
             Action::SetAdmission { slice, request_classes, share, retries } => {
                 let named = self.settings.request_classes.iter().enumerate();
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -59,9 +59,9 @@
     /// Reports that a reader took apart.
     pub(super) fn reports(&mut self, now: Moment, from: ConnectionId, mut reports: Vec<Report>) {
         reports.retain_mut(|report| {
-            let known = match report.what {
-                ReportBody::EndpointReport { .. } => true,
-                ReportBody::DemandReport { slice, .. } => self.tables.contains_key(&slice),
+            let known = match report.body {
+                ReportBody::Endpoint { .. } => true,
+                ReportBody::Demand { slice, .. } => self.tables.contains_key(&slice),
             };
             known && self.counts(from, report, 0)
         });
@@ -77,7 +77,7 @@
         let mean_latency = span(line.mean_latency_ms);
         let met = EndpointReport {
             zone,
-            covers: span(line.covers_ms),
+            window: span(line.covers_ms),
             attempts: line.attempts,
             failed: line.failed,
             mean_latency,
@@ -85,7 +85,7 @@
         self.report(
             now,
             from,
-            ReportBody::EndpointReport { replica, met, latest: mean_latency },
+            ReportBody::Endpoint { replica, report: met, latest_latency: mean_latency },
             line.missing,
         );
     }
@@ -100,13 +100,14 @@
         // nobody's requests count for nothing.
         if self.tables.contains_key(&slice) {
             let covers = span(line.covers_ms);
-            let asked = DemandReport { request_class, covers, came: line.came, failed: line.failed };
-            self.report(now, from, ReportBody::DemandReport { slice, asked }, line.missing);
+            let asked =
+                DemandReport { request_class, window: covers, requests: line.came, failed: line.failed };
+            self.report(now, from, ReportBody::Demand { slice, report: asked }, line.missing);
         }
     }
 
     fn report(&mut self, now: Moment, from: ConnectionId, what: ReportBody, missing: u32) {
-        let mut report = Report { at: now, lines: 1.0, what };
+        let mut report = Report { at: now, line_count: 1.0, body: what };
         if self.counts(from, &mut report, missing) {
             self.policy.load_reported(now, &[report]);
         }
@@ -116,7 +117,7 @@
     fn counts(&mut self, from: ConnectionId, report: &mut Report, missing: u32) -> bool {
         let Some(aggregated) = &mut self.aggregated else { return true };
         // A reader may know a replica that was dropped meanwhile: nothing would drop what is covered of it.
-        if matches!(report.what, ReportBody::EndpointReport { replica, .. } if !self.names.has(replica)) {
+        if matches!(report.body, ReportBody::Endpoint { replica, .. } if !self.names.has(replica)) {
             return false;
         }
         aggregated.counts(from, report, missing, &mut self.policy)
@@ -181,18 +182,18 @@
 
 impl Aggregated {
     fn counts(&mut self, from: ConnectionId, report: &mut Report, missing: u32, policy: &mut Policy) -> bool {
-        let (subject, about, window) = match report.what {
-            ReportBody::EndpointReport { replica, met, .. } => {
-                (Subject::Replica(replica), ReportSubject::Replica(replica), met.covers)
+        let (subject, about, window) = match report.body {
+            ReportBody::Endpoint { replica, report: met, .. } => {
+                (Subject::Replica(replica), ReportSubject::Replica(replica), met.window)
             }
-            ReportBody::DemandReport { slice, asked } => {
-                (Subject::Slice(slice, asked.request_class), ReportSubject::Slice(slice), asked.covers)
+            ReportBody::Demand { slice, report: asked } => {
+                (Subject::Slice(slice, asked.request_class), ReportSubject::Slice(slice), asked.window)
             }
         };
         if self.feed.heard(report.at, window) {
             self.coverage.resume();
         }
-        let line = Line { subject, from, at: report.at, window, lines: report.lines };
+        let line = Line { subject, from, at: report.at, window, lines: report.line_count };
         let Some(counted) = self.coverage.take(&line) else { return false };
         if counted.before == Before::Unknown {
             policy.observed_since(about, report.at - window);
@@ -212,12 +213,13 @@
 
 fn cut_down(report: &mut Report, counted: &Counted) {
     let Counted { share, window, .. } = *counted;
-    match &mut report.what {
-        ReportBody::EndpointReport { met, .. } => {
-            (met.attempts, met.failed, met.covers) = (met.attempts * share, met.failed * share, window);
+    match &mut report.body {
+        ReportBody::Endpoint { report: met, .. } => {
+            (met.attempts, met.failed, met.window) = (met.attempts * share, met.failed * share, window);
         }
-        ReportBody::DemandReport { asked, .. } => {
-            (asked.came, asked.failed, asked.covers) = (asked.came * share, asked.failed * share, window);
+        ReportBody::Demand { report: asked, .. } => {
+            (asked.requests, asked.failed, asked.window) =
+                (asked.requests * share, asked.failed * share, window);
         }
     }
 }
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -71,7 +71,7 @@
         };
         let changed: Vec<_> = self.names.numbers().iter().filter_map(changed).collect();
         if !changed.is_empty() {
-            self.policy.shares_changed(now, &changed);
+            self.policy.subsets_changed(now, &changed);
         }
     }
 
@@ -94,7 +94,7 @@
             id: name,
             zone: names.unnamed_zone(*replica).or(named).unwrap_or_default(),
             group: &listed.machine,
-            weight: listed.size,
+            weight: listed.weight,
         })
     };
     names.numbers().iter().filter_map(replica).collect()
--- a/crates/scale-tests/src/many/hollow.rs
+++ b/crates/scale-tests/src/many/hollow.rs
@@ -426,7 +426,7 @@
             missing: 0,
         });
         let lines = met.chain(asked).filter_map(|line| self.known.numbered(&line));
-        let reports = lines.map(|what| Report { at: now, lines: 1.0, what }).collect();
+        let reports = lines.map(|what| Report { at: now, line_count: 1.0, body: what }).collect();
         Event::Reports { from: COLLECTOR, reports }
     }
 }
--- a/crates/settings/tests/every_key.rs
+++ b/crates/settings/tests/every_key.rs
@@ -33,10 +33,10 @@
     let Settings { deployment, request_classes, zones } = parsed(&every_key());
     assert_eq!(request_classes, ["lookup", "write"]);
     assert_eq!(zones, ["a", "b", "c"]);
-    assert_eq!(deployment.controllers, 5);
-    assert_eq!(deployment.number, 3);
+    assert_eq!(deployment.controller_count, 5);
+    assert_eq!(deployment.controller_index, 3);
     assert!(deployment.list_pushed);
-    assert!(deployment.sizes_known);
+    assert!(deployment.weights_known);
 }
 
 #[test]
@@ -54,44 +54,44 @@
 fn keys_of_family_info_are_read() {
     let deployment = parsed(&every_key()).deployment;
     assert_eq!(deployment.report_period, Span::ms(250));
-    assert!(deployment.levels_followed);
-    assert_eq!(deployment.slices, 96);
+    assert!(deployment.admission_supported);
+    assert_eq!(deployment.slice_count, 96);
     assert!(deployment.single_writer);
     assert_eq!(deployment.tenure, Span::ms(3000));
     assert_eq!(deployment.write_lifetime, Span::ms(1100));
-    assert_eq!(deployment.message_head, 12.5);
-    assert_eq!(deployment.pace, 800.0);
-    assert_eq!(deployment.queue_cap, 640.0);
-    assert_eq!(deployment.message_cap, 7);
+    assert_eq!(deployment.message_overhead_lines, 12.5);
+    assert_eq!(deployment.lines_per_second, 800.0);
+    assert_eq!(deployment.queue_capacity_lines, 640.0);
+    assert_eq!(deployment.message_limit, 7);
     assert_eq!(deployment.message_window, Span::ms(60_000));
 }
 
 #[test]
 fn keys_of_obligations_are_read() {
     let deployment = parsed(&every_key()).deployment;
-    assert!(deployment.gone_is_advice);
-    assert_eq!(deployment.cold_share, 0.3);
-    assert_eq!(deployment.warm_after, Span::ms(9000));
-    assert_eq!(deployment.fall_multiple, 2.5);
+    assert!(deployment.delisting_is_advisory);
+    assert_eq!(deployment.cold_capacity_share, 0.3);
+    assert_eq!(deployment.warm_up, Span::ms(9000));
+    assert_eq!(deployment.collapse_multiple, 2.5);
     assert_eq!(deployment.drain_grace, Span::ms(5000));
 }
 
 #[test]
 fn optional_keys_have_defaults() {
     let deployment_without = |pointer, key| parsed(&without(pointer, key)).deployment;
-    assert_eq!(deployment_without("", "peersTotal").controllers, 1);
-    assert_eq!(deployment_without("", "me").number, u32::MAX);
-    assert!(!deployment_without("", "weights").sizes_known);
+    assert_eq!(deployment_without("", "peersTotal").controller_count, 1);
+    assert_eq!(deployment_without("", "me").controller_index, u32::MAX);
+    assert!(!deployment_without("", "weights").weights_known);
     assert!(parsed(&without("", "zones")).zones.is_empty());
     assert_eq!(deployment_without("/familyInfo", "periodNs").report_period, Span::default());
-    assert!(!deployment_without("/familyInfo", "levelKind").levels_followed);
-    assert_eq!(deployment_without("/familyInfo", "partitionsN").slices, 0);
+    assert!(!deployment_without("/familyInfo", "levelKind").admission_supported);
+    assert_eq!(deployment_without("/familyInfo", "partitionsN").slice_count, 0);
     assert!(!deployment_without("/familyInfo", "singleWriter").single_writer);
     assert_eq!(deployment_without("/familyInfo", "tenureNs").tenure, Span::default());
     assert_eq!(deployment_without("/familyInfo", "writeLifeNs").write_lifetime, Span::default());
-    assert_eq!(deployment_without("/familyInfo", "updateCap").message_cap, 0);
+    assert_eq!(deployment_without("/familyInfo", "updateCap").message_limit, 0);
     assert_eq!(deployment_without("/familyInfo", "reloadSpanNs").message_window, Span::default());
-    assert!(!deployment_without("/obligations", "goneIsAdvice").gone_is_advice);
+    assert!(!deployment_without("/obligations", "goneIsAdvice").delisting_is_advisory);
     assert_eq!(deployment_without("/obligations", "drainGraceNs").drain_grace, Span::default());
 }
 
@@ -139,7 +139,7 @@
 #[test]
 fn sizes_count_where_weights_are_nominal_or_rough() {
     for (word, known) in [("nominal", true), ("rough", true), ("none", false), ("", false)] {
-        assert_eq!(parsed(&with("/weights", word.into())).deployment.sizes_known, known, "{word:?}");
+        assert_eq!(parsed(&with("/weights", word.into())).deployment.weights_known, known, "{word:?}");
     }
 }
 
@@ -147,7 +147,7 @@
 fn levels_are_followed_where_their_kind_is_fraction() {
     for (word, followed) in [("fraction", true), ("rate", false), ("", false)] {
         let deployment = parsed(&with("/familyInfo/levelKind", word.into())).deployment;
-        assert_eq!(deployment.levels_followed, followed, "{word:?}");
+        assert_eq!(deployment.admission_supported, followed, "{word:?}");
     }
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -152,8 +152,8 @@
             "members" => {
                 let scope = match event.text(0, "mode")? {
                     "patch" => ListScope::Changes,
-                    "whole" => ListScope::Whole,
-                    "stale_copy" => ListScope::Remembered,
+                    "whole" => ListScope::Complete,
+                    "stale_copy" => ListScope::Cached,
                     "broken" => {
                         policy.list_request_failed(now);
                         return Ok(());
@@ -167,13 +167,17 @@
             }
             "bell" => policy.timer_fired(now, event.whole(0, "name")?),
             "connected" => {
-                policy.proxy_joined(now, event.id(0, "clientLb")?, event.flag(3, "set")?);
+                let tables = match event.flag(3, "set")? {
+                    true => ProxyTables::Empty,
+                    false => ProxyTables::Retained,
+                };
+                policy.proxy_joined(now, event.id(0, "clientLb")?, tables);
             }
             "parted" => policy.proxy_left(now, event.id(0, "clientLb")?),
             "trafficReport" => {
                 let met = EndpointReport {
                     zone: zone(event.text(2, "hall")?),
-                    covers: Span::ns(event.whole(0, "periodLenNs")?),
+                    window: Span::ns(event.whole(0, "periodLenNs")?),
                     failed: event.number(1, "bad")?,
                     attempts: event.number(3, "many")?,
                     mean_latency: Span::ns(event.whole(4, "latencyNs")?),
@@ -185,8 +189,8 @@
                 let request_class = self.request_classes[&id].iter().position(|name| name == request_class);
                 let asked = DemandReport {
                     request_class: event.wrong("category", request_class)?,
-                    covers: Span::ns(event.whole(4, "periodLenNs")?),
-                    came: event.number(2, "many")?,
+                    window: Span::ns(event.whole(4, "periodLenNs")?),
+                    requests: event.number(2, "many")?,
                     failed: event.number(3, "bad")?,
                 };
                 policy.demand_reported(now, event.id(0, "mapId")?, asked);
@@ -216,17 +220,17 @@
     let replica = ReplicaId::try_from(entry.get(0)?.as_u64()?).ok()?;
     Some(ReplicaListing {
         replica,
-        lot: u64::from(replica),
-        share: SubsetMembership::Everyone,
+        stable_hash: u64::from(replica),
+        subset: SubsetMembership::Everyone,
         zone: zone(entry.get(1)?.as_str()?),
         machine: entry.get(2)?.as_str()?.to_string(),
-        standing: match entry.get(4)?.as_str()? {
+        state: match entry.get(4)?.as_str()? {
             "live" => ReplicaState::Ready,
             "quiescing" => ReplicaState::Draining,
             "dead" => ReplicaState::Gone,
             _ => return None,
         },
-        size: entry.get(5).and_then(Value::as_f64).unwrap_or(1.0),
+        weight: entry.get(5).and_then(Value::as_f64).unwrap_or(1.0),
         started: entry.get(6).and_then(Value::as_u64).filter(|ns| *ns > 0).map(Moment::at_ns),
     })
 }
@@ -234,7 +238,8 @@
 fn encode(step: Action, all: bool) -> Value {
     match step {
         Action::SetEndpoint { slice, replica, weight } => json!(["setWeight", replica, slice, weight]),
-        Action::Withdraw { replica, out } => json!(["takeOut", out, replica]),
+        Action::Withdraw { replica } => json!(["takeOut", true, replica]),
+        Action::Reinstate { replica } => json!(["takeOut", false, replica]),
         Action::SetAdmission { slice, request_classes, share, retries } => {
             json!(["ration", share, retries, request_classes, slice.map_or(EVERY_TABLE, u64::from)])
         }
