--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -258,13 +258,13 @@
             }
         }
         let taken = match report {
-            Report::EndpointReport { replica, attempts, failed, mean_latency_ms, covers_ms, .. } => {
+            Report::EndpointReport { replica, attempts, failed, mean_latency_ms, window_ms, .. } => {
                 let sum = Sum::of(attempts, failed, mean_latency_ms);
-                self.sums.add_load(now, replica, Span::ms(1).times(covers_ms), sum)
+                self.sums.add_load(now, replica, Span::ms(1).times(window_ms), sum)
             }
-            Report::DemandReport { slice, request_class, came, failed, covers_ms, .. } => {
-                let sum = Sum::of(came, failed, 0.0);
-                self.sums.add_shard(now, slice, request_class, Span::ms(1).times(covers_ms), sum)
+            Report::DemandReport { slice, request_class, requests, failed, window_ms, .. } => {
+                let sum = Sum::of(requests, failed, 0.0);
+                self.sums.add_shard(now, slice, request_class, Span::ms(1).times(window_ms), sum)
             }
         };
         match taken {
@@ -389,7 +389,7 @@
                 id: &entry.replica,
                 zone: &entry.zone,
                 group: &entry.machine,
-                weight: entry.size,
+                weight: entry.weight,
             })
             .collect();
         let assignment = self.planner.assign(&replicas);
--- a/crates/aggregation/src/bin/aggregation-bench/in_process.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/in_process.rs
@@ -58,7 +58,7 @@
     fn lines(&mut self, connection: ConnectionId, text: &str) {
         let began = processor();
         for line in text.lines() {
-            if let Some(report) = collector::quick(line) {
+            if let Some(report) = collector::decode_report(line) {
                 _ = self.aggregator.apply(self.now, Event::ReportBody { connection, report });
             }
         }
--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -22,7 +22,7 @@
 use whinwall_runtime::clock::Clock;
 use whinwall_runtime::signals::{Signal, Signals};
 use whinwall_runtime::task::Task;
-use whinwall_transport::{limits, listener, watch, Back, FollowId, Inbox, Input};
+use whinwall_transport::{limits, listener, registry_watch, ConnectionCommand, Input, InputSender, WatchId};
 
 /// Connections to our address: collectors of all zones and the other aggregators, each more than once.
 const CONNECTIONS: usize = 512;
@@ -45,7 +45,7 @@
 /// The line that is being taken, with the way back.
 struct Speaker<'a> {
     id: ConnectionId,
-    back: &'a mpsc::Sender<Back>,
+    back: &'a mpsc::Sender<ConnectionCommand>,
 }
 
 struct Loop {
@@ -55,8 +55,8 @@
     senders: Senders,
     client: awc::Client,
     discovery: SocketAddr,
-    inbox: Inbox,
-    follows: FollowId,
+    inbox: InputSender,
+    follows: WatchId,
     watch: Option<Task>,
     /// Connections that may stay: collectors and peers. Bounded by the listener, ends with the connection.
     joined: BTreeSet<ConnectionId>,
@@ -71,9 +71,12 @@
     let listener = listener.map_err(|why| format!("listen: {}: {why}", start.listen))?;
     let address = listener.local_addr().map_err(|why| why.to_string())?;
     // Two inboxes, so that whoever floods our address does not delay discovery.
-    let (inbox, mut lists) = mpsc::channel(limits::INBOX);
-    let (at_door, mut lines) = mpsc::channel(limits::INBOX);
-    let here = listener::Here { bounds: listener::Bounds::new(CONNECTIONS, LINE_BYTES), inbox: at_door };
+    let (inbox, mut lists) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
+    let (at_door, mut lines) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
+    let here = listener::LocalReader {
+        bounds: whinwall_transport::Bounds::new(CONNECTIONS, LINE_BYTES),
+        inputs: at_door,
+    };
     let _door = Task::spawn(listener::listen(Rc::new(listener), here.bounds.clone(), here));
     let figures = Shared::default();
     let _metrics = start.metrics.map(|address| Task::spawn(serve_metrics(address, figures.clone())));
@@ -103,7 +106,7 @@
 }
 
 impl Loop {
-    fn new(start: &Start, inbox: Inbox, figures: Shared) -> Self {
+    fn new(start: &Start, inbox: InputSender, figures: Shared) -> Self {
         let clock = Clock::start();
         let configuration = start.members.configuration.clone();
         let aggregator = Aggregator::new(clock.now(), configuration, start.zone.clone());
@@ -170,7 +173,7 @@
     /// No more than fit in the inbox at once: ticks are due meanwhile.
     fn take_all(&mut self, first: Input, lines: &mut Receiver<Input>) {
         self.input(first);
-        for _ in 0..limits::INBOX {
+        for _ in 0..limits::MAX_QUEUED_INPUTS {
             let Ok(input) = lines.try_recv() else { return };
             self.input(input);
         }
@@ -179,18 +182,18 @@
     fn input(&mut self, input: Input) {
         match input {
             Input::Line { from, line, back, .. } => self.line(&Speaker { id: from, back: &back }, &line),
-            Input::Ended(id, _) => {
+            Input::Disconnected(id, _) => {
                 self.joined.remove(&id);
                 self.apply(Event::ConnectionEnded(id));
             }
-            Input::List(id, _) if id != self.follows => {}
-            Input::List(_, Ok(line)) => self.list(&line),
-            Input::List(_, Err(why)) => {
+            Input::RegistryLine(id, _) if id != self.follows => {}
+            Input::RegistryLine(_, Ok(line)) => self.list(&line),
+            Input::RegistryLine(_, Err(why)) => {
                 tracing::warn!("discovery's watch: {why}");
                 self.apply(Event::RegistryLost);
             }
             // Aggregators have no relay.
-            Input::RelayEvent(..) | Input::Answer(_) | Input::Surplus => {}
+            Input::WatchLine(..) | Input::RelayResponse(_) | Input::UnsolicitedResponse => {}
         }
     }
 
@@ -209,11 +212,11 @@
     fn line(&mut self, speaker: &Speaker, line: &str) {
         self.traffic.lines_in += 1;
         self.traffic.bytes_in += line.len() as u64 + 1;
-        if let Some(report) = collector::quick(line) {
+        if let Some(report) = collector::decode_report(line) {
             return self.report(speaker, report);
         }
-        match collector::decode_slowly(line) {
-            Ok(Message::Ping) => say(speaker, Back::Say(collector::encode(Reply::Pong))),
+        match collector::decode_with_diagnosis(line) {
+            Ok(Message::Ping) => say(speaker, ConnectionCommand::Send(collector::encode(Reply::Pong))),
             Ok(Message::Source { zone }) => {
                 self.keep(speaker);
                 let joined = Event::CollectorJoined { connection: speaker.id, zone: &zone };
@@ -227,7 +230,7 @@
                     attempts: met.attempts,
                     failed: met.failed,
                     mean_latency_ms: met.mean_latency_ms,
-                    covers_ms: met.covers_ms,
+                    window_ms: met.window_ms,
                     missing: met.missing,
                 },
             ),
@@ -236,9 +239,9 @@
                 Report::DemandReport {
                     slice: asked.slice,
                     request_class: &asked.request_class,
-                    came: asked.came,
+                    requests: asked.requests,
                     failed: asked.failed,
-                    covers_ms: asked.covers_ms,
+                    window_ms: asked.window_ms,
                     missing: asked.missing,
                 },
             ),
@@ -249,10 +252,10 @@
                 }
                 _ => self.pass_over(speaker),
             },
-            Err(InvalidMessage::Spoilt(_)) => self.pass_over(speaker),
+            Err(InvalidMessage::Malformed(_)) => self.pass_over(speaker),
             Err(InvalidMessage::Unreadable(_)) => {
                 self.traffic.lines_spoilt += 1;
-                say(speaker, Back::End(None));
+                say(speaker, ConnectionCommand::Close(None));
             }
         }
     }
@@ -263,7 +266,7 @@
 
     fn keep(&mut self, speaker: &Speaker) {
         if self.joined.insert(speaker.id) {
-            say(speaker, Back::Keep);
+            say(speaker, ConnectionCommand::Admit);
         }
     }
 
@@ -301,7 +304,7 @@
                 self.follows += 1;
                 let url = format!("http://{}{}", self.discovery, discovery::watch_path(since));
                 let (client, inbox) = (self.client.clone(), self.inbox.clone());
-                self.watch = Some(Task::spawn(watch::follow(self.follows, client, url, inbox)));
+                self.watch = Some(Task::spawn(registry_watch::follow(self.follows, client, url, inbox)));
             }
             Effect::Log(note) if note.is_warning() => tracing::warn!("{note}"),
             Effect::Log(note) => tracing::info!("{note}"),
@@ -310,11 +313,11 @@
 }
 
 /// What finds no room is for somebody who reads no answers.
-fn say(speaker: &Speaker, back: Back) {
+fn say(speaker: &Speaker, back: ConnectionCommand) {
     _ = speaker.back.try_send(back);
 }
 
 fn refuse(speaker: &Speaker) {
     let nack = Reply::Nack { why: "of no use from whoever has not joined" };
-    say(speaker, Back::End(Some(collector::encode(nack))));
+    say(speaker, ConnectionCommand::Close(Some(collector::encode(nack))));
 }
--- a/crates/aggregation/src/registry.rs
+++ b/crates/aggregation/src/registry.rs
@@ -33,14 +33,14 @@
         self.last_heard = Some(now);
         if list.version < self.version {
             let since = *self.behind_since.get_or_insert(now);
-            if now - since < limits::REGISTRY_BEHIND || !list.whole {
+            if now - since < limits::REGISTRY_BEHIND || !list.is_complete {
                 return Applied { is_old: true, ..Applied::default() };
             }
         }
         self.behind_since = None;
         self.version = list.version;
-        self.is_known |= list.whole;
-        let before = list.whole.then(|| std::mem::take(&mut self.replicas));
+        self.is_known |= list.is_complete;
+        let before = list.is_complete.then(|| std::mem::take(&mut self.replicas));
         let mut applied = Applied::default();
         for entry in list.entries {
             applied.left_out |= !self.take(entry, &mut applied.changed);
--- a/crates/aggregation/tests/bounds.rs
+++ b/crates/aggregation/tests/bounds.rs
@@ -19,7 +19,7 @@
     let now = moment(START_MS);
     let mut aggregator = Aggregator::new(now, fleet.configuration(0), None);
     let entries = vec![replica("s-0", 0), replica("s-1", 0)];
-    aggregator.apply(now, Event::RegistryListed(List { version: 1, whole: true, entries }));
+    aggregator.apply(now, Event::RegistryListed(List { version: 1, is_complete: true, entries }));
     aggregator.apply(now, Event::Tick);
     aggregator.apply(now, Event::CollectorJoined { connection: 1, zone: "z0" });
     aggregator
@@ -29,9 +29,9 @@
     Report::DemandReport {
         slice,
         request_class: class,
-        came: 1.0,
+        requests: 1.0,
         failed: 0.0,
-        covers_ms: 1000.0,
+        window_ms: 1000.0,
         missing: 0,
     }
 }
@@ -84,9 +84,9 @@
     let partial = Report::DemandReport {
         slice: 0,
         request_class: "lookup",
-        came: 1.0,
+        requests: 1.0,
         failed: 0.0,
-        covers_ms: 1000.0,
+        window_ms: 1000.0,
         missing: 2,
     };
     let effects = report(&mut aggregator, moment(START_MS + 100.0), partial);
@@ -108,7 +108,7 @@
 }
 
 fn list(version: u64, whole: bool, entries: Vec<Entry>) -> List {
-    List { version, whole, entries }
+    List { version, is_complete: whole, entries }
 }
 
 #[test]
--- a/crates/aggregation/tests/program.rs
+++ b/crates/aggregation/tests/program.rs
@@ -6,7 +6,7 @@
 use stand_ins::{get, Collector, Controller, Discovery, Line, Program};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use whinwall_protocol::collector::{quick, Report};
+use whinwall_protocol::collector::{decode_report, Report};
 
 const LIST: &str = r#"{"version":41,"full":true,"servers":[
     {"id":"s-0","addr":"127.0.0.9:1","zone":"a","kind":"m","cell":1,"state":"active","weight":1.0,"started_ms":0},
@@ -70,7 +70,8 @@
         controller.hears(r#"{"@type":"SOURCE","az":"a"}"#);
         // One that has at least one report of each zone, and lacks none.
         let has_both = |line: &Line| {
-            let Some(Report::EndpointReport { replica: "s-0", attempts, .. }) = quick(&line.text) else {
+            let Some(Report::EndpointReport { replica: "s-0", attempts, .. }) = decode_report(&line.text)
+            else {
                 return false;
             };
             let attempts = attempts as u64;
@@ -79,7 +80,8 @@
                 && attempts % ATTEMPTS_OF_B >= ATTEMPTS_OF_A
         };
         let line = controller.heard.wait("a line of s-0 with both zones", has_both).text;
-        let Some(Report::EndpointReport { zone, attempts, failed, mean_latency_ms, .. }) = quick(&line)
+        let Some(Report::EndpointReport { zone, attempts, failed, mean_latency_ms, .. }) =
+            decode_report(&line)
         else {
             panic!("{line}")
         };
@@ -88,7 +90,7 @@
         assert_eq!(attempts as u64, of_a * ATTEMPTS_OF_A + of_b * ATTEMPTS_OF_B, "{line}");
         assert_eq!(failed * 10.0, attempts, "{line}");
         let own = controller.hears("SHARD").text;
-        let Some(Report::DemandReport { slice, .. }) = quick(&own) else { panic!("{own}") };
+        let Some(Report::DemandReport { slice, .. }) = decode_report(&own) else { panic!("{own}") };
         assert_eq!(slice as usize / 2, number);
     }
     program.signal(Signal::TERM);
--- a/crates/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -153,7 +153,7 @@
         zone: zone_name(zone),
         machine: "m".into(),
         state: State::Ready,
-        size: 1.0,
+        weight: 1.0,
         started_ms: 0,
     }
 }
@@ -364,7 +364,7 @@
                 id: &entry.replica,
                 zone: &entry.zone,
                 group: &entry.machine,
-                weight: entry.size,
+                weight: entry.weight,
             })
             .collect();
         let parameters = Parameters::new(self.subset_size).unwrap();
@@ -418,7 +418,7 @@
                 attempts: n,
                 failed: bad,
                 mean_latency_ms: avg,
-                covers_ms: PERIOD_MS as f64,
+                window_ms: PERIOD_MS as f64,
                 missing: 0,
             };
             self.tell_all(zone, at_ms, report);
@@ -427,13 +427,13 @@
             let (n, bad) = (self.draw(300) as f64, self.draw(10) as f64);
             let said = Said { at_ms, zone, n, bad, avg: 0.0 };
             self.said.entry(format!("{slice}/{class}")).or_default().push(said);
-            let covers_ms = PERIOD_MS as f64;
+            let window_ms = PERIOD_MS as f64;
             let report = Report::DemandReport {
                 slice,
                 request_class: class,
-                came: n,
+                requests: n,
                 failed: bad,
-                covers_ms,
+                window_ms,
                 missing: 0,
             };
             self.tell_all(zone, at_ms, report);
@@ -479,7 +479,7 @@
                 true => self.event(index, Event::RegistryAlive),
                 false => {
                     let entries = self.replicas.values().cloned().collect();
-                    let list = List { version: self.version, whole: true, entries };
+                    let list = List { version: self.version, is_complete: true, entries };
                     machine.list_version = self.version;
                     self.event(index, Event::RegistryListed(list));
                 }
--- a/crates/aggregation/tests/wire.rs
+++ b/crates/aggregation/tests/wire.rs
@@ -4,7 +4,7 @@
 use whinwall_aggregation::sums::Sum;
 use whinwall_aggregation::wire::{self, Covered};
 use whinwall_policy::time::Span;
-use whinwall_protocol::collector::{decode, quick, Message, Report};
+use whinwall_protocol::collector::{decode, decode_report, Message, Report};
 
 fn covered(missing: usize) -> Covered {
     let sum = Sum { attempts: 212.0, failed: 3.0, answered_ms: 209.0 * 41.7, lines: 9 };
@@ -36,13 +36,16 @@
         attempts: 212.0,
         failed: 3.0,
         mean_latency_ms: 41.7,
-        covers_ms: 1000.0,
+        window_ms: 1000.0,
         missing: 2,
     };
-    assert_eq!(quick(load.trim_end()), Some(met));
+    assert_eq!(decode_report(load.trim_end()), Some(met));
     let shard = wire::shard(1, "w", &covered(1));
     assert!(shard.trim_end().ends_with(r#","missing":1}"#), "{shard}");
-    assert!(matches!(quick(shard.trim_end()), Some(Report::DemandReport { slice: 1, missing: 1, .. })));
+    assert!(matches!(
+        decode_report(shard.trim_end()),
+        Some(Report::DemandReport { slice: 1, missing: 1, .. })
+    ));
 }
 
 #[test]
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -8,7 +8,7 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::{EndpointReport, Message};
 use whinwall_protocol::discovery;
-use whinwall_protocol::relay::{decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, Response};
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_transport::Targets;
 
@@ -57,7 +57,7 @@
             version
                 .into_iter()
                 .for_each(|version| _ = self.acks.insert(self.free + WAY, version.to_string()));
-            self.turn(vec![Event::RelayReply(Ok(Answer::Taken(orders.len())))]);
+            self.turn(vec![Event::RelayReply(Ok(Response::Accepted(orders.len())))]);
         }
     }
 
@@ -139,7 +139,7 @@
                     attempts: 3.0,
                     failed: 0.0,
                     mean_latency_ms: 250.0,
-                    covers_ms: 1000.0,
+                    window_ms: 1000.0,
                     missing: 0,
                 };
                 events
--- a/crates/controller/benches/turn.rs
+++ b/crates/controller/benches/turn.rs
@@ -8,7 +8,7 @@
 use whinwall_management_api::ask::Request;
 use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::relay::{decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, Response};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::overrides::OverrideConfig;
 use whinwall_routing::{Effect, Event, Reducer};
@@ -90,7 +90,7 @@
                         events.extend((0..3).map(ack));
                     }
                 }
-                events.push(Event::RelayReply(Ok(Answer::Taken(line.split(';').count()))));
+                events.push(Event::RelayReply(Ok(Response::Accepted(line.split(';').count()))));
             }
         }
     }
--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -221,7 +221,7 @@
     let cores = operators.as_ref().and_then(|file| file.cores).unwrap_or(1).min(lent);
     // Beside readers the one who decides has a second hand on each connection.
     let hands = if cores > 1 { 2 } else { 1 };
-    let connections = (file.limits.sockets as usize).saturating_sub(limits::RESERVED) / hands;
+    let connections = (file.limits.sockets as usize).saturating_sub(limits::RESERVED_DESCRIPTORS) / hands;
     if connections == 0 {
         return Err(format!("limits.sockets: {} are too few", file.limits.sockets));
     }
@@ -236,7 +236,7 @@
         },
         seed: file.seed.unwrap_or_else(clock),
         connections,
-        line_bytes: (file.limits.memory_mb * 1e6) as usize / limits::LINES_PART,
+        line_bytes: (file.limits.memory_mb * 1e6) as usize / limits::LINE_MEMORY_DIVISOR,
         known: known(file.known),
         settings: file.settings,
         operators,
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -26,15 +26,17 @@
 use whinwall_overrides::{saved, Stamp, WallWatch};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector;
-use whinwall_protocol::{discovery, relay, Malformed};
+use whinwall_protocol::{discovery, relay, DecodeError};
 use whinwall_routing::overrides::OverrideConfig;
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_runtime::clock::Clock;
 use whinwall_runtime::logger::Form;
 use whinwall_runtime::signals::{Signal, Signals};
 use whinwall_runtime::task::Task;
-use whinwall_transport::{calls, limits, listener, news, watch as watch_list};
-use whinwall_transport::{Back, CallError, ConnectionId, FollowId, Inbox, Input, StreamError};
+use whinwall_transport::{limits, listener, registry_watch, relay_requests, relay_watch};
+use whinwall_transport::{
+    ConnectionCommand, ConnectionId, Input, InputSender, RequestError, StreamError, WatchId,
+};
 
 /// Wakes so often at least, whatever the reducer asks for.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
@@ -85,7 +87,7 @@
             Err(_) => tracing::error!("a panic; starting again from what relay and discovery know"),
         }
         start.begin_new_incarnation();
-        if let Err(why) = signals.sleep(limits::PAUSE).await {
+        if let Err(why) = signals.sleep(limits::RETRY_BACKOFF).await {
             return Over::Ended(why);
         }
     }
@@ -103,7 +105,7 @@
             Err(_) => {}
         }
         attempts += 1;
-        signals.sleep(limits::PAUSE).await?;
+        signals.sleep(limits::RETRY_BACKOFF).await?;
     }
 }
 
@@ -114,12 +116,12 @@
     fronts: &mut Fronts,
 ) -> &'static str {
     // Two inboxes, so that whoever floods our address delays neither relay nor discovery.
-    let (inbox, mut arrived) = mpsc::channel(limits::INBOX);
-    let (at_door, mut reports) = mpsc::channel(limits::INBOX);
+    let (inbox, mut arrived) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
+    let (at_door, mut reports) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
     let (calls, to_make) = mpsc::channel(1);
-    let bounds = listener::Bounds::new(start.connections, start.line_bytes);
+    let bounds = whinwall_transport::Bounds::new(start.connections, start.line_bytes);
     let (relay, at_relay) = watch::channel(Some(start.targets.relay));
-    let _calls = Task::spawn(calls::serve(to_make, at_relay, inbox.clone()));
+    let _calls = Task::spawn(relay_requests::serve(to_make, at_relay, inbox.clone()));
     let clock = Clock::start();
     let pooled = (start.cores > 1).then(|| {
         let meters = Arc::new(Meters::of(start.cores));
@@ -138,7 +140,7 @@
             if let Some(Err(why)) = other {
                 tracing::error!("readers can't be started ({why}); all is read on one core");
             }
-            let here = listener::Here { bounds: bounds.clone(), inbox: at_door };
+            let here = listener::LocalReader { bounds: bounds.clone(), inputs: at_door };
             (None, mpsc::channel(1).1, Task::spawn(listener::listen(listener, bounds, here)))
         }
     };
@@ -157,7 +159,7 @@
         turn.backs.clear();
         turn.next();
         let longest = if turn.pool.is_some() { LOOK_EACH } else { LONGEST_SLEEP };
-        let longest = if turn.reads.is_some() { limits::PAUSE } else { longest };
+        let longest = if turn.reads.is_some() { limits::RETRY_BACKOFF } else { longest };
         let wait = turn.wake.map_or(longest, |at| turn.clock.until(at).min(longest));
         tokio::select! {
             biased;
@@ -188,7 +190,7 @@
 
 /// Something that is followed; what an earlier attempt still says is nobody's.
 struct Follow {
-    id: FollowId,
+    id: WatchId,
     _task: Task,
 }
 
@@ -203,8 +205,8 @@
     span: Span,
     turns: u64,
     reducer: Reducer,
-    inbox: Inbox,
-    calls: Sender<calls::Call>,
+    inbox: InputSender,
+    calls: Sender<relay_requests::RelayRequest>,
     /// Where calls may be made; nowhere once we are to end.
     relay: watch::Sender<Option<SocketAddr>>,
     /// One is being made.
@@ -216,10 +218,10 @@
     renewed: Option<Follow>,
     /// When a file that could not be used is read again, and until when: it may have been half written.
     reads: Option<(Moment, Moment)>,
-    follows: FollowId,
+    follows: WatchId,
     wake: Option<Moment>,
     /// The ways back of those who spoke in this turn.
-    backs: BTreeMap<ConnectionId, Sender<Back>>,
+    backs: BTreeMap<ConnectionId, Sender<ConnectionCommand>>,
     /// Bytes that came at our address in this turn.
     received: u64,
 }
@@ -228,8 +230,8 @@
     fn new(
         start: &Start,
         clock: Clock,
-        inbox: Inbox,
-        (calls, relay): (Sender<calls::Call>, watch::Sender<Option<SocketAddr>>),
+        inbox: InputSender,
+        (calls, relay): (Sender<relay_requests::RelayRequest>, watch::Sender<Option<SocketAddr>>),
         fronts: &'a mut Fronts,
         pool: Option<(Rc<RefCell<Pool>>, Arc<Meters>)>,
     ) -> Self {
@@ -274,9 +276,9 @@
     ) {
         tracing::info!("{why}: no more calls{}", if self.calling { ", one is open" } else { "" });
         self.relay.send_replace(None);
-        let end = Instant::now() + limits::ENDING;
+        let end = Instant::now() + limits::SHUTDOWN_TIMEOUT;
         loop {
-            let idle = timeout_at(end, sleep(limits::ANSWERED));
+            let idle = timeout_at(end, sleep(limits::SHUTDOWN_QUIET_PERIOD));
             tokio::select! {
                 biased;
                 signal = signals.come() => match signal {
@@ -285,7 +287,7 @@
                 },
                 _ = sleep_until(end) => return,
                 Some(input) = arrived.recv() => {
-                    let answers = matches!(input, Input::Answer(_));
+                    let answers = matches!(input, Input::RelayResponse(_));
                     self.take(input);
                     _ = answers.then(|| tracing::info!("the open call has its outcome"));
                 }
@@ -304,8 +306,10 @@
             Err(wrong) => {
                 tracing::error!("configuration: {wrong}; all stays as it was");
                 let now = self.clock.now();
-                self.reads =
-                    Some((now + limits::span(limits::PAUSE), now + limits::span(limits::READ_AGAIN)));
+                self.reads = Some((
+                    now + limits::span(limits::RETRY_BACKOFF),
+                    now + limits::span(limits::CONFIG_REREAD_PERIOD),
+                ));
             }
         }
     }
@@ -314,7 +318,7 @@
         let now = self.clock.now();
         let Some((_, until)) = self.reads.filter(|(at, _)| *at <= now) else { return };
         let is_over = self.take_over(start).is_ok() || now >= until;
-        self.reads = (!is_over).then_some((now + limits::span(limits::PAUSE), until));
+        self.reads = (!is_over).then_some((now + limits::span(limits::RETRY_BACKOFF), until));
     }
 
     fn take_over(&mut self, start: &mut Start) -> Result<(), String> {
@@ -409,7 +413,7 @@
         }
     }
 
-    fn follow(&mut self, work: impl FnOnce(FollowId) -> Task) -> Option<Follow> {
+    fn follow(&mut self, work: impl FnOnce(WatchId) -> Task) -> Option<Follow> {
         self.follows += 1;
         Some(Follow { id: self.follows, _task: work(self.follows) })
     }
@@ -417,12 +421,12 @@
     fn follow_list(&mut self, discovery: SocketAddr, since: u64) -> Option<Follow> {
         let url = format!("http://{discovery}{}", discovery::watch_path(since));
         let (client, inbox) = (self.discovery.clone(), self.inbox.clone());
-        self.follow(|id| Task::spawn(watch_list::follow(id, client, url, inbox)))
+        self.follow(|id| Task::spawn(registry_watch::follow(id, client, url, inbox)))
     }
 
     /// No more than fit in the inbox at once: what arrives meanwhile is for the next turn.
     fn take_all(&mut self, inbox: &mut Receiver<Input>) {
-        for _ in 0..limits::INBOX {
+        for _ in 0..limits::MAX_QUEUED_INPUTS {
             let Ok(input) = inbox.try_recv() else { return };
             self.take(input);
         }
@@ -435,7 +439,7 @@
     }
 
     fn event(&mut self, input: Input) -> Option<Event> {
-        let unreadable = |wrong: Malformed| StreamError::Unreadable(wrong.to_string());
+        let unreadable = |wrong: DecodeError| StreamError::Unreadable(wrong.to_string());
         Some(match input {
             Input::Line { from, line, back, .. } => {
                 tracing::debug!("from {from}: {line}");
@@ -446,7 +450,7 @@
                     Err(error) => Event::Invalid { from, error },
                 }
             }
-            Input::Ended(id, chunks) => {
+            Input::Disconnected(id, chunks) => {
                 if let Some((pool, _)) = &self.pool {
                     let due = pool.borrow_mut().ends(self.clock.now(), id, chunks);
                     self.due(id, due);
@@ -454,15 +458,17 @@
                 }
                 Event::Disconnected(id)
             }
-            Input::RelayEvent(id, _) if self.news.as_ref().is_none_or(|news| news.id != id) => return None,
-            Input::List(id, Ok(_)) if self.renewed.as_ref().is_some_and(|renewed| renewed.id == id) => {
+            Input::WatchLine(id, _) if self.news.as_ref().is_none_or(|news| news.id != id) => return None,
+            Input::RegistryLine(id, Ok(_))
+                if self.renewed.as_ref().is_some_and(|renewed| renewed.id == id) =>
+            {
                 self.list = self.renewed.take();
                 return self.event(input);
             }
-            Input::List(id, _) if self.list.as_ref().is_none_or(|list| list.id != id) => return None,
-            Input::RelayEvent(_, Err(why)) => Event::WatchLost(why),
-            Input::List(_, Err(why)) => Event::RegistryLost(why),
-            Input::RelayEvent(_, Ok(line)) => match relay::decode_event(&line) {
+            Input::RegistryLine(id, _) if self.list.as_ref().is_none_or(|list| list.id != id) => return None,
+            Input::WatchLine(_, Err(why)) => Event::WatchLost(why),
+            Input::RegistryLine(_, Err(why)) => Event::RegistryLost(why),
+            Input::WatchLine(_, Ok(line)) => match relay::decode_event(&line) {
                 Ok(news) => {
                     tracing::debug!("news: {line}");
                     Event::Relay(news)
@@ -472,14 +478,14 @@
                     Event::WatchLost(unreadable(wrong))
                 }
             },
-            Input::Answer(outcome) => {
+            Input::RelayResponse(outcome) => {
                 tracing::debug!("answer: {outcome:?}");
                 self.calling = false;
-                let unclear = |wrong| CallError::OutcomeUnknown(unreadable(wrong));
-                Event::RelayReply(outcome.and_then(|line| relay::decode_answer(&line).map_err(unclear)))
+                let unclear = |wrong| RequestError::OutcomeUnknown(unreadable(wrong));
+                Event::RelayReply(outcome.and_then(|line| relay::decode_response(&line).map_err(unclear)))
             }
-            Input::Surplus => Event::UnexpectedReply,
-            Input::List(_, Ok(line)) => match discovery::decode(&line) {
+            Input::UnsolicitedResponse => Event::UnexpectedReply,
+            Input::RegistryLine(_, Ok(line)) => match discovery::decode(&line) {
                 Ok(list) => {
                     let list = list?; // nothing but a sign of life
                     tracing::debug!("list: version {}, {} entries", list.version, list.entries.len());
@@ -496,15 +502,15 @@
     /// What has come of a chunk, and of others that waited for it.
     fn batch(&mut self, batch: Batch) {
         let Some((pool, _)) = &self.pool else { return };
-        let from = batch.told.from;
+        let from = batch.info.from;
         let due = pool.borrow_mut().come(self.clock.now(), batch);
         self.due(from, due);
     }
 
     fn due(&mut self, from: ConnectionId, due: Due<Batch>) {
         for batch in due.chunks {
-            tracing::debug!("chunk {} of {from}, by reader {}", batch.told.number, batch.core);
-            self.received += batch.told.bytes as u64;
+            tracing::debug!("chunk {} of {from}, by reader {}", batch.info.number, batch.core);
+            self.received += batch.info.bytes as u64;
             self.backs.insert(from, batch.back);
             for item in batch.items {
                 self.apply(match item {
@@ -513,13 +519,13 @@
                     Item::Invalid(error) => Event::Invalid { from, error },
                     Item::Lost => {
                         tracing::error!("a panic over what {from} said; it is let go");
-                        self.back(from, Back::End(None));
+                        self.back(from, ConnectionCommand::Close(None));
                         Event::Disconnected(from)
                     }
                 });
             }
             if let Some((_, meters)) = &self.pool {
-                meters.applied(batch.told.at.elapsed());
+                meters.applied(batch.info.at.elapsed());
             }
         }
         if due.ended {
@@ -561,7 +567,7 @@
     }
 
     /// Whoever asks and does not read loses answers, then its connection, and costs us no time.
-    fn back(&self, to: ConnectionId, back: Back) {
+    fn back(&self, to: ConnectionId, back: ConnectionCommand) {
         _ = self.backs.get(&to).map(|way| way.try_send(back));
     }
 
@@ -574,21 +580,24 @@
             | Effect::WatchRegistry { .. }
             | Effect::RenewRegistryWatch { .. }
                 if ends => {}
-            Effect::Pong { to } => self.back(to, Back::Say(collector::encode(collector::Reply::Pong))),
-            Effect::Admit { to } => self.back(to, Back::Keep),
+            Effect::Pong { to } => {
+                self.back(to, ConnectionCommand::Send(collector::encode(collector::Reply::Pong)))
+            }
+            Effect::Admit { to } => self.back(to, ConnectionCommand::Admit),
             Effect::Disconnect { to, why } => {
                 let last = why.map(|why| collector::encode(collector::Reply::Nack { why }));
-                self.back(to, Back::End(last));
+                self.back(to, ConnectionCommand::Close(last));
             }
-            Effect::RelayRequest { relay, line, afresh } => {
+            Effect::RelayRequest { relay, line, needs_new_connection } => {
                 tracing::debug!("call: {line}");
                 // One is made at a time: there is room.
                 self.calling = true;
-                _ = self.calls.try_send(calls::Call { relay, line, afresh });
+                _ = self.calls.try_send(relay_requests::RelayRequest { relay, line, needs_new_connection });
             }
             Effect::WatchRelay { relay } => {
                 let inbox = self.inbox.clone();
-                self.news = self.follow(|id| Task::spawn(news::follow(id, relay, relay::WATCH, inbox)));
+                self.news = self
+                    .follow(|id| Task::spawn(relay_watch::follow(id, relay, relay::WATCH_REQUEST, inbox)));
             }
             Effect::WatchRegistry { discovery, since } => {
                 self.renewed = None;
--- a/crates/controller/src/program/readers.rs
+++ b/crates/controller/src/program/readers.rs
@@ -25,8 +25,9 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_routing::known::Known;
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::listener::{self, Arrival, Bounds, Bulk};
-use whinwall_transport::{limits, Back, Chunk, ConnectionId, Inbox, Told};
+use whinwall_transport::connection::{self, AcceptedConnection, ChunkSender};
+use whinwall_transport::listener;
+use whinwall_transport::{limits, Bounds, Chunk, ChunkInfo, ConnectionCommand, ConnectionId, InputSender};
 
 /// How often a reader says that it goes on.
 const FIGURE: Duration = Duration::from_millis(100);
@@ -42,11 +43,11 @@
 /// What came of one chunk, in the order of its lines.
 #[derive(Debug)]
 pub struct Batch {
-    pub told: Told,
+    pub info: ChunkInfo,
     pub at: Moment,
     pub core: CoreId,
     pub items: Vec<Item>,
-    pub back: mpsc::Sender<Back>,
+    pub back: mpsc::Sender<ConnectionCommand>,
     _weight: OwnedSemaphorePermit,
 }
 
@@ -83,16 +84,16 @@
     bounds: Bounds,
     known: watch::Receiver<Arc<Known>>,
     chunks: async_channel::Receiver<Chunk>,
-    bulk: Bulk,
+    bulk: ChunkSender,
     batches: mpsc::Sender<Batch>,
-    inbox: Inbox,
+    inbox: InputSender,
     hook: Hook,
     meters: Arc<Meters>,
 }
 
 struct Reader {
     figure: Arc<AtomicU64>,
-    arrivals: mpsc::Sender<Arrival>,
+    arrivals: mpsc::Sender<AcceptedConnection>,
     thread: JoinHandle<()>,
 }
 
@@ -123,14 +124,14 @@
         readers: usize,
         clock: Clock,
         bounds: Bounds,
-        inbox: Inbox,
+        inbox: InputSender,
         meters: Arc<Meters>,
         hook: Hook,
     ) -> std::io::Result<(Self, mpsc::Receiver<Batch>)> {
-        let (chunks_in, chunks) = async_channel::bounded(limits::CHUNKS);
+        let (chunks_in, chunks) = async_channel::bounded(limits::MAX_QUEUED_CHUNKS);
         let (batches, come) = mpsc::channel(BATCHES);
         let (known, knows) = watch::channel(Arc::new(Known::default()));
-        let bulk = Bulk { chunks: chunks_in };
+        let bulk = ChunkSender { chunks: chunks_in };
         let shared = Shared { clock, bounds, known: knows, chunks, bulk, batches, inbox, hook, meters };
         let mut pool = Pool {
             readers: Vec::new(),
@@ -164,7 +165,7 @@
         self.former.len() < self.readers.len() * FORMER
     }
 
-    fn take(&mut self, arrival: Arrival) -> bool {
+    fn take(&mut self, arrival: AcceptedConnection) -> bool {
         let id = arrival.id;
         let Ok(tap) = arrival.stream.try_clone() else { return false };
         let Some(core) = self.spread.zone(id) else { return false };
@@ -194,8 +195,8 @@
 
     /// The batches whose turn it is, now that this one has come.
     pub fn come(&mut self, now: Moment, batch: Batch) -> Due<Batch> {
-        let (from, number) = (batch.told.from, batch.told.number);
-        self.spread.carried(from, batch.told.bytes);
+        let (from, number) = (batch.info.from, batch.info.number);
+        self.spread.carried(from, batch.info.bytes);
         self.sequence.take(now, from, number, batch)
     }
 
@@ -272,7 +273,7 @@
 pub struct Hand(pub Rc<RefCell<Pool>>);
 
 impl listener::Readers for Hand {
-    fn hand_over(&self, arrival: Arrival) -> bool {
+    fn hand_over(&self, arrival: AcceptedConnection) -> bool {
         self.0.borrow_mut().take(arrival)
     }
 }
@@ -280,7 +281,12 @@
 /// Who decides takes little time and must get it at once: readers let it go first.
 const STEP_BACK: i32 = 5;
 
-fn run(core: CoreId, shared: Shared, mut arrivals: mpsc::Receiver<Arrival>, figure: Arc<AtomicU64>) {
+fn run(
+    core: CoreId,
+    shared: Shared,
+    mut arrivals: mpsc::Receiver<AcceptedConnection>,
+    figure: Arc<AtomicU64>,
+) {
     // On Linux this is the thread's own; where it can't be had, all are equal.
     _ = rustix::process::nice(STEP_BACK);
     actix_rt::System::new().block_on(async move {
@@ -294,7 +300,7 @@
         while let Some(arrival) = arrivals.recv().await {
             (shared.hook)(core, Stage::Arrival);
             let (bounds, inbox, bulk) = (shared.bounds.clone(), shared.inbox.clone(), shared.bulk.clone());
-            actix_rt::spawn(listener::read(arrival, bounds, inbox, Some(bulk)));
+            actix_rt::spawn(connection::read(arrival, bounds, inbox, Some(bulk)));
         }
     });
 }
@@ -303,8 +309,8 @@
 async fn take_apart(core: CoreId, shared: Shared) {
     while let Ok(chunk) = shared.chunks.recv().await {
         let known = shared.known.borrow().clone();
-        let Chunk { told, lines, back, weight } = chunk;
-        let at = shared.clock.at(told.at);
+        let Chunk { info, lines, back, weight } = chunk;
+        let at = shared.clock.at(info.at);
         let began = Instant::now();
         let hook = |stage| (shared.hook)(core, stage);
         let items = catch_unwind(AssertUnwindSafe(|| items(&lines, at, &known, hook)));
@@ -313,7 +319,7 @@
             vec![Item::Lost]
         });
         shared.meters.carried(core, lines.len(), lines.iter().filter(|byte| **byte == b'\n').count(), began);
-        let batch = Batch { told, at, core, items, back, _weight: weight };
+        let batch = Batch { info, at, core, items, back, _weight: weight };
         if shared.batches.send(batch).await.is_err() {
             return;
         }
@@ -335,9 +341,11 @@
         let line = line.strip_suffix(b"\n").unwrap_or(line);
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         let item = match std::str::from_utf8(line) {
-            Err(_) => Item::Invalid(InvalidMessage::no_text()),
+            Err(_) => Item::Invalid(InvalidMessage::not_utf8()),
             Ok(line) => {
-                if let Some(report) = collector::quick(line).and_then(|report| known.numbered(&report)) {
+                if let Some(report) =
+                    collector::decode_report(line).and_then(|report| known.numbered(&report))
+                {
                     sums.add(report);
                     continue;
                 }
--- a/crates/controller/tests/crossings.rs
+++ b/crates/controller/tests/crossings.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
-use whinwall_protocol::relay::Answer;
+use whinwall_protocol::relay::Response;
 use whinwall_routing::{Effect, Event};
 use whinwall_transport::{StreamError, Targets};
 
@@ -47,7 +47,7 @@
 /// A relay that takes one order at a time makes each rest a message of its own.
 #[test]
 fn answers_that_are_short_keep_the_message_cap() {
-    keeps_the_message_cap(60, Span::ms(50), || Event::RelayReply(Ok(Answer::Taken(1))));
+    keeps_the_message_cap(60, Span::ms(50), || Event::RelayReply(Ok(Response::Accepted(1))));
 }
 
 /// A proxy whose acks are held up holds the former table, and writes by it: no new owner before it has acked that its requests
@@ -148,7 +148,7 @@
         rig.pass(600);
     }
     rig.proxies = proxies;
-    rig.tell(Event::WatchLost(StreamError::Silent));
+    rig.tell(Event::WatchLost(StreamError::TimedOut));
     rig.pass(200);
     assert!(rig.renew(), "the news is asked for anew");
     let before = rig.calls.len();
@@ -421,7 +421,7 @@
         // At the second refusal the first order is skipped, and nothing may be left.
         let may_be_over = taken >= orders.len() || orders.len() == 1;
         self.open = Some((orders.iter().map(|order| order.to_string()).collect(), may_be_over));
-        self.rig.tell(Event::RelayReply(Ok(Answer::Taken(taken.min(orders.len())))));
+        self.rig.tell(Event::RelayReply(Ok(Response::Accepted(taken.min(orders.len())))));
     }
 
     fn list(&mut self, version: u64) {
@@ -449,18 +449,18 @@
                 tell_list(&mut self.rig, self.version - 1 - u64::from(n % 9), n.is_multiple_of(2), all);
                 tell_list(&mut self.rig, self.version, false, Vec::new());
             }
-            3 => self.rig.tell(Event::RegistryLost(StreamError::Silent)),
+            3 => self.rig.tell(Event::RegistryLost(StreamError::TimedOut)),
             4 | 5 => self.answer(event % 18 == 4, |_| UNKNOWN),
-            6 => self.answer(false, |_| Event::RelayReply(Ok(Answer::NotNow("ERR unavailable".into())))),
+            6 => self.answer(false, |_| Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into())))),
             7 => self.is_short(n as usize % 3),
             8 => {
                 let settles = self.rig.open.is_some();
-                self.answer(true, |orders| Event::RelayReply(Ok(Answer::Taken(orders))));
+                self.answer(true, |orders| Event::RelayReply(Ok(Response::Accepted(orders))));
                 self.open = self.open.take().filter(|_| !settles);
             }
             9 => self.rig.tell(Event::UnexpectedReply),
             10 => {
-                self.rig.tell(Event::WatchLost(StreamError::Silent));
+                self.rig.tell(Event::WatchLost(StreamError::TimedOut));
                 self.rig.now = self.rig.now + Span::ms(u64::from(n % 300));
             }
             11 | 12 => {
@@ -552,7 +552,7 @@
     rig.drain("s-2");
     rig.pass(20_000);
     assert!(!rig.owners().contains("s-2"));
-    rig.tell(Event::WatchLost(StreamError::Silent));
+    rig.tell(Event::WatchLost(StreamError::TimedOut));
     rig.pass(100);
     rig.standing(&[]);
     let stands = "the relay's news stands: 4 proxies, 12 slices, 0 new to us, 6 servers known";
@@ -565,7 +565,7 @@
     let mut rig = Rig::serving();
     rig.pass(5000);
     let before = rig.calls.len();
-    rig.tell(Event::WatchLost(StreamError::Silent));
+    rig.tell(Event::WatchLost(StreamError::TimedOut));
     rig.store.insert(3, BTreeMap::from([("s-5".into(), 1.0)]));
     rig.pass(100);
     rig.standing(&[]);
@@ -583,7 +583,7 @@
     let mut read_anew = 0;
     for _ in 0..40 {
         if rig.open.take().is_some() {
-            rig.tell(Event::RelayReply(Ok(Answer::Taken(0))));
+            rig.tell(Event::RelayReply(Ok(Response::Accepted(0))));
         }
         rig.now = rig.now + Span::ms(100);
         rig.quiet();
--- a/crates/controller/tests/discovery_wire.rs
+++ b/crates/controller/tests/discovery_wire.rs
@@ -7,35 +7,35 @@
 const REQUIRED_FIELDS: &str =
     r#"{"version":42,"full":false,"servers":[{"id":"s-1","zone":"a","state":"left"}]}"#;
 
-fn why_refused(line: &str) -> String {
+fn decode_error(line: &str) -> String {
     decode(line).unwrap_err().to_string()
 }
 
 #[test]
-fn a_whole_list_is_decoded_with_every_field() {
+fn complete_list_is_decoded_with_every_field() {
     let entry = Entry {
         replica: "s-5be2a07c".into(),
         zone: "b".into(),
         machine: "m-large".into(),
         state: State::Ready,
-        size: 2.5,
+        weight: 2.5,
         started_ms: 1_700_000_000_123,
     };
-    let expected = List { version: 41, whole: true, entries: vec![entry] };
+    let expected = List { version: 41, is_complete: true, entries: vec![entry] };
     assert_eq!(decode(ALL_FIELDS), Ok(Some(expected)));
 }
 
 #[test]
-fn a_list_of_changes_is_decoded_with_defaults() {
+fn list_of_changes_is_decoded_with_defaults() {
     let entry = Entry {
         replica: "s-1".into(),
         zone: "a".into(),
         machine: String::new(),
         state: State::Gone,
-        size: 1.0,
+        weight: 1.0,
         started_ms: 0,
     };
-    let expected = List { version: 42, whole: false, entries: vec![entry] };
+    let expected = List { version: 42, is_complete: false, entries: vec![entry] };
     assert_eq!(decode(REQUIRED_FIELDS), Ok(Some(expected)));
 }
 
@@ -46,7 +46,7 @@
         let list = decode(&line).unwrap().unwrap();
         assert_eq!(list.entries[0].state, state, "{word}");
     }
-    assert!(why_refused(&ALL_FIELDS.replace("active", "ready"))
+    assert!(decode_error(&ALL_FIELDS.replace("active", "ready"))
         .starts_with("unknown variant `ready`, expected one of `active`, `leaving`, `left`"));
 }
 
@@ -54,25 +54,25 @@
 fn required_fields_are_named_where_they_are_missing() {
     for field in ["version", "full", "servers", "id", "zone", "state"] {
         let line = REQUIRED_FIELDS.replace(&format!("\"{field}\":"), "\"renamed\":");
-        let why = why_refused(&line);
+        let why = decode_error(&line);
         assert!(why.starts_with(&format!("missing field `{field}`")), "{why}");
     }
 }
 
 #[test]
-fn an_absurd_weight_is_refused() {
+fn implausible_weight_is_invalid() {
     let line = ALL_FIELDS.replace("2.5", "-1");
-    assert!(why_refused(&line).starts_with("an absurd size, in "));
+    assert!(decode_error(&line).starts_with("an absurd size, in "));
 }
 
 #[test]
-fn an_empty_line_is_a_sign_of_incarnation() {
+fn empty_line_is_a_heartbeat() {
     assert_eq!(decode(""), Ok(None));
     assert_eq!(decode(" \r"), Ok(None));
 }
 
 #[test]
-fn the_path_of_a_watch_is_written_to_the_letter() {
+fn watch_path_is_encoded() {
     assert_eq!(watch_path(0), "/registry/instances?follow=1&since=0");
     assert_eq!(watch_path(41), "/registry/instances?follow=1&since=41");
 }
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -18,8 +18,8 @@
 use whinwall_protocol::collector::Message;
 use whinwall_routing::known::Known;
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::listener::{self, Bounds};
-use whinwall_transport::{Back, ConnectionId, Input};
+use whinwall_transport::listener;
+use whinwall_transport::{Bounds, ConnectionCommand, ConnectionId, Input};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -65,17 +65,19 @@
                             }
                         }))
                     }
-                    Item::Message(Message::Source { .. }) => _ = batch.back.try_send(Back::Keep),
+                    Item::Message(Message::Source { .. }) => {
+                        _ = batch.back.try_send(ConnectionCommand::Admit)
+                    }
                     Item::Message(Message::Ping) => {
                         counted.push(Counted::Ping(from));
-                        _ = batch.back.try_send(Back::Say("PONG".into()));
+                        _ = batch.back.try_send(ConnectionCommand::Send("PONG".into()));
                     }
                     Item::Lost => {
                         counted.push(Counted::Lost(from));
-                        _ = batch.back.try_send(Back::End(None));
+                        _ = batch.back.try_send(ConnectionCommand::Close(None));
                     }
                     Item::Message(other) => panic!("{other:?}"),
-                    Item::Invalid(_) => _ = batch.back.try_send(Back::End(None)),
+                    Item::Invalid(_) => _ = batch.back.try_send(ConnectionCommand::Close(None)),
                 }
             }
         }
@@ -112,12 +114,12 @@
                         biased;
                         _ = &mut ended => return,
                         Some(input) = arrived.recv() => {
-                            let Input::Ended(id, chunks) = input else { panic!("{input:?}") };
+                            let Input::Disconnected(id, chunks) = input else { panic!("{input:?}") };
                             let due = turn.pool.borrow_mut().ends(clock.now(), id, chunks);
                             turn.due(id, due);
                         }
                         Some(batch) = batches.recv() => {
-                            let from = batch.told.from;
+                            let from = batch.info.from;
                             let due = turn.pool.borrow_mut().come(clock.now(), batch);
                             turn.due(from, due);
                         }
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -11,11 +11,11 @@
 use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
 use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::relay::{decode_answer, decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, decode_response, Response};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::overrides::OverrideConfig;
 use whinwall_routing::{Effect, Event};
-use whinwall_transport::{CallError, StreamError, Targets};
+use whinwall_transport::{RequestError, StreamError, Targets};
 
 #[test]
 fn orders_rest_on_whole_tables() {
@@ -188,7 +188,7 @@
     for (taken, next) in [(usize::MAX, 0), (orders.len() + 1, 0), (0, 0), (2, 2), (1, 3), (0, 4)] {
         let before = rig.notes.len();
         rig.open = None;
-        rig.tell(Event::RelayReply(Ok(Answer::Taken(taken))));
+        rig.tell(Event::RelayReply(Ok(Response::Accepted(taken))));
         rig.quiet();
         if rig.open.is_none() {
             rig.now = rig.now + Span::ms(100);
@@ -206,9 +206,9 @@
         from = next;
     }
     for line in ["OK", "OK -1", "OK 2 3", "OK x", "?????", "unavailablex", "ERR"] {
-        assert!(decode_answer(line).is_err(), "{line}");
+        assert!(decode_response(line).is_err(), "{line}");
     }
-    assert_eq!(decode_answer("-ERR unavailable"), Ok(Answer::NotNow("-ERR unavailable".into())));
+    assert_eq!(decode_response("-ERR unavailable"), Ok(Response::Retryable("-ERR unavailable".into())));
 }
 
 #[test]
@@ -419,7 +419,7 @@
     rig.drain("s-2");
     rig.open = None;
     rig.follows.clear();
-    rig.tell(Event::RelayReply(Ok(Answer::Unusable("ERR bad_request".into()))));
+    rig.tell(Event::RelayReply(Ok(Response::Rejected("ERR bad_request".into()))));
     assert_eq!(rig.follows, [Effect::WatchRelay { relay: RELAY }]);
     rig.standing(&[]);
     rig.pass(1000);
@@ -498,7 +498,7 @@
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let call = rig.open.take().unwrap();
-    rig.tell(Event::RelayReply(Err(CallError::NotSent(StreamError::Closed))));
+    rig.tell(Event::RelayReply(Err(RequestError::NotSent(StreamError::Closed))));
     // The relay is back with the tables as they were: the call is still to come, and it alone.
     rig.standing(&[]);
     assert_eq!(rig.open.as_ref(), Some(&call));
@@ -521,10 +521,8 @@
         assert_eq!(rig.follows.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since }));
     }
     rig.list();
-    let notes = [
-        "discovery's watch failed: closed by the other side",
-        "discovery's watch works again, after 2 failures",
-    ];
+    let notes =
+        ["discovery's watch failed: closed by the peer", "discovery's watch works again, after 2 failures"];
     assert_eq!(rig.notes, notes, "an outage is worth two lines, not one an attempt");
 }
 
@@ -541,7 +539,7 @@
     rig.pass(2000);
     rig.drain("s-2");
     assert!(rig.open.is_some());
-    rig.tell(Event::RegistryLost(StreamError::Silent));
+    rig.tell(Event::RegistryLost(StreamError::TimedOut));
     for _ in 0..31 {
         rig.now = rig.now + Span::ms(100);
         rig.quiet();
@@ -684,7 +682,7 @@
                     }
                 }
                 4 if rig.open.take().is_some() => {
-                    rig.tell(Event::RelayReply(Ok(Answer::NotNow("ERR unavailable".into()))));
+                    rig.tell(Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into()))));
                     rig.quiet();
                 }
                 5 => {
@@ -757,11 +755,12 @@
 #[test]
 fn the_quick_way_takes_nothing_that_the_slow_one_does_not() {
     fn holds(line: Garbled) -> bool {
-        collector::quick(&line.0)
-            .is_none_or(|report| collector::decode_slowly(&line.0) == Ok(collector::Message::from(report)))
+        collector::decode_report(&line.0).is_none_or(|report| {
+            collector::decode_with_diagnosis(&line.0) == Ok(collector::Message::from(report))
+        })
     }
     let line = r#"{"@type":"SHARD","partition":1,"kind":"lookup","n":9,"bad":9,"window":100.0}"#;
-    assert!(collector::quick(line).is_some());
+    assert!(collector::decode_report(line).is_some());
     quickcheck::QuickCheck::new().tests(20_000).quickcheck(holds as fn(Garbled) -> bool);
 }
 
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -2,36 +2,37 @@
 //! word, a moved field or another separator fails here.
 
 use whinwall_protocol::relay::{
-    decode_answer, decode_event, encode_call, Answer, Command, RelayEvent, CALL_LIMIT, WATCH,
+    decode_event, decode_response, encode_request, Command, RelayEvent, Response, SyncScope,
+    MAX_REQUEST_BYTES, WATCH_REQUEST,
 };
 
-fn news(line: &str) -> RelayEvent {
+fn event(line: &str) -> RelayEvent {
     decode_event(line).unwrap_or_else(|why| panic!("{line:?}: {why}"))
 }
 
-fn why_no_news(line: &str) -> String {
+fn event_error(line: &str) -> String {
     decode_event(line).unwrap_err().to_string()
 }
 
-fn why_no_answer(line: &str) -> String {
-    decode_answer(line).unwrap_err().to_string()
+fn response_error(line: &str) -> String {
+    decode_response(line).unwrap_err().to_string()
 }
 
 #[test]
-fn relay_commands_are_encoded_to_the_letter() {
+fn endpoint_and_withdrawal_commands_are_encoded() {
     let line = Command::SetEndpoint { slice: 12, replica: "s-5be2a07c".into(), weight: 0.25 };
-    assert_eq!(line.encode(false), "SET,12,s-5be2a07c,0.25");
+    assert_eq!(line.encode(SyncScope::ReachedProxies), "SET,12,s-5be2a07c,0.25");
     let withdrawn = Command::Withdraw { replica: "s-1".into(), out: true };
-    assert_eq!(withdrawn.encode(false), "OUT,s-1");
+    assert_eq!(withdrawn.encode(SyncScope::ReachedProxies), "OUT,s-1");
     let restored = Command::Withdraw { replica: "s-1".into(), out: false };
-    assert_eq!(restored.encode(false), "IN,s-1");
+    assert_eq!(restored.encode(SyncScope::ReachedProxies), "IN,s-1");
 }
 
 #[test]
-fn limits_are_encoded_to_the_letter() {
+fn admission_commands_are_encoded() {
     let limit = |slice, request_classes: &[&str], share, retries| {
         let request_classes = request_classes.iter().map(|name| name.to_string()).collect();
-        Command::SetAdmission { slice, request_classes, share, retries }.encode(false)
+        Command::SetAdmission { slice, request_classes, share, retries }.encode(SyncScope::ReachedProxies)
     };
     assert_eq!(limit(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
     assert_eq!(limit(Some(7), &["lookup"], 0.5, 3), "LIMIT,7,lookup,0.5,3");
@@ -39,15 +40,17 @@
 }
 
 #[test]
-fn a_version_is_encoded_with_whether_all_proxies_answer_it() {
+fn sync_command_is_encoded_with_its_scope() {
     let version = Command::Sync { number: 65535 };
-    assert_eq!(version.encode(true), "SYNC,65535,1");
-    assert_eq!(version.encode(false), "SYNC,65535,0");
+    assert_eq!(version.encode(SyncScope::AllProxies), "SYNC,65535,1");
+    assert_eq!(version.encode(SyncScope::ReachedProxies), "SYNC,65535,0");
 }
 
 #[test]
-fn weights_are_encoded_without_needless_digits() {
-    let set = |weight| Command::SetEndpoint { slice: 0, replica: "s".into(), weight }.encode(false);
+fn weights_are_encoded_without_superfluous_digits() {
+    let set = |weight| {
+        Command::SetEndpoint { slice: 0, replica: "s".into(), weight }.encode(SyncScope::ReachedProxies)
+    };
     assert_eq!(set(0.0), "SET,0,s,0");
     assert_eq!(set(1.0), "SET,0,s,1");
     assert_eq!(set(0.1), "SET,0,s,0.1");
@@ -55,114 +58,114 @@
 }
 
 #[test]
-fn a_call_is_encoded_to_the_letter() {
-    assert_eq!(encode_call(&["SET,1,s-1,1", "OUT,s-2", "SYNC,9,0"]), "APPLY SET,1,s-1,1;OUT,s-2;SYNC,9,0");
-    assert_eq!(encode_call(&["SYNC,9,1"]), "APPLY SYNC,9,1");
+fn request_is_encoded() {
+    assert_eq!(encode_request(&["SET,1,s-1,1", "OUT,s-2", "SYNC,9,0"]), "APPLY SET,1,s-1,1;OUT,s-2;SYNC,9,0");
+    assert_eq!(encode_request(&["SYNC,9,1"]), "APPLY SYNC,9,1");
 }
 
 #[test]
-fn a_call_holds_sixty_thousand_bytes_of_orders() {
-    assert_eq!(CALL_LIMIT, 60_000);
+fn request_holds_sixty_thousand_bytes_of_commands() {
+    assert_eq!(MAX_REQUEST_BYTES, 60_000);
 }
 
 #[test]
-fn the_request_for_news_is_one_word() {
-    assert_eq!(WATCH, "WATCH");
+fn watch_request_is_one_word() {
+    assert_eq!(WATCH_REQUEST, "WATCH");
 }
 
 #[test]
-fn the_first_news_and_a_sign_of_incarnation_are_decoded() {
-    assert_eq!(news("OK"), RelayEvent::Begins);
-    assert_eq!(news("*"), RelayEvent::Alive);
+fn snapshot_start_and_heartbeat_are_decoded() {
+    assert_eq!(event("OK"), RelayEvent::SnapshotStarted);
+    assert_eq!(event("*"), RelayEvent::Heartbeat);
 }
 
 #[test]
-fn a_proxy_that_joins_is_decoded_with_whether_it_has_no_table() {
+fn joined_proxy_is_decoded_with_whether_it_has_no_table() {
     for set in ["1", "true", "yes"] {
         assert_eq!(
-            news(&format!("* SUBSCRIBE 4 a 120.5 {set}")),
-            RelayEvent::Joined { proxy: 4, bare: true }
+            event(&format!("* SUBSCRIBE 4 a 120.5 {set}")),
+            RelayEvent::ProxyJoined { proxy: 4, has_no_table: true }
         );
     }
     for unset in ["0", "false", "no"] {
         assert_eq!(
-            news(&format!("* SUBSCRIBE 4 a 120.5 {unset}")),
-            RelayEvent::Joined { proxy: 4, bare: false }
+            event(&format!("* SUBSCRIBE 4 a 120.5 {unset}")),
+            RelayEvent::ProxyJoined { proxy: 4, has_no_table: false }
         );
     }
 }
 
 #[test]
-fn a_proxy_that_leaves_is_decoded() {
-    assert_eq!(news("* CLOSED 4"), RelayEvent::Left { proxy: 4 });
+fn departed_proxy_is_decoded() {
+    assert_eq!(event("* CLOSED 4"), RelayEvent::ProxyLeft { proxy: 4 });
 }
 
 #[test]
-fn an_acknowledged_version_is_decoded() {
-    assert_eq!(news("* ACK 4 65535"), RelayEvent::Acked { proxy: 4, version: 65535 });
+fn acknowledged_version_is_decoded() {
+    assert_eq!(event("* ACK 4 65535"), RelayEvent::Acknowledged { proxy: 4, version: 65535 });
 }
 
 #[test]
-fn a_slice_granted_and_one_revoked_are_decoded() {
-    assert_eq!(news("* GRANT 31 1"), RelayEvent::Granted { slice: 31 });
-    assert_eq!(news("* GRANT 31 0"), RelayEvent::Revoked { slice: 31 });
+fn granted_and_revoked_slices_are_decoded() {
+    assert_eq!(event("* GRANT 31 1"), RelayEvent::SliceGranted { slice: 31 });
+    assert_eq!(event("* GRANT 31 0"), RelayEvent::SliceRevoked { slice: 31 });
 }
 
 #[test]
-fn a_row_of_a_table_is_decoded() {
-    let row = RelayEvent::Line { slice: 31, replica: "s-5be2a07c".into(), weight: 0.75 };
-    assert_eq!(news("* ROW 31 s-5be2a07c 0.75"), row);
+fn endpoint_of_a_routing_table_is_decoded() {
+    let row = RelayEvent::EndpointSet { slice: 31, replica: "s-5be2a07c".into(), weight: 0.75 };
+    assert_eq!(event("* ROW 31 s-5be2a07c 0.75"), row);
 }
 
 #[test]
-fn news_words_are_read_in_their_own_case_only() {
+fn event_words_are_case_sensitive() {
     for line in ["ok", "* subscribe 4 a 1 1", "* closed 4", "* ack 4 1", "* grant 31 1", "* row 31 s 1"] {
         assert!(decode_event(line).is_err(), "{line}");
     }
 }
 
 #[test]
-fn errors_of_news_name_the_missing_field() {
-    assert_eq!(why_no_news("HELLO"), r#"no news, in "HELLO""#);
-    assert_eq!(why_no_news("* WHAT 1"), r#"news of an unknown kind, in "* WHAT 1""#);
-    assert_eq!(why_no_news("* SUBSCRIBE"), r#"no proxy, in "* SUBSCRIBE""#);
-    assert_eq!(why_no_news("* SUBSCRIBE 4"), r#"no place, in "* SUBSCRIBE 4""#);
-    assert_eq!(why_no_news("* SUBSCRIBE 4 a"), r#"no share, in "* SUBSCRIBE 4 a""#);
-    assert_eq!(why_no_news("* SUBSCRIBE 4 a 1"), r#"no standing, in "* SUBSCRIBE 4 a 1""#);
-    assert_eq!(why_no_news("* ACK 4"), r#"no mark, in "* ACK 4""#);
-    assert_eq!(why_no_news("* GRANT"), r#"no slice, in "* GRANT""#);
-    assert_eq!(why_no_news("* GRANT 3"), r#"no yes, in "* GRANT 3""#);
-    assert_eq!(why_no_news("* ROW 3"), r#"no server, in "* ROW 3""#);
-    assert_eq!(why_no_news("* ROW 3 s"), r#"no weight, in "* ROW 3 s""#);
-    assert_eq!(why_no_news("* ROW 3 s -1"), r#"weight, in "* ROW 3 s -1""#);
-    assert_eq!(why_no_news("* CLOSED x"), r#""x" is no usable number, in "* CLOSED x""#);
+fn event_errors_name_the_missing_field() {
+    assert_eq!(event_error("HELLO"), r#"no news, in "HELLO""#);
+    assert_eq!(event_error("* WHAT 1"), r#"news of an unknown kind, in "* WHAT 1""#);
+    assert_eq!(event_error("* SUBSCRIBE"), r#"no proxy, in "* SUBSCRIBE""#);
+    assert_eq!(event_error("* SUBSCRIBE 4"), r#"no place, in "* SUBSCRIBE 4""#);
+    assert_eq!(event_error("* SUBSCRIBE 4 a"), r#"no share, in "* SUBSCRIBE 4 a""#);
+    assert_eq!(event_error("* SUBSCRIBE 4 a 1"), r#"no standing, in "* SUBSCRIBE 4 a 1""#);
+    assert_eq!(event_error("* ACK 4"), r#"no mark, in "* ACK 4""#);
+    assert_eq!(event_error("* GRANT"), r#"no slice, in "* GRANT""#);
+    assert_eq!(event_error("* GRANT 3"), r#"no yes, in "* GRANT 3""#);
+    assert_eq!(event_error("* ROW 3"), r#"no server, in "* ROW 3""#);
+    assert_eq!(event_error("* ROW 3 s"), r#"no weight, in "* ROW 3 s""#);
+    assert_eq!(event_error("* ROW 3 s -1"), r#"weight, in "* ROW 3 s -1""#);
+    assert_eq!(event_error("* CLOSED x"), r#""x" is no usable number, in "* CLOSED x""#);
 }
 
 #[test]
-fn an_answer_with_the_number_of_orders_taken_is_decoded() {
-    assert_eq!(decode_answer("OK 3"), Ok(Answer::Taken(3)));
-    assert_eq!(decode_answer("OK 0"), Ok(Answer::Taken(0)));
+fn accepted_response_is_decoded() {
+    assert_eq!(decode_response("OK 3"), Ok(Response::Accepted(3)));
+    assert_eq!(decode_response("OK 0"), Ok(Response::Accepted(0)));
 }
 
 #[test]
-fn an_answer_that_no_call_of_this_text_is_ever_taken_is_decoded() {
+fn rejected_response_is_decoded() {
     for line in ["bad_request", "ERR bad_request", "ERR bad_request: no such server"] {
-        assert_eq!(decode_answer(line), Ok(Answer::Unusable(line.into())));
+        assert_eq!(decode_response(line), Ok(Response::Rejected(line.into())));
     }
 }
 
 #[test]
-fn an_answer_that_asks_for_a_later_call_is_decoded() {
+fn retryable_response_is_decoded() {
     for word in ["too_many_calls", "unavailable", "out_of_date"] {
         for line in [word.to_string(), format!("ERR {word}"), format!("ERR {word}: later")] {
-            assert_eq!(decode_answer(&line), Ok(Answer::NotNow(line.clone())));
+            assert_eq!(decode_response(&line), Ok(Response::Retryable(line.clone())));
         }
     }
 }
 
 #[test]
-fn other_answers_are_refused() {
+fn other_responses_are_invalid() {
     for line in ["", "OK", "OK x", "OK 1 2", "ok 3", "ERR", "ERR toobusy"] {
-        assert_eq!(why_no_answer(line), format!("no answer to a call, in {line:?}"));
+        assert_eq!(response_error(line), format!("no answer to a call, in {line:?}"));
     }
 }
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -542,7 +542,7 @@
     // A reader that does not know yet that the replica is gone makes no entry of it.
     let known = known();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-2","n":9,"bad":0,"avg":41.7,"window":1000.0}"#;
-    let what = known.numbered(&collector::quick(met).unwrap()).unwrap();
+    let what = known.numbered(&collector::decode_report(met).unwrap()).unwrap();
     served
         .rig
         .tell(Event::Reports { from: 1, reports: vec![Report { at: served.rig.now, lines: 1.0, what }] });
@@ -571,7 +571,7 @@
         for feed in both {
             let mut chunk = Sums::at(sums.rig.now);
             for line in feed.lines(&sums.rig, sums.at_ms, well, 0) {
-                chunk.add(known.numbered(&collector::quick(&line).unwrap()).unwrap());
+                chunk.add(known.numbered(&collector::decode_report(&line).unwrap()).unwrap());
             }
             sums.rig.tell(Event::Reports { from: feed.connection, reports: chunk.summed() });
         }
@@ -608,9 +608,9 @@
             r#"{{"@type":"SHARD","partition":1,"kind":"{CLASS}","n":9,"bad":0,"window":1000.0{text}}}"#
         );
         for line in [met, asked] {
-            let report = collector::quick(&line).unwrap();
+            let report = collector::decode_report(&line).unwrap();
             assert_eq!(known.numbered(&report).is_none(), lacks > 0, "{line}");
-            assert_eq!(collector::decode_slowly(&line), collector::decode(&line));
+            assert_eq!(collector::decode_with_diagnosis(&line), collector::decode(&line));
             match collector::decode(&line).unwrap() {
                 Message::EndpointReport(met) => assert_eq!(met.missing, lacks),
                 Message::DemandReport(asked) => assert_eq!(asked.missing, lacks),
@@ -624,7 +624,7 @@
         let line = format!(
             r#"{{"@type":"SHARD","partition":1,"kind":"{CLASS}","n":9,"bad":0,"window":1000.0,"missing":{absurd}}}"#
         );
-        assert_eq!(collector::quick(&line), None);
+        assert_eq!(collector::decode_report(&line), None);
         assert!(collector::decode(&line).is_err(), "{line}");
     }
 }
--- a/crates/controller/tests/request_bytes.rs
+++ b/crates/controller/tests/request_bytes.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch as at};
 use whinwall_protocol::discovery::watch_path;
-use whinwall_protocol::relay::{encode_call, WATCH};
-use whinwall_transport::{calls, news, watch};
+use whinwall_protocol::relay::{encode_request, WATCH_REQUEST};
+use whinwall_transport::{registry_watch, relay_requests, relay_watch};
 
 /// Far longer than a request takes.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -38,12 +38,17 @@
 }
 
 #[test]
-fn discoverys_watch_is_one_get_request() {
+fn registry_watch_is_one_get_request() {
     let (discovery, heard) = listen("\r\n\r\n");
     let head = actix_rt::System::new().block_on(async {
         let (inbox, _arrived) = mpsc::channel(1);
         let url = format!("http://{discovery}{}", watch_path(41));
-        actix_rt::spawn(watch::follow(1, awc::Client::builder().disable_timeout().finish(), url, inbox));
+        actix_rt::spawn(registry_watch::follow(
+            1,
+            awc::Client::builder().disable_timeout().finish(),
+            url,
+            inbox,
+        ));
         actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
     });
     let host = format!("host: {discovery}");
@@ -61,25 +66,25 @@
 }
 
 #[test]
-fn the_relays_watch_is_one_line() {
+fn relay_watch_is_one_line() {
     let (relay, heard) = listen("\n");
     let line = actix_rt::System::new().block_on(async {
         let (inbox, _arrived) = mpsc::channel(1);
-        actix_rt::spawn(news::follow(1, relay, WATCH, inbox));
+        actix_rt::spawn(relay_watch::follow(1, relay, WATCH_REQUEST, inbox));
         actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
     });
     assert_eq!(line, "WATCH\r\n");
 }
 
 #[test]
-fn a_call_on_the_relay_is_one_line() {
+fn relay_request_is_one_line() {
     let (relay, heard) = listen("\n");
     let line = actix_rt::System::new().block_on(async {
         let ((make, to_make), (inbox, _arrived)) = (mpsc::channel(1), mpsc::channel(1));
         let (_at, at_relay) = at::channel(Some(relay));
-        actix_rt::spawn(calls::serve(to_make, at_relay, inbox));
-        let line = encode_call(&["SET,1,s-1,1", "SYNC,9,0"]);
-        make.send(calls::Call { relay, line, afresh: false }).await.unwrap();
+        actix_rt::spawn(relay_requests::serve(to_make, at_relay, inbox));
+        let line = encode_request(&["SET,1,s-1,1", "SYNC,9,0"]);
+        make.send(relay_requests::RelayRequest { relay, line, needs_new_connection: false }).await.unwrap();
         actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
     });
     assert_eq!(line, "APPLY SET,1,s-1,1;SYNC,9,0\r\n");
--- a/crates/controller/tests/size.rs
+++ b/crates/controller/tests/size.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
-use whinwall_protocol::relay::{decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, Response};
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_transport::Targets;
 
@@ -98,7 +98,7 @@
                     .into_iter()
                     .flat_map(|version| (0..3).map(move |proxy| format!("* ACK {proxy} {version} 1")));
                 events.extend(acks.map(news));
-                events.push(Event::RelayReply(Ok(Answer::Taken(line.split(';').count()))));
+                events.push(Event::RelayReply(Ok(Response::Accepted(line.split(';').count()))));
             }
         }
         longest = longest.max(began.elapsed());
--- a/crates/controller/tests/stand_ins/rig.rs
+++ b/crates/controller/tests/stand_ins/rig.rs
@@ -5,10 +5,10 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use whinwall_management_api::ask::Reply;
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::relay::{decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, Response};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::{Effect, Event, Reducer};
-use whinwall_transport::{CallError, StreamError, Targets};
+use whinwall_transport::{RequestError, StreamError, Targets};
 
 pub type Store = BTreeMap<u32, BTreeMap<String, f64>>;
 
@@ -31,7 +31,7 @@
 
 pub const RELAY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 6400);
 pub const DISCOVERY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8500);
-pub const UNKNOWN: Event = Event::RelayReply(Err(CallError::OutcomeUnknown(StreamError::Silent)));
+pub const UNKNOWN: Event = Event::RelayReply(Err(RequestError::OutcomeUnknown(StreamError::TimedOut)));
 
 impl Rig {
     /// Six replicas, twelve slices, four proxies; nothing of it told yet.
@@ -164,7 +164,7 @@
     pub fn answer(&mut self) {
         let Some(call) = self.open.take() else { return };
         let taken = self.carry_out(&call);
-        self.tell(Event::RelayReply(Ok(Answer::Taken(taken))));
+        self.tell(Event::RelayReply(Ok(Response::Accepted(taken))));
         self.quiet();
     }
 
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -62,10 +62,10 @@
         zone: "a".into(),
         machine: "m".into(),
         state: State::Ready,
-        size: 2.5,
+        weight: 2.5,
         started_ms: 7,
     };
-    assert_eq!(start.known, List { version: 41, whole: true, entries: vec![entry] });
+    assert_eq!(start.known, List { version: 41, is_complete: true, entries: vec![entry] });
 }
 
 #[test]
@@ -79,15 +79,15 @@
 fn limits_of_sockets_and_memory_are_read() {
     let one_core = without("/limits", "cores");
     let start = start_from(&one_core).unwrap();
-    assert_eq!(start.line_bytes, 64_000_000 / whinwall_transport::limits::LINES_PART);
-    assert_eq!(start.connections, 500 - whinwall_transport::limits::RESERVED);
+    assert_eq!(start.line_bytes, 64_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
+    assert_eq!(start.connections, 500 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
 }
 
 #[test]
 fn keys_that_are_left_out_have_defaults() {
     let start = start_from(&without("", "limits")).unwrap();
-    assert_eq!(start.line_bytes, 192_000_000 / whinwall_transport::limits::LINES_PART);
-    assert_eq!(start.connections, 1024 - whinwall_transport::limits::RESERVED);
+    assert_eq!(start.line_bytes, 192_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
+    assert_eq!(start.connections, 1024 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
     assert_eq!(start_from(&without("", "known")).unwrap().known, List::default());
     let seeds = [json!(255), json!("ff")].map(|seed| {
         let mut file = every_key();
--- a/crates/controller/tests/transport.rs
+++ b/crates/controller/tests/transport.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use whinwall_controller::program::configuration::{self, Surroundings};
-use whinwall_transport::listener::{self, Bounds, Here};
-use whinwall_transport::{calls, earliest, limits, CallError, Input, StreamError};
+use whinwall_transport::listener::{self, LocalReader};
+use whinwall_transport::{earliest, limits, relay_requests, Bounds, Input, RequestError, StreamError};
 
 fn run<T>(work: impl Future<Output = T>) -> T {
     actix_rt::System::new().block_on(work)
@@ -18,7 +18,7 @@
 
 /// Each dial takes three times as long as we wait before the next: begun anew each time, none would ever succeed.
 #[test]
-fn a_dial_that_is_slow_each_time_succeeds() {
+fn slow_connect_attempts_succeed() {
     let every = Duration::from_millis(20);
     let begun = Cell::new(0);
     let slow = async || {
@@ -29,12 +29,12 @@
     let reached = run(earliest(every, 8, slow));
     assert!(reached.is_ok_and(|dials| dials > 1), "another is begun meanwhile");
     let hangs = async || std::future::pending::<Result<(), StreamError>>().await;
-    assert_eq!(run(earliest(every, 2, hangs)), Err(StreamError::Silent), "for ever it is not waited for");
+    assert_eq!(run(earliest(every, 2, hangs)), Err(StreamError::TimedOut), "for ever it is not waited for");
 }
 
 /// One that is refused says so at once; one that is lost on its way is made up for by the next.
 #[test]
-fn a_dial_that_is_refused_or_lost_costs_no_time() {
+fn refused_and_lost_connect_attempts_cost_no_time() {
     let refused = async || Err::<(), _>(StreamError::Unreachable("refused".into()));
     let long = Duration::from_secs(60);
     assert_eq!(run(earliest(long, 8, refused)), Err(StreamError::Unreachable("refused".into())));
@@ -61,30 +61,38 @@
 
 /// A dial that hangs holds up neither a move to another relay nor the end: the call is given up as not sent.
 #[test]
-fn a_dial_that_hangs_is_given_up_where_calls_go_elsewhere() {
+fn hanging_connect_is_abandoned_where_requests_go_elsewhere() {
     let (_listener, _held, relay) = mute();
     for elsewhere in [None, Some(SocketAddr::from(([127, 0, 0, 1], 9)))] {
         run(async {
             let ((make, to_make), (inbox, mut arrived)) = (mpsc::channel(1), mpsc::channel(1));
             let (at, at_relay) = watch::channel(Some(relay));
-            actix_rt::spawn(calls::serve(to_make, at_relay, inbox));
-            make.send(calls::Call { relay, line: "APPLY SYNC,1,1".into(), afresh: false }).await.unwrap();
+            actix_rt::spawn(relay_requests::serve(to_make, at_relay, inbox));
+            make.send(relay_requests::RelayRequest {
+                relay,
+                line: "APPLY SYNC,1,1".into(),
+                needs_new_connection: false,
+            })
+            .await
+            .unwrap();
             // It is dialling: another call would find no room.
             while make.capacity() == 0 {
                 actix_rt::task::yield_now().await;
             }
             at.send(elsewhere).unwrap();
-            let bound = limits::CONNECT * limits::DIALS as u32 / 2;
+            let bound = limits::CONNECT_RETRY_INTERVAL * limits::MAX_CONNECT_ATTEMPTS as u32 / 2;
             let answer =
                 actix_rt::time::timeout(bound, arrived.recv()).await.expect("before the dial's own end");
-            let Some(Input::Answer(Err(CallError::NotSent(_)))) = answer else { panic!("{answer:?}") };
+            let Some(Input::RelayResponse(Err(RequestError::NotSent(_)))) = answer else {
+                panic!("{answer:?}")
+            };
         });
     }
 }
 
 /// After a panic another life takes connections: those of the former one end, though they say nothing.
 #[test]
-fn connections_end_with_the_incarnation_that_took_them() {
+fn connections_end_with_the_incarnation_that_accepted_them() {
     let (say, address) = channel();
     let (over, is_over) = tokio::sync::oneshot::channel::<()>();
     let incarnation = std::thread::spawn(move || {
@@ -92,7 +100,7 @@
             let listener = Rc::new(actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
             say.send(listener.local_addr().unwrap()).unwrap();
             let (inbox, mut arrived) = mpsc::channel(8);
-            let here = Here { bounds: Bounds::new(8, 1 << 20), inbox };
+            let here = LocalReader { bounds: Bounds::new(8, 1 << 20), inputs: inbox };
             let bounds = Bounds::new(8, 1 << 20);
             let taking = actix_rt::spawn(listener::listen(listener.clone(), bounds, here));
             let line = arrived.recv().await;
@@ -104,7 +112,7 @@
     let mut silent = std::net::TcpStream::connect(address.recv().unwrap()).unwrap();
     silent.write_all(b"{\"@type\":\"PING\"}\n").unwrap();
     // Shorter than it may stay without having joined.
-    silent.set_read_timeout(Some(limits::JOIN / 2)).unwrap();
+    silent.set_read_timeout(Some(limits::JOIN_TIMEOUT / 2)).unwrap();
     let ended = silent.read(&mut [0; 64]);
     assert!(
         matches!(ended, Ok(0)) || ended.is_err_and(|why| why.kind() == std::io::ErrorKind::ConnectionReset)
@@ -115,7 +123,7 @@
 
 /// Marks begin at a number drawn from the seed: in a life after a panic no ack of the former one may pass for one of its.
 #[test]
-fn a_incarnation_after_a_panic_draws_anew() {
+fn incarnation_after_a_panic_draws_a_new_seed() {
     let file = std::env::temp_dir().join(format!("whinwall-life-{}.json", std::process::id()));
     std::fs::write(&file, include_str!("../../../deploy/example.json")).unwrap();
     let read = configuration::read(Surroundings { file: Some(file.clone()), ..Surroundings::default() });
--- a/crates/emulator/src/day/controllers.rs
+++ b/crates/emulator/src/day/controllers.rs
@@ -60,7 +60,7 @@
                 Effect::WatchRegistry { .. } => match self.discovery_away {
                     true => self.after(
                         WAY,
-                        Step::To(at, incarnation, Box::new(Event::RegistryLost(StreamError::Silent))),
+                        Step::To(at, incarnation, Box::new(Event::RegistryLost(StreamError::TimedOut))),
                     ),
                     false => self.after(WAY, Step::Told(at, incarnation, Box::new(self.list()))),
                 },
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -69,7 +69,7 @@
                 self.relay_away = true;
                 for at in 0..self.controllers.len() {
                     self.controllers[at].follows = false;
-                    self.tell(at, Event::WatchLost(StreamError::Silent));
+                    self.tell(at, Event::WatchLost(StreamError::TimedOut));
                 }
             }
             What::RelayMute => {
@@ -80,7 +80,7 @@
                 self.excuse(lasts + aftermath);
                 self.discovery_away = true;
                 (0..self.controllers.len())
-                    .for_each(|at| self.tell(at, Event::RegistryLost(StreamError::Silent)));
+                    .for_each(|at| self.tell(at, Event::RegistryLost(StreamError::TimedOut)));
             }
             What::ControllerKilled { controller } if self.controllers[controller].wire.is_some() => {}
             What::ControllerKilled { controller } => {
--- a/crates/emulator/src/day/real_time.rs
+++ b/crates/emulator/src/day/real_time.rs
@@ -3,7 +3,7 @@
 use super::{Day, Outcome};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::{DemandReport, EndpointReport, Message};
-use whinwall_protocol::relay::Answer;
+use whinwall_protocol::relay::Response;
 use whinwall_routing::Event;
 use whinwall_transport::StreamError;
 
@@ -32,20 +32,20 @@
 pub(super) fn say(wire: &mut dyn Wire, event: Event) {
     match event {
         Event::Message { from, message: Message::EndpointReport(met) } => {
-            let EndpointReport { zone, replica, attempts, failed, mean_latency_ms, covers_ms, missing: _ } =
+            let EndpointReport { zone, replica, attempts, failed, mean_latency_ms, window_ms, missing: _ } =
                 met;
             let line = serde_json::json!({"@type": "LOAD", "az": zone, "host": replica, "n": attempts, "bad": failed,
-                "avg": mean_latency_ms, "window": covers_ms});
+                "avg": mean_latency_ms, "window": window_ms});
             wire.report(from as usize, &line.to_string());
         }
         Event::Message { from, message: Message::DemandReport(asked) } => {
-            let DemandReport { slice, request_class, came, failed, covers_ms, missing: _ } = asked;
-            let line = serde_json::json!({"@type": "SHARD", "partition": slice, "kind": request_class, "n": came,
-                "bad": failed, "window": covers_ms});
+            let DemandReport { slice, request_class, requests, failed, window_ms, missing: _ } = asked;
+            let line = serde_json::json!({"@type": "SHARD", "partition": slice, "kind": request_class, "n": requests,
+                "bad": failed, "window": window_ms});
             wire.report(from as usize, &line.to_string());
         }
-        Event::RelayReply(Ok(Answer::Taken(many))) => wire.answer(Some(&format!("OK {many}"))),
-        Event::RelayReply(Ok(Answer::NotNow(why) | Answer::Unusable(why))) => {
+        Event::RelayReply(Ok(Response::Accepted(many))) => wire.answer(Some(&format!("OK {many}"))),
+        Event::RelayReply(Ok(Response::Retryable(why) | Response::Rejected(why))) => {
             wire.answer(Some(&format!("ERR {why}")))
         }
         Event::RelayReply(Err(_)) => wire.answer(None),
@@ -77,7 +77,7 @@
     pub fn heard(&mut self, at: usize, heard: Heard) {
         match heard {
             Heard::Watch => self.follow_news(at),
-            Heard::List if self.discovery_away => self.tell(at, Event::RegistryLost(StreamError::Silent)),
+            Heard::List if self.discovery_away => self.tell(at, Event::RegistryLost(StreamError::TimedOut)),
             Heard::List => {
                 let text = self.list_text();
                 self.controllers[at].wire.iter_mut().for_each(|wire| wire.list(&text));
--- a/crates/emulator/src/day/relay.rs
+++ b/crates/emulator/src/day/relay.rs
@@ -4,9 +4,9 @@
 use crate::channel;
 use crate::proxy::Obeyed;
 use std::sync::Arc;
-use whinwall_protocol::relay::{decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, Response};
 use whinwall_routing::Event;
-use whinwall_transport::{CallError, StreamError};
+use whinwall_transport::{RequestError, StreamError};
 
 impl Day {
     pub(super) fn news(&mut self, at: usize, line: &str) {
@@ -45,7 +45,7 @@
     pub(super) fn call(&mut self, at: usize, line: &str) {
         let incarnation = self.controllers[at].incarnation;
         if self.relay_away {
-            let outcome = Err(CallError::NotSent(StreamError::Unreachable("away".into())));
+            let outcome = Err(RequestError::NotSent(StreamError::Unreachable("away".into())));
             return self.after(WAY, Step::To(at, incarnation, Box::new(Event::RelayReply(outcome))));
         }
         let kinds: Vec<_> = self.sizes.kinds.iter().map(|kind| kind.name).collect();
@@ -56,7 +56,7 @@
         });
         let line = meddled.as_deref().unwrap_or(line);
         let Some((orders, version)) = channel::read(line, &self.names, &kinds) else {
-            let outcome = Ok(Answer::Unusable("bad_request".into()));
+            let outcome = Ok(Response::Rejected("bad_request".into()));
             return self.after(WAY, Step::To(at, incarnation, Box::new(Event::RelayReply(outcome))));
         };
         self.outcome.orders += orders.len() as u64;
@@ -89,9 +89,11 @@
         next.into_iter().for_each(|due| self.after(due - self.now, Step::Channel(at)));
         let garbled = self.garbled > 0.0 && self.random.draw() < self.garbled;
         let (pause, outcome) = match () {
-            _ if self.relay_mute => (MUTE, Err(CallError::OutcomeUnknown(StreamError::Silent))),
-            _ if garbled => (WAY, Err(CallError::OutcomeUnknown(StreamError::Unreadable("garbled".into())))),
-            _ => (WAY, Ok(Answer::Taken(many))),
+            _ if self.relay_mute => (MUTE, Err(RequestError::OutcomeUnknown(StreamError::TimedOut))),
+            _ if garbled => {
+                (WAY, Err(RequestError::OutcomeUnknown(StreamError::Unreadable("garbled".into()))))
+            }
+            _ => (WAY, Ok(Response::Accepted(many))),
         };
         self.after(pause, Step::To(at, incarnation, Box::new(Event::RelayReply(outcome))));
     }
--- a/crates/emulator/src/day/reports.rs
+++ b/crates/emulator/src/day/reports.rs
@@ -101,7 +101,7 @@
         if self.policy != Policy::Governed {
             return;
         }
-        let covers_ms = 1000.0;
+        let window_ms = 1000.0;
         let mut messages = Vec::new();
         self.line_of_second(&met, &asked);
         let met = if self.sizes.subset > 0 { summed_over_zones(met, self.sizes.zones) } else { met };
@@ -113,15 +113,21 @@
                 attempts: seen.attempts,
                 failed: seen.failed,
                 mean_latency_ms: seen.busy * 1000.0 / answered,
-                covers_ms: covers_ms * f64::from(window),
+                window_ms: window_ms * f64::from(window),
                 missing: 0,
             };
             messages.push((About::Replica(replica), zone, Message::EndpointReport(met)));
         }
         for ((slice, kind), (came, failed)) in asked {
             let request_class = self.sizes.kinds[kind].name.to_string();
-            let asked =
-                DemandReport { slice: slice as u32, request_class, came, failed, covers_ms, missing: 0 };
+            let asked = DemandReport {
+                slice: slice as u32,
+                request_class,
+                requests: came,
+                failed,
+                window_ms,
+                missing: 0,
+            };
             messages.push((About::Slice(slice), slice % self.sizes.zones, Message::DemandReport(asked)));
         }
         for at in 0..self.controllers.len() {
--- a/crates/protocol/src/collector.rs
+++ b/crates/protocol/src/collector.rs
@@ -1,117 +1,156 @@
-//! What comes to the controller's own address: JSON lines, mostly from the collectors of the places.
+//! Messages at the controller's own address: JSON lines, mostly from the collectors of the zones.
 
-use super::{is_sane, is_sane_ms, InvalidMessage, Malformed};
+use super::error::{DecodeError, InvalidLine, InvalidMessage};
+use super::{is_plausible_count, is_plausible_time_ms};
 use serde::{Deserialize, Serialize};
 use serde_json::error::Category;
 
+/// A message of a peer.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "@type")]
 pub enum Message {
+    /// Asks for a `Pong`.
     #[serde(rename = "PING")]
     Ping,
-    /// A collector says for which place it speaks.
+    /// The first message of a collector or aggregator, which authenticates it.
     #[serde(rename = "SOURCE")]
     Source {
+        /// The zone that it reports for.
         #[serde(rename = "az")]
         zone: String,
     },
+    /// A load report on a replica.
     #[serde(rename = "LOAD")]
     EndpointReport(EndpointReport),
+    /// A load report on a slice.
     #[serde(rename = "SHARD")]
     DemandReport(DemandReport),
+    /// A message of an unknown type.
     #[serde(other)]
     Unknown,
 }
 
-/// What the proxies of a place met at a replica.
+/// The outcome of the requests that the proxies of a zone sent to a replica.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointReport {
+    /// The zone of the proxies.
     #[serde(rename = "az")]
     pub zone: String,
+    /// The replica's name.
     #[serde(rename = "host")]
     pub replica: String,
+    /// The number of attempts that ended.
     #[serde(rename = "n")]
     pub attempts: f64,
+    /// How count of these failed.
     #[serde(rename = "bad")]
     pub failed: f64,
+    /// Their mean latency in milliseconds.
     #[serde(rename = "avg")]
     pub mean_latency_ms: f64,
+    /// The time that the report covers, in milliseconds.
     #[serde(rename = "window")]
-    pub covers_ms: f64,
+    pub window_ms: f64,
     /// The number of zones whose reports are not in the sum, where an aggregator made the line.
     #[serde(default)]
     pub missing: u32,
 }
 
+/// An endpoint report with what the replica reported of itself.
 #[derive(Deserialize)]
-struct WithOwn {
+struct WithReplicaReport {
     #[serde(rename = "report", default)]
-    own: Option<Own>,
+    replica_report: Option<ReplicaReport>,
 }
 
-/// What the replica last said of itself.
+/// What the replica last reported of itself.
 #[derive(Deserialize)]
-struct Own {
+struct ReplicaReport {
     #[serde(rename = "inflight", default)]
     in_flight: Option<f64>,
 }
 
-/// What came for a slice, of one request class.
+/// The requests of one request class for a slice.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct DemandReport {
+    /// The slice.
     #[serde(rename = "partition")]
     pub slice: u32,
+    /// The request class's name.
     #[serde(rename = "kind")]
     pub request_class: String,
+    /// The number of requests that arrived.
     #[serde(rename = "n")]
-    pub came: f64,
+    pub requests: f64,
+    /// The number of requests that failed; some may have arrived before the time that the report covers.
     #[serde(rename = "bad")]
     pub failed: f64,
+    /// The time that the report covers, in milliseconds.
     #[serde(rename = "window")]
-    pub covers_ms: f64,
+    pub window_ms: f64,
     /// The number of zones whose reports are not in the sum, where an aggregator made the line.
     #[serde(default)]
     pub missing: u32,
 }
 
-/// What we say there.
+/// A reply of the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "@type")]
 pub enum Reply {
+    /// The reply to a `Ping`.
     #[serde(rename = "PONG")]
     Pong,
-    /// To whoever is let go.
+    /// The last message to a peer that is disconnected.
     #[serde(rename = "NACK")]
-    Nack { why: &'static str },
+    Nack {
+        /// The reason.
+        why: &'static str,
+    },
 }
 
+/// Encodes a reply, without the end of its line.
 pub fn encode(reply: Reply) -> String {
     serde_json::to_string(&reply).unwrap_or_default()
 }
 
-/// A report that is as it should be, in the words of its line.
+/// A valid report whose names borrow from its line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Report<'a> {
+    /// See [`EndpointReport`].
     EndpointReport {
+        /// The zone of the proxies.
         zone: &'a str,
+        /// The replica's name.
         replica: &'a str,
+        /// The number of attempts that ended.
         attempts: f64,
+        /// How count of these failed.
         failed: f64,
+        /// Their mean latency in milliseconds.
         mean_latency_ms: f64,
-        covers_ms: f64,
+        /// The time that the report covers, in milliseconds.
+        window_ms: f64,
+        /// The number of zones whose reports are not in the sum.
         missing: u32,
     },
+    /// See [`DemandReport`].
     DemandReport {
+        /// The slice.
         slice: u32,
+        /// The request class's name.
         request_class: &'a str,
-        came: f64,
+        /// The number of requests that arrived.
+        requests: f64,
+        /// The number of requests that failed.
         failed: f64,
-        covers_ms: f64,
+        /// The time that the report covers, in milliseconds.
+        window_ms: f64,
+        /// The number of zones whose reports are not in the sum.
         missing: u32,
     },
 }
 
-/// All that any report has, in one pass.
+/// The fields of both kinds of report, decoded in one pass.
 #[derive(Deserialize)]
 struct Fields<'a> {
     #[serde(rename = "@type", borrow)]
@@ -125,48 +164,54 @@
     #[serde(rename = "partition", default)]
     slice: Option<u32>,
     #[serde(rename = "n", default)]
-    many: Option<f64>,
+    count: Option<f64>,
     #[serde(rename = "bad", default)]
     failed: Option<f64>,
     #[serde(rename = "avg", default)]
     mean_latency_ms: Option<f64>,
     #[serde(rename = "window", default)]
-    covers_ms: Option<f64>,
+    window_ms: Option<f64>,
     #[serde(default)]
     missing: u32,
     #[serde(rename = "report", default)]
-    own: Option<Own>,
+    replica_report: Option<ReplicaReport>,
 }
 
-/// The way of nearly every line: where it is a report in order, and written as reports are, it is taken at
-/// once. All else is for `decode`, which says what is wrong.
-pub fn quick(line: &str) -> Option<Report<'_>> {
+/// Decodes a valid report without allocating: the fast path of nearly every line. None for any other line, which
+/// [`decode_with_diagnosis`] decodes or says what is wrong with.
+pub fn decode_report(line: &str) -> Option<Report<'_>> {
     let fields: Fields = serde_json::from_str(line).ok()?;
-    let (many, failed, covers_ms, missing) =
-        (fields.many?, fields.failed?, fields.covers_ms?, fields.missing);
+    let (count, failed, window_ms, missing) =
+        (fields.count?, fields.failed?, fields.window_ms?, fields.missing);
     match fields.kind {
         "LOAD" => {
             let (zone, replica, mean_latency_ms) = (fields.zone?, fields.replica?, fields.mean_latency_ms?);
-            let sane = met_is_sane(many, failed, mean_latency_ms, covers_ms, fields.own.as_ref());
-            sane.then_some(Report::EndpointReport {
+            let is_plausible = is_plausible_endpoint_report(
+                count,
+                failed,
+                mean_latency_ms,
+                window_ms,
+                fields.replica_report.as_ref(),
+            );
+            is_plausible.then_some(Report::EndpointReport {
                 zone,
                 replica,
-                attempts: many,
+                attempts: count,
                 failed,
                 mean_latency_ms,
-                covers_ms,
+                window_ms,
                 missing,
             })
         }
         "SHARD" => {
             let (slice, request_class) = (fields.slice?, fields.request_class?);
-            let sane = asked_is_sane(many, failed, covers_ms);
-            sane.then_some(Report::DemandReport {
+            let is_plausible = is_plausible_demand_report(count, failed, window_ms);
+            is_plausible.then_some(Report::DemandReport {
                 slice,
                 request_class,
-                came: many,
+                requests: count,
                 failed,
-                covers_ms,
+                window_ms,
                 missing,
             })
         }
@@ -183,7 +228,7 @@
                 attempts,
                 failed,
                 mean_latency_ms,
-                covers_ms,
+                window_ms,
                 missing,
             } => Message::EndpointReport(EndpointReport {
                 zone: zone.into(),
@@ -191,16 +236,16 @@
                 attempts,
                 failed,
                 mean_latency_ms,
-                covers_ms,
+                window_ms,
                 missing,
             }),
-            Report::DemandReport { slice, request_class, came, failed, covers_ms, missing } => {
+            Report::DemandReport { slice, request_class, requests, failed, window_ms, missing } => {
                 Message::DemandReport(DemandReport {
                     slice,
                     request_class: request_class.into(),
-                    came,
+                    requests,
                     failed,
-                    covers_ms,
+                    window_ms,
                     missing,
                 })
             }
@@ -208,47 +253,72 @@
     }
 }
 
+/// Decodes a message.
+///
+/// # Errors
+///
+/// As [`decode_with_diagnosis`].
 pub fn decode(line: &str) -> Result<Message, InvalidMessage> {
-    quick(line).map_or_else(|| decode_slowly(line), |report| Ok(report.into()))
+    decode_report(line).map_or_else(|| decode_with_diagnosis(line), |report| Ok(report.into()))
 }
 
-/// Says what is wrong, and takes what is written otherwise than reports mostly are.
-pub fn decode_slowly(line: &str) -> Result<Message, InvalidMessage> {
+/// Decodes a message of any type and any order of fields, more slowly than [`decode_report`].
+///
+/// # Errors
+///
+/// Fails with `Unreadable` where the line is not JSON, and with `Malformed` where it is not a message or has an
+/// implausible number.
+pub fn decode_with_diagnosis(line: &str) -> Result<Message, InvalidMessage> {
     if !line.trim_start().starts_with('{') {
-        return Err(InvalidMessage::Unreadable(Malformed::new("no JSON object", line)));
+        return Err(InvalidMessage::Unreadable(DecodeError::new(InvalidLine::NotAnObject, line)));
     }
-    let message: Message = serde_json::from_str(line).map_err(|why| match why.classify() {
-        Category::Data => InvalidMessage::Spoilt(Malformed::new(why, line)),
-        _ => InvalidMessage::Unreadable(Malformed::new(why, line)),
+    let message: Message = serde_json::from_str(line).map_err(|error| match error.classify() {
+        Category::Data => malformed(error, line),
+        _ => InvalidMessage::Unreadable(DecodeError::new(error, line)),
     })?;
-    // Nothing rests on what a replica says of itself, but where it is spoilt so is the message.
-    let own = matches!(message, Message::EndpointReport(_)).then(|| serde_json::from_str::<WithOwn>(line));
-    let own = own.transpose().map_err(|why| InvalidMessage::Spoilt(Malformed::new(why, line)))?;
-    let own = own.and_then(|with| with.own);
-    let sane = match &message {
-        Message::EndpointReport(m) => {
-            met_is_sane(m.attempts, m.failed, m.mean_latency_ms, m.covers_ms, own.as_ref())
+    let is_plausible = match &message {
+        Message::EndpointReport(report) => {
+            // Nothing rests on what a replica reports of itself, but where that is malformed so is the message.
+            let with_own: WithReplicaReport =
+                serde_json::from_str(line).map_err(|error| malformed(error, line))?;
+            let (attempts, failed) = (report.attempts, report.failed);
+            let own = with_own.replica_report.as_ref();
+            is_plausible_endpoint_report(attempts, failed, report.mean_latency_ms, report.window_ms, own)
+        }
+        Message::DemandReport(report) => {
+            is_plausible_demand_report(report.requests, report.failed, report.window_ms)
         }
-        Message::DemandReport(a) => asked_is_sane(a.came, a.failed, a.covers_ms),
         _ => true,
     };
-    sane.then_some(message).ok_or_else(|| InvalidMessage::Spoilt(Malformed::new("an absurd figure", line)))
+    is_plausible
+        .then_some(message)
+        .ok_or_else(|| malformed(InvalidLine::OutOfRange("an absurd figure"), line))
+}
+
+fn malformed(reason: impl Into<InvalidLine>, line: &str) -> InvalidMessage {
+    InvalidMessage::Malformed(DecodeError::new(reason, line))
 }
 
-fn met_is_sane(attempts: f64, failed: f64, mean_latency_ms: f64, covers_ms: f64, own: Option<&Own>) -> bool {
-    is_sane(attempts)
+fn is_plausible_endpoint_report(
+    attempts: f64,
+    failed: f64,
+    mean_latency_ms: f64,
+    window_ms: f64,
+    own: Option<&ReplicaReport>,
+) -> bool {
+    is_plausible_count(attempts)
         && (0.0..=attempts).contains(&failed)
-        && is_sane_ms(mean_latency_ms)
-        && covers(covers_ms)
-        && own.is_none_or(|own| is_sane(own.in_flight.unwrap_or(0.0)))
+        && is_plausible_time_ms(mean_latency_ms)
+        && is_plausible_window(window_ms)
+        && own.is_none_or(|own| is_plausible_count(own.in_flight.unwrap_or(0.0)))
 }
 
-/// More may be aborted than came: what came before the report's time is aborted in it.
-fn asked_is_sane(came: f64, failed: f64, covers_ms: f64) -> bool {
-    is_sane(came) && is_sane(failed) && covers(covers_ms)
+/// More may be aborted than requests: what requests before the report's time is aborted in it.
+fn is_plausible_demand_report(requests: f64, failed: f64, window_ms: f64) -> bool {
+    is_plausible_count(requests) && is_plausible_count(failed) && is_plausible_window(window_ms)
 }
 
-/// A report covers some time.
-fn covers(ms: f64) -> bool {
-    ms > 0.0 && is_sane_ms(ms)
+/// A report covers more than an instant.
+fn is_plausible_window(window_ms: f64) -> bool {
+    window_ms > 0.0 && is_plausible_time_ms(window_ms)
 }
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -1,97 +1,174 @@
-//! The relay's lines of text: news in, calls out, and their answers.
+//! The relay's lines of text: watch events that it sends, requests with commands, and its responses.
 
-use super::{is_sane, Malformed};
-use std::str::FromStr;
+use super::error::{DecodeError, InvalidLine};
+use super::is_plausible_count;
+use std::str::{FromStr, SplitAsciiWhitespace};
 use whinwall_policy::api::{ProxyId, SliceId};
 
-/// A call holds so many bytes of orders at the most.
-pub const CALL_LIMIT: usize = 60_000;
-/// Asks for the news on this connection.
-pub const WATCH: &str = "WATCH";
+/// The largest size of all commands of one request, in bytes.
+pub const MAX_REQUEST_BYTES: usize = 60_000;
+/// The line that subscribes a connection to watch events.
+pub const WATCH_REQUEST: &str = "WATCH";
 
+/// An event of the relay watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayEvent {
-    /// The relay will send news from here on, what stands first.
-    Begins,
-    Alive,
-    Joined {
+    /// The watch is open: a snapshot of the current state follows, then changes as they happen.
+    SnapshotStarted,
+    /// Nothing has changed.
+    Heartbeat,
+    /// A proxy is connected to the relay.
+    ProxyJoined {
+        /// The proxy.
         proxy: ProxyId,
-        bare: bool,
+        /// Whether it has no routing table from an earlier connection.
+        has_no_table: bool,
     },
-    Left {
+    /// A proxy is no longer connected.
+    ProxyLeft {
+        /// The proxy.
         proxy: ProxyId,
     },
-    Acked {
+    /// A proxy has applied all commands up to a version.
+    Acknowledged {
+        /// The proxy.
         proxy: ProxyId,
+        /// The version of the `Sync` command.
         version: u16,
     },
-    Granted {
+    /// This controller is responsible for a slice from now on.
+    SliceGranted {
+        /// The slice.
         slice: SliceId,
     },
-    Revoked {
+    /// This controller is no longer responsible for a slice.
+    SliceRevoked {
+        /// The slice.
         slice: SliceId,
     },
-    Line {
+    /// The relay's store has this endpoint in a slice's routing table.
+    EndpointSet {
+        /// The slice.
         slice: SliceId,
+        /// The replica's name.
         replica: String,
+        /// Its weight in the table.
         weight: f64,
     },
 }
 
-pub fn decode_event(line: &str) -> Result<RelayEvent, Malformed> {
-    let wrong = |what: &str| Malformed::new(what, line);
-    let mut words = line.split_ascii_whitespace();
-    match words.next() {
-        Some("OK") => return Ok(RelayEvent::Begins),
+/// Decodes a line of the relay watch.
+///
+/// # Errors
+///
+/// Fails where the line is not an event, or one of its fields is missing or invalid.
+pub fn decode_event(line: &str) -> Result<RelayEvent, DecodeError> {
+    let mut fields = Fields { words: line.split_ascii_whitespace(), line };
+    match fields.words.next() {
+        Some("OK") => return Ok(RelayEvent::SnapshotStarted),
         Some("*") => {}
-        _ => return Err(wrong("no news")),
-    }
-    let Some(kind) = words.next() else { return Ok(RelayEvent::Alive) };
-    let mut word = |what: &str| words.next().ok_or_else(|| wrong(&format!("no {what}")));
-    fn number<T: FromStr>(word: &str, line: &str) -> Result<T, Malformed> {
-        word.parse().map_err(|_| Malformed::new(format!("{word:?} is no usable number"), line))
+        _ => return Err(DecodeError::new(InvalidLine::NotAnEvent, line)),
     }
-    let proxy = |word: Result<&str, Malformed>| number::<ProxyId>(word?, line);
-    let slice = |word: Result<&str, Malformed>| number::<SliceId>(word?, line);
+    let Some(kind) = fields.words.next() else { return Ok(RelayEvent::Heartbeat) };
     Ok(match kind {
         "SUBSCRIBE" => {
-            let (proxy, _zone, _requests_a_second) = (proxy(word("proxy"))?, word("place")?, word("share")?);
-            RelayEvent::Joined { proxy, bare: is_set(word("standing")?) }
+            let proxy = fields.number("proxy")?;
+            let (_zone, _requests_per_second) = (fields.word("place")?, fields.word("share")?);
+            RelayEvent::ProxyJoined { proxy, has_no_table: fields.flag("standing")? }
+        }
+        "CLOSED" => RelayEvent::ProxyLeft { proxy: fields.number("proxy")? },
+        "ACK" => RelayEvent::Acknowledged { proxy: fields.number("proxy")?, version: fields.number("mark")? },
+        "GRANT" => {
+            let slice = fields.number("slice")?;
+            match fields.flag("yes")? {
+                true => RelayEvent::SliceGranted { slice },
+                false => RelayEvent::SliceRevoked { slice },
+            }
         }
-        "CLOSED" => RelayEvent::Left { proxy: proxy(word("proxy"))? },
-        "ACK" => RelayEvent::Acked { proxy: proxy(word("proxy"))?, version: number(word("mark")?, line)? },
-        "GRANT" => match (slice(word("slice"))?, is_set(word("yes")?)) {
-            (slice, true) => RelayEvent::Granted { slice },
-            (slice, false) => RelayEvent::Revoked { slice },
-        },
         "ROW" => {
-            let (slice, replica) = (slice(word("slice"))?, word("server")?.to_string());
-            let weight = number(word("weight")?, line)?;
-            RelayEvent::Line {
-                slice,
-                replica,
-                weight: Some(weight).filter(|w| is_sane(*w)).ok_or(wrong("weight"))?,
+            let slice = fields.number("slice")?;
+            let replica = fields.word("server")?.to_string();
+            let weight = fields.number("weight")?;
+            if !is_plausible_count(weight) {
+                return Err(DecodeError::new(InvalidLine::OutOfRange("weight"), line));
             }
+            RelayEvent::EndpointSet { slice, replica, weight }
         }
-        _ => return Err(wrong("news of an unknown kind")),
+        _ => return Err(DecodeError::new(InvalidLine::UnknownEvent, line)),
     })
 }
 
-fn is_set(word: &str) -> bool {
-    matches!(word, "1" | "true" | "yes")
+/// The words of a line that are not read yet.
+struct Fields<'a> {
+    words: SplitAsciiWhitespace<'a>,
+    line: &'a str,
+}
+
+impl<'a> Fields<'a> {
+    fn word(&mut self, field: &'static str) -> Result<&'a str, DecodeError> {
+        let word = self.words.next();
+        word.ok_or_else(|| DecodeError::new(InvalidLine::MissingField(field), self.line))
+    }
+
+    fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, DecodeError> {
+        let word = self.word(field)?;
+        let invalid = |_| DecodeError::new(InvalidLine::InvalidNumber(word.into()), self.line);
+        word.parse().map_err(invalid)
+    }
+
+    fn flag(&mut self, field: &'static str) -> Result<bool, DecodeError> {
+        self.word(field).map(|word| matches!(word, "1" | "true" | "yes"))
+    }
 }
 
-/// An order, in the names that the relay knows.
+/// A command to the relay, in the names that it knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    SetEndpoint { slice: SliceId, replica: String, weight: f64 },
-    Withdraw { replica: String, out: bool },
-    SetAdmission { slice: Option<SliceId>, request_classes: Vec<String>, share: f64, retries: u8 },
-    Sync { number: u16 },
+    /// Sets or, with weight 0, removes an endpoint of a routing table.
+    SetEndpoint {
+        /// The slice whose routing table changes.
+        slice: SliceId,
+        /// The replica's name.
+        replica: String,
+        /// Its weight in the table.
+        weight: f64,
+    },
+    /// Withdraws a replica from all routing tables, or reinstates it.
+    Withdraw {
+        /// The replica's name.
+        replica: String,
+        /// Whether it is withdrawn rather than reinstated.
+        out: bool,
+    },
+    /// Sets how many requests proxies admit, and how often they retry.
+    SetAdmission {
+        /// The slice that it holds for; none for all slices.
+        slice: Option<SliceId>,
+        /// The request classes that it holds for; empty for all.
+        request_classes: Vec<String>,
+        /// The share of requests that is admitted, 0 to 1.
+        share: f64,
+        /// The largest number of retries of one request.
+        retries: u8,
+    },
+    /// Asks proxies to acknowledge all commands so far under a version.
+    Sync {
+        /// The version.
+        number: u16,
+    },
+}
+
+/// Which proxies acknowledge a version.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SyncScope {
+    /// Those that the other commands of its request reach.
+    ReachedProxies,
+    /// All that are connected.
+    AllProxies,
 }
 
 impl Command {
-    /// The slice whose table it changes.
+    /// The slice whose routing table or admission it changes, where it is a single one.
     pub fn slice(&self) -> Option<SliceId> {
         match self {
             Command::SetEndpoint { slice, .. } => Some(*slice),
@@ -100,6 +177,7 @@
         }
     }
 
+    /// The version that it asks proxies to acknowledge.
     pub fn version(&self) -> Option<u16> {
         match self {
             Command::Sync { number } => Some(*number),
@@ -107,51 +185,60 @@
         }
     }
 
-    /// A version is answered by the proxies that the call reaches, or by all that are joined.
-    pub fn encode(&self, by_all: bool) -> String {
+    /// Its text in a request; `scope` matters to `Sync` only.
+    pub fn encode(&self, scope: SyncScope) -> String {
         match self {
             Command::SetEndpoint { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
             Command::Withdraw { replica, out: true } => format!("OUT,{replica}"),
             Command::Withdraw { replica, out: false } => format!("IN,{replica}"),
             Command::SetAdmission { slice, request_classes, share, retries } => {
-                let slice = slice.map_or("*".into(), |n| n.to_string());
+                let slice = slice.map_or("*".into(), |slice| slice.to_string());
                 let request_classes =
                     if request_classes.is_empty() { "*".into() } else { request_classes.join("+") };
                 format!("LIMIT,{slice},{request_classes},{share},{retries}")
             }
-            Command::Sync { number } => format!("SYNC,{number},{}", u8::from(by_all)),
+            Command::Sync { number } => {
+                format!("SYNC,{number},{}", u8::from(scope == SyncScope::AllProxies))
+            }
         }
     }
 }
 
-pub fn encode_call(orders: &[&str]) -> String {
-    format!("APPLY {}", orders.join(";"))
+/// Encodes a request that applies these commands in order.
+pub fn encode_request(commands: &[&str]) -> String {
+    format!("APPLY {}", commands.join(";"))
 }
 
+/// The relay's response to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    /// So many orders stand, counted from the first.
-    Taken(usize),
-    /// Nothing was done; the same call may be taken later.
-    NotNow(String),
-    /// Nothing was done, and never will be.
-    Unusable(String),
+pub enum Response {
+    /// So many commands were applied, counted from the first.
+    Accepted(usize),
+    /// Nothing was applied; the same request may be accepted later. Holds the relay's text.
+    Retryable(String),
+    /// Nothing was applied, and a retry would fail alike. Holds the relay's text.
+    Rejected(String),
 }
 
-pub fn decode_answer(line: &str) -> Result<Answer, Malformed> {
-    let unreadable = || Malformed::new("no answer to a call", line);
+/// Decodes the relay's response to a request.
+///
+/// # Errors
+///
+/// Fails where the line is not a response; whether the request was applied is unknown then.
+pub fn decode_response(line: &str) -> Result<Response, DecodeError> {
+    let not_a_response = || DecodeError::new(InvalidLine::NotAResponse, line);
     let mut words = line.split_ascii_whitespace();
     if words.next() == Some("OK") {
-        let taken = words.next().filter(|_| words.next().is_none()).and_then(|n| n.parse().ok());
-        return taken.map(Answer::Taken).ok_or_else(unreadable);
+        let accepted = words.next().filter(|_| words.next().is_none()).and_then(|word| word.parse().ok());
+        return accepted.map(Response::Accepted).ok_or_else(not_a_response);
     }
-    // An error stands alone or behind a word of its kind.
-    let mut named = line.split(|c: char| !c.is_ascii_alphanumeric() && c != '_');
-    named
+    // The error code stands alone or behind a word of its kind.
+    let mut words = line.split(|c: char| !c.is_ascii_alphanumeric() && c != '_');
+    words
         .find_map(|word| match word {
-            "bad_request" => Some(Answer::Unusable(line.into())),
-            "too_many_calls" | "unavailable" | "out_of_date" => Some(Answer::NotNow(line.into())),
+            "bad_request" => Some(Response::Rejected(line.into())),
+            "too_many_calls" | "unavailable" | "out_of_date" => Some(Response::Retryable(line.into())),
             _ => None,
         })
-        .ok_or_else(unreadable)
+        .ok_or_else(not_a_response)
 }
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -9,9 +9,9 @@
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery::List;
-use whinwall_protocol::relay::{Answer, RelayEvent};
+use whinwall_protocol::relay::{RelayEvent, Response};
 use whinwall_protocol::InvalidMessage;
-use whinwall_transport::{CallError, ConnectionId, StreamError, Targets};
+use whinwall_transport::{ConnectionId, RequestError, StreamError, Targets};
 
 /// What the program tells the reducer.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     /// The relay watch has failed.
     WatchLost(StreamError),
     /// The outcome of the relay request that was in flight.
-    RelayReply(Result<Answer, CallError>),
+    RelayReply(Result<Response, RequestError>),
     /// The relay sent a reply without a request: an earlier reply may have belonged to another request.
     UnexpectedReply,
     /// A registry snapshot, or changes since the last one.
@@ -119,7 +119,7 @@
         /// The encoded request.
         line: String,
         /// On a new connection, as the last attempt failed.
-        afresh: bool,
+        needs_new_connection: bool,
     },
     /// Open the relay watch.
     WatchRelay {
--- a/crates/routing/src/known.rs
+++ b/crates/routing/src/known.rs
@@ -48,19 +48,19 @@
                 attempts,
                 failed,
                 mean_latency_ms,
-                covers_ms,
+                window_ms,
                 missing: 0,
             } => {
                 let (zone, replica) = (self::zone(&self.zones, zone)?, *self.replicas.get(replica)?);
-                let (covers, mean_latency) = (span(covers_ms), span(mean_latency_ms));
+                let (covers, mean_latency) = (span(window_ms), span(mean_latency_ms));
                 let met = EndpointReport { zone, covers, attempts, failed, mean_latency };
                 Some(ReportBody::EndpointReport { replica, met, latest: mean_latency })
             }
-            Report::DemandReport { slice, request_class, came, failed, covers_ms, missing: 0 } => {
+            Report::DemandReport { slice, request_class, requests, failed, window_ms, missing: 0 } => {
                 let asked = DemandReport {
                     request_class: self.request_class(request_class)?,
-                    covers: span(covers_ms),
-                    came,
+                    covers: span(window_ms),
+                    came: requests,
                     failed,
                 };
                 Some(ReportBody::DemandReport { slice, asked })
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 use whinwall_policy::api::SliceId;
-use whinwall_protocol::relay::{self, Command};
+use whinwall_protocol::relay::{self, Command, SyncScope};
 
 #[derive(Default)]
 pub struct Outbox {
@@ -49,8 +49,10 @@
         (self.calls, self.refused, self.unclear, self.proven) = (VecDeque::new(), false, false, false);
         let (mut call, mut bytes) = (Vec::new(), 0);
         for order in orders {
-            let text = order.encode(!self.calls.is_empty() || call.is_empty());
-            if bytes + text.len() + 1 > relay::CALL_LIMIT {
+            let is_alone = !self.calls.is_empty() || call.is_empty();
+            let scope = if is_alone { SyncScope::AllProxies } else { SyncScope::ReachedProxies };
+            let text = order.encode(scope);
+            if bytes + text.len() + 1 > relay::MAX_REQUEST_BYTES {
                 self.calls.push_back(std::mem::take(&mut call));
                 bytes = 0;
             }
@@ -85,7 +87,7 @@
         self.calls.retain(|call| !call.is_empty());
         let texts: Vec<_> = self.calls.front()?.iter().map(|order| order.text.as_str()).collect();
         (self.state, self.unclear) = (State::Flying, false);
-        Some((relay::encode_call(&texts), self.failures > 0))
+        Some((relay::encode_request(&texts), self.failures > 0))
     }
 
     pub fn release(&mut self) {
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -22,10 +22,10 @@
 use whinwall_policy::Policy;
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery::{Entry, List};
-use whinwall_protocol::relay::{Answer, Command, RelayEvent};
+use whinwall_protocol::relay::{Command, RelayEvent, Response};
 use whinwall_protocol::InvalidMessage;
 use whinwall_settings::Settings;
-use whinwall_transport::{limits, CallError, ConnectionId, StreamError, Targets};
+use whinwall_transport::{limits, ConnectionId, RequestError, StreamError, Targets};
 
 /// The part of a pause that is drawn.
 const PAUSE_DRAWN: f64 = 0.5;
@@ -151,7 +151,7 @@
             }
             Event::Message { from, message } => self.message(now, from, message),
             Event::Invalid { from, error } => match error {
-                InvalidMessage::Spoilt(why) => self.pass_over(from, why),
+                InvalidMessage::Malformed(why) => self.pass_over(from, why),
                 InvalidMessage::Unreadable(why) => {
                     // What it still says counts for nothing either.
                     let joined = self.collectors.remove(&from);
@@ -224,7 +224,7 @@
     }
 
     fn after_pause(&mut self, now: Moment, due: Due) {
-        let pause = limits::span(limits::PAUSE).times(1.0 - PAUSE_DRAWN * self.random.draw());
+        let pause = limits::span(limits::RETRY_BACKOFF).times(1.0 - PAUSE_DRAWN * self.random.draw());
         self.agenda.insert((now + pause, due));
     }
 
@@ -246,7 +246,7 @@
     fn renew_later(&mut self, now: Moment) {
         self.agenda.retain(|(_, due)| *due != Due::Renewal);
         if self.settings.deployment.list_pushed {
-            self.agenda.insert((now + limits::span(limits::RENEW_LIST), Due::Renewal));
+            self.agenda.insert((now + limits::span(limits::REGISTRY_RENEWAL_INTERVAL), Due::Renewal));
         }
     }
 
@@ -260,7 +260,7 @@
         self.found(Source::List);
         self.renew_later(now);
         let mut listings = self.listings(list);
-        let mut scope = if list.whole { ListScope::Whole } else { ListScope::Changes };
+        let mut scope = if list.is_complete { ListScope::Whole } else { ListScope::Changes };
         if list.version < self.list_version {
             // An agent that is behind can tell what is new to us, and takes nothing back: no replica that leaves
             // returns without a new start, and none is gone for being absent.
@@ -273,7 +273,7 @@
             listings.retain(|entry| !returns(entry));
             scope = ListScope::Changes;
             let since = *self.behind_since.get_or_insert(now);
-            if now - since >= limits::span(limits::BEHIND) {
+            if now - since >= limits::span(limits::REGISTRY_LAG_TIMEOUT) {
                 // It does not catch up: its count began anew.
                 (self.list_version, self.behind_since) = (0, None);
                 self.follow_list(now);
@@ -394,7 +394,7 @@
             replica: self.names.number(&entry.replica),
             machine: entry.machine.clone(),
             standing: entry.state.into(),
-            size: entry.size,
+            size: entry.weight,
             started: (entry.started_ms > 0).then(|| Moment::default() + Span::ms(entry.started_ms)),
             lot: known::lot(&entry.replica),
             share: self.share(&entry.replica),
@@ -417,35 +417,38 @@
     }
 
     fn news(&mut self, now: Moment, news: RelayEvent) {
-        if matches!(news, RelayEvent::Alive | RelayEvent::Left { .. } | RelayEvent::Revoked { .. }) {
+        if matches!(
+            news,
+            RelayEvent::Heartbeat | RelayEvent::ProxyLeft { .. } | RelayEvent::SliceRevoked { .. }
+        ) {
             self.end_snapshot(now);
         }
         match news {
-            RelayEvent::Begins => {
+            RelayEvent::SnapshotStarted => {
                 self.found(Source::RelayEvent);
                 self.snapshot = Snapshot::beginning();
                 self.first_given.clear();
             }
-            RelayEvent::Alive => {}
-            RelayEvent::Joined { proxy, bare } => {
+            RelayEvent::Heartbeat => {}
+            RelayEvent::ProxyJoined { proxy, has_no_table } => {
                 self.snapshot.joined(proxy);
                 self.proxies.insert(proxy);
-                self.policy.proxy_joined(now, proxy, bare);
+                self.policy.proxy_joined(now, proxy, has_no_table);
             }
-            RelayEvent::Left { proxy } => self.left(now, proxy),
-            RelayEvent::Acked { proxy, version } => {
+            RelayEvent::ProxyLeft { proxy } => self.left(now, proxy),
+            RelayEvent::Acknowledged { proxy, version } => {
                 self.outbox.acked(version);
                 self.policy.ack_received(now, proxy, version);
             }
-            RelayEvent::Granted { slice } => {
+            RelayEvent::SliceGranted { slice } => {
                 self.first_given.extend((!self.tables.contains_key(&slice)).then_some(slice));
                 self.snapshot.granted(now, slice);
             }
-            RelayEvent::Line { slice, replica, weight } => {
+            RelayEvent::EndpointSet { slice, replica, weight } => {
                 let line = (self.names.number(&replica), weight);
                 self.snapshot.line(now, slice, self.tables.get(&slice), line);
             }
-            RelayEvent::Revoked { slice } => self.revoked(now, slice),
+            RelayEvent::SliceRevoked { slice } => self.revoked(now, slice),
         }
     }
 
@@ -502,19 +505,19 @@
         ));
     }
 
-    fn answer(&mut self, now: Moment, outcome: Result<Answer, CallError>) {
+    fn answer(&mut self, now: Moment, outcome: Result<Response, RequestError>) {
         let sent = self.outbox.sent();
         let outcome = outcome.and_then(|answer| match answer {
-            Answer::Taken(many) if many > sent => {
+            Response::Accepted(many) if many > sent => {
                 let why = format!("{many} orders taken of {sent}");
-                Err(CallError::OutcomeUnknown(StreamError::Unreadable(why)))
+                Err(RequestError::OutcomeUnknown(StreamError::Unreadable(why)))
             }
             answer => Ok(answer),
         });
-        let may_be_done = !matches!(outcome, Ok(Answer::NotNow(_)) | Err(CallError::NotSent(_)));
+        let may_be_done = !matches!(outcome, Ok(Response::Retryable(_)) | Err(RequestError::NotSent(_)));
         let mut in_doubt = may_be_done && self.outbox.is_crossed();
         match outcome {
-            Ok(Answer::Taken(many)) => {
+            Ok(Response::Accepted(many)) => {
                 self.found(Source::Calls);
                 let refused = many == 0 && sent > 0;
                 if let Some(order) = self.outbox.taken(many) {
@@ -530,13 +533,13 @@
                 let version = self.outbox.version().filter(|_| refused);
                 version.into_iter().for_each(|version| self.policy.command_resent(now, version));
             }
-            Ok(Answer::Unusable(why)) => {
+            Ok(Response::Rejected(why)) => {
                 self.note(format!("a call is dropped, the relay can't use it: {why}"));
                 // Its orders stand in our tables and nowhere else.
                 in_doubt = true;
                 self.outbox.dropped();
             }
-            Ok(Answer::NotNow(why)) => self.failed(now, why, false),
+            Ok(Response::Retryable(why)) => self.failed(now, why, false),
             Err(why) => self.failed(now, why, may_be_done),
         }
         if in_doubt {
@@ -615,7 +618,11 @@
         self.weigh_again(now);
         let call = self.outbox.next();
         let relay = self.targets.relay;
-        self.effects.extend(call.map(|(line, afresh)| Effect::RelayRequest { relay, line, afresh }));
+        self.effects.extend(call.map(|(line, needs_new_connection)| Effect::RelayRequest {
+            relay,
+            line,
+            needs_new_connection,
+        }));
         let next = self.agenda.first().map(|(at, _)| *at).into_iter();
         let next = next.chain(self.snapshot.settles());
         let next = next.chain(self.overrides.as_ref().and_then(Overrides::due));
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -77,7 +77,7 @@
         let mean_latency = span(line.mean_latency_ms);
         let met = EndpointReport {
             zone,
-            covers: span(line.covers_ms),
+            covers: span(line.window_ms),
             attempts: line.attempts,
             failed: line.failed,
             mean_latency,
@@ -99,8 +99,8 @@
         // One that has just changed hands is still reported on for a while, and one of this number may never have been:
         // nobody's requests count for nothing.
         if self.tables.contains_key(&slice) {
-            let covers = span(line.covers_ms);
-            let asked = DemandReport { request_class, covers, came: line.came, failed: line.failed };
+            let covers = span(line.window_ms);
+            let asked = DemandReport { request_class, covers, came: line.requests, failed: line.failed };
             self.report(now, from, ReportBody::DemandReport { slice, asked }, line.missing);
         }
     }
--- a/crates/scale-tests/src/many/hollow.rs
+++ b/crates/scale-tests/src/many/hollow.rs
@@ -14,11 +14,11 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::{Message, Report as ReportLine};
 use whinwall_protocol::discovery::List;
-use whinwall_protocol::relay::{decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, Response};
 use whinwall_routing::known::Known;
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_settings::Settings;
-use whinwall_transport::{limits, CallError, ConnectionId, StreamError, Targets};
+use whinwall_transport::{limits, ConnectionId, RequestError, StreamError, Targets};
 
 /// The one connection that its reports come on.
 const COLLECTOR: ConnectionId = 1;
@@ -207,20 +207,21 @@
         let now = self.now();
         self.reach = Reach::Cut { left: self.around.plan.virtual_cut };
         self.enter_event();
-        let (news, list) = (Event::WatchLost(StreamError::Silent), Event::RegistryLost(StreamError::Silent));
-        self.news = Some(Waiting { gives_up: now + span(limits::NEWS_SILENCE), event: news });
-        self.list = Some(Waiting { gives_up: now + span(limits::LIST_SILENCE), event: list });
+        let (news, list) =
+            (Event::WatchLost(StreamError::TimedOut), Event::RegistryLost(StreamError::TimedOut));
+        self.news = Some(Waiting { gives_up: now + span(limits::RELAY_WATCH_IDLE_TIMEOUT), event: news });
+        self.list = Some(Waiting { gives_up: now + span(limits::REGISTRY_WATCH_IDLE_TIMEOUT), event: list });
     }
 
     /// Its region is back: what it waits for is reset, and it asks anew.
     pub fn reconnect(&mut self) {
         self.reach = Reach::Connected;
         self.enter_event();
-        let reset = || StreamError::Cut("reset".into());
+        let reset = || StreamError::Lost("reset".into());
         let mut events = Vec::new();
         events.extend(self.news.take().map(|_| Event::WatchLost(reset())));
         events.extend(self.list.take().map(|_| Event::RegistryLost(reset())));
-        events.extend(self.call.take().map(|_| Event::RelayReply(Err(CallError::NotSent(reset())))));
+        events.extend(self.call.take().map(|_| Event::RelayReply(Err(RequestError::NotSent(reset())))));
         self.turn(self.now(), events);
     }
 
@@ -331,8 +332,8 @@
             Effect::Pong { .. } => reached.push(Condition::Ponged),
             Effect::WakeAt(at) => self.wakes = self.wakes.min(at),
             Effect::WatchRelay { .. } if self.is_cut() => {
-                let event = Event::WatchLost(StreamError::Silent);
-                self.news = Some(Waiting { gives_up: after(limits::NEWS_ANSWER), event });
+                let event = Event::WatchLost(StreamError::TimedOut);
+                self.news = Some(Waiting { gives_up: after(limits::RELAY_WATCH_RESPONSE_TIMEOUT), event });
             }
             Effect::WatchRelay { .. } => {
                 self.news = None;
@@ -340,8 +341,8 @@
                 reached.push(Condition::NewsFrom(self.site));
             }
             Effect::WatchRegistry { .. } if self.is_cut() => {
-                let gives_up = after(limits::LIST_ANSWER * limits::DIALS as u32);
-                self.list = Some(Waiting { gives_up, event: Event::RegistryLost(StreamError::Silent) });
+                let gives_up = after(limits::REGISTRY_REQUEST_INTERVAL * limits::MAX_CONNECT_ATTEMPTS as u32);
+                self.list = Some(Waiting { gives_up, event: Event::RegistryLost(StreamError::TimedOut) });
             }
             // Beside a watch that is silent as well.
             Effect::RenewRegistryWatch { .. } if self.is_cut() => {}
@@ -354,8 +355,8 @@
                 reached.extend([Condition::ListFrom(self.site), Condition::ListVersion(self.told)]);
             }
             Effect::RelayRequest { .. } if self.is_cut() => {
-                let event = Event::RelayReply(Err(CallError::NotSent(StreamError::Silent)));
-                self.call = Some(Waiting { gives_up: after(limits::ANSWER), event });
+                let event = Event::RelayReply(Err(RequestError::NotSent(StreamError::TimedOut)));
+                self.call = Some(Waiting { gives_up: after(limits::RELAY_RESPONSE_TIMEOUT), event });
             }
             Effect::RelayRequest { line, .. } => {
                 events.extend(self.called(&line));
@@ -370,9 +371,9 @@
 
     fn called(&mut self, line: &str) -> Vec<Event> {
         let Some(applied) = self.store.apply(line) else {
-            return vec![Event::RelayReply(Ok(Answer::Unusable("bad_request".into())))];
+            return vec![Event::RelayReply(Ok(Response::Rejected("bad_request".into())))];
         };
-        let mut events = vec![Event::RelayReply(Ok(Answer::Taken(applied.orders)))];
+        let mut events = vec![Event::RelayReply(Ok(Response::Accepted(applied.orders)))];
         events.extend(self.news_lines(&applied.acks));
         events
     }
@@ -405,7 +406,7 @@
         if let Some(known) = self.reducer.known(Some(self.known.changes)) {
             self.known = known;
         }
-        let covers_ms = plan.hollow_report_period.as_secs_f64() * 1e3;
+        let window_ms = plan.hollow_report_period.as_secs_f64() * 1e3;
         let zones: Vec<_> = (0..plan.zones).map(|zone| plan.zone(zone)).collect();
         let hosts: Vec<_> = (0..plan.replicas).map(|replica| plan.replica(replica)).collect();
         let met = hosts.iter().enumerate().map(|(index, replica)| ReportLine::EndpointReport {
@@ -414,15 +415,15 @@
             attempts: 26.0,
             failed: 0.0,
             mean_latency_ms: 41.7,
-            covers_ms,
+            window_ms,
             missing: 0,
         });
         let asked = self.store.slices().map(|slice| ReportLine::DemandReport {
             slice,
             request_class: REQUEST_CLASS,
-            came: 4.0,
+            requests: 4.0,
             failed: 0.0,
-            covers_ms,
+            window_ms,
             missing: 0,
         });
         let lines = met.chain(asked).filter_map(|line| self.known.numbered(&line));
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -121,7 +121,7 @@
     let size = FleetSize::target();
     let lines = ReportShape::whole(&size).lines(&size, 0, &mut Draw::new(1));
     let before = thread_time()?;
-    let decode_all = || lines.iter().filter(|line| collector::quick(line).is_some()).count();
+    let decode_all = || lines.iter().filter(|line| collector::decode_report(line).is_some()).count();
     let decoded: usize = (0..size.zones).map(|_| decode_all()).sum();
     let took = thread_time()? - before;
     Some(took / decoded.max(1) as u32)
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -44,7 +44,7 @@
     let lines = ReportShape::whole(&size).lines(&size, 1, &mut Draw::new(7));
     assert_eq!(lines.len(), size.replicas + size.slices * size.classes);
     for line in &lines {
-        collector::quick(line).unwrap_or_else(|| panic!("{line} is no report"));
+        collector::decode_report(line).unwrap_or_else(|| panic!("{line} is no report"));
     }
     // What all zones tell of in a second is what comes to the fleet, within the spread of the draw.
     let told: f64 = (0..size.zones)
@@ -113,15 +113,15 @@
         }
     };
     let (whole, length) = next();
-    assert!(whole.whole && whole.entries.len() == size.replicas);
+    assert!(whole.is_complete && whole.entries.len() == size.replicas);
     assert_eq!(length, discovery.whole_list_bytes() + 1);
     let leaving = Listed { state: "leaving", started_ms: 0 };
     discovery.change([(3, leaving), (4, leaving)]);
     let (changes, _) = next();
-    assert!(!changes.whole && changes.entries.len() == 2 && changes.version == 2);
+    assert!(!changes.is_complete && changes.entries.len() == 2 && changes.version == 2);
     discovery.change_and_tell_all([(5, leaving)]);
     let (again, _) = next();
-    assert!(again.whole && again.entries.len() == size.replicas && again.version == 3);
+    assert!(again.is_complete && again.entries.len() == size.replicas && again.version == 3);
     assert_eq!(traffic.read().requests.bytes, request.len() as u64);
 }
 
@@ -134,7 +134,7 @@
     let mut body = vec![0; discovery.whole_list_bytes()];
     peer.reader.read_exact(&mut body).unwrap();
     let list = list::decode(std::str::from_utf8(&body).unwrap()).unwrap().unwrap();
-    assert!(list.whole && list.entries.len() == size.replicas);
+    assert!(list.is_complete && list.entries.len() == size.replicas);
 }
 
 #[test]
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,16 +1,24 @@
-//! Reads and writes lines, and knows nothing of what they say. All that is read goes into an inbox.
+//! Line-oriented connections: the listener of the program's own address, relay requests, and the watches of relay
+//! and registry. Nothing here knows what a line means; all that is read goes into one input queue.
 
-pub mod calls;
+#![warn(clippy::unwrap_used)]
+
+mod bounds;
+pub mod connection;
+mod error;
 pub mod framing;
 pub mod limits;
 pub mod listener;
-pub mod news;
-pub mod watch;
+pub mod registry_watch;
+pub mod relay_requests;
+pub mod relay_watch;
+
+pub use bounds::Bounds;
+pub use error::{RequestError, StreamError};
 
 use actix_rt::net::TcpStream;
 use futures_util::stream::FuturesUnordered;
 use futures_util::{FutureExt, StreamExt};
-use std::fmt;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::panic::AssertUnwindSafe;
@@ -18,161 +26,132 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit};
 use tokio::time::{timeout_at, Instant};
 
-/// Which of the connections to our own address.
+/// Identifies a connection to the program's own address.
 pub type ConnectionId = u64;
-/// Which of the attempts to follow the relay's news, or the list.
-pub type FollowId = u64;
+/// Identifies an attempt to watch the relay or the registry.
+pub type WatchId = u64;
 
-/// Where others are; a new configuration may name new addresses.
+/// The addresses of the other parties; a new configuration may name new ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Targets {
+    /// Discovery's address.
     pub discovery: SocketAddr,
+    /// The relay's address.
     pub relay: SocketAddr,
 }
 
+/// What arrived on one of the connections.
 #[derive(Debug)]
 pub enum Input {
-    /// At our own address, with the way back.
+    /// A line at the program's own address.
     Line {
+        /// Its connection.
         from: ConnectionId,
+        /// The line, without its end.
         line: String,
-        back: mpsc::Sender<Back>,
-        /// Its part of the memory for lines that wait; given back when it is dropped.
+        /// Commands for its connection.
+        back: mpsc::Sender<ConnectionCommand>,
+        /// Its part of the memory for queued lines, which is released with it.
         _weight: OwnedSemaphorePermit,
     },
-    /// It will say nothing more, and has said so many chunks.
-    Ended(ConnectionId, u64),
-    /// What is followed says something, or is no more.
-    RelayEvent(FollowId, Result<String, StreamError>),
-    List(FollowId, Result<String, StreamError>),
-    Answer(Result<String, CallError>),
-    /// The relay answers what nobody asked: an answer before may have been another call's.
-    Surplus,
+    /// A connection to the program's own address has ended, after so many chunks.
+    Disconnected(ConnectionId, u64),
+    /// A line of the relay watch, or why it ended.
+    WatchLine(WatchId, Result<String, StreamError>),
+    /// A line of the registry watch, or why it ended.
+    RegistryLine(WatchId, Result<String, StreamError>),
+    /// The relay's response to a request, or why there is none.
+    RelayResponse(Result<String, RequestError>),
+    /// The relay sent a line without a request: the response before it may have belonged to another request.
+    UnsolicitedResponse,
 }
 
-/// Which chunk of which connection, and when its last byte was read.
+/// Where a chunk comes from.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct ChunkInfo {
+    /// Its connection.
     pub from: ConnectionId,
+    /// Its number among the chunks of its connection, from 0.
     pub number: u64,
+    /// When its last byte was read.
     pub at: std::time::Instant,
+    /// Its size.
     pub bytes: usize,
 }
 
-/// Whole lines of one connection, as many as had arrived.
+/// Complete lines of one connection, as many as had arrived.
 #[derive(Debug)]
 pub struct Chunk {
-    pub told: Told,
+    /// Where it comes from.
+    pub info: ChunkInfo,
+    /// The lines, each with its end.
     pub lines: bytes::Bytes,
-    pub back: mpsc::Sender<Back>,
-    /// Its part of the memory for lines that wait.
+    /// Commands for its connection.
+    pub back: mpsc::Sender<ConnectionCommand>,
+    /// Its part of the memory for queued lines.
     pub weight: OwnedSemaphorePermit,
 }
 
-/// What is to be done at one of the connections to our own address.
+/// What is to be done at a connection to the program's own address.
 #[derive(Debug)]
-pub enum Back {
-    Say(String),
-    /// It is let go, after a last word or without one.
-    End(Option<String>),
-    /// It has joined, and may stay.
-    Keep,
-}
-
-pub type Inbox = mpsc::Sender<Input>;
-
-/// Why a connection is no more.
-#[derive(Clone, Debug, PartialEq)]
-pub enum StreamError {
-    Unreachable(String),
-    Silent,
-    Closed,
-    /// In the middle, by the network.
-    Cut(String),
-    /// It goes on with what is no line, or says nothing: what it said before is to be doubted too.
-    Unreadable(String),
-    /// Our own fault, which must cost no more than the connection.
-    Panicked,
-}
-
-/// How far a call had come when it failed.
-#[derive(Clone, Debug, PartialEq)]
-pub enum CallError {
-    /// Its last byte was not written: it was not carried out.
-    NotSent(StreamError),
-    /// It may have been carried out.
-    OutcomeUnknown(StreamError),
-}
-
-impl From<std::io::Error> for StreamError {
-    fn from(why: std::io::Error) -> Self {
-        match why.kind() {
-            std::io::ErrorKind::InvalidData => StreamError::Unreadable(why.to_string()),
-            _ => StreamError::Cut(why.to_string()),
-        }
-    }
+pub enum ConnectionCommand {
+    /// Send a line.
+    Send(String),
+    /// Send a line that states the reason, where there is one, and close.
+    Close(Option<String>),
+    /// The peer is authenticated, and its connection stays open.
+    Admit,
 }
 
-impl fmt::Display for StreamError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            StreamError::Unreachable(why) => write!(f, "out of reach ({why})"),
-            StreamError::Silent => f.write_str("silent"),
-            StreamError::Closed => f.write_str("closed by the other side"),
-            StreamError::Cut(why) => write!(f, "cut off ({why})"),
-            StreamError::Unreadable(why) => write!(f, "unreadable ({why})"),
-            StreamError::Panicked => f.write_str("lost by a panic of ours"),
-        }
-    }
-}
-
-impl fmt::Display for CallError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            CallError::NotSent(why) => write!(f, "not sent, {why}"),
-            CallError::OutcomeUnknown(why) => write!(f, "outcome unknown, {why}"),
-        }
-    }
-}
+/// Takes all that arrives.
+pub type InputSender = mpsc::Sender<Input>;
 
-/// A panic stops at the connection on which it happened.
+/// Keeps a panic to the connection on which it happened.
 async fn contained<T>(work: impl Future<Output = T>) -> Result<T, StreamError> {
     AssertUnwindSafe(work).catch_unwind().await.map_err(|_| StreamError::Panicked)
 }
 
-async fn within<T>(most: Duration, work: impl Future<Output = T>) -> Result<T, StreamError> {
-    actix_rt::time::timeout(most, work).await.map_err(|_| StreamError::Silent)
+async fn within<T>(timeout: Duration, work: impl Future<Output = T>) -> Result<T, StreamError> {
+    actix_rt::time::timeout(timeout, work).await.map_err(|_| StreamError::TimedOut)
 }
 
-/// The first of several attempts that succeeds. Another begins each so often while those before go on: what was
-/// lost on its way is made up for at once, and what takes long each time is not begun anew for ever.
+/// The result of the first of several attempts that succeeds. Another attempt starts at each interval while those
+/// before go on: what was lost on its way is made up for at once, and what is slow is not restarted for ever.
+///
+/// # Errors
+///
+/// Fails with the last error where all attempts so far failed, and with `TimedOut` after the last interval.
 pub async fn earliest<T>(
-    every: Duration,
-    most: usize,
+    interval: Duration,
+    max_attempts: usize,
     attempt: impl AsyncFn() -> Result<T, StreamError>,
 ) -> Result<T, StreamError> {
     let mut attempts = FuturesUnordered::new();
-    for _ in 0..most {
+    for _ in 0..max_attempts {
         attempts.push(attempt());
-        let next = Instant::now() + every;
+        let next = Instant::now() + interval;
         while let Ok(done) = timeout_at(next, attempts.next()).await {
             match done {
-                Some(Err(why)) if attempts.is_empty() => return Err(why),
+                Some(Err(error)) if attempts.is_empty() => return Err(error),
                 Some(Err(_)) => {}
                 Some(done) => return done,
                 None => break,
             }
         }
     }
-    Err(StreamError::Silent)
+    Err(StreamError::TimedOut)
 }
 
-/// Dials until one attempt succeeds, for a bounded time.
-pub async fn connect(to: SocketAddr) -> Result<TcpStream, StreamError> {
-    let unreachable = |why: std::io::Error| StreamError::Unreachable(why.to_string());
-    let dial = async || TcpStream::connect(to).await.map_err(unreachable);
-    let stream = earliest(limits::CONNECT, limits::DIALS, dial).await?;
-    // A call is one small write: nothing is to wait for more to fill a packet.
+/// Connects, with several attempts, for a bounded time.
+///
+/// # Errors
+///
+/// Fails where no attempt succeeds.
+pub async fn connect(address: SocketAddr) -> Result<TcpStream, StreamError> {
+    let unreachable = |error: std::io::Error| StreamError::Unreachable(error.to_string());
+    let connect_once = async || TcpStream::connect(address).await.map_err(unreachable);
+    let stream = earliest(limits::CONNECT_RETRY_INTERVAL, limits::MAX_CONNECT_ATTEMPTS, connect_once).await?;
+    // A request is one small write: nothing is to wait for more to fill a packet.
     stream.set_nodelay(true).map_err(unreachable)?;
     Ok(stream)
 }
