--- a/crates/aggregation/src/aggregator/fleet.rs
+++ b/crates/aggregation/src/aggregator/fleet.rs
@@ -67,7 +67,7 @@
                 id: &entry.replica,
                 zone: &entry.zone,
                 group: &entry.machine,
-                weight: entry.size,
+                weight: entry.weight,
             })
             .collect();
         let assignment = self.planner.assign(&replicas);
--- a/crates/routing/src/known.rs
+++ b/crates/routing/src/known.rs
@@ -48,19 +48,19 @@
                 attempts,
                 failed,
                 mean_latency_ms,
-                covers_ms,
+                window_ms,
                 missing: 0,
             } => {
                 let (zone, replica) = (self::zone(&self.zones, zone)?, *self.replicas.get(replica)?);
-                let (covers, mean_latency) = (span(covers_ms), span(mean_latency_ms));
+                let (covers, mean_latency) = (span(window_ms), span(mean_latency_ms));
                 let met = EndpointReport { zone, window: covers, attempts, failed, mean_latency };
                 Some(ReportBody::Endpoint { replica, report: met, latest_latency: mean_latency })
             }
-            Report::DemandReport { slice, request_class, came, failed, covers_ms, missing: 0 } => {
+            Report::DemandReport { slice, request_class, requests, failed, window_ms, missing: 0 } => {
                 let asked = DemandReport {
                     request_class: self.request_class(request_class)?,
-                    window: span(covers_ms),
-                    requests: came,
+                    window: span(window_ms),
+                    requests,
                     failed,
                 };
                 Some(ReportBody::Demand { slice, report: asked })
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -77,7 +77,7 @@
         let mean_latency = span(line.mean_latency_ms);
         let met = EndpointReport {
             zone,
-            window: span(line.covers_ms),
+            window: span(line.window_ms),
             attempts: line.attempts,
             failed: line.failed,
             mean_latency,
@@ -99,9 +99,9 @@
         // One that has just changed hands is still reported on for a while, and one of this number may never have been:
         // nobody's requests count for nothing.
         if self.tables.contains_key(&slice) {
-            let covers = span(line.covers_ms);
+            let covers = span(line.window_ms);
             let asked =
-                DemandReport { request_class, window: covers, requests: line.came, failed: line.failed };
+                DemandReport { request_class, window: covers, requests: line.requests, failed: line.failed };
             self.report(now, from, ReportBody::Demand { slice, report: asked }, line.missing);
         }
     }
