--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -95,7 +95,7 @@
                 self.collector_joined(now, connection, zone, &mut effects);
             }
             Event::ReportReceived { connection, report } => {
-                self.add_report(now, connection, report, &mut effects)
+                self.add_report(now, connection, report, &mut effects);
             }
             Event::ConnectionEnded(connection) => {
                 effects.extend(self.coverage.end(connection).map(Effect::Log));
@@ -105,7 +105,7 @@
             Event::RegistryLost => self.watch_registry_at = Some(now + limits::RETRY),
             Event::HeartbeatReceived(heartbeat) => self.receive_heartbeat(now, heartbeat, &mut effects),
             Event::ControllerConnected(controller) => {
-                self.controller_connected(now, controller, &mut effects)
+                self.controller_connected(now, controller, &mut effects);
             }
             Event::ControllerAnswered(controller) => {
                 self.feeds.get_mut(controller).into_iter().for_each(|feed| feed.answered = now);
--- a/crates/aggregation/src/configuration.rs
+++ b/crates/aggregation/src/configuration.rs
@@ -65,6 +65,10 @@
 
 impl Configuration {
     /// Checks the members and the budget of an aggregator called `own`.
+    ///
+    /// # Errors
+    ///
+    /// Where names or slices do not fit together, or the budget, in bytes a second, does not hold one line.
     pub fn new(
         own: &str,
         parameters: Parameters,
--- a/crates/aggregation/src/coverage.rs
+++ b/crates/aggregation/src/coverage.rs
@@ -60,6 +60,10 @@
     }
 
     /// A collector reports.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection has not named its zone.
     pub fn heard(
         &mut self,
         now: Moment,
--- a/crates/aggregation/src/program/configuration.rs
+++ b/crates/aggregation/src/program/configuration.rs
@@ -18,7 +18,7 @@
 
 /// Why the file can't be used.
 #[derive(Debug, Error)]
-pub enum Unusable {
+pub enum ConfigurationFileError {
     /// It can't be read.
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
@@ -37,16 +37,20 @@
 }
 
 /// Reads the file, for the aggregator of this name.
-pub fn read(path: &Path, own: &str) -> Result<Members, Unusable> {
+///
+/// # Errors
+///
+/// Where the file can't be read, is invalid, or does not name this aggregator.
+pub fn read(path: &Path, own: &str) -> Result<Members, ConfigurationFileError> {
     if std::fs::metadata(path)?.len() > LARGEST as u64 {
-        return Err(Unusable::TooLarge);
+        return Err(ConfigurationFileError::TooLarge);
     }
     let text = std::fs::read_to_string(path)?;
-    let file = file::read(&text).map_err(Unusable::Faulty)?;
-    members(file.subsetting.ok_or(Unusable::NoSubsetting)?, own)
+    let file = file::read(&text).map_err(ConfigurationFileError::Faulty)?;
+    members(file.subsetting.ok_or(ConfigurationFileError::NoSubsetting)?, own)
 }
 
-fn members(subsetting: SubsettingConfig, own: &str) -> Result<Members, Unusable> {
+fn members(subsetting: SubsettingConfig, own: &str) -> Result<Members, ConfigurationFileError> {
     let parameters = subsetting.parameters();
     let names: Vec<_> = subsetting.aggregators.iter().map(|member| member.name.clone()).collect();
     let controllers = subsetting.controllers.into_iter();
--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -1,10 +1,14 @@
-//! The loop: what arrives becomes events, what the reducer asks for is done.
+//! The event loop: what arrives becomes events of the reducer, and its effects are carried out.
+
+mod lines;
 
 use super::configuration::{self, Members};
-use super::controllers::{Happened, Links};
-use super::metrics::{self, Figures, Shared, Traffic};
-use super::peers::Senders;
+use super::controller_connections::{ConnectionEvent, ControllerConnections};
+use super::error::ServeError;
+use super::metrics::{self, Metrics, SharedMetrics, Traffic};
+use super::peer_connections::PeerConnections;
 use actix_rt::net::TcpListener;
+use lines::Sender;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,179 +22,186 @@
 use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_aggregation::wire;
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::collector::{self, Message, Reply, Report};
-use whinwall_protocol::{discovery, InvalidMessage};
+use whinwall_protocol::discovery;
 use whinwall_runtime::clock::Clock;
 use whinwall_runtime::signals::{Signal, Signals};
 use whinwall_runtime::task::Task;
-use whinwall_transport::{limits, listener, registry_watch, ConnectionCommand, Input, InputSender, WatchId};
+use whinwall_transport::{limits, listener, registry_watch, Bounds, Input, InputSender, WatchId};
 
-/// Connections to our address: collectors of all zones and the other aggregators, each more than once.
-const CONNECTIONS: usize = 512;
-/// What lines that lack their end may take in memory, and those that wait for the loop as much again.
-const LINE_BYTES: usize = 16 << 20;
-/// A line to the log on what is so.
-const SUMMARY_EACH: Span = Span::ms(60_000);
+/// Connections to the listener: collectors of all zones and the other aggregators, each more than once.
+const MAX_CONNECTIONS: usize = 512;
+/// Memory for lines that lack their end, and as much again for lines that wait for the event loop, in bytes.
+const MAX_LINE_BYTES: usize = 16 << 20;
+/// How often the log gets a summary.
+const SUMMARY_INTERVAL: Span = Span::ms(60_000);
 
-/// What the program starts with.
-pub struct Start {
+/// What the program is started with.
+pub struct AggregatorConfig {
+    /// The operators' file.
     pub operators: PathBuf,
+    /// This aggregator's name in the file.
     pub name: String,
+    /// Where collectors and the other aggregators connect.
     pub listen: SocketAddr,
+    /// Discovery's agent.
     pub discovery: SocketAddr,
+    /// The zone that report lines name.
     pub zone: Option<String>,
+    /// Where metrics are served.
     pub metrics: Option<SocketAddr>,
+    /// What the file says.
     pub members: Members,
 }
 
-/// The line that is being taken, with the way back.
-struct Speaker<'a> {
-    id: ConnectionId,
-    back: &'a mpsc::Sender<ConnectionCommand>,
-}
-
-struct Loop {
+struct EventLoop {
     clock: Clock,
     aggregator: Aggregator,
-    links: Links,
-    senders: Senders,
-    client: awc::Client,
+    controllers: ControllerConnections,
+    peers: PeerConnections,
+    http_client: awc::Client,
     discovery: SocketAddr,
-    inbox: InputSender,
-    follows: WatchId,
-    watch: Option<Task>,
-    /// Connections that may stay: collectors and peers. Bounded by the listener, ends with the connection.
-    joined: BTreeSet<ConnectionId>,
+    registry_lines: InputSender,
+    /// The latest registry watch; what a former one still says is ignored.
+    watch_id: WatchId,
+    registry_watch: Option<Task>,
+    /// Connections that may stay: collectors and peers. Bounded by the listener; an entry ends with its connection.
+    admitted: BTreeSet<ConnectionId>,
     traffic: Traffic,
-    figures: Shared,
+    metrics: SharedMetrics,
     next_summary: Moment,
 }
 
-/// Serves until a signal ends it.
-pub async fn serve(start: Start, mut signals: Signals) -> Result<&'static str, String> {
-    let listener = TcpListener::bind(start.listen).await;
-    let listener = listener.map_err(|why| format!("listen: {}: {why}", start.listen))?;
-    let address = listener.local_addr().map_err(|why| why.to_string())?;
-    // Two inboxes, so that whoever floods our address does not delay discovery.
-    let (inbox, mut lists) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
-    let (at_door, mut lines) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
-    let here = listener::LocalReader {
-        bounds: whinwall_transport::Bounds::new(CONNECTIONS, LINE_BYTES),
-        inputs: at_door,
-    };
-    let _door = Task::spawn(listener::listen(Rc::new(listener), here.bounds.clone(), here));
-    let figures = Shared::default();
-    let _metrics = start.metrics.map(|address| Task::spawn(serve_metrics(address, figures.clone())));
-    let mut turn = Loop::new(&start, inbox, figures);
-    tracing::info!("aggregator {} serves at {address}", start.name);
+/// Serves until a signal ends it, and returns the signal's name.
+///
+/// # Errors
+///
+/// Where the address can't be listened at.
+pub async fn serve(config: AggregatorConfig, mut signals: Signals) -> Result<&'static str, ServeError> {
+    let listener = TcpListener::bind(config.listen).await;
+    let listener = listener.map_err(|source| ServeError::Listen { address: config.listen, source })?;
+    let address = listener.local_addr().map_err(ServeError::LocalAddress)?;
+    // Two queues, so that a flood at the listener does not delay discovery.
+    let (registry_lines, mut from_registry) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
+    let (listener_lines, mut from_listener) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
+    let bounds = Bounds::new(MAX_CONNECTIONS, MAX_LINE_BYTES);
+    let reader = listener::LocalReader { bounds: bounds.clone(), inputs: listener_lines };
+    let _listener = Task::spawn(listener::listen(Rc::new(listener), bounds, reader));
+    let metrics = SharedMetrics::default();
+    let _metrics = config.metrics.map(|address| Task::spawn(serve_metrics(address, metrics.clone())));
+    let mut event_loop = EventLoop::new(&config, registry_lines, metrics);
+    tracing::info!("aggregator {} serves at {address}", config.name);
     let mut ticks = interval(Duration::from_nanos(TICK.as_ns()));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
         tokio::select! {
             biased;
             signal = signals.come() => match signal {
-                Signal::End(why) => return Ok(why),
-                Signal::ReadAnew => turn.read_anew(&start),
+                Signal::End(name) => return Ok(name),
+                Signal::ReadAnew => event_loop.reload(&config),
             },
-            _ = ticks.tick() => turn.tick(),
-            (controller, happened) = turn.links.happens() => turn.link(&controller, happened),
-            Some(input) = lists.recv() => turn.input(input),
-            Some(input) = lines.recv() => turn.take_all(input, &mut lines),
+            _ = ticks.tick() => event_loop.tick(),
+            (controller, event) = event_loop.controllers.next_event() => {
+                event_loop.controller_event(&controller, event);
+            }
+            Some(input) = from_registry.recv() => event_loop.input(input),
+            Some(input) = from_listener.recv() => event_loop.drain(input, &mut from_listener),
         }
     }
 }
 
-async fn serve_metrics(address: SocketAddr, figures: Shared) {
-    if let Err(why) = metrics::serve(address, figures).await {
-        tracing::error!("{why}");
+async fn serve_metrics(address: SocketAddr, metrics: SharedMetrics) {
+    if let Err(error) = metrics::serve(address, metrics).await {
+        tracing::error!("{error}");
     }
 }
 
-impl Loop {
-    fn new(start: &Start, inbox: InputSender, figures: Shared) -> Self {
+impl EventLoop {
+    fn new(config: &AggregatorConfig, registry_lines: InputSender, metrics: SharedMetrics) -> Self {
         let clock = Clock::start();
-        let configuration = start.members.configuration.clone();
-        let aggregator = Aggregator::new(clock.now(), configuration, start.zone.clone());
-        let mut senders = Senders::none();
-        senders.configure(&start.members.peers);
-        Loop {
+        let configuration = config.members.configuration.clone();
+        let aggregator = Aggregator::new(clock.now(), configuration, config.zone.clone());
+        let mut peers = PeerConnections::default();
+        peers.configure(&config.members.peers);
+        EventLoop {
             clock,
             aggregator,
-            links: Links::none(),
-            senders,
-            client: awc::Client::builder().disable_timeout().finish(),
-            discovery: start.discovery,
-            inbox,
-            follows: 0,
-            watch: None,
-            joined: BTreeSet::new(),
+            controllers: ControllerConnections::new(),
+            peers,
+            http_client: awc::Client::builder().disable_timeout().finish(),
+            discovery: config.discovery,
+            registry_lines,
+            watch_id: 0,
+            registry_watch: None,
+            admitted: BTreeSet::new(),
             traffic: Traffic::default(),
-            figures,
-            next_summary: clock.now() + SUMMARY_EACH,
+            metrics,
+            next_summary: clock.now() + SUMMARY_INTERVAL,
         }
     }
 
-    fn read_anew(&mut self, start: &Start) {
-        match configuration::read(&start.operators, &start.name) {
+    fn reload(&mut self, config: &AggregatorConfig) {
+        match configuration::read(&config.operators, &config.name) {
             Ok(members) => {
-                tracing::info!("the file is read anew");
-                self.senders.configure(&members.peers);
+                tracing::info!("configuration reloaded");
+                self.peers.configure(&members.peers);
                 self.apply(Event::Configured(members.configuration));
             }
-            Err(why) => tracing::error!("configuration: {why}; the former one stays"),
+            Err(reason) => tracing::error!(%reason, "configuration rejected, the former one stays"),
         }
     }
 
     fn tick(&mut self) {
         self.apply(Event::Tick);
-        self.traffic.batches_dropped = self.links.dropped;
+        self.traffic.batches_dropped = self.controllers.dropped_batches;
         let (traffic, counters) = (self.traffic, self.aggregator.counters());
         let status = self.aggregator.status();
-        *self.figures.borrow_mut() = Figures { traffic, counters, status };
+        *self.metrics.borrow_mut() = Metrics { traffic, counters, status };
         if self.clock.now() >= self.next_summary {
-            self.next_summary = self.clock.now() + SUMMARY_EACH;
+            self.next_summary = self.clock.now() + SUMMARY_INTERVAL;
             tracing::info!(
-                "{} of {} governors connected, {} peers, {} of {} zones missing, {} replicas, {} lines in, {} out",
-                status.controllers_connected,
-                status.controllers_owned,
-                status.peers_alive,
-                status.zones_missing,
-                status.zones,
-                status.replicas,
-                traffic.lines_in,
-                counters.lines_sent
+                controllers_connected = status.controllers_connected,
+                controllers_owned = status.controllers_owned,
+                peers_alive = status.peers_alive,
+                zones_missing = status.zones_missing,
+                zones = status.zones,
+                replicas = status.replicas,
+                lines_in = traffic.lines_in,
+                lines_out = counters.lines_sent,
+                "summary"
             );
         }
     }
 
-    fn link(&mut self, controller: &str, happened: Happened) {
-        self.apply(match happened {
-            Happened::Connected => Event::ControllerConnected(controller),
-            Happened::Answered => Event::ControllerAnswered(controller),
-            Happened::Lost => Event::ControllerLost(controller),
+    fn controller_event(&mut self, controller: &str, event: ConnectionEvent) {
+        self.apply(match event {
+            ConnectionEvent::Connected => Event::ControllerConnected(controller),
+            ConnectionEvent::Answered => Event::ControllerAnswered(controller),
+            ConnectionEvent::Lost => Event::ControllerLost(controller),
         });
     }
 
-    /// No more than fit in the inbox at once: ticks are due meanwhile.
-    fn take_all(&mut self, first: Input, lines: &mut Receiver<Input>) {
+    /// Takes no more than what the queue holds at once: ticks are due meanwhile.
+    fn drain(&mut self, first: Input, queue: &mut Receiver<Input>) {
         self.input(first);
         for _ in 0..limits::MAX_QUEUED_INPUTS {
-            let Ok(input) = lines.try_recv() else { return };
+            let Ok(input) = queue.try_recv() else { return };
             self.input(input);
         }
     }
 
     fn input(&mut self, input: Input) {
         match input {
-            Input::Line { from, line, back, .. } => self.line(&Speaker { id: from, back: &back }, &line),
-            Input::Disconnected(id, _) => {
-                self.joined.remove(&id);
-                self.apply(Event::ConnectionEnded(id));
+            Input::Line { from, line, back, .. } => {
+                self.line(&Sender { connection: from, commands: &back }, &line);
             }
-            Input::RegistryLine(id, _) if id != self.follows => {}
-            Input::RegistryLine(_, Ok(line)) => self.list(&line),
-            Input::RegistryLine(_, Err(why)) => {
-                tracing::warn!("discovery's watch: {why}");
+            Input::Disconnected(connection, _) => {
+                self.admitted.remove(&connection);
+                self.apply(Event::ConnectionEnded(connection));
+            }
+            Input::RegistryLine(id, _) if id != self.watch_id => {}
+            Input::RegistryLine(_, Ok(line)) => self.registry_line(&line),
+            Input::RegistryLine(_, Err(reason)) => {
+                tracing::warn!(%reason, "registry watch lost");
                 self.apply(Event::RegistryLost);
             }
             // Aggregators have no relay.
@@ -198,127 +209,51 @@
         }
     }
 
-    fn list(&mut self, line: &str) {
+    fn registry_line(&mut self, line: &str) {
         match discovery::decode(line) {
             Ok(Some(list)) => self.apply(Event::RegistryListed(list)),
             Ok(None) => self.apply(Event::RegistryAlive),
-            Err(why) => {
-                tracing::warn!("discovery's watch: {why}");
-                self.watch = None;
+            Err(reason) => {
+                tracing::warn!(%reason, "registry watch lost");
+                self.registry_watch = None;
                 self.apply(Event::RegistryLost);
             }
         }
     }
 
-    fn line(&mut self, speaker: &Speaker, line: &str) {
-        self.traffic.lines_in += 1;
-        self.traffic.bytes_in += line.len() as u64 + 1;
-        if let Some(report) = collector::decode_report(line) {
-            return self.report(speaker, report);
-        }
-        match collector::decode_with_diagnosis(line) {
-            Ok(Message::Ping) => say(speaker, ConnectionCommand::Send(collector::encode(Reply::Pong))),
-            Ok(Message::Source { zone }) => {
-                self.keep(speaker);
-                let joined = Event::CollectorJoined { connection: speaker.id, zone: &zone };
-                self.apply_for(joined, Some(speaker));
-            }
-            Ok(Message::EndpointReport(met)) => self.report(
-                speaker,
-                Report::EndpointReport {
-                    zone: &met.zone,
-                    replica: &met.replica,
-                    attempts: met.attempts,
-                    failed: met.failed,
-                    mean_latency_ms: met.mean_latency_ms,
-                    window_ms: met.window_ms,
-                    missing: met.missing,
-                },
-            ),
-            Ok(Message::DemandReport(asked)) => self.report(
-                speaker,
-                Report::DemandReport {
-                    slice: asked.slice,
-                    request_class: &asked.request_class,
-                    requests: asked.requests,
-                    failed: asked.failed,
-                    window_ms: asked.window_ms,
-                    missing: asked.missing,
-                },
-            ),
-            Ok(Message::Unknown) => match wire::decode_heartbeat(line) {
-                Some(heartbeat) if self.aggregator.has_peer(&heartbeat.name) => {
-                    self.keep(speaker);
-                    self.apply(Event::HeartbeatReceived(heartbeat));
-                }
-                _ => self.pass_over(speaker),
-            },
-            Err(InvalidMessage::Malformed(_)) => self.pass_over(speaker),
-            Err(InvalidMessage::Unreadable(_)) => {
-                self.traffic.lines_spoilt += 1;
-                say(speaker, ConnectionCommand::Close(None));
-            }
-        }
-    }
-
-    fn report(&mut self, speaker: &Speaker, report: Report) {
-        self.apply_for(Event::ReportReceived { connection: speaker.id, report }, Some(speaker));
-    }
-
-    fn keep(&mut self, speaker: &Speaker) {
-        if self.joined.insert(speaker.id) {
-            say(speaker, ConnectionCommand::Admit);
-        }
-    }
-
-    /// A line that is spoilt changes nothing; whoever has not joined goes.
-    fn pass_over(&mut self, speaker: &Speaker) {
-        self.traffic.lines_spoilt += 1;
-        if !self.joined.contains(&speaker.id) {
-            refuse(speaker);
-        }
-    }
-
     fn apply(&mut self, event: Event) {
         self.apply_for(event, None);
     }
 
-    fn apply_for(&mut self, event: Event, speaker: Option<&Speaker>) {
+    /// Applies an event of the connection that `sender` speaks on.
+    fn apply_for(&mut self, event: Event, sender: Option<&Sender>) {
         for effect in self.aggregator.apply(self.clock.now(), event) {
-            self.carry_out(effect, speaker);
+            self.carry_out(effect, sender);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, speaker: Option<&Speaker>) {
+    fn carry_out(&mut self, effect: Effect, sender: Option<&Sender>) {
         match effect {
-            Effect::Connect { controller, address } => self.links.connect(&controller, address),
-            Effect::Disconnect { controller } => self.links.disconnect(&controller),
+            Effect::Connect { controller, address } => self.controllers.connect(&controller, address),
+            Effect::Disconnect { controller } => self.controllers.disconnect(&controller),
             Effect::Send { controller, lines } => {
-                if !self.links.send(&controller, lines) {
+                if !self.controllers.send(&controller, lines) {
                     self.apply(Event::ControllerLost(&controller));
                 }
             }
-            Effect::SendHeartbeat(heartbeat) => self.senders.send(wire::heartbeat(&heartbeat)),
-            // It answers an event of that connection, always.
-            Effect::RefuseCollector(_) => speaker.into_iter().for_each(refuse),
-            Effect::FollowRegistry { since } => {
-                self.follows += 1;
-                let url = format!("http://{}{}", self.discovery, discovery::watch_path(since));
-                let (client, inbox) = (self.client.clone(), self.inbox.clone());
-                self.watch = Some(Task::spawn(registry_watch::follow(self.follows, client, url, inbox)));
-            }
-            Effect::Log(note) if note.is_warning() => tracing::warn!("{note}"),
-            Effect::Log(note) => tracing::info!("{note}"),
+            Effect::SendHeartbeat(heartbeat) => self.peers.send(wire::heartbeat(&heartbeat)),
+            // It is always the effect of an event of that connection.
+            Effect::RefuseCollector(_) => sender.into_iter().for_each(Sender::refuse),
+            Effect::FollowRegistry { since } => self.watch_registry(since),
+            Effect::Log(event) if event.is_warning() => tracing::warn!("{event}"),
+            Effect::Log(event) => tracing::info!("{event}"),
         }
     }
-}
 
-/// What finds no room is for somebody who reads no answers.
-fn say(speaker: &Speaker, back: ConnectionCommand) {
-    _ = speaker.back.try_send(back);
-}
-
-fn refuse(speaker: &Speaker) {
-    let nack = Reply::Nack { why: "of no use from whoever has not joined" };
-    say(speaker, ConnectionCommand::Close(Some(collector::encode(nack))));
+    fn watch_registry(&mut self, since: u64) {
+        self.watch_id += 1;
+        let url = format!("http://{}{}", self.discovery, discovery::watch_path(since));
+        let (client, lines) = (self.http_client.clone(), self.registry_lines.clone());
+        self.registry_watch = Some(Task::spawn(registry_watch::follow(self.watch_id, client, url, lines)));
+    }
 }
--- a/crates/aggregation/src/program/metrics.rs
+++ b/crates/aggregation/src/program/metrics.rs
@@ -1,5 +1,6 @@
 //! Metrics in Prometheus' text form, over HTTP on a loopback address.
 
+use super::error::MetricsError;
 use actix_http::{HttpService, Request, Response};
 use actix_rt::net::TcpListener;
 use actix_service::{Service, ServiceFactory};
@@ -15,7 +16,7 @@
 use whinwall_aggregation::status::{Counters, Status};
 
 /// Before the next connection is taken, after one that could not be.
-const PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the process counts beside the reducer.
 #[derive(Clone, Copy, Debug, Default)]
@@ -32,20 +33,20 @@
 
 /// All that is shown.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Figures {
-    /// The process's.
+pub struct Metrics {
+    /// Of the process.
     pub traffic: Traffic,
-    /// The reducer's.
+    /// Of the reducer.
     pub counters: Counters,
-    /// What is so now.
+    /// Current values.
     pub status: Status,
 }
 
-/// The latest figures, shared with who serves them.
-pub type Shared = Rc<RefCell<Figures>>;
+/// The latest metrics, shared with the HTTP service.
+pub type SharedMetrics = Rc<RefCell<Metrics>>;
 
-fn text(figures: &Figures) -> String {
-    let Figures { traffic, counters, status } = *figures;
+fn text(metrics: &Metrics) -> String {
+    let Metrics { traffic, counters, status } = *metrics;
     let mut registry = Registry::with_prefix("whinwall_aggregator");
     let counts = [
         ("lines_in", "Lines that came", traffic.lines_in),
@@ -70,7 +71,7 @@
         counter.inc_by(count);
         registry.register(name, help, counter);
     }
-    let levels = [
+    let gauges = [
         ("ready", "Whether it passes reports on", usize::from(status.ready)),
         ("governors_owned", "Governors that are its to serve", status.controllers_owned),
         ("governors_connected", "Governors that it is connected to", status.controllers_connected),
@@ -81,9 +82,9 @@
         ("series", "Series held", status.series),
         ("registry_version", "The version of the list", status.registry_version as usize),
     ];
-    for (name, help, level) in levels {
+    for (name, help, value) in gauges {
         let gauge: Gauge = Gauge::default();
-        gauge.set(level as i64);
+        gauge.set(value as i64);
         registry.register(name, help, gauge);
     }
     let mut text = String::new();
@@ -92,25 +93,29 @@
     text
 }
 
-/// Serves the figures for ever; the error says why that can't begin.
-pub async fn serve(address: SocketAddr, figures: Shared) -> Result<(), String> {
-    let wrong = |why: &dyn std::fmt::Display| format!("metrics: {address}: {why}");
-    let listener = TcpListener::bind(address).await.map_err(|why| wrong(&why))?;
-    let bound = listener.local_addr().map_err(|why| wrong(&why))?;
+/// Serves the metrics for ever.
+///
+/// # Errors
+///
+/// Where the address can't be listened at.
+pub async fn serve(address: SocketAddr, metrics: SharedMetrics) -> Result<(), MetricsError> {
+    let listen_error = |source| MetricsError::Listen { address, source };
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    let bound = listener.local_addr().map_err(listen_error)?;
     tracing::info!("metrics at {bound}");
     let answer = move |request: Request| {
         let response = match request.path() {
-            "/metrics" => Response::ok().set_body(text(&figures.borrow())),
+            "/metrics" => Response::ok().set_body(text(&metrics.borrow())),
             _ => Response::not_found().set_body(String::new()),
         };
         async { Ok::<_, Infallible>(response) }
     };
     let service = HttpService::build().h1(answer).new_service(()).await;
-    let service = service.map_err(|()| wrong(&"no service"))?;
+    let service = service.map_err(|()| MetricsError::Service(address))?;
     loop {
         match listener.accept().await {
             Ok((stream, from)) => _ = actix_rt::spawn(service.call((stream, Some(from)))),
-            Err(_) => actix_rt::time::sleep(PAUSE).await,
+            Err(_) => actix_rt::time::sleep(ACCEPT_RETRY_INTERVAL).await,
         }
     }
 }
--- a/crates/aggregation/src/program/mod.rs
+++ b/crates/aggregation/src/program/mod.rs
@@ -1,13 +1,15 @@
 //! The aggregator's process: sockets, signals, log and metrics around the reducer.
 
 mod configuration;
-mod controllers;
+mod controller_connections;
+mod error;
 mod event_loop;
 mod metrics;
-mod peers;
+mod peer_connections;
 
 use clap::Parser;
-use event_loop::Start;
+use error::ServeError;
+use event_loop::AggregatorConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,7 +18,7 @@
 use whinwall_runtime::signals::Signals;
 
 /// Log lines of one kind a second.
-const LOG_LINES_A_SECOND: u32 = 20;
+const MAX_LOG_LINES_PER_SECOND: u32 = 20;
 
 /// What the command line says.
 #[derive(Clone, Debug, Parser)]
@@ -63,11 +65,11 @@
 /// Runs until a signal ends it; a configuration that can't be used ends it at once.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse();
-    _ = logger::start(LevelFilter::INFO, LOG_LINES_A_SECOND);
+    _ = logger::start(LevelFilter::INFO, MAX_LOG_LINES_PER_SECOND);
     let members = match configuration::read(&arguments.operators, &arguments.name) {
         Ok(members) => members,
-        Err(why) => {
-            tracing::error!("configuration: {why}");
+        Err(reason) => {
+            tracing::error!("configuration: {reason}");
             return ExitCode::from(2);
         }
     };
@@ -76,19 +78,19 @@
         return ExitCode::SUCCESS;
     }
     let Arguments { operators, name, listen, discovery, zone, metrics, .. } = arguments;
-    let start = Start { operators, name, listen, discovery, zone, metrics, members };
+    let config = AggregatorConfig { operators, name, listen, discovery, zone, metrics, members };
     let ended = actix_rt::System::new().block_on(async {
         // Before anything else, lest a signal meet a program that does not know it yet.
-        let signals = Signals::listen().map_err(|why| format!("signals: {why}"))?;
-        event_loop::serve(start, signals).await
+        let signals = Signals::listen().map_err(ServeError::Signals)?;
+        event_loop::serve(config, signals).await
     });
     match ended {
-        Ok(why) => {
-            tracing::info!("{why}, ending");
+        Ok(signal) => {
+            tracing::info!("{signal}, ending");
             ExitCode::SUCCESS
         }
-        Err::<_, String>(why) => {
-            tracing::error!("{why}");
+        Err(error) => {
+            tracing::error!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/aggregation/tests/bounds.rs
+++ b/crates/aggregation/tests/bounds.rs
@@ -161,7 +161,7 @@
                 }
                 Effect::Disconnect { .. } => lost += 1,
                 Effect::Log(LogEvent::ControllerReachable { reachable, .. }) => {
-                    assert!(!reachable || dials > 0)
+                    assert!(!reachable || dials > 0);
                 }
                 _ => {}
             }
--- a/crates/aggregation/tests/configuration_text.rs
+++ b/crates/aggregation/tests/configuration_text.rs
@@ -46,7 +46,7 @@
 }
 
 fn why_refused(own: &str, bytes: u64, controllers: Vec<ControllerMember>, aggregators: &[&str]) -> String {
-    let names: Vec<_> = aggregators.iter().map(|name| name.to_string()).collect();
+    let names: Vec<_> = aggregators.iter().map(std::string::ToString::to_string).collect();
     let parameters = Parameters { subset_size: 20 };
     let refused: ConfigurationError =
         Configuration::new(own, parameters, bytes, controllers, &names).unwrap_err();
--- a/crates/aggregation/tests/program.rs
+++ b/crates/aggregation/tests/program.rs
@@ -210,9 +210,9 @@
     assert_eq!(program.ends().code(), Some(2));
     let mut program = Program::start("m0", &good, &discovery, &[]);
     program.reads_anew(&small);
-    program.logs("the former one stays");
+    program.logs("configuration rejected, the former one stays");
     program.reads_anew(&good);
-    program.logs("the file is read anew");
+    program.logs("configuration reloaded");
     program.signal(Signal::TERM);
     assert_eq!(program.ends().code(), Some(0));
 }
