--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use whinwall_management_api::client::ManagementAddress;
-use whinwall_overrides::{words, Kind};
+use whinwall_overrides::{text, OverrideKind};
 use whinwall_policy::api::SliceId;
 use whinwall_policy::time::Span;
 
@@ -44,7 +44,7 @@
     #[arg(long, global = true, env = "WHINWALL_TOKEN_FILE", value_name = "FILE")]
     pub token_file: Option<PathBuf>,
     /// How long a call is made again that failed, or whose outcome is unknown
-    #[arg(long, global = true, default_value = "10s", value_parser = words::span, value_name = "SPAN")]
+    #[arg(long, global = true, default_value = "10s", value_parser = text::parse_duration, value_name = "SPAN")]
     pub keep_trying: Span,
 }
 
@@ -118,7 +118,7 @@
     )]
     Pin {
         /// One slice, or the first and the last: 17, 40-47
-        #[arg(value_parser = words::slices)]
+        #[arg(value_parser = text::parse_slices)]
         slices: (SliceId, SliceId),
         #[arg(value_name = "SERVER")]
         replica: String,
@@ -130,7 +130,7 @@
 #[derive(Args, Clone)]
 pub struct Terms {
     /// When it ends, from now: 90s, 30m, 1h30m, 2d
-    #[arg(long = "for", value_parser = words::span, value_name = "SPAN")]
+    #[arg(long = "for", value_parser = text::parse_duration, value_name = "SPAN")]
     pub lasts: Span,
     /// Why; it is always shown with it
     #[arg(long)]
@@ -144,12 +144,14 @@
 }
 
 impl SetCommand {
-    pub fn parts(self) -> (Kind, Terms) {
+    pub fn parts(self) -> (OverrideKind, Terms) {
         match self {
-            SetCommand::Weight { replica, factor, terms } => (Kind::Weight { replica, factor }, terms),
-            SetCommand::Out { replica, terms } => (Kind::Out { replica }, terms),
+            SetCommand::Weight { replica, factor, terms } => {
+                (OverrideKind::Weight { replica, factor }, terms)
+            }
+            SetCommand::Out { replica, terms } => (OverrideKind::Out { replica }, terms),
             SetCommand::Pin { slices: (first, last), replica, terms } => {
-                (Kind::Pin { first, last, replica }, terms)
+                (OverrideKind::Pin { first, last, replica }, terms)
             }
         }
     }
--- a/crates/cli/src/calls.rs
+++ b/crates/cli/src/calls.rs
@@ -10,7 +10,7 @@
 use whinwall_controller::program::configuration::{self, Surroundings};
 use whinwall_management_api::client::{Client, Failure};
 use whinwall_management_api::wire::{self, Outcome};
-use whinwall_overrides::record;
+use whinwall_overrides::validation;
 use whinwall_policy::random::Random;
 use whinwall_policy::time::Span;
 
@@ -112,8 +112,7 @@
     let (kind, terms) = what.parts();
     let id = terms.id.unwrap_or_else(drawn_id);
     // Nobody is asked for what all would refuse.
-    record::check(&id, &kind, &terms.author, &terms.reason)
-        .map_err(|(part, why)| format!("{part}: {why}"))?;
+    validation::validate(&id, &kind, &terms.author, &terms.reason).map_err(|invalid| invalid.to_string())?;
     let set = wire::set_of(&kind, &terms.author, &terms.reason, terms.lasts);
     let said = at_each(reach, async |client| client.set(&id, &set).await)?;
     let went = show_outcomes(&said);
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use whinwall_management_api::client::ManagementAddress;
 use whinwall_management_api::wire::{Item, KindName, List, Outcome, Reports, State, Subsetting};
-use whinwall_overrides::words;
+use whinwall_overrides::text;
 use whinwall_policy::time::Span;
 
 /// One override at all controllers that answered; none where one lacks it.
@@ -71,7 +71,7 @@
 }
 
 fn left(item: &Item) -> String {
-    words::write_span(Span::ms(1000).times(item.left_s))
+    text::format_duration(Span::ms(1000).times(item.left_s))
 }
 
 fn what(item: &Item) -> String {
@@ -158,7 +158,7 @@
         "{} {}, up {}; {} proxies, {} slices, {} servers; {} overrides stand, {} listed; {failing}{open}{subsetting}{reports}",
         state.name,
         state.version,
-        words::write_span(Span::ms(1000).times(state.up_s)),
+        text::format_duration(Span::ms(1000).times(state.up_s)),
         state.proxies,
         state.slices,
         state.replicas,
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use whinwall_management_api::ask::{Reply, Request, Shown, Status};
 use whinwall_management_api::server::{self, Doors, PendingRequest, Serving};
-use whinwall_overrides::{Act, Bounds, Clerk, Reading};
+use whinwall_overrides::{ClockReading, OverrideController, OverrideEffect, OverrideLimits};
 use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
@@ -30,28 +30,28 @@
             let began = Instant::now();
             let start = Moment::at_ns(1_800_000_000_000_000_000);
             let now = || start + Span::ns(began.elapsed().as_nanos() as u64);
-            let reading = Reading { boot: String::new(), since_boot: Span::default(), wall: start };
-            let mut clerk = Clerk::start(start, &reading, Bounds::default(), false);
+            let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: start };
+            let mut clerk = OverrideController::in_memory(start, &reading, OverrideLimits::default());
             while let Some((request, back)) = asked.blocking_recv() {
                 let now = now();
                 clerk.tick(now);
-                let shown = |clerk: &Clerk, number| {
-                    let one = clerk.book().number(number)?.clone();
-                    let heeded = one.stands().then_some(OverrideStatus::InForce);
+                let shown = |clerk: &OverrideController, number| {
+                    let one = clerk.registry().get_by_number(number)?.clone();
+                    let heeded = one.is_active().then_some(OverrideStatus::InForce);
                     Some(Shown { one, heeded })
                 };
                 let reply = match request {
                     Request::Change(change) => {
-                        clerk.ask(now, 1, change);
-                        let mut acts = clerk.acts().into_iter();
+                        clerk.handle_request(now, 1, change);
+                        let mut acts = clerk.take_effects().into_iter();
                         let answer = acts.find_map(|act| match act {
-                            Act::Answer { answer, .. } => Some(answer),
+                            OverrideEffect::Reply { reply: answer, .. } => Some(answer),
                             _ => None,
                         });
                         Reply::of(answer.unwrap(), now, |number| shown(&clerk, number))
                     }
                     Request::List => {
-                        let numbers: Vec<_> = clerk.book().listed().map(|one| one.number).collect();
+                        let numbers: Vec<_> = clerk.registry().listed().map(|one| one.number).collect();
                         let all = numbers.into_iter().filter_map(|number| shown(&clerk, number)).collect();
                         Reply::Listed { all, now }
                     }
@@ -64,8 +64,8 @@
                         replicas: 3,
                         failing: vec![("discovery's watch", 2)],
                         orders_open: true,
-                        standing: clerk.book().standing().count(),
-                        listed: clerk.book().listed().count(),
+                        standing: clerk.registry().active().count(),
+                        listed: clerk.registry().listed().count(),
                         subsetting: None,
                         reports: None,
                     }),
--- a/crates/controller/benches/turn.rs
+++ b/crates/controller/benches/turn.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use whinwall_management_api::ask::Request;
-use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
+use whinwall_overrides::{ChangeRequest, ClockReading, NewOverride, OverrideKind, OverrideLimits};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::relay::{decode_event, Answer};
 use whinwall_protocol::{collector, discovery};
@@ -41,9 +41,9 @@
         let targets = Targets { discovery: here(8500), relay: here(6400) };
         let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
         let mut fleet = Fleet { reducer, now };
-        let reading = Reading { boot: String::new(), since_boot: Span::default(), wall: now };
+        let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: now };
         let wanted = OverrideConfig {
-            bounds: Bounds { most: 10_000, ..Bounds::default() },
+            bounds: OverrideLimits { max_active: 10_000, ..OverrideLimits::default() },
             orders: vec![],
             has_store: false,
         };
@@ -63,13 +63,16 @@
         for n in 0..overrides {
             let replica = format!("s-{}", (n * 7) % replicas);
             let kind = match n % 4 {
-                0 => Kind::Out { replica },
-                1 => Kind::Weight { replica, factor: 0.5 },
-                _ => Kind::Pin { first: n * 11, last: n * 11 + 5, replica },
+                0 => OverrideKind::Out { replica },
+                1 => OverrideKind::Weight { replica, factor: 0.5 },
+                _ => OverrideKind::Pin { first: n * 11, last: n * 11 + 5, replica },
             };
             let (id, author, reason) = (format!("o{n}"), "bench".into(), "bench".into());
-            let order = Order { id, kind, author, reason, lasts: Span::ms(3_600_000) };
-            fleet.tell(Event::ManagementRequest { ticket: 0, request: Request::Change(Ask::Set(order)) });
+            let order = NewOverride { id, kind, author, reason, duration: Span::ms(3_600_000) };
+            fleet.tell(Event::ManagementRequest {
+                ticket: 0,
+                request: Request::Change(ChangeRequest::Set(order)),
+            });
         }
         // Until all that it has to order at first is out.
         (0..200).for_each(|_| fleet.beat());
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -21,9 +21,9 @@
 use whinwall_ingest::sequence::Due;
 use whinwall_management_api::ask::{Reply, Request};
 use whinwall_management_api::server::PendingRequest;
-use whinwall_override_store::desk::Word;
-use whinwall_override_store::Job;
-use whinwall_overrides::{saved, Stamp, WallWatch};
+use whinwall_override_store::storage_thread::StoreReply;
+use whinwall_override_store::WriteBatch;
+use whinwall_overrides::{encoding, ClockStamp, WallClockMonitor};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector;
 use whinwall_protocol::{discovery, relay, Malformed};
@@ -194,7 +194,7 @@
 
 struct Loop<'a> {
     clock: Clock,
-    wall: WallWatch,
+    wall: WallClockMonitor,
     /// Who reads, where that is not this thread, and what is counted of it.
     pool: Option<(Rc<RefCell<Pool>>, Arc<Meters>)>,
     looked: Moment,
@@ -237,7 +237,7 @@
             Reducer::start(start.settings.clone(), start.targets, start.seed, &start.known, clock.now());
         let discovery = awc::Client::builder().disable_timeout().finish();
         let (news, list, renewed, wake, backs) = (None, None, None, None, BTreeMap::new());
-        let (wall, span, turns, follows) = (WallWatch::default(), Span::none(), 0, 0);
+        let (wall, span, turns, follows) = (WallClockMonitor::default(), Span::none(), 0, 0);
         Loop {
             clock,
             wall,
@@ -365,17 +365,18 @@
         self.span = debug_span!("turn", n = self.turns);
     }
 
-    fn word(&mut self, word: Word) {
+    fn word(&mut self, word: StoreReply) {
         let event = match word {
-            Word::Opened(found) => {
+            StoreReply::Opened(found) => {
                 if let Some(aside) = found.set_aside {
-                    tracing::error!("overrides: the store was spoilt and is begun anew: {aside}");
+                    let path = aside.path.display();
+                    tracing::error!(%path, reason = %aside.reason, "override store file is corrupt, set aside");
                 }
                 let (records, stamp) = (found.records, found.stamp);
                 Event::StoreRead { records, stamp, reading: Clock::reading() }
             }
-            Word::NotOpened(why) => Event::StoreNotRead(why.to_string()),
-            Word::Done { serial, outcome } => {
+            StoreReply::Unavailable(why) => Event::StoreNotRead(why.to_string()),
+            StoreReply::Written { serial, outcome } => {
                 Event::Saved { serial, outcome: outcome.map_err(|why| why.to_string()) }
             }
         };
@@ -598,9 +599,11 @@
                 self.renewed = self.follow_list(discovery, since)
             }
             Effect::Save { serial, puts, drops, line } => {
-                let stamp = Stamp { line: line.on_line(self.clock.now()), reading: Clock::reading() };
-                let job = Job { puts, drops, stamp: saved::write_stamp(&stamp) };
-                if !self.fronts.keep(serial, job) {
+                let stamp =
+                    ClockStamp { position: line.to_persistent(self.clock.now()), reading: Clock::reading() };
+                let batch =
+                    WriteBatch { writes: puts, removals: drops, stamp: encoding::encode_stamp(&stamp) };
+                if !self.fronts.keep(serial, batch) {
                     self.apply(Event::Saved { serial, outcome: Err("the keeper is busy".into()) });
                 }
             }
--- a/crates/controller/src/program/fronts.rs
+++ b/crates/controller/src/program/fronts.rs
@@ -8,9 +8,9 @@
 use whinwall_management_api::ask::Reply;
 use whinwall_management_api::server::{self, PendingRequest, Serving};
 use whinwall_operator_config::{Doors, LogForm, OperatorsFile};
-use whinwall_override_store::desk::{Desk, Word};
-use whinwall_override_store::{Job, Keeper};
-use whinwall_overrides::Ticket;
+use whinwall_override_store::storage_thread::{StorageThread, StoreReply};
+use whinwall_override_store::{OverrideStore, WriteBatch};
+use whinwall_overrides::RequestId;
 use whinwall_runtime::logger::Form;
 
 /// Requests that wait for the loop; more are told to come again.
@@ -19,13 +19,13 @@
 const WORDS: usize = 16;
 
 pub struct Fronts {
-    keeper: Option<Desk>,
-    pub words: Receiver<Word>,
+    keeper: Option<StorageThread>,
+    pub words: Receiver<StoreReply>,
     management: Option<(Doors, Serving)>,
     ask: Sender<PendingRequest>,
     pub asked: Receiver<PendingRequest>,
-    waiting: BTreeMap<Ticket, oneshot::Sender<Reply>>,
-    tickets: Ticket,
+    waiting: BTreeMap<RequestId, oneshot::Sender<Reply>>,
+    tickets: RequestId,
     form: Form,
 }
 
@@ -38,7 +38,7 @@
         let keeper = folder.map(|folder| {
             let say = say.clone();
             // Called on the keeper's thread: it alone waits where the loop is slow.
-            Desk::start(Keeper::at(folder), move |word| _ = say.blocking_send(word))
+            StorageThread::spawn(OverrideStore::new(folder), move |word| _ = say.blocking_send(word))
         });
         let keeper = keeper.transpose().map_err(|why| format!("keeper: {why}"))?;
         let (management, waiting) = (None, BTreeMap::new());
@@ -84,7 +84,8 @@
     /// Has the keeper say all that it has, where there is one.
     pub fn read_store(&self) {
         if let Some(keeper) = &self.keeper {
-            keeper.open();
+            // A full queue holds a request already.
+            _ = keeper.request_open();
         }
     }
 
@@ -93,11 +94,11 @@
     }
 
     /// False where nobody will say how it went.
-    pub fn keep(&self, serial: u64, job: Job) -> bool {
-        self.keeper.as_ref().is_some_and(|keeper| keeper.keep(serial, job))
+    pub fn keep(&self, serial: u64, batch: WriteBatch) -> bool {
+        self.keeper.as_ref().is_some_and(|keeper| keeper.request_write(serial, batch).is_ok())
     }
 
-    pub fn ticket(&mut self, back: oneshot::Sender<Reply>) -> Ticket {
+    pub fn ticket(&mut self, back: oneshot::Sender<Reply>) -> RequestId {
         // Who has stopped waiting is nobody's any more.
         self.waiting.retain(|_, back| !back.is_closed());
         self.tickets += 1;
@@ -105,7 +106,7 @@
         self.tickets
     }
 
-    pub fn reply(&mut self, ticket: Ticket, reply: Reply) {
+    pub fn reply(&mut self, ticket: RequestId, reply: Reply) {
         if let Some(back) = self.waiting.remove(&ticket) {
             _ = back.send(reply);
         }
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -22,7 +22,7 @@
 fn until(file: &str, replica: &str, in_s: u64) -> String {
     let end = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs() + in_s;
     let end = whinwall_policy::time::Moment::at_ns(end * 1_000_000_000);
-    let end = whinwall_overrides::words::write_wall(end);
+    let end = whinwall_overrides::text::format_wall_time(end);
     format!("<out id=\"{file}\" server=\"{replica}\" author=\"mb\" reason=\"disk\" until=\"{end}\"/>")
 }
 
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_spoilt_store_is_set_aside_and_named_and_the_program_goes_on() {
+fn corrupt_store_file_is_set_aside_and_the_program_goes_on() {
     let mut managed = Managed::start(4, 12);
     managed.set("a", &out("s-1", "1h")).unwrap();
     managed.program = None;
@@ -214,9 +214,9 @@
     std::fs::write(&store, &bytes[..bytes.len() / 2]).unwrap();
     let (command, file) = managed.command();
     managed.spawn(command, file);
-    let line = managed.log("spoilt");
+    let line = managed.log("override store file is corrupt");
     assert!(line.contains("overrides.redb.spoilt-1"), "{line}");
-    managed.log("the store is read");
+    managed.log("override store read");
     assert!(managed.list().is_empty());
     managed.set("b", &out("s-2", "1h")).unwrap();
     managed.world.order("OUT,s-2");
@@ -236,7 +236,7 @@
     bounded.envs(plain.get_envs().filter_map(|(key, value)| Some((key, value?))));
     bounded.stderr(Stdio::piped()).stdin(Stdio::null());
     managed.spawn(bounded, file);
-    managed.log("the store is read");
+    managed.log("override store read");
     assert_eq!(managed.becomes("a", |item| item.state == "in force").replica, "s-1", "what is kept is read");
     let mut kept = Vec::new();
     let (refused, why) = (0..1000)
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use whinwall_management_api::ask::{Reply, Request};
-use whinwall_overrides::{Ask, Bounds, Kind, Order, Reading};
+use whinwall_overrides::{ChangeRequest, ClockReading, NewOverride, OverrideKind, OverrideLimits};
 use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::relay::{decode_answer, decode_event, Answer};
@@ -260,30 +260,34 @@
 impl Rig {
     /// Overrides are switched on, and kept nowhere.
     fn with_overrides(mut self) -> Self {
-        let wanted = OverrideConfig { bounds: Bounds::default(), orders: Vec::new(), has_store: false };
-        let reading = Reading { boot: String::new(), since_boot: Span::default(), wall: self.now };
+        let wanted =
+            OverrideConfig { bounds: OverrideLimits::default(), orders: Vec::new(), has_store: false };
+        let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: self.now };
         self.tell(Event::OperatorConfigChanged(wanted, reading));
         self
     }
 
-    fn set(&mut self, id: &str, kind: Kind, lasts_ms: u64) {
-        let (author, reason, lasts) = ("mb".into(), "disk".into(), Span::ms(lasts_ms));
-        let order = Order { id: id.into(), kind, author, reason, lasts };
-        self.tell(Event::ManagementRequest { ticket: 1, request: Request::Change(Ask::Set(order)) });
+    fn set(&mut self, id: &str, kind: OverrideKind, lasts_ms: u64) {
+        let (author, reason, duration) = ("mb".into(), "disk".into(), Span::ms(lasts_ms));
+        let order = NewOverride { id: id.into(), kind, author, reason, duration };
+        self.tell(Event::ManagementRequest {
+            ticket: 1,
+            request: Request::Change(ChangeRequest::Set(order)),
+        });
         assert!(matches!(self.replies.pop(), Some(Reply::Set { .. })));
         self.quiet();
     }
 
     fn out(&mut self, replica: &str, lasts_ms: u64) {
-        self.set(replica, Kind::Out { replica: replica.into() }, lasts_ms);
+        self.set(replica, OverrideKind::Out { replica: replica.into() }, lasts_ms);
     }
 
     /// Those that are listed as standing, checked against the time.
     fn standing_overrides(&mut self) -> Vec<String> {
         self.tell(Event::ManagementRequest { ticket: 2, request: Request::List });
         let Some(Reply::Listed { all, now }) = self.replies.pop() else { panic!("a list") };
-        let standing: Vec<_> = all.into_iter().filter(|shown| shown.one.stands()).collect();
-        assert!(standing.iter().all(|shown| shown.one.ends > now), "one stands after its end");
+        let standing: Vec<_> = all.into_iter().filter(|shown| shown.one.is_active()).collect();
+        assert!(standing.iter().all(|shown| shown.one.expires_at > now), "one stands after its end");
         standing.into_iter().map(|shown| shown.one.id).collect()
     }
 }
@@ -351,7 +355,7 @@
     let mut rig = Rig::serving().with_overrides();
     for n in 0..1000 {
         let replica = format!("s-{}", n % 6);
-        rig.set(&format!("p{n}"), Kind::Pin { first: n, last: n, replica }, 60_000);
+        rig.set(&format!("p{n}"), OverrideKind::Pin { first: n, last: n, replica }, 60_000);
     }
     rig.pass(30_000);
     assert_eq!(rig.standing_overrides().len(), 1000);
@@ -380,9 +384,13 @@
             let lasts = 1000 + u64::from(figure) * 50;
             let first = u32::from(figure % 12);
             match deed % 8 {
-                0 => rig.set(&id, Kind::Out { replica }, lasts),
-                1 => rig.set(&id, Kind::Weight { replica, factor: f64::from(figure) / 20.0 + 0.05 }, lasts),
-                2 | 3 => rig.set(&id, Kind::Pin { first, last: first + 3, replica }, lasts),
+                0 => rig.set(&id, OverrideKind::Out { replica }, lasts),
+                1 => rig.set(
+                    &id,
+                    OverrideKind::Weight { replica, factor: f64::from(figure) / 20.0 + 0.05 },
+                    lasts,
+                ),
+                2 | 3 => rig.set(&id, OverrideKind::Pin { first, last: first + 3, replica }, lasts),
                 4 if rig.replicas.values().filter(|state| **state == "leaving").count() < 2 => {
                     rig.drain(&replica)
                 }
--- a/crates/controller/tests/stand_ins/managed.rs
+++ b/crates/controller/tests/stand_ins/managed.rs
@@ -69,7 +69,7 @@
         self.program = None;
         let (command, file) = self.command();
         self.spawn(command, file);
-        self.log("the store is read");
+        self.log("override store read");
         self.log("the relay's news stands");
     }
 
--- a/crates/controller/tests/store_file.rs
+++ b/crates/controller/tests/store_file.rs
@@ -3,8 +3,12 @@
 //! does.
 
 use std::path::{Path, PathBuf};
-use whinwall_override_store::{Found, Keeper};
-use whinwall_overrides::{saved, Book, Bounds, End, Kind, Origin, Override, Reading, Stamp, Timeline};
+use whinwall_override_store::{OverrideStore, StoreContents};
+use whinwall_overrides::registry::RecordError;
+use whinwall_overrides::{
+    encoding, ClockReading, ClockStamp, EndCause, Ending, Origin, Override, OverrideKind, OverrideLimits,
+    OverrideRegistry, Timeline,
+};
 use whinwall_policy::time::{Moment, Span};
 
 /// The name of the store's file within its folder.
@@ -29,29 +33,29 @@
 }
 
 /// A copy, as opening a store may write to it.
-fn open_copy() -> Found {
+fn open_copy() -> StoreContents {
     let folder = tempfile::tempdir().unwrap();
     std::fs::copy(fixture(), folder.path().join(STORE_FILE)).unwrap();
-    Keeper::at(folder.path().to_path_buf()).open().unwrap()
+    OverrideStore::new(folder.path().to_path_buf()).open().unwrap()
 }
 
-fn stamp() -> Stamp {
-    let reading = Reading {
-        boot: "2d9f6c1e-boot".into(),
-        since_boot: seconds(STAMP_SINCE_BOOT_S),
-        wall: at_s(STAMP_WALL_S),
+fn stamp() -> ClockStamp {
+    let reading = ClockReading {
+        boot_id: "2d9f6c1e-boot".into(),
+        uptime: seconds(STAMP_SINCE_BOOT_S),
+        wall_time: at_s(STAMP_WALL_S),
     };
-    Stamp { reading, line: at_s(STAMP_WALL_S + TIMELINE_AHEAD_S) }
+    ClockStamp { reading, position: at_s(STAMP_WALL_S + TIMELINE_AHEAD_S) }
 }
 
 /// The clocks of the same boot at the moment of the stamp, in a process that counts from the stamp's line.
 fn timeline() -> Timeline {
     let stamp = stamp();
-    Timeline::resume(stamp.line, &stamp.reading, Some(&stamp)).0
+    Timeline::resume(stamp.position, &stamp.reading, Some(&stamp)).timeline
 }
 
-fn record(number: u64, id: &str, kind: Kind, ended: Option<End>) -> Override {
-    let set = at_s(STAMP_WALL_S - 1_000 + number);
+fn record(number: u64, id: &str, kind: OverrideKind, ended: Option<EndCause>) -> Override {
+    let set_at = at_s(STAMP_WALL_S - 1_000 + number);
     Override {
         number,
         id: id.into(),
@@ -59,39 +63,39 @@
         author: format!("author-{number}"),
         reason: format!("reason {number}: käse"),
         origin: Origin::Request,
-        set,
-        ends: set + seconds(3_600),
-        until_wall: None,
-        ended: ended.map(|end| (set + seconds(60), end)),
+        set_at,
+        expires_at: set_at + seconds(3_600),
+        expires_at_wall_time: None,
+        ended: ended.map(|cause| Ending { at: set_at + seconds(60), cause }),
     }
 }
 
-fn weight(factor: f64) -> Kind {
-    Kind::Weight { replica: "s-1".into(), factor }
+fn weight(factor: f64) -> OverrideKind {
+    OverrideKind::Weight { replica: "s-1".into(), factor }
 }
 
-fn out(replica: &str) -> Kind {
-    Kind::Out { replica: replica.into() }
+fn out(replica: &str) -> OverrideKind {
+    OverrideKind::Out { replica: replica.into() }
 }
 
-fn pin(first: u32, last: u32) -> Kind {
-    Kind::Pin { first, last, replica: "s-4".into() }
+fn pin(first: u32, last: u32) -> OverrideKind {
+    OverrideKind::Pin { first, last, replica: "s-4".into() }
 }
 
 fn expected_records() -> Vec<Override> {
     let from_file = Override {
         origin: Origin::File,
-        until_wall: Some(at_s(STAMP_WALL_S + 9_000)),
+        expires_at_wall_time: Some(at_s(STAMP_WALL_S + 9_000)),
         ..record(3, "f-pin", pin(4, 9), None)
     };
     vec![
         record(1, "w-1", weight(0.5), None),
         record(2, "o-1", out("s-2"), None),
         from_file,
-        record(4, "w-2", weight(2.25), Some(End::Replaced { by: "w-1".into() })),
-        record(5, "o-2", out("s-3"), Some(End::Cleared { by: "on-call".into() })),
-        record(6, "p-2", pin(17, 17), Some(End::Expired)),
-        record(8, "o-3", out("s-5"), Some(End::ClockWentBack)),
+        record(4, "w-2", weight(2.25), Some(EndCause::Replaced { by: "w-1".into() })),
+        record(5, "o-2", out("s-3"), Some(EndCause::Cleared { by: "on-call".into() })),
+        record(6, "p-2", pin(17, 17), Some(EndCause::Expired)),
+        record(8, "o-3", out("s-5"), Some(EndCause::ClockWentBack)),
     ]
 }
 
@@ -100,7 +104,7 @@
     let found = open_copy();
     assert_eq!(found.set_aside, None);
     let timeline = timeline();
-    let read = found.records.iter().map(|(_, bytes)| saved::read(bytes, &timeline).unwrap());
+    let read = found.records.iter().map(|(_, bytes)| encoding::decode_override(bytes, &timeline).unwrap());
     assert_eq!(read.collect::<Vec<_>>(), expected_records());
 }
 
@@ -113,30 +117,36 @@
 #[test]
 fn stamp_of_an_earlier_release_is_read() {
     let bytes = open_copy().stamp.unwrap();
-    assert_eq!(saved::read_stamp(&bytes).unwrap(), stamp());
+    assert_eq!(encoding::decode_stamp(&bytes).unwrap(), stamp());
 }
 
 #[test]
 fn records_of_an_earlier_release_are_written_again_byte_for_byte() {
     let found = open_copy();
     let timeline = timeline();
-    let written = expected_records().into_iter().map(|one| (one.number, saved::write(&one, &timeline)));
+    let written =
+        expected_records().into_iter().map(|one| (one.number, encoding::encode_override(&one, &timeline)));
     assert_eq!(written.collect::<Vec<_>>(), found.records);
-    assert_eq!(saved::write_stamp(&stamp()), found.stamp.unwrap());
+    assert_eq!(encoding::encode_stamp(&stamp()), found.stamp.unwrap());
 }
 
 #[test]
-fn book_is_restored_from_a_store_file_of_an_earlier_release() {
+fn registry_is_restored_from_a_store_file_of_an_earlier_release() {
     let found = open_copy();
-    let stamp = saved::read_stamp(&found.stamp.unwrap()).unwrap();
-    let (_, wrong) =
-        Book::restore(Bounds::default(), stamp.line, &stamp.reading, Some(&stamp), &found.records);
-    assert_eq!(wrong, Vec::<String>::new());
+    let stamp = encoding::decode_stamp(&found.stamp.unwrap()).unwrap();
+    let restored = OverrideRegistry::restore(
+        OverrideLimits::default(),
+        stamp.position,
+        &stamp.reading,
+        Some(&stamp),
+        &found.records,
+    );
+    assert_eq!(restored.unreadable, Vec::<RecordError>::new());
 }
 
 #[test]
 fn new_store_has_the_file_name_of_an_earlier_release() {
     let folder = tempfile::tempdir().unwrap();
-    Keeper::at(folder.path().to_path_buf()).open().unwrap();
+    OverrideStore::new(folder.path().to_path_buf()).open().unwrap();
     assert!(folder.path().join(STORE_FILE).is_file());
 }
--- a/crates/emulator/src/day/controllers.rs
+++ b/crates/emulator/src/day/controllers.rs
@@ -5,7 +5,7 @@
 use crate::{subsets, ProxyIx, SliceIx};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use whinwall_overrides::{Bounds, Reading};
+use whinwall_overrides::{ClockReading, OverrideLimits};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery;
@@ -29,8 +29,9 @@
         controller.channel.lost();
         self.tell(at, Event::Started);
         self.tell(at, Event::SubsettingConfigured(subsets::fleet(&self.sizes, at)));
-        let wanted = OverrideConfig { bounds: Bounds::default(), orders: Vec::new(), has_store: false };
-        let reading = Reading { boot: String::new(), since_boot: Span::default(), wall: self.now };
+        let wanted =
+            OverrideConfig { bounds: OverrideLimits::default(), orders: Vec::new(), has_store: false };
+        let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: self.now };
         self.tell(at, Event::OperatorConfigChanged(wanted, reading));
         for zone in 0..self.sizes.zones {
             let message = Message::Source { zone: self.sizes.zone(zone) };
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -5,7 +5,7 @@
 use crate::trouble::{Trouble, What};
 use crate::{ProxyIx, ReplicaIx};
 use whinwall_management_api::ask::Request;
-use whinwall_overrides::{Ask, Kind, Order};
+use whinwall_overrides::{ChangeRequest, NewOverride, OverrideKind};
 use whinwall_policy::time::Span;
 use whinwall_routing::Event;
 use whinwall_transport::StreamError;
@@ -107,15 +107,18 @@
             }
             What::Garbled { share } => self.garbled = share,
             What::OutOfService { replica } => {
-                let kind = Kind::Out { replica: replica_name(replica) };
+                let kind = OverrideKind::Out { replica: replica_name(replica) };
                 let (id, author, reason) = (format!("t{at}"), "day".to_string(), "trouble".to_string());
                 for controller in 0..self.controllers.len() {
                     let (id, kind, author, reason) =
                         (id.clone(), kind.clone(), author.clone(), reason.clone());
-                    let order = Order { id, kind, author, reason, lasts };
+                    let order = NewOverride { id, kind, author, reason, duration: lasts };
                     self.tell(
                         controller,
-                        Event::ManagementRequest { ticket: 0, request: Request::Change(Ask::Set(order)) },
+                        Event::ManagementRequest {
+                            ticket: 0,
+                            request: Request::Change(ChangeRequest::Set(order)),
+                        },
                     );
                 }
             }
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -6,7 +6,7 @@
 use whinwall_emulator::sizes::Sizes;
 use whinwall_emulator::trouble::{drawn, Odd, Trouble, What};
 use whinwall_operator_config::tree::{self, Element, Wrong};
-use whinwall_overrides::words;
+use whinwall_overrides::text;
 use whinwall_policy::time::Span;
 
 const VERSION: &str = "1";
@@ -102,9 +102,7 @@
     })?;
     let letters = |text: &str| text.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
     let name = root.must("name", |text| {
-        (!text.is_empty() && letters(text))
-            .then(|| text.to_string())
-            .ok_or("letters, digits and dashes only".into())
+        (!text.is_empty() && letters(text)).then(|| text.to_string()).ok_or("letters, digits and dashes only")
     })?;
     let (sizes, large) = root.child("world")?.map(world).transpose()?.unwrap_or((Sizes::small(), false));
     let seeds = root.child("seeds")?.map(seeds).transpose()?.unwrap_or_else(|| (1..=5).collect());
@@ -153,7 +151,7 @@
     let mut sizes = if large { Sizes::large() } else { Sizes::small() };
     sizes.controllers = world.maybe("governors", number)?.unwrap_or(sizes.controllers);
     sizes.load = world.maybe("load", share)?.unwrap_or(sizes.load);
-    sizes.lasts = world.maybe("lasts", words::span)?.unwrap_or(sizes.lasts);
+    sizes.lasts = world.maybe("lasts", text::parse_duration)?.unwrap_or(sizes.lasts);
     sizes.replicas = world.maybe("servers", number)?.unwrap_or(sizes.replicas);
     sizes.slices = world.maybe("slices", number)?.unwrap_or(sizes.slices);
     sizes.proxies = world.maybe("proxies", number)?.unwrap_or(sizes.proxies);
@@ -175,7 +173,7 @@
 
 fn case(case: &Element, sizes: &Sizes) -> Result<Case, Wrong> {
     case.has_only(&["name", "drawn"], &["trouble"])?;
-    let name = case.must("name", |text| Ok(text.to_string()))?;
+    let name = case.must("name", |text| Ok::<_, std::convert::Infallible>(text.to_string()))?;
     if let Some(many) = case.maybe("drawn", number)? {
         if !case.children.is_empty() {
             return Err(case.wrong("its troubles are either drawn or given"));
@@ -290,7 +288,7 @@
     let fraction = text.strip_suffix('s').and_then(|seconds| seconds.parse::<f64>().ok());
     match fraction.filter(|seconds| (0.0..1e6).contains(seconds)) {
         Some(seconds) => Ok(Span::ms((seconds * 1000.0).round() as u64)),
-        None => words::span(text),
+        None => text::parse_duration(text).map_err(|error| error.to_string()),
     }
 }
 
@@ -382,7 +380,7 @@
     pub fn write(&self) -> String {
         let mut text = format!("<experiment name=\"{}\" version=\"{VERSION}\">\n", self.name);
         let Sizes { controllers, load, lasts, replicas, slices, proxies, .. } = &self.sizes;
-        let (size, lasts) = (if self.large { "large" } else { "small" }, words::write_span(*lasts));
+        let (size, lasts) = (if self.large { "large" } else { "small" }, text::format_duration(*lasts));
         _ = writeln!(text, "  <world size=\"{size}\" governors=\"{controllers}\" load=\"{load}\" lasts=\"{lasts}\" servers=\"{replicas}\" slices=\"{slices}\" proxies=\"{proxies}\"/>");
         let (from, to) = (self.seeds.first().unwrap_or(&0), self.seeds.last().unwrap_or(&0));
         _ = writeln!(text, "  <seeds from=\"{from}\" to=\"{to}\"/>");
--- a/crates/management-api/src/ask.rs
+++ b/crates/management-api/src/ask.rs
@@ -1,12 +1,12 @@
 //! What is asked of a controller, and what it replies: checked values, no HTTP.
 
-use whinwall_overrides::{Answer, Ask, Kept, Override, Refused};
+use whinwall_overrides::{ChangeReply, ChangeRequest, Durability, Override, OverrideError};
 use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    Change(Ask),
+    Change(ChangeRequest),
     List,
     Status,
     Metrics,
@@ -73,13 +73,13 @@
     Set {
         shown: Shown,
         again: bool,
-        kept: Kept,
+        kept: Durability,
         now: Moment,
     },
     Cleared {
         shown: Shown,
         again: bool,
-        kept: Kept,
+        kept: Durability,
         now: Moment,
     },
     Listed {
@@ -89,25 +89,25 @@
     Status(Status),
     /// In the text form that Prometheus reads.
     Metrics(String),
-    Refused(Refused),
+    Refused(OverrideError),
     NotKept(String),
     Busy,
 }
 
 impl Reply {
     /// A clerk's answer, with what is known of the override that it names.
-    pub fn of(answer: Answer, now: Moment, shown: impl FnOnce(u64) -> Option<Shown>) -> Reply {
+    pub fn of(answer: ChangeReply, now: Moment, shown: impl FnOnce(u64) -> Option<Shown>) -> Reply {
         let gone = || Reply::NotKept("it is not listed any more".into());
         match answer {
-            Answer::Set { number, again, kept } => {
+            ChangeReply::Set { number, is_repeat: again, durability: kept } => {
                 shown(number).map_or_else(gone, |shown| Reply::Set { shown, again, kept, now })
             }
-            Answer::Cleared { number, again, kept } => {
+            ChangeReply::Cleared { number, is_repeat: again, durability: kept } => {
                 shown(number).map_or_else(gone, |shown| Reply::Cleared { shown, again, kept, now })
             }
-            Answer::Refused(refused) => Reply::Refused(refused),
-            Answer::NotKept(why) => Reply::NotKept(why),
-            Answer::Busy => Reply::Busy,
+            ChangeReply::Rejected(refused) => Reply::Refused(refused),
+            ChangeReply::NotStored(why) => Reply::NotKept(why),
+            ChangeReply::Busy => Reply::Busy,
         }
     }
 }
--- a/crates/management-api/src/wire.rs
+++ b/crates/management-api/src/wire.rs
@@ -2,7 +2,9 @@
 
 use crate::ask::{Reply, ReportFreshness, Request, Shown, Status, SubsettingStatus};
 use serde::{Deserialize, Serialize};
-use whinwall_overrides::{words, Ask, Kept, Kind, Order, Origin, Refused};
+use whinwall_overrides::{
+    text, ChangeRequest, Durability, Ending, NewOverride, Origin, OverrideError, OverrideKind,
+};
 use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
@@ -151,29 +153,31 @@
 }
 
 impl Set {
-    pub fn order(self, id: &str) -> Result<Order, Problem> {
+    pub fn order(self, id: &str) -> Result<NewOverride, Problem> {
         let replica = self.replica;
         let needless = |part: &str| Err(Problem::of(part, "it has no meaning for this kind".into()));
         let kind = match (self.kind, self.factor, self.slices) {
-            (KindName::Weight, Some(factor), None) => Kind::Weight { replica, factor },
+            (KindName::Weight, Some(factor), None) => OverrideKind::Weight { replica, factor },
             (KindName::Weight, None, _) => return Err(Problem::of("factor", "it is missing".into())),
             (KindName::Pin, None, Some(slices)) => {
-                let (first, last) = words::slices(&slices).map_err(|why| Problem::of("slices", why))?;
-                Kind::Pin { first, last, replica }
+                let (first, last) =
+                    text::parse_slices(&slices).map_err(|why| Problem::of("slices", why.to_string()))?;
+                OverrideKind::Pin { first, last, replica }
             }
             (KindName::Pin, _, None) => return Err(Problem::of("slices", "they are missing".into())),
-            (KindName::Out, None, None) => Kind::Out { replica },
+            (KindName::Out, None, None) => OverrideKind::Out { replica },
             (KindName::Weight, _, Some(_)) | (KindName::Out, None, Some(_)) => return needless("slices"),
             (KindName::Pin | KindName::Out, Some(_), _) => return needless("factor"),
         };
-        let lasts = words::span(&self.lasts).map_err(|why| Problem::of("for", why))?;
-        Ok(Order { id: id.into(), kind, author: self.author, reason: self.reason, lasts })
+        let duration =
+            text::parse_duration(&self.lasts).map_err(|why| Problem::of("for", why.to_string()))?;
+        Ok(NewOverride { id: id.into(), kind, author: self.author, reason: self.reason, duration })
     }
 }
 
 pub fn decode_set(id: &str, body: &[u8]) -> Result<Request, Problem> {
     let set: Set = serde_json::from_slice(body).map_err(|why| Problem::new(why.to_string()))?;
-    Ok(Request::Change(Ask::Set(set.order(id)?)))
+    Ok(Request::Change(ChangeRequest::Set(set.order(id)?)))
 }
 
 pub fn decode_clear(id: &str, body: &[u8]) -> Result<Request, Problem> {
@@ -181,21 +185,23 @@
     let fits = !clear.by.trim().is_empty() && clear.by.len() <= 64 && !clear.by.chars().any(char::is_control);
     fits.then_some(())
         .ok_or_else(|| Problem::of("by", "it must have 1 to 64 bytes and no control characters".into()))?;
-    Ok(Request::Change(Ask::Clear { id: id.into(), by: clear.by }))
+    Ok(Request::Change(ChangeRequest::Clear { id: id.into(), by: clear.by }))
 }
 
 /// A kind's name, and what only some kinds have.
-fn parts(kind: &Kind) -> (KindName, Option<f64>, Option<String>) {
+fn parts(kind: &OverrideKind) -> (KindName, Option<f64>, Option<String>) {
     match kind {
-        Kind::Weight { factor, .. } => (KindName::Weight, Some(*factor), None),
-        Kind::Out { .. } => (KindName::Out, None, None),
-        Kind::Pin { first, last, .. } => (KindName::Pin, None, Some(words::write_slices(*first, *last))),
+        OverrideKind::Weight { factor, .. } => (KindName::Weight, Some(*factor), None),
+        OverrideKind::Out { .. } => (KindName::Out, None, None),
+        OverrideKind::Pin { first, last, .. } => {
+            (KindName::Pin, None, Some(text::format_slices(*first, *last)))
+        }
     }
 }
 
 /// A moment of the controller's own clock by the wall's: both are there now.
 fn by_wall(at: Moment, now: Moment, wall: Moment) -> String {
-    words::write_wall(if at >= now { wall + (at - now) } else { wall - (now - at) })
+    text::format_wall_time(if at >= now { wall + (at - now) } else { wall - (now - at) })
 }
 
 impl Item {
@@ -203,7 +209,9 @@
         let one = &shown.one;
         let (kind, factor, slices) = parts(&one.kind);
         let (state, cause) = match (&one.ended, shown.heeded) {
-            (Some((at, why)), _) => ("ended", Some(format!("{why} at {}", by_wall(*at, now, wall)))),
+            (Some(Ending { at, cause }), _) => {
+                ("ended", Some(format!("{cause} at {}", by_wall(*at, now, wall))))
+            }
             (None, None | Some(OverrideStatus::Absent)) => {
                 ("absent", Some("its server is not in the list".into()))
             }
@@ -220,20 +228,20 @@
             author: one.author.clone(),
             reason: one.reason.clone(),
             origin: if one.origin == Origin::File { "file" } else { "request" }.into(),
-            set: by_wall(one.set, now, wall),
-            ends: by_wall(one.ends, now, wall),
-            left_s: if one.stands() { (one.ends - now).seconds() } else { 0.0 },
+            set: by_wall(one.set_at, now, wall),
+            ends: by_wall(one.expires_at, now, wall),
+            left_s: if one.is_active() { (one.expires_at - now).seconds() } else { 0.0 },
             state: state.into(),
             cause,
         }
     }
 }
 
-fn kept_word(kept: Kept) -> String {
+fn kept_word(kept: Durability) -> String {
     match kept {
-        Kept::OnDisk => "on disk".into(),
-        Kept::Nowhere => "nowhere".into(),
-        Kept::NotYet(why) => format!("not on disk yet: {why}"),
+        Durability::OnDisk => "on disk".into(),
+        Durability::InMemory => "nowhere".into(),
+        Durability::Pending(why) => format!("not on disk yet: {why}"),
     }
 }
 
@@ -259,10 +267,10 @@
         Reply::Status(status) => (200, body(&State::of(&status, name))),
         Reply::Refused(refused) => {
             let (code, part) = match &refused {
-                Refused::Wrong { part, .. } => (400, Some(part.to_string())),
-                Refused::Taken { .. } => (409, None),
-                Refused::Full { .. } => (429, None),
-                Refused::Unknown { .. } => (404, None),
+                OverrideError::InvalidField(invalid) => (400, Some(invalid.field.to_string())),
+                OverrideError::IdInUse { .. } => (409, None),
+                OverrideError::LimitReached { .. } => (429, None),
+                OverrideError::UnknownId { .. } => (404, None),
             };
             (code, body(&Problem { error: refused.to_string(), part }))
         }
@@ -316,7 +324,7 @@
 }
 
 /// For who writes an order by hand.
-pub fn set_of(kind: &Kind, author: &str, reason: &str, lasts: Span) -> Set {
+pub fn set_of(kind: &OverrideKind, author: &str, reason: &str, lasts: Span) -> Set {
     let (name, factor, slices) = parts(kind);
     Set {
         kind: name,
@@ -325,6 +333,6 @@
         slices,
         author: author.into(),
         reason: reason.into(),
-        lasts: words::write_span(lasts),
+        lasts: text::format_duration(lasts),
     }
 }
--- a/crates/management-api/tests/front.rs
+++ b/crates/management-api/tests/front.rs
@@ -12,7 +12,9 @@
 use whinwall_management_api::client::{Client, Failure, ManagementAddress};
 use whinwall_management_api::server::{self, Doors, PendingRequest, Serving};
 use whinwall_management_api::wire::{KindName, Set};
-use whinwall_overrides::{Ask, Kept, Kind, Order, Origin, Override, Refused};
+use whinwall_overrides::{
+    ChangeRequest, Durability, NewOverride, Origin, Override, OverrideError, OverrideKind,
+};
 use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
@@ -24,7 +26,7 @@
     Set { kind, replica, factor: None, slices: None, author, reason, lasts }
 }
 
-fn shown(order: &Order) -> Shown {
+fn shown(order: &NewOverride) -> Shown {
     let now = Moment::at_ns(1_000_000_000_000);
     let one = Override {
         number: 1,
@@ -33,9 +35,9 @@
         author: order.author.clone(),
         reason: order.reason.clone(),
         origin: Origin::Request,
-        set: now,
-        ends: now + order.lasts,
-        until_wall: None,
+        set_at: now,
+        expires_at: now + order.duration,
+        expires_at_wall_time: None,
         ended: None,
     };
     Shown { one, heeded: Some(OverrideStatus::Suspended("rule 1: no other warm server is well")) }
@@ -46,19 +48,22 @@
     std::thread::spawn(move || {
         let now = Moment::at_ns(1_000_000_000_000);
         while let Some((request, back)) = asked.blocking_recv() {
-            let kept = Kept::OnDisk;
+            let kept = Durability::OnDisk;
             _ = back.send(match request {
-                Request::Change(Ask::Set(order)) => match order.id.as_str() {
+                Request::Change(ChangeRequest::Set(order)) => match order.id.as_str() {
                     "silent" => continue,
                     "full" => Reply::NotKept("the disk is full".into()),
-                    "taken" => Reply::Refused(Refused::Taken { id: order.id }),
+                    "taken" => Reply::Refused(OverrideError::IdInUse { id: order.id }),
                     _ => Reply::Set { shown: shown(&order), again: order.id == "again", kept, now },
                 },
-                Request::Change(Ask::Clear { id, .. }) => Reply::Refused(Refused::Unknown { id }),
+                Request::Change(ChangeRequest::Clear { id, .. }) => {
+                    Reply::Refused(OverrideError::UnknownId { id })
+                }
                 Request::List => {
-                    let kind = Kind::Pin { first: 4, last: 9, replica: "s-2".into() };
+                    let kind = OverrideKind::Pin { first: 4, last: 9, replica: "s-2".into() };
                     let (author, reason) = ("mb".into(), "hot".into());
-                    let order = Order { id: "p".into(), kind, author, reason, lasts: Span::ms(90_000) };
+                    let order =
+                        NewOverride { id: "p".into(), kind, author, reason, duration: Span::ms(90_000) };
                     Reply::Listed { all: vec![shown(&order)], now }
                 }
                 Request::Metrics => Reply::Metrics("# EOF\n".into()),
--- a/crates/management-api/tests/wire_text.rs
+++ b/crates/management-api/tests/wire_text.rs
@@ -7,7 +7,10 @@
 use whinwall_management_api::wire::{
     self, Clear, Failing, Item, KindName, List, Outcome, Problem, Reports, Set, State, Subsetting,
 };
-use whinwall_overrides::{Ask, End, Kept, Kind, Order, Origin, Override, Refused};
+use whinwall_overrides::{
+    ChangeRequest, Durability, EndCause, Ending, InvalidField, NewOverride, Origin, Override, OverrideError,
+    OverrideKind,
+};
 use whinwall_policy::api::OverrideStatus;
 use whinwall_policy::time::{Moment, Span};
 
@@ -36,19 +39,19 @@
     assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-fn weight() -> Kind {
-    Kind::Weight { replica: "s-3".into(), factor: 0.5 }
+fn weight() -> OverrideKind {
+    OverrideKind::Weight { replica: "s-3".into(), factor: 0.5 }
 }
 
-fn out() -> Kind {
-    Kind::Out { replica: "s-3".into() }
+fn out() -> OverrideKind {
+    OverrideKind::Out { replica: "s-3".into() }
 }
 
-fn pin() -> Kind {
-    Kind::Pin { first: 40, last: 47, replica: "s-3".into() }
+fn pin() -> OverrideKind {
+    OverrideKind::Pin { first: 40, last: 47, replica: "s-3".into() }
 }
 
-fn shown(kind: Kind) -> Shown {
+fn shown(kind: OverrideKind) -> Shown {
     let one = Override {
         number: 1,
         id: "a".into(),
@@ -56,17 +59,17 @@
         author: "mb".into(),
         reason: "disk is failing".into(),
         origin: Origin::Request,
-        set: NOW,
-        ends: NOW + HALF_HOUR,
-        until_wall: None,
+        set_at: NOW,
+        expires_at: NOW + HALF_HOUR,
+        expires_at_wall_time: None,
         ended: None,
     };
     Shown { one, heeded: Some(OverrideStatus::InForce) }
 }
 
-fn ended(end: End) -> Shown {
+fn ended(cause: EndCause) -> Shown {
     let shown = shown(out());
-    let ended = Some((NOW - Span::ms(60_000), end));
+    let ended = Some(Ending { at: NOW - Span::ms(60_000), cause });
     Shown { one: Override { ended, ..shown.one }, heeded: None }
 }
 
@@ -100,19 +103,20 @@
 
 #[test]
 fn requests_to_set_are_decoded() {
-    for (text, kind, reason, lasts) in [
+    for (text, kind, reason, duration) in [
         (SET_WEIGHT, weight(), "half its memory", Span::ms(7_200_000)),
         (SET_OUT, out(), "disk is failing", HALF_HOUR),
         (SET_PIN, pin(), "audit", Span::ms(3_600_000)),
     ] {
-        let order = Order { id: "a".into(), kind, author: "mb".into(), reason: reason.into(), lasts };
-        assert_eq!(wire::decode_set("a", text.as_bytes()), Ok(Request::Change(Ask::Set(order))));
+        let order =
+            NewOverride { id: "a".into(), kind, author: "mb".into(), reason: reason.into(), duration };
+        assert_eq!(wire::decode_set("a", text.as_bytes()), Ok(Request::Change(ChangeRequest::Set(order))));
     }
 }
 
 #[test]
 fn request_to_clear_is_decoded() {
-    let clear = Ask::Clear { id: "a".into(), by: "jo".into() };
+    let clear = ChangeRequest::Clear { id: "a".into(), by: "jo".into() };
     assert_eq!(wire::decode_clear("a", br#"{"by":"jo"}"#), Ok(Request::Change(clear)));
 }
 
@@ -204,10 +208,10 @@
 #[test]
 fn ends_have_their_words_and_times() {
     for (end, cause) in [
-        (End::Expired, "expired at 2026-12-01T21:59:00Z"),
-        (End::Cleared { by: "jo".into() }, "cleared by jo at 2026-12-01T21:59:00Z"),
-        (End::Replaced { by: "b".into() }, "replaced by b at 2026-12-01T21:59:00Z"),
-        (End::ClockWentBack, "the clock went back over a restart at 2026-12-01T21:59:00Z"),
+        (EndCause::Expired, "expired at 2026-12-01T21:59:00Z"),
+        (EndCause::Cleared { by: "jo".into() }, "cleared by jo at 2026-12-01T21:59:00Z"),
+        (EndCause::Replaced { by: "b".into() }, "replaced by b at 2026-12-01T21:59:00Z"),
+        (EndCause::ClockWentBack, "the clock went back over a restart at 2026-12-01T21:59:00Z"),
     ] {
         let ended_text = format!(r#""left_s":0.0,"state":"ended","cause":"{cause}""#);
         let expected = ITEM.replace(r#""left_s":1800.0,"state":"in force""#, &ended_text);
@@ -218,14 +222,14 @@
 #[test]
 fn outcomes_have_their_text() {
     for (word, code, again) in [("set", 201, false), ("set before", 200, true)] {
-        let reply = Reply::Set { shown: shown(out()), again, kept: Kept::OnDisk, now: NOW };
+        let reply = Reply::Set { shown: shown(out()), again, kept: Durability::OnDisk, now: NOW };
         let expected = format!(r#"{{"outcome":"{word}","kept":"on disk","override":{ITEM}}}"#);
         assert_eq!(encode(reply), (code, expected));
     }
     for (word, again) in [("cleared", false), ("ended before", true)] {
-        let shown = ended(End::Cleared { by: "jo".into() });
+        let shown = ended(EndCause::Cleared { by: "jo".into() });
         let item = item(&shown);
-        let reply = Reply::Cleared { shown, again, kept: Kept::OnDisk, now: NOW };
+        let reply = Reply::Cleared { shown, again, kept: Durability::OnDisk, now: NOW };
         let expected = format!(r#"{{"outcome":"{word}","kept":"on disk","override":{item}}}"#);
         assert_eq!(encode(reply), (200, expected));
     }
@@ -234,9 +238,9 @@
 #[test]
 fn outcomes_say_in_words_whether_they_are_on_disk() {
     for (kept, words) in [
-        (Kept::OnDisk, "on disk"),
-        (Kept::Nowhere, "nowhere"),
-        (Kept::NotYet("the disk is full".into()), "not on disk yet: the disk is full"),
+        (Durability::OnDisk, "on disk"),
+        (Durability::InMemory, "nowhere"),
+        (Durability::Pending("the disk is full".into()), "not on disk yet: the disk is full"),
     ] {
         let reply = Reply::Set { shown: shown(out()), again: false, kept, now: NOW };
         let expected = format!(r#"{{"outcome":"set","kept":"{words}","override":{ITEM}}}"#);
@@ -347,12 +351,16 @@
 #[test]
 fn refusals_have_their_codes_and_texts() {
     let id = || "a".to_string();
-    let wrong = Refused::Wrong { part: "server", why: "it is empty".into() };
+    let wrong = OverrideError::from(InvalidField::new("server", "it is empty"));
     for (refused, code, text) in [
         (wrong, 400, r#"{"error":"server: it is empty","part":"server"}"#),
-        (Refused::Taken { id: id() }, 409, r#"{"error":"a is another override already"}"#),
-        (Refused::Full { most: 3 }, 429, r#"{"error":"3 overrides stand already, which is the most"}"#),
-        (Refused::Unknown { id: id() }, 404, r#"{"error":"there is no override a"}"#),
+        (OverrideError::IdInUse { id: id() }, 409, r#"{"error":"a is another override already"}"#),
+        (
+            OverrideError::LimitReached { limit: 3 },
+            429,
+            r#"{"error":"3 overrides stand already, which is the most"}"#,
+        ),
+        (OverrideError::UnknownId { id: id() }, 404, r#"{"error":"there is no override a"}"#),
     ] {
         assert_eq!(encode(Reply::Refused(refused)), (code, text.into()));
     }
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -3,10 +3,11 @@
 use crate::subsetting::{self, SubsettingConfig};
 use crate::tree::{self, Element, Wrong};
 use std::collections::BTreeSet;
+use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use whinwall_overrides::book::FileOrder;
-use whinwall_overrides::{record, words, Bounds, Kind};
+use whinwall_overrides::ConfiguredOverride;
+use whinwall_overrides::{text, validation, OverrideKind, OverrideLimits};
 
 /// A larger file is none that somebody wrote.
 pub const LARGEST: usize = 1 << 20;
@@ -24,8 +25,8 @@
     pub management: Option<Doors>,
     /// How many cores it may use; one where nothing is said.
     pub cores: Option<usize>,
-    pub bounds: Bounds,
-    pub overrides: Vec<FileOrder>,
+    pub bounds: OverrideLimits,
+    pub overrides: Vec<ConfiguredOverride>,
     /// Each controller steers a subset of the replicas, and is told of these by aggregators.
     pub subsetting: Option<SubsettingConfig>,
 }
@@ -121,13 +122,13 @@
     number.ok_or_else(|| format!("{text:?} is no whole number from 1 to {most}"))
 }
 
-fn overrides(all: &Element) -> Result<(Bounds, Vec<FileOrder>), Wrong> {
+fn overrides(all: &Element) -> Result<(OverrideLimits, Vec<ConfiguredOverride>), Wrong> {
     all.has_only(&["longest", "most", "ended-kept"], &["weight", "out", "pin"])?;
-    let usual = Bounds::default();
-    let bounds = Bounds {
-        longest: all.maybe("longest", words::span)?.unwrap_or(usual.longest),
-        most: all.maybe("most", |text| whole(text, MOST))?.unwrap_or(usual.most),
-        ended_kept: all.maybe("ended-kept", words::span)?.unwrap_or(usual.ended_kept),
+    let usual = OverrideLimits::default();
+    let bounds = OverrideLimits {
+        max_duration: all.maybe("longest", text::parse_duration)?.unwrap_or(usual.max_duration),
+        max_active: all.maybe("most", |text| whole(text, MOST))?.unwrap_or(usual.max_active),
+        ended_retention: all.maybe("ended-kept", text::parse_duration)?.unwrap_or(usual.ended_retention),
     };
     let (mut ids, mut orders) = (BTreeSet::new(), Vec::new());
     for one in &all.children {
@@ -137,33 +138,37 @@
         }
         orders.push(order);
     }
-    if orders.len() > bounds.most {
-        return Err(all.wrong(format!("{} overrides are more than the most, {}", orders.len(), bounds.most)));
+    if orders.len() > bounds.max_active {
+        return Err(all.wrong(format!(
+            "{} overrides are more than the most, {}",
+            orders.len(),
+            bounds.max_active
+        )));
     }
     Ok((bounds, orders))
 }
 
-fn order(one: &Element) -> Result<FileOrder, Wrong> {
+fn order(one: &Element) -> Result<ConfiguredOverride, Wrong> {
     let own: &[&str] = match one.name.as_str() {
         "weight" => &["id", "server", "author", "reason", "until", "factor"],
         "pin" => &["id", "server", "author", "reason", "until", "slices"],
         _ => &["id", "server", "author", "reason", "until"],
     };
     one.has_only(own, &[])?;
-    let text = |name| one.must(name, |text| Ok(text.to_string()));
+    let text = |name| one.must(name, |text| Ok::<_, Infallible>(text.to_string()));
     let replica = text("server")?;
     let kind = match one.name.as_str() {
         "weight" => {
             let number = |text: &str| text.parse().map_err(|_| format!("{text:?} is no number"));
-            Kind::Weight { replica, factor: one.must("factor", number)? }
+            OverrideKind::Weight { replica, factor: one.must("factor", number)? }
         }
         "pin" => {
-            let (first, last) = one.must("slices", words::slices)?;
-            Kind::Pin { first, last, replica }
+            let (first, last) = one.must("slices", text::parse_slices)?;
+            OverrideKind::Pin { first, last, replica }
         }
-        _ => Kind::Out { replica },
+        _ => OverrideKind::Out { replica },
     };
     let (id, author, reason) = (text("id")?, text("author")?, text("reason")?);
-    record::check(&id, &kind, &author, &reason).map_err(|(part, why)| one.wrong(format!("{part}: {why}")))?;
-    Ok(FileOrder { id, kind, author, reason, until: one.must("until", words::wall)? })
+    validation::validate(&id, &kind, &author, &reason).map_err(|invalid| one.wrong(invalid))?;
+    Ok(ConfiguredOverride { id, kind, author, reason, expires_at: one.must("until", text::parse_wall_time)? })
 }
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -4,7 +4,7 @@
 use crate::tree::{Element, Wrong};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use whinwall_overrides::words;
+use whinwall_overrides::text;
 use whinwall_subsetting::{Membership, MembershipError, Parameters, MAX_CONTROLLERS};
 
 /// More aggregators than that are a mistake.
@@ -177,7 +177,8 @@
 
 /// Ranges between commas; none overlaps another.
 fn slice_ranges(text: &str) -> Result<Vec<SliceRange>, String> {
-    let mut ranges = text.split(',').map(words::slices).collect::<Result<Vec<SliceRange>, _>>()?;
+    let ranges = text.split(',').map(text::parse_slices).collect::<Result<Vec<SliceRange>, _>>();
+    let mut ranges = ranges.map_err(|error| error.to_string())?;
     if ranges.len() > MAX_SLICE_RANGES {
         return Err(format!("{} ranges are more than {MAX_SLICE_RANGES}", ranges.len()));
     }
--- a/crates/operator-config/src/tree.rs
+++ b/crates/operator-config/src/tree.rs
@@ -141,17 +141,21 @@
     }
 
     /// An attribute as `read` understands it.
-    pub fn maybe<T>(
+    pub fn maybe<T, E: fmt::Display>(
         &self,
         name: &str,
-        read: impl FnOnce(&str) -> Result<T, String>,
+        read: impl FnOnce(&str) -> Result<T, E>,
     ) -> Result<Option<T>, Wrong> {
         let value = self.given(name).map(read).transpose();
         value.map_err(|why| self.wrong(format!("{name}: {why}")))
     }
 
     /// ... and one that must be there.
-    pub fn must<T>(&self, name: &str, read: impl FnOnce(&str) -> Result<T, String>) -> Result<T, Wrong> {
+    pub fn must<T, E: fmt::Display>(
+        &self,
+        name: &str,
+        read: impl FnOnce(&str) -> Result<T, E>,
+    ) -> Result<T, Wrong> {
         self.maybe(name, read)?.ok_or_else(|| self.wrong(format!("it lacks {name:?}")))
     }
 
--- a/crates/operator-config/tests/every_part.rs
+++ b/crates/operator-config/tests/every_part.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 use whinwall_operator_config::file::{self, Doors, LogForm, OperatorsFile};
 use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
-use whinwall_overrides::book::FileOrder;
-use whinwall_overrides::{Bounds, Kind};
+use whinwall_overrides::ConfiguredOverride;
+use whinwall_overrides::{OverrideKind, OverrideLimits};
 use whinwall_policy::time::{Moment, Span};
 
 const EVERY_PART: &str = include_str!("fixtures/every-part.xml");
@@ -31,15 +31,15 @@
     ("aggregator", &["name", "address"]),
 ];
 
-fn order(id: &str, kind: Kind, author: &str, reason: &str, until_s: u64) -> FileOrder {
-    let until = Moment::at_ns(until_s * 1_000_000_000);
-    FileOrder { id: id.into(), kind, author: author.into(), reason: reason.into(), until }
+fn order(id: &str, kind: OverrideKind, author: &str, reason: &str, until_s: u64) -> ConfiguredOverride {
+    let expires_at = Moment::at_ns(until_s * 1_000_000_000);
+    ConfiguredOverride { id: id.into(), kind, author: author.into(), reason: reason.into(), expires_at }
 }
 
 fn expected() -> OperatorsFile {
-    let weight = Kind::Weight { replica: "s-1".into(), factor: 0.5 };
-    let out = Kind::Out { replica: "s-2".into() };
-    let pin = Kind::Pin { first: 40, last: 47, replica: "s-3".into() };
+    let weight = OverrideKind::Weight { replica: "s-1".into(), factor: 0.5 };
+    let out = OverrideKind::Out { replica: "s-2".into() };
+    let pin = OverrideKind::Pin { first: 40, last: 47, replica: "s-3".into() };
     OperatorsFile {
         log: LogForm::Json,
         store: Some("/var/lib/fleet".into()),
@@ -48,7 +48,11 @@
             token_file: "/etc/fleet/token".into(),
         }),
         cores: Some(3),
-        bounds: Bounds { longest: Span::ms(12 * HOUR_MS), most: 500, ended_kept: Span::ms(48 * HOUR_MS) },
+        bounds: OverrideLimits {
+            max_duration: Span::ms(12 * HOUR_MS),
+            max_active: 500,
+            ended_retention: Span::ms(48 * HOUR_MS),
+        },
         overrides: vec![
             order("w-1", weight, "ann", "half its memory", FIRST_END_S),
             order("o-1", out, "bob", "disk is failing", FIRST_END_S + DAY_S),
@@ -162,7 +166,7 @@
 fn parts_that_are_not_named_have_their_defaults() {
     let read = file::read("<operators version=\"1\"/>").unwrap();
     let day = Span::ms(24 * HOUR_MS);
-    let bounds = Bounds { longest: day, most: 1000, ended_kept: day };
+    let bounds = OverrideLimits { max_duration: day, max_active: 1000, ended_retention: day };
     assert_eq!(read, OperatorsFile { bounds, ..OperatorsFile::default() });
     assert_eq!(
         (read.log, read.store, read.management, read.cores, read.subsetting),
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -4,7 +4,7 @@
 use regex::Regex;
 use whinwall_operator_config::file::{self, Doors, LogForm};
 use whinwall_operator_config::tree::{self, Element};
-use whinwall_overrides::Kind;
+use whinwall_overrides::OverrideKind;
 
 const SCHEMA: &str = include_str!("../../../deploy/operators.xsd");
 const EXAMPLE: &str = include_str!("../../../deploy/operators.xml");
@@ -195,10 +195,10 @@
          <overrides most=\"7\">{OUT}{pin}</overrides>"
     ));
     let read = file::read(&text).unwrap();
-    assert_eq!((read.log, read.bounds.most, read.store), (LogForm::Json, 7, None));
+    assert_eq!((read.log, read.bounds.max_active, read.store), (LogForm::Json, 7, None));
     assert!(matches!(read.management, Some(Doors::Address { address, .. }) if address.port() == 8600));
     let replica = "s \"1\"".to_string();
-    assert_eq!(read.overrides[1].kind, Kind::Pin { first: 4, last: 9, replica });
+    assert_eq!(read.overrides[1].kind, OverrideKind::Pin { first: 4, last: 9, replica });
 }
 
 /// The example with some of its bytes lost, doubled or changed.
--- a/crates/override-store/tests/keeper.rs
+++ b/crates/override-store/tests/override_store.rs
@@ -6,15 +6,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::Duration;
-use whinwall_override_store::desk::{Desk, Word};
-use whinwall_override_store::{Job, Keeper};
+use whinwall_override_store::storage_thread::{StorageThread, StoreReply};
+use whinwall_override_store::{OverrideStore, WriteBatch};
 
-fn put(number: u64, text: &str) -> Job {
-    Job { puts: vec![(number, text.into())], drops: vec![], stamp: b"stamp".to_vec() }
+fn put(number: u64, text: &str) -> WriteBatch {
+    WriteBatch { writes: vec![(number, text.into())], removals: vec![], stamp: b"stamp".to_vec() }
 }
 
-fn numbers(keeper: &mut Keeper) -> Vec<u64> {
-    keeper.open().unwrap().records.into_iter().map(|(number, _)| number).collect()
+fn numbers(store: &mut OverrideStore) -> Vec<u64> {
+    store.open().unwrap().records.into_iter().map(|(number, _)| number).collect()
 }
 
 fn file(folder: &Path) -> std::path::PathBuf {
@@ -25,14 +25,16 @@
 fn what_was_kept_is_there_for_the_next_one() {
     let folder = tempfile::tempdir().unwrap();
     let at = folder.path().join("new/folder");
-    let mut keeper = Keeper::at(at.clone());
-    assert_eq!(keeper.open().unwrap().records, vec![]);
+    let mut store = OverrideStore::new(at.clone());
+    assert_eq!(store.open().unwrap().records, vec![]);
     for n in 0..20 {
-        keeper.keep(&put(n, &format!("record {n}"))).unwrap();
+        store.write(&put(n, &format!("record {n}"))).unwrap();
     }
-    keeper.keep(&Job { drops: (0..15).collect(), stamp: b"later".to_vec(), ..Job::default() }).unwrap();
-    drop(keeper);
-    let found = Keeper::at(at).open().unwrap();
+    store
+        .write(&WriteBatch { removals: (0..15).collect(), stamp: b"later".to_vec(), ..WriteBatch::default() })
+        .unwrap();
+    drop(store);
+    let found = OverrideStore::new(at).open().unwrap();
     assert_eq!(found.records[0], (15, b"record 15".to_vec()));
     assert_eq!((found.records.len(), found.stamp, found.set_aside), (5, Some(b"later".to_vec()), None));
 }
@@ -58,18 +60,18 @@
     ];
     for (name, spoil) in spoil {
         let folder = tempfile::tempdir().unwrap();
-        let mut keeper = Keeper::at(folder.path().into());
-        keeper.open().unwrap();
-        keeper.keep(&put(1, "one")).unwrap();
-        drop(keeper);
+        let mut store = OverrideStore::new(folder.path().into());
+        store.open().unwrap();
+        store.write(&put(1, "one")).unwrap();
+        drop(store);
         spoil(&file(folder.path()));
-        let mut keeper = Keeper::at(folder.path().into());
-        let found = keeper.open().unwrap_or_else(|why| panic!("{name}: {why}"));
-        assert!(found.set_aside.is_some_and(|told| told.contains("spoilt-1")), "{name}");
+        let mut store = OverrideStore::new(folder.path().into());
+        let found = store.open().unwrap_or_else(|why| panic!("{name}: {why}"));
+        assert!(found.set_aside.is_some_and(|told| told.to_string().contains("spoilt-1")), "{name}");
         assert_eq!(found.records, vec![], "{name}");
-        keeper.keep(&put(2, "two")).unwrap();
-        drop(keeper);
-        assert_eq!(numbers(&mut Keeper::at(folder.path().into())), [2], "{name}");
+        store.write(&put(2, "two")).unwrap();
+        drop(store);
+        assert_eq!(numbers(&mut OverrideStore::new(folder.path().into())), [2], "{name}");
         assert!(folder.path().join("overrides.redb.spoilt-1").exists(), "{name}: nothing is lost");
     }
 }
@@ -77,10 +79,10 @@
 #[test]
 fn a_newer_file_and_one_in_use_stay_as_they_are() {
     let folder = tempfile::tempdir().unwrap();
-    let mut first = Keeper::at(folder.path().into());
+    let mut first = OverrideStore::new(folder.path().into());
     first.open().unwrap();
-    first.keep(&put(1, "one")).unwrap();
-    assert!(Keeper::at(folder.path().into()).open().is_err(), "two programs on one file");
+    first.write(&put(1, "one")).unwrap();
+    assert!(OverrideStore::new(folder.path().into()).open().is_err(), "two programs on one file");
     drop(first);
     let newer = redb::Database::open(file(folder.path())).unwrap();
     let write = newer.begin_write().unwrap();
@@ -88,7 +90,7 @@
     write.open_table(meta).unwrap().insert("form", 9u64.to_be_bytes().as_slice()).unwrap();
     write.commit().unwrap();
     drop(newer);
-    let why = Keeper::at(folder.path().into()).open().unwrap_err();
+    let why = OverrideStore::new(folder.path().into()).open().unwrap_err();
     assert!(why.to_string().contains("form 9"), "{why}");
     assert!(!folder.path().join("overrides.redb.spoilt-1").exists());
 }
@@ -136,9 +138,12 @@
     }
 }
 
-fn on(disk: &Disk, folder: &Path) -> Keeper {
+fn on(disk: &Disk, folder: &Path) -> OverrideStore {
     let disk = disk.clone();
-    Keeper::with(folder.into(), Box::new(move |_| Builder::new().create_with_backend(disk.clone())))
+    OverrideStore::with_opener(
+        folder.into(),
+        Box::new(move |_| Builder::new().create_with_backend(disk.clone())),
+    )
 }
 
 /// The disk gives out at every possible write, the last one of all being the first that is no trouble: what
@@ -149,14 +154,14 @@
     let mut refused = 0;
     for room in 0.. {
         let disk = Disk::new();
-        let mut keeper = on(&disk, folder.path());
-        keeper.open().unwrap();
-        keeper.keep(&put(1, "one")).unwrap();
+        let mut store = on(&disk, folder.path());
+        store.open().unwrap();
+        store.write(&put(1, "one")).unwrap();
         disk.writes_left.store(room, Ordering::SeqCst);
-        let kept = keeper.keep(&put(2, "two"));
+        let kept = store.write(&put(2, "two"));
         disk.writes_left.store(u64::MAX, Ordering::SeqCst);
-        keeper.keep(&put(3, "three")).unwrap();
-        drop(keeper);
+        store.write(&put(3, "three")).unwrap();
+        drop(store);
         let found = numbers(&mut on(&disk, folder.path()));
         match kept {
             Ok(()) => {
@@ -174,16 +179,17 @@
 #[test]
 fn the_thread_keeps_trying_to_open_and_answers_each_job() {
     let folder = tempfile::tempdir().unwrap();
-    let mut other = Keeper::at(folder.path().into());
+    let mut other = OverrideStore::new(folder.path().into());
     other.open().unwrap();
     let (say, words) = mpsc::channel();
-    let desk = Desk::start(Keeper::at(folder.path().into()), move |word| _ = say.send(word)).unwrap();
-    assert!(desk.open());
+    let desk = StorageThread::spawn(OverrideStore::new(folder.path().into()), move |word| _ = say.send(word))
+        .unwrap();
+    assert!(desk.request_open().is_ok());
     let patience = Duration::from_secs(20);
-    assert!(matches!(words.recv_timeout(patience).unwrap(), Word::NotOpened(_)));
+    assert!(matches!(words.recv_timeout(patience).unwrap(), StoreReply::Unavailable(_)));
     drop(other);
-    let opened = || matches!(words.recv_timeout(patience).unwrap(), Word::Opened(_));
+    let opened = || matches!(words.recv_timeout(patience).unwrap(), StoreReply::Opened(_));
     while !opened() {}
-    assert!(desk.keep(7, put(1, "one")));
-    assert_eq!(words.recv_timeout(patience).unwrap(), Word::Done { serial: 7, outcome: Ok(()) });
+    assert!(desk.request_write(7, put(1, "one")).is_ok());
+    assert_eq!(words.recv_timeout(patience).unwrap(), StoreReply::Written { serial: 7, outcome: Ok(()) });
 }
--- /dev/null
+++ b/crates/overrides/src/controller/mod.rs
@@ -0,0 +1,404 @@
+//! Carries out requests to change overrides: queues them, has each change stored before it takes effect, and
+//! replies. One write to the store is in flight at a time. The end of an override never waits for the store.
+
+mod messages;
+
+pub use messages::{ChangeReply, ChangeRequest, Durability, OverrideEffect, RequestId, StoreEvent};
+
+use crate::encoding;
+use crate::error::OverrideError;
+use crate::record::{ConfiguredOverride, NewOverride, StoredRecord};
+use crate::registry::{OverrideLimits, OverrideRegistry, Proposal, RegistryChange};
+use crate::timeline::{ClockReading, ClockStamp, Timeline};
+use std::collections::VecDeque;
+use std::mem::{replace, take};
+use whinwall_policy::api::OverrideId;
+use whinwall_policy::time::{Moment, Span};
+
+/// The most requests that wait for the store, of each kind; more are rejected, or not waited for.
+const MAX_QUEUED_REQUESTS: usize = 256;
+/// The time until a failed write is retried.
+const WRITE_RETRY_DELAY: Span = Span::ms(5000);
+/// How often the clock stamp is stored: a step of the wall clock that nobody noticed prolongs an override by this
+/// much at the most.
+const STAMP_INTERVAL: Span = Span::ms(60_000);
+
+/// The store, as far as the controller knows.
+enum StoreState {
+    /// Overrides are lost with the program.
+    NotConfigured,
+    /// The store was not read yet, for this reason.
+    Unavailable(String),
+    /// The store was read.
+    Open,
+}
+
+/// A request to set an override that waits for the store.
+struct QueuedSet {
+    request_id: RequestId,
+    request: NewOverride,
+}
+
+/// A new override that is being stored.
+struct PendingSet {
+    request_id: RequestId,
+    change: RegistryChange,
+}
+
+/// A request that has ended an override, and is replied to once the end is stored.
+struct PendingClear {
+    request_id: RequestId,
+    number: OverrideId,
+}
+
+/// The write to the store that is in flight.
+struct PendingSave {
+    serial: u64,
+    set: Option<PendingSet>,
+    /// Changes that have taken effect already.
+    unsaved: RegistryChange,
+    clears: Vec<PendingClear>,
+}
+
+/// The overrides of a controller with their requests and their store.
+pub struct OverrideController {
+    registry: OverrideRegistry,
+    store: StoreState,
+    queued_sets: VecDeque<QueuedSet>,
+    pending_clears: Vec<PendingClear>,
+    pending_save: Option<PendingSave>,
+    last_serial: u64,
+    /// The overrides of the operators' file, once it was read.
+    configured: Option<Vec<ConfiguredOverride>>,
+    retry_at: Option<Moment>,
+    stamp_due_at: Moment,
+    has_write_failed: bool,
+    has_changed: bool,
+    effects: Vec<OverrideEffect>,
+}
+
+impl OverrideController {
+    /// A controller without a store: all overrides are lost with the program.
+    pub fn in_memory(now: Moment, reading: &ClockReading, limits: OverrideLimits) -> Self {
+        Self::new(now, reading, limits, StoreState::NotConfigured)
+    }
+
+    /// A controller with a store. Requests to set an override are rejected until the store was read.
+    pub fn with_store(now: Moment, reading: &ClockReading, limits: OverrideLimits) -> Self {
+        Self::new(now, reading, limits, StoreState::Unavailable("it is not read yet".into()))
+    }
+
+    fn new(now: Moment, reading: &ClockReading, limits: OverrideLimits, store: StoreState) -> Self {
+        OverrideController {
+            registry: OverrideRegistry::new(limits, Timeline::resume(now, reading, None).timeline),
+            store,
+            queued_sets: VecDeque::new(),
+            pending_clears: Vec::new(),
+            pending_save: None,
+            last_serial: 0,
+            configured: None,
+            retry_at: None,
+            stamp_due_at: now,
+            has_write_failed: false,
+            has_changed: false,
+            effects: Vec::new(),
+        }
+    }
+
+    /// The overrides.
+    pub fn registry(&self) -> &OverrideRegistry {
+        &self.registry
+    }
+
+    /// Whether the active overrides may have changed since the last call.
+    pub fn take_changed(&mut self) -> bool {
+        take(&mut self.has_changed)
+    }
+
+    /// The effects that have come up since the last call, in order.
+    pub fn take_effects(&mut self) -> Vec<OverrideEffect> {
+        take(&mut self.effects)
+    }
+
+    /// Handles a request; the reply is an effect, now or later.
+    pub fn handle_request(&mut self, now: Moment, request_id: RequestId, request: ChangeRequest) {
+        match request {
+            ChangeRequest::Set(_) if self.queued_sets.len() >= MAX_QUEUED_REQUESTS => {
+                self.reply(request_id, ChangeReply::Busy);
+            }
+            ChangeRequest::Set(request) => self.queued_sets.push_back(QueuedSet { request_id, request }),
+            ChangeRequest::Clear { id, by } => self.clear(now, request_id, &id, &by),
+        }
+        self.process_queues(now);
+    }
+
+    fn reply(&mut self, request_id: RequestId, reply: ChangeReply) {
+        self.effects.push(OverrideEffect::Reply { request_id, reply });
+    }
+
+    fn log(&mut self, event: StoreEvent) {
+        self.effects.push(OverrideEffect::Log(event));
+    }
+
+    fn clear(&mut self, now: Moment, request_id: RequestId, id: &str, by: &str) {
+        let (number, is_repeat) = match self.registry.propose_clear(now, id, by) {
+            Err(error) => return self.reply(request_id, ChangeReply::Rejected(error)),
+            Ok(Proposal::Unchanged(number)) => (number, true),
+            Ok(Proposal::Change(change)) => {
+                let number = change.writes.first().map_or(0, |entry| entry.number);
+                self.apply(change);
+                (number, false)
+            }
+        };
+        let durability = match &self.store {
+            StoreState::NotConfigured => Durability::InMemory,
+            StoreState::Unavailable(reason) => Durability::Pending(reason.clone()),
+            StoreState::Open if is_repeat => Durability::OnDisk,
+            StoreState::Open if self.pending_clears.len() < MAX_QUEUED_REQUESTS => {
+                return self.pending_clears.push(PendingClear { request_id, number });
+            }
+            StoreState::Open => Durability::Pending("too many wait for the disk".into()),
+        };
+        self.reply(request_id, ChangeReply::Cleared { number, is_repeat, durability });
+    }
+
+    fn apply(&mut self, change: RegistryChange) {
+        self.registry.apply(change);
+        self.has_changed = true;
+    }
+
+    /// Takes over what the store holds. The overrides of the operators' file are then set again, beside those of
+    /// the store.
+    pub fn handle_store_read(
+        &mut self,
+        now: Moment,
+        reading: &ClockReading,
+        stamp: Option<&[u8]>,
+        records: &[StoredRecord],
+    ) {
+        let stamp = stamp.and_then(|bytes| self.decode_stamp(bytes));
+        let limits = self.registry.limits().clone();
+        let restored = OverrideRegistry::restore(limits, now, reading, stamp.as_ref(), records);
+        for error in restored.unreadable {
+            self.log(StoreEvent::RecordUnreadable { reason: error.to_string() });
+        }
+        self.registry = restored.registry;
+        let active = self.registry.active().count();
+        self.log(StoreEvent::Read { active, ended: self.registry.listed().count() - active });
+        self.store = StoreState::Open;
+        self.has_changed = true;
+        self.pending_save = None;
+        self.registry.adjust_to_wall_clock(now, reading.wall_time);
+        if let Some(configured) = self.configured.take() {
+            let limits = self.registry.limits().clone();
+            if let Err(error) = self.apply_configuration(now, reading.wall_time, limits, configured) {
+                self.log(StoreEvent::ConfigurationRejected { reason: error.to_string() });
+            }
+        }
+        self.process_queues(now);
+    }
+
+    fn decode_stamp(&mut self, bytes: &[u8]) -> Option<ClockStamp> {
+        match encoding::decode_stamp(bytes) {
+            Ok(stamp) => Some(stamp),
+            Err(error) => {
+                self.log(StoreEvent::StampUnreadable { reason: error.to_string() });
+                None
+            }
+        }
+    }
+
+    /// Notes that the store cannot be read, for this reason. Each reason is logged once.
+    pub fn handle_store_unavailable(&mut self, reason: &str) {
+        let is_known = matches!(&self.store, StoreState::Unavailable(known) if known == reason);
+        if !is_known {
+            self.log(StoreEvent::Unavailable { reason: reason.into() });
+        }
+        self.store = StoreState::Unavailable(reason.into());
+    }
+
+    /// Follows the operators' file.
+    ///
+    /// # Errors
+    /// The first override that cannot be set; then all stays as it was.
+    pub fn apply_configuration(
+        &mut self,
+        now: Moment,
+        wall_time: Moment,
+        limits: OverrideLimits,
+        configured: Vec<ConfiguredOverride>,
+    ) -> Result<(), OverrideError> {
+        let former_limits = self.registry.limits().clone();
+        self.registry.set_limits(limits);
+        match self.registry.propose_configured(now, wall_time, &configured) {
+            Ok(change) => {
+                self.has_changed |= !change.is_empty();
+                self.registry.apply(change);
+                self.configured = Some(configured);
+                self.process_queues(now);
+                Ok(())
+            }
+            Err(error) => {
+                self.registry.set_limits(former_limits);
+                Err(error)
+            }
+        }
+    }
+
+    /// Follows a step of the wall clock, and has it stored in a new clock stamp.
+    pub fn handle_wall_clock_step(&mut self, now: Moment, wall_time: Moment) {
+        self.registry.adjust_to_wall_clock(now, wall_time);
+        self.stamp_due_at = now;
+        self.tick(now);
+    }
+
+    /// Ends overrides whose time is over, and begins writes that are due.
+    pub fn tick(&mut self, now: Moment) {
+        if self.registry.expire_due(now) {
+            self.has_changed = true;
+            self.registry.prune_ended(now);
+        }
+        self.process_queues(now);
+    }
+
+    /// When [`Self::tick`] has to be called next.
+    pub fn next_tick_at(&self) -> Option<Moment> {
+        let expiry = self.registry.next_expiry();
+        if !matches!(self.store, StoreState::Open) || self.pending_save.is_some() {
+            return expiry;
+        }
+        let retry = self.retry_at.filter(|_| !self.registry.unsaved().is_empty());
+        let stamp = expiry.map(|_| self.stamp_due_at.max(self.retry_at.unwrap_or_default()));
+        [expiry, retry, stamp].into_iter().flatten().min()
+    }
+
+    fn process_queues(&mut self, now: Moment) {
+        while self.pending_save.is_none() {
+            let Some(queued) = self.queued_sets.pop_front() else { break };
+            self.process_set(now, queued);
+        }
+        match self.store {
+            StoreState::NotConfigured => {
+                let unsaved = self.registry.unsaved();
+                self.registry.mark_saved(&unsaved);
+            }
+            StoreState::Open if self.pending_save.is_none() && self.is_save_due(now) => self.start_save(None),
+            StoreState::Open | StoreState::Unavailable(_) => {}
+        }
+    }
+
+    fn is_save_due(&self, now: Moment) -> bool {
+        if !self.pending_clears.is_empty() {
+            return true;
+        }
+        let may_write = self.retry_at.is_none_or(|at| at <= now);
+        let is_stamp_due = self.stamp_due_at <= now && self.registry.next_expiry().is_some();
+        may_write && (is_stamp_due || !self.registry.unsaved().is_empty())
+    }
+
+    fn process_set(&mut self, now: Moment, QueuedSet { request_id, request }: QueuedSet) {
+        let proposal = match self.registry.propose_set(now, &request) {
+            Ok(proposal) => proposal,
+            Err(error) => return self.reply(request_id, ChangeReply::Rejected(error)),
+        };
+        let durability = match &self.store {
+            StoreState::Unavailable(reason) => {
+                let reply = ChangeReply::NotStored(reason.clone());
+                return self.reply(request_id, reply);
+            }
+            StoreState::Open => Durability::OnDisk,
+            StoreState::NotConfigured => Durability::InMemory,
+        };
+        let (number, is_repeat) = match proposal {
+            Proposal::Unchanged(number) => (number, true),
+            Proposal::Change(change) if durability == Durability::OnDisk => {
+                return self.start_save(Some(PendingSet { request_id, change }));
+            }
+            Proposal::Change(change) => {
+                let number = new_override_number(&change);
+                self.apply(change);
+                (number, false)
+            }
+        };
+        self.reply(request_id, ChangeReply::Set { number, is_repeat, durability });
+    }
+
+    fn start_save(&mut self, set: Option<PendingSet>) {
+        self.last_serial += 1;
+        let serial = self.last_serial;
+        let unsaved = self.registry.unsaved();
+        let timeline = *self.registry.timeline();
+        let new = set.iter().flat_map(|set| &set.change.writes);
+        let writes = unsaved
+            .writes
+            .iter()
+            .chain(new)
+            .map(|entry| (entry.number, encoding::encode_override(entry, &timeline)))
+            .collect();
+        let removals = unsaved.removals.clone();
+        let clears = take(&mut self.pending_clears);
+        self.effects.push(OverrideEffect::Save { serial, writes, removals, timeline });
+        self.pending_save = Some(PendingSave { serial, set, unsaved, clears });
+    }
+
+    /// Takes in the outcome of a write, with the reason why it failed. The outcome of a write that is not in
+    /// flight any more is ignored.
+    pub fn handle_save_outcome(&mut self, now: Moment, serial: u64, outcome: Result<(), String>) {
+        let Some(save) = self.pending_save.take_if(|save| save.serial == serial) else { return };
+        let durability = match &outcome {
+            Ok(()) => {
+                self.registry.mark_saved(&save.unsaved);
+                self.note_successful_write(now);
+                Durability::OnDisk
+            }
+            Err(reason) => {
+                self.note_failed_write(now, reason);
+                Durability::Pending(reason.clone())
+            }
+        };
+        if let Some(set) = save.set {
+            self.finish_set(set, outcome);
+        }
+        for PendingClear { request_id, number } in save.clears {
+            let durability = durability.clone();
+            self.reply(request_id, ChangeReply::Cleared { number, is_repeat: false, durability });
+        }
+        self.tick(now);
+    }
+
+    fn note_successful_write(&mut self, now: Moment) {
+        self.retry_at = None;
+        self.stamp_due_at = now + STAMP_INTERVAL;
+        if take(&mut self.has_write_failed) {
+            self.log(StoreEvent::Recovered);
+        }
+    }
+
+    fn note_failed_write(&mut self, now: Moment, reason: &str) {
+        self.retry_at = Some(now + WRITE_RETRY_DELAY);
+        if !replace(&mut self.has_write_failed, true) {
+            self.log(StoreEvent::WriteFailed { reason: reason.into() });
+        }
+    }
+
+    fn finish_set(&mut self, PendingSet { request_id, change }: PendingSet, outcome: Result<(), String>) {
+        let number = new_override_number(&change);
+        let reply = match outcome {
+            Ok(()) => {
+                self.apply(change.clone());
+                self.registry.mark_saved(&change);
+                ChangeReply::Set { number, is_repeat: false, durability: Durability::OnDisk }
+            }
+            Err(reason) => {
+                self.registry.abandon(&change);
+                ChangeReply::NotStored(reason)
+            }
+        };
+        self.reply(request_id, reply);
+    }
+}
+
+/// The number of the override that a request sets: the last one, after those that it replaces.
+fn new_override_number(change: &RegistryChange) -> OverrideId {
+    change.writes.last().map_or(0, |entry| entry.number)
+}
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -1,17 +1,28 @@
-//! What operators want for a while: overrides, each with an end. Told the time as the decisions are; nothing
-//! here reads a clock, a file or a socket. `clerk` takes what is asked and has it kept, `book` holds all of
-//! them and says what stands, `record` what one is, `timeline` how its end outlives a restart, `saved` its
-//! form on disk, `words` how people write it.
+//! Operator overrides that expire: what is requested, which overrides are active, and how they are stored.
+//!
+//! The package has no I/O and reads no clock; callers pass the time and carry out [`OverrideEffect`]s.
+//! [`controller`] handles requests and the store, [`registry`] holds all overrides, [`record`] defines one
+//! override, [`validation`] its limits, [`timeline`] how expiry times outlive a restart, [`encoding`] the
+//! stored form and [`text`] the form that people write.
 #![forbid(unsafe_code)]
+#![warn(clippy::unwrap_used)]
 
-pub mod book;
-pub mod clerk;
+pub mod controller;
+pub mod encoding;
+pub mod error;
 pub mod record;
-pub mod saved;
+pub mod registry;
+pub mod text;
 pub mod timeline;
-pub mod words;
+pub mod validation;
 
-pub use book::{Book, Bounds, Change, Proposal, Refused};
-pub use clerk::{Act, Answer, Ask, Clerk, Kept, Ticket};
-pub use record::{End, Kind, Order, Origin, Override};
-pub use timeline::{Reading, Stamp, Timeline, WallWatch};
+pub use controller::{
+    ChangeReply, ChangeRequest, Durability, OverrideController, OverrideEffect, RequestId, StoreEvent,
+};
+pub use error::OverrideError;
+pub use record::{
+    ConfiguredOverride, EndCause, Ending, NewOverride, Origin, Override, OverrideKind, StoredRecord,
+};
+pub use registry::{OverrideLimits, OverrideRegistry, Proposal, RegistryChange, RestoredRegistry};
+pub use timeline::{ClockReading, ClockStamp, ResumedTimeline, Timeline, WallClockMonitor};
+pub use validation::InvalidField;
--- a/crates/overrides/src/record.rs
+++ b/crates/overrides/src/record.rs
@@ -1,159 +1,192 @@
-//! One override, and what is asked for when one is set.
+//! One override, and the requests that create one.
 
 use std::fmt;
 use whinwall_policy::api::{OverrideId, SliceId};
 use whinwall_policy::time::{Moment, Span};
 
-/// What it does. Replicas go by name: a number is the program's own and may change.
+/// An override as the store holds it: its number and its encoded record.
+pub type StoredRecord = (OverrideId, Vec<u8>);
+
+/// The effect of an override. Replicas are named, as their numbers are internal to a program and may change.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
-    /// A factor on the replica's listed size.
+pub enum OverrideKind {
+    /// Multiplies the weight that the endpoint list gives a replica.
     Weight {
+        /// The replica's name.
         replica: String,
+        /// The multiplier.
         factor: f64,
     },
+    /// Takes a replica out of service.
     Out {
+        /// The replica's name.
         replica: String,
     },
-    /// Both ends included.
+    /// Makes a range of slices sticky to a replica.
     Pin {
+        /// The first slice of the range.
         first: SliceId,
+        /// The last slice of the range, included.
         last: SliceId,
+        /// The replica's name.
         replica: String,
     },
 }
 
-impl Kind {
+impl OverrideKind {
+    /// The name of the replica that it is about.
     pub fn replica(&self) -> &str {
         match self {
-            Kind::Weight { replica, .. } | Kind::Out { replica } | Kind::Pin { replica, .. } => replica,
+            OverrideKind::Weight { replica, .. }
+            | OverrideKind::Out { replica }
+            | OverrideKind::Pin { replica, .. } => replica,
         }
     }
 
-    /// Whether it takes the place of an earlier one: two of a kind can't both hold for the same.
-    pub fn replaces(&self, earlier: &Kind) -> bool {
+    /// Whether it supersedes an earlier override: both cannot hold for the same replica or slices.
+    pub fn replaces(&self, earlier: &OverrideKind) -> bool {
         match (self, earlier) {
-            (Kind::Weight { replica, .. }, Kind::Weight { replica: other, .. }) => replica == other,
-            (Kind::Out { replica }, Kind::Out { replica: other }) => replica == other,
-            (Kind::Pin { first, last, .. }, Kind::Pin { first: from, last: to, .. }) => {
-                first <= from && last >= to
-            }
+            (OverrideKind::Weight { replica, .. }, OverrideKind::Weight { replica: other, .. })
+            | (OverrideKind::Out { replica }, OverrideKind::Out { replica: other }) => replica == other,
+            (
+                OverrideKind::Pin { first, last, .. },
+                OverrideKind::Pin { first: earlier_first, last: earlier_last, .. },
+            ) => first <= earlier_first && last >= earlier_last,
             _ => false,
         }
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for OverrideKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Kind::Weight { replica, factor } => write!(f, "weight {factor} on {replica}"),
-            Kind::Out { replica } => write!(f, "{replica} out of service"),
-            Kind::Pin { first, last, replica } => {
-                write!(f, "slices {} pinned to {replica}", crate::words::write_slices(*first, *last))
+            OverrideKind::Weight { replica, factor } => write!(f, "weight {factor} on {replica}"),
+            OverrideKind::Out { replica } => write!(f, "{replica} out of service"),
+            OverrideKind::Pin { first, last, replica } => {
+                write!(f, "slices {} pinned to {replica}", crate::text::format_slices(*first, *last))
             }
         }
     }
 }
 
-/// Who set it: where the operators' file no longer has one of its own, it ends.
+/// Where an override comes from. One of the operators' file ends when the file no longer names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
+    /// The management API.
     Request,
+    /// The operators' file.
     File,
 }
 
-/// Why it is no more.
+/// Why an override has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum EndCause {
+    /// Its time was over.
     Expired,
+    /// An operator, or the operators' file, ended it.
     Cleared {
+        /// Who did.
         by: String,
     },
-    /// By a newer one, of this id.
+    /// A newer override superseded it.
     Replaced {
+        /// The newer one's id.
         by: String,
     },
-    /// The clock went back while the program was away: how much time is left can't be known, and it must not
-    /// get more.
+    /// The wall clock went back while the program was down: the remaining time is unknown, and an override
+    /// must not be prolonged.
     ClockWentBack,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for EndCause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            End::Expired => f.write_str("expired"),
-            End::Cleared { by } => write!(f, "cleared by {by}"),
-            End::Replaced { by } => write!(f, "replaced by {by}"),
-            End::ClockWentBack => f.write_str("the clock went back over a restart"),
+            EndCause::Expired => f.write_str("expired"),
+            EndCause::Cleared { by } => write!(f, "cleared by {by}"),
+            EndCause::Replaced { by } => write!(f, "replaced by {by}"),
+            EndCause::ClockWentBack => f.write_str("the clock went back over a restart"),
         }
     }
 }
 
-/// What is asked for. The id is chosen by whoever asks, and the same at all controllers: said again after an
-/// unknown outcome, it sets nothing twice.
+/// The end of an override.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Ending {
+    /// The process time at which it ended.
+    pub at: Moment,
+    /// Why it ended.
+    pub cause: EndCause,
+}
+
+/// A request to set an override. The client chooses the id, and sends the same id to all controllers: it is an
+/// idempotency key, so that a retry after an unknown outcome sets nothing twice.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct NewOverride {
+    /// The idempotency key.
     pub id: String,
-    pub kind: Kind,
+    /// The effect.
+    pub kind: OverrideKind,
+    /// Who requests it.
     pub author: String,
+    /// Why, for other operators.
     pub reason: String,
-    pub lasts: Span,
+    /// How long it holds from when it is set.
+    pub duration: Span,
 }
 
+/// An override of the operators' file.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ConfiguredOverride {
+    /// Unique in the file.
+    pub id: String,
+    /// The effect.
+    pub kind: OverrideKind,
+    /// Who wrote it.
+    pub author: String,
+    /// Why, for other operators.
+    pub reason: String,
+    /// When it expires, by the wall clock.
+    pub expires_at: Moment,
+}
+
+/// An override that was set, active or ended. Times are of the process clock unless said otherwise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// In the order in which they were set; it names the override to the decisions.
+    /// Ascending in the order in which overrides were set; identifies the override to the policy and the store.
     pub number: OverrideId,
+    /// The id that its client or the operators' file chose.
     pub id: String,
-    pub kind: Kind,
+    /// The effect.
+    pub kind: OverrideKind,
+    /// Who set it.
     pub author: String,
+    /// Why, for other operators.
     pub reason: String,
+    /// Where it comes from.
     pub origin: Origin,
-    pub set: Moment,
-    pub ends: Moment,
-    /// The wall's time of its end, where that was asked for.
-    pub until_wall: Option<Moment>,
-    pub ended: Option<(Moment, End)>,
+    /// When it was set.
+    pub set_at: Moment,
+    /// When it expires.
+    pub expires_at: Moment,
+    /// When it expires by the wall clock, for overrides of the operators' file.
+    pub expires_at_wall_time: Option<Moment>,
+    /// Its end; none while it is active.
+    pub ended: Option<Ending>,
 }
 
 impl Override {
-    pub fn stands(&self) -> bool {
+    /// Whether it has not ended.
+    pub fn is_active(&self) -> bool {
         self.ended.is_none()
     }
 
-    /// The same in all that was asked for, but for its length: a repeat may come late.
-    pub fn is_what(&self, kind: &Kind, author: &str, reason: &str) -> bool {
-        (&self.kind, self.author.as_str(), self.reason.as_str()) == (kind, author, reason)
+    /// Whether it has these contents. The duration is left out, as a retry may arrive late.
+    pub fn has_contents(&self, kind: &OverrideKind, author: &str, reason: &str) -> bool {
+        self.kind == *kind && self.author == author && self.reason == reason
     }
-}
 
-const ID: usize = 64;
-const NAME: usize = 128;
-const AUTHOR: usize = 64;
-const REASON: usize = 200;
-/// Beyond these a factor is a slip of the pen; who wants none of a replica takes it out of service.
-const FACTORS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
-
-/// What is wrong with a part of an override, and with which.
-pub fn check(id: &str, kind: &Kind, author: &str, reason: &str) -> Result<(), (&'static str, String)> {
-    let letter = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-    if id.is_empty() || id.len() > ID || !id.chars().all(letter) {
-        return Err(("id", format!("{id:?} is not 1 to {ID} letters, digits, dots, dashes or underscores")));
-    }
-    let text = |part: &'static str, text: &str, most: usize| {
-        let fits = !text.trim().is_empty() && text.len() <= most && !text.chars().any(char::is_control);
-        fits.then_some(()).ok_or((part, format!("it must have 1 to {most} bytes and no control characters")))
-    };
-    text("server", kind.replica(), NAME)?;
-    text("author", author, AUTHOR)?;
-    text("reason", reason, REASON)?;
-    match kind {
-        Kind::Weight { factor, .. } if !FACTORS.contains(factor) => {
-            Err(("factor", format!("{factor} is not from {} to {}", FACTORS.start(), FACTORS.end())))
-        }
-        Kind::Pin { first, last, .. } if first > last => {
-            Err(("slices", format!("{first}-{last} ends before it begins")))
-        }
-        _ => Ok(()),
+    /// The same override, ended.
+    pub(crate) fn ended(&self, at: Moment, cause: EndCause) -> Override {
+        Override { ended: Some(Ending { at, cause }), ..self.clone() }
     }
 }
--- /dev/null
+++ b/crates/overrides/src/registry/configured.rs
@@ -0,0 +1,126 @@
+//! What the overrides of the operators' file would change.
+
+use super::{OverrideLimits, OverrideRegistry, RegistryChange};
+use crate::error::OverrideError;
+use crate::record::{ConfiguredOverride, EndCause, Origin, Override};
+use crate::text::format_duration;
+use crate::validation::{validate, InvalidField};
+use std::collections::BTreeSet;
+use whinwall_policy::time::{Moment, Span};
+
+/// Who ends an override that the file no longer names, as shown to operators.
+const FILE_AUTHOR: &str = "the operators' file";
+
+/// The process time and the wall time of one moment.
+#[derive(Clone, Copy)]
+struct Clocks {
+    now: Moment,
+    wall_time: Moment,
+}
+
+impl OverrideRegistry {
+    /// What following the operators' file would change: new overrides are set, changed ones replace their former
+    /// selves, and those that the file no longer names end. An override that was cleared stays so for as long as
+    /// the file has it unchanged.
+    ///
+    /// # Errors
+    /// The first override that cannot be set; then none of them is.
+    pub fn propose_configured(
+        &self,
+        now: Moment,
+        wall_time: Moment,
+        configured: &[ConfiguredOverride],
+    ) -> Result<RegistryChange, OverrideError> {
+        let clocks = Clocks { now, wall_time };
+        let mut draft = Draft::new(self);
+        draft.end_absent(now, configured);
+        for entry in configured {
+            draft.set(clocks, entry)?;
+        }
+        Ok(draft.change)
+    }
+
+    /// A copy of the overrides, without what is to be stored.
+    fn copy_overrides(&self) -> OverrideRegistry {
+        let mut copy = OverrideRegistry {
+            limits: self.limits.clone(),
+            ..OverrideRegistry::new(OverrideLimits::default(), self.timeline)
+        };
+        for entry in self.overrides.values() {
+            copy.insert(entry.clone());
+        }
+        copy.next_number = self.next_number;
+        copy
+    }
+}
+
+/// A copy of the registry to which the file's overrides are applied one by one, as one may replace another.
+struct Draft {
+    registry: OverrideRegistry,
+    change: RegistryChange,
+}
+
+impl Draft {
+    fn new(registry: &OverrideRegistry) -> Self {
+        Draft { registry: registry.copy_overrides(), change: RegistryChange::default() }
+    }
+
+    fn write(&mut self, writes: Vec<Override>) {
+        for entry in writes {
+            self.registry.insert(entry.clone());
+            self.change.writes.retain(|other| other.number != entry.number);
+            self.change.writes.push(entry);
+        }
+    }
+
+    /// Ends the file's overrides that it no longer names.
+    fn end_absent(&mut self, now: Moment, configured: &[ConfiguredOverride]) {
+        let named: BTreeSet<&str> = configured.iter().map(|entry| entry.id.as_str()).collect();
+        let is_absent =
+            |entry: &&Override| entry.origin == Origin::File && !named.contains(entry.id.as_str());
+        let ended = self.registry.active().filter(is_absent);
+        let ended =
+            ended.map(|entry| entry.ended(now, EndCause::Cleared { by: FILE_AUTHOR.into() })).collect();
+        self.write(ended);
+    }
+
+    fn set(&mut self, clocks: Clocks, configured: &ConfiguredOverride) -> Result<(), OverrideError> {
+        let ConfiguredOverride { id, kind, author, reason, expires_at } = configured;
+        validate(id, kind, author, reason)?;
+        if let Some(known) = self.registry.get_by_id(id) {
+            if known.origin == Origin::Request {
+                return Err(OverrideError::IdInUse { id: id.clone() });
+            }
+            let is_same_expiry = known.expires_at_wall_time == Some(*expires_at);
+            if known.has_contents(kind, author, reason) && is_same_expiry {
+                return Ok(());
+            }
+        }
+        let remaining = *expires_at - clocks.wall_time;
+        // One that was over before the file was read is never set.
+        if remaining == Span::default() {
+            return Ok(());
+        }
+        let max_duration = self.registry.limits.max_duration;
+        if remaining > max_duration {
+            let longest = format_duration(max_duration);
+            let reason = format!("{id} ends later than {longest} from now, the longest");
+            return Err(InvalidField::new("until", reason).into());
+        }
+        let entry = Override {
+            number: self.registry.next_number,
+            id: id.clone(),
+            kind: kind.clone(),
+            author: author.clone(),
+            reason: reason.clone(),
+            origin: Origin::File,
+            set_at: clocks.now,
+            expires_at: clocks.now + remaining,
+            expires_at_wall_time: Some(*expires_at),
+            ended: None,
+        };
+        let change = self.registry.with_replaced(clocks.now, entry)?;
+        self.write(change.writes);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/overrides/src/registry/mod.rs
@@ -0,0 +1,318 @@
+//! All overrides of a controller, active and ended. A change is proposed, stored by the caller, and only then
+//! applied; a proposal alone changes nothing. Expiry needs no store.
+
+mod configured;
+mod proposals;
+
+use crate::encoding::{self, DecodeError};
+use crate::record::{EndCause, Ending, Origin, Override, StoredRecord};
+use crate::timeline::{ClockReading, ClockStamp, Timeline};
+use std::collections::{BTreeMap, BTreeSet};
+use whinwall_policy::api::OverrideId;
+use whinwall_policy::time::{Moment, Span};
+
+const DAY: Span = Span::ms(24 * 3_600_000);
+/// Default of [`OverrideLimits::max_active`].
+const DEFAULT_MAX_ACTIVE: usize = 1000;
+
+/// Limits on overrides; the operators' file can set them.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OverrideLimits {
+    /// The longest duration of an override.
+    pub max_duration: Span,
+    /// How many overrides may be active, and how many ended ones are listed.
+    pub max_active: usize,
+    /// How long an ended override stays listed.
+    pub ended_retention: Span,
+}
+
+impl Default for OverrideLimits {
+    fn default() -> Self {
+        OverrideLimits { max_duration: DAY, max_active: DEFAULT_MAX_ACTIVE, ended_retention: DAY }
+    }
+}
+
+/// Overrides to write and to remove, in the store and then in the registry.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RegistryChange {
+    /// Overrides to write, new or replaced.
+    pub writes: Vec<Override>,
+    /// Overrides to remove.
+    pub removals: Vec<OverrideId>,
+}
+
+impl RegistryChange {
+    /// A change that only writes.
+    fn of_writes(writes: Vec<Override>) -> Self {
+        RegistryChange { writes, removals: Vec::new() }
+    }
+
+    /// Whether it changes nothing.
+    pub fn is_empty(&self) -> bool {
+        self.writes.is_empty() && self.removals.is_empty()
+    }
+}
+
+/// What a request would change.
+#[derive(Debug, PartialEq)]
+pub enum Proposal {
+    /// Nothing: the request was carried out before, on this override, which may have ended since.
+    Unchanged(OverrideId),
+    /// This change has to be stored and applied.
+    Change(RegistryChange),
+}
+
+/// A stored record that was left out.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum RecordError {
+    /// The record is stored under a number that is not its own.
+    #[error("record {key} says that it is {number}")]
+    WrongNumber {
+        /// The number that it is stored under.
+        key: OverrideId,
+        /// The number that it contains.
+        number: OverrideId,
+    },
+    /// The record cannot be decoded.
+    #[error("record {key}: {source}")]
+    Undecodable {
+        /// The number that it is stored under.
+        key: OverrideId,
+        /// What is wrong with it.
+        source: DecodeError,
+    },
+}
+
+/// A registry that was read from the store.
+pub struct RestoredRegistry {
+    /// The registry, without the records that cannot be read.
+    pub registry: OverrideRegistry,
+    /// The records that were left out.
+    pub unreadable: Vec<RecordError>,
+}
+
+/// All overrides of a controller.
+pub struct OverrideRegistry {
+    limits: OverrideLimits,
+    timeline: Timeline,
+    overrides: BTreeMap<OverrideId, Override>,
+    /// The newest override of each id.
+    newest_by_id: BTreeMap<String, OverrideId>,
+    /// The active overrides by expiry time.
+    expiries: BTreeSet<(Moment, OverrideId)>,
+    next_number: OverrideId,
+    /// Overrides that are not listed any more and still stored.
+    pending_removals: Vec<OverrideId>,
+    /// Overrides whose present state is not stored yet.
+    pending_writes: BTreeSet<OverrideId>,
+}
+
+impl OverrideRegistry {
+    /// An empty registry on this timeline.
+    pub fn new(limits: OverrideLimits, timeline: Timeline) -> Self {
+        OverrideRegistry {
+            limits,
+            timeline,
+            overrides: BTreeMap::new(),
+            newest_by_id: BTreeMap::new(),
+            expiries: BTreeSet::new(),
+            next_number: 1,
+            pending_removals: Vec::new(),
+            pending_writes: BTreeSet::new(),
+        }
+    }
+
+    /// Restores a registry from the store after a restart. What expired meanwhile has ended; where the clocks
+    /// do not show how long the program was down, all overrides have.
+    pub fn restore(
+        limits: OverrideLimits,
+        now: Moment,
+        reading: &ClockReading,
+        stamp: Option<&ClockStamp>,
+        records: &[StoredRecord],
+    ) -> RestoredRegistry {
+        let resumed = Timeline::resume(now, reading, stamp);
+        let mut registry = OverrideRegistry::new(limits, resumed.timeline);
+        let unreadable = records.iter().filter_map(|record| registry.restore_record(record).err()).collect();
+        if !resumed.is_reliable {
+            let active: Vec<_> = registry.expiries.iter().map(|(_, number)| *number).collect();
+            for number in active {
+                registry.end(number, now, EndCause::ClockWentBack);
+            }
+        }
+        registry.expire_due(now);
+        registry.prune_ended(now);
+        RestoredRegistry { registry, unreadable }
+    }
+
+    fn restore_record(&mut self, (key, bytes): &StoredRecord) -> Result<(), RecordError> {
+        // The number of an unreadable record is not used again either.
+        self.reserve_number(*key);
+        let entry = encoding::decode_override(bytes, &self.timeline)
+            .map_err(|source| RecordError::Undecodable { key: *key, source })?;
+        if entry.number != *key {
+            return Err(RecordError::WrongNumber { key: *key, number: entry.number });
+        }
+        self.insert(entry);
+        Ok(())
+    }
+
+    /// The limits on new overrides.
+    pub fn limits(&self) -> &OverrideLimits {
+        &self.limits
+    }
+
+    /// Replaces the limits on new overrides.
+    pub fn set_limits(&mut self, limits: OverrideLimits) {
+        self.limits = limits;
+    }
+
+    /// The timeline on which overrides are stored.
+    pub fn timeline(&self) -> &Timeline {
+        &self.timeline
+    }
+
+    /// The active overrides, the oldest first.
+    pub fn active(&self) -> impl Iterator<Item = &Override> {
+        self.overrides.values().filter(|entry| entry.is_active())
+    }
+
+    /// All overrides, ended ones included, the oldest first.
+    pub fn listed(&self) -> impl Iterator<Item = &Override> {
+        self.overrides.values()
+    }
+
+    /// The newest override of this id.
+    pub fn get_by_id(&self, id: &str) -> Option<&Override> {
+        self.overrides.get(self.newest_by_id.get(id)?)
+    }
+
+    /// The override of this number.
+    pub fn get_by_number(&self, number: OverrideId) -> Option<&Override> {
+        self.overrides.get(&number)
+    }
+
+    /// When the next override expires.
+    pub fn next_expiry(&self) -> Option<Moment> {
+        self.expiries.first().map(|(at, _)| *at)
+    }
+
+    fn reserve_number(&mut self, number: OverrideId) {
+        self.next_number = self.next_number.max(number.saturating_add(1));
+    }
+
+    fn insert(&mut self, entry: Override) {
+        let number = entry.number;
+        self.reserve_number(number);
+        if let Some(former) = self.overrides.get(&number) {
+            self.expiries.remove(&(former.expires_at, number));
+        }
+        if entry.is_active() {
+            self.expiries.insert((entry.expires_at, number));
+        }
+        let newest = self.newest_by_id.entry(entry.id.clone()).or_insert(number);
+        *newest = number.max(*newest);
+        self.overrides.insert(number, entry);
+    }
+
+    fn end(&mut self, number: OverrideId, at: Moment, cause: EndCause) {
+        let Some(entry) = self.overrides.get_mut(&number).filter(|entry| entry.is_active()) else { return };
+        self.expiries.remove(&(entry.expires_at, number));
+        entry.ended = Some(Ending { at, cause });
+        self.pending_writes.insert(number);
+    }
+
+    /// Ends the overrides whose time is over; true where there was one. The end is recorded at the expiry
+    /// time, however late it is noticed.
+    pub fn expire_due(&mut self, now: Moment) -> bool {
+        let mut has_expired = false;
+        while let Some((at, number)) = self.expiries.first().copied().filter(|(at, _)| *at <= now) {
+            self.end(number, at, EndCause::Expired);
+            has_expired = true;
+        }
+        has_expired
+    }
+
+    /// Removes ended overrides that are past their retention, and the oldest of them beyond the limit.
+    pub fn prune_ended(&mut self, now: Moment) {
+        let mut ended: Vec<(Moment, OverrideId)> = self
+            .overrides
+            .values()
+            .filter_map(|entry| Some((entry.ended.as_ref()?.at, entry.number)))
+            .collect();
+        ended.sort_unstable();
+        let excess = ended.len().saturating_sub(self.limits.max_active);
+        for (rank, (at, number)) in ended.into_iter().enumerate() {
+            // An override of the file has to be known for as long as the file has it, or it would be set again.
+            let is_from_file = self.overrides[&number].origin == Origin::File;
+            if rank < excess || (now - at > self.limits.ended_retention && !is_from_file) {
+                self.remove(number);
+            }
+        }
+    }
+
+    fn remove(&mut self, number: OverrideId) {
+        if let Some(entry) = self.overrides.remove(&number) {
+            if self.newest_by_id.get(&entry.id) == Some(&number) {
+                self.newest_by_id.remove(&entry.id);
+            }
+            self.pending_removals.push(number);
+            self.pending_writes.remove(&number);
+        }
+    }
+
+    /// Applies a change; [`Self::mark_saved`] says that it is stored too.
+    pub fn apply(&mut self, change: RegistryChange) {
+        for entry in change.writes {
+            // It may have expired while it was being stored.
+            let has_ended = self.overrides.get(&entry.number).is_some_and(|known| !known.is_active());
+            if !has_ended {
+                self.pending_writes.insert(entry.number);
+                self.insert(entry);
+            }
+        }
+    }
+
+    /// Gives up a change that could not be stored. Its new records may be in the store all the same, and must
+    /// not be restored after a restart, so they are removed with the next write.
+    pub fn abandon(&mut self, change: &RegistryChange) {
+        for entry in &change.writes {
+            if !self.overrides.contains_key(&entry.number) {
+                self.reserve_number(entry.number);
+                self.pending_removals.push(entry.number);
+            }
+        }
+    }
+
+    /// What the store lacks: changes that were applied before they were stored, ends, and removals.
+    pub fn unsaved(&self) -> RegistryChange {
+        let writes = self.pending_writes.iter().filter_map(|number| self.overrides.get(number));
+        RegistryChange { writes: writes.cloned().collect(), removals: self.pending_removals.clone() }
+    }
+
+    /// Notes that a change is stored.
+    pub fn mark_saved(&mut self, change: &RegistryChange) {
+        // An override that has changed again meanwhile still has to be written.
+        for entry in change.writes.iter().filter(|entry| self.overrides.get(&entry.number) == Some(*entry)) {
+            self.pending_writes.remove(&entry.number);
+        }
+        self.pending_removals.retain(|number| !change.removals.contains(number));
+    }
+
+    /// Follows a step of the wall clock. An override that expires by the wall clock does so no later than that
+    /// clock says and no later than before: a step back prolongs nothing.
+    pub fn adjust_to_wall_clock(&mut self, now: Moment, wall_time: Moment) {
+        let earlier_expiry = |entry: &Override| {
+            let expires_at = now + (entry.expires_at_wall_time? - wall_time);
+            (entry.is_active() && expires_at < entry.expires_at).then_some((entry.number, expires_at))
+        };
+        let earlier: Vec<_> = self.overrides.values().filter_map(earlier_expiry).collect();
+        for (number, expires_at) in earlier {
+            if let Some(entry) = self.overrides.get_mut(&number) {
+                self.expiries.remove(&(entry.expires_at, number));
+                entry.expires_at = expires_at;
+                self.expiries.insert((expires_at, number));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/overrides/src/registry/proposals.rs
@@ -0,0 +1,89 @@
+//! What a request to set or to clear an override would change.
+
+use super::{OverrideRegistry, Proposal, RegistryChange};
+use crate::error::OverrideError;
+use crate::record::{EndCause, NewOverride, Origin, Override};
+use crate::text::format_duration;
+use crate::validation::{validate, InvalidField};
+use whinwall_policy::time::{Moment, Span};
+
+/// A shorter override would be over before all proxies have received it.
+const MIN_DURATION: Span = Span::ms(1000);
+
+impl OverrideRegistry {
+    /// What setting this override would change.
+    ///
+    /// # Errors
+    /// Invalid fields, an id that another override has, and too many active overrides.
+    pub fn propose_set(&self, now: Moment, request: &NewOverride) -> Result<Proposal, OverrideError> {
+        let NewOverride { id, kind, author, reason, duration } = request;
+        validate(id, kind, author, reason)?;
+        if let Some(known) = self.get_by_id(id) {
+            return if known.has_contents(kind, author, reason) {
+                Ok(Proposal::Unchanged(known.number))
+            } else {
+                Err(OverrideError::IdInUse { id: id.clone() })
+            };
+        }
+        self.validate_duration(*duration)?;
+        let entry = Override {
+            number: self.next_number,
+            id: id.clone(),
+            kind: kind.clone(),
+            author: author.clone(),
+            reason: reason.clone(),
+            origin: Origin::Request,
+            set_at: now,
+            expires_at: now + *duration,
+            expires_at_wall_time: None,
+            ended: None,
+        };
+        self.with_replaced(now, entry).map(Proposal::Change)
+    }
+
+    fn validate_duration(&self, duration: Span) -> Result<(), InvalidField> {
+        let max_duration = self.limits.max_duration;
+        if duration < MIN_DURATION {
+            let reason = format!("shorter than {}", format_duration(MIN_DURATION));
+            return Err(InvalidField::new("for", reason));
+        }
+        if duration > max_duration {
+            let reason = format!("longer than {}, the longest", format_duration(max_duration));
+            return Err(InvalidField::new("for", reason));
+        }
+        Ok(())
+    }
+
+    /// A new override together with the ends of those that it replaces.
+    pub(super) fn with_replaced(
+        &self,
+        now: Moment,
+        entry: Override,
+    ) -> Result<RegistryChange, OverrideError> {
+        let is_replaced = |other: &&Override| entry.kind.replaces(&other.kind) || other.id == entry.id;
+        let mut writes: Vec<Override> = self
+            .active()
+            .filter(is_replaced)
+            .map(|other| other.ended(now, EndCause::Replaced { by: entry.id.clone() }))
+            .collect();
+        let remaining = self.expiries.len().saturating_sub(writes.len());
+        if remaining + 1 > self.limits.max_active {
+            return Err(OverrideError::LimitReached { limit: self.limits.max_active });
+        }
+        writes.push(entry);
+        Ok(RegistryChange::of_writes(writes))
+    }
+
+    /// What clearing an override would change: nothing where it has ended.
+    ///
+    /// # Errors
+    /// [`OverrideError::UnknownId`].
+    pub fn propose_clear(&self, now: Moment, id: &str, by: &str) -> Result<Proposal, OverrideError> {
+        let entry = self.get_by_id(id).ok_or_else(|| OverrideError::UnknownId { id: id.into() })?;
+        if !entry.is_active() {
+            return Ok(Proposal::Unchanged(entry.number));
+        }
+        let cleared = entry.ended(now, EndCause::Cleared { by: by.into() });
+        Ok(Proposal::Change(RegistryChange::of_writes(vec![cleared])))
+    }
+}
--- a/crates/overrides/src/timeline.rs
+++ b/crates/overrides/src/timeline.rs
@@ -1,87 +1,109 @@
-//! A line of time that goes on over restarts of the program and steps of the wall's clock. Ends are kept on
-//! it: neither may prolong an override.
+//! A persistent timeline that continues over restarts of the program and steps of the wall clock. Expiry times
+//! are stored on it, as neither may prolong an override.
 
 use whinwall_policy::time::{Moment, Span};
 
-/// What the machine's clocks say at one moment.
+/// What the machine's clocks show at one moment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
-    /// Names this start of the machine; empty where the machine has no such name.
-    pub boot: String,
-    pub since_boot: Span,
-    pub wall: Moment,
+pub struct ClockReading {
+    /// Identifies the boot of the machine; empty where the machine has no such id.
+    pub boot_id: String,
+    /// The time since that boot, sleep included.
+    pub uptime: Span,
+    /// The wall clock.
+    pub wall_time: Moment,
 }
 
-/// What the clocks said when the line was here.
+/// A clock reading with the position on the persistent timeline at that moment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stamp {
-    pub reading: Reading,
-    pub line: Moment,
+pub struct ClockStamp {
+    /// The machine's clocks.
+    pub reading: ClockReading,
+    /// The position on the persistent timeline.
+    pub position: Moment,
 }
 
-/// From the moments of this life to the line and back.
+/// Converts between process time and the persistent timeline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timeline {
-    life: Moment,
-    line: Moment,
+    process_start: Moment,
+    persistent_start: Moment,
+}
+
+/// A timeline that was continued after a restart.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ResumedTimeline {
+    /// The timeline.
+    pub timeline: Timeline,
+    /// False where no clock shows how long the program was down, as the wall clock went back over a reboot.
+    pub is_reliable: bool,
 }
 
 impl Timeline {
-    /// Goes on from the last stamp. Within one start of the machine its own clock tells how long we were
-    /// away, whatever became of the wall's; else the wall tells, unless it went back: then nothing does, and
-    /// the second part is false.
-    pub fn resume(now: Moment, reading: &Reading, last: Option<&Stamp>) -> (Self, bool) {
-        let Some(stamp) = last else { return (Timeline { life: now, line: reading.wall }, true) };
-        let then = &stamp.reading;
-        let same_boot = !reading.boot.is_empty() && reading.boot == then.boot;
-        let (away, sure) = match () {
-            _ if same_boot && reading.since_boot >= then.since_boot => {
-                (reading.since_boot - then.since_boot, true)
-            }
-            _ => (reading.wall - then.wall, reading.wall >= then.wall),
+    /// Continues from the last stamp, or begins at the wall time where there is none. Within one boot the
+    /// uptime shows how long the program was down, whatever happened to the wall clock; over a reboot the wall
+    /// clock does, unless it went back.
+    pub fn resume(now: Moment, reading: &ClockReading, last: Option<&ClockStamp>) -> ResumedTimeline {
+        let Some(stamp) = last else {
+            let timeline = Timeline { process_start: now, persistent_start: reading.wall_time };
+            return ResumedTimeline { timeline, is_reliable: true };
         };
-        (Timeline { life: now, line: stamp.line + away }, sure)
+        let former = &stamp.reading;
+        let is_same_boot = !reading.boot_id.is_empty() && reading.boot_id == former.boot_id;
+        let (downtime, is_reliable) = if is_same_boot && reading.uptime >= former.uptime {
+            (reading.uptime - former.uptime, true)
+        } else {
+            (reading.wall_time - former.wall_time, reading.wall_time >= former.wall_time)
+        };
+        let timeline = Timeline { process_start: now, persistent_start: stamp.position + downtime };
+        ResumedTimeline { timeline, is_reliable }
     }
 
-    pub fn on_line(&self, at: Moment) -> Moment {
-        if at >= self.life {
-            self.line + (at - self.life)
-        } else {
-            self.line - (self.life - at)
-        }
+    /// The position on the persistent timeline of a process time.
+    pub fn to_persistent(&self, process_time: Moment) -> Moment {
+        translate(process_time, self.process_start, self.persistent_start)
     }
 
-    pub fn in_life(&self, on_line: Moment) -> Moment {
-        if on_line >= self.line {
-            self.life + (on_line - self.line)
-        } else {
-            self.life - (self.line - on_line)
-        }
+    /// The process time of a position on the persistent timeline.
+    pub fn to_process(&self, position: Moment) -> Moment {
+        translate(position, self.persistent_start, self.process_start)
     }
 }
 
-/// Notices a step of the wall's clock against one that never jumps.
-#[derive(Default)]
-pub struct WallWatch {
-    ahead: Option<i128>,
+/// The time that is as far from `to` as `at` is from `from`. The difference of times is never negative, so the
+/// direction decides between adding and subtracting.
+fn translate(at: Moment, from: Moment, to: Moment) -> Moment {
+    if at >= from {
+        to + (at - from)
+    } else {
+        to - (from - at)
+    }
 }
 
-/// Less is drift, and a second is how exact an end has to be.
-const STEP: Span = Span::ms(250);
+/// A smaller change of the wall clock is drift; expiry has to be exact to a second.
+const WALL_CLOCK_STEP_THRESHOLD: Span = Span::ms(250);
+
+/// Detects steps of the wall clock against a monotonic clock.
+#[derive(Default)]
+pub struct WallClockMonitor {
+    /// How far the wall clock is ahead of the monotonic one, in nanoseconds, when it was last compared.
+    lead_ns: Option<i128>,
+}
 
-impl WallWatch {
-    /// Whether the wall's clock is elsewhere than when this last said so.
-    pub fn has_stepped(&mut self, now: Moment, wall: Moment) -> bool {
-        let ns = |at: Moment| i128::from((at - Moment::default()).as_ns());
-        let ahead = ns(wall) - ns(now);
-        let Some(before) = self.ahead else {
-            self.ahead = Some(ahead);
+impl WallClockMonitor {
+    /// Whether the wall clock was stepped since the last step, or the first call.
+    pub fn has_stepped(&mut self, now: Moment, wall_time: Moment) -> bool {
+        let nanoseconds = |at: Moment| i128::from((at - Moment::default()).as_ns());
+        let lead_ns = nanoseconds(wall_time) - nanoseconds(now);
+        let Some(former_lead_ns) = self.lead_ns else {
+            self.lead_ns = Some(lead_ns);
             return false;
         };
-        let stepped = (ahead - before).unsigned_abs() > u128::from(STEP.as_ns());
-        if stepped {
-            self.ahead = Some(ahead);
+        let change_ns = (lead_ns - former_lead_ns).unsigned_abs();
+        let has_stepped = change_ns > u128::from(WALL_CLOCK_STEP_THRESHOLD.as_ns());
+        if has_stepped {
+            self.lead_ns = Some(lead_ns);
         }
-        stepped
+        has_stepped
     }
 }
--- a/crates/overrides/tests/saved_bytes.rs
+++ b/crates/overrides/tests/record_encoding.rs
@@ -1,17 +1,19 @@
 //! The encoded form of each record and of the stamp, byte for byte: a checksum, then a protobuf message. Stores
 //! of installed releases hold these bytes.
 
-use whinwall_overrides::{saved, End, Kind, Origin, Override, Reading, Stamp, Timeline};
+use whinwall_overrides::{
+    encoding, ClockReading, ClockStamp, EndCause, Ending, Origin, Override, OverrideKind, Timeline,
+};
 use whinwall_policy::time::{Moment, Span};
 
 /// Process time and persistent timeline are the same here.
 fn timeline() -> Timeline {
     let epoch = Moment::default();
-    let reading = Reading { boot: String::new(), since_boot: Span::ns(0), wall: epoch };
-    Timeline::resume(epoch, &reading, None).0
+    let reading = ClockReading { boot_id: String::new(), uptime: Span::ns(0), wall_time: epoch };
+    Timeline::resume(epoch, &reading, None).timeline
 }
 
-fn record(kind: Kind) -> Override {
+fn record(kind: OverrideKind) -> Override {
     Override {
         number: 7,
         id: "a-1".into(),
@@ -19,19 +21,19 @@
         author: "mb".into(),
         reason: "disk".into(),
         origin: Origin::Request,
-        set: Moment::at_ns(1_000),
-        ends: Moment::at_ns(2_000),
-        until_wall: None,
+        set_at: Moment::at_ns(1_000),
+        expires_at: Moment::at_ns(2_000),
+        expires_at_wall_time: None,
         ended: None,
     }
 }
 
-fn out() -> Kind {
-    Kind::Out { replica: "s-3".into() }
+fn out() -> OverrideKind {
+    OverrideKind::Out { replica: "s-3".into() }
 }
 
-fn ended(end: End) -> Override {
-    Override { ended: Some((Moment::at_ns(1_500), end)), ..record(out()) }
+fn ended(cause: EndCause) -> Override {
+    Override { ended: Some(Ending { at: Moment::at_ns(1_500), cause }), ..record(out()) }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -44,83 +46,84 @@
 }
 
 /// The record is written as these bytes, and these bytes are read as the record.
-fn assert_form(record: &Override, expected: &str) {
-    assert_eq!(hex(&saved::write(record, &timeline())), expected);
-    assert_eq!(saved::read(&bytes(expected), &timeline()).as_ref(), Ok(record));
+fn assert_encoding(record: &Override, expected: &str) {
+    assert_eq!(hex(&encoding::encode_override(record, &timeline())), expected);
+    assert_eq!(encoding::decode_override(&bytes(expected), &timeline()).as_ref(), Ok(record));
 }
 
 #[test]
 fn weight_factor_has_its_bytes() {
-    assert_form(
-        &record(Kind::Weight { replica: "s-3".into(), factor: 0.5 }),
+    assert_encoding(
+        &record(OverrideKind::Weight { replica: "s-3".into(), factor: 0.5 }),
         "cc8cd23e08071203612d311a03732d3321000000000000e03f3a026d6242046469736b50e80758d00f",
     );
 }
 
 #[test]
 fn out_of_service_has_its_bytes() {
-    assert_form(&record(out()), "93043ccb08071203612d311a03732d3328013a026d6242046469736b50e80758d00f");
+    assert_encoding(&record(out()), "93043ccb08071203612d311a03732d3328013a026d6242046469736b50e80758d00f");
 }
 
 #[test]
 fn pin_has_its_bytes() {
-    assert_form(
-        &record(Kind::Pin { first: 4, last: 9, replica: "s-3".into() }),
+    assert_encoding(
+        &record(OverrideKind::Pin { first: 4, last: 9, replica: "s-3".into() }),
         "02fc37e608071203612d311a03732d333204080410093a026d6242046469736b50e80758d00f",
     );
 }
 
 #[test]
 fn record_of_the_operators_file_has_its_bytes() {
-    let until_wall = Some(Moment::at_ns(3_000));
-    assert_form(
-        &Override { origin: Origin::File, until_wall, ..record(out()) },
+    let expires_at_wall_time = Some(Moment::at_ns(3_000));
+    assert_encoding(
+        &Override { origin: Origin::File, expires_at_wall_time, ..record(out()) },
         "e919e13a08071203612d311a03732d3328013a026d6242046469736b480150e80758d00f60b817",
     );
 }
 
 #[test]
 fn expired_record_has_its_bytes() {
-    assert_form(
-        &ended(End::Expired),
+    assert_encoding(
+        &ended(EndCause::Expired),
         "2ed284e708071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b7001",
     );
 }
 
 #[test]
 fn cleared_record_has_its_bytes() {
-    assert_form(
-        &ended(End::Cleared { by: "jo".into() }),
+    assert_encoding(
+        &ended(EndCause::Cleared { by: "jo".into() }),
         "95d7bfe608071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b7a026a6f",
     );
 }
 
 #[test]
 fn replaced_record_has_its_bytes() {
-    assert_form(
-        &ended(End::Replaced { by: "b-2".into() }),
+    assert_encoding(
+        &ended(EndCause::Replaced { by: "b-2".into() }),
         "0a49bc4e08071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b820103622d32",
     );
 }
 
 #[test]
 fn record_that_ended_as_the_clock_went_back_has_its_bytes() {
-    assert_form(
-        &ended(End::ClockWentBack),
+    assert_encoding(
+        &ended(EndCause::ClockWentBack),
         "2092582c08071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b880101",
     );
 }
 
 #[test]
 fn stamp_has_its_bytes() {
-    let reading = Reading { boot: "b".into(), since_boot: Span::ns(1_000), wall: Moment::at_ns(2_000) };
-    let stamp = Stamp { reading, line: Moment::at_ns(3_000) };
+    let reading =
+        ClockReading { boot_id: "b".into(), uptime: Span::ns(1_000), wall_time: Moment::at_ns(2_000) };
+    let stamp = ClockStamp { reading, position: Moment::at_ns(3_000) };
     let expected = "15bd6fc60a016210e80718d00f20b817";
-    assert_eq!(hex(&saved::write_stamp(&stamp)), expected);
-    assert_eq!(saved::read_stamp(&bytes(expected)), Ok(stamp));
+    assert_eq!(hex(&encoding::encode_stamp(&stamp)), expected);
+    assert_eq!(encoding::decode_stamp(&bytes(expected)), Ok(stamp));
 }
 
 #[test]
 fn form_of_the_file_is_the_first() {
-    assert_eq!(saved::FORM, 1);
+    assert_eq!(encoding::FORMAT_VERSION, 1);
 }
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -4,7 +4,7 @@
 use super::subset::Fleet;
 use std::net::SocketAddr;
 use whinwall_management_api::ask::{Reply, Request};
-use whinwall_overrides::{Reading, Ticket, Timeline};
+use whinwall_overrides::{ClockReading, RequestId, Timeline};
 use whinwall_policy::api::{OverrideId, Report};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::Message;
@@ -60,11 +60,11 @@
     /// The registry watch has failed.
     RegistryLost(StreamError),
     /// The operators' file as read at the start or anew, and the clocks at that moment.
-    OperatorConfigChanged(OverrideConfig, Reading),
+    OperatorConfigChanged(OverrideConfig, ClockReading),
     /// A request at the management front.
     ManagementRequest {
         /// Identifies the reply.
-        ticket: Ticket,
+        ticket: RequestId,
         /// What is asked for.
         request: Request,
     },
@@ -75,7 +75,7 @@
         /// The clock stamp that was stored with them.
         stamp: Option<Vec<u8>>,
         /// The clocks at that moment.
-        reading: Reading,
+        reading: ClockReading,
     },
     /// The override store cannot be read.
     StoreNotRead(String),
@@ -154,7 +154,7 @@
     /// Reply to a management request.
     Reply {
         /// The request's ticket.
-        ticket: Ticket,
+        ticket: RequestId,
         /// The reply.
         reply: Reply,
     },
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use whinwall_management_api::ask::{Reply, Request, Status};
-use whinwall_overrides::{Act, Reading, Refused, Ticket};
+use whinwall_overrides::{ClockReading, OverrideEffect, OverrideError, RequestId};
 use whinwall_policy::api::*;
 use whinwall_policy::random::Random;
 use whinwall_policy::time::{Moment, Span};
@@ -196,16 +196,18 @@
             Event::OperatorConfigChanged(wanted, reading) => self.wanted(now, wanted, &reading),
             Event::ManagementRequest { ticket, request } => self.asked(now, ticket, request),
             Event::StoreRead { records, stamp, reading } => self.with_overrides(now, |overrides| {
-                overrides.clerk.restored(now, &reading, stamp.as_deref(), &records);
+                overrides.clerk.handle_store_read(now, &reading, stamp.as_deref(), &records);
             }),
             Event::StoreNotRead(why) => {
-                self.with_overrides(now, |overrides| overrides.clerk.not_read(&why));
+                self.with_overrides(now, |overrides| overrides.clerk.handle_store_unavailable(&why));
             }
             Event::Saved { serial, outcome } => {
-                self.with_overrides(now, |overrides| overrides.clerk.kept(now, serial, outcome));
+                self.with_overrides(now, |overrides| {
+                    overrides.clerk.handle_save_outcome(now, serial, outcome)
+                });
             }
             Event::WallStepped(wall) => {
-                self.with_overrides(now, |overrides| overrides.clerk.wall_told(now, wall));
+                self.with_overrides(now, |overrides| overrides.clerk.handle_wall_clock_step(now, wall));
             }
             Event::InputDrained => self.quiet(now),
         }
@@ -305,11 +307,12 @@
     }
 
     /// One that can't be changes nothing, as with the rest of the file.
-    fn wanted(&mut self, now: Moment, wanted: OverrideConfig, reading: &Reading) {
+    fn wanted(&mut self, now: Moment, wanted: OverrideConfig, reading: &ClockReading) {
         self.overrides.get_or_insert_with(|| Overrides::start(now, reading, &wanted));
         let mut refused = None;
         self.with_overrides(now, |overrides| {
-            let said = overrides.clerk.file_said(now, reading.wall, wanted.bounds, wanted.orders);
+            let said =
+                overrides.clerk.apply_configuration(now, reading.wall_time, wanted.bounds, wanted.orders);
             refused = said.err();
         });
         if let Some(why) = refused {
@@ -317,15 +320,16 @@
         }
     }
 
-    fn asked(&mut self, now: Moment, ticket: Ticket, request: Request) {
+    fn asked(&mut self, now: Moment, ticket: RequestId, request: Request) {
         let reply = match (request, &self.overrides) {
             (Request::Change(ask), Some(_)) => {
-                return self.with_overrides(now, |overrides| overrides.clerk.ask(now, ticket, ask));
+                return self
+                    .with_overrides(now, |overrides| overrides.clerk.handle_request(now, ticket, ask));
             }
-            (Request::Change(_), None) => Reply::Refused(Refused::Full { most: 0 }),
+            (Request::Change(_), None) => Reply::Refused(OverrideError::LimitReached { limit: 0 }),
             (Request::List, overrides) => {
                 let list = |overrides: &Overrides| {
-                    let listed = overrides.clerk.book().listed();
+                    let listed = overrides.clerk.registry().listed();
                     listed.map(|one| overrides.shown(&self.policy, one)).collect()
                 };
                 Reply::Listed { all: overrides.as_ref().map_or_else(Vec::new, list), now }
@@ -333,7 +337,7 @@
             // The program has them; here nothing is counted.
             (Request::Metrics, _) => Reply::Metrics(String::new()),
             (Request::Status, overrides) => {
-                let book = overrides.as_ref().map(|overrides| overrides.clerk.book());
+                let book = overrides.as_ref().map(|overrides| overrides.clerk.registry());
                 Reply::Status(Status {
                     now,
                     since: self.started,
@@ -342,7 +346,7 @@
                     replicas: self.names.len(),
                     failing: self.failures.iter().map(|(source, many)| (source.name(), *many)).collect(),
                     orders_open: !self.outbox.is_clear(),
-                    standing: book.map_or(0, |book| book.standing().count()),
+                    standing: book.map_or(0, |book| book.active().count()),
                     listed: book.map_or(0, |book| book.listed().count()),
                     subsetting: self.subsets.as_ref().map(Subsets::status),
                     reports: self.report_freshness(now),
@@ -357,16 +361,18 @@
         let Some(mut overrides) = self.overrides.take() else { return };
         work(&mut overrides);
         overrides.tell(now, &self.names, &mut self.policy);
-        for act in overrides.clerk.acts() {
+        for act in overrides.clerk.take_effects() {
             self.effects.push(match act {
-                Act::Keep { serial, puts, drops, line } => Effect::Save { serial, puts, drops, line },
-                Act::Note(text) => Effect::Log(text),
-                Act::Answer { ticket, answer } => {
+                OverrideEffect::Save { serial, writes, removals, timeline } => {
+                    Effect::Save { serial, puts: writes, drops: removals, line: timeline }
+                }
+                OverrideEffect::Log(event) => Effect::Log(event.to_string()),
+                OverrideEffect::Reply { request_id, reply } => {
                     let shown = |number| {
-                        let one = overrides.clerk.book().number(number)?;
+                        let one = overrides.clerk.registry().get_by_number(number)?;
                         Some(overrides.shown(&self.policy, one))
                     };
-                    Effect::Reply { ticket, reply: Reply::of(answer, now, shown) }
+                    Effect::Reply { ticket: request_id, reply: Reply::of(reply, now, shown) }
                 }
             });
         }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -2,7 +2,7 @@
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall_overrides::Reading;
+use whinwall_overrides::ClockReading;
 use whinwall_policy::time::{Moment, Span};
 
 #[derive(Clone, Copy)]
@@ -21,12 +21,12 @@
     }
 
     /// What the machine's clocks say; its own goes on in sleep and over steps of the wall's.
-    pub fn reading() -> Reading {
+    pub fn reading() -> ClockReading {
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
         let since = clock_gettime(ClockId::Boottime);
-        let since_boot = Duration::new(since.tv_sec.max(0) as u64, since.tv_nsec.max(0) as u32);
-        let since_boot = Span::ns(since_boot.as_nanos() as u64);
-        Reading { boot: boot.trim().into(), since_boot, wall: Clock::wall() }
+        let uptime = Duration::new(since.tv_sec.max(0) as u64, since.tv_nsec.max(0) as u32);
+        let uptime = Span::ns(uptime.as_nanos() as u64);
+        ClockReading { boot_id: boot.trim().into(), uptime, wall_time: Clock::wall() }
     }
 
     pub fn wall() -> Moment {
