--- a/crates/overrides/tests/controller.rs
+++ b/crates/overrides/tests/controller.rs
@@ -1,10 +1,10 @@
-//! The clerk: what is asked, kept, refused by the disk, cleared meanwhile, restored and repeated.
+//! The override controller: requests, writes to the store and their failures, clears meanwhile, restarts, retries.
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 use whinwall_overrides::{
     encoding, ChangeReply, ChangeRequest, ClockReading, ClockStamp, ConfiguredOverride, Durability,
-    NewOverride, OverrideController, OverrideEffect, OverrideError, OverrideKind, OverrideLimits,
+    NewOverride, OverrideController, OverrideEffect, OverrideError, OverrideKind, OverrideLimits, RequestId,
 };
 use whinwall_policy::time::{Moment, Span};
 
@@ -16,315 +16,334 @@
     ClockReading { boot_id: "a".into(), uptime: Span::ms(ms), wall_time: at(ms) }
 }
 
-fn order(id: &str, replica: &str, lasts_ms: u64) -> NewOverride {
-    let (kind, duration) = (OverrideKind::Out { replica: replica.into() }, Span::ms(lasts_ms));
+fn out(id: &str, replica: &str, duration_ms: u64) -> NewOverride {
+    let (kind, duration) = (OverrideKind::Out { replica: replica.into() }, Span::ms(duration_ms));
     NewOverride { id: id.into(), kind, author: "mb".into(), reason: "disk".into(), duration }
 }
 
 fn set(id: &str) -> ChangeRequest {
-    ChangeRequest::Set(order(id, &format!("s-{id}"), 60_000))
+    ChangeRequest::Set(out(id, &format!("s-{id}"), 60_000))
 }
 
-/// A clerk with the disk that it writes to, each job done or refused by word.
-struct Office {
-    clerk: OverrideController,
-    disk: BTreeMap<u64, Vec<u8>>,
+fn limits() -> OverrideLimits {
+    OverrideLimits { max_active: 300, ..OverrideLimits::default() }
+}
+
+/// A controller with a store whose writes succeed or fail as the test says.
+struct Harness {
+    controller: OverrideController,
+    stored: BTreeMap<u64, Vec<u8>>,
     stamp: Option<Vec<u8>>,
-    now: u64,
-    answers: BTreeMap<u64, ChangeReply>,
-    notes: Vec<String>,
-    open: Option<(u64, OverrideEffect)>,
+    now_ms: u64,
+    replies: BTreeMap<RequestId, ChangeReply>,
+    logged: Vec<String>,
+    pending_save: Option<(u64, OverrideEffect)>,
 }
 
-impl Office {
-    fn new(has_store: bool) -> Self {
-        let limits = OverrideLimits { max_active: 300, ..OverrideLimits::default() };
-        Office {
-            clerk: if has_store {
-                OverrideController::with_store(at(0), &reading(0), limits)
-            } else {
-                OverrideController::in_memory(at(0), &reading(0), limits)
-            },
-            disk: BTreeMap::new(),
+impl Harness {
+    fn in_memory() -> Self {
+        Harness::new(OverrideController::in_memory(at(0), &reading(0), limits()))
+    }
+
+    fn with_unread_store() -> Self {
+        Harness::new(OverrideController::with_store(at(0), &reading(0), limits()))
+    }
+
+    fn new(controller: OverrideController) -> Self {
+        Harness {
+            controller,
+            stored: BTreeMap::new(),
             stamp: None,
-            now: 0,
-            answers: BTreeMap::new(),
-            notes: Vec::new(),
-            open: None,
+            now_ms: 0,
+            replies: BTreeMap::new(),
+            logged: Vec::new(),
+            pending_save: None,
         }
     }
 
-    fn opened() -> Self {
-        let mut office = Office::new(true);
-        office.restore();
-        office
+    fn with_store_read() -> Self {
+        let mut harness = Harness::with_unread_store();
+        harness.read_store();
+        harness
     }
 
-    fn restore(&mut self) {
-        let records: Vec<_> = self.disk.iter().map(|(n, bytes)| (*n, bytes.clone())).collect();
-        self.clerk.handle_store_read(at(self.now), &reading(self.now), self.stamp.as_deref(), &records);
-        self.acts();
+    fn read_store(&mut self) {
+        let records: Vec<_> = self.stored.iter().map(|(n, bytes)| (*n, bytes.clone())).collect();
+        self.controller.handle_store_read(
+            at(self.now_ms),
+            &reading(self.now_ms),
+            self.stamp.as_deref(),
+            &records,
+        );
+        self.take_effects();
     }
 
-    /// Killed and started again, with what the disk has.
+    /// Kills the program and starts it again with what is stored.
     fn restart(&mut self) {
-        let fresh = Office::new(true);
-        (self.clerk, self.open) = (fresh.clerk, None);
-        self.restore();
+        let fresh = Harness::with_unread_store();
+        (self.controller, self.pending_save) = (fresh.controller, None);
+        self.read_store();
     }
 
-    fn acts(&mut self) {
-        for act in self.clerk.take_effects() {
-            match act {
+    fn take_effects(&mut self) {
+        for effect in self.controller.take_effects() {
+            match effect {
                 OverrideEffect::Save { serial, .. } => {
-                    assert!(self.open.replace((serial, act)).is_none(), "one job at a time");
+                    assert!(self.pending_save.replace((serial, effect)).is_none(), "one write at a time");
                 }
                 OverrideEffect::Reply { request_id, reply } => {
-                    assert!(
-                        self.answers.insert(request_id, reply).is_none(),
-                        "{request_id} is answered twice"
-                    );
+                    assert!(self.replies.insert(request_id, reply).is_none(), "{request_id} has two replies");
                 }
-                OverrideEffect::Log(event) => self.notes.push(event.to_string()),
+                OverrideEffect::Log(event) => self.logged.push(event.to_string()),
             }
         }
     }
 
-    fn ask(&mut self, ticket: u64, ask: ChangeRequest) {
-        self.clerk.handle_request(at(self.now), ticket, ask);
-        self.acts();
+    fn request(&mut self, request_id: RequestId, request: ChangeRequest) {
+        self.controller.handle_request(at(self.now_ms), request_id, request);
+        self.take_effects();
     }
 
-    fn write(&mut self) -> Option<u64> {
-        let (serial, act) = self.open.take()?;
-        let OverrideEffect::Save { writes, removals, timeline, .. } = act else { panic!("a job") };
-        self.disk.extend(writes);
-        self.disk.retain(|number, _| !removals.contains(number));
-        let stamp = ClockStamp { reading: reading(self.now), position: timeline.to_persistent(at(self.now)) };
+    /// Stores the pending write without an outcome; returns its serial number.
+    fn store_pending(&mut self) -> Option<u64> {
+        let (serial, effect) = self.pending_save.take()?;
+        let OverrideEffect::Save { writes, removals, timeline, .. } = effect else { panic!("a write") };
+        self.stored.extend(writes);
+        self.stored.retain(|number, _| !removals.contains(number));
+        let stamp =
+            ClockStamp { reading: reading(self.now_ms), position: timeline.to_persistent(at(self.now_ms)) };
         self.stamp = Some(encoding::encode_stamp(&stamp));
         Some(serial)
     }
 
-    /// The disk does, or refuses, what is open; false where nothing is.
-    fn disk(&mut self, does: bool) -> bool {
-        let serial = match does {
-            true => self.write(),
-            false => self.open.take().map(|(serial, _)| serial),
-        };
+    /// The pending write succeeds; false where there is none.
+    fn complete_save(&mut self) -> bool {
+        let serial = self.store_pending();
+        self.report_outcome(serial, Ok(()))
+    }
+
+    /// The pending write fails and stores nothing; false where there is none.
+    fn fail_save(&mut self) -> bool {
+        let serial = self.pending_save.take().map(|(serial, _)| serial);
+        self.report_outcome(serial, Err("full".into()))
+    }
+
+    fn report_outcome(&mut self, serial: Option<u64>, outcome: Result<(), String>) -> bool {
         let Some(serial) = serial else { return false };
-        let outcome = if does { Ok(()) } else { Err("full".into()) };
-        self.clerk.handle_save_outcome(at(self.now), serial, outcome);
-        self.acts();
+        self.controller.handle_save_outcome(at(self.now_ms), serial, outcome);
+        self.take_effects();
         true
     }
 
-    fn pass(&mut self, ms: u64) {
-        self.now += ms;
-        if self.clerk.next_tick_at().is_some_and(|due| due <= at(self.now)) {
-            self.clerk.tick(at(self.now));
-            self.acts();
+    fn advance(&mut self, ms: u64) {
+        self.now_ms += ms;
+        if self.controller.next_tick_at().is_some_and(|due| due <= at(self.now_ms)) {
+            self.controller.tick(at(self.now_ms));
+            self.take_effects();
         }
     }
 
-    fn standing(&self) -> Vec<&str> {
-        self.clerk.registry().active().map(|one| one.id.as_str()).collect()
+    fn active_ids(&self) -> Vec<&str> {
+        self.controller.registry().active().map(|one| one.id.as_str()).collect()
     }
 
-    /// What a new life would find.
-    fn on_disk(&self) -> Vec<String> {
-        let mut other = Office::new(true);
-        (other.disk, other.stamp, other.now) = (self.disk.clone(), self.stamp.clone(), self.now);
-        other.restore();
-        other.standing().into_iter().map(str::to_string).collect()
+    /// The active overrides that a restart would find.
+    fn stored_ids(&self) -> Vec<String> {
+        let mut other = Harness::with_unread_store();
+        (other.stored, other.stamp, other.now_ms) = (self.stored.clone(), self.stamp.clone(), self.now_ms);
+        other.read_store();
+        other.active_ids().into_iter().map(str::to_string).collect()
     }
 }
 
 #[test]
-fn an_order_stands_once_it_is_on_disk() {
-    let mut office = Office::opened();
-    office.ask(1, set("a"));
-    assert!(office.standing().is_empty() && office.answers.is_empty());
-    assert!(!office.clerk.take_changed() || office.standing().is_empty());
-    office.disk(true);
-    assert_eq!(office.standing(), ["a"]);
-    assert!(office.clerk.take_changed());
+fn override_is_active_once_it_is_stored() {
+    let mut harness = Harness::with_store_read();
+    harness.request(1, set("a"));
+    assert!(harness.active_ids().is_empty() && harness.replies.is_empty());
+    assert!(!harness.controller.take_changed() || harness.active_ids().is_empty());
+    harness.complete_save();
+    assert_eq!(harness.active_ids(), ["a"]);
+    assert!(harness.controller.take_changed());
     assert!(matches!(
-        office.answers[&1],
+        harness.replies[&1],
         ChangeReply::Set { is_repeat: false, durability: Durability::OnDisk, .. }
     ));
-    office.ask(2, set("a"));
-    assert!(matches!(office.answers[&2], ChangeReply::Set { is_repeat: true, .. }));
-    office.ask(3, ChangeRequest::Set(order("a", "other", 60_000)));
-    assert_eq!(office.answers[&3], ChangeReply::Rejected(OverrideError::IdInUse { id: "a".into() }));
+    harness.request(2, set("a"));
+    assert!(matches!(harness.replies[&2], ChangeReply::Set { is_repeat: true, .. }));
+    harness.request(3, ChangeRequest::Set(out("a", "other", 60_000)));
+    assert_eq!(harness.replies[&3], ChangeReply::Rejected(OverrideError::IdInUse { id: "a".into() }));
 }
 
 #[test]
-fn what_the_disk_refuses_has_not_been_even_if_it_came_through() {
-    let mut office = Office::opened();
-    office.ask(1, set("a"));
-    office.disk(false);
-    assert_eq!(office.answers[&1], ChangeReply::NotStored("full".into()));
-    assert!(office.standing().is_empty());
-    // Written, though the disk said no: it is taken off the disk with the next job.
-    office.ask(2, set("b"));
-    let serial = office.write().unwrap();
-    office.clerk.handle_save_outcome(at(office.now), serial, Err("flush".into()));
-    office.acts();
-    assert_eq!(office.on_disk(), ["b"], "until then it is there");
-    office.pass(5000);
-    assert!(office.disk(true), "tried again by itself");
-    assert!(office.on_disk().is_empty() && office.standing().is_empty());
-    assert!(office.notes.iter().any(|note| note.contains("override store recovered")));
-    office.ask(3, set("b"));
-    office.disk(true);
-    assert_eq!(office.on_disk(), ["b"]);
+fn failed_write_changes_nothing_even_if_it_was_stored() {
+    let mut harness = Harness::with_store_read();
+    harness.request(1, set("a"));
+    harness.fail_save();
+    assert_eq!(harness.replies[&1], ChangeReply::NotStored("full".into()));
+    assert!(harness.active_ids().is_empty());
+    // Stored although the write failed: the next write removes it.
+    harness.request(2, set("b"));
+    let serial = harness.store_pending().unwrap();
+    harness.controller.handle_save_outcome(at(harness.now_ms), serial, Err("flush".into()));
+    harness.take_effects();
+    assert_eq!(harness.stored_ids(), ["b"], "stored until then");
+    harness.advance(5000);
+    assert!(harness.complete_save(), "retried without a request");
+    assert!(harness.stored_ids().is_empty() && harness.active_ids().is_empty());
+    assert!(harness.logged.iter().any(|line| line.contains("override store recovered")));
+    harness.request(3, set("b"));
+    harness.complete_save();
+    assert_eq!(harness.stored_ids(), ["b"]);
 }
 
 #[test]
-fn clearing_asks_for_no_disk_and_expiry_neither() {
-    let mut office = Office::opened();
-    for (ticket, id) in [(1, "a"), (2, "b")] {
-        office.ask(ticket, set(id));
-        office.disk(true);
+fn clearing_and_expiry_do_not_wait_for_the_store() {
+    let mut harness = Harness::with_store_read();
+    for (request_id, id) in [(1, "a"), (2, "b")] {
+        harness.request(request_id, set(id));
+        harness.complete_save();
     }
-    // The disk hangs over a third one.
-    office.ask(3, set("c"));
-    office.ask(4, ChangeRequest::Clear { id: "a".into(), by: "mb".into() });
-    assert_eq!(office.standing(), ["b"], "at once");
-    office.pass(60_000);
-    assert!(office.standing().is_empty(), "ended, whatever the disk does");
-    assert!(!office.answers.contains_key(&4), "nobody is told it is kept before it is");
-    office.disk(false);
-    assert!(matches!(office.answers[&3], ChangeReply::NotStored(_)));
-    office.disk(false);
-    assert!(matches!(office.answers[&4], ChangeReply::Cleared { durability: Durability::Pending(_), .. }));
-    office.pass(5000);
-    while office.disk(true) {}
-    assert!(office.on_disk().is_empty());
+    // The write of a third override hangs.
+    harness.request(3, set("c"));
+    harness.request(4, ChangeRequest::Clear { id: "a".into(), by: "mb".into() });
+    assert_eq!(harness.active_ids(), ["b"], "at once");
+    harness.advance(60_000);
+    assert!(harness.active_ids().is_empty(), "expired while the write hangs");
+    assert!(!harness.replies.contains_key(&4), "no reply before the end is stored");
+    harness.fail_save();
+    assert!(matches!(harness.replies[&3], ChangeReply::NotStored(_)));
+    harness.fail_save();
+    assert!(matches!(harness.replies[&4], ChangeReply::Cleared { durability: Durability::Pending(_), .. }));
+    harness.advance(5000);
+    while harness.complete_save() {}
+    assert!(harness.stored_ids().is_empty());
 }
 
 #[test]
-fn orders_wait_for_their_store_and_too_many_are_turned_away() {
-    let mut office = Office::new(true);
-    office.ask(1, set("a"));
-    assert!(matches!(office.answers[&1], ChangeReply::NotStored(_)), "not read yet");
-    office.clerk.handle_store_unavailable("in use");
-    office.clerk.handle_store_unavailable("in use");
-    office.acts();
-    assert_eq!(office.notes.len(), 1, "said once: {:?}", office.notes);
-    office.restore();
-    for ticket in 10..300 {
-        office.ask(ticket, set(&ticket.to_string()));
+fn requests_are_rejected_before_the_store_is_read_and_beyond_the_queue() {
+    let mut harness = Harness::with_unread_store();
+    harness.request(1, set("a"));
+    assert!(matches!(harness.replies[&1], ChangeReply::NotStored(_)), "not read yet");
+    harness.controller.handle_store_unavailable("in use");
+    harness.controller.handle_store_unavailable("in use");
+    harness.take_effects();
+    assert_eq!(harness.logged.len(), 1, "logged once: {:?}", harness.logged);
+    harness.read_store();
+    for request_id in 10..300 {
+        harness.request(request_id, set(&request_id.to_string()));
     }
-    let busy = office.answers.values().filter(|answer| **answer == ChangeReply::Busy).count();
-    assert_eq!(busy, 290 - 256 - 1, "one is with the disk, 256 wait");
-    while office.disk(true) {}
-    assert_eq!(office.standing().len(), 257);
+    let busy = harness.replies.values().filter(|reply| **reply == ChangeReply::Busy).count();
+    assert_eq!(busy, 290 - 256 - 1, "one is being written, 256 are queued");
+    while harness.complete_save() {}
+    assert_eq!(harness.active_ids().len(), 257);
 }
 
 #[test]
-fn a_thousand_ends_are_one_job() {
-    let mut office = Office::opened();
+fn expiries_of_many_overrides_are_one_write() {
+    let mut harness = Harness::with_store_read();
     for n in 0..300 {
-        office.ask(n, ChangeRequest::Set(order(&format!("o{n}"), &format!("s-{n}"), 60_000)));
-        office.disk(true);
+        harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), &format!("s-{n}"), 60_000)));
+        harness.complete_save();
     }
-    office.pass(60_000);
-    assert!(office.standing().is_empty());
-    assert!(office.disk(true));
-    assert!(!office.disk(true), "no second job");
-    assert_eq!(office.clerk.next_tick_at(), None, "and nothing more to do");
+    harness.advance(60_000);
+    assert!(harness.active_ids().is_empty());
+    assert!(harness.complete_save());
+    assert!(!harness.complete_save(), "no second write");
+    assert_eq!(harness.controller.next_tick_at(), None, "nothing more to do");
 }
 
 #[test]
-fn the_files_overrides_stand_before_the_store_is_read_and_after() {
-    let mut office = Office::opened();
-    office.ask(1, set("a"));
-    office.disk(true);
-    office.restart();
-    let file = |until| {
-        let NewOverride { id, kind, author, reason, .. } = order("f-1", "s-9", 0);
-        vec![ConfiguredOverride { id, kind, author, reason, expires_at: at(until) }]
+fn configured_overrides_are_active_before_and_after_the_store_is_read() {
+    let mut harness = Harness::with_store_read();
+    harness.request(1, set("a"));
+    harness.complete_save();
+    harness.restart();
+    let file = |expires_at_ms| {
+        let NewOverride { id, kind, author, reason, .. } = out("f-1", "s-9", 0);
+        vec![ConfiguredOverride { id, kind, author, reason, expires_at: at(expires_at_ms) }]
     };
-    let mut fresh = Office::new(true);
-    (fresh.disk, fresh.stamp) = (office.disk.clone(), office.stamp.clone());
-    fresh.clerk.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
-    assert_eq!(fresh.standing(), ["f-1"]);
-    fresh.clerk.handle_store_unavailable("in use");
-    fresh.restore();
-    assert_eq!(fresh.standing(), ["a", "f-1"], "{:?}", fresh.notes);
-    while fresh.disk(true) {}
-    assert_eq!(fresh.on_disk(), ["a", "f-1"]);
-    // The wall went forwards by 20 s: the file's ends ten seconds from now, the other one in sixty.
-    fresh.clerk.handle_wall_clock_step(at(0), at(20_000));
-    fresh.pass(10_000);
-    assert_eq!(fresh.standing(), ["a"]);
+    let mut fresh = Harness::with_unread_store();
+    (fresh.stored, fresh.stamp) = (harness.stored.clone(), harness.stamp.clone());
+    fresh.controller.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
+    assert_eq!(fresh.active_ids(), ["f-1"]);
+    fresh.controller.handle_store_unavailable("in use");
+    fresh.read_store();
+    assert_eq!(fresh.active_ids(), ["a", "f-1"], "{:?}", fresh.logged);
+    while fresh.complete_save() {}
+    assert_eq!(fresh.stored_ids(), ["a", "f-1"]);
+    // The wall clock went forward by 20 s: the file's override expires in 10 s, the other one in 60 s.
+    fresh.controller.handle_wall_clock_step(at(0), at(20_000));
+    fresh.advance(10_000);
+    assert_eq!(fresh.active_ids(), ["a"]);
 }
 
 #[test]
-fn without_a_store_all_is_done_at_once_and_nothing_piles_up() {
-    let mut office = Office::new(false);
+fn without_a_store_requests_are_carried_out_at_once_and_nothing_accumulates() {
+    let mut harness = Harness::in_memory();
     for n in 0..500 {
-        office.ask(n, ChangeRequest::Set(order(&format!("o{n}"), "s-1", 1000)));
-        office.pass(1000);
+        harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), "s-1", 1000)));
+        harness.advance(1000);
     }
-    assert!(matches!(office.answers[&7], ChangeReply::Set { durability: Durability::InMemory, .. }));
-    assert!(office.open.is_none() && office.clerk.registry().unsaved().is_empty());
-    assert!(office.clerk.registry().listed().count() <= 301);
+    assert!(matches!(harness.replies[&7], ChangeReply::Set { durability: Durability::InMemory, .. }));
+    assert!(harness.pending_save.is_none() && harness.controller.registry().unsaved().is_empty());
+    assert!(harness.controller.registry().listed().count() <= 301);
 }
 
-/// Orders, clears, a disk that does, refuses or writes and says no, time, kills.
+/// A random history of requests, writes that succeed, fail or fail after they were stored, time, and restarts.
 #[derive(Clone, Debug)]
-struct Days(Vec<(u8, u8)>);
+struct History(Vec<(u8, u8)>);
 
-impl Arbitrary for Days {
+impl Arbitrary for History {
     fn arbitrary(gen: &mut Gen) -> Self {
-        Days((0..60).map(|_| (u8::arbitrary(gen), u8::arbitrary(gen))).collect())
+        History((0..60).map(|_| (u8::arbitrary(gen), u8::arbitrary(gen))).collect())
     }
 }
 
 #[test]
-fn acknowledged_is_on_disk_and_refused_does_not_come_up() {
-    fn holds(days: Days) -> bool {
-        let mut office = Office::opened();
-        let mut asked: BTreeMap<u64, String> = BTreeMap::new();
-        for (n, (deed, figure)) in days.0.into_iter().enumerate() {
-            let ticket = n as u64;
-            match deed % 8 {
+fn active_overrides_are_stored_and_failed_ones_are_not_restored() {
+    fn holds(history: History) -> bool {
+        let mut harness = Harness::with_store_read();
+        for (n, (choice, figure)) in history.0.into_iter().enumerate() {
+            let request_id = n as u64;
+            match choice % 8 {
                 0..=2 => {
-                    asked.insert(ticket, format!("o{}", figure % 12));
-                    office.ask(ticket, set(&format!("o{}", figure % 12)));
+                    harness.request(request_id, set(&format!("o{}", figure % 12)));
                 }
                 3 => {
                     let id = format!("o{}", figure % 12);
-                    office.ask(ticket, ChangeRequest::Clear { id, by: "mb".into() });
+                    harness.request(request_id, ChangeRequest::Clear { id, by: "mb".into() });
                 }
-                4 | 5 => _ = office.disk(true),
+                4 | 5 => _ = harness.complete_save(),
                 6 => match figure % 3 {
-                    0 => _ = office.disk(false),
+                    0 => _ = harness.fail_save(),
                     1 => {
-                        if let Some(serial) = office.write() {
-                            office.clerk.handle_save_outcome(at(office.now), serial, Err("flush".into()));
-                            office.acts();
+                        if let Some(serial) = harness.store_pending() {
+                            harness.controller.handle_save_outcome(
+                                at(harness.now_ms),
+                                serial,
+                                Err("flush".into()),
+                            );
+                            harness.take_effects();
                         }
                     }
-                    _ => office.pass(u64::from(figure) * 100),
+                    _ => harness.advance(u64::from(figure) * 100),
                 },
-                _ => office.restart(),
+                _ => harness.restart(),
             }
-            for one in office.clerk.registry().active() {
-                assert!(one.expires_at > at(office.now), "{} stands after its end", one.id);
+            for entry in harness.controller.registry().active() {
+                assert!(entry.expires_at > at(harness.now_ms), "{} is active after its expiry", entry.id);
             }
-            let on_disk = office.on_disk();
-            for id in office.standing() {
-                assert!(on_disk.iter().any(|kept| kept == id), "{id} stands and is not on disk");
+            let stored_ids = harness.stored_ids();
+            for id in harness.active_ids() {
+                assert!(stored_ids.iter().any(|stored| stored == id), "{id} is active and not stored");
             }
         }
-        // With a disk that works again, both are the same.
-        while office.disk(true) {}
-        office.pass(5001);
-        while office.disk(true) {}
-        office.on_disk() == office.standing()
+        // Once writes succeed again, the store holds the active overrides.
+        while harness.complete_save() {}
+        harness.advance(5001);
+        while harness.complete_save() {}
+        harness.stored_ids() == harness.active_ids()
     }
-    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(Days) -> bool);
+    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(History) -> bool);
 }
--- a/crates/overrides/tests/record_encoding.rs
+++ b/crates/overrides/tests/record_encoding.rs
@@ -124,6 +124,6 @@
 }
 
 #[test]
-fn form_of_the_file_is_the_first() {
+fn format_version_of_the_file_is_one() {
     assert_eq!(encoding::FORMAT_VERSION, 1);
 }
--- a/crates/overrides/tests/registry.rs
+++ b/crates/overrides/tests/registry.rs
@@ -1,275 +1,300 @@
-//! The book of overrides: ends, repeats, replacements, restarts, clocks, and what is on disk.
+//! The registry: expiry, retries, replacement, restarts, clock steps, and what is stored.
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 use whinwall_overrides::{
     encoding, text, ClockReading, ClockStamp, ConfiguredOverride, EndCause, Ending, InvalidField,
-    NewOverride, OverrideError, OverrideKind, OverrideLimits, OverrideRegistry, Proposal, RegistryChange,
-    RestoredRegistry, Timeline,
+    NewOverride, Override, OverrideError, OverrideKind, OverrideLimits, OverrideRegistry, Proposal,
+    RegistryChange, RestoredRegistry, Timeline,
 };
 use whinwall_policy::time::{Moment, Span};
 
 const START_S: u64 = 1_800_000_000;
 
-fn at(s: u64) -> Moment {
-    Moment::at_ns((START_S + s) * 1_000_000_000)
+/// The moment so many seconds after the start.
+fn at(offset_s: u64) -> Moment {
+    Moment::at_ns((START_S + offset_s) * 1_000_000_000)
 }
 
-fn s(seconds: u64) -> Span {
+fn seconds(seconds: u64) -> Span {
     Span::ms(seconds * 1000)
 }
 
-fn reading(boot: &str, since_boot_s: u64, wall_s: u64) -> ClockReading {
-    ClockReading { boot_id: boot.into(), uptime: s(since_boot_s), wall_time: at(wall_s) }
+fn reading(boot_id: &str, uptime_s: u64, wall_s: u64) -> ClockReading {
+    ClockReading { boot_id: boot_id.into(), uptime: seconds(uptime_s), wall_time: at(wall_s) }
 }
 
-fn book() -> OverrideRegistry {
-    let line = Timeline::resume(at(0), &reading("a", 100, 0), None).timeline;
-    OverrideRegistry::new(OverrideLimits { max_active: 5, ..OverrideLimits::default() }, line)
+fn registry() -> OverrideRegistry {
+    let timeline = Timeline::resume(at(0), &reading("a", 100, 0), None).timeline;
+    OverrideRegistry::new(OverrideLimits { max_active: 5, ..OverrideLimits::default() }, timeline)
 }
 
-fn out(id: &str, replica: &str, seconds: u64) -> NewOverride {
+fn out(id: &str, replica: &str, duration_s: u64) -> NewOverride {
     let kind = OverrideKind::Out { replica: replica.into() };
-    NewOverride { id: id.into(), kind, author: "mb".into(), reason: "disk".into(), duration: s(seconds) }
+    NewOverride {
+        id: id.into(),
+        kind,
+        author: "mb".into(),
+        reason: "store".into(),
+        duration: seconds(duration_s),
+    }
 }
 
 fn pin(id: &str, first: u32, last: u32) -> NewOverride {
     NewOverride { kind: OverrideKind::Pin { first, last, replica: "s-1".into() }, ..out(id, "", 60) }
 }
 
-fn set(book: &mut OverrideRegistry, now: Moment, order: &NewOverride) {
-    match book.propose_set(now, order) {
-        Ok(Proposal::Change(change)) => book.apply(change),
+fn set(registry: &mut OverrideRegistry, now: Moment, request: &NewOverride) {
+    match registry.propose_set(now, request) {
+        Ok(Proposal::Change(change)) => registry.apply(change),
         other => panic!("{other:?}"),
     }
 }
 
-fn standing(book: &OverrideRegistry) -> Vec<&str> {
-    book.active().map(|one| one.id.as_str()).collect()
+fn active_ids(registry: &OverrideRegistry) -> Vec<&str> {
+    registry.active().map(|entry| entry.id.as_str()).collect()
 }
 
-/// What a disk would hold, and a new life's book from it.
+/// What the store holds, and the registry that a restart restores from it.
 #[derive(Default)]
-struct Disk {
+struct Store {
     records: BTreeMap<u64, Vec<u8>>,
     stamp: Option<ClockStamp>,
 }
 
-impl Disk {
-    fn keep(&mut self, book: &OverrideRegistry, now: Moment, reading: ClockReading, change: &RegistryChange) {
-        for one in &change.writes {
-            self.records.insert(one.number, encoding::encode_override(one, book.timeline()));
+impl Store {
+    fn write(
+        &mut self,
+        registry: &OverrideRegistry,
+        now: Moment,
+        reading: ClockReading,
+        change: &RegistryChange,
+    ) {
+        for entry in &change.writes {
+            self.records.insert(entry.number, encoding::encode_override(entry, registry.timeline()));
         }
         change.removals.iter().for_each(|number| _ = self.records.remove(number));
-        let stamp = ClockStamp { reading, position: book.timeline().to_persistent(now) };
+        let stamp = ClockStamp { reading, position: registry.timeline().to_persistent(now) };
         self.stamp = Some(encoding::decode_stamp(&encoding::encode_stamp(&stamp)).unwrap());
     }
 
-    fn life(&self, now: Moment, reading: ClockReading) -> OverrideRegistry {
-        let kept: Vec<_> = self.records.iter().map(|(number, bytes)| (*number, bytes.clone())).collect();
-        let bounds = OverrideLimits { max_active: 5, ..OverrideLimits::default() };
-        let RestoredRegistry { registry: book, unreadable: wrong } =
-            OverrideRegistry::restore(bounds, now, &reading, self.stamp.as_ref(), &kept);
-        assert!(wrong.is_empty(), "{wrong:?}");
-        book
+    fn restore(&self, now: Moment, reading: ClockReading) -> OverrideRegistry {
+        let records: Vec<_> = self.records.iter().map(|(number, bytes)| (*number, bytes.clone())).collect();
+        let limits = OverrideLimits { max_active: 5, ..OverrideLimits::default() };
+        let RestoredRegistry { registry, unreadable } =
+            OverrideRegistry::restore(limits, now, &reading, self.stamp.as_ref(), &records);
+        assert!(unreadable.is_empty(), "{unreadable:?}");
+        registry
     }
 }
 
 #[test]
-fn it_stands_until_its_end_and_not_a_moment_longer() {
-    let mut book = book();
-    set(&mut book, at(0), &out("a", "s-1", 60));
-    assert_eq!(book.next_expiry(), Some(at(60)));
-    assert!(!book.expire_due(at(59)));
-    assert!(book.expire_due(at(75)));
-    let one = book.get_by_id("a").unwrap();
+fn override_is_active_until_its_expiry() {
+    let mut registry = registry();
+    set(&mut registry, at(0), &out("a", "s-1", 60));
+    assert_eq!(registry.next_expiry(), Some(at(60)));
+    assert!(!registry.expire_due(at(59)));
+    assert!(registry.expire_due(at(75)));
+    let entry = registry.get_by_id("a").unwrap();
     assert_eq!(
-        (standing(&book).len(), one.ended.clone()),
+        (active_ids(&registry).len(), entry.ended.clone()),
         (0, Some(Ending { at: at(60), cause: EndCause::Expired }))
     );
-    // Said again after its end, it is what it was, and does not stand again.
-    assert_eq!(book.propose_set(at(76), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
+    // A retry after its end finds it ended, and does not set it again.
+    assert_eq!(registry.propose_set(at(76), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
 }
 
 #[test]
-fn a_repeat_sets_nothing_twice_and_prolongs_nothing() {
-    let mut book = book();
-    let proposed = book.propose_set(at(0), &out("a", "s-1", 60)).unwrap();
-    assert_eq!(standing(&book).len(), 0, "a proposal changes nothing");
+fn retry_sets_nothing_twice_and_prolongs_nothing() {
+    let mut registry = registry();
+    let proposed = registry.propose_set(at(0), &out("a", "s-1", 60)).unwrap();
+    assert_eq!(active_ids(&registry).len(), 0, "a proposal changes nothing");
     let Proposal::Change(change) = proposed else { panic!("it is new") };
-    book.apply(change.clone());
-    book.apply(change);
-    assert_eq!(book.propose_set(at(30), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
-    assert_eq!(book.next_expiry(), Some(at(60)));
-    let other = book.propose_set(at(30), &out("a", "s-2", 60));
+    registry.apply(change.clone());
+    registry.apply(change);
+    assert_eq!(registry.propose_set(at(30), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
+    assert_eq!(registry.next_expiry(), Some(at(60)));
+    let other = registry.propose_set(at(30), &out("a", "s-2", 60));
     assert_eq!(other, Err(OverrideError::IdInUse { id: "a".into() }));
 }
 
 #[test]
-fn a_newer_one_takes_the_place_of_what_it_contradicts() {
-    let mut book = book();
-    set(&mut book, at(0), &out("a", "s-1", 60));
-    set(&mut book, at(1), &out("b", "s-1", 600));
+fn newer_override_replaces_what_it_contradicts() {
+    let mut registry = registry();
+    set(&mut registry, at(0), &out("a", "s-1", 60));
+    set(&mut registry, at(1), &out("b", "s-1", 600));
     assert_eq!(
-        book.get_by_id("a").unwrap().ended,
+        registry.get_by_id("a").unwrap().ended,
         Some(Ending { at: at(1), cause: EndCause::Replaced { by: "b".into() } })
     );
-    set(&mut book, at(2), &pin("c", 3, 5));
-    set(&mut book, at(3), &pin("d", 4, 9));
-    assert_eq!(standing(&book), ["b", "c", "d"], "an overlap leaves the older one its rest");
-    set(&mut book, at(4), &pin("e", 0, 9));
-    assert_eq!(standing(&book), ["b", "e"]);
+    set(&mut registry, at(2), &pin("c", 3, 5));
+    set(&mut registry, at(3), &pin("d", 4, 9));
+    assert_eq!(
+        active_ids(&registry),
+        ["b", "c", "d"],
+        "an overlap leaves the older override the other slices"
+    );
+    set(&mut registry, at(4), &pin("e", 0, 9));
+    assert_eq!(active_ids(&registry), ["b", "e"]);
 }
 
 #[test]
-fn bounds_hold_and_name_what_is_wrong() {
-    let mut book = book();
-    let wrong = |order: NewOverride| match book.propose_set(at(0), &order) {
+fn limits_are_enforced_and_the_field_is_named() {
+    let mut registry = registry();
+    let invalid_field = |request: NewOverride| match registry.propose_set(at(0), &request) {
         Err(OverrideError::InvalidField(InvalidField { field, .. })) => field,
         other => panic!("{other:?}"),
     };
-    assert_eq!(wrong(out("a b", "s-1", 60)), "id");
-    assert_eq!(wrong(out("a", "", 60)), "server");
-    assert_eq!(wrong(out("a", "s-1", 0)), "for");
-    assert_eq!(wrong(out("a", "s-1", 90_000)), "for");
-    assert_eq!(wrong(NewOverride { reason: " ".into(), ..out("a", "s-1", 60) }), "reason");
-    assert_eq!(wrong(NewOverride { author: "x\n".into(), ..out("a", "s-1", 60) }), "author");
-    assert_eq!(wrong(pin("a", 5, 4)), "slices");
+    assert_eq!(invalid_field(out("a b", "s-1", 60)), "id");
+    assert_eq!(invalid_field(out("a", "", 60)), "server");
+    assert_eq!(invalid_field(out("a", "s-1", 0)), "for");
+    assert_eq!(invalid_field(out("a", "s-1", 90_000)), "for");
+    assert_eq!(invalid_field(NewOverride { reason: " ".into(), ..out("a", "s-1", 60) }), "reason");
+    assert_eq!(invalid_field(NewOverride { author: "x\n".into(), ..out("a", "s-1", 60) }), "author");
+    assert_eq!(invalid_field(pin("a", 5, 4)), "slices");
     for factor in [0.0, f64::NAN, -1.0, 1e9] {
         let kind = OverrideKind::Weight { replica: "s-1".into(), factor };
-        assert_eq!(wrong(NewOverride { kind, ..out("a", "", 60) }), "factor");
+        assert_eq!(invalid_field(NewOverride { kind, ..out("a", "", 60) }), "factor");
     }
     for n in 0..5 {
-        set(&mut book, at(0), &out(&format!("o{n}"), &format!("s-{n}"), 60));
+        set(&mut registry, at(0), &out(&format!("o{n}"), &format!("s-{n}"), 60));
     }
     assert_eq!(
-        book.propose_set(at(0), &out("more", "s-9", 60)),
+        registry.propose_set(at(0), &out("more", "s-9", 60)),
         Err(OverrideError::LimitReached { limit: 5 })
     );
-    // Taking another's place needs none.
-    set(&mut book, at(0), &out("instead", "s-0", 60));
+    // Replacing an override does not need another place.
+    set(&mut registry, at(0), &out("instead", "s-0", 60));
 }
 
 #[test]
-fn ended_ones_are_listed_for_a_time_and_leave_the_disk() {
-    let mut book = book();
+fn ended_overrides_are_listed_for_their_retention_and_then_removed() {
+    let mut registry = registry();
     for n in 0..20 {
-        set(&mut book, at(n), &out(&format!("o{n}"), "s-1", 60));
+        set(&mut registry, at(n), &out(&format!("o{n}"), "s-1", 60));
     }
-    book.expire_due(at(1000));
-    book.prune_ended(at(1000));
-    assert_eq!(book.listed().count(), 5);
-    assert_eq!(book.unsaved().removals.len(), 15);
-    let change = book.unsaved();
-    book.mark_saved(&change);
-    assert!(book.unsaved().is_empty());
-    book.prune_ended(at(200_000));
-    assert_eq!((book.listed().count(), book.get_by_id("o19")), (0, None));
+    registry.expire_due(at(1000));
+    registry.prune_ended(at(1000));
+    assert_eq!(registry.listed().count(), 5);
+    assert_eq!(registry.unsaved().removals.len(), 15);
+    let change = registry.unsaved();
+    registry.mark_saved(&change);
+    assert!(registry.unsaved().is_empty());
+    registry.prune_ended(at(200_000));
+    assert_eq!((registry.listed().count(), registry.get_by_id("o19")), (0, None));
 }
 
 #[test]
-fn a_thousand_end_in_the_same_second() {
-    let mut book = book();
-    book.set_limits(OverrideLimits::default());
+fn a_thousand_overrides_expire_in_the_same_second() {
+    let mut registry = registry();
+    registry.set_limits(OverrideLimits::default());
     for n in 0..1000 {
-        set(&mut book, at(0), &out(&format!("o{n}"), &format!("s-{n}"), 60));
+        set(&mut registry, at(0), &out(&format!("o{n}"), &format!("s-{n}"), 60));
     }
-    assert!(book.expire_due(at(60)));
-    assert_eq!((book.active().count(), book.next_expiry()), (0, None));
+    assert!(registry.expire_due(at(60)));
+    assert_eq!((registry.active().count(), registry.next_expiry()), (0, None));
 }
 
 #[test]
-fn a_restart_neither_prolongs_nor_loses() {
-    let (book, mut disk) = (book(), Disk::default());
-    let Ok(Proposal::Change(change)) = book.propose_set(at(0), &out("a", "s-1", 60)) else {
+fn restart_neither_prolongs_nor_loses_overrides() {
+    let (registry, mut store) = (registry(), Store::default());
+    let Ok(Proposal::Change(change)) = registry.propose_set(at(0), &out("a", "s-1", 60)) else {
         panic!("it is new")
     };
-    disk.keep(&book, at(0), reading("a", 100, 0), &change);
-    // The same start of the machine: 20 s were passed, whatever the wall's clock says.
+    store.write(&registry, at(0), reading("a", 100, 0), &change);
+    // Within one boot the uptime counts, 20 s here, whatever the wall clock shows.
     for wall_s in [20, 5000, 1] {
-        let life = disk.life(at(wall_s), reading("a", 120, wall_s));
-        assert_eq!(life.next_expiry(), Some(at(wall_s + 40)), "wall at {wall_s}");
+        let restored = store.restore(at(wall_s), reading("a", 120, wall_s));
+        assert_eq!(restored.next_expiry(), Some(at(wall_s + 40)), "wall at {wall_s}");
     }
-    // Another start: the wall tells.
-    assert_eq!(disk.life(at(20), reading("b", 3, 20)).next_expiry(), Some(at(60)));
-    let late = disk.life(at(70), reading("b", 3, 70));
+    // Over a reboot the wall clock counts.
+    assert_eq!(store.restore(at(20), reading("b", 3, 20)).next_expiry(), Some(at(60)));
+    let late = store.restore(at(70), reading("b", 3, 70));
     assert_eq!(late.get_by_id("a").unwrap().ended, Some(Ending { at: at(60), cause: EndCause::Expired }));
-    // The wall went back meanwhile: nobody knows how long we were away.
-    let back = ClockReading { wall_time: at(0) - s(7200), ..reading("b", 3, 0) };
-    let life = disk.life(at(0) - s(7200), back);
-    assert_eq!(life.get_by_id("a").unwrap().ended.clone().unwrap().cause, EndCause::ClockWentBack);
+    // The wall clock went back over a reboot: the downtime is unknown.
+    let back = ClockReading { wall_time: at(0) - seconds(7200), ..reading("b", 3, 0) };
+    let restored = store.restore(at(0) - seconds(7200), back);
+    assert_eq!(restored.get_by_id("a").unwrap().ended.clone().unwrap().cause, EndCause::ClockWentBack);
 }
 
 #[test]
-fn spoilt_records_are_told_and_the_others_are_read() {
-    let (mut book, mut disk) = (book(), Disk::default());
-    for (n, order) in [out("a", "s-1", 60), pin("b", 0, 3)].iter().enumerate() {
-        let Ok(Proposal::Change(change)) = book.propose_set(at(0), order) else { panic!("{n} is new") };
-        disk.keep(&book, at(0), reading("a", 100, 0), &change);
-        book.apply(change);
+fn corrupt_records_are_reported_and_the_others_are_read() {
+    let (mut registry, mut store) = (registry(), Store::default());
+    for (n, request) in [out("a", "s-1", 60), pin("b", 0, 3)].iter().enumerate() {
+        let Ok(Proposal::Change(change)) = registry.propose_set(at(0), request) else { panic!("{n} is new") };
+        store.write(&registry, at(0), reading("a", 100, 0), &change);
+        registry.apply(change);
     }
-    let whole = disk.records[&1].clone();
-    for at_byte in 0..whole.len() {
-        disk.records.get_mut(&1).unwrap()[at_byte] ^= 0x20;
-        let kept: Vec<_> = disk.records.iter().map(|(n, bytes)| (*n, bytes.clone())).collect();
+    let intact = store.records[&1].clone();
+    for at_byte in 0..intact.len() {
+        store.records.get_mut(&1).unwrap()[at_byte] ^= 0x20;
+        let records: Vec<_> = store.records.iter().map(|(n, bytes)| (*n, bytes.clone())).collect();
         let reading = reading("a", 101, 1);
-        let RestoredRegistry { registry: life, unreadable: wrong } =
-            OverrideRegistry::restore(OverrideLimits::default(), at(1), &reading, disk.stamp.as_ref(), &kept);
-        assert_eq!((standing(&life), wrong.len()), (vec!["b"], 1), "byte {at_byte}");
-        disk.records.insert(1, whole.clone());
+        let RestoredRegistry { registry: restored, unreadable } = OverrideRegistry::restore(
+            OverrideLimits::default(),
+            at(1),
+            &reading,
+            store.stamp.as_ref(),
+            &records,
+        );
+        assert_eq!((active_ids(&restored), unreadable.len()), (vec!["b"], 1), "byte {at_byte}");
+        store.records.insert(1, intact.clone());
     }
-    assert!(encoding::decode_override(&whole[..3], book.timeline()).is_err());
+    assert!(encoding::decode_override(&intact[..3], registry.timeline()).is_err());
 }
 
-fn file(id: &str, replica: &str, until_s: u64) -> ConfiguredOverride {
+fn configured(id: &str, replica: &str, expires_at_s: u64) -> ConfiguredOverride {
     let NewOverride { id, kind, author, reason, .. } = out(id, replica, 0);
-    ConfiguredOverride { id, kind, author, reason, expires_at: at(until_s) }
+    ConfiguredOverride { id, kind, author, reason, expires_at: at(expires_at_s) }
 }
 
 #[test]
-fn the_file_says_what_stands_and_what_was_cleared_stays_so() {
-    let mut book = book();
-    let read = |book: &mut OverrideRegistry, now_s, orders: &[ConfiguredOverride]| {
-        let change = book.propose_configured(at(now_s), at(now_s), orders)?;
-        book.apply(change);
+fn configured_overrides_follow_the_file_and_cleared_ones_stay_cleared() {
+    let mut registry = registry();
+    let follow = |registry: &mut OverrideRegistry, now_s, configured: &[ConfiguredOverride]| {
+        let change = registry.propose_configured(at(now_s), at(now_s), configured)?;
+        registry.apply(change);
         Ok::<_, OverrideError>(())
     };
-    let orders = [file("f-1", "s-1", 600), file("f-2", "s-2", 600), file("old", "s-3", 5)];
-    read(&mut book, 10, &orders).unwrap();
-    assert_eq!(standing(&book), ["f-1", "f-2"]);
-    let Ok(Proposal::Change(change)) = book.propose_clear(at(11), "f-1", "mb") else { panic!("it stands") };
-    book.apply(change);
-    read(&mut book, 20, &orders).unwrap();
-    assert_eq!(standing(&book), ["f-2"], "not again while the file has it unchanged");
-    read(&mut book, 30, &[file("f-1", "s-1", 900)]).unwrap();
-    assert_eq!(standing(&book), ["f-1"], "changed it is a new one; f-2 is gone from the file");
-    // One wrong one, and nothing of the file is taken over.
-    let longer = read(&mut book, 40, &[file("f-3", "s-3", 900), file("f-4", "s-4", 1_000_000)]);
+    let file = [configured("f-1", "s-1", 600), configured("f-2", "s-2", 600), configured("old", "s-3", 5)];
+    follow(&mut registry, 10, &file).unwrap();
+    assert_eq!(active_ids(&registry), ["f-1", "f-2"]);
+    let Ok(Proposal::Change(change)) = registry.propose_clear(at(11), "f-1", "mb") else {
+        panic!("it is active")
+    };
+    registry.apply(change);
+    follow(&mut registry, 20, &file).unwrap();
+    assert_eq!(active_ids(&registry), ["f-2"], "not again while the file has it unchanged");
+    follow(&mut registry, 30, &[configured("f-1", "s-1", 900)]).unwrap();
+    assert_eq!(active_ids(&registry), ["f-1"], "changed it is a new override; f-2 is gone from the file");
+    // One invalid override, and the file changes nothing.
+    let longer =
+        follow(&mut registry, 40, &[configured("f-3", "s-3", 900), configured("f-4", "s-4", 1_000_000)]);
     assert!(matches!(longer, Err(OverrideError::InvalidField(InvalidField { field: "until", .. }))));
-    assert_eq!(standing(&book), ["f-1"]);
+    assert_eq!(active_ids(&registry), ["f-1"]);
 }
 
 #[test]
-fn a_step_of_the_walls_clock_ends_what_it_passes_and_prolongs_nothing() {
-    let mut book = book();
-    let change = book.propose_configured(at(0), at(0), &[file("f-1", "s-1", 600)]).unwrap();
-    book.apply(change);
-    set(&mut book, at(0), &out("a", "s-2", 600));
-    book.adjust_to_wall_clock(at(10), at(0) - s(3600));
-    assert_eq!(book.next_expiry(), Some(at(600)), "back: as before");
-    book.adjust_to_wall_clock(at(20), at(500));
-    assert!(book.expire_due(at(120)));
+fn wall_clock_step_expires_what_it_passes_and_prolongs_nothing() {
+    let mut registry = registry();
+    let change = registry.propose_configured(at(0), at(0), &[configured("f-1", "s-1", 600)]).unwrap();
+    registry.apply(change);
+    set(&mut registry, at(0), &out("a", "s-2", 600));
+    registry.adjust_to_wall_clock(at(10), at(0) - seconds(3600));
+    assert_eq!(registry.next_expiry(), Some(at(600)), "back: as before");
+    registry.adjust_to_wall_clock(at(20), at(500));
+    assert!(registry.expire_due(at(120)));
     assert_eq!(
-        standing(&book),
+        active_ids(&registry),
         ["a"],
-        "forwards: the one that names an hour ends then, the other runs its time"
+        "forwards: the one with a wall time expires then, the other after its duration"
     );
 }
 
 #[test]
-fn words_are_read_and_written() {
-    for (text, seconds) in [("90s", 90), ("30m", 1800), ("1h30m", 5400), ("2d", 172_800), ("0s", 0)] {
-        assert_eq!(text::parse_duration(text), Ok(s(seconds)));
+fn durations_slices_and_wall_times_are_parsed_and_formatted() {
+    for (text, expected_s) in [("90s", 90), ("30m", 1800), ("1h30m", 5400), ("2d", 172_800), ("0s", 0)] {
+        assert_eq!(text::parse_duration(text), Ok(seconds(expected_s)));
     }
     for wrong in
         ["", "30", "m", "30m1h", "1h1h", "1.5h", "30 m", "-3m", "99999999999999999999d", "9999999999999d"]
@@ -287,83 +312,148 @@
     );
 }
 
-/// Random lives: orders, clears, steps of the wall, kills and new starts of program and machine.
+/// A step of a random history, which is chosen by the first number, with a figure for it.
+type Step = (u8, u16);
+
+/// A random history: overrides set and cleared, steps of the wall clock, restarts of program and machine.
 #[derive(Clone, Debug)]
-struct Life(Vec<(u8, u16)>);
+struct History(Vec<Step>);
 
-impl Arbitrary for Life {
+impl Arbitrary for History {
     fn arbitrary(gen: &mut Gen) -> Self {
-        Life((0..40).map(|_| (u8::arbitrary(gen), u16::arbitrary(gen))).collect())
+        History((0..40).map(|_| (u8::arbitrary(gen), u16::arbitrary(gen))).collect())
     }
 }
 
-#[test]
-fn none_stands_after_its_end_and_none_that_was_kept_is_lost() {
-    fn holds(life: Life) -> bool {
-        let (mut book, mut disk) = (book(), Disk::default());
-        // True time, which nobody in the program sees, and how far the wall's clock is ahead of it.
-        let (mut true_s, mut wall_off, mut boot, mut boot_s) = (0u64, 10_000i64, 0u32, 0u64);
-        // This life's clock: its start by the wall, and by true time.
-        let (mut life_wall, mut life_s) = (10_000i64, 0u64);
-        book.apply(RegistryChange::default());
-        let mut ends: BTreeMap<String, u64> = BTreeMap::new();
-        for (n, (deed, figure)) in life.0.into_iter().enumerate() {
-            true_s += u64::from(figure % 50);
-            let now = at((life_wall + (true_s - life_s) as i64) as u64);
-            let clocks = |wall_off: i64, boot: u32, boot_s| {
-                reading(&boot.to_string(), true_s - boot_s, (true_s as i64 + wall_off) as u64)
-            };
-            book.expire_due(now);
-            match deed % 6 {
-                0 | 1 => {
-                    let order =
-                        out(&format!("o{n}"), &format!("s-{}", figure % 7), u64::from(figure % 300) + 1);
-                    if let Ok(Proposal::Change(change)) = book.propose_set(now, &order) {
-                        for one in &change.writes {
-                            if one.is_active() {
-                                ends.insert(one.id.clone(), true_s + u64::from(figure % 300) + 1);
-                            } else {
-                                ends.remove(&one.id);
-                            }
-                        }
-                        disk.keep(&book, now, clocks(wall_off, boot, boot_s), &change);
-                        book.apply(change);
-                    }
-                }
-                2 => {
-                    let id = book.active().next().map(|one| one.id.clone());
-                    if let Some(Ok(Proposal::Change(change))) = id.map(|id| book.propose_clear(now, &id, "x"))
-                    {
-                        ends.remove(&change.writes[0].id);
-                        disk.keep(&book, now, clocks(wall_off, boot, boot_s), &change);
-                        book.apply(change);
-                    }
-                }
-                3 => {
-                    // The program notices a step, and stamps it.
-                    wall_off = (wall_off + i64::from(figure) - 30_000).max(0);
-                    let seen = clocks(wall_off, boot, boot_s);
-                    book.adjust_to_wall_clock(now, seen.wall_time);
-                    disk.keep(&book, now, seen, &RegistryChange::default());
-                }
-                deed => {
-                    if deed == 4 {
-                        (boot, boot_s) = (boot + 1, true_s);
-                    }
-                    let seen = clocks(wall_off, boot, boot_s);
-                    (life_wall, life_s) = (true_s as i64 + wall_off, true_s);
-                    book = disk.life(at(life_wall as u64), seen);
+/// A registry with its store and the machine's clocks, and the true expiry time of each active override.
+struct Simulation {
+    registry: OverrideRegistry,
+    store: Store,
+    /// True time, which the program cannot see.
+    true_s: u64,
+    /// How far the wall clock is ahead of true time.
+    wall_lead_s: i64,
+    boots: u32,
+    booted_at_true_s: u64,
+    /// The process clock's start by the wall clock, and the true time of that.
+    process_start_wall_s: i64,
+    process_start_true_s: u64,
+    expected_expiry_s: BTreeMap<String, u64>,
+}
+
+impl Simulation {
+    fn new() -> Self {
+        let mut registry = registry();
+        registry.apply(RegistryChange::default());
+        Simulation {
+            registry,
+            store: Store::default(),
+            true_s: 0,
+            wall_lead_s: 10_000,
+            boots: 0,
+            booted_at_true_s: 0,
+            process_start_wall_s: 10_000,
+            process_start_true_s: 0,
+            expected_expiry_s: BTreeMap::new(),
+        }
+    }
+
+    fn now(&self) -> Moment {
+        at((self.process_start_wall_s + (self.true_s - self.process_start_true_s) as i64) as u64)
+    }
+
+    fn clocks(&self) -> ClockReading {
+        let wall_s = (self.true_s as i64 + self.wall_lead_s) as u64;
+        reading(&self.boots.to_string(), self.true_s - self.booted_at_true_s, wall_s)
+    }
+
+    fn store(&mut self, now: Moment, change: &RegistryChange) {
+        let clocks = self.clocks();
+        self.store.write(&self.registry, now, clocks, change);
+    }
+
+    fn set(&mut self, now: Moment, id: &str, figure: u16) {
+        let duration_s = u64::from(figure % 300) + 1;
+        let request = out(id, &format!("s-{}", figure % 7), duration_s);
+        if let Ok(Proposal::Change(change)) = self.registry.propose_set(now, &request) {
+            for entry in &change.writes {
+                if entry.is_active() {
+                    self.expected_expiry_s.insert(entry.id.clone(), self.true_s + duration_s);
+                } else {
+                    self.expected_expiry_s.remove(&entry.id);
                 }
             }
-            for one in book.active() {
-                assert!(ends[&one.id] >= true_s, "{} stands at {true_s}, {ends:?}", one.id);
-            }
-            ends.retain(|_, end| *end > true_s);
-            for id in ends.keys() {
-                assert!(book.get_by_id(id).is_some_and(|one| one.is_active()), "{id} is lost at {true_s}");
+            self.store(now, &change);
+            self.registry.apply(change);
+        }
+    }
+
+    fn clear_oldest(&mut self, now: Moment) {
+        let id = self.registry.active().next().map(|entry| entry.id.clone());
+        let proposal = id.map(|id| self.registry.propose_clear(now, &id, "x"));
+        if let Some(Ok(Proposal::Change(change))) = proposal {
+            self.expected_expiry_s.remove(&change.writes[0].id);
+            self.store(now, &change);
+            self.registry.apply(change);
+        }
+    }
+
+    fn step_wall_clock(&mut self, now: Moment, figure: u16) {
+        self.wall_lead_s = (self.wall_lead_s + i64::from(figure) - 30_000).max(0);
+        self.registry.adjust_to_wall_clock(now, self.clocks().wall_time);
+        self.store(now, &RegistryChange::default());
+    }
+
+    fn reboot(&mut self) {
+        self.boots += 1;
+        self.booted_at_true_s = self.true_s;
+    }
+
+    fn restart(&mut self) {
+        self.process_start_wall_s = self.true_s as i64 + self.wall_lead_s;
+        self.process_start_true_s = self.true_s;
+        self.registry = self.store.restore(at(self.process_start_wall_s as u64), self.clocks());
+    }
+
+    fn run(&mut self, n: usize, (choice, figure): Step) {
+        self.true_s += u64::from(figure % 50);
+        let now = self.now();
+        self.registry.expire_due(now);
+        match choice % 6 {
+            0 | 1 => self.set(now, &format!("o{n}"), figure),
+            2 => self.clear_oldest(now),
+            3 => self.step_wall_clock(now, figure),
+            4 => {
+                self.reboot();
+                self.restart();
             }
+            _ => self.restart(),
+        }
+    }
+
+    fn check(&mut self) {
+        let Simulation { true_s, registry, expected_expiry_s, .. } = self;
+        for entry in registry.active() {
+            let expiry_s = expected_expiry_s[&entry.id];
+            assert!(expiry_s >= *true_s, "{} is active at {true_s}, {expected_expiry_s:?}", entry.id);
+        }
+        expected_expiry_s.retain(|_, expiry_s| *expiry_s > *true_s);
+        for id in expected_expiry_s.keys() {
+            let is_active = registry.get_by_id(id).is_some_and(Override::is_active);
+            assert!(is_active, "{id} is lost at {true_s}");
+        }
+    }
+}
+
+#[test]
+fn no_override_is_active_after_its_expiry_and_no_stored_one_is_lost() {
+    fn holds(history: History) -> bool {
+        let mut simulation = Simulation::new();
+        for (n, step) in history.0.into_iter().enumerate() {
+            simulation.run(n, step);
+            simulation.check();
         }
         true
     }
-    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(Life) -> bool);
+    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(History) -> bool);
 }
