--- /dev/null
+++ b/crates/simulator-adapter/src/action.rs
@@ -0,0 +1,33 @@
+//! The policy's actions in the simulator's form.
+
+use serde_json::{json, Value};
+use whinwall_policy::api::Action;
+
+/// The table number that stands for all tables.
+const EVERY_TABLE: u64 = 65535;
+
+/// Encodes the actions of one reply, in order.
+pub fn encode_all(actions: Vec<Action>) -> impl Iterator<Item = Value> {
+    // A sync by itself reaches no proxy, unless all are asked.
+    let sync_all = !actions.iter().any(Action::reaches_proxies);
+    actions.into_iter().map(move |action| encode(action, sync_all))
+}
+
+fn encode(action: Action, sync_all: bool) -> Value {
+    match action {
+        Action::SetEndpoint { slice, replica, weight } => json!(["setWeight", replica, slice, weight]),
+        Action::Withdraw { replica } => json!(["takeOut", true, replica]),
+        Action::Reinstate { replica } => json!(["takeOut", false, replica]),
+        Action::SetAdmission { slice, request_classes, share, retries } => {
+            let table = slice.map_or(EVERY_TABLE, u64::from);
+            json!(["ration", share, retries, request_classes, table])
+        }
+        Action::Sync { number } => json!(["barrier", number, sync_all]),
+        Action::RequestReplicaList => json!(["keepInformed", true]),
+        Action::StartTimer { token, after } => json!(["wakeAt", token, after.as_ns()]),
+        // The text is part of the simulator's trace.
+        Action::ReplicaEjected { replica, cause } => {
+            json!(["sayLog", format!("server {replica} taken for sick: {cause}")])
+        }
+    }
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,20 +1,23 @@
-//! The simulator's wire on standard input and output, and whinwall's decisions behind it. Decodes events into
-//! calls and results into actions; decides nothing.
-#![forbid(unsafe_code)]
+//! The policy on the simulator's wire format: batches of events on standard input, replies on standard output.
+//! Decodes and encodes; decides nothing.
+#![warn(clippy::unwrap_used)]
 
-mod wire;
+mod action;
+mod adapter;
+mod event;
 
+use adapter::Adapter;
 use std::io::{self, BufRead, Write};
 
 fn main() -> io::Result<()> {
-    let mut host = wire::Host::default();
-    let mut out = io::BufWriter::new(io::stdout().lock());
-    for (at, line) in io::stdin().lock().lines().enumerate() {
-        let reply = host.batch(&line?).map_err(|wrong| {
-            io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {wrong}", at + 1))
+    let mut adapter = Adapter::default();
+    let mut output = io::BufWriter::new(io::stdout().lock());
+    for (index, line) in io::stdin().lock().lines().enumerate() {
+        let reply = adapter.batch(&line?).map_err(|error| {
+            io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {error}", index + 1))
         })?;
-        writeln!(out, "{reply}")?;
-        out.flush()?;
+        writeln!(output, "{reply}")?;
+        output.flush()?;
     }
     Ok(())
 }
