--- a/crates/policy/src/news.rs
+++ b/crates/policy/src/events.rs
@@ -1,13 +1,79 @@
 //! Takes what a controller is told into its records, and decides nothing.
 
-use crate::api::*;
-use crate::logic::{JUDGED_OVER, ROUND, TOLD_AGAIN};
-use crate::pins::SlicePins;
-use crate::state::{Policy, Priority, Slice, Wished, UNKNOWN};
+use crate::api::{
+    Action, DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, OverrideStatus, ProxyId,
+    ProxyTables, ReplicaId, ReplicaListing, ReplicaState, Report, ReportBody, ReportFlow, ReportSubject,
+    SliceId, SubsetMembership,
+};
+use crate::measure::load_estimates::JUDGED_OVER;
+use crate::rules::recovery::{ASK_AGAIN, TOLD_AGAIN};
+use crate::state::fleet::{Policy, Wished};
+use crate::state::pins::SlicePins;
+use crate::state::replica::Replica;
+use crate::state::schedule::ROUND;
+use crate::state::slice::{Priority, Slice, UNKNOWN};
 use crate::time::{Moment, Span};
 use std::collections::BTreeSet;
 
 impl Policy {
+    pub fn knows_replica(&self, replica: ReplicaId) -> bool {
+        self.replicas.contains_key(&replica)
+    }
+
+    /// What the list last said of it, and of which start.
+    pub fn replica_state(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
+        self.replicas.get(&replica).map(|s| (s.state, s.started))
+    }
+
+    /// What its slices ask for a second, as of the last survey.
+    pub fn measured_load(&self, replica: ReplicaId) -> Option<f64> {
+        self.replicas.get(&replica).map(|s| s.load)
+    }
+
+    /// A replica that the list names and does not call gone.
+    pub fn listed_replica(&self, replica: ReplicaId) -> Option<&Replica> {
+        self.replicas.get(&replica).filter(|s| s.listed)
+    }
+
+    /// Which controllers steer a replica, as the decisions were told last.
+    pub fn subset_membership(&self, replica: ReplicaId) -> Option<SubsetMembership> {
+        self.replicas.get(&replica).map(|s| s.subset)
+    }
+
+    pub fn known_replica_count(&self) -> usize {
+        self.replicas.len()
+    }
+
+    /// Other controllers steer these replicas now; nothing else that the list says of them changed.
+    pub fn subsets_changed(&mut self, now: Moment, shares: &[(ReplicaId, SubsetMembership)]) {
+        for (replica, share) in shares {
+            if let Some(known) = self.replicas.get_mut(replica) {
+                known.subset = *share;
+            }
+        }
+        self.alarm = true;
+        self.settle(now);
+    }
+
+    pub fn replicas_listed(&mut self, now: Moment, scope: ListScope, list: &[ReplicaListing]) {
+        if scope != ListScope::Changes {
+            self.replicas.values_mut().for_each(|s| s.listed = false);
+        }
+        self.list_fresh |= scope != ListScope::Cached;
+        for entry in list {
+            self.replica(entry.replica, entry.started).relist(entry);
+        }
+        self.alarm = true;
+        self.settle(now);
+    }
+
+    pub fn list_request_failed(&mut self, now: Moment) {
+        // Drawn, so that controllers whose calls failed together do not come again together.
+        let pause = ASK_AGAIN.times(1.0 + self.random.draw());
+        self.due.list = (!self.site.list_pushed).then_some(now + pause);
+        self.settle(now);
+    }
+
     pub fn timer_fired(&mut self, now: Moment, token: u64) {
         if token == self.token {
             self.due.wake = None;
@@ -185,7 +251,7 @@
         self.slices.values().map(|s| s.load).sum()
     }
 
-    fn note_met(&mut self, at: Moment, replica: ReplicaId, met: &EndpointReport, latest: Span) {
+    pub(crate) fn note_met(&mut self, at: Moment, replica: ReplicaId, met: &EndpointReport, latest: Span) {
         if let Some(s) = self.replicas.get_mut(&replica) {
             let way = (met.zone, s.zone);
             // What the way adds is no fault of the replica: else a slow link would look like a full site.
@@ -195,7 +261,7 @@
         }
     }
 
-    fn note_asked(&mut self, at: Moment, slice: SliceId, asked: &DemandReport) {
+    pub(crate) fn note_asked(&mut self, at: Moment, slice: SliceId, asked: &DemandReport) {
         let cut = self.slices.get(&slice).map_or(0.0, |s| s.cut_held).max(self.cut_told.unwrap_or(0.0));
         let let_in = asked.requests * self.level(cut, asked.request_class);
         let stands = self.slices.get(&slice).is_some_and(|s| self.has_stood(s));
--- a/crates/policy/src/pins.rs
+++ b/crates/policy/src/state/pins.rs
@@ -3,8 +3,7 @@
 use crate::api::{OverrideId, ReplicaId, SliceId};
 use std::collections::BTreeMap;
 
-type Pin = (ReplicaId, OverrideId);
-
+pub(crate) type Pin = (ReplicaId, OverrideId);
 /// By the first slice of each range, its last one and where it belongs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlicePins(BTreeMap<SliceId, (SliceId, Pin)>);
--- a/crates/policy/tests/sharing.rs
+++ b/crates/policy/tests/sharing.rs
@@ -5,8 +5,8 @@
 use fleet::{at, site, Fleet};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
+use whinwall_policy::claims::{claimant, EPOCH};
 use whinwall_policy::deployment::Deployment;
-use whinwall_policy::sharing::{claimant, EPOCH};
 use whinwall_policy::time::{Moment, Span};
 
 fn subset(controllers: u32, position: u32) -> SubsetMembership {
