--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -4,9 +4,9 @@
 use crate::time::{Moment, Span};
 
 /// How long a claim lasts: orders take up to a second to reach all proxies, and reports up to three to tell of it.
-pub const EPOCH: Span = Span::ms(4000);
+pub const CLAIM_EPOCH: Span = Span::ms(4000);
 /// The least part of an epoch in which the claimant may act, however late reports are.
-pub(crate) const LEAST_ACTIVE: Span = Span::ms(1000);
+pub(crate) const MIN_CLAIM_TIME: Span = Span::ms(1000);
 /// The position that holds the claim on a replica in an epoch.
 pub fn claimant(lot: u64, epoch: u64, controllers: u32) -> u32 {
     let turn = (u128::from(lot) + u128::from(epoch)) % u128::from(controllers.max(1));
@@ -22,9 +22,10 @@
             SubsetMembership::Others => false,
             SubsetMembership::Subset { controllers: 1, .. } => true,
             SubsetMembership::Subset { controllers, position } => {
-                let epoch = now.count_of(EPOCH);
-                let since = now - Moment::at_ns(epoch * EPOCH.as_ns());
-                claimant(lot, epoch, controllers) == position && since < (EPOCH - stretch).max(LEAST_ACTIVE)
+                let epoch = now.count_of(CLAIM_EPOCH);
+                let since = now - Moment::at_ns(epoch * CLAIM_EPOCH.as_ns());
+                claimant(lot, epoch, controllers) == position
+                    && since < (CLAIM_EPOCH - stretch).max(MIN_CLAIM_TIME)
             }
         }
     }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,310 +1,233 @@
-//! Takes what a controller is told into its records, and decides nothing.
+//! How events are taken into the state. Nothing is decided here: the rules run afterwards.
 
 use crate::api::{
-    Action, DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, OverrideStatus, ProxyId,
-    ProxyTables, ReplicaId, ReplicaListing, ReplicaState, Report, ReportBody, ReportFlow, ReportSubject,
-    SliceId, SubsetMembership,
+    DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, OverrideStatus, ProxyId, ProxyTables,
+    ReplicaId, ReplicaListing, Report, ReportBody, ReportFlow, ReportSubject, SliceId, SubsetMembership,
 };
-use crate::measure::load_estimates::JUDGED_OVER;
-use crate::rules::recovery::{ASK_AGAIN, TOLD_AGAIN};
-use crate::state::fleet::{Policy, Wished};
+use crate::measure::load_estimates::RECENT_WINDOW;
+use crate::rules::recovery::REPEAT_WITHDRAWAL_GRACE_SHARE;
+use crate::state::controller::{ControllerState, OverrideEntry};
 use crate::state::pins::SlicePins;
-use crate::state::replica::Replica;
 use crate::state::schedule::ROUND;
-use crate::state::slice::{Priority, Slice, UNKNOWN};
+use crate::state::slice::{Priority, Slice, UNKNOWN_REDUCTION};
 use crate::time::{Moment, Span};
 use std::collections::BTreeSet;
+use std::mem::{replace, take};
 
-impl Policy {
-    pub fn knows_replica(&self, replica: ReplicaId) -> bool {
-        self.replicas.contains_key(&replica)
-    }
-
-    /// What the list last said of it, and of which start.
-    pub fn replica_state(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
-        self.replicas.get(&replica).map(|s| (s.state, s.started))
-    }
-
-    /// What its slices ask for a second, as of the last survey.
-    pub fn measured_load(&self, replica: ReplicaId) -> Option<f64> {
-        self.replicas.get(&replica).map(|s| s.load)
-    }
-
-    /// A replica that the list names and does not call gone.
-    pub fn listed_replica(&self, replica: ReplicaId) -> Option<&Replica> {
-        self.replicas.get(&replica).filter(|s| s.listed)
-    }
-
-    /// Which controllers steer a replica, as the decisions were told last.
-    pub fn subset_membership(&self, replica: ReplicaId) -> Option<SubsetMembership> {
-        self.replicas.get(&replica).map(|s| s.subset)
-    }
-
-    pub fn known_replica_count(&self) -> usize {
-        self.replicas.len()
-    }
-
-    /// Other controllers steer these replicas now; nothing else that the list says of them changed.
-    pub fn subsets_changed(&mut self, now: Moment, shares: &[(ReplicaId, SubsetMembership)]) {
-        for (replica, share) in shares {
-            if let Some(known) = self.replicas.get_mut(replica) {
-                known.subset = *share;
-            }
+/// Timers, the replica list and the operators' overrides.
+impl ControllerState {
+    pub(crate) fn record_timer(&mut self, token: u64) {
+        if token == self.timer_token {
+            self.deadlines.timer = None;
         }
-        self.alarm = true;
-        self.settle(now);
     }
 
-    pub fn replicas_listed(&mut self, now: Moment, scope: ListScope, list: &[ReplicaListing]) {
+    pub(crate) fn record_list(&mut self, scope: ListScope, list: &[ReplicaListing]) {
         if scope != ListScope::Changes {
-            self.replicas.values_mut().for_each(|s| s.listed = false);
-        }
-        self.list_fresh |= scope != ListScope::Cached;
-        for entry in list {
-            self.replica(entry.replica, entry.started).relist(entry);
+            self.replicas.values_mut().for_each(|replica| replica.listed = false);
         }
-        self.alarm = true;
-        self.settle(now);
-    }
-
-    pub fn list_request_failed(&mut self, now: Moment) {
-        // Drawn, so that controllers whose calls failed together do not come again together.
-        let pause = ASK_AGAIN.times(1.0 + self.random.draw());
-        self.due.list = (!self.site.list_pushed).then_some(now + pause);
-        self.settle(now);
-    }
-
-    pub fn timer_fired(&mut self, now: Moment, token: u64) {
-        if token == self.token {
-            self.due.wake = None;
+        self.has_fresh_list |= scope != ListScope::Cached;
+        for listing in list {
+            self.replica_entry(listing.replica, listing.started).update_listing(listing);
         }
-        self.settle(now);
+        self.fleet_changed = true;
     }
 
-    /// A proxy holds what a former life of ours withdrew, and misses what is ordered while it is away. What it
-    /// applied before it left it still holds, unless it comes bare.
-    pub fn proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
-        let bare = tables == ProxyTables::Empty;
-        self.channel.proxies.insert(proxy);
-        let applied = self.known.get(&proxy).copied();
-        self.known.insert(proxy, if bare { Moment::default() } else { applied.unwrap_or_default() });
-        let (mut missed, former) = (Vec::new(), self.may_stand_withdrawn());
-        for (id, s) in &self.replicas {
-            let lacks = applied.is_none_or(|at| at < s.turned);
-            if s.shut && !s.lines.is_empty() && (bare || lacks) {
-                missed.push(*id);
-            } else if former && !s.shut && !bare && (applied.is_none() || (s.was_shut && lacks)) {
-                self.to_lift.insert(*id);
+    pub(crate) fn record_subsets(&mut self, subsets: &[(ReplicaId, SubsetMembership)]) {
+        for (id, subset) in subsets {
+            if let Some(replica) = self.replicas.get_mut(id) {
+                replica.subset = *subset;
             }
         }
-        let again = now + self.site.drain_grace.times(TOLD_AGAIN);
-        missed.into_iter().for_each(|id| self.withdraw_from(id, again));
-        self.due.lift = self.due.lift.or(Some(now + self.site.report_period));
-        self.settle(now);
+        self.fleet_changed = true;
     }
 
-    /// All that operators override now, the oldest first; what is not named any more has ended. One that stands
-    /// already goes on as it is.
-    pub fn set_overrides(&mut self, now: Moment, wishes: &[(OverrideId, OverrideSpec)]) {
-        let mut former = std::mem::take(&mut self.wishes);
+    pub(crate) fn record_overrides(&mut self, overrides: &[(OverrideId, OverrideSpec)]) {
+        let mut former = take(&mut self.overrides);
         self.pins = SlicePins::default();
-        for (id, wish) in wishes {
-            if let OverrideSpec::Pin { first, last, replica } = *wish {
-                self.pins.lay(first, last, (replica, *id));
+        for (id, spec) in overrides {
+            if let OverrideSpec::Pin { first, last, replica } = *spec {
+                self.pins.insert(first, last, (replica, *id));
             }
-            let same = former.remove(id).filter(|known| known.wish == *wish);
-            let new = || Wished { wish: *wish, heeded: OverrideStatus::Absent, stood_back: None };
-            self.wishes.insert(*id, same.unwrap_or_else(new));
+            let unchanged = former.remove(id).filter(|known| known.spec == *spec);
+            let new = || OverrideEntry { spec: *spec, status: OverrideStatus::Absent, suspended_at: None };
+            self.overrides.insert(*id, unchanged.unwrap_or_else(new));
         }
-        let outs = wishes.iter().filter_map(|(_, wish)| match wish {
-            OverrideSpec::Out { replica } => Some(*replica),
-            _ => None,
-        });
-        let outs: BTreeSet<_> = outs.collect();
-        for (id, s) in &mut self.replicas {
-            (s.out, s.factor) = (s.out && outs.contains(id), 1.0);
+        let out_of_service: BTreeSet<_> = overrides
+            .iter()
+            .filter_map(|(_, spec)| match spec {
+                OverrideSpec::Out { replica } => Some(*replica),
+                _ => None,
+            })
+            .collect();
+        for (id, replica) in &mut self.replicas {
+            replica.out_of_service &= out_of_service.contains(id);
+            replica.weight_factor = 1.0;
         }
-        (self.alarm, self.agenda.heed) = (true, true);
-        self.settle(now);
-    }
-
-    /// What has become of a override.
-    pub fn override_status(&self, id: OverrideId) -> Option<OverrideStatus> {
-        self.wishes.get(&id).map(|wished| wished.heeded)
-    }
-
-    pub fn proxy_left(&mut self, now: Moment, proxy: ProxyId) {
-        self.channel.part(proxy);
-        self.parted_at = now;
-        self.settle(now);
+        self.fleet_changed = true;
+        self.pending_work.overrides = true;
     }
+}
 
-    pub fn ack_received(&mut self, now: Moment, proxy: ProxyId, version: u16) {
-        let at = self.channel.acked(now, proxy, version);
-        at.zip(self.known.get_mut(&proxy)).into_iter().for_each(|(at, known)| *known = at.max(*known));
-        self.settle(now);
+/// Proxies, their acknowledgements, and slices.
+impl ControllerState {
+    /// Notes which withdrawals the proxy has to be sent again, and which of a former incarnation it may still hold. What it
+    /// applied before it left it still holds, unless its tables are empty.
+    pub(crate) fn record_proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
+        self.channel.proxies.insert(proxy);
+        let applied_until = self.applied_until.get(&proxy).copied();
+        let is_empty = tables == ProxyTables::Empty;
+        let holds_until = if is_empty { Moment::default() } else { applied_until.unwrap_or_default() };
+        self.applied_until.insert(proxy, holds_until);
+        let may_hold_former = self.may_have_former_withdrawals() && !is_empty;
+        let mut missed = Vec::new();
+        for (id, replica) in &self.replicas {
+            let has_missed_change = applied_until.is_none_or(|until| until < replica.withdrawal_sent_at);
+            let has_missed_reinstatement = replica.was_ever_withdrawn && has_missed_change;
+            if replica.withdrawn && !replica.slices.is_empty() && (is_empty || has_missed_change) {
+                missed.push(*id);
+            } else if may_hold_former
+                && !replica.withdrawn
+                && (applied_until.is_none() || has_missed_reinstatement)
+            {
+                self.pending_reinstatements.insert(*id);
+            }
+        }
+        let repeat_at = now + self.deployment.drain_grace.times(REPEAT_WITHDRAWAL_GRACE_SHARE);
+        missed.into_iter().for_each(|id| self.schedule_withdrawal(id, repeat_at));
+        let reinstate_at = now + self.deployment.report_period;
+        self.deadlines.reinstatement = self.deadlines.reinstatement.or(Some(reinstate_at));
     }
 
-    /// The news was told anew: acks that came before are told to nobody.
-    pub fn acks_lost(&mut self) {
-        self.channel.acks_lost = true;
+    pub(crate) fn record_proxy_left(&mut self, now: Moment, proxy: ProxyId) {
+        self.channel.remove_proxy(proxy);
+        self.last_proxy_left_at = now;
     }
 
-    /// Steps that need no way to the proxies: they can be taken while no order can be made, lest one broken
-    /// way break the others (against a list lost while orders wait).
-    pub fn take_background_actions(&mut self) -> Vec<Action> {
-        let is_order = |step: &Action| {
-            !matches!(
-                step,
-                Action::RequestReplicaList | Action::StartTimer { .. } | Action::ReplicaEjected { .. }
-            )
-        };
-        let (orders, asides) = std::mem::take(&mut self.actions).into_iter().partition(is_order);
-        self.actions = orders;
-        asides
+    pub(crate) fn record_ack(&mut self, now: Moment, proxy: ProxyId, version: u16) {
+        let sent_at = self.channel.record_ack(now, proxy, version);
+        if let (Some(sent_at), Some(applied_until)) = (sent_at, self.applied_until.get_mut(&proxy)) {
+            *applied_until = sent_at.max(*applied_until);
+        }
     }
 
-    /// The reply with this version is ordered once more, as its outcome is not known: its lines may be in the
-    /// channel twice, and its message counts again (rule 5).
-    pub fn command_resent(&mut self, now: Moment, version: u16) {
-        self.channel.repeat(now, version);
-        self.settle(now);
+    pub(crate) fn add_slice(&mut self, now: Moment, id: SliceId, table: &[(ReplicaId, f64)]) {
+        self.slices.insert(id, Slice::new(table, now));
+        self.change_table(id, |_| {});
+        // Proxies that joined while no table of ours named it have not been sent its withdrawal.
+        let is_withdrawn = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| replica.withdrawn);
+        let stays_withdrawn = |id: &ReplicaId| is_withdrawn(id) && !self.pending_reinstatements.contains(id);
+        let withdrawn: Vec<_> = table.iter().map(|(id, _)| *id).filter(stays_withdrawn).collect();
+        withdrawn.into_iter().for_each(|id| self.schedule_withdrawal(id, now));
+        self.fleet_changed = true;
     }
 
-    pub fn endpoint_reported(&mut self, now: Moment, replica: ReplicaId, met: EndpointReport) {
-        let what = ReportBody::Endpoint { replica, report: met, latest_latency: met.mean_latency };
-        self.load_reported(now, &[Report { at: now, line_count: 1.0, body: what }]);
+    pub(crate) fn forget_applied_admission(&mut self, id: SliceId) {
+        if let Some(slice) = self.slices.get_mut(&id) {
+            slice.applied_reduction = UNKNOWN_REDUCTION;
+        }
+        self.mark_pending(id, Priority::Calm);
     }
 
-    pub fn demand_reported(&mut self, now: Moment, slice: SliceId, asked: DemandReport) {
-        self.load_reported(
-            now,
-            &[Report { at: now, line_count: 1.0, body: ReportBody::Demand { slice, report: asked } }],
-        );
+    pub(crate) fn remove_slice(&mut self, id: SliceId) {
+        self.clear_pending(id);
+        self.change_table(id, |slice| (slice.desired, slice.applied) = Default::default());
+        self.slices.remove(&id);
     }
+}
 
-    /// Many reports at once, each with its own time.
-    pub fn load_reported(&mut self, now: Moment, reports: &[Report]) {
-        for Report { at, line_count: lines, body: what } in reports {
-            let covers = match what {
-                ReportBody::Endpoint { replica, report: met, latest_latency: latest } => {
-                    self.note_met(*at, *replica, met, *latest);
-                    met.window
+/// Load reports.
+impl ControllerState {
+    pub(crate) fn record_reports(&mut self, reports: &[Report]) {
+        for Report { at, line_count, body } in reports {
+            let window = match body {
+                ReportBody::Endpoint { replica, report, latest_latency } => {
+                    self.record_endpoint(*at, *replica, report, *latest_latency);
+                    report.window
                 }
-                ReportBody::Demand { slice, report: asked } => {
-                    self.note_asked(*at, *slice, asked);
-                    asked.window
+                ReportBody::Demand { slice, report } => {
+                    self.record_demand(*at, *slice, report);
+                    report.window
                 }
             };
-            if covers > Span::default() {
-                self.covered.add(*at, covers.seconds() * lines);
-                self.reports.add(*at, *lines);
+            if window > Span::default() {
+                self.report_seconds.add(*at, window.seconds() * line_count);
+                self.report_lines.add(*at, *line_count);
             }
         }
-        self.settle(now);
     }
 
-    /// How reports come from now on. Where that was or is interrupted, rounds outside the band begin anew: those before
-    /// rest on what was known then.
-    pub fn set_report_flow(&mut self, now: Moment, flow: ReportFlow) {
-        let former = std::mem::replace(&mut self.report_flow, flow);
-        if former != flow && [former, flow].contains(&ReportFlow::Interrupted) {
-            self.replicas.values_mut().for_each(|s| s.outside = 0);
-            (self.agenda.shift, self.agenda.ration) = (false, false);
-            self.due.round = now + ROUND;
+    fn record_endpoint(&mut self, at: Moment, id: ReplicaId, report: &EndpointReport, latest_latency: Span) {
+        if let Some(replica) = self.replicas.get_mut(&id) {
+            let link = (report.zone, replica.zone);
+            // What the link adds is no fault of the replica: else a slow link would look like an overloaded zone.
+            let delay = self.link_delays.get(&link).copied().unwrap_or(0.0);
+            replica.shared.report_window = report.window;
+            replica.record_report(at, report, latest_latency, delay);
+            self.link_latencies.entry(link).or_default().record(at, report);
         }
-        if matches!(flow, ReportFlow::Aggregated { .. }) {
-            self.behind = self.lag(JUDGED_OVER);
-        }
-        self.settle(now);
     }
 
-    /// Figures on it up to now were lost on the way, or left out of a sum: no replica is judged by them.
-    pub fn report_incomplete(&mut self, now: Moment, about: ReportSubject) {
-        let replicas: Vec<_> = match about {
-            ReportSubject::Replica(replica) => vec![replica],
-            ReportSubject::Slice(slice) => {
-                self.slices.get(&slice).map_or_else(Vec::new, |s| s.wanted.keys().copied().collect())
+    fn record_demand(&mut self, at: Moment, id: SliceId, report: &DemandReport) {
+        let slice_reduction = self.slices.get(&id).map_or(0.0, |slice| slice.applied_reduction);
+        let reduction = slice_reduction.max(self.applied_global_reduction.unwrap_or(0.0));
+        let admitted = report.requests * self.admission_rate(reduction, report.request_class);
+        let has_stood = self.slices.get(&id).is_some_and(|slice| self.has_stood(slice));
+        if let Some((class_admitted, class_failed)) = self.class_outcomes.get_mut(report.request_class) {
+            class_admitted.spread(at, report.window, admitted);
+            class_failed.spread(at, report.window, report.failed);
+        }
+        let Some(slice) = self.slices.get_mut(&id) else { return };
+        slice.admitted.spread(at, report.window, admitted);
+        slice.failed.spread(at, report.window, report.failed);
+        // Requests are expected at a replica only where all proxies have known its endpoint for a while.
+        for (replica, share) in slice.request_shares().filter(|_| has_stood) {
+            if let Some(replica) = self.replicas.get_mut(&replica) {
+                replica.expected.spread(at, report.window, admitted * share);
             }
-        };
-        for id in replicas {
-            self.replicas.get_mut(&id).into_iter().for_each(|s| s.incomplete = Some(now));
         }
     }
 
-    /// Reports on it say nothing of what was before.
-    pub fn observed_since(&mut self, about: ReportSubject, since: Moment) {
-        match about {
-            ReportSubject::Replica(id) => _ = self.replicas.get_mut(&id).map(|s| s.observed = since),
-            ReportSubject::Slice(n) => _ = self.slices.get_mut(&n).map(|s| s.observed = since),
+    /// Where reports were or are interrupted, rounds outside the band are counted anew: those before rest on what was
+    /// known then.
+    pub(crate) fn record_report_flow(&mut self, now: Moment, flow: ReportFlow) {
+        let former = replace(&mut self.report_flow, flow);
+        if former != flow && [former, flow].contains(&ReportFlow::Interrupted) {
+            self.replicas.values_mut().for_each(|replica| replica.rounds_outside_band = 0);
+            (self.pending_work.rebalancing, self.pending_work.load_shedding) = (false, false);
+            self.deadlines.round = now + ROUND;
+        }
+        if matches!(flow, ReportFlow::Aggregated { .. }) {
+            self.report_lag = self.measure_report_lag(RECENT_WINDOW);
         }
     }
 
-    /// How many of the listed replicas that this controller steers can't be judged, as reports on them are not whole, or none
-    /// have come of late.
-    pub fn partly_observed_count(&self) -> usize {
-        self.many(|s| s.is_ready() && s.subset != SubsetMembership::Others && !self.is_observed(s))
-    }
-
-    /// What is asked of all slices a second, as of the last survey.
-    pub fn total_measured_load(&self) -> f64 {
-        self.slices.values().map(|s| s.load).sum()
-    }
-
-    pub(crate) fn note_met(&mut self, at: Moment, replica: ReplicaId, met: &EndpointReport, latest: Span) {
-        if let Some(s) = self.replicas.get_mut(&replica) {
-            let way = (met.zone, s.zone);
-            // What the way adds is no fault of the replica: else a slow link would look like a full site.
-            s.shared.window = met.window;
-            s.record(at, met, latest, self.delays.get(&way).copied().unwrap_or(0.0));
-            self.links.entry(way).or_default().record(at, met);
+    pub(crate) fn record_incomplete_report(&mut self, now: Moment, subject: ReportSubject) {
+        let replicas: Vec<_> = match subject {
+            ReportSubject::Replica(id) => vec![id],
+            ReportSubject::Slice(id) => {
+                self.slices.get(&id).map_or_else(Vec::new, |slice| slice.desired.keys().copied().collect())
+            }
+        };
+        for id in replicas {
+            if let Some(replica) = self.replicas.get_mut(&id) {
+                replica.incomplete_at = Some(now);
+            }
         }
     }
 
-    pub(crate) fn note_asked(&mut self, at: Moment, slice: SliceId, asked: &DemandReport) {
-        let cut = self.slices.get(&slice).map_or(0.0, |s| s.cut_held).max(self.cut_told.unwrap_or(0.0));
-        let let_in = asked.requests * self.level(cut, asked.request_class);
-        let stands = self.slices.get(&slice).is_some_and(|s| self.has_stood(s));
-        if let Some((came, failed)) = self.fates.get_mut(asked.request_class) {
-            came.spread(at, asked.window, let_in);
-            failed.spread(at, asked.window, asked.failed);
-        }
-        if let Some(s) = self.slices.get_mut(&slice) {
-            s.came.spread(at, asked.window, let_in);
-            s.failed.spread(at, asked.window, asked.failed);
-            for (replica, part) in s.parts().filter(|_| stands) {
-                if let Some(owner) = self.replicas.get_mut(&replica) {
-                    owner.asked.spread(at, asked.window, let_in * part);
+    pub(crate) fn record_observed_since(&mut self, subject: ReportSubject, since: Moment) {
+        match subject {
+            ReportSubject::Replica(id) => {
+                if let Some(replica) = self.replicas.get_mut(&id) {
+                    replica.observed_since = since;
+                }
+            }
+            ReportSubject::Slice(id) => {
+                if let Some(slice) = self.slices.get_mut(&id) {
+                    slice.observed_since = since;
                 }
             }
         }
     }
-
-    pub fn slice_granted(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
-        self.slice_revoked(now, slice);
-        self.slices.insert(slice, Slice::new(table, now));
-        self.retable(slice, |_| {});
-        // Proxies that joined while no table of ours named it did not hear that it is withdrawn.
-        let named = table.iter().map(|(id, _)| *id);
-        let is_shut = |id: &ReplicaId| self.replicas.get(id).is_some_and(|s| s.shut);
-        let shut = named.filter(|id| is_shut(id) && !self.to_lift.contains(id));
-        shut.collect::<Vec<_>>().into_iter().for_each(|id| self.withdraw_from(id, now));
-        self.alarm = true;
-        self.settle(now);
-    }
-
-    /// It was in our charge, and its table is another than we left it: nobody knows its levels, which are told anew.
-    pub fn slice_table_reread(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
-        self.slice_granted(now, slice, table);
-        self.slices.get_mut(&slice).into_iter().for_each(|s| s.cut_held = UNKNOWN);
-        self.tell(slice, Priority::Calm);
-        self.settle(now);
-    }
-
-    pub fn slice_revoked(&mut self, now: Moment, slice: SliceId) {
-        self.told(slice);
-        self.retable(slice, |s| (s.wanted, s.held) = Default::default());
-        self.slices.remove(&slice);
-        self.settle(now);
-    }
 }
--- a/crates/policy/src/rules/tick.rs
+++ b/crates/policy/src/rules/tick.rs
@@ -1,27 +1,28 @@
 //! Ticks.
 
 use crate::api::Action;
-use crate::rules::rate_limit::NO_ACKS;
-use crate::state::fleet::Policy;
-use crate::state::schedule::BEAT;
+use crate::rules::rate_limit::ACK_TIMEOUT;
+use crate::state::controller::ControllerState;
+use crate::state::schedule::TICK;
 
-impl Policy {
-    pub(crate) fn beat(&mut self) -> bool {
-        if self.due.beat > self.now {
+impl ControllerState {
+    pub(crate) fn start_tick(&mut self) -> bool {
+        if self.deadlines.tick > self.now {
             return false;
         }
-        self.due.beat = self.now + BEAT;
-        _ = (self.now - self.channel.heard > NO_ACKS).then(|| self.channel.drop_copies());
-        self.agenda.open(self.report_flow);
+        self.deadlines.tick = self.now + TICK;
+        _ = (self.now - self.channel.last_activity_at > ACK_TIMEOUT)
+            .then(|| self.channel.drop_extra_copies());
+        self.pending_work.start_tick(self.report_flow);
         true
     }
 
-    pub(crate) fn set_wake(&mut self) -> bool {
-        if self.due.wake.is_some() {
+    pub(crate) fn start_timer(&mut self) -> bool {
+        if self.deadlines.timer.is_some() {
             return false;
         }
-        (self.token, self.due.wake) = (self.token + 1, Some(self.now + BEAT));
-        self.actions.push(Action::StartTimer { token: self.token, after: BEAT });
+        (self.timer_token, self.deadlines.timer) = (self.timer_token + 1, Some(self.now + TICK));
+        self.actions.push(Action::StartTimer { token: self.timer_token, after: TICK });
         true
     }
 }
--- a/crates/policy/src/state/link.rs
+++ b/crates/policy/src/state/link.rs
@@ -1,25 +1,25 @@
 //! Latencies between zones.
 
 use crate::api::EndpointReport;
-use crate::state::replica::windowed_counter;
+use crate::state::replica::recent_counter;
 use crate::time::Moment;
 use crate::windowed_counter::WindowedCounter;
 
 /// Answers on the way from one place to another, and the seconds they took.
-pub struct Link {
-    pub answered: WindowedCounter,
-    pub busy: WindowedCounter,
+pub struct LinkLatency {
+    pub succeeded: WindowedCounter,
+    pub latency_seconds: WindowedCounter,
 }
-impl Default for Link {
+impl Default for LinkLatency {
     fn default() -> Self {
-        Link { answered: windowed_counter(), busy: windowed_counter() }
+        LinkLatency { succeeded: recent_counter(), latency_seconds: recent_counter() }
     }
 }
 
-impl Link {
+impl LinkLatency {
     pub fn record(&mut self, now: Moment, met: &EndpointReport) {
         let answered = (met.attempts - met.failed).max(0.0);
-        self.answered.spread(now, met.window, answered);
-        self.busy.spread(now, met.window, answered * met.mean_latency.seconds());
+        self.succeeded.spread(now, met.window, answered);
+        self.latency_seconds.spread(now, met.window, answered * met.mean_latency.seconds());
     }
 }
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod averages;
 pub(crate) mod command_channel;
-pub(crate) mod fleet;
+pub(crate) mod controller;
 pub(crate) mod link;
 pub(crate) mod pins;
 pub(crate) mod ranking;
--- a/crates/policy/src/state/pins.rs
+++ b/crates/policy/src/state/pins.rs
@@ -10,7 +10,7 @@
 
 impl SlicePins {
     /// Lays a range over what is there; of ranges that it covers in part, the rest stays.
-    pub fn lay(&mut self, first: SliceId, last: SliceId, pin: Pin) {
+    pub fn insert(&mut self, first: SliceId, last: SliceId, pin: Pin) {
         if first > last {
             return;
         }
@@ -32,7 +32,7 @@
         self.0.insert(first, (last, pin));
     }
 
-    pub fn at(&self, slice: SliceId) -> Option<Pin> {
+    pub fn get(&self, slice: SliceId) -> Option<Pin> {
         let (_, (last, pin)) = self.0.range(..=slice).next_back()?;
         (slice <= *last).then_some(*pin)
     }
--- a/crates/policy/src/state/schedule.rs
+++ b/crates/policy/src/state/schedule.rs
@@ -1,41 +1,61 @@
-//! When recurring work is due, and what is still to be gone through in a tick.
+//! When recurring work is due, and which of it is still to be done.
 
 use crate::api::ReportFlow;
 use crate::time::{Moment, Span};
 
-pub(crate) const BEAT: Span = Span::ms(250);
-// The ordinary path; the design leaves these open.
+/// The period of a tick, in which whatever needs a look at the whole fleet is done once.
+pub(crate) const TICK: Span = Span::ms(250);
+/// The period of a rebalancing round (docs/design.md: reports come each second).
 pub(crate) const ROUND: Span = Span::ms(1000);
-/// When each recurring matter is next due.
+
+/// When recurring work is next due.
 #[derive(Default)]
-pub struct Due {
-    pub list: Option<Moment>,
-    pub lift: Option<Moment>,
-    pub beat: Moment,
+pub(crate) struct Deadlines {
+    /// The next request for the replica list; none while it is pushed or followed.
+    pub list_request: Option<Moment>,
+    /// The end of former incarnations' withdrawals.
+    pub reinstatement: Option<Moment>,
+    /// The next tick.
+    pub tick: Moment,
+    /// The next rebalancing round.
     pub round: Moment,
-    pub wake: Option<Moment>,
+    /// The timer that was asked for, while it has not fired.
+    pub timer: Option<Moment>,
 }
-/// What is still to be gone through in this beat: a rule that is not on it costs nothing.
+
+impl Deadlines {
+    /// Deadlines at the start: rounds begin once two of them have passed.
+    pub(crate) fn new(now: Moment, list_request: Option<Moment>) -> Self {
+        Deadlines { list_request, round: now + ROUND + ROUND, ..Deadlines::default() }
+    }
+}
+
+/// Which rules have still to look at the whole fleet: a rule that is not named here costs nothing.
 #[derive(Default)]
-pub struct Agenda {
-    pub survey: bool,
-    pub judge: bool,
-    pub flee: bool,
-    pub spread: bool,
-    pub gather: bool,
-    pub stand_by: bool,
-    pub heed: bool,
-    /// On it once a round.
-    pub ration: bool,
-    pub shift: bool,
+pub(crate) struct PendingWork {
+    pub load_estimates: bool,
+    pub outliers: bool,
+    pub evacuation: bool,
+    pub replication: bool,
+    pub consolidation: bool,
+    pub standbys: bool,
+    pub overrides: bool,
+    /// Set once a round.
+    pub load_shedding: bool,
+    /// Set once a round.
+    pub rebalancing: bool,
 }
 
-impl Agenda {
-    /// What rests on how reports change has no place there while none come.
-    pub fn open(&mut self, flow: ReportFlow) {
-        let (ration, shift) = (self.ration, self.shift);
-        let follows = flow != ReportFlow::Interrupted;
-        let (survey, judge, flee, spread, gather) = (true, follows, true, follows, follows);
-        *self = Agenda { survey, judge, flee, spread, gather, stand_by: true, heed: true, ration, shift };
+impl PendingWork {
+    /// Has everything done that is done once a tick. Rules that rest on changes of the reports pause while none come.
+    pub(crate) fn start_tick(&mut self, flow: ReportFlow) {
+        let reports_come = flow != ReportFlow::Interrupted;
+        self.load_estimates = true;
+        self.outliers = reports_come;
+        self.evacuation = true;
+        self.replication = reports_come;
+        self.consolidation = reports_come;
+        self.standbys = true;
+        self.overrides = true;
     }
 }
--- a/crates/policy/tests/sharing.rs
+++ b/crates/policy/tests/sharing.rs
@@ -5,7 +5,7 @@
 use fleet::{at, site, Fleet};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
-use whinwall_policy::claims::{claimant, EPOCH};
+use whinwall_policy::claims::{claimant, CLAIM_EPOCH};
 use whinwall_policy::deployment::Deployment;
 use whinwall_policy::time::{Moment, Span};
 
@@ -55,7 +55,7 @@
         for lot in [0, 1, 7, u64::MAX, u64::MAX - 1, 0x9e37_79b9_7f4a_7c15] {
             let mut turns = BTreeSet::new();
             for epoch in 1000..1000 + u64::from(controllers) {
-                let start = Moment::at_ns(epoch * EPOCH.as_ns());
+                let start = Moment::at_ns(epoch * CLAIM_EPOCH.as_ns());
                 let holds =
                     |position: &u32| subset(controllers, *position).is_claimed(lot, start, Span::default());
                 let holders: Vec<_> = (0..controllers).filter(holds).collect();
@@ -70,7 +70,7 @@
 /// The next claimant must see in the reports what the last one moved, also where they cover two seconds more.
 #[test]
 fn a_claim_rests_before_it_passes_on_where_reports_are_late() {
-    let last = Moment::at_ns(1001 * EPOCH.as_ns() - 1);
+    let last = Moment::at_ns(1001 * CLAIM_EPOCH.as_ns() - 1);
     let late = Span::ms(2000);
     assert_eq!(
         (0..5).filter(|position| subset(5, *position).is_claimed(3, last, Span::default())).count(),
