--- a/crates/subsetting/examples/subset_costs.rs
+++ b/crates/subsetting/examples/subset_costs.rs
@@ -19,7 +19,7 @@
 }
 
 impl Entry {
-    fn lend(&self) -> Replica<'_> {
+    fn borrow(&self) -> Replica<'_> {
         Replica { id: &self.id, zone: &self.zone, group: &self.group, weight: 1.0 }
     }
 }
@@ -33,8 +33,8 @@
     (0..REPLICAS).map(entry).collect()
 }
 
-fn lend(entries: &[Entry]) -> Vec<Replica<'_>> {
-    entries.iter().map(Entry::lend).collect()
+fn borrow_all(entries: &[Entry]) -> Vec<Replica<'_>> {
+    entries.iter().map(Entry::borrow).collect()
 }
 
 fn membership(leaving: Option<usize>) -> Membership {
@@ -56,7 +56,7 @@
 }
 
 fn share(pairs: usize, all: &Assignment) -> f64 {
-    100.0 * pairs as f64 / all.pairs() as f64
+    100.0 * pairs as f64 / all.pair_count() as f64
 }
 
 fn print_shape(assignment: &Assignment) {
@@ -79,10 +79,10 @@
     let subset_size = std::env::args().nth(1).map_or(48, |text| text.parse().expect("a number"));
     let parameters = Parameters::new(subset_size).expect("not 0");
     let entries = registry();
-    let all = lend(&entries);
+    let all = borrow_all(&entries);
 
-    let whole = (0..RUNS).map(|_| timed(|| Assignment::compute(&membership(None), &all, &parameters)).0);
-    print_times("whole computation", whole.collect());
+    let full = (0..RUNS).map(|_| timed(|| Assignment::compute(&membership(None), &all, &parameters)).0);
+    print_times("whole computation", full.collect());
 
     let mut planner = Planner::new(membership(None), parameters);
     let base = planner.assign(&all);
@@ -92,11 +92,11 @@
     let mut latest = base.clone();
     let mut entries = entries.clone();
     for change in 0..CHANGES {
-        // Replaced under a new name, one at a time.
+        // One replica at a time is replaced under a new name.
         entries[change * 4 % REPLICAS].id = format!("replacement-{change}");
-        let replicas = lend(&entries);
+        let replicas = borrow_all(&entries);
         let (time, next) = timed(|| planner.assign(&replicas));
-        let moved = next.pairs_beyond(&latest);
+        let moved = next.added_pair_count(&latest);
         (gained, most, latest) = (gained + moved, most.max(moved), next);
         times.push(time);
     }
@@ -114,15 +114,15 @@
     println!(
         "a zone of {} lost: {lost_time:.2} ms, {:.2}% of the pairs are new; back: {back_time:.2} ms, {:.2}%, same: {}",
         all.len() - rest.len(),
-        share(lost.pairs_beyond(&base), &base),
-        share(back.pairs_beyond(&lost), &base),
+        share(lost.added_pair_count(&base), &base),
+        share(back.added_pair_count(&lost), &base),
         back == base,
     );
 
     let (mut times, mut gained, mut most) = (Vec::new(), 0, 0);
     for leaving in 0..RUNS {
         let (time, without) = timed(|| Assignment::compute(&membership(Some(leaving)), &all, &parameters));
-        let moved = without.pairs_beyond(&base);
+        let moved = without.added_pair_count(&base);
         (gained, most) = (gained + moved, most.max(moved));
         times.push(time);
     }
--- a/crates/subsetting/src/assignment.rs
+++ b/crates/subsetting/src/assignment.rs
@@ -1,15 +1,18 @@
-//! The result: for every replica the controllers that steer it.
+//! The result of subsetting: for every replica the controllers that steer it.
 
 use crate::membership::Membership;
-use crate::planner::{Parameters, Planner, Replica};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller's place among the controllers of one replica.
+/// From this many controllers on [`Assignment::size_bound`] holds without exception. With fewer, a replica that finds
+/// all controllers but one full is given a second one beyond the bound.
+pub const STRICT_BOUND_MIN_CONTROLLERS: usize = 9;
+
+/// A controller's position among the controllers of one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
     /// How many controllers steer the replica.
     pub controllers: u32,
-    /// This one's rank among them in rendezvous order, from 0 on.
+    /// Its rank among them in rendezvous order, from 0.
     pub position: u32,
 }
 
@@ -17,16 +20,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
     membership: Membership,
+    /// Positions in the membership, in rendezvous order.
     by_replica: BTreeMap<String, Vec<u32>>,
     size_bound: usize,
 }
 
 impl Assignment {
-    /// The whole computation at once; [`Planner`] does it repeatedly at a lower cost.
-    pub fn compute(membership: &Membership, replicas: &[Replica], parameters: &Parameters) -> Assignment {
-        Planner::new(membership.clone(), *parameters).assign(replicas)
-    }
-
     pub(crate) fn new(
         membership: Membership,
         by_replica: BTreeMap<String, Vec<u32>>,
@@ -48,16 +47,16 @@
     /// The replicas that a controller steers; empty for an unknown controller.
     pub fn subset_of(&self, controller: &str) -> BTreeSet<&str> {
         let Some(index) = self.membership.index(controller) else { return BTreeSet::new() };
-        let holds = |controllers: &Vec<u32>| controllers.contains(&(index as u32));
-        let held = self.by_replica.iter().filter(|(_, controllers)| holds(controllers));
-        held.map(|(replica, _)| replica.as_str()).collect()
+        let index = index as u32;
+        let steered = self.by_replica.iter().filter(|(_, controllers)| controllers.contains(&index));
+        steered.map(|(replica, _)| replica.as_str()).collect()
     }
 
-    /// A controller's place at a replica; none where it does not steer it.
+    /// A controller's position at a replica; none where it does not steer it.
     pub fn position(&self, replica: &str, controller: &str) -> Option<Position> {
         let index = self.membership.index(controller)? as u32;
         let controllers = self.controllers_of(replica);
-        let position = controllers.iter().position(|one| *one == index)?;
+        let position = controllers.iter().position(|other| *other == index)?;
         Some(Position { controllers: controllers.len() as u32, position: position as u32 })
     }
 
@@ -67,22 +66,22 @@
     }
 
     /// The number of pairs of a replica and a controller that steers it.
-    pub fn pairs(&self) -> usize {
+    pub fn pair_count(&self) -> usize {
         self.by_replica.values().map(Vec::len).sum()
     }
 
-    /// No subset is larger (see [`crate::STRICT_BOUND_FROM`]).
+    /// No subset is larger (see [`STRICT_BOUND_MIN_CONTROLLERS`]).
     pub fn size_bound(&self) -> usize {
         self.size_bound
     }
 
-    /// How many pairs of a replica and a controller are in this assignment and not in the other.
-    pub fn pairs_beyond(&self, other: &Assignment) -> usize {
-        let beyond = |(replica, controllers): (&str, &[u32])| {
-            let theirs: BTreeSet<_> = other.names_of(replica).collect();
-            controllers.iter().filter(|controller| !theirs.contains(&self.name(**controller))).count()
+    /// The number of pairs of a replica and a controller that are in this assignment and not in a former one.
+    pub fn added_pair_count(&self, former: &Assignment) -> usize {
+        let added = |(replica, controllers): (&str, &[u32])| {
+            let former_names: BTreeSet<_> = former.names_of(replica).collect();
+            controllers.iter().filter(|controller| !former_names.contains(&self.name(**controller))).count()
         };
-        self.replicas().map(beyond).sum()
+        self.replicas().map(added).sum()
     }
 
     fn names_of(&self, replica: &str) -> impl Iterator<Item = Option<&str>> {
--- a/crates/subsetting/src/membership.rs
+++ b/crates/subsetting/src/membership.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-/// More controllers than that are a mistake in a file.
+/// The largest fleet; a larger number is a mistake in a file.
 pub const MAX_CONTROLLERS: usize = 4096;
 
 /// One controller of the fleet.
@@ -12,7 +12,7 @@
     pub name: String,
 }
 
-/// Why names make no fleet.
+/// Why names are not a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
     /// No names at all.
@@ -37,6 +37,9 @@
 
 impl Membership {
     /// Sorts and checks the names.
+    ///
+    /// # Errors
+    /// No names, too many, or the same name twice.
     pub fn new(names: impl IntoIterator<Item = String>) -> Result<Self, MembershipError> {
         let mut controllers: Vec<_> = names.into_iter().map(|name| Controller { name }).collect();
         controllers.sort_unstable();
@@ -52,7 +55,10 @@
         Ok(Membership { controllers: controllers.into() })
     }
 
-    /// Fails where the name is not among them.
+    /// The position of a name that has to be among them.
+    ///
+    /// # Errors
+    /// [`MembershipError::Absent`].
     pub fn require(&self, name: &str) -> Result<usize, MembershipError> {
         self.index(name).ok_or_else(|| MembershipError::Absent(name.to_string()))
     }
@@ -82,7 +88,7 @@
         self.controllers.len()
     }
 
-    /// Never true; here for the linter's sake and for generic callers.
+    /// Never true; callers expect it beside `len`.
     pub fn is_empty(&self) -> bool {
         self.controllers.is_empty()
     }
--- a/crates/subsetting/src/strata.rs
+++ b/crates/subsetting/src/strata.rs
@@ -1,28 +1,29 @@
-//! Replicas in a canonical order, and what part of a subset each zone and each group makes.
+//! Replicas in a canonical order, how many controllers each is to have, and how much of a subset each zone and each
+//! group makes.
 
-use crate::hashing::{dithered, lot};
-use crate::planner::{Parameters, Replica, FEWEST_CONTROLLERS};
+use crate::hashing::{dither, stable_fraction};
+use crate::parameters::{Parameters, Replica, MIN_CONTROLLERS_PER_REPLICA};
 use std::collections::BTreeMap;
 
-/// The room that a controller has beyond the average, so that replicas find controllers near the head of their order.
-const SLACK: f64 = 1.125;
-/// Of its average part of a zone or group, a controller has at least this fraction.
-const FLOOR_SHARE: f64 = 0.5;
+/// A controller's capacity, as a multiple of the average, so that replicas find controllers near the head of their order.
+const CAPACITY_FACTOR: f64 = 1.125;
+/// The least that a controller has of a zone or group, as a fraction of the average.
+const FLOOR_FACTOR: f64 = 0.5;
 
 /// Replicas in an order that does not depend on how they were given, each id once.
-pub(crate) fn canonical<'a>(replicas: &[Replica<'a>]) -> Vec<Replica<'a>> {
+pub(crate) fn canonicalize<'a>(replicas: &[Replica<'a>]) -> Vec<Replica<'a>> {
     let mut sorted: Vec<_> =
-        replicas.iter().map(|replica| Replica { weight: weight(replica), ..*replica }).collect();
-    sorted.sort_unstable_by(|one, other| {
+        replicas.iter().map(|replica| Replica { weight: valid_weight(replica), ..*replica }).collect();
+    sorted.sort_unstable_by(|left, right| {
         let names = |replica: &Replica<'a>| (replica.id, replica.zone, replica.group);
-        names(one).cmp(&names(other)).then(one.weight.total_cmp(&other.weight))
+        names(left).cmp(&names(right)).then(left.weight.total_cmp(&right.weight))
     });
     sorted.dedup_by(|later, earlier| later.id == earlier.id);
     sorted
 }
 
-/// A weight that is none counts as the usual one.
-fn weight(replica: &Replica) -> f64 {
+/// An invalid weight counts as 1, the usual one.
+fn valid_weight(replica: &Replica) -> f64 {
     if replica.weight.is_finite() && replica.weight > 0.0 {
         replica.weight
     } else {
@@ -32,15 +33,15 @@
 
 /// How many controllers each replica is to have.
 pub(crate) fn demands(replicas: &[Replica], controllers: usize, parameters: &Parameters) -> Vec<usize> {
-    let fewest = controllers.min(FEWEST_CONTROLLERS);
+    let min_controllers = controllers.min(MIN_CONTROLLERS_PER_REPLICA);
     if parameters.subset_size >= replicas.len() {
         return vec![controllers; replicas.len()];
     }
     let total: f64 = replicas.iter().map(|replica| replica.weight).sum();
     let pairs = parameters.subset_size as f64 * controllers as f64;
     let demand = |replica: &Replica| {
-        let wished = (pairs * replica.weight / total).clamp(fewest as f64, controllers as f64);
-        dithered(wished, lot(replica.id)).min(controllers)
+        let desired = (pairs * replica.weight / total).clamp(min_controllers as f64, controllers as f64);
+        dither(desired, stable_fraction(replica.id)).min(controllers)
     };
     replicas.iter().map(demand).collect()
 }
@@ -53,9 +54,9 @@
 }
 
 impl Stratum {
-    /// The most of them in the subset of the controller with this lot. It exceeds the average times the slack.
-    pub fn capacity(&self, lot: f64) -> usize {
-        1 + dithered(self.average * SLACK, lot)
+    /// The most of them in the subset of the controller with this stable fraction.
+    pub fn capacity(&self, fraction: f64) -> usize {
+        1 + dither(self.average * CAPACITY_FACTOR, fraction)
     }
 
     /// The most of them in any subset.
@@ -63,26 +64,26 @@
         self.capacity(0.0).min(self.members.len())
     }
 
-    /// The fewest of them in the subset of the controller with this lot, for a zone. Every controller has one of them
+    /// The fewest of them in the subset of the controller with this stable fraction, for a zone. Every controller has one of them
     /// where the average is at least one.
-    pub fn zone_floor(&self, lot: f64) -> usize {
+    pub fn zone_floor(&self, fraction: f64) -> usize {
         let presence = (2.0 * self.average - 1.0).clamp(0.0, 1.0);
-        self.floor(presence.max(self.average * FLOOR_SHARE), lot)
+        self.floor(presence.max(self.average * FLOOR_FACTOR), fraction)
     }
 
-    /// The same for a group. There may be more groups than a subset has room for: every controller has one of them
+    /// The same for a group. There may be more groups than a subset has replicas: every controller has one of them
     /// only where the average is at least four.
-    pub fn group_floor(&self, lot: f64) -> usize {
-        self.floor((self.average * FLOOR_SHARE - 1.0).max(0.0), lot)
+    pub fn group_floor(&self, fraction: f64) -> usize {
+        self.floor((self.average * FLOOR_FACTOR - 1.0).max(0.0), fraction)
     }
 
-    fn floor(&self, wished: f64, lot: f64) -> usize {
-        dithered(wished, lot).min(self.members.len())
+    fn floor(&self, desired: f64, fraction: f64) -> usize {
+        dither(desired, fraction).min(self.members.len())
     }
 }
 
-/// Strata by a name of the replicas.
-pub(crate) fn strata<'a>(
+/// Groups the replicas by a name, of their zone or of their group.
+pub(crate) fn group_into_strata<'a>(
     replicas: &[Replica<'a>],
     demands: &[usize],
     controllers: usize,
--- a/crates/subsetting/tests/changes.rs
+++ b/crates/subsetting/tests/changes.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{lend, membership, names, replicas, OwnedReplica};
+use fleet::{borrow_all, membership, names, replicas, OwnedReplica};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeSet;
 use whinwall_subsetting::*;
@@ -16,55 +16,55 @@
 /// Restarts and replacements of one day.
 const CHANGES: usize = 470;
 /// A replica or controller more or less moves at most so many times the pairs that are its own.
-const MOST_PER_MEMBER: f64 = 3.0;
+const MAX_MOVES_PER_MEMBER: f64 = 3.0;
 
 fn planner(controllers: usize) -> Planner {
     Planner::new(membership(controllers), Parameters::new(SUBSET_SIZE).expect("not 0"))
 }
 
 /// The pairs that are new, beside those that one of so many members has on average.
-fn per_member(after: &Assignment, before: &Assignment, members: usize) -> f64 {
-    after.pairs_beyond(before) as f64 * members as f64 / before.pairs() as f64
+fn moves_per_member(after: &Assignment, before: &Assignment, members: usize) -> f64 {
+    after.added_pair_count(before) as f64 * members as f64 / before.pair_count() as f64
 }
 
 #[test]
-fn one_replica_more_or_less_moves_few_pairs() {
+fn added_or_removed_replica_moves_few_pairs() {
     let all = replicas(REPLICAS, ZONES, GROUPS);
     let mut planner = planner(CONTROLLERS);
-    let with = planner.assign(&lend(&all));
+    let with = planner.assign(&borrow_all(&all));
     for leaving in [0, 700, REPLICAS - 1] {
         let mut rest = all.clone();
         rest.remove(leaving);
-        let without = planner.assign(&lend(&rest));
-        assert!(per_member(&without, &with, REPLICAS) < MOST_PER_MEMBER);
-        assert!(per_member(&with, &without, REPLICAS) < MOST_PER_MEMBER);
+        let without = planner.assign(&borrow_all(&rest));
+        assert!(moves_per_member(&without, &with, REPLICAS) < MAX_MOVES_PER_MEMBER);
+        assert!(moves_per_member(&with, &without, REPLICAS) < MAX_MOVES_PER_MEMBER);
     }
 }
 
 #[test]
-fn one_controller_more_or_less_moves_few_pairs() {
+fn added_or_removed_controller_moves_few_pairs() {
     let all = replicas(REPLICAS, ZONES, GROUPS);
-    let with = planner(CONTROLLERS).assign(&lend(&all));
+    let with = planner(CONTROLLERS).assign(&borrow_all(&all));
     for leaving in ["governor-0", "governor-99", "governor-649"] {
         let rest = names(CONTROLLERS).into_iter().filter(|name| name != leaving);
         let rest = Membership::new(rest).expect("names differ");
-        let without = Assignment::compute(&rest, &lend(&all), &planner(1).parameters());
-        assert!(per_member(&without, &with, CONTROLLERS) < MOST_PER_MEMBER);
-        assert!(per_member(&with, &without, CONTROLLERS) < MOST_PER_MEMBER);
+        let without = Assignment::compute(&rest, &borrow_all(&all), &planner(1).parameters());
+        assert!(moves_per_member(&without, &with, CONTROLLERS) < MAX_MOVES_PER_MEMBER);
+        assert!(moves_per_member(&with, &without, CONTROLLERS) < MAX_MOVES_PER_MEMBER);
     }
 }
 
-/// At a fifth of the size: replicas and controllers that are replaced under a new name, in an order that is drawn.
+/// At a fifth of the size: replicas and controllers that are replaced under a new name, in a random order.
 #[test]
-fn a_day_of_replacements_moves_few_pairs_each_and_keeps_the_bounds() {
+fn replacements_of_a_day_move_few_pairs_each_and_keep_the_bounds() {
     let (controllers, count) = (CONTROLLERS / 5, REPLICAS / 5);
-    let mut drawn = Gen::from_size_and_seed(CHANGES, 1);
+    let mut random = Gen::from_size_and_seed(CHANGES, 1);
     let (mut all, mut fleet) = (replicas(count, ZONES, GROUPS), names(controllers));
     let mut planner = planner(controllers);
-    let mut latest = planner.assign(&lend(&all));
+    let mut latest = planner.assign(&borrow_all(&all));
     for change in 0..CHANGES {
-        let number = usize::arbitrary(&mut drawn);
-        let members = if bool::arbitrary(&mut drawn) {
+        let number = usize::arbitrary(&mut random);
+        let members = if bool::arbitrary(&mut random) {
             all[number % count].id = format!("replacement-{change}");
             count
         } else {
@@ -73,29 +73,32 @@
             planner = Planner::new(membership, planner.parameters());
             controllers
         };
-        let next = planner.assign(&lend(&all));
-        let moved = per_member(&next, &latest, members);
-        assert!(moved < MOST_PER_MEMBER, "change {change}: {moved}");
-        assert!(next.replicas().all(|(_, controllers)| controllers.len() >= FEWEST_CONTROLLERS));
+        let next = planner.assign(&borrow_all(&all));
+        let moved = moves_per_member(&next, &latest, members);
+        assert!(moved < MAX_MOVES_PER_MEMBER, "change {change}: {moved}");
+        assert!(next.replicas().all(|(_, controllers)| controllers.len() >= MIN_CONTROLLERS_PER_REPLICA));
         let mut sizes = vec![0; controllers];
-        next.replicas().flat_map(|(_, controllers)| controllers).for_each(|one| sizes[*one as usize] += 1);
+        next.replicas()
+            .flat_map(|(_, controllers)| controllers)
+            .for_each(|controller| sizes[*controller as usize] += 1);
         assert!(sizes.iter().all(|size| *size <= next.size_bound()));
         latest = next;
     }
 }
 
 #[test]
-fn a_zone_lost_and_back_moves_its_own_share_and_leaves_no_trace() {
+fn lost_zone_moves_its_own_share_and_its_return_restores_the_assignment() {
     let all = replicas(REPLICAS, ZONES, GROUPS);
     let rest: Vec<_> = all.iter().filter(|replica| replica.zone != "zone-0").cloned().collect();
     assert_eq!(all.len() - rest.len(), 245);
     let mut planner = planner(CONTROLLERS);
-    let before = planner.assign(&lend(&all));
-    let lost = planner.assign(&lend(&rest));
-    let back = planner.assign(&lend(&all));
+    let before = planner.assign(&borrow_all(&all));
+    let lost = planner.assign(&borrow_all(&rest));
+    let back = planner.assign(&borrow_all(&all));
     let share = (all.len() - rest.len()) as f64 / all.len() as f64;
-    let moved =
-        |after: &Assignment, before: &Assignment| after.pairs_beyond(before) as f64 / before.pairs() as f64;
+    let moved = |after: &Assignment, before: &Assignment| {
+        after.added_pair_count(before) as f64 / before.pair_count() as f64
+    };
     assert!(moved(&lost, &before) < 1.25 * share);
     assert!(moved(&back, &lost) < 1.5 * share);
     assert_eq!(back, before);
@@ -104,7 +107,7 @@
 #[test]
 fn every_controller_has_each_zone_at_full_size() {
     let all = replicas(REPLICAS, ZONES, GROUPS);
-    let assignment = planner(CONTROLLERS).assign(&lend(&all));
+    let assignment = planner(CONTROLLERS).assign(&borrow_all(&all));
     let zone_of = |id: &str| all.iter().find(|replica| replica.id == id).map(|replica| &replica.zone);
     for name in names(CONTROLLERS).iter().step_by(7) {
         let zones: BTreeSet<_> = assignment.subset_of(name).into_iter().filter_map(zone_of).collect();
@@ -113,13 +116,13 @@
 }
 
 #[test]
-fn a_replica_of_twice_the_size_has_twice_the_controllers() {
+fn replica_of_twice_the_weight_has_twice_the_controllers() {
     let weighted = |(number, replica): (usize, OwnedReplica)| {
         let weight = if number % 2 == 0 { 2.0 } else { 1.0 };
         OwnedReplica { weight, ..replica }
     };
     let all: Vec<_> = replicas(REPLICAS, ZONES, GROUPS).into_iter().enumerate().map(weighted).collect();
-    let assignment = planner(CONTROLLERS).assign(&lend(&all));
+    let assignment = planner(CONTROLLERS).assign(&borrow_all(&all));
     let controllers = |weight: f64| -> usize {
         let of_weight = all.iter().filter(|replica| replica.weight == weight);
         of_weight.map(|replica| assignment.controllers_of(&replica.id).len()).sum()
--- a/crates/subsetting/tests/fleet/mod.rs
+++ b/crates/subsetting/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Fleets to compute subsets for. Each test program uses a part of it.
-#![allow(dead_code)]
+//! Fleets to compute subsets for.
+#![allow(dead_code)] // each test program uses a part of it
 
 use whinwall_subsetting::{Membership, Replica};
 
@@ -12,13 +12,13 @@
 }
 
 impl OwnedReplica {
-    pub fn lend(&self) -> Replica<'_> {
+    pub fn borrow(&self) -> Replica<'_> {
         Replica { id: &self.id, zone: &self.zone, group: &self.group, weight: self.weight }
     }
 }
 
-pub fn lend(replicas: &[OwnedReplica]) -> Vec<Replica<'_>> {
-    replicas.iter().map(OwnedReplica::lend).collect()
+pub fn borrow_all(replicas: &[OwnedReplica]) -> Vec<Replica<'_>> {
+    replicas.iter().map(OwnedReplica::borrow).collect()
 }
 
 pub fn names(controllers: usize) -> Vec<String> {
--- a/crates/subsetting/tests/membership.rs
+++ b/crates/subsetting/tests/membership.rs
@@ -1,13 +1,13 @@
-//! Which names make a fleet.
+//! Which names are a fleet.
 
 use whinwall_subsetting::{Membership, MembershipError, Parameters, ParametersError, MAX_CONTROLLERS};
 
 fn named(names: &[&str]) -> Result<Membership, MembershipError> {
-    Membership::new(names.iter().map(|name| name.to_string()))
+    Membership::new(names.iter().copied().map(str::to_string))
 }
 
 #[test]
-fn names_are_sorted_and_found() {
+fn names_are_sorted_and_found_by_position() {
     let membership = named(&["c", "a", "b"]).expect("a fleet");
     assert_eq!(membership.names().collect::<Vec<_>>(), ["a", "b", "c"]);
     assert_eq!(membership.index("b"), Some(1));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn faulty_names_are_told_by_name() {
+fn invalid_names_are_rejected_by_name() {
     assert_eq!(named(&[]), Err(MembershipError::Empty));
     assert_eq!(named(&["b", "a", "b"]), Err(MembershipError::Duplicate("b".into())));
     let absent = named(&["a"]).expect("a fleet").require("b").expect_err("not there");
@@ -26,6 +26,6 @@
 }
 
 #[test]
-fn an_empty_subset_is_refused() {
+fn empty_subset_is_rejected() {
     assert_eq!(Parameters::new(0), Err(ParametersError::EmptySubset));
 }
--- a/crates/subsetting/tests/properties.rs
+++ b/crates/subsetting/tests/properties.rs
@@ -1,8 +1,8 @@
-//! What holds for every fleet.
+//! Properties of every assignment.
 
 mod fleet;
 
-use fleet::{lend, membership, names, OwnedReplica};
+use fleet::{borrow_all, membership, names, OwnedReplica};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 use whinwall_subsetting::*;
@@ -18,19 +18,19 @@
 }
 
 impl Arbitrary for Fleet {
-    fn arbitrary(g: &mut Gen) -> Self {
-        let up_to = |g: &mut Gen, most: usize| 1 + usize::arbitrary(g) % most;
-        let (controllers, zones, groups) = (up_to(g, 40), up_to(g, 9), up_to(g, 5));
-        let replica = |number: usize, g: &mut Gen| OwnedReplica {
+    fn arbitrary(gen: &mut Gen) -> Self {
+        let up_to = |gen: &mut Gen, most: usize| 1 + usize::arbitrary(gen) % most;
+        let (controllers, zones, groups) = (up_to(gen, 40), up_to(gen, 9), up_to(gen, 5));
+        let replica = |number: usize, gen: &mut Gen| OwnedReplica {
             id: format!("replica-{number}"),
-            zone: format!("zone-{}", usize::arbitrary(g) % zones),
-            group: format!("group-{}", usize::arbitrary(g) % groups),
-            weight: *g
+            zone: format!("zone-{}", usize::arbitrary(gen) % zones),
+            group: format!("group-{}", usize::arbitrary(gen) % groups),
+            weight: *gen
                 .choose(&[1.0, 1.0, 1.0, 0.5, 2.0, 8.0, 0.0, f64::NAN, f64::INFINITY])
                 .expect("a choice"),
         };
-        let replicas = (0..up_to(g, 120)).map(|number| replica(number, g)).collect();
-        Fleet { controllers, replicas, subset_size: up_to(g, 140) }
+        let replicas = (0..up_to(gen, 120)).map(|number| replica(number, gen)).collect();
+        Fleet { controllers, replicas, subset_size: up_to(gen, 140) }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -47,7 +47,7 @@
 
 impl Fleet {
     fn assignment(&self) -> Assignment {
-        Assignment::compute(&membership(self.controllers), &lend(&self.replicas), &self.parameters())
+        Assignment::compute(&membership(self.controllers), &borrow_all(&self.replicas), &self.parameters())
     }
 
     fn parameters(&self) -> Parameters {
@@ -64,23 +64,23 @@
 }
 
 #[test]
-fn the_order_of_the_input_has_no_effect() {
+fn input_order_has_no_effect() {
     fn property(fleet: Fleet) -> bool {
-        let turned = Membership::new(names(fleet.controllers).into_iter().rev()).expect("names differ");
-        let mut replicas = lend(&fleet.replicas);
+        let reversed = Membership::new(names(fleet.controllers).into_iter().rev()).expect("names differ");
+        let mut replicas = borrow_all(&fleet.replicas);
         replicas.reverse();
-        let mid = replicas.len() / 2;
-        replicas.rotate_left(mid);
-        fleet.assignment() == Assignment::compute(&turned, &replicas, &fleet.parameters())
+        let middle = replicas.len() / 2;
+        replicas.rotate_left(middle);
+        fleet.assignment() == Assignment::compute(&reversed, &replicas, &fleet.parameters())
     }
     check(property);
 }
 
 #[test]
-fn a_planner_that_has_seen_other_registries_agrees_with_a_new_one() {
+fn planner_with_history_agrees_with_a_new_one() {
     fn property(fleet: Fleet) -> bool {
         let mut planner = Planner::new(membership(fleet.controllers), fleet.parameters());
-        let all = lend(&fleet.replicas);
+        let all = borrow_all(&fleet.replicas);
         planner.assign(&all[all.len() / 2..]);
         planner.assign(&all[..all.len() / 3]);
         planner.assign(&all) == fleet.assignment()
@@ -92,35 +92,38 @@
 fn every_replica_has_controllers_and_two_where_the_fleet_has_them() {
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
-        let fewest = fleet.controllers.min(FEWEST_CONTROLLERS);
+        let min_controllers = fleet.controllers.min(MIN_CONTROLLERS_PER_REPLICA);
         let distinct =
             |controllers: &[u32]| controllers.iter().collect::<BTreeSet<_>>().len() == controllers.len();
-        let known = |controllers: &[u32]| controllers.iter().all(|one| (*one as usize) < fleet.controllers);
+        let known = |controllers: &[u32]| {
+            controllers.iter().all(|controller| (*controller as usize) < fleet.controllers)
+        };
         assignment.replicas().count() == fleet.replicas.len()
             && assignment.replicas().all(|(_, controllers)| {
-                controllers.len() >= fewest && distinct(controllers) && known(controllers)
+                controllers.len() >= min_controllers && distinct(controllers) && known(controllers)
             })
     }
     check(property);
 }
 
 #[test]
-fn no_subset_exceeds_the_bound() {
+fn subset_sizes_are_within_the_bound() {
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
         let largest = fleet.subset_sizes(&assignment).into_iter().max().unwrap_or(0);
-        fleet.controllers < STRICT_BOUND_FROM || largest <= assignment.size_bound()
+        fleet.controllers < STRICT_BOUND_MIN_CONTROLLERS || largest <= assignment.size_bound()
     }
     check(property);
 }
 
 #[test]
-fn the_bound_is_an_eighth_and_two_replicas_a_zone_above_the_average() {
+fn bound_is_an_eighth_and_two_replicas_a_zone_above_the_average() {
     fn property(fleet: Fleet) -> bool {
         let zones: BTreeSet<_> = fleet.replicas.iter().map(|replica| &replica.zone).collect();
-        let fewest = fleet.controllers.min(FEWEST_CONTROLLERS) * fleet.replicas.len();
+        let min_controllers = fleet.controllers.min(MIN_CONTROLLERS_PER_REPLICA) * fleet.replicas.len();
         let heavy = fleet.replicas.iter().filter(|replica| replica.weight != 1.0).count();
-        let pairs = fewest + (fleet.subset_size + 1) * fleet.controllers + heavy + fleet.replicas.len();
+        let pairs =
+            min_controllers + (fleet.subset_size + 1) * fleet.controllers + heavy + fleet.replicas.len();
         let average = pairs as f64 / fleet.controllers as f64;
         fleet.assignment().size_bound() as f64 <= 1.125 * average + 2.0 * zones.len() as f64
     }
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn a_subset_as_large_as_the_registry_is_the_registry() {
+fn subset_as_large_as_the_registry_is_the_registry() {
     fn property(fleet: Fleet) -> bool {
         let fleet = Fleet { subset_size: fleet.replicas.len(), ..fleet };
         let assignment = fleet.assignment();
@@ -162,8 +165,10 @@
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
         let ordered = |(replica, controllers): (&str, &[u32])| {
-            let named: Vec<_> =
-                controllers.iter().filter_map(|one| assignment.membership().name(*one as usize)).collect();
+            let named: Vec<_> = controllers
+                .iter()
+                .filter_map(|controller| assignment.membership().name(*controller as usize))
+                .collect();
             let position = |(rank, name): (usize, &&str)| {
                 let expected = Position { controllers: controllers.len() as u32, position: rank as u32 };
                 assignment.position(replica, name) == Some(expected)
@@ -178,7 +183,7 @@
 }
 
 #[test]
-fn a_key_changes_members_only_where_its_own_leaves() {
+fn key_changes_members_only_when_its_member_leaves() {
     fn property(fleet: Fleet) -> bool {
         let all = names(fleet.controllers + 1);
         let rest: Vec<_> = all.iter().skip(1).map(String::as_str).collect();
