--- a/crates/controller/tests/faults.rs
+++ b/crates/controller/tests/faults.rs
@@ -10,20 +10,21 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use whinwall_fault_injection::forward::{forward, Log, Source};
+use whinwall_fault_injection::proxy::{forward, FaultSource, InjectionLog};
 use whinwall_fault_injection::schedule;
 
 /// The tool on a thread of its own; its address.
 fn between(target: SocketAddr, rules: &str) -> SocketAddr {
-    let rules =
-        Source::Schedule(Arc::new(schedule::read(rules).unwrap_or_else(|wrong| panic!("{rules}: {wrong}"))));
+    let rules = FaultSource::Schedule(Arc::new(
+        schedule::read(rules).unwrap_or_else(|wrong| panic!("{rules}: {wrong}")),
+    ));
     let (say, address) = std::sync::mpsc::channel();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             say.send(listener.local_addr().unwrap()).unwrap();
-            _ = forward(listener, target, rules, Log::default()).await;
+            _ = forward(listener, target, rules, InjectionLog::default()).await;
         })
     });
     address.recv().unwrap()
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,24 +1,27 @@
-//! Faults between two loopback sockets. `schedule` reads when what is done to whom, `decide` says what
-//! becomes of the bytes of one direction (no I/O, no clock), `record` keeps what was injected by its cause
-//! and has it injected again, `forward` carries bytes between the sockets.
-#![forbid(unsafe_code)]
+//! Fault injection between two loopback sockets. `schedule` parses which fault is injected when and where,
+//! `injector` says what becomes of the bytes of one direction (without I/O or clock), `record` stores injected faults
+//! by their cause so that they can be replayed, and `proxy` carries bytes between the sockets.
+#![warn(clippy::unwrap_used)]
 
-pub mod decide;
-pub mod forward;
+pub mod injector;
+pub mod proxy;
 pub mod record;
 pub mod schedule;
 
-/// Which of the connections, from 1 in the order in which they came.
-pub type Number = u64;
+/// The number of a connection, from 1 in the order in which they were accepted.
+pub type ConnectionNumber = u64;
 
-/// Up leads from who connected to the target.
+/// A direction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
+    /// From the client to the target.
     Up,
+    /// From the target to the client.
     Down,
 }
 
 impl Direction {
+    /// The word for it in schedules.
     pub fn name(self) -> &'static str {
         match self {
             Direction::Up => "up",
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use tokio::net::TcpListener;
-use whinwall_fault_injection::forward::{forward, Log, Source};
+use whinwall_fault_injection::proxy::{forward, FaultSource, InjectionLog};
 use whinwall_fault_injection::{record, schedule};
 
 /// Stands between two loopback sockets and delays, cuts, half-closes or garbles what passes
@@ -31,7 +31,7 @@
     Run {
         schedule: PathBuf,
         #[command(flatten)]
-        ways: Ways,
+        addresses: Addresses,
         /// Where to write what was injected
         #[arg(long)]
         record: Option<PathBuf>,
@@ -40,7 +40,7 @@
     Replay {
         recorded: PathBuf,
         #[command(flatten)]
-        ways: Ways,
+        addresses: Addresses,
         /// Where to write what was injected this time
         #[arg(long)]
         record: Option<PathBuf>,
@@ -48,7 +48,7 @@
 }
 
 #[derive(Args)]
-struct Ways {
+struct Addresses {
     #[arg(long)]
     listen: SocketAddr,
     #[arg(long)]
@@ -65,7 +65,7 @@
         let text = String::from_utf8(read(path)?).map_err(|why| format!("{}: {why}", path.display()))?;
         schedule::read(&text).map_err(|why| format!("{}: {why}", path.display()))
     };
-    let (source, ways, out) = match Arguments::parse().command {
+    let (source, addresses, out) = match Arguments::parse().command {
         Command::Check { schedule } => {
             return match scheduled(&schedule) {
                 Ok(schedule) => {
@@ -75,21 +75,21 @@
                 Err(wrong) => faulty(wrong),
             };
         }
-        Command::Run { schedule, ways, record } => match scheduled(&schedule) {
-            Ok(schedule) => (Source::Schedule(Arc::new(schedule)), ways, record),
+        Command::Run { schedule, addresses, record } => match scheduled(&schedule) {
+            Ok(schedule) => (FaultSource::Schedule(Arc::new(schedule)), addresses, record),
             Err(wrong) => return faulty(wrong),
         },
-        Command::Replay { recorded, ways, record } => {
+        Command::Replay { recorded, addresses, record } => {
             let faults = read(&recorded).and_then(|bytes| {
                 record::read(&bytes).map_err(|why| format!("{}: {why}", recorded.display()))
             });
             match faults {
-                Ok(faults) => (Source::Replay(Arc::new(faults)), ways, record),
+                Ok(faults) => (FaultSource::Replay(Arc::new(faults)), addresses, record),
                 Err(wrong) => return faulty(wrong),
             }
         }
     };
-    match serve(source, &ways, out.as_deref()) {
+    match serve(source, &addresses, out.as_deref()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("whinwall-fault-proxy: {why}");
@@ -98,14 +98,14 @@
     }
 }
 
-fn serve(source: Source, ways: &Ways, out: Option<&Path>) -> std::io::Result<()> {
+fn serve(source: FaultSource, addresses: &Addresses, out: Option<&Path>) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let log = Log::default();
+    let log = InjectionLog::default();
     runtime.block_on(async {
-        let listener = TcpListener::bind(ways.listen).await?;
-        println!("{} leads to {}", listener.local_addr()?, ways.target);
+        let listener = TcpListener::bind(addresses.listen).await?;
+        println!("{} leads to {}", listener.local_addr()?, addresses.target);
         tokio::select! {
-            failed = forward(listener, ways.target, source, log.clone()) => failed,
+            failed = forward(listener, addresses.target, source, log.clone()) => failed,
             ended = tokio::signal::ctrl_c() => ended,
         }
     })?;
--- /dev/null
+++ b/crates/fault-injection/src/proxy.rs
@@ -0,0 +1,239 @@
+//! Carries bytes between two loopback sockets, as the injectors say.
+
+use crate::injector::{InjectedFault, Injector, Step};
+use crate::record::RecordedFaults;
+use crate::schedule::Schedule;
+use crate::{ConnectionNumber, Direction};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{watch, Semaphore};
+use whinwall_policy::time::Span;
+
+/// Connections at once; more wait to be accepted.
+const MAX_CONNECTIONS: usize = 256;
+/// What is read at once, and so all that one direction holds but for a line that a rule has to see complete.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+
+/// Where the faults come from.
+#[derive(Clone)]
+pub enum FaultSource {
+    /// The rules of a schedule.
+    Schedule(Arc<Schedule>),
+    /// The faults of a record.
+    Replay(Arc<RecordedFaults>),
+}
+
+impl FaultSource {
+    fn injector(&self, connection: ConnectionNumber, direction: Direction) -> Injector {
+        match self {
+            FaultSource::Schedule(schedule) => Injector::new(schedule, connection, direction),
+            FaultSource::Replay(faults) => {
+                let own = faults.get(&(connection, direction)).cloned().unwrap_or_default();
+                Injector::replaying(connection, direction, own)
+            }
+        }
+    }
+}
+
+/// The faults injected so far, shared by all connections.
+pub type InjectionLog = Arc<Mutex<Vec<InjectedFault>>>;
+
+/// Accepts connections for ever and forwards each to the target.
+///
+/// # Errors
+///
+/// Where an address is not on loopback, or the listener fails.
+pub async fn forward(
+    listener: TcpListener,
+    target: SocketAddr,
+    source: FaultSource,
+    log: InjectionLog,
+) -> io::Result<()> {
+    if !target.ip().is_loopback() || !listener.local_addr()?.ip().is_loopback() {
+        return Err(io::Error::other("this is for loopback addresses only"));
+    }
+    let capacity = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    for number in 1.. {
+        let permit = capacity.clone().acquire_owned().await.map_err(io::Error::other)?;
+        let (stream, _) = listener.accept().await?;
+        let (source, log) = (source.clone(), log.clone());
+        tokio::spawn(async move {
+            let up = source.injector(number, Direction::Up);
+            let down = source.injector(number, Direction::Down);
+            forward_connection(stream, target, up, down, &log).await;
+            drop(permit);
+        });
+    }
+    Ok(())
+}
+
+/// The state of a connection in both of its directions.
+#[derive(Clone, Copy, PartialEq)]
+enum ConnectionState {
+    Open,
+    /// Both sides are to see a reset.
+    Cut,
+    /// Both sides are to see an orderly end.
+    Ended,
+}
+
+async fn forward_connection(
+    stream: TcpStream,
+    target: SocketAddr,
+    mut up: Injector,
+    mut down: Injector,
+    log: &InjectionLog,
+) {
+    let _ = stream.set_nodelay(true);
+    let up_steps = first_steps(&mut up, log);
+    // Refused or mute before the target sees a connection.
+    match up_steps.iter().find(|step| matches!(step, Step::Cut | Step::End | Step::Silence)) {
+        Some(Step::Cut) => return reset_on_close(&stream),
+        Some(Step::End) => return,
+        Some(_) => return read_and_discard(stream).await,
+        None => {}
+    }
+    let Ok(target_stream) = TcpStream::connect(target).await else { return reset_on_close(&stream) };
+    let _ = target_stream.set_nodelay(true);
+    let down_steps = first_steps(&mut down, log);
+    let state = watch::channel(ConnectionState::Open).0;
+    let began = Instant::now();
+    let (client_read, client_write) = stream.into_split();
+    let (target_read, target_write) = target_stream.into_split();
+    let upward = OneWay { read: client_read, write: target_write, injector: up, began, state: &state, log };
+    let downward =
+        OneWay { read: target_read, write: client_write, injector: down, began, state: &state, log };
+    let (up, down) = tokio::join!(upward.run(up_steps), downward.run(down_steps));
+    if *state.borrow() == ConnectionState::Cut {
+        // Both ends see it at once, and not as an orderly end.
+        for (read, write) in [(up.0, down.1), (down.0, up.1)] {
+            read.reunite(write).into_iter().for_each(|stream| reset_on_close(&stream));
+        }
+    }
+}
+
+/// What is done in one direction before any byte.
+fn first_steps(injector: &mut Injector, log: &InjectionLog) -> Vec<Step> {
+    let mut steps = injector.on_connect();
+    steps.extend(injector.replay_on_connect());
+    append_to_log(injector, log);
+    steps
+}
+
+fn reset_on_close(stream: &TcpStream) {
+    #[allow(deprecated)] // it is deprecated for lingers that block; one of zero never does
+    let _ = stream.set_linger(Some(Duration::ZERO));
+}
+
+/// Keeps the connection open; what comes on it goes nowhere.
+async fn read_and_discard(mut stream: TcpStream) {
+    let mut buffer = [0; 1024];
+    while matches!(stream.read(&mut buffer).await, Ok(1..)) {}
+}
+
+/// Returns once the connection is to end in both directions.
+async fn closed(state: &mut watch::Receiver<ConnectionState>) {
+    let has_changed = state.wait_for(|state| *state != ConnectionState::Open).await.is_ok();
+    if !has_changed {
+        std::future::pending::<()>().await;
+    }
+}
+
+fn append_to_log(injector: &mut Injector, log: &InjectionLog) {
+    if let Ok(mut log) = log.lock() {
+        log.append(&mut injector.injected);
+    }
+}
+
+/// One direction of a connection.
+struct OneWay<'a> {
+    read: OwnedReadHalf,
+    write: OwnedWriteHalf,
+    injector: Injector,
+    /// When the connection was accepted.
+    began: Instant,
+    state: &'a watch::Sender<ConnectionState>,
+    log: &'a InjectionLog,
+}
+
+impl OneWay<'_> {
+    /// Carries bytes until an end, and returns both halves.
+    async fn run(mut self, first_steps: Vec<Step>) -> (OwnedReadHalf, OwnedWriteHalf) {
+        let mut state = self.state.subscribe();
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        let mut steps = first_steps;
+        // Ended or silent in this direction: what comes is read and goes nowhere.
+        let mut is_closed = false;
+        loop {
+            for step in std::mem::take(&mut steps) {
+                tokio::select! {
+                    // An error: nobody reads there any more, and the other direction ends by itself.
+                    outcome = self.carry_out(step, &mut is_closed) => if outcome.is_err() {
+                        return (self.read, self.write);
+                    },
+                    _ = closed(&mut state) => return (self.read, self.write),
+                }
+            }
+            if *state.borrow() != ConnectionState::Open {
+                return (self.read, self.write);
+            }
+            let deadline = self.injector.next_deadline().map(|at| at - self.elapsed());
+            let wait = deadline.map(|span| Duration::from_nanos(span.as_ns()));
+            tokio::select! {
+                _ = closed(&mut state) => return (self.read, self.write),
+                _ = tokio::time::sleep(wait.unwrap_or_default()), if wait.is_some() => {
+                    steps = self.injector.on_time(self.elapsed());
+                }
+                outcome = self.read.read(&mut buffer) => match outcome {
+                    Ok(0) | Err(_) => return self.end(is_closed).await,
+                    Ok(count) => steps = self.injector.on_bytes(&buffer[..count]),
+                },
+            }
+            append_to_log(&mut self.injector, self.log);
+        }
+    }
+
+    fn elapsed(&self) -> Span {
+        Span::ns(self.began.elapsed().as_nanos() as u64)
+    }
+
+    async fn carry_out(&mut self, step: Step, is_closed: &mut bool) -> io::Result<()> {
+        match step {
+            Step::Pass(bytes) if !*is_closed => self.write.write_all(&bytes).await,
+            Step::Pass(_) => Ok(()),
+            Step::Wait(span) => {
+                tokio::time::sleep(Duration::from_nanos(span.as_ns())).await;
+                Ok(())
+            }
+            Step::HalfClose => {
+                *is_closed = true;
+                self.write.shutdown().await
+            }
+            Step::Silence => {
+                *is_closed = true;
+                Ok(())
+            }
+            Step::Cut => Ok(_ = self.state.send(ConnectionState::Cut)),
+            Step::End => Ok(_ = self.state.send(ConnectionState::Ended)),
+        }
+    }
+
+    /// The sender has ended: passes what was held back, and the end.
+    async fn end(mut self, is_closed: bool) -> (OwnedReadHalf, OwnedWriteHalf) {
+        for step in self.injector.on_end() {
+            if let (Step::Pass(bytes), false) = (step, is_closed) {
+                let _ = self.write.write_all(&bytes).await;
+            }
+        }
+        append_to_log(&mut self.injector, self.log);
+        if !is_closed {
+            let _ = self.write.shutdown().await;
+        }
+        (self.read, self.write)
+    }
+}
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -1,26 +1,27 @@
-//! What was injected, by its cause: which connection, which direction, after how many bytes. A file of
-//! protobuf messages, each behind its length, after a head with the version, and a checksum over all at the
-//! end.
+//! Records of injected faults, each by its cause: which connection, which direction, after how many bytes. A file
+//! of length-delimited protobuf messages, behind a head with the version, and with a checksum over all at the end.
 
-use crate::decide::Injected;
-use crate::schedule::{Garble, What};
-use crate::{Direction, Number};
+use crate::injector::InjectedFault;
+use crate::schedule::{FaultKind, Garble};
+use crate::{ConnectionNumber, Direction};
 use prost::Message;
 use std::collections::BTreeMap;
+use thiserror::Error;
 use whinwall_policy::time::Span;
 
-const HEAD: &[u8; 8] = b"wwfault1";
+/// The first bytes of a record, with the version.
+const MAGIC: &[u8; 8] = b"wwfault1";
 
 #[derive(Clone, PartialEq, Message)]
 struct Entry {
     #[prost(uint64, tag = "1")]
-    conn: u64,
+    connection: u64,
     #[prost(bool, tag = "2")]
     down: bool,
     #[prost(uint64, tag = "3")]
     offset: u64,
     #[prost(uint32, tag = "4")]
-    what: u32,
+    kind: u32,
     #[prost(uint64, tag = "5")]
     figure: u64,
     #[prost(uint64, tag = "6")]
@@ -29,61 +30,61 @@
     bytes: Vec<u8>,
 }
 
-/// Kinds by number; the place in this list is what the file says, so it is only ever added to.
-fn kind(what: What) -> (u32, u64) {
-    match what {
-        What::Delay(..) => (1, 0),
-        What::Rate(rate) => (2, rate),
-        What::Pieces(size) => (3, size),
-        What::Stall(_) => (4, 0),
-        What::Silence => (5, 0),
-        What::Cut => (6, 0),
-        What::End => (7, 0),
-        What::HalfClose => (8, 0),
-        What::Garble(Garble::Flip, many) => (9, many),
-        What::Garble(Garble::Drop, many) => (10, many),
-        What::Garble(Garble::Insert, many) => (11, many),
-        What::Garble(Garble::Repeat, many) => (12, many),
-        What::Swap => (13, 0),
-        What::Refuse => (14, 0),
-        What::Mute => (15, 0),
+/// The number of a kind in the file, and its parameter. Numbers are only ever added.
+fn encode_kind(kind: FaultKind) -> (u32, u64) {
+    match kind {
+        FaultKind::Delay(..) => (1, 0),
+        FaultKind::Rate(rate) => (2, rate),
+        FaultKind::Pieces(size) => (3, size),
+        FaultKind::Stall(_) => (4, 0),
+        FaultKind::Silence => (5, 0),
+        FaultKind::Cut => (6, 0),
+        FaultKind::End => (7, 0),
+        FaultKind::HalfClose => (8, 0),
+        FaultKind::Garble(Garble::Flip, many) => (9, many),
+        FaultKind::Garble(Garble::Drop, many) => (10, many),
+        FaultKind::Garble(Garble::Insert, many) => (11, many),
+        FaultKind::Garble(Garble::Repeat, many) => (12, many),
+        FaultKind::Swap => (13, 0),
+        FaultKind::Refuse => (14, 0),
+        FaultKind::Mute => (15, 0),
     }
 }
 
-fn what(entry: &Entry) -> Option<What> {
+fn decode_kind(entry: &Entry) -> Option<FaultKind> {
     let (figure, wait) = (entry.figure, Span::ns(entry.wait));
-    Some(match entry.what {
-        1 => What::Delay(wait, wait),
-        2 => What::Rate(figure),
-        3 => What::Pieces(figure),
-        4 => What::Stall(wait),
-        5 => What::Silence,
-        6 => What::Cut,
-        7 => What::End,
-        8 => What::HalfClose,
-        9 => What::Garble(Garble::Flip, figure),
-        10 => What::Garble(Garble::Drop, figure),
-        11 => What::Garble(Garble::Insert, figure),
-        12 => What::Garble(Garble::Repeat, figure),
-        13 => What::Swap,
-        14 => What::Refuse,
-        15 => What::Mute,
+    Some(match entry.kind {
+        1 => FaultKind::Delay(wait, wait),
+        2 => FaultKind::Rate(figure),
+        3 => FaultKind::Pieces(figure),
+        4 => FaultKind::Stall(wait),
+        5 => FaultKind::Silence,
+        6 => FaultKind::Cut,
+        7 => FaultKind::End,
+        8 => FaultKind::HalfClose,
+        9 => FaultKind::Garble(Garble::Flip, figure),
+        10 => FaultKind::Garble(Garble::Drop, figure),
+        11 => FaultKind::Garble(Garble::Insert, figure),
+        12 => FaultKind::Garble(Garble::Repeat, figure),
+        13 => FaultKind::Swap,
+        14 => FaultKind::Refuse,
+        15 => FaultKind::Mute,
         _ => return None,
     })
 }
 
-/// In the order of connections, directions and offsets: the same faults make the same file.
-pub fn write(faults: &[Injected]) -> Vec<u8> {
+/// Encodes a record, in the order of connections, directions and offsets: the same faults make the same file.
+pub fn write(faults: &[InjectedFault]) -> Vec<u8> {
     let mut sorted: Vec<_> = faults.iter().collect();
-    sorted.sort_by_key(|fault| (fault.conn, fault.direction, fault.offset));
-    let mut bytes = HEAD.to_vec();
+    sorted.sort_by_key(|fault| (fault.connection, fault.direction, fault.offset));
+    let mut bytes = MAGIC.to_vec();
     for fault in sorted {
-        let (what, figure) = kind(fault.what);
+        let (kind, figure) = encode_kind(fault.kind);
         let entry = Entry {
-            conn: fault.conn,
+            connection: fault.connection,
             down: fault.direction == Direction::Down,
             offset: fault.offset,
-            what,
+            kind,
             figure,
             wait: fault.wait.as_ns(),
             bytes: fault.bytes.clone(),
@@ -95,23 +96,48 @@
     bytes
 }
 
-/// By connection and direction.
-pub type Faults = BTreeMap<(Number, Direction), Vec<Injected>>;
+/// The faults of a record, by connection and direction, in order of their offsets.
+pub type RecordedFaults = BTreeMap<(ConnectionNumber, Direction), Vec<InjectedFault>>;
 
-pub fn read(bytes: &[u8]) -> Result<Faults, String> {
-    let (body, sum) = bytes.split_last_chunk::<4>().ok_or("it is cut off")?;
-    let mut rest = body.strip_prefix(HEAD).ok_or("it is no record of faults, or of another version")?;
+/// Why a file is not a usable record.
+#[derive(Debug, Error)]
+pub enum RecordError {
+    /// It is shorter than its checksum.
+    #[error("it is cut off")]
+    Truncated,
+    /// It does not begin as a record of this version does.
+    #[error("it is no record of faults, or of another version")]
+    UnknownFormat,
+    /// Its checksum does not fit.
+    #[error("its checksum is wrong")]
+    Checksum,
+    /// A message in it can't be decoded.
+    #[error("{0}")]
+    Message(#[from] prost::DecodeError),
+    /// A fault of an unknown kind.
+    #[error("it has a fault that this version does not know")]
+    UnknownFault,
+}
+
+/// Decodes a record.
+///
+/// # Errors
+///
+/// Where the bytes are no complete record of this version.
+pub fn read(bytes: &[u8]) -> Result<RecordedFaults, RecordError> {
+    let (body, sum) = bytes.split_last_chunk::<4>().ok_or(RecordError::Truncated)?;
+    let mut rest = body.strip_prefix(MAGIC).ok_or(RecordError::UnknownFormat)?;
     if crc32fast::hash(body).to_be_bytes() != *sum {
-        return Err("its checksum is wrong".into());
+        return Err(RecordError::Checksum);
     }
-    let mut faults = Faults::new();
+    let mut faults = RecordedFaults::new();
     while !rest.is_empty() {
-        let entry = Entry::decode_length_delimited(&mut rest).map_err(|why| why.to_string())?;
-        let what = what(&entry).ok_or("it has a fault that this version does not know")?;
+        let entry = Entry::decode_length_delimited(&mut rest)?;
+        let kind = decode_kind(&entry).ok_or(RecordError::UnknownFault)?;
         let direction = if entry.down { Direction::Down } else { Direction::Up };
-        let Entry { conn, offset, wait, bytes, .. } = entry;
-        let fault = Injected { conn, direction, offset, what, wait: Span::ns(wait), bytes };
-        faults.entry((conn, direction)).or_default().push(fault);
+        let Entry { connection, offset, wait, bytes, .. } = entry;
+        let fault = InjectedFault { connection, direction, offset, kind, wait: Span::ns(wait), bytes };
+        faults.entry((connection, direction)).or_default().push(fault);
     }
     Ok(faults)
 }
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,7 +1,7 @@
 //! The language of schedules, one rule a line:
 //!
 //! ```text
-//! # seeds chance, where something is drawn
+//! # seeds the generator, where something is drawn
 //! seed 7
 //! on conn 2 up line 5: garble flip 3
 //! on down offset 1000: cut
@@ -13,8 +13,8 @@
 //! Without `conn` a rule is for all connections, without `up` or `down` for both directions. It holds once
 //! for each of them, or as often as it says, or `always`.
 
-use crate::{Direction, Number};
-use std::fmt;
+use crate::{ConnectionNumber, Direction};
+use thiserror::Error;
 use whinwall_policy::time::Span;
 use winnow::ascii::{dec_uint, space0, space1};
 use winnow::combinator::{alt, delimited, empty, eof, opt, preceded, separated_pair, seq, terminated};
@@ -22,24 +22,34 @@
 use winnow::prelude::*;
 use winnow::token::take_till;
 
+/// A schedule of faults.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
+    /// Seeds what is drawn.
     pub seed: u64,
+    /// The rules, in the order in which they apply.
     pub rules: Vec<Rule>,
 }
 
+/// One rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    pub conn: Option<Number>,
+    /// The only connection that it is for, or all.
+    pub connection: Option<ConnectionNumber>,
+    /// The only direction that it is for, or both.
     pub direction: Option<Direction>,
-    pub when: When,
-    pub what: What,
+    /// When the fault is injected.
+    pub trigger: Trigger,
+    /// The fault.
+    pub kind: FaultKind,
     /// How often for each connection and direction; none for always.
     pub times: Option<u32>,
 }
 
+/// When a fault is injected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum When {
+pub enum Trigger {
+    /// Before any byte.
     Start,
     /// Once so many bytes have passed.
     Offset(u64),
@@ -51,16 +61,22 @@
     After(Span),
 }
 
+/// How bytes are corrupted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Garble {
+    /// Bits are flipped.
     Flip,
+    /// Bytes are left out.
     Drop,
+    /// Bytes are added before them.
     Insert,
+    /// Bytes are doubled.
     Repeat,
 }
 
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
+pub enum FaultKind {
     /// Drawn between both; what is behind waits too.
     Delay(Span, Span),
     /// From here on no more bytes a second.
@@ -87,18 +103,16 @@
     Mute,
 }
 
-/// What keeps a schedule from being used, and where.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Wrong {
+/// Why a schedule can't be used, and where.
+#[derive(Clone, Debug, Error, PartialEq)]
+#[error("line {line}, column {column}: {expectation}")]
+pub struct ScheduleError {
+    /// The line, from 1.
     pub line: usize,
+    /// The column, from 1.
     pub column: usize,
-    pub why: String,
-}
-
-impl fmt::Display for Wrong {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "line {}, column {}: {}", self.line, self.column, self.why)
-    }
+    /// What was expected there.
+    pub expectation: String,
 }
 
 enum Statement {
@@ -106,7 +120,12 @@
     Rule(Rule),
 }
 
-pub fn read(text: &str) -> Result<Schedule, Wrong> {
+/// Parses a schedule.
+///
+/// # Errors
+///
+/// The first line that is not a statement, with the column where it stops being one.
+pub fn read(text: &str) -> Result<Schedule, ScheduleError> {
     let mut schedule = Schedule::default();
     for (at, whole) in text.lines().enumerate() {
         // A comment lasts to the end of its line; text in quotes has no part in that.
@@ -126,17 +145,18 @@
             Ok(Statement::Rule(rule)) => schedule.rules.push(rule),
             Err(wrong) => {
                 let column = line[..wrong.offset().min(line.len())].chars().count() + 1;
-                let why = wrong.inner().to_string().replace('\n', ", ");
-                let why = if why.is_empty() { "this is not understood".into() } else { why };
-                return Err(Wrong { line: at + 1, column, why });
+                let expectation = wrong.inner().to_string().replace('\n', ", ");
+                let expectation =
+                    if expectation.is_empty() { "this is not understood".into() } else { expectation };
+                return Err(ScheduleError { line: at + 1, column, expectation });
             }
         }
     }
     Ok(schedule)
 }
 
-fn expected(what: &'static str) -> StrContext {
-    StrContext::Expected(StrContextValue::Description(what))
+fn expected(kind: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(kind))
 }
 
 fn word<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ContextError> {
@@ -163,34 +183,34 @@
 }
 
 fn rule(input: &mut &str) -> ModalFree<Rule> {
-    let mut conn = opt(preceded(("conn", space1), number));
+    let mut connection = opt(preceded(("conn", space1), number));
     let mut direction = opt(alt((word("up").value(Direction::Up), word("down").value(Direction::Down))));
     seq! {Rule {
         _: ("on", space1),
-        conn: conn,
+        connection: connection,
         direction: direction,
-        when: when,
+        trigger: trigger,
         _: word(":").context(expected("`:` and what is done")),
-        what: what,
+        kind: kind,
         times: times,
     }}
     .parse_next(input)
 }
 
-fn when(input: &mut &str) -> ModalFree<When> {
+fn trigger(input: &mut &str) -> ModalFree<Trigger> {
     let quoted = delimited('"', take_till(1.., '"'), ('"', space0)).context(expected("a text in quotes"));
     alt((
-        word("start").value(When::Start),
-        preceded(("offset", space1), number).map(When::Offset),
-        preceded(("line", space0, '~', space0), quoted).map(|text: &str| When::Matches(text.into())),
-        preceded(("line", space1), number.verify(|n| *n > 0)).map(When::Line),
-        preceded(("after", space1), span).map(When::After),
+        word("start").value(Trigger::Start),
+        preceded(("offset", space1), number).map(Trigger::Offset),
+        preceded(("line", space0, '~', space0), quoted).map(|text: &str| Trigger::Matches(text.into())),
+        preceded(("line", space1), number.verify(|n| *n > 0)).map(Trigger::Line),
+        preceded(("after", space1), span).map(Trigger::After),
     ))
     .context(expected("`conn`, `up`, `down`, `start`, `offset`, `line` or `after`"))
     .parse_next(input)
 }
 
-fn what(input: &mut &str) -> ModalFree<What> {
+fn kind(input: &mut &str) -> ModalFree<FaultKind> {
     let drawn = alt((separated_pair(span, word(".."), span), span.map(|span| (span, span))));
     let kind = alt((
         word("flip").value(Garble::Flip),
@@ -200,18 +220,18 @@
     ));
     let bytes = || number.verify(|n| (1..=1 << 20).contains(n));
     alt((
-        preceded(("delay", space1), drawn.verify(|(from, to)| from <= to)).map(|(from, to)| What::Delay(from, to)),
-        preceded(("rate", space1), bytes()).map(What::Rate),
-        preceded(("pieces", space1), bytes()).map(What::Pieces),
-        preceded(("stall", space1), span).map(What::Stall),
-        preceded(("garble", space1), (kind, bytes())).map(|(kind, many)| What::Garble(kind, many)),
-        word("silence").value(What::Silence),
-        word("half-close").value(What::HalfClose),
-        word("cut").value(What::Cut),
-        word("end").value(What::End),
-        word("swap").value(What::Swap),
-        word("refuse").value(What::Refuse),
-        word("mute").value(What::Mute),
+        preceded(("delay", space1), drawn.verify(|(from, to)| from <= to)).map(|(from, to)| FaultKind::Delay(from, to)),
+        preceded(("rate", space1), bytes()).map(FaultKind::Rate),
+        preceded(("pieces", space1), bytes()).map(FaultKind::Pieces),
+        preceded(("stall", space1), span).map(FaultKind::Stall),
+        preceded(("garble", space1), (kind, bytes())).map(|(kind, many)| FaultKind::Garble(kind, many)),
+        word("silence").value(FaultKind::Silence),
+        word("half-close").value(FaultKind::HalfClose),
+        word("cut").value(FaultKind::Cut),
+        word("end").value(FaultKind::End),
+        word("swap").value(FaultKind::Swap),
+        word("refuse").value(FaultKind::Refuse),
+        word("mute").value(FaultKind::Mute),
     ))
     .context(expected("what is done: delay, rate, pieces, stall, silence, cut, end, half-close, garble, swap, refuse or mute"))
     .parse_next(input)
--- a/crates/fault-injection/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use whinwall_fault_injection::decide::{Act, Lane};
-use whinwall_fault_injection::forward::{forward, Log, Source};
-use whinwall_fault_injection::record::{self, Faults};
-use whinwall_fault_injection::schedule::{self, Garble, Rule, Schedule, What, When};
+use whinwall_fault_injection::injector::{Injector, Step};
+use whinwall_fault_injection::proxy::{forward, FaultSource, InjectionLog};
+use whinwall_fault_injection::record::{self, RecordedFaults};
+use whinwall_fault_injection::schedule::{self, FaultKind, Garble, Rule, Schedule, Trigger};
 use whinwall_fault_injection::Direction::{Down, Up};
 use whinwall_policy::time::Span;
 
@@ -24,15 +24,15 @@
     let schedule = read(text);
     assert_eq!((schedule.seed, schedule.rules.len()), (7, 6));
     let first = Rule {
-        conn: Some(2),
+        connection: Some(2),
         direction: Some(Up),
-        when: When::Line(5),
-        what: What::Garble(Garble::Flip, 3),
+        trigger: Trigger::Line(5),
+        kind: FaultKind::Garble(Garble::Flip, 3),
         times: Some(1),
     };
     assert_eq!(schedule.rules[0], first);
-    assert_eq!(schedule.rules[2].when, When::Matches("A #1".into()));
-    assert_eq!(schedule.rules[2].what, What::Delay(Span::ms(50), Span::ms(200)));
+    assert_eq!(schedule.rules[2].trigger, Trigger::Matches("A #1".into()));
+    assert_eq!(schedule.rules[2].kind, FaultKind::Delay(Span::ms(50), Span::ms(200)));
     assert_eq!((schedule.rules[2].times, schedule.rules[5].times), (Some(3), None));
     for (text, line, column) in [
         ("on up line 5 garble flip 3", 1, 14),
@@ -51,17 +51,17 @@
 }
 
 /// What passes, with waits as `~` and ends as `!`.
-fn passed(acts: Vec<Act>) -> String {
-    let one = |act| match act {
-        Act::Pass(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
-        Act::Wait(_) => "~".into(),
+fn passed(steps: Vec<Step>) -> String {
+    let one = |step| match step {
+        Step::Pass(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
+        Step::Wait(_) => "~".into(),
         _ => "!".into(),
     };
-    acts.into_iter().map(one).collect()
+    steps.into_iter().map(one).collect()
 }
 
-fn lane(text: &str) -> Lane {
-    Lane::new(&read(text), 1, Up)
+fn injector(text: &str) -> Injector {
+    Injector::new(&read(text), 1, Up)
 }
 
 #[test]
@@ -79,14 +79,14 @@
         ("on line 3: garble drop 2", "one\ntwo\nree\nfour\n"),
         ("on line 3: garble repeat 2", "one\ntwo\ntthhree\nfour\n"),
     ] {
-        let mut lane = lane(rules);
-        let mut acts = lane.starts();
-        acts.extend(lane.bytes(text));
-        acts.extend(lane.ends());
-        assert_eq!(passed(acts), expected, "{rules}");
+        let mut injector = injector(rules);
+        let mut steps = injector.on_connect();
+        steps.extend(injector.on_bytes(text));
+        steps.extend(injector.on_end());
+        assert_eq!(passed(steps), expected, "{rules}");
     }
-    let mut garbled = lane("on offset 1: garble flip 1");
-    let out = passed(garbled.bytes(b"abc\n"));
+    let mut garbled = injector("on offset 1: garble flip 1");
+    let out = passed(garbled.on_bytes(b"abc\n"));
     assert!(out.len() >= 3 && out != "abc\n" && out.starts_with('a'));
 }
 
@@ -106,21 +106,22 @@
 
 /// The faults of a stream and all that came out of it, read in pieces of these sizes.
 fn through(
-    mut lane: Lane,
+    mut injector: Injector,
     cuts: &[usize],
     replays: bool,
-) -> (Vec<u8>, Vec<whinwall_fault_injection::decide::Injected>) {
-    let mut acts = if replays { lane.starts_again() } else { lane.starts() };
+) -> (Vec<u8>, Vec<whinwall_fault_injection::injector::InjectedFault>) {
+    let mut steps = if replays { injector.replay_on_connect() } else { injector.on_connect() };
     let (mut rest, mut sizes) = (TEXT, cuts.iter().cycle());
     while !rest.is_empty() {
         let (now, later) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
-        acts.extend(lane.bytes(now));
+        steps.extend(injector.on_bytes(now));
         rest = later;
     }
-    acts.extend(lane.ends());
-    let out =
-        acts.iter().filter_map(|act| if let Act::Pass(bytes) = act { Some(bytes.to_vec()) } else { None });
-    (out.flatten().collect(), lane.injected)
+    steps.extend(injector.on_end());
+    let out = steps
+        .iter()
+        .filter_map(|step| if let Step::Pass(bytes) = step { Some(bytes.to_vec()) } else { None });
+    (out.flatten().collect(), injector.injected)
 }
 
 /// However the bytes are cut into reads, what is done to them and what is recorded of it is the same; and so
@@ -128,10 +129,10 @@
 #[test]
 fn faults_depend_on_bytes_and_not_on_reads_and_replays_are_the_same() {
     fn holds(cuts: Cuts, others: Cuts) -> bool {
-        let (out, injected) = through(lane(ALL), &cuts.0, false);
-        assert_eq!((out.clone(), injected.clone()), through(lane(ALL), &others.0, false));
+        let (out, injected) = through(injector(ALL), &cuts.0, false);
+        assert_eq!((out.clone(), injected.clone()), through(injector(ALL), &others.0, false));
         let recorded = record::read(&record::write(&injected)).unwrap();
-        let again = || Lane::replaying(1, Up, recorded[&(1, Up)].clone());
+        let again = || Injector::replaying(1, Up, recorded[&(1, Up)].clone());
         let (replayed, same) = through(again(), &others.0, true);
         assert_eq!(String::from_utf8_lossy(&replayed), String::from_utf8_lossy(&out));
         record::write(&same) == record::write(&injected)
@@ -141,7 +142,7 @@
 
 #[test]
 fn a_spoilt_record_is_refused_whatever_byte_it_is() {
-    let (_, injected) = through(lane(ALL), &[3], false);
+    let (_, injected) = through(injector(ALL), &[3], false);
     let bytes = record::write(&injected);
     for at in 0..bytes.len() {
         let mut spoilt = bytes.clone();
@@ -154,10 +155,10 @@
 /// A tool between the test and an echoing target.
 struct Between {
     address: SocketAddr,
-    log: Log,
+    log: InjectionLog,
 }
 
-fn between(source: Source) -> Between {
+fn between(source: FaultSource) -> Between {
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = target.local_addr().unwrap();
     thread::spawn(move || {
@@ -175,7 +176,7 @@
         }
     });
     let (say, address) = std::sync::mpsc::channel();
-    let log = Log::default();
+    let log = InjectionLog::default();
     let logs = log.clone();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -183,13 +184,13 @@
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             say.send(listener.local_addr().unwrap()).unwrap();
             _ = forward(listener, to, source, logs).await;
-        })
+        });
     });
     Between { address: address.recv().unwrap(), log }
 }
 
 fn scheduled(text: &str) -> Between {
-    between(Source::Schedule(Arc::new(read(text))))
+    between(FaultSource::Schedule(Arc::new(read(text))))
 }
 
 impl Between {
@@ -200,11 +201,11 @@
     }
 
     /// Says this, ends its side where it should, and hears all that comes.
-    fn says(&self, text: &[u8], ends: bool) -> (Vec<u8>, std::io::Result<()>) {
+    fn says(&self, text: &[u8], on_end: bool) -> (Vec<u8>, std::io::Result<()>) {
         let mut stream = self.connect();
         // A reset is told once, by whatever is done next: by this, where it came before.
         let said = stream.write_all(text);
-        if ends {
+        if on_end {
             _ = stream.shutdown(Shutdown::Write);
         }
         let (mut heard, mut buffer) = (Vec::new(), [0; 4096]);
@@ -279,9 +280,9 @@
     let first = scheduled(night);
     let heard = play(&first);
     let recorded = record::write(&first.log.lock().unwrap());
-    let faults: Arc<Faults> = Arc::new(record::read(&recorded).unwrap());
+    let faults: Arc<RecordedFaults> = Arc::new(record::read(&recorded).unwrap());
     for round in 0..2 {
-        let again = between(Source::Replay(faults.clone()));
+        let again = between(FaultSource::Replay(faults.clone()));
         assert_eq!(play(&again), heard, "round {round}");
         assert_eq!(record::write(&again.log.lock().unwrap()), recorded, "round {round}");
     }
