--- a/crates/controller/benches/cores.rs
+++ b/crates/controller/benches/cores.rs
@@ -210,7 +210,7 @@
     }
     command.stderr(Stdio::piped()).stdin(Stdio::null());
     managed.program = Some(Program::spawn(command, file));
-    managed.log("the relay's news stands");
+    managed.log("relay snapshot complete");
     let (address, pid) = (managed.program().address, managed.program().child.id());
     let mut collectors: Vec<_> = zones.iter().map(|zone| Collector::join(address, zone)).collect();
     flood(&mut collectors, FLOOD / 10);
--- a/crates/controller/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -8,7 +8,7 @@
 use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::{collector, discovery};
-use whinwall_routing::report_coverage::{Line, ReportCoverage, Subject};
+use whinwall_routing::report_coverage::{ReportCoverage, ReportLine, Subject};
 use whinwall_routing::subset::Fleet;
 use whinwall_routing::{Event, Reducer};
 use whinwall_transport::Targets;
@@ -30,8 +30,8 @@
             let at = Moment::default() + Span::ms(1_000_000 + seconds * 1000 + from * 300);
             for replica in 0..REPLICAS {
                 let subject = Subject::Replica(replica);
-                let line = Line { subject, from, at, window: Span::ms(1000), lines: 1.0 };
-                divan::black_box(coverage.take(&line));
+                let line = ReportLine { subject, from, at, window: Span::ms(1000), line_count: 1.0 };
+                divan::black_box(coverage.count(&line));
             }
         }
     });
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -537,7 +537,7 @@
     fn look_after(&mut self) {
         let Some((pool, _)) = &self.pool else { return };
         let published = pool.borrow().published();
-        if let Some(known) = self.reducer.known(Some(published)) {
+        if let Some(known) = self.reducer.report_names(Some(published)) {
             pool.borrow().publish(known);
         }
         let now = self.clock.now();
--- a/crates/controller/src/program/readers.rs
+++ b/crates/controller/src/program/readers.rs
@@ -23,7 +23,7 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::{self, Message};
 use whinwall_protocol::InvalidMessage;
-use whinwall_routing::known::Known;
+use whinwall_routing::report_names::ReportNames;
 use whinwall_runtime::clock::Clock;
 use whinwall_transport::connection::{self, AcceptedConnection, ChunkSender};
 use whinwall_transport::listener;
@@ -82,7 +82,7 @@
 struct Shared {
     clock: Clock,
     bounds: Bounds,
-    known: watch::Receiver<Arc<Known>>,
+    known: watch::Receiver<Arc<ReportNames>>,
     chunks: async_channel::Receiver<Chunk>,
     bulk: ChunkSender,
     batches: mpsc::Sender<Batch>,
@@ -108,7 +108,7 @@
     sequence: Sequence<Batch>,
     /// A second hand on each connection: it can be ended though its reader does not go on.
     taps: BTreeMap<ConnectionId, std::net::TcpStream>,
-    known: watch::Sender<Arc<Known>>,
+    known: watch::Sender<Arc<ReportNames>>,
 }
 
 /// What the owner has to hear of its readers.
@@ -130,7 +130,7 @@
     ) -> std::io::Result<(Self, mpsc::Receiver<Batch>)> {
         let (chunks_in, chunks) = async_channel::bounded(limits::MAX_QUEUED_CHUNKS);
         let (batches, come) = mpsc::channel(BATCHES);
-        let (known, knows) = watch::channel(Arc::new(Known::default()));
+        let (known, knows) = watch::channel(Arc::new(ReportNames::default()));
         let bulk = ChunkSender { chunks: chunks_in };
         let shared = Shared { clock, bounds, known: knows, chunks, bulk, batches, inbox, hook, meters };
         let mut pool = Pool {
@@ -184,13 +184,13 @@
     }
 
     /// Readers go by this from now on.
-    pub fn publish(&self, known: Known) {
+    pub fn publish(&self, known: ReportNames) {
         self.known.send_replace(Arc::new(known));
     }
 
     /// Which state of the names readers have.
     pub fn published(&self) -> u64 {
-        self.known.borrow().changes
+        self.known.borrow().version
     }
 
     /// The batches whose turn it is, now that this one has come.
@@ -328,7 +328,7 @@
     }
 }
 
-fn items(lines: &[u8], at: Moment, known: &Known, hook: impl Fn(Stage)) -> Vec<Item> {
+fn items(lines: &[u8], at: Moment, known: &ReportNames, hook: impl Fn(Stage)) -> Vec<Item> {
     hook(Stage::Taken);
     let (mut items, mut sums) = (Vec::new(), Sums::at(at));
     let (mut done, mut halfway) = (0, lines.len() / 2);
@@ -343,8 +343,7 @@
         let item = match std::str::from_utf8(line) {
             Err(_) => Item::Invalid(InvalidMessage::not_utf8()),
             Ok(line) => {
-                if let Some(report) =
-                    collector::decode_report(line).and_then(|report| known.numbered(&report))
+                if let Some(report) = collector::decode_report(line).and_then(|report| known.resolve(&report))
                 {
                     sums.add(report);
                     continue;
--- a/crates/controller/tests/aggregated.rs
+++ b/crates/controller/tests/aggregated.rs
@@ -112,7 +112,7 @@
     assert!(metric(&two, "whinwall_aggregated_report_bytes_per_second") > 1000.0);
     let log = &mut two.program().log;
     let mut notes = log.kept.drain(..).chain(log.arrives.try_iter());
-    assert_eq!(notes.find(|note| note.contains("taken for sick")), None);
+    assert_eq!(notes.find(|note| note.contains("replica ejected")), None);
 }
 
 #[test]
--- a/crates/controller/tests/cores.rs
+++ b/crates/controller/tests/cores.rs
@@ -67,7 +67,7 @@
     assert!(silent.iter_mut().all(Peer::is_let_go));
     assert!(began.elapsed() < Duration::from_secs(4));
     joined.says(r#"{"@type":"LOAD","az":"north","host":"s-0","n":"nan","bad":0,"avg":41.7,"window":100.0}"#);
-    managed.log("a report is passed over");
+    managed.log("report ignored");
     joined.says(r#"{"@type":"LOAD","az":"north","host":"s-77","n":1,"bad":0,"avg":41.7,"window":100.0}"#);
     managed.log("s-77");
     joined.pings();
--- a/crates/controller/tests/crossings.rs
+++ b/crates/controller/tests/crossings.rs
@@ -522,7 +522,7 @@
         for (event, n) in &events.0 {
             played.play(*event, *n);
         }
-        let known = played.rig.reducer.known(None).unwrap().replicas.len();
+        let known = played.rig.reducer.report_names(None).unwrap().replicas.len();
         assert!(known <= 6, "seed {seed}: {known} servers known of 6");
         // Once nothing fails any more, the store is as it believes, and what leaves has nothing.
         for proxy in 0..4 {
@@ -538,7 +538,7 @@
         rig.tell(Event::WatchLost(StreamError::Closed));
         rig.pass(100);
         rig.standing(&[]);
-        let stands = "the relay's news stands: 4 proxies, 12 slices, 0 new to us, 6 servers known";
+        let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
         assert_eq!(rig.notes.last().unwrap(), stands, "seed {seed}: {events:?}");
     }
 }
@@ -555,7 +555,7 @@
     rig.tell(Event::WatchLost(StreamError::TimedOut));
     rig.pass(100);
     rig.standing(&[]);
-    let stands = "the relay's news stands: 4 proxies, 12 slices, 0 new to us, 6 servers known";
+    let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
     assert_eq!(rig.notes.last().unwrap(), stands);
 }
 
--- a/crates/controller/tests/instants.rs
+++ b/crates/controller/tests/instants.rs
@@ -144,7 +144,7 @@
     let (mut relay, _discovery, mut program, watch, mut open) = with_an_open_call();
     let answer = format!("OK {}\r\n", open.line.split(';').count());
     open.way.write_all(format!("{answer}{answer}").as_bytes()).unwrap();
-    program.logs("answers what nobody asked");
+    program.logs("unsolicited relay response");
     let _news = relay.introduce();
     watch.list(43, false, &["leaving"]);
     relay.answer_until("OUT,s-0;").carried_out();
@@ -171,7 +171,7 @@
     relay.answer_until("OUT,s-0;").carried_out();
     program.signal(Signal::TERM);
     assert!(program.ends().success());
-    let failed = |line: &String| line.contains("a call on the relay failed");
+    let failed = |line: &String| line.contains("relay request failed");
     program.log.kept.extend(program.log.arrives.iter());
     assert_eq!(program.log.kept.iter().find(|line| failed(line)), None, "it was provably not sent");
 }
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -307,7 +307,7 @@
     let mut collector = managed.program().connect();
     collector.joins();
     collector.says(r#"{"@type":"LOAD","az":"north","host":"s-9","n":9,"bad":0,"avg":1.0,"window":100.0}"#);
-    let line = managed.log("a report is passed over");
+    let line = managed.log("report ignored");
     let line: Value = serde_json::from_str(&line).unwrap();
     assert_eq!(line["level"], json!("info"));
     let spans: Vec<_> = line["spans"].as_array().unwrap().iter().map(|span| span["name"].clone()).collect();
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -16,7 +16,7 @@
 use whinwall_ingest::sequence::Due;
 use whinwall_policy::api::ReportBody;
 use whinwall_protocol::collector::Message;
-use whinwall_routing::known::Known;
+use whinwall_routing::report_names::ReportNames;
 use whinwall_runtime::clock::Clock;
 use whinwall_transport::listener;
 use whinwall_transport::{Bounds, ConnectionCommand, ConnectionId, Input};
@@ -105,7 +105,7 @@
                     Pool::start(readers, clock, bounds.clone(), inbox, counts, hook).unwrap();
                 let replicas = (0..10).map(|n| (format!("s-{n}"), n)).collect();
                 let (zones, request_classes) = (vec!["north".into()], vec!["lookup".into()]);
-                pool.publish(Known { zones, request_classes, replicas, changes: 1 });
+                pool.publish(ReportNames { zones, request_classes, replicas, version: 1 });
                 let turn = Turn { pool: Rc::new(RefCell::new(pool)), counted: into_counted };
                 actix_rt::spawn(listener::listen(listener, bounds, Hand(turn.pool.clone())));
                 let mut looks = tokio::time::interval(Duration::from_millis(100));
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -236,7 +236,7 @@
         rig.pass(100);
         rig.standing(&[]);
         let note = rig.notes.last().unwrap().clone();
-        note.split(", ").last().unwrap().split(' ').next().unwrap().parse::<usize>().unwrap()
+        note.rsplit('=').next().unwrap().parse::<usize>().unwrap()
     };
     assert_eq!(known(&mut rig), 6);
     for n in 0..2000 {
@@ -450,7 +450,7 @@
     rig.pass(500);
     assert_eq!(
         rig.notes.last().unwrap(),
-        "the relay's news stands: 2 proxies, 11 slices, 1 new to us, 6 servers known"
+        "relay snapshot complete proxies=2 slices=11 changed_slices=1 replicas=6"
     );
     let before = rig.calls.len();
     rig.drain("s-4");
@@ -522,7 +522,7 @@
     }
     rig.list();
     let notes =
-        ["discovery's watch failed: closed by the peer", "discovery's watch works again, after 2 failures"];
+        ["registry watch failed reason=\"closed by the peer\"", "registry watch recovered failures=2"];
     assert_eq!(rig.notes, notes, "an outage is worth two lines, not one an attempt");
 }
 
@@ -712,7 +712,7 @@
         rig.tell(Event::WatchLost(StreamError::Closed));
         rig.pass(100);
         rig.standing(&[]);
-        let stands = "the relay's news stands: 4 proxies, 12 slices, 0 new to us, 6 servers known";
+        let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
         assert_eq!(rig.notes.last().unwrap(), stands, "seed {seed}: {deeds:?}");
         let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
         assert_eq!(drained, None, "seed {seed}: {deeds:?}");
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -22,9 +22,9 @@
 fn endpoint_and_withdrawal_commands_are_encoded() {
     let line = Command::SetEndpoint { slice: 12, replica: "s-5be2a07c".into(), weight: 0.25 };
     assert_eq!(line.encode(SyncScope::ReachedProxies), "SET,12,s-5be2a07c,0.25");
-    let withdrawn = Command::Withdraw { replica: "s-1".into(), out: true };
+    let withdrawn = Command::Withdraw { replica: "s-1".into() };
     assert_eq!(withdrawn.encode(SyncScope::ReachedProxies), "OUT,s-1");
-    let restored = Command::Withdraw { replica: "s-1".into(), out: false };
+    let restored = Command::Reinstate { replica: "s-1".into() };
     assert_eq!(restored.encode(SyncScope::ReachedProxies), "IN,s-1");
 }
 
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -13,9 +13,9 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector;
 use whinwall_protocol::collector::Message;
-use whinwall_routing::known::Known;
-use whinwall_routing::report_coverage::{Before, Line, ReportCoverage, Subject, LONGEST_WINDOW};
-use whinwall_routing::report_feed::STALE_AFTER;
+use whinwall_routing::report_coverage::{Continuity, ReportCoverage, ReportLine, Subject, MAX_WINDOW};
+use whinwall_routing::report_names::ReportNames;
+use whinwall_routing::report_stream::STALE_AFTER;
 use whinwall_routing::subset::Fleet;
 use whinwall_routing::Event;
 
@@ -157,7 +157,7 @@
     }
 
     fn sick(&self) -> usize {
-        self.notes_with("taken for sick")
+        self.notes_with("replica ejected")
     }
 
     fn freshness(&mut self) -> ReportFreshness {
@@ -201,42 +201,58 @@
     Moment::default() + Span::ms(1_000_000 + ms)
 }
 
-fn line(from: u64, at_ms: u64, window_ms: u64) -> Line {
-    Line { subject: Subject::Replica(7), from, at: at(at_ms), window: Span::ms(window_ms), lines: 1.0 }
+fn line(from: u64, at_ms: u64, window_ms: u64) -> ReportLine {
+    ReportLine {
+        subject: Subject::Replica(7),
+        from,
+        at: at(at_ms),
+        window: Span::ms(window_ms),
+        line_count: 1.0,
+    }
 }
 
 #[test]
 fn what_another_connection_told_is_cut_off() {
     let mut coverage = ReportCoverage::default();
-    let first = coverage.take(&line(1, 1000, 1000)).unwrap();
-    assert_eq!((first.share, first.before), (1.0, Before::Unknown));
-    let second = coverage.take(&line(2, 1250, 1000)).unwrap();
-    assert_eq!((second.share, second.window, second.before), (0.25, Span::ms(250), Before::Seamless));
-    assert_eq!(coverage.take(&line(1, 1250, 1000)), None, "all of it is covered");
-    assert_eq!(coverage.take(&line(1, 1200, 1000)), None, "it comes late");
-    let next = coverage.take(&line(2, 2150, 1000)).unwrap();
-    assert_eq!((next.share, next.window), (1.0, Span::ms(1000)), "one connection's lines do not overlap");
-    let third = coverage.take(&line(1, 2500, 1000)).unwrap();
-    assert_eq!((third.share, third.window), (0.25, Span::ms(250)));
+    let first = coverage.count(&line(1, 1000, 1000)).unwrap();
+    assert_eq!((first.fraction, first.continuity), (1.0, Continuity::Unknown));
+    let second = coverage.count(&line(2, 1250, 1000)).unwrap();
+    assert_eq!(
+        (second.fraction, second.window, second.continuity),
+        (0.25, Span::ms(250), Continuity::Seamless)
+    );
+    assert_eq!(coverage.count(&line(1, 1250, 1000)), None, "all of it is covered");
+    assert_eq!(coverage.count(&line(1, 1200, 1000)), None, "it comes late");
+    let next = coverage.count(&line(2, 2150, 1000)).unwrap();
+    assert_eq!((next.fraction, next.window), (1.0, Span::ms(1000)), "one connection's lines do not overlap");
+    let third = coverage.count(&line(1, 2500, 1000)).unwrap();
+    assert_eq!((third.fraction, third.window), (0.25, Span::ms(250)));
     assert_eq!(coverage.len(), 1);
 }
 
 #[test]
 fn a_gap_is_known_and_filled_at_the_rate_of_the_line_that_ends_it() {
     let mut coverage = ReportCoverage::default();
-    coverage.take(&line(1, 1000, 1000));
-    let jitter = coverage.take(&line(2, 2250, 1000)).unwrap();
-    assert_eq!((jitter.share, jitter.before), (1.25, Before::Seamless));
-    let gap = coverage.take(&line(1, 6250, 1000)).unwrap();
-    assert_eq!((gap.share, gap.window, gap.before), (4.0, Span::ms(4000), Before::Gap(Span::ms(3000))));
-    let long = coverage.take(&line(2, 60_000, 1000)).unwrap();
-    assert_eq!((long.share, long.window, long.before), (1.0, Span::ms(1000), Before::Unknown));
-    let same = coverage.take(&line(2, 90_000, 1000)).unwrap();
-    assert_eq!((same.share, same.before), (1.0, Before::Gap(Span::ms(29_000))));
-    let slice = |from, at_ms| Line { subject: Subject::Slice(3, 0), ..line(from, at_ms, 1000) };
-    coverage.take(&slice(1, 1000));
-    let same = coverage.take(&slice(1, 90_000)).unwrap();
-    assert_eq!(same.before, Before::Seamless, "nobody asked for the slice, and so nothing was told of it");
+    coverage.count(&line(1, 1000, 1000));
+    let jitter = coverage.count(&line(2, 2250, 1000)).unwrap();
+    assert_eq!((jitter.fraction, jitter.continuity), (1.25, Continuity::Seamless));
+    let gap = coverage.count(&line(1, 6250, 1000)).unwrap();
+    assert_eq!(
+        (gap.fraction, gap.window, gap.continuity),
+        (4.0, Span::ms(4000), Continuity::Gap(Span::ms(3000)))
+    );
+    let long = coverage.count(&line(2, 60_000, 1000)).unwrap();
+    assert_eq!((long.fraction, long.window, long.continuity), (1.0, Span::ms(1000), Continuity::Unknown));
+    let same = coverage.count(&line(2, 90_000, 1000)).unwrap();
+    assert_eq!((same.fraction, same.continuity), (1.0, Continuity::Gap(Span::ms(29_000))));
+    let slice = |from, at_ms| ReportLine { subject: Subject::Slice(3, 0), ..line(from, at_ms, 1000) };
+    coverage.count(&slice(1, 1000));
+    let same = coverage.count(&slice(1, 90_000)).unwrap();
+    assert_eq!(
+        same.continuity,
+        Continuity::Seamless,
+        "nobody asked for the slice, and so nothing was told of it"
+    );
 }
 
 /// Whoever tells, in whatever order and with whatever delay: an even rate adds up to itself, but for the delays at both
@@ -260,7 +276,7 @@
         lines.sort_by_key(|line| line.at);
         let (Some(first), Some(last)) = (lines.first(), lines.last()) else { return true };
         let time = (last.at - first.at).seconds() + 1.0;
-        let counted: f64 = lines.iter().filter_map(|line| coverage.take(line)).map(|c| c.share).sum();
+        let counted: f64 = lines.iter().filter_map(|line| coverage.count(line)).map(|c| c.fraction).sum();
         (counted - time).abs() <= 0.2 + 1e-6
     }
     quickcheck::QuickCheck::new().tests(2000).quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
@@ -343,7 +359,7 @@
             // The line that the fault began in tells of answers in all of its window; then there is one that tells of
             // none, and three seconds of that are looked at.
             assert!(seconds * 1000 <= 3000 + 2 * window, "{seconds} s with windows of {window} ms");
-            assert!(served.rig.notes.iter().any(|note| note.contains("s-3 is taken for sick")));
+            assert!(served.rig.notes.iter().any(|note| note.contains("replica ejected replica=s-3 ")));
         }
     }
 }
@@ -418,7 +434,7 @@
         assert!(!served.rig.owners().contains("s-2"));
         served.run(1800, &[], well);
         let calls = served.rig.calls.len();
-        assert_eq!((served.notes_with("reports are stale"), served.sick()), (1, 0));
+        assert_eq!((served.notes_with("reports stale"), served.sick()), (1, 0));
         // Back: nothing rests on them until each replica and slice was told of.
         let mut recovered = 0;
         while served.freshness().stale {
@@ -427,8 +443,8 @@
             assert!(recovered < 60);
         }
         println!("windows of {window} ms: {recovered} s after the first line");
-        assert!(recovered <= LONGEST_WINDOW.as_ns() / 1_000_000_000 + 2, "{recovered} s");
-        assert_eq!((served.notes_with("reports are stale"), served.notes_with("fresh again")), (1, 1));
+        assert!(recovered <= MAX_WINDOW.as_ns() / 1_000_000_000 + 2, "{recovered} s");
+        assert_eq!((served.notes_with("reports stale"), served.notes_with("reports fresh")), (1, 1));
         let total: f64 = served.loads().iter().sum();
         assert!((total / (12.0 * RATE) - 1.0).abs() < 0.1, "{:?}", served.loads());
         served.run(30, &[Feed::of(2, window)], well);
@@ -542,7 +558,7 @@
     // A reader that does not know yet that the replica is gone makes no entry of it.
     let known = known();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-2","n":9,"bad":0,"avg":41.7,"window":1000.0}"#;
-    let what = known.numbered(&collector::decode_report(met).unwrap()).unwrap();
+    let what = known.resolve(&collector::decode_report(met).unwrap()).unwrap();
     served.rig.tell(Event::Reports {
         from: 1,
         reports: vec![Report { at: served.rig.now, line_count: 1.0, body: what }],
@@ -553,9 +569,9 @@
 }
 
 /// As the rig's controller numbers its replicas.
-fn known() -> Known {
+fn known() -> ReportNames {
     let replicas: BTreeMap<_, _> = (0..6).map(|n| (format!("s-{n}"), n)).collect();
-    Known { zones: vec!["north".into()], request_classes: vec![CLASS.into()], replicas, changes: 1 }
+    ReportNames { zones: vec!["north".into()], request_classes: vec![CLASS.into()], replicas, version: 1 }
 }
 
 /// A reader's chunk is one connection's: what it adds up was told by one, and it counts as its lines do one by one.
@@ -572,7 +588,7 @@
         for feed in both {
             let mut chunk = Sums::at(sums.rig.now);
             for line in feed.lines(&sums.rig, sums.at_ms, well, 0) {
-                chunk.add(known.numbered(&collector::decode_report(&line).unwrap()).unwrap());
+                chunk.add(known.resolve(&collector::decode_report(&line).unwrap()).unwrap());
             }
             sums.rig.tell(Event::Reports { from: feed.connection, reports: chunk.summed() });
         }
@@ -588,12 +604,12 @@
 fn several_lines_at_once_count_alike_one_by_one_and_summed() {
     let (mut one_by_one, mut summed) = (ReportCoverage::default(), ReportCoverage::default());
     for coverage in [&mut one_by_one, &mut summed] {
-        coverage.take(&line(1, 1000, 1000));
+        coverage.count(&line(1, 1000, 1000));
     }
     let late = line(2, 1300, 1000);
-    let shares: f64 = (0..3).filter_map(|_| one_by_one.take(&late)).map(|counted| counted.share).sum();
-    let counted = summed.take(&Line { lines: 3.0, ..late }).unwrap();
-    assert!((3.0 * counted.share - shares).abs() < 1e-9, "{counted:?} and {shares}");
+    let shares: f64 = (0..3).filter_map(|_| one_by_one.count(&late)).map(|counted| counted.fraction).sum();
+    let counted = summed.count(&ReportLine { line_count: 3.0, ..late }).unwrap();
+    assert!((3.0 * counted.fraction - shares).abs() < 1e-9, "{counted:?} and {shares}");
 }
 
 /// Lines that lack zones are not summed with others, and reach the reducer as the messages that they are.
@@ -610,7 +626,7 @@
         );
         for line in [met, asked] {
             let report = collector::decode_report(&line).unwrap();
-            assert_eq!(known.numbered(&report).is_none(), lacks > 0, "{line}");
+            assert_eq!(known.resolve(&report).is_none(), lacks > 0, "{line}");
             assert_eq!(collector::decode_with_diagnosis(&line), collector::decode(&line));
             match collector::decode(&line).unwrap() {
                 Message::EndpointReport(met) => assert_eq!(met.missing, lacks),
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -118,7 +118,7 @@
 fn news_are_asked_for_again_when_they_break_off() {
     let (mut relay, mut discovery, mut program) = all();
     let _watch = discovery.introduce();
-    let stands = |line: &String| line.contains("3 proxies, 6 slices,");
+    let stands = |line: &String| line.contains("proxies=3 slices=6 ");
     let mut news = relay.introduce();
     program.log.wait("a snapshot", stands);
     // Half a line and the end; what can't be read; silence (no sign of life for seconds).
@@ -221,7 +221,7 @@
     // A spoilt report is passed over; one that can't be read ends the connection, so that it comes back.
     collector
         .says(r#"{"@type":"LOAD","az":"north","host":"s-0","n":"nan","bad":0,"avg":41.7,"window":100.0}"#);
-    program.log.wait("a note", |line: &String| line.contains("a report is passed over"));
+    program.log.wait("a note", |line: &String| line.contains("report ignored"));
     collector.pings();
     collector.says(&format!("{}{met}", &met[..40]));
     assert!(collector.is_let_go());
--- a/crates/controller/tests/stand_ins/managed.rs
+++ b/crates/controller/tests/stand_ins/managed.rs
@@ -70,7 +70,7 @@
         let (command, file) = self.command();
         self.spawn(command, file);
         self.log("the store is read");
-        self.log("the relay's news stands");
+        self.log("relay snapshot complete");
     }
 
     pub fn spawn(&mut self, command: Command, file: ConfigurationFile) {
--- a/crates/controller/tests/stand_ins/rig.rs
+++ b/crates/controller/tests/stand_ins/rig.rs
@@ -91,7 +91,7 @@
                     self.calls.push(line);
                 }
                 Effect::WakeAt(at) => self.wake = Some(at),
-                Effect::Log(text) => self.notes.push(text),
+                Effect::Log(event) => self.notes.push(event.to_string()),
                 Effect::Reply { reply, .. } => self.replies.push(reply),
                 other => self.follows.push(other),
             }
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -97,7 +97,7 @@
 
 /// What the decisions were told, of these replicas.
 fn told(rig: &Rig, of: &BTreeMap<String, SubsetMembership>) -> BTreeMap<String, SubsetMembership> {
-    let shares = rig.reducer.shares();
+    let shares = rig.reducer.subset_memberships();
     of.keys().filter_map(|id| Some((id.clone(), *shares.get(id.as_str())?))).collect()
 }
 
@@ -121,8 +121,8 @@
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(None));
     rig.quiet();
-    assert_eq!(rig.reducer.shares().len(), REPLICAS);
-    assert!(rig.reducer.shares().values().all(|share| *share == SubsetMembership::Everyone));
+    assert_eq!(rig.reducer.subset_memberships().len(), REPLICAS);
+    assert!(rig.reducer.subset_memberships().values().all(|share| *share == SubsetMembership::Everyone));
     assert_eq!(status(&mut rig), None);
 }
 
@@ -181,7 +181,7 @@
     registry.push(Listed { id: "s-newer".into(), ..registry[5].clone() });
     list(&mut rig, 43, false, &registry[registry.len() - 1..]);
     rig.quiet();
-    assert_eq!(rig.reducer.shares()["s-newer"], SubsetMembership::Others);
+    assert_eq!(rig.reducer.subset_memberships()["s-newer"], SubsetMembership::Others);
     assert_eq!(told(&rig, &first), first);
     rig.pass(1000);
     let second = expected(&fleet_names, &registry);
@@ -247,13 +247,13 @@
         assert!(rig
             .notes
             .pop()
-            .is_some_and(|note| note.contains(&format!("one of {controllers} governors"))));
+            .is_some_and(|note| note.contains(&format!("subset assigned controllers={controllers} "))));
     }
     rig.notes.clear();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&names(1)))));
     assert_eq!(rig.notes, [""; 0], "the same fleet again is no change");
     rig.tell(Event::SubsettingConfigured(None));
-    assert!(rig.reducer.shares().values().all(|share| *share == SubsetMembership::Everyone));
+    assert!(rig.reducer.subset_memberships().values().all(|share| *share == SubsetMembership::Everyone));
 }
 
 #[test]
@@ -338,7 +338,7 @@
     );
     managed.operators("<overrides/>");
     managed.program().signal(Signal::HUP);
-    managed.log("subsetting is off");
+    managed.log("subsetting disabled");
     assert_eq!(becomes(&managed, None), None);
 }
 
--- a/crates/emulator/src/day/controllers.rs
+++ b/crates/emulator/src/day/controllers.rs
@@ -10,7 +10,7 @@
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery;
 use whinwall_routing::overrides::OverrideConfig;
-use whinwall_routing::{Effect, Event, Reducer};
+use whinwall_routing::{Effect, Event, LogEvent, Reducer};
 use whinwall_transport::{StreamError, Targets};
 
 impl Day {
@@ -65,8 +65,10 @@
                     false => self.after(WAY, Step::Told(at, incarnation, Box::new(self.list()))),
                 },
                 Effect::WakeAt(due) => self.quiet_at(at, due),
-                Effect::Log(text) => {
-                    self.outcome.verdicts += u64::from(text.contains("is taken for sick"));
+                Effect::Log(event) => {
+                    let is_ejection = matches!(event, LogEvent::ReplicaEjected { .. });
+                    self.outcome.verdicts += u64::from(is_ejection);
+                    let text = event.to_string();
                     self.line(&text, || format!("governor {at}: {text}"));
                 }
                 _ => {}
--- a/crates/emulator/src/day/reports.rs
+++ b/crates/emulator/src/day/reports.rs
@@ -41,7 +41,8 @@
     }
 
     fn steered(&self, at: usize) -> BTreeSet<ReplicaIx> {
-        let shares = self.controllers[at].reducer.as_ref().map(Reducer::shares).unwrap_or_default();
+        let shares =
+            self.controllers[at].reducer.as_ref().map(Reducer::subset_memberships).unwrap_or_default();
         let steered = shares.iter().filter(|(_, share)| **share != SubsetMembership::Others);
         steered.filter_map(|(name, _)| self.names.get(*name).copied()).collect()
     }
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -133,12 +133,15 @@
         /// Its weight in the table.
         weight: f64,
     },
-    /// Withdraws a replica from all routing tables, or reinstates it.
+    /// Withdraws a replica from all routing tables, whose endpoints stay as they are.
     Withdraw {
         /// The replica's name.
         replica: String,
-        /// Whether it is withdrawn rather than reinstated.
-        out: bool,
+    },
+    /// Ends a replica's withdrawal.
+    Reinstate {
+        /// The replica's name.
+        replica: String,
     },
     /// Sets how many requests proxies admit, and how often they retry.
     SetAdmission {
@@ -173,7 +176,7 @@
         match self {
             Command::SetEndpoint { slice, .. } => Some(*slice),
             Command::SetAdmission { slice, .. } => *slice,
-            Command::Withdraw { .. } | Command::Sync { .. } => None,
+            Command::Withdraw { .. } | Command::Reinstate { .. } | Command::Sync { .. } => None,
         }
     }
 
@@ -189,8 +192,8 @@
     pub fn encode(&self, scope: SyncScope) -> String {
         match self {
             Command::SetEndpoint { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
-            Command::Withdraw { replica, out: true } => format!("OUT,{replica}"),
-            Command::Withdraw { replica, out: false } => format!("IN,{replica}"),
+            Command::Withdraw { replica } => format!("OUT,{replica}"),
+            Command::Reinstate { replica } => format!("IN,{replica}"),
             Command::SetAdmission { slice, request_classes, share, retries } => {
                 let slice = slice.map_or("*".into(), |slice| slice.to_string());
                 let request_classes =
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -1,5 +1,6 @@
 //! Inputs and outputs of the reducer, as typed messages.
 
+use super::log_event::LogEvent;
 use super::overrides::OverrideConfig;
 use super::subset::Fleet;
 use std::net::SocketAddr;
@@ -61,7 +62,7 @@
     RegistryLost(StreamError),
     /// The operators' file as read at the start or anew, and the clocks at that moment.
     OperatorConfigChanged(OverrideConfig, Reading),
-    /// A request at the management front.
+    /// A request at the management API.
     ManagementRequest {
         /// Identifies the reply.
         ticket: Ticket,
@@ -160,6 +161,6 @@
     },
     /// Feed `Event::InputDrained` at this time, if not earlier.
     WakeAt(Moment),
-    /// Write a line to the log.
-    Log(String),
+    /// Write an event to the log.
+    Log(LogEvent),
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,15 +1,24 @@
-//! All state of the controller, behind one reducer without input, output or clock.
+//! All state of a controller behind one reducer, without I/O or clock: events in, effects out.
 
+#![warn(clippy::unwrap_used)]
+
+mod endpoint_list;
 mod events;
-pub mod known;
-mod names;
+mod log_event;
 mod outbox;
 pub mod overrides;
 mod reducer;
+mod relay_view;
+mod replica_names;
 pub mod report_coverage;
-pub mod report_feed;
-mod snapshot;
+pub mod report_names;
+pub mod report_stream;
+mod routing_snapshot;
+mod source_failures;
 pub mod subset;
+mod timers;
 
 pub use events::{Effect, Event};
+pub use log_event::LogEvent;
 pub use reducer::Reducer;
+pub use source_failures::Source;
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -1,27 +1,27 @@
-//! Orders on their way to the relay: calls in order, one at a time, each until its outcome is known.
+//! Commands on their way to the relay: requests in order, one at a time, each until its outcome is known.
 
 use std::collections::{BTreeSet, VecDeque};
 use whinwall_policy::api::SliceId;
 use whinwall_protocol::relay::{self, Command, SyncScope};
 
+/// The commands of one reply of the policy, as requests that are not answered yet.
 #[derive(Default)]
-pub struct Outbox {
-    calls: VecDeque<Vec<Written>>,
+pub(crate) struct Outbox {
+    requests: VecDeque<Vec<PendingCommand>>,
     state: State,
-    /// Failures in a row.
-    failures: u32,
-    /// The last attempt at the call that is now the first may have been carried out, or was in part.
-    unclear: bool,
-    /// A proxy has acked the version of what is open: all of it was carried out.
-    proven: bool,
-    /// The relay has stopped once at the order that is now the first.
-    refused: bool,
-    /// Slices that have changed hands since the call now being made was sent.
-    changed_hands: BTreeSet<SliceId>,
+    consecutive_failures: u32,
+    /// The last attempt at the first request may have been carried out, or was in part.
+    may_be_applied: bool,
+    /// A proxy has acknowledged the version of what is pending: all of it was carried out.
+    is_acknowledged: bool,
+    /// The relay has stopped once at the first command.
+    has_stopped_at_first: bool,
+    /// Slices that have changed hands since the request in flight was sent.
+    crossed_slices: BTreeSet<SliceId>,
 }
 
-/// An order as the relay reads it, and what must be known of it.
-struct Written {
+/// A command as the relay reads it, and what must be known of it.
+struct PendingCommand {
     text: String,
     slice: Option<SliceId>,
     version: Option<u16>,
@@ -31,150 +31,181 @@
 enum State {
     #[default]
     Idle,
-    Flying,
-    /// The relay is out of reach or takes nothing yet; the next attempt waits a little.
-    Held,
+    InFlight,
+    /// The relay cannot be reached or accepts nothing yet; the next attempt waits a little.
+    BackingOff,
+}
+
+/// A request to send now.
+pub(crate) struct NextRequest {
+    pub line: String,
+    /// Whether to open a new connection, as the last attempt failed.
+    pub needs_new_connection: bool,
+}
+
+/// What is known of a request that failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Outcome {
+    /// It was not carried out.
+    NotApplied,
+    /// It may have been carried out.
+    Unknown,
+}
+
+/// When a failed request is retried.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Retry {
+    /// As soon as it may be.
+    Now,
+    /// After [`Outbox::end_backoff`].
+    AfterBackoff,
 }
 
 impl Outbox {
-    /// Nothing is open: newer orders may be made.
-    pub fn is_clear(&self) -> bool {
-        self.calls.iter().all(Vec::is_empty)
-    }
-
-    /// One reply is one call, unless it is too large. Of the pieces the last alone has the version, and asks all
-    /// proxies to answer: some may have got an earlier piece only, and a version by itself reaches none. Comes only
-    /// while nothing is open.
-    pub fn put(&mut self, orders: &[Command]) {
-        (self.calls, self.refused, self.unclear, self.proven) = (VecDeque::new(), false, false, false);
-        let (mut call, mut bytes) = (Vec::new(), 0);
-        for order in orders {
-            let is_alone = !self.calls.is_empty() || call.is_empty();
-            let scope = if is_alone { SyncScope::AllProxies } else { SyncScope::ReachedProxies };
-            let text = order.encode(scope);
+    /// Whether nothing is pending, so that newer commands may be issued.
+    pub fn is_empty(&self) -> bool {
+        self.requests.iter().all(Vec::is_empty)
+    }
+
+    /// Takes the commands of one reply of the policy, while nothing is pending. They are one request, unless that
+    /// is too large. Of several requests the last alone has the version, and asks all proxies to acknowledge it: some
+    /// may have got an earlier request only, and a version by itself reaches none.
+    pub fn replace(&mut self, commands: &[Command]) {
+        self.requests = VecDeque::new();
+        (self.has_stopped_at_first, self.may_be_applied, self.is_acknowledged) = (false, false, false);
+        let (mut request, mut bytes) = (Vec::new(), 0);
+        for command in commands {
+            let is_scope_all = !self.requests.is_empty() || request.is_empty();
+            let scope = if is_scope_all { SyncScope::AllProxies } else { SyncScope::ReachedProxies };
+            let text = command.encode(scope);
             if bytes + text.len() + 1 > relay::MAX_REQUEST_BYTES {
-                self.calls.push_back(std::mem::take(&mut call));
+                self.requests.push_back(std::mem::take(&mut request));
                 bytes = 0;
             }
             bytes += text.len() + 1;
-            call.push(Written { text, slice: order.slice(), version: order.version() });
+            request.push(PendingCommand { text, slice: command.slice(), version: command.version() });
         }
-        self.calls.extend((!call.is_empty()).then_some(call));
+        self.requests.extend((!request.is_empty()).then_some(request));
     }
 
-    /// What waits for this slice was ordered for a table that is no longer there. The call that is being made
-    /// is out of reach, but will not be repeated with it.
-    pub fn changed_hands(&mut self, slice: SliceId) {
-        let flying = self.state == State::Flying;
-        for call in self.calls.iter_mut().skip(usize::from(flying)) {
-            call.retain(|order| order.slice != Some(slice));
+    /// Drops the commands for a slice that has changed hands: they were for a routing table that is no longer there.
+    /// Those of the request in flight are out of reach, but are not sent again with it.
+    pub fn drop_slice(&mut self, slice: SliceId) {
+        let is_in_flight = self.state == State::InFlight;
+        for request in self.requests.iter_mut().skip(usize::from(is_in_flight)) {
+            request.retain(|command| command.slice != Some(slice));
         }
-        if flying {
-            self.changed_hands.insert(slice);
+        if is_in_flight {
+            self.crossed_slices.insert(slice);
         }
     }
 
-    /// The slices whose tables are about to change by what waits here.
+    /// The slices whose routing tables change with what is pending.
     pub fn slices(&self) -> BTreeSet<SliceId> {
-        self.calls.iter().flatten().filter_map(|order| order.slice).collect()
+        self.requests.iter().flatten().filter_map(|command| command.slice).collect()
     }
 
-    /// The call to make now, if none is being made; on a fresh connection where the last attempt failed.
-    pub fn next(&mut self) -> Option<(String, bool)> {
+    /// The request to send now, where none is in flight.
+    pub fn send_next(&mut self) -> Option<NextRequest> {
         if self.state != State::Idle {
             return None;
         }
-        self.calls.retain(|call| !call.is_empty());
-        let texts: Vec<_> = self.calls.front()?.iter().map(|order| order.text.as_str()).collect();
-        (self.state, self.unclear) = (State::Flying, false);
-        Some((relay::encode_request(&texts), self.failures > 0))
+        self.requests.retain(|request| !request.is_empty());
+        let texts: Vec<_> = self.requests.front()?.iter().map(|command| command.text.as_str()).collect();
+        (self.state, self.may_be_applied) = (State::InFlight, false);
+        let needs_new_connection = self.consecutive_failures > 0;
+        Some(NextRequest { line: relay::encode_request(&texts), needs_new_connection })
     }
 
-    pub fn release(&mut self) {
-        if self.state == State::Held {
+    /// Delays the next attempt.
+    pub fn back_off(&mut self) {
+        self.state = State::BackingOff;
+    }
+
+    /// The next attempt may be made.
+    pub fn end_backoff(&mut self) {
+        if self.state == State::BackingOff {
             self.state = State::Idle;
         }
     }
 
-    /// The attempt failed, or was turned away: the call stays the first, for what is newer must not overtake
-    /// it. True where the next attempt is to wait: a second failure in a row is no mere closed connection.
-    pub fn failed(&mut self, may_be_done: bool) -> bool {
-        self.failures += 1;
-        self.unclear = may_be_done;
-        let waits = self.failures > 1;
-        self.state = if waits { State::Held } else { State::Idle };
-        self.forget_crossed();
-        waits
+    /// The request in flight failed, or may be accepted later: it stays the first, for what is newer must not
+    /// overtake it. The first failure may be a connection that was closed meanwhile; a second one in a row is not.
+    pub fn request_failed(&mut self, outcome: Outcome) -> Retry {
+        self.consecutive_failures += 1;
+        self.may_be_applied = outcome == Outcome::Unknown;
+        let retry = if self.consecutive_failures > 1 { Retry::AfterBackoff } else { Retry::Now };
+        self.state = if retry == Retry::AfterBackoff { State::BackingOff } else { State::Idle };
+        self.drop_crossed_commands();
+        retry
     }
 
-    /// The version of what is to be said again though it may have been carried out.
-    pub fn unclear(&self) -> Option<u16> {
-        self.version().filter(|_| self.unclear && self.state == State::Idle)
+    /// The version of the request to resend next, where its outcome is unknown.
+    pub fn version_of_unknown_outcome(&self) -> Option<u16> {
+        self.version().filter(|_| self.may_be_applied && self.state == State::Idle)
     }
 
-    /// An ack proves that the call was carried out, whatever became of its answer: it need not be said again.
-    pub fn acked(&mut self, version: u16) {
-        self.proven |= self.version() == Some(version);
+    /// Takes note of an acknowledgement: it proves that the request was carried out, whatever became of the response,
+    /// so that it need not be resent.
+    pub fn acknowledge(&mut self, version: u16) {
+        self.is_acknowledged |= self.version() == Some(version);
     }
 
-    pub fn forget_proven(&mut self) {
-        if self.proven && self.unclear {
-            self.put(&[]);
-            (self.state, self.failures) = (State::Idle, 0);
+    /// Drops a request of unknown outcome that was acknowledged.
+    pub fn drop_acknowledged(&mut self) {
+        if self.is_acknowledged && self.may_be_applied {
+            self.replace(&[]);
+            (self.state, self.consecutive_failures) = (State::Idle, 0);
         }
     }
 
-    pub fn hold(&mut self) {
-        self.state = State::Held;
-    }
-
-    /// Whether slices of the call being made changed hands since it was sent: if it still met them, it
-    /// changed a table after its lines were told.
+    /// Whether slices of the request in flight changed hands since it was sent: if it still met them, it changed a
+    /// routing table after that was read.
     pub fn is_crossed(&self) -> bool {
-        let slices = self.calls.front().into_iter().flatten().filter_map(|order| order.slice);
-        slices.into_iter().any(|slice| self.changed_hands.contains(&slice))
+        let slices = self.requests.front().into_iter().flatten().filter_map(|command| command.slice);
+        slices.into_iter().any(|slice| self.crossed_slices.contains(&slice))
     }
 
-    /// Leaves those slices out of what is said again.
-    fn forget_crossed(&mut self) {
-        let crossed = std::mem::take(&mut self.changed_hands);
-        let call = self.calls.front_mut().into_iter();
-        call.for_each(|call| call.retain(|order| order.slice.is_none_or(|slice| !crossed.contains(&slice))));
+    fn drop_crossed_commands(&mut self) {
+        let crossed = std::mem::take(&mut self.crossed_slices);
+        if let Some(request) = self.requests.front_mut() {
+            request.retain(|command| command.slice.is_none_or(|slice| !crossed.contains(&slice)));
+        }
     }
 
-    /// The version of the reply that is open.
+    /// The version of what is pending.
     pub fn version(&self) -> Option<u16> {
-        self.calls.iter().flatten().find_map(|order| order.version)
-    }
-
-    /// How many orders the call has that is being made.
-    pub fn sent(&self) -> usize {
-        self.calls.front().map_or(0, Vec::len)
-    }
-
-    /// So many orders were taken, and leave. The rest is said again, for the figure may be wrong, and an
-    /// order sets a state. One at which the relay stops twice is skipped and returned, with all that it orders of its
-    /// slice: it would stop there for ever.
-    pub fn taken(&mut self, many: usize) -> Option<String> {
-        (self.state, self.failures) = (State::Idle, 0);
-        let call = self.calls.front_mut()?;
-        call.drain(..many.min(call.len()));
-        let skips = many == 0 && self.refused && !call.is_empty();
-        let skipped = skips.then(|| call.remove(0));
-        // What it would have gone with may empty a table that it was to fill.
-        let slice = skipped.as_ref().and_then(|order| order.slice);
-        call.retain(|order| slice.is_none() || order.slice != slice);
-        self.refused = !skips && !call.is_empty();
-        // What stood has gone out as a message of its own: the rest is weighed like a repeat.
-        self.unclear = many > 0 && !call.is_empty();
-        self.forget_crossed();
-        skipped.map(|order| order.text)
-    }
-
-    /// The relay can't read the call.
-    pub fn dropped(&mut self) {
-        (self.state, self.failures) = (State::Idle, 0);
-        self.changed_hands.clear();
-        self.calls.pop_front();
+        self.requests.iter().flatten().find_map(|command| command.version)
+    }
+
+    /// The number of commands of the request in flight.
+    pub fn commands_in_flight(&self) -> usize {
+        self.requests.front().map_or(0, Vec::len)
+    }
+
+    /// The relay has accepted so many commands, which are done. The rest is sent again, for the number may be wrong,
+    /// and a command sets a state. A command at which the relay stops twice would stop it for ever: it is dropped
+    /// and returned, with all other commands for its slice.
+    pub fn accept(&mut self, count: usize) -> Option<String> {
+        (self.state, self.consecutive_failures) = (State::Idle, 0);
+        let request = self.requests.front_mut()?;
+        request.drain(..count.min(request.len()));
+        let is_skipping = count == 0 && self.has_stopped_at_first && !request.is_empty();
+        let skipped = is_skipping.then(|| request.remove(0));
+        // What it would have gone with may empty a routing table that it was to fill.
+        let slice = skipped.as_ref().and_then(|command| command.slice);
+        request.retain(|command| slice.is_none() || command.slice != slice);
+        self.has_stopped_at_first = !is_skipping && !request.is_empty();
+        // What was accepted has gone out to proxies by itself: the rest is weighed like a resend.
+        self.may_be_applied = count > 0 && !request.is_empty();
+        self.drop_crossed_commands();
+        skipped.map(|command| command.text)
+    }
+
+    /// Drops the request in flight, which the relay cannot decode.
+    pub fn drop_rejected(&mut self) {
+        (self.state, self.consecutive_failures) = (State::Idle, 0);
+        self.crossed_slices.clear();
+        self.requests.pop_front();
     }
 }
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -1,6 +1,6 @@
-//! What operators want, between its book, which knows replicas by name, and the decisions, which know numbers.
+//! Operators' overrides, between their registry, which knows replicas by name, and the policy, which knows ids.
 
-use super::names::Names;
+use super::replica_names::ReplicaNames;
 use whinwall_management_api::ask::Shown;
 use whinwall_overrides::book::FileOrder;
 use whinwall_overrides::{Bounds, Clerk, Kind, Override, Reading};
@@ -8,55 +8,61 @@
 use whinwall_policy::time::Moment;
 use whinwall_policy::Policy;
 
-/// What the operators' file says of overrides.
+/// The overrides part of the operators' file.
 #[derive(Clone, Debug)]
 pub struct OverrideConfig {
+    /// The bounds on overrides.
     pub bounds: Bounds,
+    /// The overrides that the file has itself.
     pub orders: Vec<FileOrder>,
-    /// They are kept on disk, and what is there is told later.
+    /// Whether overrides are stored on disk; those in the store arrive later.
     pub has_store: bool,
 }
 
-pub struct Overrides {
+/// The overrides in force, and what the policy knows of them.
+pub(crate) struct Overrides {
+    /// Decides on requests for overrides.
     pub clerk: Clerk,
-    /// What the decisions were told last.
-    told: Vec<(OverrideId, OverrideSpec)>,
+    /// What the policy was given last.
+    applied: Vec<(OverrideId, OverrideSpec)>,
 }
 
 impl Overrides {
-    pub fn start(now: Moment, reading: &Reading, wanted: &OverrideConfig) -> Self {
-        let clerk = Clerk::start(now, reading, wanted.bounds.clone(), wanted.has_store);
-        Overrides { clerk, told: Vec::new() }
+    /// No overrides yet.
+    pub fn start(now: Moment, reading: &Reading, config: &OverrideConfig) -> Self {
+        let clerk = Clerk::start(now, reading, config.bounds.clone(), config.has_store);
+        Overrides { clerk, applied: Vec::new() }
     }
 
-    /// Tells the decisions what stands, where that, or a replica's number, is other than they know. A replica
-    /// that nobody has a number for is no replica yet.
-    pub fn tell(&mut self, now: Moment, names: &Names, policy: &mut Policy) {
+    /// Gives the policy the overrides in force, where they, or the id of a replica, have changed. A replica without
+    /// an id is none yet.
+    pub fn apply_to_policy(&mut self, now: Moment, names: &ReplicaNames, policy: &mut Policy) {
         self.clerk.has_changed();
-        let wish = |one: &Override| {
-            let replica = names.known(one.kind.replica())?;
-            let wish = match one.kind {
+        let spec = |one: &Override| {
+            let replica = names.id(one.kind.replica())?;
+            let spec = match one.kind {
                 Kind::Weight { factor, .. } => OverrideSpec::Weight { replica, factor },
                 Kind::Out { .. } => OverrideSpec::Out { replica },
                 Kind::Pin { first, last, .. } => OverrideSpec::Pin { first, last, replica },
             };
-            Some((one.number, wish))
+            Some((one.number, spec))
         };
-        let wishes: Vec<_> = self.clerk.book().standing().filter_map(wish).collect();
-        if wishes != self.told {
-            policy.set_overrides(now, &wishes);
-            self.told = wishes;
+        let specs: Vec<_> = self.clerk.book().standing().filter_map(spec).collect();
+        if specs != self.applied {
+            policy.set_overrides(now, &specs);
+            self.applied = specs;
         }
     }
 
+    /// An override as the management API shows it.
     pub fn shown(&self, policy: &Policy, one: &Override) -> Shown {
         let heeded =
             one.stands().then(|| policy.override_status(one.number).unwrap_or(OverrideStatus::Absent));
         Shown { one: one.clone(), heeded }
     }
 
-    /// When the clerk is needed, no sooner than it was before.
-    pub fn due(&self) -> Option<Moment> {
+    /// When the overrides change by the passing of time, no sooner than the last call's answer.
+    pub fn due_at(&self) -> Option<Moment> {
         self.clerk.next()
     }
 }
--- /dev/null
+++ b/crates/routing/src/reducer/endpoint_list.rs
@@ -0,0 +1,104 @@
+//! The registry's endpoint list: its watch, and what it says of replicas.
+
+use super::Reducer;
+use crate::endpoint_list::ListAge;
+use crate::events::Effect;
+use crate::replica_names::stable_hash;
+use crate::source_failures::Source;
+use crate::timers::Timer;
+use whinwall_policy::api::{ListScope, ReplicaListing, ReplicaState, ZoneId};
+use whinwall_policy::time::{Moment, Span};
+use whinwall_protocol::discovery::{Entry, List};
+use whinwall_transport::{limits, StreamError};
+
+impl Reducer {
+    /// Opens the registry watch in place of a former one.
+    pub(super) fn open_registry_watch(&mut self, now: Moment) {
+        self.timers.cancel(Timer::RegistryWatch);
+        let (discovery, since) = (self.targets.discovery, self.list_version.version());
+        self.effects.push(Effect::WatchRegistry { discovery, since });
+        self.restart_renewal(now);
+    }
+
+    /// Opens another registry watch beside the current one.
+    pub(super) fn renew_registry_watch(&mut self, now: Moment) {
+        let (discovery, since) = (self.targets.discovery, self.list_version.version());
+        self.effects.push(Effect::RenewRegistryWatch { discovery, since });
+        self.restart_renewal(now);
+    }
+
+    /// Where the list is pushed, a renewal costs nothing.
+    fn restart_renewal(&mut self, now: Moment) {
+        self.timers.cancel(Timer::RegistryRenewal);
+        if self.settings.deployment.list_pushed {
+            let at = now + limits::span(limits::REGISTRY_RENEWAL_INTERVAL);
+            self.timers.start(at, Timer::RegistryRenewal);
+        }
+    }
+
+    pub(super) fn registry_watch_lost(&mut self, now: Moment, error: &StreamError) {
+        if matches!(error, StreamError::Unreadable(_)) {
+            self.list_version.forget();
+        }
+        self.source_failed(Source::RegistryWatch, error);
+        self.timers.cancel(Timer::RegistryRenewal);
+        if self.settings.deployment.list_pushed {
+            self.start_after_backoff(now, Timer::RegistryWatch);
+        } else {
+            // The policy decides when the list is polled again.
+            self.policy.list_request_failed(now);
+        }
+    }
+
+    pub(super) fn list_received(&mut self, now: Moment, list: &List) {
+        self.source_works(Source::RegistryWatch);
+        self.restart_renewal(now);
+        let mut listings = self.listings(list);
+        let mut scope = if list.is_complete { ListScope::Complete } else { ListScope::Changes };
+        let age = self.list_version.advance(now, list.version);
+        if age != ListAge::Current {
+            // An agent that lags can report what is new, and takes nothing back: none is gone for being absent.
+            listings.retain(|listing| !self.is_outdated_return(listing));
+            scope = ListScope::Changes;
+        }
+        if age == ListAge::Restarted {
+            self.open_registry_watch(now);
+        }
+        self.policy.replicas_listed(now, scope, &listings);
+        self.schedule_subsets(now, list);
+        if !list.entries.is_empty() {
+            self.commands.retry_skipped();
+        }
+        // A replica may have come, or come back under another id.
+        self.change_overrides(now, |_| {});
+    }
+
+    /// Whether a replica that drains or is gone seems to be ready again without a new start.
+    fn is_outdated_return(&self, listing: &ReplicaListing) -> bool {
+        let known = self.policy.replica_state(listing.replica);
+        listing.state == ReplicaState::Ready
+            && known
+                .is_some_and(|(state, started)| state != ReplicaState::Ready && started == listing.started)
+    }
+
+    /// The list in the policy's terms, with ids for new names.
+    pub(super) fn listings(&mut self, list: &List) -> Vec<ReplicaListing> {
+        for entry in &list.entries {
+            let is_named = self.settings.zones.contains(&entry.zone);
+            let replica = self.names.id_or_assign(&entry.replica);
+            self.names.set_unnamed_zone(replica, (!is_named).then_some(entry.zone.as_str()));
+        }
+        let listing = |entry: &Entry| ReplicaListing {
+            // A zone that the settings do not name is like no other.
+            zone: self.known_zone(&entry.zone).unwrap_or(ZoneId::MAX),
+            replica: self.names.id_or_assign(&entry.replica),
+            machine: entry.machine.clone(),
+            state: entry.state.into(),
+            weight: entry.weight,
+            started: (entry.started_ms > 0).then(|| Moment::default() + Span::ms(entry.started_ms)),
+            stable_hash: stable_hash(&entry.replica),
+            subset: self.subset_membership(&entry.replica),
+        };
+        list.entries.iter().map(listing).collect()
+    }
+}
--- /dev/null
+++ b/crates/routing/src/reducer/peers.rs
@@ -0,0 +1,65 @@
+//! Peers at the controller's own address: authentication, pings, and messages that cannot be used.
+
+use super::Reducer;
+use crate::events::Effect;
+use crate::log_event::LogEvent;
+use std::fmt;
+use whinwall_policy::api::ZoneId;
+use whinwall_policy::time::Moment;
+use whinwall_protocol::collector::Message;
+use whinwall_protocol::InvalidMessage;
+use whinwall_transport::ConnectionId;
+
+/// Close reasons; they are sent to the peer.
+const UNREADABLE: &str = "unreadable";
+const NOT_AUTHENTICATED: &str = "of no use from whoever has not joined";
+
+impl Reducer {
+    pub(super) fn message_received(&mut self, now: Moment, from: ConnectionId, message: Message) {
+        let is_authenticated = self.collectors.contains(&from);
+        match message {
+            Message::Ping => self.effects.push(Effect::Pong { to: from }),
+            Message::Source { zone } if self.known_zone(&zone).is_some() => {
+                self.collectors.insert(from);
+                self.effects.push(Effect::Admit { to: from });
+            }
+            Message::EndpointReport(report) if is_authenticated => {
+                self.endpoint_report_received(now, from, &report);
+            }
+            Message::DemandReport(report) if is_authenticated => {
+                self.demand_report_received(now, from, &report);
+            }
+            other => self.ignore_message(from, format!("{other:?}")),
+        }
+    }
+
+    pub(super) fn invalid_message_received(&mut self, from: ConnectionId, error: InvalidMessage) {
+        match error {
+            InvalidMessage::Malformed(error) => self.ignore_message(from, error),
+            InvalidMessage::Unreadable(error) => {
+                // What it still sends counts for nothing either.
+                let was_authenticated = self.collectors.remove(&from);
+                if was_authenticated {
+                    self.log(LogEvent::CollectorDisconnected { reason: error.to_string() });
+                }
+                let why = (!was_authenticated).then_some(UNREADABLE);
+                self.effects.push(Effect::Disconnect { to: from, why });
+            }
+        }
+    }
+
+    /// A message that is malformed, or names what does not exist, changes nothing; an unauthenticated peer is
+    /// disconnected.
+    pub(super) fn ignore_message(&mut self, from: ConnectionId, reason: impl fmt::Display) {
+        if self.collectors.contains(&from) {
+            self.log(LogEvent::ReportIgnored { reason: reason.to_string() });
+        } else {
+            self.effects.push(Effect::Disconnect { to: from, why: Some(NOT_AUTHENTICATED) });
+        }
+    }
+
+    /// The id of a zone that the settings name. Where they name none, any zone will do.
+    pub(super) fn known_zone(&self, name: &str) -> Option<ZoneId> {
+        crate::report_names::zone_id(&self.settings.zones, name)
+    }
+}
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -1,8 +1,10 @@
-//! The reducer's part of subsetting: the decisions are told which controllers steer each replica.
+//! Subsetting: the policy learns which controllers steer each replica.
 
-use super::{Due, Reducer};
-use crate::names::Names;
+use super::Reducer;
+use crate::log_event::LogEvent;
+use crate::replica_names::ReplicaNames;
 use crate::subset::{Fleet, Subsets};
+use crate::timers::Timer;
 use std::collections::BTreeMap;
 use whinwall_policy::api::{ReplicaId, SubsetMembership};
 use whinwall_policy::time::Moment;
@@ -11,11 +13,10 @@
 use whinwall_subsetting::Replica;
 
 impl Reducer {
-    /// Which controllers steer each replica, as the decisions were told last.
-    pub fn shares(&self) -> BTreeMap<&str, SubsetMembership> {
-        let numbers = self.names.numbers().iter();
-        numbers
-            .filter_map(|(name, replica)| Some((name.as_str(), self.policy.subset_membership(*replica)?)))
+    /// Which controllers steer each replica, as the policy was given last.
+    pub fn subset_memberships(&self) -> BTreeMap<&str, SubsetMembership> {
+        let ids = self.names.ids().iter();
+        ids.filter_map(|(name, replica)| Some((name.as_str(), self.policy.subset_membership(*replica)?)))
             .collect()
     }
 
@@ -25,7 +26,7 @@
             (None, None) => false,
             (Some(_), None) => {
                 self.subsets = None;
-                self.note("subsetting is off: this governor steers all replicas".into());
+                self.log(LogEvent::SubsettingDisabled);
                 true
             }
             (Some(subsets), Some(fleet)) => subsets.reconfigure(fleet),
@@ -36,57 +37,60 @@
         };
         if changed {
             self.compute_subsets(now);
-            self.tell_shares(now);
-            self.note_subset();
+            self.apply_memberships(now);
+            self.log_subset();
         }
     }
 
-    /// The registry may have changed.
-    pub(super) fn subsets_due(&mut self, now: Moment, list: &List) {
+    /// Schedules the computation of subsets, where the registry may have changed.
+    pub(super) fn schedule_subsets(&mut self, now: Moment, list: &List) {
         let Some(subsets) = &self.subsets else { return };
-        let there = list.entries.iter().filter(|entry| entry.state != State::Gone);
-        let due = subsets.due(now, there.map(|entry| entry.replica.as_str()));
-        let pending = self.agenda.iter().find(|(_, pending)| *pending == Due::Subsets).map(|(at, _)| *at);
-        self.agenda.retain(|(_, pending)| *pending != Due::Subsets);
-        self.agenda.insert((pending.map_or(due, |at| at.min(due)), Due::Subsets));
+        let present = list.entries.iter().filter(|entry| entry.state != State::Gone);
+        let compute_at = subsets.compute_at(now, present.map(|entry| entry.replica.as_str()));
+        let scheduled_at = self.timers.due_at(Timer::Subsets);
+        self.timers.cancel(Timer::Subsets);
+        self.timers.start(scheduled_at.map_or(compute_at, |at| at.min(compute_at)), Timer::Subsets);
     }
 
-    /// Computes the subsets of the registry as it is known, and tells the decisions what changed.
+    /// Computes the subsets of the registry as it is known, and gives the policy what changed.
     pub(super) fn compute_subsets(&mut self, now: Moment) {
         let Some(subsets) = &mut self.subsets else { return };
         if subsets.compute(now, &registry(&self.names, &self.policy, &self.settings.zones)) {
-            self.tell_shares(now);
+            self.apply_memberships(now);
         }
     }
 
     /// Which controllers steer a replica.
-    pub(super) fn share(&self, replica: &str) -> SubsetMembership {
-        self.subsets.as_ref().map_or(SubsetMembership::Everyone, |subsets| subsets.share(replica))
+    pub(super) fn subset_membership(&self, replica: &str) -> SubsetMembership {
+        self.subsets.as_ref().map_or(SubsetMembership::Everyone, |subsets| subsets.membership(replica))
     }
 
-    fn tell_shares(&mut self, now: Moment) {
+    fn apply_memberships(&mut self, now: Moment) {
         let changed = |(name, replica): (&String, &ReplicaId)| {
-            let (known, share) = (self.policy.subset_membership(*replica)?, self.share(name));
-            (known != share).then_some((*replica, share))
+            let known = self.policy.subset_membership(*replica)?;
+            let membership = self.subset_membership(name);
+            (known != membership).then_some((*replica, membership))
         };
-        let changed: Vec<_> = self.names.numbers().iter().filter_map(changed).collect();
+        let changed: Vec<_> = self.names.ids().iter().filter_map(changed).collect();
         if !changed.is_empty() {
             self.policy.subsets_changed(now, &changed);
         }
     }
 
-    fn note_subset(&mut self) {
+    fn log_subset(&mut self) {
         let Some(status) = self.subsets.as_ref().map(Subsets::status) else { return };
-        self.note(format!(
-            "subsetting: one of {} governors, {} of {} replicas are steered here, {} wished",
-            status.controllers, status.own_replicas, status.listed_replicas, status.subset_size
-        ));
+        self.log(LogEvent::SubsetAssigned {
+            controllers: status.controllers,
+            own_replicas: status.own_replicas,
+            listed_replicas: status.listed_replicas,
+            subset_size: status.subset_size,
+        });
     }
 }
 
-/// The replicas that are listed and not gone, in the registry's zones: aggregators, which know no settings, compute the
+/// The replicas that are listed and not gone, in the registry's zones: aggregators, which have no settings, compute the
 /// same subsets from these.
-fn registry<'a>(names: &'a Names, policy: &'a Policy, zones: &'a [String]) -> Vec<Replica<'a>> {
+fn registry<'a>(names: &'a ReplicaNames, policy: &'a Policy, zones: &'a [String]) -> Vec<Replica<'a>> {
     let replica = |(name, replica): (&'a String, &ReplicaId)| {
         let listed = policy.listed_replica(*replica)?;
         let named = zones.get(listed.zone).map(String::as_str);
@@ -97,5 +101,5 @@
             weight: listed.weight,
         })
     };
-    names.numbers().iter().filter_map(replica).collect()
+    names.ids().iter().filter_map(replica).collect()
 }
--- /dev/null
+++ b/crates/routing/src/reducer/timers.rs
@@ -0,0 +1,50 @@
+//! What happens once all input is in: timers that are due, then new commands.
+
+use super::Reducer;
+use crate::events::Effect;
+use crate::overrides::Overrides;
+use crate::timers::Timer;
+use whinwall_policy::time::Moment;
+use whinwall_transport::limits;
+
+/// The part of a backoff that is drawn at random.
+const BACKOFF_JITTER: f64 = 0.5;
+
+impl Reducer {
+    /// Starts a timer after a backoff with jitter.
+    pub(super) fn start_after_backoff(&mut self, now: Moment, timer: Timer) {
+        let jitter = BACKOFF_JITTER * self.random.draw();
+        self.timers.start(now + limits::span(limits::RETRY_BACKOFF).times(1.0 - jitter), timer);
+    }
+
+    pub(super) fn input_drained(&mut self, now: Moment) {
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.timer_fired(now, timer);
+        }
+        if self.overrides.as_ref().and_then(Overrides::due_at).is_some_and(|at| at <= now) {
+            self.change_overrides(now, |overrides| overrides.clerk.tick(now));
+        }
+        self.check_report_freshness(now);
+        self.take_complete_tables(now);
+        self.issue_commands(now);
+        self.send_next_request(now);
+        self.schedule_wake_up();
+    }
+
+    fn timer_fired(&mut self, now: Moment, timer: Timer) {
+        match timer {
+            Timer::Policy(token) => self.policy.timer_fired(now, token),
+            Timer::RelayRequest => self.commands.outbox.end_backoff(),
+            Timer::RelayWatch => self.open_relay_watch(),
+            Timer::RegistryWatch => self.open_registry_watch(now),
+            Timer::RegistryRenewal => self.renew_registry_watch(now),
+            Timer::Subsets => self.compute_subsets(now),
+        }
+    }
+
+    fn schedule_wake_up(&mut self) {
+        let overrides = self.overrides.as_ref().and_then(Overrides::due_at);
+        let deadlines = [self.timers.next_at(), self.relay.snapshot.tables_complete_at(), overrides];
+        self.effects.extend(deadlines.into_iter().flatten().min().map(Effect::WakeAt));
+    }
+}
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -1,5 +1,5 @@
-//! Which replicas this controller steers, where each controller of the fleet steers a subset of them. Computed from the
-//! fleet's names and the registry alone, so that all controllers that know the same compute the same.
+//! Which replicas this controller steers, where each controller of the fleet steers a subset of them. It is computed from
+//! the fleet's names and the registry alone, so that controllers with the same knowledge compute the same subsets.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use whinwall_management_api::ask::SubsettingStatus;
@@ -8,12 +8,12 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_subsetting::{Assignment, Membership, MembershipError, Parameters, Planner, Position, Replica};
 
-/// Changes of the registry are taken together for so long after a computation, which takes some 10 ms at 650
-/// controllers and 2,200 replicas: a zone that comes back one replica at a time costs 1% of a core meanwhile.
-const COMPUTE_EACH: Span = Span::ms(1000);
+/// The time between two computations, each of some 10 ms at 650 controllers and 2,200 replicas. Changes of the registry
+/// are taken together meanwhile: a zone that comes back one replica at a time costs 1% of a core.
+const MIN_COMPUTE_INTERVAL: Span = Span::ms(1000);
 
-/// One in so many of the replicas that are known: more new ones than that at once don't wait.
-const MANY_PART: usize = 16;
+/// Where more than one in so many of the known replicas are new at once, they do not wait.
+const MANY_REPLICAS_DIVISOR: usize = 16;
 
 /// The fleet that the operators' file names, as one of its controllers sees it.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,19 +25,23 @@
     bytes_per_second: u64,
 }
 
-/// Why a configuration is none of this controller's fleet.
+/// Why a configuration cannot be that of this controller's fleet.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FleetError {
     /// The controller itself is not named.
     #[error(transparent)]
     Unknown(#[from] UnknownMember),
-    /// The names make no fleet.
+    /// The names are not a valid fleet.
     #[error("<subsetting>: {0}")]
     Membership(#[from] MembershipError),
 }
 
 impl Fleet {
-    /// The fleet of this configuration, in which the controller's own name must be.
+    /// The fleet of this configuration.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the controller's own name is not in it, or the names are not a valid fleet.
     pub fn new(config: &SubsettingConfig, own_name: &str) -> Result<Self, FleetError> {
         config.controller(own_name)?;
         Ok(Fleet {
@@ -55,15 +59,15 @@
     }
 }
 
-/// The latest assignment, and what the next one needs.
+/// The latest assignment of replicas to controllers, and what the next one needs.
 #[derive(Debug)]
-pub struct Subsets {
+pub(crate) struct Subsets {
     fleet: Fleet,
     planner: Planner,
     assignment: Assignment,
     /// Of the registry that it was computed from; none where it has to be computed anew in any case.
     fingerprint: Option<u64>,
-    computed: Option<Moment>,
+    computed_at: Option<Moment>,
     own_replicas: usize,
     listed_replicas: usize,
 }
@@ -78,14 +82,14 @@
             planner,
             assignment,
             fingerprint: None,
-            computed: None,
+            computed_at: None,
             own_replicas: 0,
             listed_replicas: 0,
         }
     }
 
-    /// Takes over a new configuration; what was assigned stands until the next computation. True where the
-    /// members or the size of subsets changed.
+    /// Takes over a new configuration; the assignment stays until the next computation. True where the members or the
+    /// size of subsets changed.
     pub fn reconfigure(&mut self, fleet: Fleet) -> bool {
         let changed = self.fleet.plan() != fleet.plan();
         if changed {
@@ -96,12 +100,12 @@
         changed
     }
 
-    /// When a change of the registry that names these replicas as there is to be computed: at once where it brings
-    /// many, as at a start, or else together with those that follow.
-    pub fn due<'a>(&self, now: Moment, named: impl Iterator<Item = &'a str>) -> Moment {
-        let unassigned = named.filter(|replica| self.assignment.controllers_of(replica).is_empty()).count();
-        let many = unassigned * MANY_PART > self.listed_replicas;
-        self.computed.filter(|_| !many).map_or(now, |at| now.max(at + COMPUTE_EACH))
+    /// When subsets are to be computed for a change of the registry that lists these replicas: at once where many are
+    /// new, as at a start, or else together with the changes that follow.
+    pub fn compute_at<'a>(&self, now: Moment, listed: impl Iterator<Item = &'a str>) -> Moment {
+        let unassigned = listed.filter(|replica| self.assignment.controllers_of(replica).is_empty()).count();
+        let are_many = unassigned * MANY_REPLICAS_DIVISOR > self.listed_replicas;
+        self.computed_at.filter(|_| !are_many).map_or(now, |at| now.max(at + MIN_COMPUTE_INTERVAL))
     }
 
     /// Computes the assignment where the registry or the fleet changed. True where it did.
@@ -112,19 +116,19 @@
         }
         self.assignment = self.planner.assign(registry);
         self.own_replicas = self.assignment.subset_of(&self.fleet.own_name).len();
-        (self.fingerprint, self.computed, self.listed_replicas) = (fingerprint, Some(now), registry.len());
+        (self.fingerprint, self.computed_at, self.listed_replicas) = (fingerprint, Some(now), registry.len());
         true
     }
 
-    /// Who steers a replica. One that is not assigned yet is left to others until it is.
-    pub fn share(&self, replica: &str) -> SubsetMembership {
+    /// Which controllers steer a replica. One that is not assigned yet is left to others until it is.
+    pub fn membership(&self, replica: &str) -> SubsetMembership {
         match self.assignment.position(replica, &self.fleet.own_name) {
             Some(Position { controllers, position }) => SubsetMembership::Subset { controllers, position },
             None => SubsetMembership::Others,
         }
     }
 
-    /// For the management front.
+    /// What the management API shows.
     pub fn status(&self) -> SubsettingStatus {
         SubsettingStatus {
             controllers: self.fleet.membership.len(),
@@ -137,7 +141,7 @@
     }
 }
 
-/// Registries with the same one are taken for the same.
+/// Registries with the same fingerprint are taken for the same.
 fn fingerprint(registry: &[Replica]) -> u64 {
     let mut hasher = DefaultHasher::new();
     for Replica { id, zone, group, weight } in registry {
--- a/crates/scale-tests/src/many/hollow.rs
+++ b/crates/scale-tests/src/many/hollow.rs
@@ -15,7 +15,7 @@
 use whinwall_protocol::collector::{Message, Report as ReportLine};
 use whinwall_protocol::discovery::List;
 use whinwall_protocol::relay::{decode_event, Response};
-use whinwall_routing::known::Known;
+use whinwall_routing::report_names::ReportNames;
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_settings::Settings;
 use whinwall_transport::{limits, ConnectionId, RequestError, StreamError, Targets};
@@ -82,7 +82,7 @@
     starts: u64,
     site: Site,
     store: Store,
-    known: Known,
+    known: ReportNames,
     /// The version of the list that it was told.
     told: u64,
     /// How far its clock is ahead of the others'.
@@ -137,7 +137,7 @@
             site,
             store: Store::new(&around.plan, controller),
             around,
-            known: Known::default(),
+            known: ReportNames::default(),
             told: 0,
             ahead: Span::default(),
             reach: Reach::Connected,
@@ -167,7 +167,7 @@
         let seed = (SEED ^ self.controller as u64).wrapping_mul(self.starts);
         let (settings, targets) = (self.settings.clone(), targets(self.site));
         self.reducer = Reducer::start(settings, targets, seed, &List::default(), now);
-        (self.told, self.known) = (0, Known::default());
+        (self.told, self.known) = (0, ReportNames::default());
         (self.news, self.list, self.call) = (None, None, None);
         self.begin(now);
     }
@@ -403,7 +403,7 @@
     /// What the collectors tell in one period, taken apart as a reader does.
     fn load(&mut self, now: Moment) -> Event {
         let plan = self.around.plan.clone();
-        if let Some(known) = self.reducer.known(Some(self.known.changes)) {
+        if let Some(known) = self.reducer.report_names(Some(self.known.version)) {
             self.known = known;
         }
         let window_ms = plan.hollow_report_period.as_secs_f64() * 1e3;
@@ -426,7 +426,7 @@
             window_ms,
             missing: 0,
         });
-        let lines = met.chain(asked).filter_map(|line| self.known.numbered(&line));
+        let lines = met.chain(asked).filter_map(|line| self.known.resolve(&line));
         let reports = lines.map(|what| Report { at: now, line_count: 1.0, body: what }).collect();
         Event::Reports { from: COLLECTOR, reports }
     }
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -20,7 +20,7 @@
 /// Far longer than anything takes: a test that waits so long has failed.
 const PATIENCE: Duration = Duration::from_secs(20);
 /// What the controller logs of a report that can't be used.
-const PASSED_OVER: &str = "a report is passed over";
+const PASSED_OVER: &str = "report ignored";
 const SHORT: Times = Times { warm_up: Duration::from_millis(100), measured: Duration::from_millis(500) };
 
 fn program() -> &'static PathBuf {
