--- a/crates/routing/src/report_stream.rs
+++ b/crates/routing/src/report_stream.rs
@@ -92,7 +92,7 @@
         match self.state {
             State::Flowing => {
                 (self.state, self.interrupted_since) =
-                    (State::Interrupted { is_stale: false }, self.last_or_start())
+                    (State::Interrupted { is_stale: false }, self.last_or_start());
             }
             State::Recovering { is_stale, .. } => self.state = State::Interrupted { is_stale },
             State::Interrupted { .. } => {}
