--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -1,6 +1,6 @@
-//! What operators want, between its book, which knows replicas by name, and the decisions, which know numbers.
+//! Operators' overrides, between their registry, which knows replicas by name, and the policy, which knows ids.
 
-use super::names::Names;
+use super::replica_names::ReplicaNames;
 use whinwall_management_api::ask::Shown;
 use whinwall_overrides::ConfiguredOverride;
 use whinwall_overrides::{ClockReading, Override, OverrideController, OverrideKind, OverrideLimits};
@@ -8,60 +8,66 @@
 use whinwall_policy::time::Moment;
 use whinwall_policy::Policy;
 
-/// What the operators' file says of overrides.
+/// The overrides part of the operators' file.
 #[derive(Clone, Debug)]
 pub struct OverrideConfig {
+    /// The bounds on overrides.
     pub bounds: OverrideLimits,
+    /// The overrides that the file has itself.
     pub orders: Vec<ConfiguredOverride>,
-    /// They are kept on disk, and what is there is told later.
+    /// Whether overrides are stored on disk; those in the store arrive later.
     pub has_store: bool,
 }
 
-pub struct Overrides {
-    pub clerk: OverrideController,
-    /// What the decisions were told last.
-    told: Vec<(OverrideId, OverrideSpec)>,
+/// The overrides in force, and what the policy knows of them.
+pub(crate) struct Overrides {
+    /// Decides on requests for overrides.
+    pub controller: OverrideController,
+    /// What the policy was given last.
+    applied: Vec<(OverrideId, OverrideSpec)>,
 }
 
 impl Overrides {
-    pub fn start(now: Moment, reading: &ClockReading, wanted: &OverrideConfig) -> Self {
-        let limits = wanted.bounds.clone();
-        let clerk = if wanted.has_store {
+    /// No overrides yet.
+    pub fn start(now: Moment, reading: &ClockReading, config: &OverrideConfig) -> Self {
+        let limits = config.bounds.clone();
+        let controller = if config.has_store {
             OverrideController::with_store(now, reading, limits)
         } else {
             OverrideController::in_memory(now, reading, limits)
         };
-        Overrides { clerk, told: Vec::new() }
+        Overrides { controller, applied: Vec::new() }
     }
 
-    /// Tells the decisions what stands, where that, or a replica's number, is other than they know. A replica
-    /// that nobody has a number for is no replica yet.
-    pub fn tell(&mut self, now: Moment, names: &Names, policy: &mut Policy) {
-        self.clerk.take_changed();
-        let wish = |one: &Override| {
-            let replica = names.known(one.kind.replica())?;
-            let wish = match one.kind {
+    /// Gives the policy the overrides in force, where they, or the id of a replica, have changed. A replica without
+    /// an id is none yet.
+    pub fn apply_to_policy(&mut self, now: Moment, names: &ReplicaNames, policy: &mut Policy) {
+        self.controller.take_changed();
+        let spec = |one: &Override| {
+            let replica = names.id(one.kind.replica())?;
+            let spec = match one.kind {
                 OverrideKind::Weight { factor, .. } => OverrideSpec::Weight { replica, factor },
                 OverrideKind::Out { .. } => OverrideSpec::Out { replica },
                 OverrideKind::Pin { first, last, .. } => OverrideSpec::Pin { first, last, replica },
             };
-            Some((one.number, wish))
+            Some((one.number, spec))
         };
-        let wishes: Vec<_> = self.clerk.registry().active().filter_map(wish).collect();
-        if wishes != self.told {
-            policy.set_overrides(now, &wishes);
-            self.told = wishes;
+        let specs: Vec<_> = self.controller.registry().active().filter_map(spec).collect();
+        if specs != self.applied {
+            policy.set_overrides(now, &specs);
+            self.applied = specs;
         }
     }
 
+    /// An override as the management API shows it.
     pub fn shown(&self, policy: &Policy, one: &Override) -> Shown {
         let heeded =
             one.is_active().then(|| policy.override_status(one.number).unwrap_or(OverrideStatus::Absent));
         Shown { one: one.clone(), heeded }
     }
 
-    /// When the clerk is needed, no sooner than it was before.
-    pub fn due(&self) -> Option<Moment> {
-        self.clerk.next_tick_at()
+    /// When the overrides change by the passing of time, no sooner than the last call's answer.
+    pub fn due_at(&self) -> Option<Moment> {
+        self.controller.next_tick_at()
     }
 }
