--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -4,7 +4,7 @@
 use super::overrides::OverrideConfig;
 use super::subset::Fleet;
 use std::net::SocketAddr;
-use whinwall_management_api::ask::{Reply, Request};
+use whinwall_management_api::messages::{Reply, Request};
 use whinwall_overrides::{ClockReading, RequestId, Timeline};
 use whinwall_policy::api::{OverrideId, Report};
 use whinwall_policy::time::Moment;
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -1,7 +1,7 @@
 //! Operators' overrides, between their registry, which knows replicas by name, and the policy, which knows ids.
 
 use super::replica_names::ReplicaNames;
-use whinwall_management_api::ask::Shown;
+use whinwall_management_api::messages::ListedOverride;
 use whinwall_overrides::ConfiguredOverride;
 use whinwall_overrides::{ClockReading, Override, OverrideController, OverrideKind, OverrideLimits};
 use whinwall_policy::api::{OverrideId, OverrideSpec, OverrideStatus};
@@ -60,10 +60,10 @@
     }
 
     /// An override as the management API shows it.
-    pub fn shown(&self, policy: &Policy, one: &Override) -> Shown {
+    pub fn shown(&self, policy: &Policy, one: &Override) -> ListedOverride {
         let heeded =
             one.is_active().then(|| policy.override_status(one.number).unwrap_or(OverrideStatus::Absent));
-        Shown { one: one.clone(), heeded }
+        ListedOverride { entry: one.clone(), status: heeded }
     }
 
     /// When the overrides change by the passing of time, no sooner than the last call's answer.
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -4,7 +4,7 @@
 use crate::events::Effect;
 use crate::overrides::Overrides;
 use crate::subset::Subsets;
-use whinwall_management_api::ask::{Reply, Request, Status};
+use whinwall_management_api::messages::{Reply, Request, Status};
 use whinwall_overrides::{OverrideError, RequestId};
 use whinwall_policy::time::Moment;
 
@@ -16,13 +16,13 @@
                     overrides.controller.handle_request(now, ticket, ask)
                 });
             }
-            (Request::Change(_), None) => Reply::Refused(OverrideError::LimitReached { limit: 0 }),
+            (Request::Change(_), None) => Reply::Rejected(OverrideError::LimitReached { limit: 0 }),
             (Request::List, overrides) => {
                 let list = |overrides: &Overrides| {
                     let listed = overrides.controller.registry().listed();
                     listed.map(|one| overrides.shown(&self.policy, one)).collect()
                 };
-                Reply::Listed { all: overrides.as_ref().map_or_else(Vec::new, list), now }
+                Reply::Listed { overrides: overrides.as_ref().map_or_else(Vec::new, list), now }
             }
             // The program counts; the reducer has no metrics.
             (Request::Metrics, _) => Reply::Metrics(String::new()),
@@ -36,14 +36,14 @@
         let failing = self.failures.iter().map(|(source, count)| (source.status_name(), count));
         Status {
             now,
-            since: self.started,
+            started_at: self.started,
             proxies: self.relay.proxies.len(),
             slices: self.relay.tables.len(),
             replicas: self.names.len(),
-            failing: failing.collect(),
-            orders_open: !self.commands.outbox.is_empty(),
-            standing: registry.map_or(0, |registry| registry.active().count()),
-            listed: registry.map_or(0, |registry| registry.listed().count()),
+            failures: failing.collect(),
+            has_open_commands: !self.commands.outbox.is_empty(),
+            active_overrides: registry.map_or(0, |registry| registry.active().count()),
+            listed_overrides: registry.map_or(0, |registry| registry.listed().count()),
             subsetting: self.subsets.as_ref().map(Subsets::status),
             reports: self.report_freshness(now),
         }
--- a/crates/routing/src/reducer/overrides.rs
+++ b/crates/routing/src/reducer/overrides.rs
@@ -4,7 +4,7 @@
 use crate::events::Effect;
 use crate::log_event::LogEvent;
 use crate::overrides::{OverrideConfig, Overrides};
-use whinwall_management_api::ask::Reply;
+use whinwall_management_api::messages::Reply;
 use whinwall_overrides::{ClockReading, OverrideEffect};
 use whinwall_policy::time::Moment;
 
@@ -49,7 +49,7 @@
                         let one = overrides.controller.registry().get_by_number(number)?;
                         Some(overrides.shown(&self.policy, one))
                     };
-                    Effect::Reply { ticket: request_id, reply: Reply::of(reply, now, shown) }
+                    Effect::Reply { ticket: request_id, reply: Reply::from_change(reply, now, shown) }
                 }
             });
         }
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -6,7 +6,7 @@
 use crate::report_coverage::{Continuity, Counted, ReportCoverage, ReportLine, Subject};
 use crate::report_names::span_from_ms;
 use crate::report_stream::{FreshnessChange, ReportStream};
-use whinwall_management_api::ask::ReportFreshness;
+use whinwall_management_api::messages::ReportFreshness;
 use whinwall_policy::api::{
     DemandReport, EndpointReport, Report, ReportBody, ReportFlow, ReportSubject, SliceId,
 };
