--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -1,31 +1,37 @@
-//! Claims: which of several controllers may fill a replica that they share, and when.
+//! Claims: which of the controllers that share a replica may move slices there by the ordinary path, and when.
+//!
+//! In each epoch exactly one of a replica's controllers holds the claim on it, in rotation. Nothing is exchanged between
+//! processes: all controllers work out the same claims from the replica's stable hash and the time.
 
 use crate::api::SubsetMembership;
 use crate::time::{Moment, Span};
 
-/// How long a claim lasts: orders take up to a second to reach all proxies, and reports up to three to tell of it.
+/// How long a claim lasts: commands take up to a second to reach all proxies, and reports up to three to show their effect
+/// (docs/design/subsets-decisions.md).
 pub const CLAIM_EPOCH: Span = Span::ms(4000);
-/// The least part of an epoch in which the claimant may act, however late reports are.
-pub(crate) const MIN_CLAIM_TIME: Span = Span::ms(1000);
-/// The position that holds the claim on a replica in an epoch.
-pub fn claimant(lot: u64, epoch: u64, controllers: u32) -> u32 {
-    let turn = (u128::from(lot) + u128::from(epoch)) % u128::from(controllers.max(1));
-    turn as u32
+/// The least part of an epoch in which the holder of the claim may act, however late reports are.
+const MIN_CLAIM_TIME: Span = Span::ms(1000);
+
+/// The position, among so many controllers, that holds the claim on a replica in an epoch.
+pub fn claimant(stable_hash: u64, epoch: u64, controllers: u32) -> u32 {
+    let position = (u128::from(stable_hash) + u128::from(epoch)) % u128::from(controllers.max(1));
+    position as u32
 }
 
 impl SubsetMembership {
-    /// Whether this controller holds the claim on the replica at this moment, and may act on it: the epoch's last part,
-    /// as long as reports cover more than a period, is for them to catch up.
-    pub fn is_claimed(self, lot: u64, now: Moment, stretch: Span) -> bool {
+    /// Whether this controller holds the claim on the replica at this moment, and may act on it. `window_excess` is how much
+    /// more than a report period the reports cover: the holder rests for that long at the end of the epoch, so that the
+    /// reports show to the next one what was moved.
+    pub fn is_claimed(self, stable_hash: u64, now: Moment, window_excess: Span) -> bool {
         match self {
             SubsetMembership::Everyone => true,
             SubsetMembership::Others => false,
             SubsetMembership::Subset { controllers: 1, .. } => true,
             SubsetMembership::Subset { controllers, position } => {
                 let epoch = now.count_of(CLAIM_EPOCH);
-                let since = now - Moment::at_ns(epoch * CLAIM_EPOCH.as_ns());
-                claimant(lot, epoch, controllers) == position
-                    && since < (CLAIM_EPOCH - stretch).max(MIN_CLAIM_TIME)
+                let since_start = now - Moment::at_ns(epoch * CLAIM_EPOCH.as_ns());
+                let active_time = (CLAIM_EPOCH - window_excess).max(MIN_CLAIM_TIME);
+                claimant(stable_hash, epoch, controllers) == position && since_start < active_time
             }
         }
     }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,91 +1,134 @@
-//! Sends what differs between desired and applied.
+//! Dispatch: the only place where commands for slices are made, from what differs between desired and applied.
+//!
+//! Guards against commands that nobody needs, and, where a slice has a single writer, against two owners at once: its
+//! requests are held back, and the writes in flight run out, before another owner gets them, as a proxy that learns late
+//! would write to the former one still.
 
 use crate::api::{Action, ReplicaId, SliceId};
+use crate::state::admission::HALTED_REDUCTION;
 use crate::state::controller::ControllerState;
-use crate::state::slice::{Priority, Slice, FULL_WEIGHT, HALTED_REDUCTION};
+use crate::state::pending_slices::Priority;
+use crate::state::routing_table::{Removals, FULL_WEIGHT};
+use crate::state::slice::Slice;
 use crate::time::Moment;
 
+/// What is sent for a slice in one step.
+struct SliceUpdate {
+    slice: SliceId,
+    /// New endpoints go before old ones leave: a table is at no moment empty.
+    endpoints: Vec<(ReplicaId, f64)>,
+    reduction: f64,
+    /// Whether it is a stage of a single writer's change of owner.
+    changes_single_writer: bool,
+}
+
 impl ControllerState {
-    /// Sends one slice's difference, urgent ones first, while there is room, and no more of it than matters
-    /// now: a table without a line gets one, an owner is replaced; levels and who stands by can wait.
+    /// Sends one slice's difference, the most urgent first, while there is room, and no more of it than matters now.
     pub(crate) fn dispatch(&mut self) -> bool {
-        let next = self.pending_slices.iter().find(|(.., n)| self.may_send_table(&self.slices[n]));
-        let Some(&(priority, _, n)) = next else { return false };
-        let slice = &self.slices[&n];
-        // A single writer's requests are held back, and the writes in hand run out, before another owner gets
-        // them: else a proxy that learns late would write to the former one still (rule 2).
-        let single =
-            slice.desired != slice.applied && self.deployment.single_writer && !slice.applied.is_empty();
-        let halts = single && slice.applied_reduction != HALTED_REDUCTION;
-        let cut = match priority {
-            _ if single => HALTED_REDUCTION,
+        let may_be_sent = |(_, id): &(Priority, SliceId)| self.may_send_table(&self.slices[id]);
+        let Some((priority, id)) = self.pending_slices.iter().find(may_be_sent) else { return false };
+        let update = self.next_update(id, priority);
+        let commands = self.commands_for(&update);
+        if !self.has_channel_room(commands.len() as f64, priority) {
+            return false;
+        }
+        self.record_sent(&update, commands.len());
+        self.actions.extend(commands);
+        self.mark_rest_pending(id, priority, update.changes_single_writer);
+        true
+    }
+
+    /// What of a slice's difference matters now: a table without an endpoint gets one, an owner is replaced; admission rates
+    /// and standbys can wait.
+    fn next_update(&self, id: SliceId, priority: Priority) -> SliceUpdate {
+        let slice = &self.slices[&id];
+        let table = &slice.table;
+        let changes_single_writer =
+            !table.is_applied() && self.deployment.single_writer && !table.applied.is_empty();
+        let reduction = match priority {
+            _ if changes_single_writer => HALTED_REDUCTION,
             Priority::NoEndpoint | Priority::Urgent => slice.applied_reduction,
-            _ => slice.reduction,
+            Priority::Calm | Priority::Standby => slice.reduction,
         };
+        let was_owner = |id: &ReplicaId| table.applied.get(id).is_some_and(|weight| *weight >= FULL_WEIGHT);
         let matters = |(id, weight): &(ReplicaId, f64)| match priority {
             Priority::NoEndpoint => *weight >= FULL_WEIGHT,
-            Priority::Urgent => {
-                *weight >= FULL_WEIGHT || slice.applied.get(id).is_some_and(|held| *held >= FULL_WEIGHT)
-            }
-            _ => true,
+            Priority::Urgent => *weight >= FULL_WEIGHT || was_owner(id),
+            Priority::Calm | Priority::Standby => true,
         };
-        // New lines go before old ones leave: a table is at no moment empty (rule 1).
-        let mut lines = slice.diff(!self.deployment.single_writer);
-        lines.retain(|line| !halts && matters(line));
-        let line =
-            |(replica, weight): &(_, _)| Action::SetEndpoint { slice: n, replica: *replica, weight: *weight };
-        let mut orders: Vec<_> = lines.iter().map(line).collect();
-        orders.extend(self.admission_commands(n, slice.applied_reduction, cut));
-        if !self.has_channel_room(orders.len() as f64, priority) {
-            return false;
-        }
-        self.record_sent(n, cut, &lines, orders.len() as f64);
-        self.actions.extend(orders);
-        let slice = &self.slices[&n];
-        match priority {
-            _ if slice.is_fully_applied() => {}
-            _ if single => self.mark_pending(n, priority.max(Priority::Urgent)),
-            Priority::NoEndpoint => self.mark_pending(n, Priority::Urgent),
-            _ if slice.reduction == slice.applied_reduction => self.mark_pending(n, Priority::Standby),
-            _ => self.mark_pending(n, Priority::Calm),
+        let must_halt_first = changes_single_writer && slice.applied_reduction != HALTED_REDUCTION;
+        let endpoints = if must_halt_first {
+            Vec::new()
+        } else {
+            table.diff(self.removals()).into_iter().filter(matters).collect()
+        };
+        SliceUpdate { slice: id, endpoints, reduction, changes_single_writer }
+    }
+
+    fn removals(&self) -> Removals {
+        if self.deployment.single_writer {
+            Removals::Implied
+        } else {
+            Removals::Listed
         }
-        true
     }
 
-    /// Where a slice has one writer, each stage of a change of owner waits for the one before: acks of all who are
-    /// joined, the time that those may go on who parted from us or its former controller, and a write's life.
-    pub(crate) fn may_send_table(&self, s: &Slice) -> bool {
-        let calm = || {
-            self.now - self.last_proxy_left_at.max(s.granted_at)
-                >= self.deployment.tenure + self.deployment.write_lifetime
+    fn commands_for(&self, update: &SliceUpdate) -> Vec<Action> {
+        let slice = update.slice;
+        let set_endpoint = |(replica, weight): &(ReplicaId, f64)| Action::SetEndpoint {
+            slice,
+            replica: *replica,
+            weight: *weight,
         };
-        let done = |at: Moment| self.now - at >= self.deployment.write_lifetime;
-        !self.deployment.single_writer
-            || s.applied_reduction != HALTED_REDUCTION
-            || (s.awaited_version.is_none() && calm() && s.halted_at.is_none_or(done))
+        let mut commands: Vec<_> = update.endpoints.iter().map(set_endpoint).collect();
+        let applied_reduction = self.slices[&slice].applied_reduction;
+        commands.extend(self.admission_commands(slice, applied_reduction, update.reduction));
+        commands
     }
 
-    /// Notes what went out in this reply for a slice: lines of its table and its cut. Without lines a change
-    /// of owner has only begun.
-    pub(crate) fn record_sent(&mut self, n: SliceId, cut: f64, lines: &[(ReplicaId, f64)], orders: f64) {
-        let version = (orders > 0.0).then(|| self.add_lines(orders));
-        self.clear_pending(n);
-        let now = self.now;
-        let Some(slice) = self.slices.get_mut(&n) else { return };
-        let halts = slice.applied_reduction != cut && lines.is_empty();
-        slice.halted_at = if halts { Some(now) } else { slice.halted_at };
-        slice.applied_reduction = cut;
-        if let Some(sent) =
-            version.filter(|_| slice.desired != slice.applied).and_then(|m| self.channel.sent.get_mut(&m))
-        {
+    /// Notes what went out in this reply for a slice. Without endpoints a single writer's change of owner has only begun.
+    fn record_sent(&mut self, update: &SliceUpdate, command_count: usize) {
+        let version = (command_count > 0).then(|| self.add_lines(command_count as f64));
+        self.pending_slices.clear(update.slice);
+        let removals = self.removals();
+        let Some(slice) = self.slices.get_mut(&update.slice) else { return };
+        if slice.applied_reduction != update.reduction && update.endpoints.is_empty() {
+            slice.halted_at = Some(self.now);
+        }
+        slice.applied_reduction = update.reduction;
+        let changes_table = !slice.table.is_applied();
+        let message = version.filter(|_| changes_table).and_then(|sent| self.channel.sent.get_mut(&sent));
+        if let Some(message) = message {
             slice.awaited_version = version;
-            sent.waiting_slices.push(n);
+            message.waiting_slices.push(update.slice);
+        }
+        self.change_table(update.slice, |table| table.record_applied(&update.endpoints, removals));
+    }
+
+    /// What of the slice's difference is left is sent later.
+    fn mark_rest_pending(&mut self, id: SliceId, priority: Priority, changes_single_writer: bool) {
+        let slice = &self.slices[&id];
+        let rest = match priority {
+            _ if slice.is_fully_applied() => return,
+            _ if changes_single_writer => priority.max(Priority::Urgent),
+            Priority::NoEndpoint => Priority::Urgent,
+            _ if slice.reduction == slice.applied_reduction => Priority::Standby,
+            _ => Priority::Calm,
+        };
+        self.mark_pending(id, rest);
+    }
+
+    /// Where a slice has a single writer, each stage of a change of owner waits for the one before: acknowledgements of all
+    /// connected proxies, the time that those may go on which left this controller or the slice's former one, and the
+    /// lifetime of a write.
+    fn may_send_table(&self, slice: &Slice) -> bool {
+        if !self.deployment.single_writer || slice.applied_reduction != HALTED_REDUCTION {
+            return true;
         }
-        let single = self.deployment.single_writer && !lines.is_empty();
-        self.change_table(n, |slice| {
-            slice.applied.retain(|_, _| !single);
-            slice.applied.extend(lines.iter().copied());
-            slice.applied.retain(|_, weight| *weight > 0.0);
-        });
+        let write_lifetime = self.deployment.write_lifetime;
+        let left_at = self.proxies.last_left_at.max(slice.granted_at);
+        let absent_proxies_stopped = self.now - left_at >= self.deployment.tenure + write_lifetime;
+        let writes_ended = |halted_at: Moment| self.now - halted_at >= write_lifetime;
+        slice.awaited_version.is_none() && absent_proxies_stopped && slice.halted_at.is_none_or(writes_ended)
     }
 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,18 +1,19 @@
 //! How events are taken into the state. Nothing is decided here: the rules run afterwards.
 
 use crate::api::{
-    DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, OverrideStatus, ProxyId, ProxyTables,
-    ReplicaId, ReplicaListing, Report, ReportBody, ReportFlow, ReportSubject, SliceId, SubsetMembership,
+    DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, ProxyId, ProxyTables, ReplicaId,
+    ReplicaListing, Report, ReportBody, ReportFlow, ReportSubject, SliceId, SubsetMembership,
 };
 use crate::measure::load_estimates::RECENT_WINDOW;
 use crate::rules::recovery::REPEAT_WITHDRAWAL_GRACE_SHARE;
-use crate::state::controller::{ControllerState, OverrideEntry};
-use crate::state::pins::SlicePins;
+use crate::state::admission::UNKNOWN_REDUCTION;
+use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
+use crate::state::routing_table::RoutingTable;
 use crate::state::schedule::ROUND;
-use crate::state::slice::{Priority, Slice, UNKNOWN_REDUCTION};
+use crate::state::slice::Slice;
 use crate::time::{Moment, Span};
-use std::collections::BTreeSet;
-use std::mem::{replace, take};
+use std::mem::replace;
 
 /// Timers, the replica list and the operators' overrides.
 impl ControllerState {
@@ -43,23 +44,8 @@
     }
 
     pub(crate) fn record_overrides(&mut self, overrides: &[(OverrideId, OverrideSpec)]) {
-        let mut former = take(&mut self.overrides);
-        self.pins = SlicePins::default();
-        for (id, spec) in overrides {
-            if let OverrideSpec::Pin { first, last, replica } = *spec {
-                self.pins.insert(first, last, (replica, *id));
-            }
-            let unchanged = former.remove(id).filter(|known| known.spec == *spec);
-            let new = || OverrideEntry { spec: *spec, status: OverrideStatus::Absent, suspended_at: None };
-            self.overrides.insert(*id, unchanged.unwrap_or_else(new));
-        }
-        let out_of_service: BTreeSet<_> = overrides
-            .iter()
-            .filter_map(|(_, spec)| match spec {
-                OverrideSpec::Out { replica } => Some(*replica),
-                _ => None,
-            })
-            .collect();
+        self.operator_overrides.replace(overrides);
+        let out_of_service = self.operator_overrides.replicas_out_of_service();
         for (id, replica) in &mut self.replicas {
             replica.out_of_service &= out_of_service.contains(id);
             replica.weight_factor = 1.0;
@@ -75,10 +61,10 @@
     /// applied before it left it still holds, unless its tables are empty.
     pub(crate) fn record_proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
         self.channel.proxies.insert(proxy);
-        let applied_until = self.applied_until.get(&proxy).copied();
+        let applied_until = self.proxies.applied_until.get(&proxy).copied();
         let is_empty = tables == ProxyTables::Empty;
         let holds_until = if is_empty { Moment::default() } else { applied_until.unwrap_or_default() };
-        self.applied_until.insert(proxy, holds_until);
+        self.proxies.applied_until.insert(proxy, holds_until);
         let may_hold_former = self.may_have_former_withdrawals() && !is_empty;
         let mut missed = Vec::new();
         for (id, replica) in &self.replicas {
@@ -90,23 +76,23 @@
                 && !replica.withdrawn
                 && (applied_until.is_none() || has_missed_reinstatement)
             {
-                self.pending_reinstatements.insert(*id);
+                self.withdrawals.reinstatements.insert(*id);
             }
         }
         let repeat_at = now + self.deployment.drain_grace.times(REPEAT_WITHDRAWAL_GRACE_SHARE);
-        missed.into_iter().for_each(|id| self.schedule_withdrawal(id, repeat_at));
+        missed.into_iter().for_each(|id| self.withdrawals.schedule(id, repeat_at));
         let reinstate_at = now + self.deployment.report_period;
         self.deadlines.reinstatement = self.deadlines.reinstatement.or(Some(reinstate_at));
     }
 
     pub(crate) fn record_proxy_left(&mut self, now: Moment, proxy: ProxyId) {
         self.channel.remove_proxy(proxy);
-        self.last_proxy_left_at = now;
+        self.proxies.last_left_at = now;
     }
 
     pub(crate) fn record_ack(&mut self, now: Moment, proxy: ProxyId, version: u16) {
         let sent_at = self.channel.record_ack(now, proxy, version);
-        if let (Some(sent_at), Some(applied_until)) = (sent_at, self.applied_until.get_mut(&proxy)) {
+        if let (Some(sent_at), Some(applied_until)) = (sent_at, self.proxies.applied_until.get_mut(&proxy)) {
             *applied_until = sent_at.max(*applied_until);
         }
     }
@@ -116,9 +102,10 @@
         self.change_table(id, |_| {});
         // Proxies that joined while no table of ours named it have not been sent its withdrawal.
         let is_withdrawn = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| replica.withdrawn);
-        let stays_withdrawn = |id: &ReplicaId| is_withdrawn(id) && !self.pending_reinstatements.contains(id);
+        let stays_withdrawn =
+            |id: &ReplicaId| is_withdrawn(id) && !self.withdrawals.reinstatements.contains(id);
         let withdrawn: Vec<_> = table.iter().map(|(id, _)| *id).filter(stays_withdrawn).collect();
-        withdrawn.into_iter().for_each(|id| self.schedule_withdrawal(id, now));
+        withdrawn.into_iter().for_each(|id| self.withdrawals.schedule(id, now));
         self.fleet_changed = true;
     }
 
@@ -130,8 +117,8 @@
     }
 
     pub(crate) fn remove_slice(&mut self, id: SliceId) {
-        self.clear_pending(id);
-        self.change_table(id, |slice| (slice.desired, slice.applied) = Default::default());
+        self.pending_slices.clear(id);
+        self.change_table(id, |table| *table = RoutingTable::default());
         self.slices.remove(&id);
     }
 }
@@ -151,8 +138,8 @@
                 }
             };
             if window > Span::default() {
-                self.report_seconds.add(*at, window.seconds() * line_count);
-                self.report_lines.add(*at, *line_count);
+                self.reporting.covered_seconds.add(*at, window.seconds() * line_count);
+                self.reporting.lines.add(*at, *line_count);
             }
         }
     }
@@ -161,29 +148,29 @@
         if let Some(replica) = self.replicas.get_mut(&id) {
             let link = (report.zone, replica.zone);
             // What the link adds is no fault of the replica: else a slow link would look like an overloaded zone.
-            let delay = self.link_delays.get(&link).copied().unwrap_or(0.0);
+            let delay = self.links.delays.get(&link).copied().unwrap_or(0.0);
             replica.shared.report_window = report.window;
-            replica.record_report(at, report, latest_latency, delay);
-            self.link_latencies.entry(link).or_default().record(at, report);
+            replica.reports.record(at, report, latest_latency, delay);
+            self.links.latencies.entry(link).or_default().record(at, report);
         }
     }
 
     fn record_demand(&mut self, at: Moment, id: SliceId, report: &DemandReport) {
         let slice_reduction = self.slices.get(&id).map_or(0.0, |slice| slice.applied_reduction);
-        let reduction = slice_reduction.max(self.applied_global_reduction.unwrap_or(0.0));
+        let reduction = slice_reduction.max(self.global_admission.applied.unwrap_or(0.0));
         let admitted = report.requests * self.admission_rate(reduction, report.request_class);
         let has_stood = self.slices.get(&id).is_some_and(|slice| self.has_stood(slice));
-        if let Some((class_admitted, class_failed)) = self.class_outcomes.get_mut(report.request_class) {
-            class_admitted.spread(at, report.window, admitted);
-            class_failed.spread(at, report.window, report.failed);
+        if let Some(class) = self.class_outcomes.get_mut(report.request_class) {
+            class.admitted.spread(at, report.window, admitted);
+            class.failed.spread(at, report.window, report.failed);
         }
         let Some(slice) = self.slices.get_mut(&id) else { return };
         slice.admitted.spread(at, report.window, admitted);
         slice.failed.spread(at, report.window, report.failed);
         // Requests are expected at a replica only where all proxies have known its endpoint for a while.
-        for (replica, share) in slice.request_shares().filter(|_| has_stood) {
+        for (replica, share) in slice.table.request_shares().filter(|_| has_stood) {
             if let Some(replica) = self.replicas.get_mut(&replica) {
-                replica.expected.spread(at, report.window, admitted * share);
+                replica.reports.expected.spread(at, report.window, admitted * share);
             }
         }
     }
@@ -191,27 +178,28 @@
     /// Where reports were or are interrupted, rounds outside the band are counted anew: those before rest on what was
     /// known then.
     pub(crate) fn record_report_flow(&mut self, now: Moment, flow: ReportFlow) {
-        let former = replace(&mut self.report_flow, flow);
+        let former = replace(&mut self.reporting.flow, flow);
         if former != flow && [former, flow].contains(&ReportFlow::Interrupted) {
             self.replicas.values_mut().for_each(|replica| replica.rounds_outside_band = 0);
             (self.pending_work.rebalancing, self.pending_work.load_shedding) = (false, false);
             self.deadlines.round = now + ROUND;
         }
         if matches!(flow, ReportFlow::Aggregated { .. }) {
-            self.report_lag = self.measure_report_lag(RECENT_WINDOW);
+            self.reporting.lag = self.measure_report_lag(RECENT_WINDOW);
         }
     }
 
     pub(crate) fn record_incomplete_report(&mut self, now: Moment, subject: ReportSubject) {
         let replicas: Vec<_> = match subject {
             ReportSubject::Replica(id) => vec![id],
-            ReportSubject::Slice(id) => {
-                self.slices.get(&id).map_or_else(Vec::new, |slice| slice.desired.keys().copied().collect())
-            }
+            ReportSubject::Slice(id) => self
+                .slices
+                .get(&id)
+                .map_or_else(Vec::new, |slice| slice.table.desired.keys().copied().collect()),
         };
         for id in replicas {
             if let Some(replica) = self.replicas.get_mut(&id) {
-                replica.incomplete_at = Some(now);
+                replica.reports.incomplete_at = Some(now);
             }
         }
     }
@@ -220,7 +208,7 @@
         match subject {
             ReportSubject::Replica(id) => {
                 if let Some(replica) = self.replicas.get_mut(&id) {
-                    replica.observed_since = since;
+                    replica.reports.observed_since = since;
                 }
             }
             ReportSubject::Slice(id) => {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -295,6 +295,6 @@
 
     /// Whether an override is in force, and if not, why.
     pub fn override_status(&self, id: OverrideId) -> Option<OverrideStatus> {
-        self.state.overrides.get(&id).map(|entry| entry.status)
+        self.state.operator_overrides.entries.get(&id).map(|entry| entry.status)
     }
 }
--- a/crates/policy/src/measure/fleet_averages.rs
+++ b/crates/policy/src/measure/fleet_averages.rs
@@ -1,70 +1,80 @@
-//! Averages over the fleet.
+//! Averages over the fleet: AvgL of DDMC and what goes with it.
 
-use crate::state::averages::FleetAverages;
+use crate::measure::load_estimates::LOAD_WINDOW;
 use crate::state::controller::ControllerState;
+use crate::state::fleet_averages::FleetAverages;
 use crate::state::replica::Replica;
-use crate::time::Span;
 
-pub(crate) const BAND_HALF_WIDTH: f64 = 0.35;
+/// phi of DDMC, as a share of AvgL (docs/design.md: at the paper's 0.1 most moves chase noise).
+const BAND_HALF_WIDTH: f64 = 0.35;
+/// The least sum of capacities that is divided by.
+const MIN_CAPACITY: f64 = 0.01;
 
 impl ControllerState {
-    /// How much more all controllers carry than this one, as far as slices tell; where replicas are shared, what all
-    /// bring is known.
+    /// How many times as many slices all controllers have as this one, at least 1; 1 where replicas are shared, as what all
+    /// controllers bring is known there.
     pub(crate) fn fleet_multiple(&self) -> f64 {
-        match self.sharing.is_active {
-            true => 1.0,
-            false => (f64::from(self.deployment.slice_count) / self.slices.len().max(1) as f64).max(1.0),
+        if self.sharing.is_active {
+            return 1.0;
         }
+        let own_slices = self.slices.len().max(1) as f64;
+        (f64::from(self.deployment.slice_count) / own_slices).max(1.0)
     }
 
-    /// AvgL and what goes with it, over the replicas that are counted.
-    pub(crate) fn fleet_averages(
-        &self,
-        band: f64,
-        long: Span,
-        is_counted: impl Fn(&Replica) -> bool,
-    ) -> FleetAverages {
-        let counted = || self.replicas.values().filter(|s| is_counted(s));
-        let power = counted().map(|s| s.effective_capacity).sum::<f64>().max(0.01);
-        let load: f64 = self.slices.values().map(|s| s.load).sum();
-        let burst: f64 = self.slices.values().map(|s| s.burst_load).sum();
-        // What was seen of replicas is no less for what operators count them for, nor for cold ones beside them
-        // that are sent little.
-        let some_warm = counted().any(|s| !self.is_cold(s));
-        let sure = || counted().filter(|s| !some_warm || !self.is_cold(s));
-        let able = sure().map(|s| s.service_rate).sum::<f64>().max(0.01);
-        let carried: f64 = sure().map(|s| s.load).sum();
-        let answered: f64 = sure()
-            .map(|s| self.request_rate(&s.succeeded, long, self.started_at.max(s.observed_since)))
-            .sum();
-        let average = load / power;
-        let own = FleetAverages {
-            utilization: average,
-            band_half_width: band * average * self.fleet_multiple().sqrt(),
-            proven_service_rate: carried.min(answered) / able,
-            burst_ratio: burst / load.max(0.01),
-            even_burst_load: burst / self.replicas.len().max(1) as f64,
+    /// The averages over the usable replicas that are not another controller's alone.
+    pub(crate) fn measure_fleet_averages(&self) -> FleetAverages {
+        let counted = || self.replicas.values().filter(|replica| self.is_averaged(replica));
+        let capacity = counted().map(|replica| replica.effective_capacity).sum::<f64>().max(MIN_CAPACITY);
+        let load: f64 = self.slices.values().map(|slice| slice.load).sum();
+        let burst_load: f64 = self.slices.values().map(|slice| slice.burst_load).sum();
+        let utilization = load / capacity;
+        let averages = FleetAverages {
+            utilization,
+            band_half_width: BAND_HALF_WIDTH * utilization * self.fleet_multiple().sqrt(),
+            proven_service_rate: self.measure_proven_service_rate(),
+            burst_ratio: burst_load / load.max(0.01),
+            even_burst_load: burst_load / self.replicas.len().max(1) as f64,
         };
-        self.subset_averages(own, band, &is_counted)
+        if self.sharing.is_active {
+            self.subset_averages(averages)
+        } else {
+            averages
+        }
+    }
+
+    fn is_averaged(&self, replica: &Replica) -> bool {
+        self.is_usable(replica) && replica.ownership > 0.0
+    }
+
+    /// What a unit of service rate was seen to answer. It is no less for what operators count replicas for, nor for cold
+    /// ones that are sent little beside warm ones.
+    fn measure_proven_service_rate(&self) -> f64 {
+        let counted = || self.replicas.values().filter(|replica| self.is_averaged(replica));
+        let some_are_warm = counted().any(|replica| !self.is_warming_up(replica));
+        let proven = || counted().filter(|replica| !some_are_warm || !self.is_warming_up(replica));
+        let service_rate = proven().map(|replica| replica.service_rate).sum::<f64>().max(MIN_CAPACITY);
+        let load: f64 = proven().map(|replica| replica.load).sum();
+        let succeeded_rate = |replica: &Replica| {
+            let since = self.started_at.max(replica.reports.observed_since);
+            self.request_rate(&replica.reports.succeeded, LOAD_WINDOW, since)
+        };
+        let succeeded: f64 = proven().map(succeeded_rate).sum();
+        load.min(succeeded) / service_rate
     }
 
-    /// Averages over the replicas of the subset that are counted: what comes to all of them, also to those that
-    /// must be left, has to find its place on these.
-    pub(crate) fn subset_averages(
-        &self,
-        own: FleetAverages,
-        band: f64,
-        counted: impl Fn(&Replica) -> bool,
-    ) -> FleetAverages {
-        if !self.sharing.is_active {
-            return own;
+    /// Averages over the replicas of the subset: the load of all of them, also of those that must be left, has to find its
+    /// place on the ones that are averaged.
+    fn subset_averages(&self, own: FleetAverages) -> FleetAverages {
+        let ours = || self.replicas.values().filter(|replica| !replica.is_steered_by_others());
+        let counted = || ours().filter(|replica| self.is_averaged(replica));
+        let load: f64 = ours().map(|replica| replica.load).sum();
+        let capacity = counted().map(|replica| replica.effective_capacity).sum::<f64>().max(MIN_CAPACITY);
+        let utilization = load / capacity;
+        FleetAverages {
+            utilization,
+            band_half_width: BAND_HALF_WIDTH * utilization,
+            even_burst_load: load * own.burst_ratio / counted().count().max(1) as f64,
+            ..own
         }
-        let ours = || self.replicas.values().filter(|s| !s.is_steered_by_others());
-        let counted = || ours().filter(|s| counted(s));
-        let load: f64 = ours().map(|s| s.load).sum();
-        let power = counted().map(|s| s.effective_capacity).sum::<f64>().max(0.01);
-        let average = load / power;
-        let even = load * own.burst_ratio / counted().count().max(1) as f64;
-        FleetAverages { utilization: average, band_half_width: band * average, even_burst_load: even, ..own }
     }
 }
--- /dev/null
+++ b/crates/policy/src/measure/rankings.rs
@@ -0,0 +1,57 @@
+//! The orders in which replicas are looked through for one that may take a slice.
+
+use crate::api::ReplicaId;
+use crate::state::controller::ControllerState;
+use crate::state::ranking::Rankings;
+use crate::state::replica::Replica;
+
+/// Keeps draws apart from replicas without headroom, in requests a second.
+const MIN_HEADROOM: f64 = 1e-6;
+
+impl ControllerState {
+    /// Ranks a replica by its present figures; one that may take no slice is not ranked.
+    pub(crate) fn update_rank(&mut self, id: ReplicaId) {
+        let Some(replica) = self.rankable(id) else { return };
+        let standby_load = replica.standby_count / replica.effective_capacity;
+        let tie_breaker = self.random.draw();
+        let Some(replica) = self.replicas.get(&id) else { return };
+        let headroom_rank = self.headroom_rank(replica, tie_breaker);
+        let utilization_rank = self.utilization_rank(replica, tie_breaker);
+        self.rankings.by_headroom.insert(id, headroom_rank, tie_breaker);
+        self.rankings.by_utilization.insert(id, utilization_rank, tie_breaker);
+        self.rankings.by_standby_load.insert(id, standby_load, tie_breaker);
+    }
+
+    /// Ranks all replicas anew.
+    pub(crate) fn rebuild_rankings(&mut self) {
+        self.rankings = Rankings::default();
+        let ids: Vec<_> = self.replicas.keys().copied().collect();
+        ids.into_iter().for_each(|id| self.update_rank(id));
+    }
+
+    fn rankable(&self, id: ReplicaId) -> Option<&Replica> {
+        let replica = self.replicas.get(&id)?;
+        (replica.ownership > 0.0 && self.is_usable(replica)).then_some(replica)
+    }
+
+    /// The order by headroom: where replicas are shared, claimed ones below the average first, by headroom; then the others
+    /// by a draw in proportion to their headroom, so that controllers which evacuate at once spread.
+    fn headroom_rank(&self, replica: &Replica, tie_breaker: f64) -> f64 {
+        let headroom = self.averages.headroom(replica);
+        let is_claimed_and_light =
+            || self.holds_claim(replica) && replica.utilization() < self.averages.utilization;
+        if !self.sharing.is_active || is_claimed_and_light() {
+            return -headroom;
+        }
+        -(1.0 - tie_breaker).ln() / headroom.max(MIN_HEADROOM)
+    }
+
+    /// The order by utilization: where replicas are shared, a draw among those that differ by less than the band.
+    fn utilization_rank(&self, replica: &Replica, tie_breaker: f64) -> f64 {
+        if self.sharing.is_active {
+            replica.utilization() + self.averages.band_half_width * tie_breaker
+        } else {
+            replica.utilization()
+        }
+    }
+}
--- a/crates/policy/src/measure/shared_load.rs
+++ b/crates/policy/src/measure/shared_load.rs
@@ -1,85 +1,99 @@
-//! What other controllers bring to shared replicas.
+//! What other controllers bring to the replicas that they share with this one.
+//!
+//! A replica's load is what all proxies report for it. Reports lag, so a controller replaces its own part of what was
+//! reported by what its own slices bring now.
 
 use crate::api::SubsetMembership;
+use crate::measure::load_estimates::RETRIED_SHARE_OF_FAILURES;
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
 use crate::state::shared_load::{SAMPLE_BUCKET, SAMPLE_BUCKETS};
 use crate::time::{Moment, Span};
+use std::mem::replace;
 
-/// What other controllers bring is averaged over this time; where more came within the shorter time, that counts.
-pub(crate) const OTHERS_WINDOW: Span = Span::ms(3000);
-pub(crate) const OTHERS_BURST_WINDOW: Span = Span::ms(1000);
+/// What other controllers bring is averaged over this window.
+const OTHERS_WINDOW: Span = Span::ms(3000);
+/// Where more came within this shorter window, that counts as their demand.
+const OTHERS_BURST_WINDOW: Span = Span::ms(1000);
 /// A replica of which no report has come for so long, while others' came, gets nothing. Where no reports come at all, what
 /// came last stands.
-pub(crate) const MAX_REPORT_SILENCE: Span = Span::ms(4000);
-pub(crate) const DRAW_PERIOD: Span = Span::ms(1000);
-
-impl Replica {
-    /// What other controllers brought a second within this time.
-    pub(crate) fn others_rate(&self, end: Moment, over: Span) -> f64 {
-        let residue = self.attempts.sum(end, over) - self.shared.own_requests.sum(end, over);
-        residue.max(0.0) / over.seconds()
-    }
-}
+const MAX_REPORT_SILENCE: Span = Span::ms(4000);
+/// The period of random draws.
+const DRAW_PERIOD: Span = Span::ms(1000);
 
 impl ControllerState {
-    /// Adds to each replica's load what other controllers' slices bring. Does nothing where all is everyone's.
-    pub(crate) fn add_others_load(&mut self, repeated: f64) {
-        self.sharing.is_active = self.replicas.values().any(|s| s.subset != SubsetMembership::Everyone);
+    /// Adds to each replica's load what other controllers' slices bring. Does nothing where all replicas are everyone's.
+    pub(crate) fn add_others_load(&mut self) {
+        let is_shared = |replica: &Replica| replica.subset != SubsetMembership::Everyone;
+        self.sharing.is_active = self.replicas.values().any(is_shared);
         if !self.sharing.is_active {
             return;
         }
         self.draw_for_round();
         self.sample_own_load();
-        let windows =
-            self.replicas.values().filter(|s| !s.is_steered_by_others()).map(|s| s.shared.report_window);
-        self.sharing.window_excess = windows.max().unwrap_or_default() - self.deployment.report_period;
+        self.refresh_window_excess();
         let now = self.now;
-        let newest = self.replicas.values().map(|s| s.attempts.newest()).max().unwrap_or_default();
-        // Aggregated reports may have longer windows than that.
-        let oldest = newest - MAX_REPORT_SILENCE.max(self.report_lag + self.deployment.report_period);
-        // Nobody else brings anything to a replica that this controller steers alone.
-        let is_shared =
-            |s: &&mut Replica| !matches!(s.subset, SubsetMembership::Subset { controllers: 1, .. });
-        for s in self.replicas.values_mut().filter(is_shared) {
-            let end = s.attempts.newest().max(oldest).min(now) - SAMPLE_BUCKET;
-            s.shared.others_demand =
-                s.others_rate(end, OTHERS_WINDOW).max(s.others_rate(end, OTHERS_BURST_WINDOW));
-            s.shared.others_load =
-                s.others_rate(end, OTHERS_WINDOW) * (1.0 - repeated * s.recent.failed_share());
-            s.demand += s.shared.others_demand;
-            s.load += s.shared.others_load;
+        let newest = self.replicas.values().map(|replica| replica.reports.attempts.newest()).max();
+        // Aggregated reports may have longer windows than the silence that is allowed.
+        let allowed_silence = MAX_REPORT_SILENCE.max(self.reporting.lag + self.deployment.report_period);
+        let oldest = newest.unwrap_or_default() - allowed_silence;
+        for replica in self.replicas.values_mut() {
+            // Nobody else brings anything to a replica that this controller steers alone.
+            if matches!(replica.subset, SubsetMembership::Subset { controllers: 1, .. }) {
+                continue;
+            }
+            let end = replica.reports.attempts.newest().max(oldest).min(now) - SAMPLE_BUCKET;
+            let rate = others_rate(replica, end, OTHERS_WINDOW);
+            let retried = RETRIED_SHARE_OF_FAILURES * replica.recent.failed_share();
+            replica.shared.others_demand = rate.max(others_rate(replica, end, OTHERS_BURST_WINDOW));
+            replica.shared.others_load = rate * (1.0 - retried);
+            replica.demand += replica.shared.others_demand;
+            replica.load += replica.shared.others_load;
         }
     }
 
-    pub(crate) fn draw_for_round(&mut self) {
+    fn refresh_window_excess(&mut self) {
+        let ours = self.replicas.values().filter(|replica| !replica.is_steered_by_others());
+        let longest_window = ours.map(|replica| replica.shared.report_window).max().unwrap_or_default();
+        self.sharing.window_excess = longest_window - self.deployment.report_period;
+    }
+
+    fn draw_for_round(&mut self) {
         let round = self.now.count_of(DRAW_PERIOD);
-        if std::mem::replace(&mut self.sharing.drawn_round, round) != round {
-            let random = &mut self.random;
-            self.replicas.values_mut().for_each(|s| s.shared.round_draw = random.draw());
+        if replace(&mut self.sharing.drawn_round, round) != round {
+            for replica in self.replicas.values_mut() {
+                replica.shared.round_draw = self.random.draw();
+            }
         }
     }
 
-    /// Notes what our slices have brought, by the tables that proxies were told, since the last time.
-    pub(crate) fn sample_own_load(&mut self) {
+    /// Notes what this controller's slices have brought since the last time, by the tables that proxies were sent.
+    fn sample_own_load(&mut self) {
         let now = self.now;
         // Before the first sample, and while reports were interrupted, tables were what they are now.
         let longest = SAMPLE_BUCKET.times(SAMPLE_BUCKETS as f64);
-        let elapsed =
-            self.sharing.sampled_at.replace(now).map_or(longest, |since| (now - since).min(longest));
+        let sampled_at = self.sharing.sampled_at.replace(now);
+        let elapsed = sampled_at.map_or(longest, |since| (now - since).min(longest));
         for slice in self.slices.values() {
-            let whole: f64 = slice.applied.values().sum();
-            for (id, weight) in &slice.applied {
-                if let Some(s) = self.replicas.get_mut(id) {
-                    let amount = slice.demand * elapsed.seconds() * weight / whole;
-                    s.shared.own_requests.spread(now, elapsed, amount);
+            let total_weight: f64 = slice.table.applied.values().sum();
+            for (id, weight) in &slice.table.applied {
+                if let Some(replica) = self.replicas.get_mut(id) {
+                    let requests = slice.demand * elapsed.seconds() * weight / total_weight;
+                    replica.shared.own_requests.spread(now, elapsed, requests);
                 }
             }
         }
     }
 
-    /// Whether this controller may move slices to a replica of its own accord.
-    pub(crate) fn holds_claim(&self, s: &Replica) -> bool {
-        s.subset.is_claimed(s.stable_hash, self.now, self.sharing.window_excess)
+    /// Whether this controller may move slices to a replica by the ordinary path.
+    pub(crate) fn holds_claim(&self, replica: &Replica) -> bool {
+        replica.subset.is_claimed(replica.stable_hash, self.now, self.sharing.window_excess)
     }
 }
+
+/// Requests a second that other controllers brought to a replica within a window.
+fn others_rate(replica: &Replica, end: Moment, window: Span) -> f64 {
+    let reported = replica.reports.attempts.sum(end, window);
+    let own = replica.shared.own_requests.sum(end, window);
+    (reported - own).max(0.0) / window.seconds()
+}
--- a/crates/policy/src/measure/table_changes.rs
+++ b/crates/policy/src/measure/table_changes.rs
@@ -1,65 +1,86 @@
-//! Changes of routing tables, and of the load estimates with them.
+//! Changes of desired tables, which correct the load estimates of the replicas concerned.
 
 use crate::api::{ReplicaId, SliceId};
 use crate::state::controller::ControllerState;
-use crate::state::slice::{Priority, Slice};
+use crate::state::pending_slices::Priority;
+use crate::state::routing_table::RoutingTable;
+
+/// Whether a slice's load is taken from its replicas or put on them.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum LoadChange {
+    Remove,
+    Add,
+}
+
+impl LoadChange {
+    fn sign(self) -> f64 {
+        match self {
+            LoadChange::Remove => -1.0,
+            LoadChange::Add => 1.0,
+        }
+    }
+}
 
 impl ControllerState {
     /// Changes a slice's table, and what its replicas carry with it.
-    pub(crate) fn change_table(&mut self, n: SliceId, change: impl FnOnce(&mut Slice)) {
-        self.apply_load(n, -1.0);
-        if let Some(slice) = self.slices.get_mut(&n) {
-            change(slice);
-            // A replica that only the store knows still has its lines counted.
-            let named: Vec<_> = slice.desired.keys().copied().collect();
-            named.into_iter().for_each(|id| _ = self.replica_entry(id, None));
+    pub(crate) fn change_table(&mut self, id: SliceId, change: impl FnOnce(&mut RoutingTable)) {
+        self.apply_load(id, LoadChange::Remove);
+        if let Some(slice) = self.slices.get_mut(&id) {
+            change(&mut slice.table);
+            // A replica that only the store knows still has its slices counted.
+            let named: Vec<_> = slice.table.desired.keys().copied().collect();
+            for replica in named {
+                self.replica_entry(replica, None);
+            }
         }
-        self.apply_load(n, 1.0);
+        self.apply_load(id, LoadChange::Add);
     }
 
-    pub(crate) fn apply_load(&mut self, n: SliceId, sign: f64) {
-        let Some(slice) = self.slices.get(&n) else { return };
-        for (id, part) in slice.request_shares() {
-            if let Some(s) = self.replicas.get_mut(&id) {
-                s.load += sign * slice.load * part;
-                s.demand += sign * slice.demand * part;
-                s.standby_count += if slice.is_standby(&id) { sign } else { 0.0 };
+    fn apply_load(&mut self, id: SliceId, change: LoadChange) {
+        let Some(slice) = self.slices.get(&id) else { return };
+        let sign = change.sign();
+        for (replica_id, share) in slice.table.request_shares() {
+            if let Some(replica) = self.replicas.get_mut(&replica_id) {
+                replica.load += sign * slice.load * share;
+                replica.demand += sign * slice.demand * share;
+                replica.standby_count += if slice.table.is_standby(&replica_id) { sign } else { 0.0 };
             }
         }
-        for id in slice.desired.keys().chain(slice.applied.keys()) {
-            if let Some(s) = self.replicas.get_mut(id) {
-                _ = if sign > 0.0 { s.slices.insert(n) } else { s.slices.remove(&n) };
+        for replica_id in slice.table.desired.keys().chain(slice.table.applied.keys()) {
+            if let Some(replica) = self.replicas.get_mut(replica_id) {
+                match change {
+                    LoadChange::Add => replica.slices.insert(id),
+                    LoadChange::Remove => replica.slices.remove(&id),
+                };
             }
         }
-        let touched: Vec<_> = slice.desired.keys().copied().collect();
-        touched.into_iter().for_each(|id| self.update_rank(id));
+        let named: Vec<_> = slice.table.desired.keys().copied().collect();
+        named.into_iter().for_each(|replica_id| self.update_rank(replica_id));
     }
 
-    /// Puts one replica's line in place of another's, or adds or takes one away where there is only one of
-    /// both, and has the proxies told.
+    /// Puts one endpoint in the place of another, either of which may be missing, and has that sent.
     pub(crate) fn replace_endpoint(
         &mut self,
-        n: SliceId,
+        id: SliceId,
         from: Option<ReplicaId>,
         to: Option<(ReplicaId, f64)>,
         priority: Priority,
     ) {
-        self.change_table(n, |slice| {
-            from.map(|id| slice.desired.remove(&id));
-            slice.desired.extend(to);
-        });
-        self.mark_pending(n, priority);
+        self.change_table(id, |table| table.replace_endpoint(from, to));
+        self.mark_pending(id, priority);
     }
 
     /// The same, where it is the owners that change.
     pub(crate) fn replace_owner(
         &mut self,
-        n: SliceId,
+        id: SliceId,
         from: Option<ReplicaId>,
         to: Option<(ReplicaId, f64)>,
         priority: Priority,
     ) {
-        self.replace_endpoint(n, from, to, priority);
-        self.slices.get_mut(&n).into_iter().for_each(|s| s.settled_at = self.now);
+        self.replace_endpoint(id, from, to, priority);
+        if let Some(slice) = self.slices.get_mut(&id) {
+            slice.settled_at = self.now;
+        }
     }
 }
--- a/crates/policy/src/rules/acknowledgements.rs
+++ b/crates/policy/src/rules/acknowledgements.rs
@@ -1,27 +1,48 @@
-//! Waiting for acknowledgements.
+//! Waiting for acknowledgements: a slice whose table changed is left alone until all proxies have applied it.
+//!
+//! Guards against a slice that moves again before anybody knows of its last move, and, where it has a single writer, against
+//! two owners that are written to at once.
 
 use crate::state::command_channel::SentMessage;
 use crate::state::controller::ControllerState;
-use crate::state::slice::Priority;
+use crate::state::pending_slices::Priority;
 use crate::time::Span;
 
-pub(crate) const ACK_WAIT: Span = Span::ms(5000);
+/// How long a slice waits for acknowledgements that do not come: some proxies may be gone (docs/design.md, Messages).
+const MAX_ACK_WAIT: Span = Span::ms(5000);
 
 impl ControllerState {
-    /// Slices wait for all acks, or so long: some proxies may be gone. Lines wait on until they are acked. Where one
-    /// owner writes, whoever has not acked may still write to the former one: all are asked again (rule 2).
+    /// Frees the slices that wait for a version once all acknowledgements are there, or after a while; lines stay counted
+    /// until they are acknowledged. Where slices have a single writer, a proxy that has not acknowledged may still write to
+    /// the former owner: there all are asked again instead.
     pub(crate) fn finish_versions(&mut self) -> bool {
-        let (open, single) = (self.channel.open_version, self.deployment.single_writer);
-        let late = |m: &SentMessage| !m.waiting_slices.is_empty() && self.now - m.sent_at >= ACK_WAIT;
-        let due = |(n, m): &(&u16, &SentMessage)| {
-            Some(**n) != open && (m.unacked_copies.is_empty() || (late(m) && !single))
+        let single_writer = self.deployment.single_writer;
+        let is_finished = |version: u16, message: &SentMessage| {
+            let is_open = Some(version) == self.channel.open_version;
+            let is_acked = message.unacked_copies.is_empty();
+            !is_open && (is_acked || (self.is_late(message) && !single_writer))
         };
-        if let Some((&number, _)) = self.channel.sent.iter().find(due) {
-            self.finish_version(number);
+        let finished = self.channel.sent.iter().find(|(version, message)| is_finished(**version, message));
+        if let Some((&version, _)) = finished {
+            self.finish_version(version);
             return true;
         }
-        let long = single && self.now - self.channel.last_opened_at >= ACK_WAIT;
-        let asks = long && self.channel.sent.values().any(late) && self.has_channel_room(0.0, Priority::Calm);
-        (asks || (self.is_replying && self.needs_sync())).then(|| self.add_lines(0.0)).is_some()
+        if self.must_ask_single_writers() || (self.is_replying && self.needs_sync()) {
+            self.add_lines(0.0);
+            return true;
+        }
+        false
+    }
+
+    /// Whether slices have waited for the message for too long.
+    fn is_late(&self, message: &SentMessage) -> bool {
+        !message.waiting_slices.is_empty() && self.now - message.sent_at >= MAX_ACK_WAIT
+    }
+
+    fn must_ask_single_writers(&self) -> bool {
+        self.deployment.single_writer
+            && self.now - self.channel.last_opened_at >= MAX_ACK_WAIT
+            && self.channel.sent.values().any(|message| self.is_late(message))
+            && self.has_channel_room(0.0, Priority::Calm)
     }
 }
--- a/crates/policy/src/rules/evacuation.rs
+++ b/crates/policy/src/rules/evacuation.rs
@@ -1,87 +1,154 @@
-//! Evacuation.
+//! Evacuation: slices leave replicas that are gone, draining or ejected, which are withdrawn from all tables, and cold ones
+//! that are sent too much.
+//!
+//! Guards against requests that are sent to what will not answer: a withdrawal is one line a replica, and standby endpoints
+//! take over long before each table is written anew.
 
 use crate::api::{ReplicaId, SliceId};
 use crate::rules::placement::RefugeScope;
+use crate::state::admission::HALTED_REDUCTION;
 use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
-use crate::state::slice::{Priority, Slice, HALTED_REDUCTION};
+use crate::state::routing_table::SliceMove;
+use crate::state::slice::Slice;
 use std::mem::take;
 
+/// How far a cold replica's demand may exceed its slow-start budget before slices leave it.
+const MAX_BUDGET_OVERRUN: f64 = 1.2;
+
+/// A slice that may have to leave a replica, or that has no endpoint.
+struct Departure {
+    load: f64,
+    slice: SliceId,
+    from: Option<ReplicaId>,
+}
+
 impl ControllerState {
-    /// Slices leave, heaviest first, what is gone or draining (rule 3), sick, or cold and sent too much (rule
-    /// 4); and one without a line gets one (rule 1).
+    /// Has slices leave, the heaviest first, and withdraws or reinstates replicas, once a tick or when the fleet changed.
     pub(crate) fn evacuate(&mut self) -> bool {
         if !take(&mut self.pending_work.evacuation) {
             return false;
         }
-        let bad = |s: &Replica| self.must_be_left(s) || self.is_ejected(s);
-        let left = self.replicas.iter().filter(|(_, s)| s.withdrawn || bad(s) || self.is_cold(s));
-        let left = left.flat_map(|(id, s)| s.slices.iter().map(|n| (*n, Some(*id))));
-        let bare = self.slices.iter().filter(|(_, s)| s.desired.is_empty()).map(|(n, _)| (*n, None));
-        let mut due: Vec<_> = left.chain(bare).map(|(n, from)| (self.slices[&n].load, n, from)).collect();
-        due.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, n, from) in due {
-            self.evacuate_endpoint(n, from);
+        for departure in self.find_departures() {
+            self.evacuate_endpoint(departure.slice, departure.from);
+            self.mark_if_without_endpoint(departure.slice);
         }
-        let turns = |(id, s): (&ReplicaId, &Replica)| {
-            let (out, meant) =
-                (self.should_be_withdrawn(*id, s), s.withdrawn && !self.pending_reinstatements.contains(id));
-            (out != meant).then_some((*id, out))
-        };
-        let turned: Vec<_> = self.replicas.iter().filter_map(turns).collect();
-        turned.into_iter().for_each(|(id, out)| self.set_withdrawn(id, out));
+        self.update_withdrawals();
         true
     }
 
-    /// Withdrawn is what is lost, and what is sick once all its slices have another place: a sick one is
-    /// still better than none (rule 1). One that is well again stays so until no table names it, or it would
-    /// get its old slices back cold (rule 4). Where one owner writes, requests are held back instead.
-    pub(crate) fn should_be_withdrawn(&self, id: ReplicaId, s: &Replica) -> bool {
-        let named = !s.slices.is_empty();
-        let wants = |n: &SliceId| self.slices[n].owners().any(|owner| owner == id);
-        let spared = || s.slices.iter().any(wants);
-        match self.is_ejected(s) {
-            _ if self.deployment.single_writer => false,
-            _ if self.must_be_left(s) => named || (s.withdrawn && !s.is_forgettable(self.now)),
-            true => (s.withdrawn || named) && !spared(),
-            false => s.withdrawn && named && !spared(),
-        }
+    /// Everything on replicas that may have to be left, and slices without an endpoint, the heaviest first.
+    fn find_departures(&self) -> Vec<Departure> {
+        let may_be_left = |replica: &Replica| {
+            replica.withdrawn
+                || self.must_be_left(replica)
+                || self.is_ejected(replica)
+                || self.is_warming_up(replica)
+        };
+        let left = self.replicas.iter().filter(|(_, replica)| may_be_left(replica));
+        let leaving = left.flat_map(|(from, replica)| replica.slices.iter().map(|id| (*id, Some(*from))));
+        let without_endpoint = self.slices.iter().filter(|(_, slice)| slice.table.desired.is_empty());
+        let all = leaving.chain(without_endpoint.map(|(id, _)| (*id, None)));
+        let mut departures: Vec<_> =
+            all.map(|(slice, from)| Departure { load: self.slices[&slice].load, slice, from }).collect();
+        departures.sort_by(|one, other| other.load.total_cmp(&one.load));
+        departures
     }
 
-    pub(crate) fn evacuate_endpoint(&mut self, n: SliceId, from: Option<ReplicaId>) {
-        let (slice, owner) = (&self.slices[&n], from.and_then(|id| self.replicas.get(&id)));
-        let need = match owner {
-            Some(s) if !self.must_be_left(s) && self.is_ejected(s) => RefugeScope::AnyWarm,
-            Some(s) if !self.must_be_left(s) => RefugeScope::WithCapacity,
-            _ => RefugeScope::Any,
-        };
-        let bad = !matches!(need, RefugeScope::WithCapacity);
-        let leaves = from.filter(|id| slice.desired.contains_key(id));
-        if let Some(id) = leaves.filter(|id| slice.is_standby(id)) {
-            // Whoever stands by must be well and warm; a withdrawn one does no harm while orders wait.
-            let busy =
-                self.pending_slices.first().is_some_and(|(priority, ..)| *priority < Priority::Standby);
-            if !busy || owner.is_some_and(|s| !s.withdrawn) {
-                let next = self.find_standby(n);
-                self.replace_endpoint(n, Some(id), next, Priority::Standby);
+    fn evacuate_endpoint(&mut self, id: SliceId, from: Option<ReplicaId>) {
+        let slice = &self.slices[&id];
+        let replica = from.and_then(|from| self.replicas.get(&from));
+        let scope = self.refuge_scope(replica);
+        let must_leave = scope != RefugeScope::WithCapacity;
+        let named = from.filter(|from| slice.table.desired.contains_key(from));
+        if let Some(standby) = named.filter(|from| slice.table.is_standby(from)) {
+            self.replace_standby(id, standby);
+        } else if named != from {
+            // On its way already, but what the proxies hold must not wait among calm commands.
+            if replica.is_some_and(|replica| replica.withdrawn || must_leave) {
+                self.mark_pending(id, Priority::Urgent);
             }
-        } else if leaves != from {
-            // On its way already, but what the proxies hold must not wait among calm orders.
-            _ = owner.is_some_and(|s| s.withdrawn || bad).then(|| self.mark_pending(n, Priority::Urgent));
-        } else if bad
-            || owner.is_some_and(|s| s.demand > self.slow_start_budget(s) * 1.2 && self.may_relieve_cold(s))
-        {
-            if let Some(to) = self.find_refuge(slice, slice.load, need) {
-                self.move_slice(n, from.unwrap_or(to), to, Priority::Urgent);
+        } else if must_leave || replica.is_some_and(|replica| self.is_over_budget(replica)) {
+            if let Some(to) = self.find_refuge(slice, slice.load, scope) {
+                let from = from.unwrap_or(to);
+                self.move_slice(SliceMove { slice: id, from, to }, Priority::Urgent);
             }
         }
-        let lost = |s: &Replica| s.withdrawn || (self.deployment.single_writer && self.must_be_left(s));
-        let open = |id: &ReplicaId| self.replicas.get(id).is_some_and(|s| !lost(s));
-        let bare = |s: &Slice| {
-            !s.is_fully_applied() && s.applied_reduction != HALTED_REDUCTION && !s.applied.keys().any(open)
+    }
+
+    /// How far the search for a refuge from a replica may go.
+    fn refuge_scope(&self, from: Option<&Replica>) -> RefugeScope {
+        match from {
+            Some(replica) if self.must_be_left(replica) => RefugeScope::Any,
+            Some(replica) if self.is_ejected(replica) => RefugeScope::AnyWarm,
+            Some(_) => RefugeScope::WithCapacity,
+            None => RefugeScope::Any,
+        }
+    }
+
+    fn is_over_budget(&self, replica: &Replica) -> bool {
+        let budget = self.slow_start_budget(replica) * MAX_BUDGET_OVERRUN;
+        replica.demand > budget && self.may_relieve_cold(replica)
+    }
+
+    /// A standby must be usable and warm; a withdrawn one does no harm while more urgent commands wait.
+    fn replace_standby(&mut self, id: SliceId, standby: ReplicaId) {
+        let is_withdrawn = self.replicas.get(&standby).is_none_or(|replica| replica.withdrawn);
+        if !is_withdrawn || !self.pending_slices.has_more_urgent_than(Priority::Standby) {
+            let next = self.find_standby(id);
+            self.replace_endpoint(id, Some(standby), next, Priority::Standby);
+        }
+    }
+
+    /// Has a slice sent at once whose applied table names nothing that may be used.
+    fn mark_if_without_endpoint(&mut self, id: SliceId) {
+        let single_writer = self.deployment.single_writer;
+        let is_lost = |replica: &Replica| replica.withdrawn || (single_writer && self.must_be_left(replica));
+        let is_open = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| !is_lost(replica));
+        let has_no_endpoint = |slice: &Slice| {
+            !slice.is_fully_applied()
+                && slice.applied_reduction != HALTED_REDUCTION
+                && !slice.table.applied.keys().any(is_open)
         };
-        if self.slices.get(&n).is_some_and(bare) {
-            self.mark_pending(n, Priority::NoEndpoint);
+        if self.slices.get(&id).is_some_and(has_no_endpoint) {
+            self.mark_pending(id, Priority::NoEndpoint);
+        }
+    }
+
+    fn update_withdrawals(&mut self) {
+        let mut to_withdraw = Vec::new();
+        let mut to_reinstate = Vec::new();
+        for (id, replica) in &self.replicas {
+            let should_be_withdrawn = self.should_be_withdrawn(*id, replica);
+            let will_be_withdrawn = replica.withdrawn && !self.withdrawals.reinstatements.contains(id);
+            match (should_be_withdrawn, will_be_withdrawn) {
+                (true, false) => to_withdraw.push(*id),
+                (false, true) => to_reinstate.push(*id),
+                _ => {}
+            }
+        }
+        to_withdraw.into_iter().for_each(|id| self.withdraw(id));
+        to_reinstate.into_iter().for_each(|id| self.reinstate(id));
+    }
+
+    /// Withdrawn is what must be left, and what is ejected once all its slices have another owner: an ejected one is still
+    /// better than none. One that is well again stays withdrawn until no table names it, or it would get its old slices back
+    /// cold. Where a slice has a single writer, requests are held back instead.
+    fn should_be_withdrawn(&self, id: ReplicaId, replica: &Replica) -> bool {
+        if self.deployment.single_writer {
+            return false;
+        }
+        let is_named = !replica.slices.is_empty();
+        if self.must_be_left(replica) {
+            return is_named || (replica.withdrawn && !replica.is_forgettable(self.now));
+        }
+        let is_owner = |slice: &SliceId| self.slices[slice].table.owners().any(|owner| owner == id);
+        let owns_slices = || replica.slices.iter().any(is_owner);
+        if self.is_ejected(replica) {
+            (replica.withdrawn || is_named) && !owns_slices()
+        } else {
+            replica.withdrawn && is_named && !owns_slices()
         }
     }
 }
--- a/crates/policy/src/rules/load_shedding.rs
+++ b/crates/policy/src/rules/load_shedding.rs
@@ -1,109 +1,160 @@
-//! Load shedding.
+//! Load shedding: where answers are late, retries are stopped first, then admission rates are reduced, the request class with
+//! the least priority weight first.
+//!
+//! Guards against a queue that makes all answers late and so serves nobody.
 
 use crate::api::Action;
 use crate::measure::admission::{LATE_RATIO, QUICK_RATIO};
-use crate::measure::load_estimates::{MIN_SAMPLES, RECENT_WINDOW};
 use crate::rules::outlier_ejection::FAILING_SHARE;
+use crate::state::admission::RETRIES_ONLY_REDUCTION;
 use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
 use crate::state::schedule::ROUND;
-use crate::state::slice::{Priority, RETRIES_ONLY_REDUCTION};
 use std::mem::take;
 
-pub(crate) const REDUCTION_STEP: f64 = 0.15;
-pub(crate) const MAX_SECONDS_FOR_SLICE_COMMANDS: f64 = 2.0;
-pub(crate) const MIN_REDUCTION_CHANGE: f64 = 0.08;
-/// A cut after another step: by what goes unanswered where answers are late, back where they are quick.
-pub(crate) fn next_cut(cut: f64, strain: f64, kept: f64) -> f64 {
-    let step = match () {
-        _ if strain > LATE_RATIO => (1.0 - cut) * (1.0 - 0.85 * kept.max(0.5)),
-        _ if strain < QUICK_RATIO => REDUCTION_STEP * (strain / QUICK_RATIO - 2.0),
-        _ => 0.0,
+/// How much a reduction shrinks in a round, at the limit of quick answers; up to twice that the quicker they are. The
+/// reduction of a cold replica that is sent too much grows by the same.
+const REDUCTION_STEP: f64 = 0.15;
+/// The part of what is not answered by which a reduction grows.
+const REDUCTION_GAIN: f64 = 0.85;
+/// A share of answered requests below this counts as this.
+const MIN_ANSWERED_SHARE: f64 = 0.5;
+/// Where commands for each slice would take more than so many seconds of the channel, one reduction may hold for all slices.
+const MAX_SECONDS_FOR_SLICE_COMMANDS: f64 = 2.0;
+/// A smaller change of a slice's reduction is not worth a line at each proxy.
+const MIN_REDUCTION_CHANGE: f64 = 0.08;
+
+/// A reduction after another round: it grows by what goes unanswered where answers are late, and shrinks where they are
+/// quick.
+fn next_reduction(reduction: f64, latency_ratio: f64, answered_share: f64) -> f64 {
+    let step = if latency_ratio > LATE_RATIO {
+        (1.0 - reduction) * (1.0 - REDUCTION_GAIN * answered_share.max(MIN_ANSWERED_SHARE))
+    } else if latency_ratio < QUICK_RATIO {
+        REDUCTION_STEP * (latency_ratio / QUICK_RATIO - 2.0)
+    } else {
+        0.0
     };
-    (cut + step).clamp(0.0, 1.0)
+    (reduction + step).clamp(0.0, 1.0)
 }
 
 impl ControllerState {
-    /// A queue that makes all answers late serves nobody. Further tries are cut first, then the request class with
-    /// the least priority weight; for all where the usual replica is late, else by each slice's least cut owner.
+    /// Refreshes all reductions, once a round.
     pub(crate) fn shed_load(&mut self) -> bool {
         if !take(&mut self.pending_work.load_shedding) {
             return false;
         }
-        let usual = self.median(|s| self.is_usable(s), |s| s.latency_ratio);
-        // Answers that never come leave no time to be measured. Where every request class lacks them, and the usual
-        // replica, it is neither one type nor some replicas that fail, but all that is too much.
-        let lost = self.lowest_failed_share(RECENT_WINDOW + self.report_lag, MIN_SAMPLES);
-        let lost = lost.min(self.median(|s| self.is_usable(s), |s| s.recent.failed_share()));
-        // Where orders a slice take few seconds of the channel, each owner's own cut is the finer tool.
-        let orders =
-            (self.slices.len() * self.deployment.request_classes.len() * self.channel.proxies.len()) as f64;
-        let dear =
-            f64::from(u8::from(orders > self.deployment.lines_per_second * MAX_SECONDS_FOR_SLICE_COMMANDS));
-        let late = dear * if lost > FAILING_SHARE { 1.0 } else { usual };
-        let wait =
-            if self.global_reduction <= RETRIES_ONLY_REDUCTION { ROUND } else { ROUND + self.report_lag };
-        if self.now - self.global_reduction_changed_at >= wait {
-            let cut = next_cut(self.global_reduction, late, 1.0 - lost);
-            let cut = if self.global_reduction == 0.0 { cut.min(RETRIES_ONLY_REDUCTION) } else { cut };
-            (self.global_reduction, self.global_reduction_changed_at) = if cut == self.global_reduction {
-                (cut, self.global_reduction_changed_at)
-            } else {
-                (cut, self.now)
-            };
+        // Answers that never come leave no latency to be measured. Where every request class lacks them, and the usual
+        // replica, it is neither one class nor some replicas that fail, but all that is too much.
+        let usual_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
+        let failed_share = self.lowest_failed_share().min(usual_failed_share);
+        let fleet_latency_ratio = self.fleet_latency_ratio(failed_share);
+        self.refresh_global_reduction(fleet_latency_ratio, failed_share);
+        self.refresh_replica_reductions(fleet_latency_ratio);
+        self.refresh_slice_reductions();
+        true
+    }
+
+    /// How late the usual replica answers; 0 where commands for each slice take few seconds of the channel, as each owner's
+    /// own reduction is the finer tool there.
+    fn fleet_latency_ratio(&self, failed_share: f64) -> f64 {
+        let classes = self.deployment.request_classes.len();
+        let commands = (self.slices.len() * classes * self.channel.proxies.len()) as f64;
+        let is_costly = commands > self.deployment.lines_per_second * MAX_SECONDS_FOR_SLICE_COMMANDS;
+        let usual_ratio = if failed_share > FAILING_SHARE {
+            1.0
+        } else {
+            self.median_of_usable(|replica| replica.latency_ratio)
+        };
+        f64::from(u8::from(is_costly)) * usual_ratio
+    }
+
+    fn refresh_global_reduction(&mut self, fleet_latency_ratio: f64, failed_share: f64) {
+        let former = self.global_admission.reduction;
+        // What the last step did is not in the reports yet; stopping retries alone shows at once.
+        let pause = if former <= RETRIES_ONLY_REDUCTION { ROUND } else { ROUND + self.reporting.lag };
+        if self.now - self.global_admission.changed_at < pause {
+            return;
         }
-        let cut = |s: &Replica| match () {
-            // What the last step did is not in the reports yet; and what ails all is not cut down on twice.
-            _ if self.now - s.reduction_changed_at < ROUND + ROUND + self.report_lag => s.reduction,
-            _ if late > LATE_RATIO && s.latency_ratio > LATE_RATIO => s.reduction,
-            _ if s.latency_ratio > LATE_RATIO => {
-                next_cut(s.reduction, s.latency_ratio, 1.0 - s.recent.failed_share())
+        let next = next_reduction(former, fleet_latency_ratio, 1.0 - failed_share);
+        let reduction = if former == 0.0 { next.min(RETRIES_ONLY_REDUCTION) } else { next };
+        if reduction != former {
+            self.global_admission.reduction = reduction;
+            self.global_admission.changed_at = self.now;
+        }
+    }
+
+    fn refresh_replica_reductions(&mut self, fleet_latency_ratio: f64) {
+        let next = |replica: &Replica| self.next_replica_reduction(replica, fleet_latency_ratio);
+        let reductions: Vec<f64> = self.replicas.values().map(next).collect();
+        for (replica, reduction) in self.replicas.values_mut().zip(reductions) {
+            if replica.reduction != reduction {
+                replica.reduction = reduction;
+                replica.reduction_changed_at = self.now;
             }
-            // Against a cold replica pushed over where its slices have no other place to go.
-            _ if s.demand > self.slow_start_budget(s) => (s.reduction + REDUCTION_STEP).min(1.0),
-            _ => next_cut(s.reduction, s.latency_ratio, 1.0),
-        };
-        let cuts: Vec<f64> = self.replicas.values().map(cut).collect();
-        for (s, cut) in self.replicas.values_mut().zip(cuts).filter(|(s, cut)| s.reduction != *cut) {
-            (s.reduction, s.reduction_changed_at) = (cut, self.now);
         }
+    }
+
+    fn next_replica_reduction(&self, replica: &Replica, fleet_latency_ratio: f64) -> f64 {
+        let former = replica.reduction;
+        let is_late = replica.latency_ratio > LATE_RATIO;
+        if self.now - replica.reduction_changed_at < ROUND + ROUND + self.reporting.lag {
+            // What the last step did is not in the reports yet.
+            former
+        } else if is_late && fleet_latency_ratio > LATE_RATIO {
+            // What is too much for all is not reduced twice.
+            former
+        } else if is_late {
+            next_reduction(former, replica.latency_ratio, 1.0 - replica.recent.failed_share())
+        } else if replica.demand > self.slow_start_budget(replica) {
+            // Against a cold replica that collapses where its slices have no other place to go.
+            (former + REDUCTION_STEP).min(1.0)
+        } else {
+            next_reduction(former, replica.latency_ratio, 1.0)
+        }
+    }
+
+    /// Slices follow their least reduced owner, beyond what holds for all slices.
+    fn refresh_slice_reductions(&mut self) {
+        let global_reduction = self.global_admission.reduction;
         let mut changed = Vec::new();
-        for (n, slice) in &mut self.slices {
-            let cut =
-                slice.owners().filter_map(|id| Some(self.replicas.get(&id)?.reduction)).fold(1.0, f64::min);
-            slice.reduction = match slice.applied_reduction {
-                _ if cut <= self.global_reduction => 0.0,
-                0.0 => cut.min(RETRIES_ONLY_REDUCTION),
-                // A small change is not worth a line at each proxy.
-                held if (cut - held).abs() < MIN_REDUCTION_CHANGE => held,
-                _ => cut,
+        for (id, slice) in &mut self.slices {
+            let owners = slice.table.owners().filter_map(|owner| self.replicas.get(&owner));
+            let reduction = owners.map(|owner| owner.reduction).fold(1.0, f64::min);
+            let applied = slice.applied_reduction;
+            slice.reduction = if reduction <= global_reduction {
+                0.0
+            } else if applied == 0.0 {
+                reduction.min(RETRIES_ONLY_REDUCTION)
+            } else if (reduction - applied).abs() < MIN_REDUCTION_CHANGE {
+                applied
+            } else {
+                reduction
             };
-            if slice.reduction != slice.applied_reduction {
-                changed.push(*n);
+            if slice.reduction != applied {
+                changed.push(*id);
             }
         }
-        changed.into_iter().for_each(|n| self.mark_pending(n, Priority::Calm));
-        true
+        changed.into_iter().for_each(|id| self.mark_pending(id, Priority::Calm));
     }
 
-    /// What holds for all tables is one order, where one a slice would take the channel many seconds. One
-    /// further try is allowed, after proof that the first never ran: no effect happens twice (rule 2).
+    /// Sends what holds for all slices: one command a request class, where one a slice would take the channel many seconds.
+    /// One retry is allowed, only after proof that the first attempt never ran: no effect happens twice.
     pub(crate) fn send_global_admission(&mut self) -> bool {
-        let told =
-            (self.applied_global_reduction == Some(self.global_reduction)) || self.channel.proxies.is_empty();
-        let many = self.deployment.request_classes.len();
-        if told || !self.has_channel_room(many as f64, Priority::Urgent) {
+        let class_count = self.deployment.request_classes.len();
+        let is_needed = !self.global_admission.is_applied() && !self.channel.proxies.is_empty();
+        if !is_needed || !self.has_channel_room(class_count as f64, Priority::Urgent) {
             return false;
         }
-        let (retries, share) = (self.allowed_retries(self.global_reduction), |at| {
-            self.admission_rate(self.global_reduction, at)
-        });
-        let order =
-            |at| Action::SetAdmission { slice: None, request_classes: 1u64 << at, share: share(at), retries };
-        let orders: Vec<_> = (0..many).map(order).collect();
-        self.actions.extend(orders);
-        self.add_lines(many as f64);
-        self.applied_global_reduction = Some(self.global_reduction);
+        let reduction = self.global_admission.reduction;
+        let retries = self.allowed_retries(reduction);
+        for class in 0..class_count {
+            let share = self.admission_rate(reduction, class);
+            let request_classes = 1u64 << class;
+            self.actions.push(Action::SetAdmission { slice: None, request_classes, share, retries });
+        }
+        self.add_lines(class_count as f64);
+        self.global_admission.applied = Some(reduction);
         true
     }
 }
--- a/crates/policy/src/rules/outlier_ejection.rs
+++ b/crates/policy/src/rules/outlier_ejection.rs
@@ -1,6 +1,6 @@
-//! Outlier ejection.
+//! Outlier ejection: against all that looks alike from outside, that is, crash, hang, silence, fast errors and a cut network.
 
-use crate::api::Action;
+use crate::api::{Action, ReplicaId};
 use crate::measure::admission::{LATE_RATIO, QUICK_RATIO};
 use crate::measure::load_estimates::{MIN_SAMPLES, RECENT_WINDOW};
 use crate::state::controller::ControllerState;
@@ -8,58 +8,90 @@
 use crate::time::Span;
 use std::mem::take;
 
+/// How long an outlier is ejected for the first time; longer each time (docs/design.md, Outlier ejection).
 pub(crate) const OUTLIER_EJECTION: Span = Span::ms(8000);
+/// The longest ejection, in multiples of the first.
+const MAX_EJECTION_MULTIPLE: u32 = 4;
+/// The share of attempts that fail at an outlier, and above which, at the usual replica, the fleet is overloaded.
 pub(crate) const FAILING_SHARE: f64 = 0.3;
-pub(crate) const MAX_EJECTED_SHARE: f64 = 0.4;
+/// An outlier fails this many times the usual share more than that.
+const USUAL_FAILURES_MULTIPLE: f64 = 2.0;
+/// Requests that were expected at a silent replica, at least.
+const MIN_EXPECTED: f64 = 2.0 * MIN_SAMPLES;
+/// Above this share of ejected replicas it is more likely that our view is broken than they.
+const MAX_EJECTED_SHARE: f64 = 0.4;
 
 impl ControllerState {
-    /// Against all that looks alike from outside: crash, hang, silence, fast errors, crawling.
+    /// Ejects replicas that answer nothing or fail quickly, once a tick. Guards against requests that go on failing at a
+    /// broken replica; and, by a limit on the share ejected, against a break of our own view.
     pub(crate) fn eject_outliers(&mut self) -> bool {
         if !take(&mut self.pending_work.outliers) {
             return false;
         }
-        let usual = self.median(|s| self.is_usable(s), |s| s.recent.failed_share());
-        let cause = |s: &Replica| {
-            // Where most tries fail everywhere, the fleet is overfull, and flights would finish it.
-            let silent = usual < FAILING_SHARE && self.is_silent(s);
-            // A full replica turns work away too, but then the others do as well, or its answers are late.
-            let failing =
-                s.recent.failed >= MIN_SAMPLES && s.recent.failed_share() >= FAILING_SHARE + 2.0 * usual;
-            let quick = failing && s.recent.succeeded > 0.0 && s.latency_ratio < QUICK_RATIO;
-            silent.then_some("answers nothing").or(quick.then_some("fails quickly"))
-        };
-        let there = |s: &Replica| !self.must_be_left(s) && !self.is_ejected(s) && self.is_observed(s);
-        let watched = self.replicas.iter().filter(|(_, s)| there(s) && !s.slices.is_empty());
-        let ill: Vec<_> = watched.filter_map(|(id, s)| cause(s).map(|why| (*id, why))).collect();
-        let around = self.replicas.values().filter(|s| !self.must_be_left(s));
-        let (all, sick) =
-            around.fold((0, ill.len()), |(a, k), s| (a + 1, k + usize::from(self.is_ejected(s))));
-        if sick as f64 > MAX_EJECTED_SHARE * all as f64 {
-            return true; // More likely our view is broken than they.
+        let outliers = self.find_outliers();
+        if self.would_eject_too_many(outliers.len()) {
+            return true;
         }
-        for (id, cause) in ill {
-            let Some(s) = self.replicas.get_mut(&id) else { continue };
-            s.consecutive_ejections += 1;
-            s.ejected_until =
-                Some(self.now + OUTLIER_EJECTION.times(f64::from(s.consecutive_ejections.min(4))));
-            s.clear_reports();
-            self.actions.push(Action::ReplicaEjected { replica: id, cause });
+        for (id, cause) in outliers {
+            if let Some(replica) = self.replicas.get_mut(&id) {
+                replica.eject(self.now, OUTLIER_EJECTION, MAX_EJECTION_MULTIPLE);
+                self.actions.push(Action::ReplicaEjected { replica: id, cause });
+            }
         }
         true
     }
 
-    /// Nothing comes back, though much is asked or all of the newest tries failed. One that was late before
-    /// is more likely full: it is cut first and gets longer, or flights from it fill others with cold keys.
-    pub(crate) fn is_silent(&self, s: &Replica) -> bool {
-        let over = RECENT_WINDOW + self.report_lag;
-        let full = s.last_latency_seconds > LATE_RATIO * self.tightest_target_seconds()
-            && s.succeeded.sum(self.now, over.times(2.0)) > 0.0;
-        let newest = s.attempts.newest().min(self.now).max(self.now - over);
-        let last = || s.recent_counts(newest, RECENT_WINDOW);
-        !full
-            && ((s.recent.succeeded == 0.0 && s.recent.expected >= 2.0 * MIN_SAMPLES)
-                || (s.recent.failed >= MIN_SAMPLES
-                    && last().failed >= MIN_SAMPLES
-                    && last().succeeded == 0.0))
+    /// The outliers that are not ejected yet, and why.
+    fn find_outliers(&self) -> Vec<(ReplicaId, &'static str)> {
+        let usual_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
+        let is_watched = |replica: &Replica| {
+            !self.must_be_left(replica)
+                && !self.is_ejected(replica)
+                && self.is_observed(replica)
+                && !replica.slices.is_empty()
+        };
+        let watched = self.replicas.iter().filter(|(_, replica)| is_watched(replica));
+        let with_cause = watched
+            .filter_map(|(id, replica)| Some((*id, self.ejection_cause(replica, usual_failed_share)?)));
+        with_cause.collect()
+    }
+
+    fn ejection_cause(&self, replica: &Replica, usual_failed_share: f64) -> Option<&'static str> {
+        // Where most attempts fail everywhere, the fleet is overloaded, and evacuations would finish it.
+        if usual_failed_share < FAILING_SHARE && self.is_silent(replica) {
+            return Some("answers nothing");
+        }
+        // A full replica rejects requests too, but then the others do as well, or its answers are late.
+        let recent = &replica.recent;
+        let failing_share = FAILING_SHARE + USUAL_FAILURES_MULTIPLE * usual_failed_share;
+        let is_failing = recent.failed >= MIN_SAMPLES && recent.failed_share() >= failing_share;
+        let answers_quickly = recent.succeeded > 0.0 && replica.latency_ratio < QUICK_RATIO;
+        (is_failing && answers_quickly).then_some("fails quickly")
+    }
+
+    /// Whether so many new outliers would make too large a share of the fleet.
+    fn would_eject_too_many(&self, outliers: usize) -> bool {
+        let counted = || self.replicas.values().filter(|replica| !self.must_be_left(replica));
+        let ejected = outliers + counted().filter(|replica| self.is_ejected(replica)).count();
+        ejected as f64 > MAX_EJECTED_SHARE * counted().count() as f64
+    }
+
+    /// Whether nothing comes back, though much was expected there or all of the newest attempts failed. One that was late
+    /// before is more likely full: its load is shed first and it gets longer, as evacuations from it fill others with slices
+    /// whose keys they have cold.
+    fn is_silent(&self, replica: &Replica) -> bool {
+        let window = RECENT_WINDOW + self.reporting.lag;
+        let reports = &replica.reports;
+        let was_late = reports.last_latency_seconds > LATE_RATIO * self.tightest_target_seconds();
+        if was_late && reports.succeeded.sum(self.now, window.times(2.0)) > 0.0 {
+            return false;
+        }
+        let recent = &replica.recent;
+        if recent.succeeded == 0.0 && recent.expected >= MIN_EXPECTED {
+            return true;
+        }
+        let newest = reports.attempts.newest().min(self.now).max(self.now - window);
+        let last = reports.recent_counts(newest, RECENT_WINDOW);
+        recent.failed >= MIN_SAMPLES && last.failed >= MIN_SAMPLES && last.succeeded == 0.0
     }
 }
--- a/crates/policy/src/rules/overrides.rs
+++ b/crates/policy/src/rules/overrides.rs
@@ -1,140 +1,187 @@
-//! Operators' overrides.
+//! The operators' overrides: how far each is in force, after the rules that come first. docs/design/overrides.md has the
+//! conditions.
+//!
+//! Guards against an operator's override that would break what the rules keep: one that can't be in force says why, and comes
+//! into force by itself later, but not at once, lest the fleet flaps.
 
-use crate::api::OverrideStatus::{Absent, InForce, Suspended, Waiting};
-use crate::api::{OverrideId, OverrideSpec, OverrideStatus, ReplicaId, ReplicaState, SliceId};
+use crate::api::OverrideStatus::{self, Absent, InForce, Suspended, Waiting};
+use crate::api::{OverrideId, OverrideSpec, ReplicaId, ReplicaState, SliceId};
 use crate::measure::admission::QUICK_RATIO;
-use crate::rules::acknowledgements::ACK_WAIT;
 use crate::rules::outlier_ejection::OUTLIER_EJECTION;
-use crate::state::controller::{ControllerState, OverrideEntry};
+use crate::state::controller::ControllerState;
+use crate::state::operator_overrides::OverrideEntry;
+use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
-use crate::state::slice::{Priority, Slice};
+use crate::state::routing_table::SliceMove;
+use crate::state::slice::Slice;
+use crate::time::Span;
 use std::collections::BTreeMap;
 use std::mem::take;
 
-pub(crate) const MAX_PIN_BACKOFF_STEPS: f64 = 12.0;
-pub(crate) const MOVING_TO_PIN: &str = "its slices come";
+/// How much later a slice comes back to its pin each time that a rule took it from there.
+const PIN_BACKOFF: Span = Span::ms(5000);
+/// The longest such pause, in multiples of that.
+const MAX_PIN_BACKOFF_STEPS: f64 = 12.0;
+/// The status of a pin whose slice may be moved to its replica now.
+const MOVING_TO_PIN: OverrideStatus = Waiting("its slices come");
+
+/// Replicas that are left while overrides take some out of service.
+struct FleetLeft {
+    /// Usable and warm.
+    warm: usize,
+    /// Ready, as the list has them.
+    ready: usize,
+    /// Ready, but out of service or ejected.
+    missing: usize,
+}
 
 impl ControllerState {
-    /// What operators override, as far as the rules let it; what had to stand back comes into force again by
-    /// itself, but not at once.
+    /// Puts overrides into force as far as the rules let it, once a tick or when the fleet changed.
     pub(crate) fn apply_overrides(&mut self) -> bool {
-        if !take(&mut self.pending_work.overrides) || self.overrides.is_empty() {
+        if !take(&mut self.pending_work.overrides) || self.operator_overrides.entries.is_empty() {
             return false;
         }
-        let (pins, mut wishes) = (self.apply_pins(), take(&mut self.overrides));
-        let missing = |s: &Replica| s.is_ready() && (s.out_of_service || self.is_ejected(s));
-        let mut left = (
-            self.count_replicas(|s| self.is_usable_and_warm(s)),
-            self.count_replicas(Replica::is_ready),
-            self.count_replicas(missing),
-        );
-        for (id, w) in &mut wishes {
-            let was = w.status;
-            w.status = match w.spec {
-                OverrideSpec::Out { replica } => self.apply_out_of_service(replica, w, &mut left),
+        let pins = self.apply_pins();
+        let mut fleet = self.fleet_left();
+        let mut entries = take(&mut self.operator_overrides.entries);
+        for (id, entry) in &mut entries {
+            let former = entry.status;
+            entry.status = match entry.spec {
+                OverrideSpec::Out { replica } => self.apply_out_of_service(replica, entry, &mut fleet),
                 OverrideSpec::Weight { replica, factor } => self.apply_weight(replica, factor),
                 OverrideSpec::Pin { .. } => {
                     pins.get(id).copied().unwrap_or(Waiting("no slice of it is ours"))
                 }
             };
-            let back = matches!((was, w.status), (InForce | Waiting(_), Suspended(_)));
-            w.suspended_at = if back { Some(self.now) } else { w.suspended_at };
+            if matches!((former, entry.status), (InForce | Waiting(_), Suspended(_))) {
+                entry.suspended_at = Some(self.now);
+            }
         }
-        self.overrides = wishes;
+        self.operator_overrides.entries = entries;
         true
     }
 
-    /// Where a warm replica stays, and half of the fleet: one more could not be made up for. What is in force
-    /// stays so for as long as there is a warm one.
-    pub(crate) fn apply_out_of_service(
+    fn fleet_left(&self) -> FleetLeft {
+        let is_missing =
+            |replica: &Replica| replica.is_ready() && (replica.out_of_service || self.is_ejected(replica));
+        FleetLeft {
+            warm: self.count_replicas(|replica| self.is_usable_and_warm(replica)),
+            ready: self.count_replicas(Replica::is_ready),
+            missing: self.count_replicas(is_missing),
+        }
+    }
+
+    /// Takes a replica out of service where a warm replica stays, and half of the fleet: one more could not be made up for.
+    /// What is in force stays so for as long as there is a warm one.
+    fn apply_out_of_service(
         &mut self,
         id: ReplicaId,
-        w: &OverrideEntry,
-        left: &mut (usize, usize, usize),
+        entry: &OverrideEntry,
+        fleet: &mut FleetLeft,
     ) -> OverrideStatus {
-        let Some(s) = self.replicas.get(&id).filter(|s| s.listed || s.out_of_service) else { return Absent };
-        let good = left.0 > usize::from(self.is_usable_and_warm(s));
-        let missing = left.2 + usize::from(!s.out_of_service && !self.is_ejected(s));
-        let again = w.suspended_at.is_some_and(|at| self.now - at < OUTLIER_EJECTION);
-        let out = s.state == ReplicaState::Draining
-            || (good && (s.out_of_service || !(missing * 2 > left.1 || again)));
-        if out && !s.out_of_service {
-            (left.0, left.2) = (left.0 - usize::from(self.is_usable_and_warm(s)), missing);
+        let known = self.replicas.get(&id).filter(|replica| replica.listed || replica.out_of_service);
+        let Some(replica) = known else { return Absent };
+        let is_warm = self.is_usable_and_warm(replica);
+        let was_out = replica.out_of_service;
+        let others_are_warm = fleet.warm > usize::from(is_warm);
+        let missing = fleet.missing + usize::from(!was_out && !self.is_ejected(replica));
+        let too_many_missing = missing * 2 > fleet.ready;
+        let just_suspended = entry.suspended_at.is_some_and(|at| self.now - at < OUTLIER_EJECTION);
+        let may_stay_out = was_out || !(too_many_missing || just_suspended);
+        let is_out = replica.state == ReplicaState::Draining || (others_are_warm && may_stay_out);
+        if is_out && !was_out {
+            fleet.warm -= usize::from(is_warm);
+            fleet.missing = missing;
         }
-        let leaves = || s.slices.iter().any(|n| self.slices[n].owners().any(|owner| owner == id));
-        let heeded = match () {
-            _ if !out && !good => Suspended("rule 1: no other warm server is well"),
-            _ if !out && again => Suspended("rule 1: it stood back a moment ago"),
-            _ if !out => Suspended("rule 1: over half of the servers would be missing"),
-            _ if self.pending_withdrawals.contains_key(&id) => {
+        let is_owner = |slice: &SliceId| self.slices[slice].table.owners().any(|owner| owner == id);
+        let status = match () {
+            _ if !is_out && !others_are_warm => Suspended("rule 1: no other warm server is well"),
+            _ if !is_out && just_suspended => Suspended("rule 1: it stood back a moment ago"),
+            _ if !is_out => Suspended("rule 1: over half of the servers would be missing"),
+            _ if self.withdrawals.pending.contains_key(&id) => {
                 Waiting("rule 5: its withdrawal waits for room")
             }
-            _ if leaves() => Waiting("its slices leave"),
+            _ if replica.slices.iter().any(is_owner) => Waiting("its slices leave"),
             _ => InForce,
         };
-        self.pending_work.evacuation |= s.out_of_service != out;
-        self.replicas.get_mut(&id).into_iter().for_each(|s| s.out_of_service = out);
-        heeded
+        self.pending_work.evacuation |= was_out != is_out;
+        if let Some(replica) = self.replicas.get_mut(&id) {
+            replica.out_of_service = is_out;
+        }
+        status
     }
 
-    /// What a cold replica may be sent does not grow with what it counts for.
-    pub(crate) fn apply_weight(&mut self, id: ReplicaId, factor: f64) -> OverrideStatus {
-        let Some(s) = self.replicas.get(&id).filter(|s| s.listed) else { return Absent };
-        let heeded = match () {
-            _ if s.state == ReplicaState::Draining => Suspended("rule 3: the server drains"),
-            _ if s.out_of_service => Suspended("the server is out of service"),
-            _ if factor > 1.0 && self.is_cold(s) => Suspended("rule 4: the server is cold"),
+    /// Puts a factor on a replica's capacity. What a cold replica may be sent does not grow with it.
+    fn apply_weight(&mut self, id: ReplicaId, factor: f64) -> OverrideStatus {
+        let Some(replica) = self.replicas.get(&id).filter(|replica| replica.listed) else { return Absent };
+        let status = match () {
+            _ if replica.state == ReplicaState::Draining => Suspended("rule 3: the server drains"),
+            _ if replica.out_of_service => Suspended("the server is out of service"),
+            _ if factor > 1.0 && self.is_warming_up(replica) => Suspended("rule 4: the server is cold"),
             _ => InForce,
         };
-        let factor = if heeded == InForce { factor } else { 1.0 };
-        self.replicas.get_mut(&id).into_iter().for_each(|s| s.weight_factor = factor);
-        heeded
+        if let Some(replica) = self.replicas.get_mut(&id) {
+            replica.weight_factor = if status == InForce { factor } else { 1.0 };
+        }
+        status
     }
 
-    /// Brings pinned slices to their replicas, one a replica and beat; says what holds up the first of each.
-    pub(crate) fn apply_pins(&mut self) -> BTreeMap<OverrideId, OverrideStatus> {
-        let (mut heeded, mut pulls) = (BTreeMap::new(), BTreeMap::new());
-        for (first, last, (to, id)) in self.pins.ranges() {
-            for (n, slice) in self.slices.range(first..=last) {
-                let how = self.pin_status(*n, slice, to, id);
-                let seen = heeded.entry(id).or_insert(InForce);
-                *seen = if *seen == InForce { how } else { *seen };
-                _ = (how == Waiting(MOVING_TO_PIN)).then(|| pulls.entry(to).or_insert((*n, id)));
+    /// Brings pinned slices to their replicas, one a replica and tick; the status of the first of each that is not there.
+    fn apply_pins(&mut self) -> BTreeMap<OverrideId, OverrideStatus> {
+        let mut statuses = BTreeMap::new();
+        let mut moves = BTreeMap::new();
+        for (first, last, (to, id)) in self.operator_overrides.pins.ranges() {
+            for (slice_id, slice) in self.slices.range(first..=last) {
+                let slice_status = self.pin_status(*slice_id, slice, to, id);
+                let status = statuses.entry(id).or_insert(InForce);
+                if *status == InForce {
+                    *status = slice_status;
+                }
+                if slice_status == MOVING_TO_PIN {
+                    moves.entry(to).or_insert((*slice_id, id));
+                }
             }
         }
-        for (to, (n, id)) in pulls {
-            let others: Vec<_> = self.slices[&n].owners().filter(|owner| *owner != to).collect();
-            others
-                .iter()
-                .skip(1)
-                .for_each(|other| self.replace_endpoint(n, Some(*other), None, Priority::Calm));
-            self.move_slice(n, others.first().copied().unwrap_or(to), to, Priority::Calm);
-            self.slices.get_mut(&n).into_iter().for_each(|s| s.record_pin_move(id));
+        for (to, (slice, id)) in moves {
+            self.move_to_pin(slice, to, id);
         }
-        heeded
+        statuses
     }
 
-    /// What the rules take from its pin comes back later each time: no flapping.
-    pub(crate) fn pin_status(
-        &self,
-        n: SliceId,
-        slice: &Slice,
-        to: ReplicaId,
-        id: OverrideId,
-    ) -> OverrideStatus {
-        let wait = ACK_WAIT.times(slice.pin_move_count(id).min(MAX_PIN_BACKOFF_STEPS));
-        let Some(s) = self.replicas.get(&to).filter(|s| s.listed) else { return Absent };
+    /// Makes a replica a slice's only owner.
+    fn move_to_pin(&mut self, id: SliceId, to: ReplicaId, by: OverrideId) {
+        let others: Vec<_> = self.slices[&id].table.owners().filter(|owner| *owner != to).collect();
+        for other in others.iter().skip(1) {
+            self.replace_endpoint(id, Some(*other), None, Priority::Calm);
+        }
+        let from = others.first().copied().unwrap_or(to);
+        self.move_slice(SliceMove { slice: id, from, to }, Priority::Calm);
+        if let Some(slice) = self.slices.get_mut(&id) {
+            slice.pin_moves.record(by);
+        }
+    }
+
+    /// How far a slice is at its pin. What the rules take from there comes back later each time.
+    fn pin_status(&self, id: SliceId, slice: &Slice, to: ReplicaId, by: OverrideId) -> OverrideStatus {
+        let Some(replica) = self.replicas.get(&to).filter(|replica| replica.listed) else { return Absent };
+        let backoff_steps = f64::from(slice.pin_moves.count_by(by)).min(MAX_PIN_BACKOFF_STEPS);
+        let backoff = PIN_BACKOFF.times(backoff_steps);
+        let is_at_pin = self.is_at_pin(id, slice);
         match () {
-            _ if s.state == ReplicaState::Draining => Suspended("rule 3: the server drains"),
-            _ if s.out_of_service => Suspended("the server is out of service"),
-            _ if self.is_ejected(s) || s.withdrawn => Suspended("rule 1: the server is sick or withdrawn"),
-            _ if self.is_at_pin(n, slice) && slice.is_fully_applied() => InForce,
-            _ if self.is_at_pin(n, slice) => Waiting("rule 5: orders wait for room"),
+            _ if replica.state == ReplicaState::Draining => Suspended("rule 3: the server drains"),
+            _ if replica.out_of_service => Suspended("the server is out of service"),
+            _ if self.is_ejected(replica) || replica.withdrawn => {
+                Suspended("rule 1: the server is sick or withdrawn")
+            }
+            _ if is_at_pin && slice.is_fully_applied() => InForce,
+            _ if is_at_pin => Waiting("rule 5: orders wait for room"),
             _ if slice.awaited_version.is_some() => Waiting("an earlier change is not acked yet"),
-            _ if self.now - slice.settled_at < wait => Waiting("it had to leave lately"),
-            _ if s.latency_ratio >= QUICK_RATIO => Suspended("the server answers late"),
-            _ if !self.may_take(s, slice.load.max(slice.demand)) => Suspended("rule 4: the server is cold"),
-            _ => Waiting(MOVING_TO_PIN),
+            _ if self.now - slice.settled_at < backoff => Waiting("it had to leave lately"),
+            _ if replica.latency_ratio >= QUICK_RATIO => Suspended("the server answers late"),
+            _ if !self.may_take(replica, slice.load.max(slice.demand)) => {
+                Suspended("rule 4: the server is cold")
+            }
+            _ => MOVING_TO_PIN,
         }
     }
 }
--- a/crates/policy/src/rules/placement.rs
+++ b/crates/policy/src/rules/placement.rs
@@ -1,98 +1,138 @@
-//! Which replica a slice may move to.
+//! Placement: which replica a slice may move to. All rules that move slices ask here.
 
-use crate::api::{ReplicaId, SliceId};
+use crate::api::ReplicaId;
 use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
 use crate::state::ranking::Ranking;
 use crate::state::replica::Replica;
-use crate::state::slice::{Priority, Slice, FULL_WEIGHT};
+use crate::state::routing_table::{SliceMove, FULL_WEIGHT};
+use crate::state::slice::Slice;
 use crate::time::Span;
 
-pub(crate) const FRESH_PERIOD: Span = Span::ms(30_000);
+/// A replica that started less than this ago takes one slice a round (docs/design.md, The ordinary path).
+const FRESH_PERIOD: Span = Span::ms(30_000);
+/// The least slow-start budget that is divided by, in requests a second.
+const MIN_BUDGET: f64 = 0.001;
+
 /// How far a search for another replica may go.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RefugeScope {
+    /// To usable replicas inside their slow-start budgets.
     WithCapacity,
+    /// Where there is none, to full warm ones too.
     AnyWarm,
+    /// Where there is none, to ejected or cold ones too: anything is better than what must be left.
     Any,
 }
 
 impl ControllerState {
-    pub(crate) fn may_take(&self, s: &Replica, load: f64) -> bool {
-        let fresh = s.started.is_some_and(|at| self.now - at < FRESH_PERIOD);
-        self.is_usable(s)
-            && self.holds_claim(s)
-            && !(fresh && s.moved_this_round)
-            && s.demand + load <= self.slow_start_budget(s)
+    /// Whether a replica may get so many requests a second more. Guards against a cold replica that collapses, and against
+    /// filling a fresh one before its load shows.
+    pub(crate) fn may_take(&self, replica: &Replica, demand: f64) -> bool {
+        let is_fresh = replica.started.is_some_and(|at| self.now - at < FRESH_PERIOD);
+        self.is_usable(replica)
+            && self.holds_claim(replica)
+            && !(is_fresh && replica.moved_this_round)
+            && replica.demand + demand <= self.slow_start_budget(replica)
     }
 
-    /// Most room under AvgL+phi, else the least loaded; a bad replica only where there is no good one.
-    pub(crate) fn find_refuge(&self, slice: &Slice, load: f64, need: RefugeScope) -> Option<ReplicaId> {
-        let owns = |id: &ReplicaId| slice.desired.contains_key(id) && !slice.is_standby(id);
-        let first = |ranks: &Ranking, keep: &dyn Fn(&Replica) -> bool| {
-            ranks.first(|id| !owns(id) && self.replicas.get(id).is_some_and(keep))
+    /// The replica for a slice that leaves another one, of which so much load has to find a place: the one with most
+    /// headroom, else the least utilized; an unusable one only where there is no usable one.
+    pub(crate) fn find_refuge(&self, slice: &Slice, load: f64, scope: RefugeScope) -> Option<ReplicaId> {
+        let owns = |id: &ReplicaId| slice.table.desired.contains_key(id) && !slice.table.is_standby(id);
+        let first = |ranking: &Ranking, accepts: &dyn Fn(&Replica) -> bool| {
+            ranking.first(|id| !owns(id) && self.replicas.get(id).is_some_and(accepts))
         };
-        // What comes with repeats, not the load alone, is what would push a cold one over.
-        let takes = |s: &Replica| self.may_take(s, load.max(slice.demand));
-        let roomy =
-            first(&self.rankings.by_headroom, &|s| takes(s) && self.has_headroom_if_shared(need, s, load));
-        if roomy.is_some_and(|id| self.averages.headroom(&self.replicas[&id]) >= load) {
-            return roomy;
+        // What comes with retries, not the load alone, is what would push a cold one over.
+        let demand = load.max(slice.demand);
+        let takes = |replica: &Replica| self.may_take(replica, demand);
+        let with_headroom = first(&self.rankings.by_headroom, &|replica| {
+            takes(replica) && self.has_headroom_if_shared(scope, replica, load)
+        });
+        if with_headroom.is_some_and(|id| self.averages.headroom(&self.replicas[&id]) >= load) {
+            return with_headroom;
         }
-        let fit = self.usable_or_escape(need, first(&self.rankings.by_utilization, &takes), load, &owns);
-        // With no fit one, a full warm replica still beats a cold one, which would fall over (rule 4).
-        let well = || first(&self.rankings.by_utilization, &|s| self.is_usable_and_warm(s));
-        let ready = self.replicas.iter().filter(|(id, s)| !owns(id) && s.is_selectable());
-        let pushed = |s: &Replica| (s.demand + slice.demand.max(load)) / self.slow_start_budget(s).max(0.001);
-        let least = || ready.min_by(|a, b| pushed(a.1).total_cmp(&pushed(b.1))).map(|(id, _)| *id);
-        match need {
-            RefugeScope::WithCapacity => fit,
-            RefugeScope::AnyWarm => fit.or_else(well),
-            RefugeScope::Any => fit.or_else(well).or_else(least),
+        let least_utilized = first(&self.rankings.by_utilization, &takes);
+        let usable = self.usable_or_escape(scope, least_utilized, load, &owns);
+        // With no usable one, a full warm replica still beats a cold one, which would collapse.
+        let warm = || first(&self.rankings.by_utilization, &|replica| self.is_usable_and_warm(replica));
+        match scope {
+            RefugeScope::WithCapacity => usable,
+            RefugeScope::AnyWarm => usable.or_else(warm),
+            RefugeScope::Any => usable.or_else(warm).or_else(|| self.least_overloaded(demand, &owns)),
         }
     }
 
-    pub(crate) fn move_slice(&mut self, n: SliceId, from: ReplicaId, to: ReplicaId, priority: Priority) {
-        self.replace_owner(n, Some(from), Some((to, FULL_WEIGHT)), priority);
-        self.slices.get_mut(&n).into_iter().for_each(|s| s.move_count += 1);
-        self.replicas.get_mut(&to).into_iter().for_each(|s| s.moved_this_round = true);
+    /// Of the replicas that the list calls ready, the one whose slow-start budget is exceeded least.
+    fn least_overloaded(&self, demand: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+        let selectable = self.replicas.iter().filter(|(id, replica)| !owns(id) && replica.is_selectable());
+        let overload =
+            |replica: &Replica| (replica.demand + demand) / self.slow_start_budget(replica).max(MIN_BUDGET);
+        selectable.min_by(|(_, one), (_, other)| overload(one).total_cmp(&overload(other))).map(|(id, _)| *id)
     }
 
-    /// Whether a claimed replica has room for all of it; to escapes it is preferred up to the average only, lest those
-    /// whose claimants have much to place are filled before the others.
-    pub(crate) fn has_headroom_if_shared(&self, need: RefugeScope, s: &Replica, load: f64) -> bool {
-        let preferred =
-            || matches!(need, RefugeScope::WithCapacity) || s.utilization() < self.averages.utilization;
-        !self.sharing.is_active || (self.averages.headroom(s) >= load && preferred())
+    /// Moves a slice to another owner and counts the move.
+    pub(crate) fn move_slice(&mut self, slice_move: SliceMove, priority: Priority) {
+        let SliceMove { slice: id, from, to } = slice_move;
+        self.replace_owner(id, Some(from), Some((to, FULL_WEIGHT)), priority);
+        if let Some(slice) = self.slices.get_mut(&id) {
+            slice.move_count += 1;
+        }
+        if let Some(replica) = self.replicas.get_mut(&to) {
+            replica.moved_this_round = true;
+        }
     }
 
-    /// The fit replica that was found, or, where a slice must leave one that is shared, a better way out.
-    pub(crate) fn usable_or_escape(
+    /// Where replicas are shared, whether a claimed replica has room for all of it; escapes prefer it up to the average
+    /// only, lest replicas whose claimants have much to place are filled before the others.
+    fn has_headroom_if_shared(&self, scope: RefugeScope, replica: &Replica, load: f64) -> bool {
+        if !self.sharing.is_active {
+            return true;
+        }
+        let is_preferred =
+            scope == RefugeScope::WithCapacity || replica.utilization() < self.averages.utilization;
+        self.averages.headroom(replica) >= load && is_preferred
+    }
+
+    /// The usable replica that was found, or, where a slice must leave one that is shared, a better escape.
+    fn usable_or_escape(
         &self,
-        need: RefugeScope,
-        fit: Option<ReplicaId>,
+        scope: RefugeScope,
+        usable: Option<ReplicaId>,
         load: f64,
         owns: &dyn Fn(&ReplicaId) -> bool,
     ) -> Option<ReplicaId> {
-        let escapes = self.sharing.is_active && !matches!(need, RefugeScope::WithCapacity);
-        escapes.then(|| self.shared_escape(load, owns)).flatten().or(fit)
+        if self.sharing.is_active && scope != RefugeScope::WithCapacity {
+            self.find_shared_escape(load, owns).or(usable)
+        } else {
+            usable
+        }
     }
 
-    /// A warm replica of the subset with room, or the least loaded by draw, whoever holds the claim on it; where the
-    /// subset has no warm one that is fit, a warm one of other controllers.
-    pub(crate) fn shared_escape(&self, load: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
-        let good =
-            |id: &ReplicaId| !owns(id) && self.replicas.get(id).is_some_and(|s| self.is_usable_and_warm(s));
-        let roomy = |id: &ReplicaId| good(id) && self.averages.headroom(&self.replicas[id]) >= load;
-        let own =
-            || self.rankings.by_headroom.first(roomy).or_else(|| self.rankings.by_utilization.first(good));
-        own().or_else(|| self.foreign_escape(owns))
+    /// A warm replica of the subset with room, or the least utilized by draw, whoever holds the claim on it: escapes can't
+    /// wait for a claim. Where the subset has no usable warm one, a warm one of other controllers.
+    fn find_shared_escape(&self, load: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+        let is_warm = |id: &ReplicaId| {
+            !owns(id) && self.replicas.get(id).is_some_and(|replica| self.is_usable_and_warm(replica))
+        };
+        let has_room = |id: &ReplicaId| is_warm(id) && self.averages.headroom(&self.replicas[id]) >= load;
+        let with_room = self.rankings.by_headroom.first(has_room);
+        let of_subset = with_room.or_else(|| self.rankings.by_utilization.first(is_warm));
+        of_subset.or_else(|| self.find_foreign_escape(owns))
     }
 
-    pub(crate) fn foreign_escape(&self, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
-        let well =
-            |s: &Replica| s.is_steered_by_others() && s.is_ready() && !s.withdrawn && !s.out_of_service;
-        let warm = |s: &Replica| well(s) && !self.is_ejected(s) && !self.is_cold(s);
-        let able = self.replicas.iter().filter(|(id, s)| warm(s) && !owns(id));
-        able.min_by(|a, b| a.1.shared.round_draw.total_cmp(&b.1.shared.round_draw)).map(|(id, _)| *id)
+    fn find_foreign_escape(&self, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+        let is_well = |replica: &Replica| {
+            replica.is_steered_by_others()
+                && replica.is_ready()
+                && !replica.withdrawn
+                && !replica.out_of_service
+                && !self.is_ejected(replica)
+                && !self.is_warming_up(replica)
+        };
+        let candidates = self.replicas.iter().filter(|(id, replica)| is_well(replica) && !owns(id));
+        let drawn = candidates
+            .min_by(|(_, one), (_, other)| one.shared.round_draw.total_cmp(&other.shared.round_draw));
+        drawn.map(|(id, _)| *id)
     }
 }
--- a/crates/policy/src/rules/rate_limit.rs
+++ b/crates/policy/src/rules/rate_limit.rs
@@ -1,97 +1,127 @@
-//! Rate limit of commands.
+//! Rate limiting of commands: unacknowledged lines stay under the queue's capacity, messages under their limit.
+//!
+//! Guards against a queue that overflows, against overhead that fills the channel, and against messages used up when an
+//! urgent command needs one.
 
 use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
 use crate::state::schedule::TICK;
-use crate::state::slice::Priority;
 use crate::time::{Moment, Span};
 
-pub(crate) const QUEUE_SHARE: f64 = 0.8;
-pub(crate) const CALM_QUEUE_SHARE: f64 = 0.5;
-pub(crate) const DEFERRABLE_MESSAGE_SHARE: f64 = 0.75; // The part of the message cap for what can wait.
-pub(crate) const OVERHEAD_SHARE: f64 = 0.25;
+/// The share of the queue's capacity that commands use (docs/design.md, Rate limiting).
+const QUEUE_SHARE: f64 = 0.8;
+/// The share of that which calm commands use.
+const CALM_QUEUE_SHARE: f64 = 0.5;
+/// The share of the message limit that is used by what can wait.
+const DEFERRABLE_MESSAGE_SHARE: f64 = 0.75;
+/// The share of the channel that the overhead of messages may take.
+const OVERHEAD_SHARE: f64 = 0.25;
+/// Acknowledgements that come no sooner than this after the last activity are overdue.
 pub(crate) const ACK_TIMEOUT: Span = Span::ms(3000);
-pub(crate) const MAX_GRACE_SHARE_WAITED: f64 = 0.75; // The part of the grace that an order may wait for its message.
+/// The share of the drain grace that an urgent command may wait for its message.
+const MAX_GRACE_SHARE_WAITED: f64 = 0.75;
+
+/// Messages that may still be opened, and how long until the window gives one back.
+struct OpenableMessages {
+    left: f64,
+    next_in: Span,
+}
 
 impl ControllerState {
-    /// Room for so many more lines to each proxy, under both caps (rule 5). A first message always has room;
-    /// others come so far apart that heads do not fill the channel, as one for each few lines would.
+    /// Room for so many more lines to each proxy, under both limits. A first message always has room; others come so far
+    /// apart that overhead does not fill the channel.
     pub(crate) fn has_channel_room(&self, lines: f64, priority: Priority) -> bool {
-        let all = self.channel.proxies.len() as f64;
-        let (waiting, open) = (self.channel.unacked_lines(), self.channel.open_message_lines());
-        let (fresh, bare) = (self.channel.open_version.is_none(), priority == Priority::NoEndpoint);
-        let head = if fresh { (self.deployment.message_overhead_lines + 1.0) * all } else { 0.0 };
-        let heads = Span::ms(1000).times(head / self.deployment.lines_per_second.max(1.0) / OVERHEAD_SHARE);
-        let (part, gap) = match priority {
-            Priority::Calm | Priority::Standby => (CALM_QUEUE_SHARE, heads + heads),
-            _ => (1.0, if waiting == 0.0 { Span::default() } else { heads }),
+        let proxies = self.channel.proxies.len() as f64;
+        let unacked = self.channel.unacked_lines();
+        let opens_message = self.channel.open_version.is_none();
+        let can_wait = priority != Priority::NoEndpoint;
+        let overhead = if opens_message { self.message_overhead() * proxies } else { 0.0 };
+        let overhead_time =
+            Span::ms(1000).times(overhead / self.deployment.lines_per_second.max(1.0) / OVERHEAD_SHARE);
+        let (share, gap) = match priority {
+            Priority::Calm | Priority::Standby => (CALM_QUEUE_SHARE, overhead_time + overhead_time),
+            Priority::NoEndpoint | Priority::Urgent if unacked == 0.0 => (1.0, Span::default()),
+            Priority::NoEndpoint | Priority::Urgent => (1.0, overhead_time),
         };
-        let (more, most) = (lines * all + head, self.deployment.queue_capacity_lines * QUEUE_SHARE);
-        // Twice, for a repeat; but parted into small messages what can't wait would come too late, mostly heads.
-        let twice = || waiting + open + more + more <= most;
-        let fits = || waiting + more <= most * part && (bare || twice());
-        self.is_replying && (waiting == 0.0 || fits()) && (!fresh || self.may_open_message(part, gap, !bare))
+        let added = lines * proxies + overhead;
+        let limit = self.deployment.queue_capacity_lines * QUEUE_SHARE;
+        // Twice, for a resend; but split into small messages what can't wait would come too late, mostly overhead.
+        let fits_twice = || unacked + self.channel.open_message_lines() + added + added <= limit;
+        let fits = || unacked + added <= limit * share && (!can_wait || fits_twice());
+        self.is_replying
+            && (unacked == 0.0 || fits())
+            && (!opens_message || self.may_open_message(share, gap, priority))
+    }
+
+    /// What a message to one proxy costs besides its commands, its version included, in lines.
+    fn message_overhead(&self) -> f64 {
+        self.deployment.message_overhead_lines + 1.0
     }
 
-    /// Where it fits in beside itself, or no ack has come for so long that nothing can wait any more; and as one
-    /// more message to all, for each attempt may have been carried out (rule 5).
-    pub fn may_resend(&self, now: Moment, version: u16) -> bool {
-        let (waiting, again) = (self.channel.unacked_lines(), self.channel.lines_of_version(version));
-        let fits = waiting + again <= self.deployment.queue_capacity_lines * QUEUE_SHARE;
-        (fits || now - self.channel.last_activity_at > ACK_TIMEOUT) && self.messages_left(now, 1.0) >= 1.0
+    /// See [`crate::Policy::may_resend`].
+    pub(crate) fn may_resend(&self, now: Moment, version: u16) -> bool {
+        let lines = self.channel.unacked_lines() + self.channel.lines_of_version(version);
+        let fits = lines <= self.deployment.queue_capacity_lines * QUEUE_SHARE;
+        let is_overdue = now - self.channel.last_activity_at > ACK_TIMEOUT;
+        (fits || is_overdue) && self.messages_left(now, 1.0) >= 1.0
     }
 
-    /// How many messages each proxy may still get within the window, where we use this part of the cap.
-    pub(crate) fn messages_left(&self, now: Moment, part: f64) -> f64 {
-        let cap = f64::from(self.deployment.message_limit);
-        let written = self.channel.opened_messages.sum(now, self.deployment.message_window + TICK);
-        if cap == 0.0 {
-            f64::INFINITY
-        } else {
-            cap * part - written
+    /// How many messages each proxy may still get within the window, where this share of the limit is used.
+    fn messages_left(&self, now: Moment, share: f64) -> f64 {
+        let limit = f64::from(self.deployment.message_limit);
+        if limit == 0.0 {
+            return f64::INFINITY;
         }
+        limit * share - self.channel.opened_messages.sum(now, self.message_window())
+    }
+
+    fn message_window(&self) -> Span {
+        self.deployment.message_window + TICK
     }
 
-    /// How many more messages may be opened where we use this part of the cap, and how long until one is given back.
-    /// None while the window is empty, or where there is no cap.
-    pub(crate) fn openable_messages(&self, part: f64) -> Option<(f64, Span)> {
-        let window = self.deployment.message_window + TICK;
+    /// The messages that may be opened where this share of the limit is used; none while the window is empty, or where there
+    /// is no limit.
+    fn openable_messages(&self, share: f64) -> Option<OpenableMessages> {
+        let window = self.message_window();
         let oldest = self.channel.opened_messages.oldest(self.now, window)?;
-        let left = self.messages_left(self.now, part) - 1.0;
-        left.is_finite().then(|| (left, window - (self.now - oldest)))
+        let left = self.messages_left(self.now, share) - 1.0;
+        left.is_finite().then(|| OpenableMessages { left, next_in: window - (self.now - oldest) })
     }
 
-    /// Whether each message that is left could wait so much of the grace until one is given back.
-    pub(crate) fn messages_are_ample(&self) -> bool {
-        let to_open = self.openable_messages(1.0);
-        to_open.is_none_or(|(left, frees)| {
-            self.deployment.drain_grace.times(MAX_GRACE_SHARE_WAITED * (left - 1.0)) >= frees
+    /// Whether each message that is left could wait for its share of the grace until one is given back.
+    fn messages_are_ample(&self) -> bool {
+        self.openable_messages(1.0).is_none_or(|openable| {
+            let may_wait = MAX_GRACE_SHARE_WAITED * (openable.left - 1.0);
+            self.deployment.drain_grace.times(may_wait) >= openable.next_in
         })
     }
 
-    /// Whether a message may be opened, so long after the one before: messages are so far apart that they do not use up
-    /// their cap and leave none for what can't wait. Those that are left are spread over the time until one is given
-    /// back, and what can wait leaves some of them. What can't wait goes at once while they are ample.
-    pub(crate) fn may_open_message(&self, part: f64, gap: Span, can_wait: bool) -> bool {
+    /// Whether a message may be opened, so long after the one before. Those that are left are spread over the time until one
+    /// is given back, and what can wait leaves some of them. What can't wait goes at once while they are ample.
+    fn may_open_message(&self, share: f64, gap: Span, priority: Priority) -> bool {
+        let can_wait = priority != Priority::NoEndpoint;
         let most = if can_wait { DEFERRABLE_MESSAGE_SHARE } else { 1.0 };
         let spread = match self.openable_messages(most) {
-            Some((left, frees)) if can_wait || !self.messages_are_ample() => frees.times(1.0 / left.max(1.0)),
+            Some(openable) if can_wait || !self.messages_are_ample() => {
+                openable.next_in.times(1.0 / openable.left.max(1.0))
+            }
             _ => Span::default(),
         };
         let has_waited = self.now - self.channel.last_opened_at >= gap.max(spread);
-        has_waited && self.messages_left(self.now, part.min(most)) > 1.0
+        has_waited && self.messages_left(self.now, share.min(most)) > 1.0
     }
 
-    /// Messages that are not acked take the room of further orders, and their acks are lost or long overdue. A version by
-    /// itself fits into the part of the queue cap that orders leave; its acks show that all before it has left.
+    /// Whether to ask for acknowledgements by a version alone: unacknowledged messages take the room of calm commands, and
+    /// their acknowledgements are lost or long overdue. A version by itself fits into the part of the queue that commands
+    /// leave; its acknowledgements show that all before it has left.
     pub(crate) fn needs_sync(&self) -> bool {
-        let all = self.channel.proxies.len() as f64;
-        let (waiting, version) =
-            (self.channel.unacked_lines(), (self.deployment.message_overhead_lines + 1.0) * all);
+        let proxies = self.channel.proxies.len() as f64;
+        let unacked = self.channel.unacked_lines();
+        let overhead = self.message_overhead() * proxies;
+        let capacity = self.deployment.queue_capacity_lines;
         let is_overdue = self.channel.acks_lost || self.now - self.channel.last_activity_at > ACK_TIMEOUT;
-        let is_in_the_way =
-            waiting + version + all > self.deployment.queue_capacity_lines * QUEUE_SHARE * CALM_QUEUE_SHARE;
-        let fits = waiting + version <= self.deployment.queue_capacity_lines
-            && self.messages_left(self.now, 1.0) > 1.0;
-        is_overdue && is_in_the_way && fits && waiting > 0.0 && self.channel.open_version.is_none()
+        let is_in_the_way = unacked + overhead + proxies > capacity * QUEUE_SHARE * CALM_QUEUE_SHARE;
+        let fits = unacked + overhead <= capacity && self.messages_left(self.now, 1.0) > 1.0;
+        is_overdue && is_in_the_way && fits && unacked > 0.0 && self.channel.open_version.is_none()
     }
 }
--- a/crates/policy/src/rules/rebalance.rs
+++ b/crates/policy/src/rules/rebalance.rs
@@ -1,86 +1,174 @@
-//! The ordinary path: DDMC.
+//! The ordinary path: DDMC, the policy with a central controller of section 3.1 of Wang et al., *Dynamic Data Migration
+//! Policies for Query-Intensive Distributed Data Environments*. docs/design.md says what was changed and why.
+//!
+//! Guards against replicas that are overloaded while others idle, without moves that chase noise: only replicas outside the
+//! band for several rounds take part, and a slice that has moved often moves no more.
 
-use crate::api::{ReplicaId, ReportFlow, SliceId};
+use crate::api::{ReplicaId, ReportFlow};
 use crate::measure::admission::QUICK_RATIO;
+use crate::measure::load_estimates::MovableSlice;
 use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
+use crate::state::routing_table::SliceMove;
 use crate::state::schedule::ROUND;
-use crate::state::slice::Priority;
 
-pub(crate) const MOVE_DAMPING: f64 = 0.8;
-pub(crate) const MOVE_THRESHOLD: f64 = 0.3;
-pub(crate) const MIN_ROUNDS_OUTSIDE_BAND: i32 = 3;
+/// omega of DDMC: each move of a slice weakens the case for the next by this factor (docs/design.md: with 0.5 a slice is held
+/// after two moves).
+const MOVE_DAMPING: f64 = 0.8;
+/// Delta of DDMC: what the case for a move must exceed.
+const MOVE_THRESHOLD: f64 = 0.3;
+/// Rounds in a row outside the band before anything is done about a replica.
+const MIN_ROUNDS_OUTSIDE_BAND: i32 = 3;
+
+/// A heavy replica and the light one that it may give slices to.
+struct Transfer<'a> {
+    source_id: ReplicaId,
+    source: &'a Replica,
+    destination_id: ReplicaId,
+    destination: &'a Replica,
+    /// The utilization of the heaviest replica.
+    highest_utilization: f64,
+}
+
+impl Transfer<'_> {
+    /// Condition 1 of DDMC: the slice has not moved too often already.
+    fn may_move_again(&self, slice: &MovableSlice) -> bool {
+        let damping = MOVE_DAMPING.powi(slice.move_count as i32);
+        damping * self.source.utilization() / self.highest_utilization > MOVE_THRESHOLD
+    }
+
+    fn give(&self, slice: &MovableSlice) -> SliceMove {
+        SliceMove { slice: slice.id, from: self.source_id, to: self.destination_id }
+    }
+
+    fn take_back(&self, slice: &MovableSlice) -> SliceMove {
+        SliceMove { slice: slice.id, from: self.destination_id, to: self.source_id }
+    }
+}
 
 impl ControllerState {
+    /// Opens a round once it is due, and counts for each replica how long it has been outside its band.
     pub(crate) fn open_round(&mut self) -> bool {
-        if self.deadlines.round > self.now || self.report_flow == ReportFlow::Interrupted {
+        if self.deadlines.round > self.now || self.reporting.flow == ReportFlow::Interrupted {
             return false;
         }
         self.deadlines.round = self.now + ROUND;
-        (self.pending_work.rebalancing, self.pending_work.load_shedding) =
-            (true, self.deployment.admission_supported);
-        for s in self.replicas.values_mut() {
-            let (low, high) = self.averages.band(s);
-            let side = i32::from(s.utilization() > high) - i32::from(s.utilization() < low);
-            (s.moved_this_round, s.rounds_outside_band) =
-                (false, if side * s.rounds_outside_band > 0 { s.rounds_outside_band + side } else { side });
+        self.pending_work.rebalancing = true;
+        self.pending_work.load_shedding = self.deployment.admission_supported;
+        for replica in self.replicas.values_mut() {
+            let band = self.averages.band(replica);
+            let utilization = replica.utilization();
+            let side = i32::from(utilization > band.high) - i32::from(utilization < band.low);
+            let is_same_side = side * replica.rounds_outside_band > 0;
+            replica.rounds_outside_band =
+                if is_same_side { replica.rounds_outside_band + side } else { side };
+            replica.moved_this_round = false;
         }
         true
     }
 
-    /// One move or swap of the ordinary path.
+    /// Makes one move or swap; it is tried again until none is found.
     pub(crate) fn rebalance(&mut self) -> bool {
         if !self.pending_work.rebalancing {
             return false;
         }
-        let found = self.find_return_move().map(|one| vec![one]).or_else(|| self.find_move());
+        let found = match self.find_return_move() {
+            Some(return_move) => Some(vec![return_move]),
+            None => self.find_moves(),
+        };
         self.pending_work.rebalancing = found.is_some();
-        for (n, from, to) in found.into_iter().flatten() {
-            self.move_slice(n, from, to, Priority::Calm);
-            _ = self.replicas.get_mut(&from).map(|s| s.moved_this_round = true);
+        for slice_move in found.into_iter().flatten() {
+            self.move_slice(slice_move, Priority::Calm);
+            if let Some(source) = self.replicas.get_mut(&slice_move.from) {
+                source.moved_this_round = true;
+            }
         }
         true
     }
 
-    pub(crate) fn find_move(&self) -> Option<Vec<(SliceId, ReplicaId, ReplicaId)>> {
-        let (low, high) = (|s: &Replica| self.averages.band(s).0, |s: &Replica| self.averages.band(s).1);
-        let idle = |s: &Replica| self.is_usable(s) && !s.moved_this_round && self.may_shed(s);
-        let is_heavy = |s: &Replica| {
-            s.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND && idle(s) && s.utilization() > high(s)
-        };
-        let mut heavy: Vec<_> = self.replicas.iter().filter(|(_, s)| is_heavy(s)).collect();
-        heavy.sort_by(|a, b| b.1.utilization().total_cmp(&a.1.utilization()));
+    /// The heaviest replica that can give a slice to the lightest one, alone or in a swap.
+    fn find_moves(&self) -> Option<Vec<SliceMove>> {
+        let mut heavy = self.heavy_replicas();
+        let (_, heaviest) = heavy.first()?;
+        let highest_utilization = heaviest.utilization();
         // One that operators made small is heavy though nobody is light.
-        let (top, made_small) = heavy.first().map(|(_, s)| (s.utilization(), s.weight_factor < 1.0))?;
-        heavy.truncate(if made_small { 1 } else { heavy.len() });
-        let easy = |s: &Replica| self.may_take(s, 0.0) && s.latency_ratio < QUICK_RATIO;
-        let below =
-            |s: &Replica| -s.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND && s.utilization() < low(s);
-        let is_light =
-            |s: &Replica| idle(s) && (below(s) || (made_small && s.utilization() < high(s))) && easy(s);
-        let light = self.replicas.iter().filter(|(_, s)| is_light(s));
-        let (to, dest) = light.max_by(|a, b| self.headroom(a.1).total_cmp(&self.headroom(b.1)))?;
-        for (from, source) in heavy {
-            let damped =
-                |moves: u32| MOVE_DAMPING.powi(moves as i32) * source.utilization() / top > MOVE_THRESHOLD;
-            let fits = |net: f64| {
-                net > 0.0
-                    && source.utilization() - net / source.effective_capacity >= low(source)
-                    && dest.utilization() + net / dest.effective_capacity <= high(dest)
-                    && self.may_take(dest, net)
-            };
-            let mine = self.movable_slices(*from, source);
-            if let Some((n, ..)) = mine.iter().find(|(_, load, moves)| damped(*moves) && fits(*load)) {
-                return Some(vec![(*n, *from, *to)]);
-            }
-            let theirs = self.movable_slices(*to, dest);
-            for (n, load, _) in mine.iter().filter(|(.., moves)| damped(*moves)) {
-                let back = theirs.iter().rev().find(|(_, other, moves)| damped(*moves) && fits(load - other));
-                if let Some((m, ..)) = back {
-                    return Some(vec![(*n, *from, *to), (*m, *to, *from)]);
-                }
-            }
+        let is_made_small = heaviest.weight_factor < 1.0;
+        if is_made_small {
+            heavy.truncate(1);
         }
-        None
+        let (destination_id, destination) = self.lightest_replica(is_made_small)?;
+        heavy.into_iter().find_map(|(source_id, source)| {
+            let transfer = Transfer { source_id, source, destination_id, destination, highest_utilization };
+            self.find_transfer(&transfer)
+        })
+    }
+
+    fn find_transfer(&self, transfer: &Transfer) -> Option<Vec<SliceMove>> {
+        let own = self.movable_slices(transfer.source_id, transfer.source);
+        let movable = || own.iter().filter(|slice| transfer.may_move_again(slice));
+        if let Some(slice) = movable().find(|slice| self.is_transferable(transfer, slice.load)) {
+            return Some(vec![transfer.give(slice)]);
+        }
+        let returnable = self.movable_slices(transfer.destination_id, transfer.destination);
+        movable().find_map(|slice| {
+            let may_return = |other: &&MovableSlice| {
+                transfer.may_move_again(other) && self.is_transferable(transfer, slice.load - other.load)
+            };
+            let returned = returnable.iter().rev().find(may_return)?;
+            Some(vec![transfer.give(slice), transfer.take_back(returned)])
+        })
+    }
+
+    /// Condition 2 of DDMC: both replicas stay inside their bands when so much load moves on balance.
+    fn is_transferable(&self, transfer: &Transfer, net_load: f64) -> bool {
+        let Transfer { source, destination, .. } = transfer;
+        let source_after = source.utilization() - net_load / source.effective_capacity;
+        let destination_after = destination.utilization() + net_load / destination.effective_capacity;
+        net_load > 0.0
+            && source_after >= self.averages.band(source).low
+            && destination_after <= self.averages.band(destination).high
+            && self.may_take(destination, net_load)
+    }
+
+    /// Replicas that have been above their bands for long enough, the heaviest first.
+    fn heavy_replicas(&self) -> Vec<(ReplicaId, &Replica)> {
+        let is_heavy = |replica: &Replica| {
+            replica.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND
+                && self.may_take_part(replica)
+                && replica.utilization() > self.averages.band(replica).high
+        };
+        let mut heavy: Vec<_> = self
+            .replicas
+            .iter()
+            .filter(|(_, replica)| is_heavy(replica))
+            .map(|(id, replica)| (*id, replica))
+            .collect();
+        heavy.sort_by(|(_, one), (_, other)| other.utilization().total_cmp(&one.utilization()));
+        heavy
+    }
+
+    /// The replica with most headroom of those below their bands for long enough, or anywhere below the upper limit where
+    /// the source was made small by operators. One that answers late is none: a low utilization may mean that it is weak.
+    fn lightest_replica(&self, source_is_made_small: bool) -> Option<(ReplicaId, &Replica)> {
+        let is_below_band = |replica: &Replica| {
+            -replica.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND
+                && replica.utilization() < self.averages.band(replica).low
+        };
+        let is_inside = |replica: &Replica| replica.utilization() < self.averages.band(replica).high;
+        let is_light = |replica: &Replica| {
+            self.may_take_part(replica)
+                && (is_below_band(replica) || (source_is_made_small && is_inside(replica)))
+                && self.may_take(replica, 0.0)
+                && replica.latency_ratio < QUICK_RATIO
+        };
+        let light = self.replicas.iter().filter(|(_, replica)| is_light(replica));
+        let lightest =
+            light.max_by(|(_, one), (_, other)| self.headroom(one).total_cmp(&self.headroom(other)));
+        lightest.map(|(id, replica)| (*id, replica))
+    }
+
+    fn may_take_part(&self, replica: &Replica) -> bool {
+        self.is_usable(replica) && !replica.moved_this_round && self.may_shed(replica)
     }
 }
--- a/crates/policy/src/rules/recovery.rs
+++ b/crates/policy/src/rules/recovery.rs
@@ -1,44 +1,51 @@
-//! Recovery of the list and of withdrawals.
+//! Recovery after a failure: the replica list is requested again, withdrawals are sent again or ended.
+//!
+//! Guards against a list that is not followed any more, and against replicas that stay withdrawn for good because the
+//! incarnation that withdrew them was killed.
 
 use crate::api::Action;
 use crate::state::controller::ControllerState;
-use crate::state::slice::Priority;
+use crate::state::pending_slices::Priority;
 use crate::time::{Moment, Span};
 
-/// So much of the grace a withdrawal waits that is said again to proxies that joined: for others that join.
+/// How long a withdrawal waits that is sent again to proxies that joined, as a share of the drain grace: more may join.
 pub(crate) const REPEAT_WITHDRAWAL_GRACE_SHARE: f64 = 0.25;
-pub(crate) const LIST_RETRY_BACKOFF: Span = Span::ms(1500);
+/// The least time until a failed request for the list is made again; at most twice that.
+const LIST_RETRY_BACKOFF: Span = Span::ms(1500);
 
 impl ControllerState {
-    /// Requests the list again after a pause; drawn, so that controllers whose requests failed together spread.
+    /// Has the list requested again after a random backoff, so that controllers whose requests failed together do not come
+    /// again together.
     pub(crate) fn schedule_list_retry(&mut self, now: Moment) {
-        let pause = LIST_RETRY_BACKOFF.times(1.0 + self.random.draw());
-        self.deadlines.list_request = (!self.deployment.list_pushed).then_some(now + pause);
+        let backoff = LIST_RETRY_BACKOFF.times(1.0 + self.random.draw());
+        self.deadlines.list_request = (!self.deployment.list_pushed).then_some(now + backoff);
     }
 
+    /// Requests the replica list once that is due.
     pub(crate) fn request_list(&mut self) -> bool {
         let due = self.deadlines.list_request.take_if(|at| *at <= self.now);
         self.actions.extend(due.map(|_| Action::RequestReplicaList));
         due.is_some()
     }
 
-    /// One line a replica shuts it out of all tables, and who stands by takes over, long before each table is
-    /// written anew (rule 3); the oldest first, or what joiners have to hear again starves what nobody heard.
-    /// Lifting waits a round for whoever joins late, and never fills the channel; until then it is not used.
+    /// Sends one withdrawal, the one that has been due for longest, or what proxies that join have to be sent again starves
+    /// what nobody was sent; else one reinstatement, which waits for proxies that join late and never fills the channel.
     pub(crate) fn send_withdrawals(&mut self) -> bool {
-        let lifts = self.reinstatements_are_due() && self.has_channel_room(1.0, Priority::Calm);
-        let due =
-            self.pending_withdrawals.iter().filter(|(_, at)| **at <= self.now).min_by_key(|(_, at)| **at);
-        let shut = due
-            .filter(|_| self.has_channel_room(1.0, Priority::NoEndpoint))
-            .map(|(id, _)| Action::Withdraw { replica: *id });
-        let lift = || {
-            self.pending_reinstatements.first().filter(|_| lifts).map(|id| Action::Reinstate { replica: *id })
-        };
-        let Some(step) = shut.or_else(lift) else { return false };
+        let Some(action) = self.next_withdrawal().or_else(|| self.next_reinstatement()) else { return false };
         self.add_lines(1.0);
-        self.note_withdrawal(&step);
-        self.actions.push(step);
+        self.record_withdrawal(&action);
+        self.actions.push(action);
         true
     }
+
+    fn next_withdrawal(&self) -> Option<Action> {
+        let replica = self.withdrawals.next_due(self.now)?;
+        self.has_channel_room(1.0, Priority::NoEndpoint).then_some(Action::Withdraw { replica })
+    }
+
+    fn next_reinstatement(&self) -> Option<Action> {
+        let replica = *self.withdrawals.reinstatements.first()?;
+        let may_be_sent = self.reinstatements_are_due() && self.has_channel_room(1.0, Priority::Calm);
+        may_be_sent.then_some(Action::Reinstate { replica })
+    }
 }
--- a/crates/policy/src/rules/replication.rs
+++ b/crates/policy/src/rules/replication.rs
@@ -1,92 +1,122 @@
 //! Replication of hot slices, and standby endpoints.
+//!
+//! Guards against a slice that alone overloads its replica, which no move can mend, and against the seconds in which a
+//! replica that has just failed is still an owner.
 
 use crate::api::{ReplicaId, SliceId};
 use crate::measure::load_estimates::{BURST_WINDOW, LOAD_WINDOW};
 use crate::rules::placement::RefugeScope;
 use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
-use crate::state::slice::{Priority, Slice, FULL_WEIGHT, STANDBY_WEIGHT};
+use crate::state::routing_table::{FULL_WEIGHT, STANDBY_WEIGHT};
+use crate::state::slice::Slice;
 use std::mem::take;
 
-pub(crate) const MAX_OWNERS: usize = 4;
-pub(crate) const CONSOLIDATION_SHARE: f64 = 0.6;
+/// Owners that a slice may have (docs/design.md, Replication).
+const MAX_OWNERS: usize = 4;
+/// A slice whose burst load is below this part of an even load is never hot.
+const MIN_HOT_SHARE: f64 = 0.5;
+/// A slice leaves an owner once its load is below this part of what the others may have (docs/design.md: six tenths).
+const CONSOLIDATION_SHARE: f64 = 0.6;
 
 impl ControllerState {
-    /// A slice that alone overfills its replicas gets one more, where tables may hold several lines.
+    /// Gives one hot slice one more owner, where tables may have several; it is tried again until none is found.
     pub(crate) fn replicate_hot_slices(&mut self) -> bool {
-        if !take(&mut self.pending_work.replication)
-            || self.deployment.single_writer
-            || self.now - self.started_at < BURST_WINDOW
-        {
+        let is_pending = take(&mut self.pending_work.replication);
+        if !is_pending || self.deployment.single_writer || self.now - self.started_at < BURST_WINDOW {
             return false;
         }
-        let hot = |s: &Slice| {
-            s.awaited_version.is_none()
-                && s.is_fully_applied()
-                && s.burst_load > self.averages.even_burst_load * 0.5
-        };
-        let mut hot = self.slices.iter().filter(|(n, s)| hot(s) && !self.is_at_pin(**n, s));
-        let found = hot.find_map(|(n, s)| {
-            // Bands hold for loads over a longer time; a short time is judged by what came to all in it.
-            let tops: f64 = self.owners(s).map(|(_, owner)| self.averages.band_capacity(owner)).sum();
-            let over = s.burst_load - self.averages.burst_ratio * tops;
-            let more = over > 0.0 && s.owners().count() < MAX_OWNERS;
-            Some((*n, more.then(|| self.find_refuge(s, over, RefugeScope::WithCapacity))??))
-        });
-        let Some((n, to)) = found else { return false };
-        self.replace_owner(n, None, Some((to, FULL_WEIGHT)), Priority::Urgent);
+        let Some((id, to)) = self.find_replication() else { return false };
+        self.replace_owner(id, None, Some((to, FULL_WEIGHT)), Priority::Urgent);
         self.pending_work.replication = true;
         true
     }
 
-    /// Once a slice fits on fewer replicas again, it leaves the fullest of its own.
+    /// A slice that alone is more than its owners' bands, and a replica with capacity for the excess.
+    fn find_replication(&self) -> Option<(SliceId, ReplicaId)> {
+        let may_be_hot = |slice: &Slice| {
+            slice.awaited_version.is_none()
+                && slice.is_fully_applied()
+                && slice.burst_load > self.averages.even_burst_load * MIN_HOT_SHARE
+        };
+        let mut candidates =
+            self.slices.iter().filter(|(id, slice)| may_be_hot(slice) && !self.is_at_pin(**id, slice));
+        candidates.find_map(|(id, slice)| {
+            // Bands hold for loads over a longer time; a short time is judged by what came to all in it.
+            let capacity: f64 = self.owners(slice).map(|(_, owner)| self.averages.band_capacity(owner)).sum();
+            let excess = slice.burst_load - self.averages.burst_ratio * capacity;
+            if excess <= 0.0 || slice.table.owners().count() >= MAX_OWNERS {
+                return None;
+            }
+            Some((*id, self.find_refuge(slice, excess, RefugeScope::WithCapacity)?))
+        })
+    }
+
+    /// Takes the fullest owner from one slice that fits on the others again; it is tried again until none is found.
     pub(crate) fn consolidate_cooled_slices(&mut self) -> bool {
         if !take(&mut self.pending_work.consolidation) {
             return false;
         }
-        let free = |s: &Slice| {
-            s.desired.len() > 1 && s.awaited_version.is_none() && self.now - s.settled_at > LOAD_WINDOW
-        };
-        let several = self.slices.iter().filter(|(_, s)| free(s) && s.sole_owner().is_none());
-        let mut found = several.filter_map(|(n, s)| {
-            let fullest = self.owners(s).max_by(|a, b| a.1.utilization().total_cmp(&b.1.utilization()))?;
-            let rest = self
-                .owners(s)
-                .filter(|(id, _)| *id != fullest.0)
-                .map(|(_, o)| self.averages.band_capacity(o));
-            (s.load.max(s.burst_load) < CONSOLIDATION_SHARE * rest.sum::<f64>()).then_some((*n, fullest.0))
-        });
-        let Some((n, id)) = found.next() else { return false };
-        self.replace_owner(n, Some(id), None, Priority::Calm);
+        let Some((id, fullest)) = self.find_consolidation() else { return false };
+        self.replace_owner(id, Some(fullest), None, Priority::Calm);
         self.pending_work.consolidation = true;
         true
     }
 
-    /// A slice with one line gets a second that stands by, on a warm replica of another place where there is
-    /// one: proxies go there by themselves as soon as its owner turns them away, long before we hear of it.
+    fn find_consolidation(&self) -> Option<(SliceId, ReplicaId)> {
+        let has_cooled = |slice: &Slice| {
+            slice.table.desired.len() > 1
+                && slice.awaited_version.is_none()
+                && self.now - slice.settled_at > LOAD_WINDOW
+                && slice.table.sole_owner().is_none()
+        };
+        let mut candidates = self.slices.iter().filter(|(_, slice)| has_cooled(slice));
+        candidates.find_map(|(id, slice)| {
+            let (fullest, _) = self
+                .owners(slice)
+                .max_by(|(_, one), (_, other)| one.utilization().total_cmp(&other.utilization()))?;
+            let others = self.owners(slice).filter(|(owner, _)| *owner != fullest);
+            let capacity = others.map(|(_, owner)| self.averages.band_capacity(owner)).sum::<f64>();
+            let fits = slice.load.max(slice.burst_load) < CONSOLIDATION_SHARE * capacity;
+            fits.then_some((*id, fullest))
+        })
+    }
+
+    /// Gives each slice with one endpoint a standby: proxies retry there by themselves as soon as its owner rejects them,
+    /// long before the controller hears of it.
     pub(crate) fn add_standbys(&mut self) -> bool {
         if !take(&mut self.pending_work.standbys) || self.deployment.single_writer {
             return false;
         }
-        let alone = |s: &Slice| s.awaited_version.is_none() && s.is_fully_applied() && s.desired.len() == 1;
-        let due: Vec<SliceId> = self.slices.iter().filter(|(_, s)| alone(s)).map(|(n, _)| *n).collect();
-        for n in due {
-            _ = self
-                .find_standby(n)
-                .map(|line| self.replace_endpoint(n, None, Some(line), Priority::Standby));
+        let has_no_standby = |slice: &Slice| {
+            slice.awaited_version.is_none() && slice.is_fully_applied() && slice.table.desired.len() == 1
+        };
+        let without_standby = self.slices.iter().filter(|(_, slice)| has_no_standby(slice));
+        let ids: Vec<SliceId> = without_standby.map(|(id, _)| *id).collect();
+        for id in ids {
+            if let Some(standby) = self.find_standby(id) {
+                self.replace_endpoint(id, None, Some(standby), Priority::Standby);
+            }
         }
         true
     }
 
-    /// The least burdened; chance parts equals, for all slices of one replica must not stand by at one other.
-    pub(crate) fn find_standby(&self, n: SliceId) -> Option<(ReplicaId, f64)> {
-        let slice = &self.slices[&n];
-        let home = self.owners(slice).next().map(|(_, s)| s.zone);
-        let apt = |id: &ReplicaId, away: bool| {
-            let there = |s: &Replica| self.is_usable_and_warm(s) && (!away || Some(s.zone) != home);
-            !slice.desired.contains_key(id) && self.replicas.get(id).is_some_and(there)
+    /// A warm replica, in another zone where there is one, with the fewest standby endpoints. Random tie breakers spread
+    /// them: the slices of one replica must not all have their standbys on one other.
+    pub(crate) fn find_standby(&self, id: SliceId) -> Option<(ReplicaId, f64)> {
+        let slice = &self.slices[&id];
+        let owner_zone = self.owners(slice).next().map(|(_, owner)| owner.zone);
+        let is_candidate = |candidate: &ReplicaId, accepts: &dyn Fn(&Replica) -> bool| {
+            let is_accepted = |replica: &Replica| self.is_usable_and_warm(replica) && accepts(replica);
+            !slice.table.desired.contains_key(candidate)
+                && self.replicas.get(candidate).is_some_and(is_accepted)
         };
-        let first = |away| self.rankings.by_standby_load.first(|id| apt(id, away));
-        first(true).or_else(|| first(false)).map(|id| (id, STANDBY_WEIGHT))
+        let is_elsewhere = |replica: &Replica| Some(replica.zone) != owner_zone;
+        let by_standby_load = &self.rankings.by_standby_load;
+        let elsewhere = by_standby_load.first(|candidate| is_candidate(candidate, &is_elsewhere));
+        let standby =
+            elsewhere.or_else(|| by_standby_load.first(|candidate| is_candidate(candidate, &|_| true)));
+        standby.map(|id| (id, STANDBY_WEIGHT))
     }
 }
--- a/crates/policy/src/rules/shared_replicas.rs
+++ b/crates/policy/src/rules/shared_replicas.rs
@@ -1,50 +1,65 @@
-//! Rules for replicas that several controllers steer.
+//! Rules for replicas that several controllers steer ([`SubsetMembership::Subset`]).
+//!
+//! Controllers that share a replica do not know each other's moves until reports show them. By claims
+//! ([`crate::claims`]) only one of them fills it at a time; by random draws, whose chances add up over all controllers to
+//! what is too much, they do not all leave it at once.
 
 use crate::api::{ReplicaId, SliceId, SubsetMembership};
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
+use crate::state::routing_table::SliceMove;
+use crate::state::slice::Slice;
 
-/// How long it takes until a move shows in the reports: excesses are shed over this many rounds.
-pub(crate) const ROUNDS_UNTIL_REPORTED: f64 = 3.0;
+/// How many rounds it takes until a move shows in the reports: an excess is shed over so many of them
+/// (docs/design/subsets-decisions.md).
+const ROUNDS_UNTIL_REPORTED: f64 = 3.0;
 
 impl ControllerState {
-    /// Whether it is this controller's turn, by draw, to take a slice from a replica above the average: the chances of
-    /// all controllers add up to what is too much, spread over the rounds until it shows. Others take part at any time.
-    pub(crate) fn may_shed(&self, s: &Replica) -> bool {
-        let SubsetMembership::Subset { controllers: 2.., .. } = s.subset else { return true };
-        let excess = 1.0 - self.averages.utilization / s.utilization().max(f64::MIN_POSITIVE);
-        let rounds_unseen = ROUNDS_UNTIL_REPORTED + self.sharing.window_excess.seconds();
-        excess <= 0.0 || s.shared.round_draw < excess * s.slices.len() as f64 / rounds_unseen
+    /// Whether it is this controller's turn, by draw, to take a slice from a replica above the average. Guards against all
+    /// controllers leaving a heavy replica at once. Others take part at any time.
+    pub(crate) fn may_shed(&self, replica: &Replica) -> bool {
+        let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
+        let excess = 1.0 - self.averages.utilization / replica.utilization().max(f64::MIN_POSITIVE);
+        let rounds_until_reported = ROUNDS_UNTIL_REPORTED + self.sharing.window_excess.seconds();
+        let own_slices = replica.slices.len() as f64;
+        excess <= 0.0 || replica.shared.round_draw < excess * own_slices / rounds_until_reported
     }
 
     /// The same for a cold replica that is sent too much: one of its controllers is drawn, in proportion to what its own
     /// slices bring.
-    pub(crate) fn may_relieve_cold(&self, s: &Replica) -> bool {
-        let SubsetMembership::Subset { controllers: 2.., .. } = s.subset else { return true };
-        s.shared.round_draw < 1.0 - s.shared.others_demand / s.demand.max(f64::MIN_POSITIVE)
+    pub(crate) fn may_relieve_cold(&self, replica: &Replica) -> bool {
+        let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
+        let others_share = replica.shared.others_demand / replica.demand.max(f64::MIN_POSITIVE);
+        replica.shared.round_draw < 1.0 - others_share
     }
 
-    /// A slice on a replica of other controllers, and a claimed replica with room for it: one a replica and round.
-    pub(crate) fn find_return_move(&self) -> Option<(SliceId, ReplicaId, ReplicaId)> {
+    /// A move of a slice from a replica of other controllers to a claimed one with room for it: one a replica and round.
+    /// Guards against slices that stay for good where an escape had brought them.
+    pub(crate) fn find_return_move(&self) -> Option<SliceMove> {
         if !self.sharing.is_active {
             return None;
         }
-        let foreign = self
-            .replicas
-            .iter()
-            .filter(|(_, s)| s.is_steered_by_others() && !s.moved_this_round && !s.slices.is_empty());
-        let mut owned = foreign.flat_map(|(id, s)| s.slices.iter().map(|n| (*n, *id)));
-        owned.find_map(|(n, from)| {
-            let slice =
-                self.slices.get(&n).filter(|s| s.awaited_version.is_none() && s.desired == s.applied)?;
-            let leaves = slice.owners().any(|owner| owner == from) && !self.is_at_pin(n, slice);
-            let takes = |id: &ReplicaId| {
-                let fits =
-                    |s: &Replica| !s.moved_this_round && self.may_take(s, slice.load.max(slice.demand));
-                !slice.desired.contains_key(id) && self.replicas.get(id).is_some_and(fits)
-            };
-            let to = leaves.then(|| self.rankings.by_headroom.first(takes)).flatten()?;
-            Some((n, from, to))
-        })
+        let may_leave = |replica: &Replica| replica.is_steered_by_others() && !replica.moved_this_round;
+        let foreign = self.replicas.iter().filter(|(_, replica)| may_leave(replica));
+        let mut endpoints = foreign.flat_map(|(from, replica)| replica.slices.iter().map(|id| (*id, *from)));
+        endpoints.find_map(|(id, from)| self.find_return(id, from))
+    }
+
+    fn find_return(&self, id: SliceId, from: ReplicaId) -> Option<SliceMove> {
+        let slice = self.slices.get(&id)?;
+        let is_settled = slice.awaited_version.is_none() && slice.table.is_applied();
+        let is_owner = || slice.table.owners().any(|owner| owner == from);
+        if !is_settled || !is_owner() || self.is_at_pin(id, slice) {
+            return None;
+        }
+        let to = self.rankings.by_headroom.first(|candidate| self.may_return_to(slice, candidate))?;
+        Some(SliceMove { slice: id, from, to })
+    }
+
+    fn may_return_to(&self, slice: &Slice, candidate: &ReplicaId) -> bool {
+        let takes = |replica: &Replica| {
+            !replica.moved_this_round && self.may_take(replica, slice.load.max(slice.demand))
+        };
+        !slice.table.desired.contains_key(candidate) && self.replicas.get(candidate).is_some_and(takes)
     }
 }
--- a/crates/policy/src/rules/tick.rs
+++ b/crates/policy/src/rules/tick.rs
@@ -1,4 +1,4 @@
-//! Ticks.
+//! Ticks: what needs a look at the whole fleet is done once in each.
 
 use crate::api::Action;
 use crate::rules::rate_limit::ACK_TIMEOUT;
@@ -6,22 +6,26 @@
 use crate::state::schedule::TICK;
 
 impl ControllerState {
+    /// Starts a tick once it is due. Guards against the cost of a look at the whole fleet for each line of a report.
     pub(crate) fn start_tick(&mut self) -> bool {
         if self.deadlines.tick > self.now {
             return false;
         }
         self.deadlines.tick = self.now + TICK;
-        _ = (self.now - self.channel.last_activity_at > ACK_TIMEOUT)
-            .then(|| self.channel.drop_extra_copies());
-        self.pending_work.start_tick(self.report_flow);
+        if self.now - self.channel.last_activity_at > ACK_TIMEOUT {
+            self.channel.drop_extra_copies();
+        }
+        self.pending_work.start_tick(self.reporting.flow);
         true
     }
 
+    /// Asks for a timer where none is open. Guards against standing still while no event comes.
     pub(crate) fn start_timer(&mut self) -> bool {
         if self.deadlines.timer.is_some() {
             return false;
         }
-        (self.timer_token, self.deadlines.timer) = (self.timer_token + 1, Some(self.now + TICK));
+        self.timer_token += 1;
+        self.deadlines.timer = Some(self.now + TICK);
         self.actions.push(Action::StartTimer { token: self.timer_token, after: TICK });
         true
     }
--- /dev/null
+++ b/crates/policy/src/state/link_latency.rs
@@ -0,0 +1,40 @@
+//! Latencies between zones.
+
+use crate::api::{EndpointReport, ZoneId};
+use crate::state::replica_reports::recent_counter;
+use crate::time::Moment;
+use crate::windowed_counter::WindowedCounter;
+use std::collections::BTreeMap;
+
+/// From the proxies' zone to the replica's zone.
+pub(crate) type Link = (ZoneId, ZoneId);
+
+/// The links between zones.
+#[derive(Default)]
+pub(crate) struct Links {
+    /// Latencies on each link.
+    pub latencies: BTreeMap<Link, LinkLatency>,
+    /// How many seconds a link adds to a request, as last estimated.
+    pub delays: BTreeMap<Link, f64>,
+}
+
+/// Requests on a link that succeeded, and the seconds they took.
+pub(crate) struct LinkLatency {
+    pub succeeded: WindowedCounter,
+    pub latency_seconds: WindowedCounter,
+}
+
+impl Default for LinkLatency {
+    fn default() -> Self {
+        LinkLatency { succeeded: recent_counter(), latency_seconds: recent_counter() }
+    }
+}
+
+impl LinkLatency {
+    /// Adds a report.
+    pub(crate) fn record(&mut self, at: Moment, report: &EndpointReport) {
+        let succeeded = (report.attempts - report.failed).max(0.0);
+        self.succeeded.spread(at, report.window, succeeded);
+        self.latency_seconds.spread(at, report.window, succeeded * report.mean_latency.seconds());
+    }
+}
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,12 +1,20 @@
-//! What a controller remembers.
+//! What a controller remembers. Nothing here knows measures or rules; each struct keeps its own invariants.
 
-pub(crate) mod averages;
+pub(crate) mod admission;
 pub(crate) mod command_channel;
 pub(crate) mod controller;
-pub(crate) mod link;
-pub(crate) mod pins;
+pub(crate) mod fleet_averages;
+pub(crate) mod link_latency;
+pub(crate) mod operator_overrides;
+pub(crate) mod pending_slices;
 pub(crate) mod ranking;
 pub(crate) mod replica;
+pub(crate) mod replica_reports;
+pub(crate) mod replica_status;
+pub(crate) mod reporting;
+pub(crate) mod routing_table;
 pub(crate) mod schedule;
 pub(crate) mod shared_load;
 pub(crate) mod slice;
+pub(crate) mod slice_pins;
+pub(crate) mod withdrawals;
--- /dev/null
+++ b/crates/policy/src/state/operator_overrides.rs
@@ -0,0 +1,47 @@
+//! The operators' overrides.
+
+use crate::api::{OverrideId, OverrideSpec, OverrideStatus, ReplicaId};
+use crate::state::slice_pins::SlicePins;
+use crate::time::Moment;
+use std::collections::{BTreeMap, BTreeSet};
+use std::mem::take;
+
+/// All overrides, by id, and the slices that they pin.
+#[derive(Default)]
+pub(crate) struct OperatorOverrides {
+    pub entries: BTreeMap<OverrideId, OverrideEntry>,
+    pub pins: SlicePins,
+}
+
+/// An override, and whether it is in force.
+pub(crate) struct OverrideEntry {
+    pub spec: OverrideSpec,
+    pub status: OverrideStatus,
+    /// When a rule last suspended it.
+    pub suspended_at: Option<Moment>,
+}
+
+impl OperatorOverrides {
+    /// Takes over all overrides, the oldest first. One that is known already keeps its status.
+    pub(crate) fn replace(&mut self, overrides: &[(OverrideId, OverrideSpec)]) {
+        let mut former = take(&mut self.entries);
+        self.pins = SlicePins::default();
+        for (id, spec) in overrides {
+            if let OverrideSpec::Pin { first, last, replica } = *spec {
+                self.pins.insert(first, last, (replica, *id));
+            }
+            let unchanged = former.remove(id).filter(|known| known.spec == *spec);
+            let new = || OverrideEntry { spec: *spec, status: OverrideStatus::Absent, suspended_at: None };
+            self.entries.insert(*id, unchanged.unwrap_or_else(new));
+        }
+    }
+
+    /// The replicas that overrides take out of service.
+    pub(crate) fn replicas_out_of_service(&self) -> BTreeSet<ReplicaId> {
+        let out_of_service = |entry: &OverrideEntry| match entry.spec {
+            OverrideSpec::Out { replica } => Some(replica),
+            OverrideSpec::Weight { .. } | OverrideSpec::Pin { .. } => None,
+        };
+        self.entries.values().filter_map(out_of_service).collect()
+    }
+}
--- /dev/null
+++ b/crates/policy/src/state/replica_reports.rs
@@ -0,0 +1,113 @@
+//! What was reported of a replica.
+
+use crate::api::EndpointReport;
+use crate::time::{Moment, Span};
+use crate::windowed_counter::WindowedCounter;
+
+const BUCKET: Span = Span::ms(500);
+const BUCKETS: usize = 40;
+/// The longest time that any rule looks back: the buckets together.
+pub(crate) const LONGEST_LOOKBACK: Span = Span::ms(20_000);
+
+/// A counter that reaches back as long as any rule looks.
+pub(crate) fn recent_counter() -> WindowedCounter {
+    WindowedCounter::new(BUCKET, BUCKETS)
+}
+
+/// What was reported of a replica, by the time to which it belongs.
+pub(crate) struct ReplicaReports {
+    /// Requests sent to it, retries included.
+    pub attempts: WindowedCounter,
+    /// Those of them that failed.
+    pub failed: WindowedCounter,
+    /// Those of them that succeeded.
+    pub succeeded: WindowedCounter,
+    /// Seconds that the succeeded ones took, without the delay of the link between zones.
+    pub latency_seconds: WindowedCounter,
+    /// Requests that were expected to be sent to it, by the demand for its slices.
+    pub expected: WindowedCounter,
+    /// When its reports were last known to be incomplete.
+    pub incomplete_at: Option<Moment>,
+    /// Since when there are reports, where there were none before.
+    pub observed_since: Moment,
+    /// Mean seconds that its newest succeeded requests took.
+    pub last_latency_seconds: f64,
+}
+
+/// Sums of the reports on a replica over recent time.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct RecentCounts {
+    pub attempts: f64,
+    pub failed: f64,
+    pub succeeded: f64,
+    pub latency_seconds: f64,
+    pub expected: f64,
+}
+
+impl RecentCounts {
+    /// The share of attempts that failed.
+    pub(crate) fn failed_share(&self) -> f64 {
+        self.failed / self.attempts.max(1.0)
+    }
+}
+
+impl Default for ReplicaReports {
+    fn default() -> Self {
+        ReplicaReports {
+            attempts: recent_counter(),
+            failed: recent_counter(),
+            succeeded: recent_counter(),
+            latency_seconds: recent_counter(),
+            expected: recent_counter(),
+            incomplete_at: None,
+            observed_since: Moment::default(),
+            last_latency_seconds: 0.0,
+        }
+    }
+}
+
+impl ReplicaReports {
+    /// Adds a report; `delay` is how many seconds of its latency are the link's.
+    pub(crate) fn record(&mut self, at: Moment, report: &EndpointReport, latest_latency: Span, delay: f64) {
+        let succeeded = (report.attempts - report.failed).max(0.0);
+        let own_seconds = |latency: Span| (latency.seconds() - delay).max(0.0);
+        self.attempts.spread(at, report.window, report.attempts);
+        self.failed.spread(at, report.window, report.failed);
+        self.succeeded.spread(at, report.window, succeeded);
+        self.latency_seconds.spread(at, report.window, succeeded * own_seconds(report.mean_latency));
+        if succeeded > 0.0 {
+            self.last_latency_seconds = own_seconds(latest_latency);
+        }
+    }
+
+    /// Sums over the last `window` before `end`.
+    pub(crate) fn recent_counts(&self, end: Moment, window: Span) -> RecentCounts {
+        RecentCounts {
+            attempts: self.attempts.sum(end, window),
+            failed: self.failed.sum(end, window),
+            succeeded: self.succeeded.sum(end, window),
+            latency_seconds: self.latency_seconds.sum(end, window),
+            expected: self.expected.sum(end, window),
+        }
+    }
+
+    /// The mean latency in seconds over the last `window` before `end`, where enough requests succeeded in it.
+    pub(crate) fn mean_latency_seconds(&self, end: Moment, window: Span, min_samples: f64) -> Option<f64> {
+        let succeeded = self.succeeded.sum(end, window);
+        (succeeded >= min_samples).then(|| self.latency_seconds.sum(end, window) / succeeded)
+    }
+
+    /// Drops all counts.
+    pub(crate) fn clear(&mut self) {
+        for counter in [
+            &mut self.attempts,
+            &mut self.failed,
+            &mut self.succeeded,
+            &mut self.latency_seconds,
+            &mut self.expected,
+        ] {
+            counter.clear();
+        }
+        self.last_latency_seconds = 0.0;
+    }
+}
--- a/crates/policy/src/state/shared_load.rs
+++ b/crates/policy/src/state/shared_load.rs
@@ -3,31 +3,38 @@
 use crate::time::{Moment, Span};
 use crate::windowed_counter::WindowedCounter;
 
+/// Reports of a moment are complete, and the sample of this controller's own load beside them, one bucket later.
+pub(crate) const SAMPLE_BUCKET: Span = Span::ms(500);
+/// How many samples of this controller's own load are kept.
+pub(crate) const SAMPLE_BUCKETS: usize = 40;
+
 /// What is remembered of sharing as a whole.
 #[derive(Default)]
-pub struct SharingState {
-    /// Some replica is not everyone's.
+pub(crate) struct SharingState {
+    /// Whether some replica is not everyone's.
     pub is_active: bool,
-    /// How much more than a period the longest of the replicas' reports covers.
+    /// How much more than a report period the longest of the replicas' reports covers.
     pub window_excess: Span,
+    /// When the own load was last sampled.
     pub sampled_at: Option<Moment>,
+    /// The number of the round for which draws were last made.
     pub drawn_round: u64,
 }
-/// Reports of a moment are complete, and the sample of our own load beside them, one bucket later.
-pub(crate) const SAMPLE_BUCKET: Span = Span::ms(500);
-pub(crate) const SAMPLE_BUCKETS: usize = 40;
-/// What is remembered of a replica that several controllers steer.
-pub struct SharedLoad {
-    /// How long a time the latest report of it covers.
+
+/// The load of a replica that several controllers steer, own and others'.
+pub(crate) struct SharedLoad {
+    /// The length of the time window that the newest report on it covers.
     pub report_window: Span,
-    /// What our own slices brought there, by time.
+    /// Requests that this controller's slices brought, by time.
     pub own_requests: WindowedCounter,
-    /// What other controllers' slices bring a second, without and with repeats.
+    /// Requests a second that other controllers' slices bring, without those that are taken for retries.
     pub others_load: f64,
+    /// The same with all retries.
     pub others_demand: f64,
-    /// This round's draw.
+    /// This round's random draw, from 0 to 1.
     pub round_draw: f64,
 }
+
 impl Default for SharedLoad {
     fn default() -> Self {
         SharedLoad {
--- a/crates/policy/src/state/pins.rs
+++ b/crates/policy/src/state/slice_pins.rs
@@ -3,42 +3,45 @@
 use crate::api::{OverrideId, ReplicaId, SliceId};
 use std::collections::BTreeMap;
 
-pub(crate) type Pin = (ReplicaId, OverrideId);
-/// By the first slice of each range, its last one and where it belongs.
+/// Where a range of slices belongs, and by which override.
+type Pin = (ReplicaId, OverrideId);
+
+/// By the first slice of each range, its last one and its pin.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct SlicePins(BTreeMap<SliceId, (SliceId, Pin)>);
+pub(crate) struct SlicePins(BTreeMap<SliceId, (SliceId, Pin)>);
 
 impl SlicePins {
-    /// Lays a range over what is there; of ranges that it covers in part, the rest stays.
-    pub fn insert(&mut self, first: SliceId, last: SliceId, pin: Pin) {
+    /// Puts a range over what is there; of ranges that it covers in part, the rest stays.
+    pub(crate) fn insert(&mut self, first: SliceId, last: SliceId, pin: Pin) {
         if first > last {
             return;
         }
         let before = self.0.range(..first).next_back().map(|(from, (to, pin))| (*from, *to, *pin));
-        if let Some((from, to, under)) = before.filter(|(_, to, _)| *to >= first) {
-            self.0.insert(from, (first - 1, under));
+        if let Some((from, to, covered_pin)) = before.filter(|(_, to, _)| *to >= first) {
+            self.0.insert(from, (first - 1, covered_pin));
             if to > last {
-                self.0.insert(last + 1, (to, under));
+                self.0.insert(last + 1, (to, covered_pin));
             }
         }
         let covered: Vec<_> =
             self.0.range(first..=last).map(|(from, (to, pin))| (*from, *to, *pin)).collect();
-        for (from, to, under) in covered {
+        for (from, to, covered_pin) in covered {
             self.0.remove(&from);
             if to > last {
-                self.0.insert(last + 1, (to, under));
+                self.0.insert(last + 1, (to, covered_pin));
             }
         }
         self.0.insert(first, (last, pin));
     }
 
-    pub fn get(&self, slice: SliceId) -> Option<Pin> {
+    /// The pin of a slice, if it has one.
+    pub(crate) fn get(&self, slice: SliceId) -> Option<Pin> {
         let (_, (last, pin)) = self.0.range(..=slice).next_back()?;
         (slice <= *last).then_some(*pin)
     }
 
-    /// Each range: its first slice, its last one, and where it belongs.
-    pub fn ranges(&self) -> impl Iterator<Item = (SliceId, SliceId, Pin)> + '_ {
+    /// Each range: its first slice, its last one, and its pin.
+    pub(crate) fn ranges(&self) -> impl Iterator<Item = (SliceId, SliceId, Pin)> + '_ {
         self.0.iter().map(|(first, (last, pin))| (*first, *last, *pin))
     }
 }
