--- a/crates/aggregation/src/program/configuration.rs
+++ b/crates/aggregation/src/program/configuration.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use thiserror::Error;
 use whinwall_aggregation::configuration::{Configuration, ConfigurationError, ControllerMember};
-use whinwall_operator_config::file::{self, LARGEST};
-use whinwall_operator_config::{SubsettingConfig, Wrong};
+use whinwall_operator_config::file::{self, MAX_FILE_BYTES};
+use whinwall_operator_config::{ConfigError, SubsettingConfig};
 
 /// What the file says.
 pub struct Members {
@@ -23,11 +23,11 @@
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
     /// It is larger than any file that somebody wrote.
-    #[error("it has more than {LARGEST} bytes")]
+    #[error("it has more than {MAX_FILE_BYTES} bytes")]
     TooLarge,
     /// It is faulty at a place.
     #[error("{0}")]
-    Faulty(Wrong),
+    Faulty(ConfigError),
     /// It says nothing of subsetting.
     #[error("it has no element <subsetting>")]
     NoSubsetting,
@@ -38,11 +38,11 @@
 
 /// Reads the file, for the aggregator of this name.
 pub fn read(path: &Path, own: &str) -> Result<Members, Unusable> {
-    if std::fs::metadata(path)?.len() > LARGEST as u64 {
+    if std::fs::metadata(path)?.len() > MAX_FILE_BYTES as u64 {
         return Err(Unusable::TooLarge);
     }
     let text = std::fs::read_to_string(path)?;
-    let file = file::read(&text).map_err(Unusable::Faulty)?;
+    let file = file::parse(&text).map_err(Unusable::Faulty)?;
     members(file.subsetting.ok_or(Unusable::NoSubsetting)?, own)
 }
 
--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -152,7 +152,7 @@
         let new = check(around, written)?;
         let changed = |key: &&str| new.file.get(key) != self.file.get(key);
         let mut left: Vec<_> = ONLY_AT_START.into_iter().filter(changed).collect();
-        let store = |file: &Option<OperatorsFile>| file.as_ref().and_then(|file| file.store.clone());
+        let store = |file: &Option<OperatorsFile>| file.as_ref().and_then(|file| file.store_folder.clone());
         if store(&new.operators) != store(&self.operators) {
             left.push("operators' file: <store>");
         }
@@ -175,11 +175,11 @@
 pub fn operators(path: &Path) -> Result<OperatorsFile, String> {
     let wrong = |why: &dyn std::fmt::Display| format!("{}: {why}", path.display());
     let size = std::fs::metadata(path).map_err(|why| wrong(&why))?.len();
-    if size > file::LARGEST as u64 {
+    if size > file::MAX_FILE_BYTES as u64 {
         return Err(wrong(&format!("{size} bytes are too many")));
     }
     let text = std::fs::read_to_string(path).map_err(|why| wrong(&why))?;
-    file::read(&text).map_err(|why| wrong(&why))
+    file::parse(&text).map_err(|why| wrong(&why))
 }
 
 /// Only a help until the list is told: what can't be read of it keeps nobody from starting.
@@ -218,7 +218,7 @@
     let operators = around.operators.as_deref().map(operators).transpose()?;
     // More than the platform lends would only take turns.
     let lent = file.limits.cores.map_or(usize::MAX, |cores| (cores as usize).max(1));
-    let cores = operators.as_ref().and_then(|file| file.cores).unwrap_or(1).min(lent);
+    let cores = operators.as_ref().and_then(|file| file.max_cores).unwrap_or(1).min(lent);
     // Beside readers the one who decides has a second hand on each connection.
     let hands = if cores > 1 { 2 } else { 1 };
     let connections = (file.limits.sockets as usize).saturating_sub(limits::RESERVED) / hands;
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -337,7 +337,7 @@
     /// What the operators' file says of overrides, where there is one.
     fn want(&mut self, start: &Start) {
         if let Some(file) = &start.operators {
-            let (bounds, orders) = (file.bounds.clone(), file.overrides.clone());
+            let (bounds, orders) = (file.override_limits.clone(), file.overrides.clone());
             let wanted = OverrideConfig { bounds, orders, has_store: self.fronts.has_store() };
             self.apply(Event::OperatorConfigChanged(wanted, Clock::reading()));
         }
--- a/crates/controller/src/program/fronts.rs
+++ b/crates/controller/src/program/fronts.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use whinwall_management_api::messages::Reply;
 use whinwall_management_api::server::{self, ManagementServer, PendingRequest};
-use whinwall_operator_config::{Doors, LogForm, OperatorsFile};
+use whinwall_operator_config::{LogFormat, ManagementEndpoint, OperatorsFile};
 use whinwall_override_store::storage_thread::{StorageThread, StoreReply};
 use whinwall_override_store::{OverrideStore, WriteBatch};
 use whinwall_overrides::RequestId;
@@ -21,7 +21,7 @@
 pub struct Fronts {
     keeper: Option<StorageThread>,
     pub words: Receiver<StoreReply>,
-    management: Option<(Doors, ManagementServer)>,
+    management: Option<(ManagementEndpoint, ManagementServer)>,
     ask: Sender<PendingRequest>,
     pub asked: Receiver<PendingRequest>,
     waiting: BTreeMap<RequestId, oneshot::Sender<Reply>>,
@@ -34,7 +34,7 @@
     pub fn open(name: &str, file: Option<&OperatorsFile>, form: Form) -> Result<Self, String> {
         let (say, words) = channel(WORDS);
         let (ask, asked) = channel(ROOM);
-        let folder: Option<PathBuf> = file.and_then(|file| file.store.clone());
+        let folder: Option<PathBuf> = file.and_then(|file| file.store_folder.clone());
         let keeper = folder.map(|folder| {
             let say = say.clone();
             // Called on the keeper's thread: it alone waits where the loop is slow.
@@ -49,21 +49,20 @@
 
     /// Takes over what may change while the program runs.
     pub fn follow(&mut self, name: &str, file: Option<&OperatorsFile>) -> Result<(), String> {
-        self.form.json(file.is_some_and(|file| file.log == LogForm::Json));
+        self.form.json(file.is_some_and(|file| file.log_format == LogFormat::Json));
         let doors = file.and_then(|file| file.management.clone());
         let Some(doors) = doors else {
             self.management = None;
             return Ok(());
         };
         // A token is read anew also where its file is the same.
-        let same =
-            matches!((&self.management, &doors), (Some((open, _)), Doors::Socket(_)) if *open == doors);
+        let same = matches!((&self.management, &doors), (Some((open, _)), ManagementEndpoint::Socket(_)) if *open == doors);
         if same {
             return Ok(());
         }
         let open = match doors.clone() {
-            Doors::Socket(path) => server::ListenAddress::Socket(path),
-            Doors::Address { address, token_file } => {
+            ManagementEndpoint::Socket(path) => server::ListenAddress::Socket(path),
+            ManagementEndpoint::Address { address, token_file } => {
                 let token = server::read_token(&token_file)
                     .map_err(|why| format!("management: token-file: {why}"))?;
                 server::ListenAddress::Address { address, token }
@@ -73,7 +72,7 @@
         let serving = ManagementServer::start(open, name.to_string(), self.ask.clone());
         let serving = serving.map_err(|why| format!("management: {doors:?}: {why}"))?;
         match (&doors, serving.address()) {
-            (Doors::Socket(path), _) => tracing::info!("managed at {}", path.display()),
+            (ManagementEndpoint::Socket(path), _) => tracing::info!("managed at {}", path.display()),
             (_, Some(address)) => tracing::info!("managed at {address}"),
             (_, None) => {}
         }
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -71,7 +71,7 @@
 #[test]
 fn the_operators_file_is_taken_along() {
     let start = read(surroundings()).unwrap();
-    assert_eq!(start.operators.as_ref().and_then(|file| file.cores), Some(8));
+    assert_eq!(start.operators.as_ref().and_then(|file| file.max_cores), Some(8));
     assert!(start.fleet.is_some());
 }
 
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -5,7 +5,8 @@
 use whinwall_emulator::policy::Policy;
 use whinwall_emulator::sizes::Sizes;
 use whinwall_emulator::trouble::{drawn, Odd, Trouble, What};
-use whinwall_operator_config::tree::{self, Element, Wrong};
+use whinwall_operator_config::xml::{self, Element};
+use whinwall_operator_config::ConfigError;
 use whinwall_overrides::text;
 use whinwall_policy::time::Span;
 
@@ -91,38 +92,39 @@
     (value > 0.0 && value < 1e6).then_some(value).ok_or_else(|| format!("{text:?} is not over 0"))
 }
 
-pub fn read(text: &str) -> Result<Experiment, Wrong> {
-    let root = tree::read(text)?;
+pub fn read(text: &str) -> Result<Experiment, ConfigError> {
+    let root = xml::parse(text)?;
     if root.name != "experiment" {
-        return Err(root.wrong("the outermost element must be <experiment>"));
+        return Err(root.error("the outermost element must be <experiment>"));
     }
-    root.has_only(&["name", "version"], &["world", "seeds", "way", "case", "vary"])?;
-    root.must("version", |text| {
+    root.allow_only(&["name", "version"], &["world", "seeds", "way", "case", "vary"])?;
+    root.required("version", |text| {
         (text == VERSION).then_some(()).ok_or(format!("{text:?} is not {VERSION:?}"))
     })?;
     let letters = |text: &str| text.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
-    let name = root.must("name", |text| {
+    let name = root.required("name", |text| {
         (!text.is_empty() && letters(text)).then(|| text.to_string()).ok_or("letters, digits and dashes only")
     })?;
-    let (sizes, large) = root.child("world")?.map(world).transpose()?.unwrap_or((Sizes::small(), false));
-    let seeds = root.child("seeds")?.map(seeds).transpose()?.unwrap_or_else(|| (1..=5).collect());
-    let (varied, values) = match root.child("vary")? {
+    let (sizes, large) =
+        root.optional_child("world")?.map(world).transpose()?.unwrap_or((Sizes::small(), false));
+    let seeds = root.optional_child("seeds")?.map(seeds).transpose()?.unwrap_or_else(|| (1..=5).collect());
+    let (varied, values) = match root.optional_child("vary")? {
         None => (None, vec![0.0]),
         Some(vary) => {
-            vary.has_only(&["what", "values"], &[])?;
+            vary.allow_only(&["what", "values"], &[])?;
             let values = |text: &str| text.split_whitespace().map(share).collect::<Result<Vec<_>, _>>();
-            let values = vary.must("values", values)?;
+            let values = vary.required("values", values)?;
             if values.is_empty() {
-                return Err(vary.wrong("values: there is none"));
+                return Err(vary.error("values: there is none"));
             }
-            (Some(vary.must("what", |text| named(text, &VARIED))?), values)
+            (Some(vary.required("what", |text| named(text, &VARIED))?), values)
         }
     };
     let of = |name: &'static str| root.children.iter().filter(move |child| child.name == name);
     let mut ways = Vec::new();
     for way in of("way") {
-        way.has_only(&["policy"], &[])?;
-        ways.push(way.must("policy", |text| named(text, &WAYS))?);
+        way.allow_only(&["policy"], &[])?;
+        ways.push(way.required("policy", |text| named(text, &WAYS))?);
     }
     if ways.is_empty() {
         ways.push(Policy::Governed);
@@ -131,7 +133,7 @@
     for element in of("case") {
         let case = case(element, &sizes)?;
         if cases.iter().any(|known: &Case| known.name == case.name) {
-            return Err(element.wrong(format!("name: {:?} is there twice", case.name)));
+            return Err(element.error(format!("name: {:?} is there twice", case.name)));
         }
         cases.push(case);
     }
@@ -140,43 +142,43 @@
     }
     let plays = cases.len() * ways.len() * seeds.len() * values.len();
     if plays > MOST_PLAYS {
-        return Err(root.wrong(format!("{plays} plays are more than {MOST_PLAYS}")));
+        return Err(root.error(format!("{plays} plays are more than {MOST_PLAYS}")));
     }
     Ok(Experiment { name, sizes, large, seeds, ways, cases, varied, values })
 }
 
-fn world(world: &Element) -> Result<(Sizes, bool), Wrong> {
-    world.has_only(&["size", "governors", "load", "lasts", "servers", "slices", "proxies"], &[])?;
-    let large = world.must("size", |text| named(text, &[("small", false), ("large", true)]))?;
+fn world(world: &Element) -> Result<(Sizes, bool), ConfigError> {
+    world.allow_only(&["size", "governors", "load", "lasts", "servers", "slices", "proxies"], &[])?;
+    let large = world.required("size", |text| named(text, &[("small", false), ("large", true)]))?;
     let mut sizes = if large { Sizes::large() } else { Sizes::small() };
-    sizes.controllers = world.maybe("governors", number)?.unwrap_or(sizes.controllers);
-    sizes.load = world.maybe("load", share)?.unwrap_or(sizes.load);
-    sizes.lasts = world.maybe("lasts", text::parse_duration)?.unwrap_or(sizes.lasts);
-    sizes.replicas = world.maybe("servers", number)?.unwrap_or(sizes.replicas);
-    sizes.slices = world.maybe("slices", number)?.unwrap_or(sizes.slices);
-    sizes.proxies = world.maybe("proxies", number)?.unwrap_or(sizes.proxies);
+    sizes.controllers = world.optional("governors", number)?.unwrap_or(sizes.controllers);
+    sizes.load = world.optional("load", share)?.unwrap_or(sizes.load);
+    sizes.lasts = world.optional("lasts", text::parse_duration)?.unwrap_or(sizes.lasts);
+    sizes.replicas = world.optional("servers", number)?.unwrap_or(sizes.replicas);
+    sizes.slices = world.optional("slices", number)?.unwrap_or(sizes.slices);
+    sizes.proxies = world.optional("proxies", number)?.unwrap_or(sizes.proxies);
     let few = [sizes.controllers, sizes.replicas, sizes.slices, sizes.proxies];
     if few.contains(&0) || few.iter().any(|many| *many > 100_000) {
-        return Err(world.wrong("there must be some of each, and no more than 100,000"));
+        return Err(world.error("there must be some of each, and no more than 100,000"));
     }
     Ok((sizes, large))
 }
 
-fn seeds(seeds: &Element) -> Result<Vec<u64>, Wrong> {
-    seeds.has_only(&["from", "to"], &[])?;
-    let (from, to) = (seeds.must("from", number::<u64>)?, seeds.must("to", number::<u64>)?);
+fn seeds(seeds: &Element) -> Result<Vec<u64>, ConfigError> {
+    seeds.allow_only(&["from", "to"], &[])?;
+    let (from, to) = (seeds.required("from", number::<u64>)?, seeds.required("to", number::<u64>)?);
     if to < from || to - from >= MOST_PLAYS as u64 {
-        return Err(seeds.wrong("they end before they begin, or are too many"));
+        return Err(seeds.error("they end before they begin, or are too many"));
     }
     Ok((from..=to).collect())
 }
 
-fn case(case: &Element, sizes: &Sizes) -> Result<Case, Wrong> {
-    case.has_only(&["name", "drawn"], &["trouble"])?;
-    let name = case.must("name", |text| Ok::<_, std::convert::Infallible>(text.to_string()))?;
-    if let Some(many) = case.maybe("drawn", number)? {
+fn case(case: &Element, sizes: &Sizes) -> Result<Case, ConfigError> {
+    case.allow_only(&["name", "drawn"], &["trouble"])?;
+    let name = case.required("name", |text| Ok::<_, std::convert::Infallible>(text.to_string()))?;
+    if let Some(many) = case.optional("drawn", number)? {
         if !case.children.is_empty() {
-            return Err(case.wrong("its troubles are either drawn or given"));
+            return Err(case.error("its troubles are either drawn or given"));
         }
         return Ok(Case { name, troubles: Troubles::Drawn(many) });
     }
@@ -215,25 +217,25 @@
     ("out-of-service", &["server"]),
 ];
 
-fn trouble(one: &Element, sizes: &Sizes) -> Result<Trouble, Wrong> {
-    let own = one.must("kind", |text| named(text, &KINDS))?;
-    one.has_only(&[&["kind", "begins", "lasts"], own].concat(), &[])?;
+fn trouble(one: &Element, sizes: &Sizes) -> Result<Trouble, ConfigError> {
+    let own = one.required("kind", |text| named(text, &KINDS))?;
+    one.allow_only(&[&["kind", "begins", "lasts"], own].concat(), &[])?;
     let below = |name, most: usize| {
-        one.must(name, |text| {
+        one.required(name, |text| {
             let at: usize = number(text)?;
             (at < most).then_some(at).ok_or_else(|| format!("{at} is not below {most}"))
         })
     };
     let replica = || below("server", sizes.replicas);
-    let range = |most: usize| -> Result<(usize, usize), Wrong> {
+    let range = |most: usize| -> Result<(usize, usize), ConfigError> {
         let (from, to) = (below("from", most)?, below("to", most + 1)?);
         if to <= from {
-            return Err(one.wrong("to: it ends before it begins"));
+            return Err(one.error("to: it ends before it begins"));
         }
         Ok((from, to))
     };
-    let figure = |name| one.must(name, share);
-    let what = match one.given("kind").unwrap_or_default() {
+    let figure = |name| one.required(name, share);
+    let what = match one.attribute("kind").unwrap_or_default() {
         "crash" => What::Crash { replica: replica()? },
         "hang" => What::Hang { replica: replica()? },
         "silence" => What::Silence { replica: replica()? },
@@ -249,13 +251,13 @@
             What::Replaced { from, to }
         }
         "place-lost" => What::ZoneLost { zone: below("place", sizes.zones)? },
-        "list-late" => What::OddList { how: Odd::Late(one.must("by", millis)?) },
+        "list-late" => What::OddList { how: Odd::Late(one.required("by", millis)?) },
         "list-again" => What::OddList { how: Odd::Again },
         "list-back" => What::OddList { how: Odd::Back },
         "list-lossy" => {
             let each = below("each", sizes.replicas)?;
             if each < 2 {
-                return Err(one.wrong("each: a list without any server tells nothing; 2 or more"));
+                return Err(one.error("each: a list without any server tells nothing; 2 or more"));
             }
             What::OddList { how: Odd::Lossy(each) }
         }
@@ -280,7 +282,7 @@
         "proxies-leave" => What::ProxiesLeave { many: below("many", sizes.proxies + 1)? },
         _ => What::OutOfService { replica: replica()? },
     };
-    Ok(Trouble { begins: one.must("begins", millis)?, lasts: one.must("lasts", millis)?, what })
+    Ok(Trouble { begins: one.required("begins", millis)?, lasts: one.required("lasts", millis)?, what })
 }
 
 /// A span in seconds with a fraction, as days need: `12.5s`, or as people write spans.
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,174 +1,130 @@
-//! What operators say in their file. Each part is off where it is not named.
+//! The contents of the operators' file. Each part is off where it is not named.
 
-use crate::subsetting::{self, SubsettingConfig};
-use crate::tree::{self, Element, Wrong};
-use std::collections::BTreeSet;
-use std::convert::Infallible;
+use crate::error::{ConfigError, StructureError};
+use crate::overrides::{parse_overrides, OverridesElement};
+use crate::subsetting::{parse_subsetting, SubsettingConfig};
+use crate::values::{parse_absolute_path, parse_loopback_address, parse_whole_number, ValueError};
+use crate::xml::{self, Element};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use whinwall_overrides::ConfiguredOverride;
-use whinwall_overrides::{text, validation, OverrideKind, OverrideLimits};
+use whinwall_overrides::{ConfiguredOverride, OverrideLimits};
 
-/// A larger file is none that somebody wrote.
-pub const LARGEST: usize = 1 << 20;
-/// Overrides at the most, whatever the file says: each costs a little in every beat.
-const MOST: usize = 10_000;
-/// More readers than that would wait for the one who decides.
-const MOST_CORES: usize = 64;
+/// The largest file; a larger one is a mistake.
+pub const MAX_FILE_BYTES: usize = 1 << 20;
+/// The most reader threads: more would only wait for the reducer.
+const MAX_CORES: usize = 64;
+/// The version of the file's format.
 const VERSION: &str = "1";
 
+/// The operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorsFile {
-    pub log: LogForm,
-    /// Where overrides are kept, so that they outlive the program.
-    pub store: Option<PathBuf>,
-    pub management: Option<Doors>,
-    /// How many cores it may use; one where nothing is said.
-    pub cores: Option<usize>,
-    pub bounds: OverrideLimits,
+    /// The format of the log.
+    pub log_format: LogFormat,
+    /// The folder of the override store; without one overrides are lost with the program.
+    pub store_folder: Option<PathBuf>,
+    /// The management API.
+    pub management: Option<ManagementEndpoint>,
+    /// How many cores the program may use; one where nothing is said.
+    pub max_cores: Option<usize>,
+    /// The limits on overrides.
+    pub override_limits: OverrideLimits,
+    /// The overrides that the file sets.
     pub overrides: Vec<ConfiguredOverride>,
-    /// Each controller steers a subset of the replicas, and is told of these by aggregators.
+    /// The fleet in which each controller steers a subset of the replicas, with reports from aggregators.
     pub subsetting: Option<SubsettingConfig>,
 }
 
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
+    /// Lines of text.
     #[default]
     Text,
+    /// A JSON object per line.
     Json,
 }
 
-/// Where the management front is, and who may come in.
+/// Where the management API listens.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Doors {
-    /// A socket of the file system, for its owner alone.
+pub enum ManagementEndpoint {
+    /// A Unix socket, for its owner alone.
     Socket(PathBuf),
-    /// A loopback address, for whoever knows the token in the file.
-    Address { address: SocketAddr, token_file: PathBuf },
+    /// A loopback address, for clients that send the token.
+    Address {
+        /// The address.
+        address: SocketAddr,
+        /// The file with the token.
+        token_file: PathBuf,
+    },
 }
 
-pub fn read(text: &str) -> Result<OperatorsFile, Wrong> {
-    let root = tree::read(text)?;
+/// Reads the operators' file.
+///
+/// # Errors
+/// The first thing that is wrong with it, and where.
+pub fn parse(text: &str) -> Result<OperatorsFile, ConfigError> {
+    let root = xml::parse(text)?;
     if root.name != "operators" {
-        return Err(root.wrong("the outermost element must be <operators>"));
+        return Err(root.error(StructureError::WrongRoot("operators")));
     }
-    root.has_only(&["version"], &["log", "store", "management", "cores", "overrides", "subsetting"])?;
-    root.must("version", |version| {
-        (version == VERSION).then_some(()).ok_or(format!("{version:?} is not {VERSION:?}"))
-    })?;
-    let (log, store) = (root.child("log")?, root.child("store")?);
-    let management = root.child("management")?.map(doors).transpose()?;
-    let cores = root.child("cores")?.map(cores).transpose()?;
-    let subsetting = root.child("subsetting")?.map(subsetting::subsetting).transpose()?;
-    let (bounds, overrides) = root.child("overrides")?.map(overrides).transpose()?.unwrap_or_default();
+    root.allow_only(&["version"], &["log", "store", "management", "cores", "overrides", "subsetting"])?;
+    root.required("version", check_version)?;
+    let (log, store) = (root.optional_child("log")?, root.optional_child("store")?);
+    let management = root.optional_child("management")?.map(parse_management).transpose()?;
+    let max_cores = root.optional_child("cores")?.map(parse_cores).transpose()?;
+    let subsetting = root.optional_child("subsetting")?.map(parse_subsetting).transpose()?;
+    let OverridesElement { limits, overrides } =
+        root.optional_child("overrides")?.map(parse_overrides).transpose()?.unwrap_or_default();
     Ok(OperatorsFile {
-        log: log.map(log_form).transpose()?.unwrap_or_default(),
-        store: store.map(folder).transpose()?,
+        log_format: log.map(parse_log_format).transpose()?.unwrap_or_default(),
+        store_folder: store.map(parse_store_folder).transpose()?,
         management,
-        cores,
-        bounds,
+        max_cores,
+        override_limits: limits,
         overrides,
         subsetting,
     })
 }
 
-fn log_form(log: &Element) -> Result<LogForm, Wrong> {
-    log.has_only(&["form"], &[])?;
-    log.must("form", |form| match form {
-        "text" => Ok(LogForm::Text),
-        "json" => Ok(LogForm::Json),
-        _ => Err(format!("{form:?} is neither \"text\" nor \"json\"")),
-    })
-}
-
-fn path(text: &str) -> Result<PathBuf, String> {
-    let path = PathBuf::from(text);
-    path.is_absolute().then_some(path).ok_or(format!("{text:?} is no absolute path"))
-}
-
-fn folder(store: &Element) -> Result<PathBuf, Wrong> {
-    store.has_only(&["folder"], &[])?;
-    store.must("folder", path)
-}
-
-fn doors(front: &Element) -> Result<Doors, Wrong> {
-    front.has_only(&["socket", "address", "token-file"], &[])?;
-    let loopback = |text: &str| {
-        let address: SocketAddr = text.parse().map_err(|why| format!("{text:?} is no address: {why}"))?;
-        let near = address.ip().is_loopback();
-        near.then_some(address).ok_or(format!("{text:?} is no loopback address"))
-    };
-    match (front.given("socket"), front.given("address")) {
-        (Some(_), None) if front.given("token-file").is_some() => {
-            Err(front.wrong("a socket is for its owner alone and takes no \"token-file\""))
-        }
-        (Some(_), None) => Ok(Doors::Socket(front.must("socket", path)?)),
-        (None, Some(_)) => Ok(Doors::Address {
-            address: front.must("address", loopback)?,
-            token_file: front.must("token-file", path)?,
-        }),
-        _ => Err(front.wrong("it must have either \"socket\" or \"address\"")),
+fn check_version(version: &str) -> Result<(), ValueError> {
+    if version == VERSION {
+        Ok(())
+    } else {
+        Err(ValueError::WrongVersion { found: version.into(), expected: VERSION })
     }
 }
 
-fn cores(cores: &Element) -> Result<usize, Wrong> {
-    cores.has_only(&["most"], &[])?;
-    cores.must("most", |text| whole(text, MOST_CORES))
+fn parse_log_format(element: &Element) -> Result<LogFormat, ConfigError> {
+    element.allow_only(&["form"], &[])?;
+    element.required("form", |format| match format {
+        "text" => Ok(LogFormat::Text),
+        "json" => Ok(LogFormat::Json),
+        _ => Err(ValueError::NotLogFormat(format.into())),
+    })
 }
 
-/// A whole number from 1 on.
-fn whole(text: &str, most: usize) -> Result<usize, String> {
-    let number = text.parse().ok().filter(|number| (1..=most).contains(number));
-    number.ok_or_else(|| format!("{text:?} is no whole number from 1 to {most}"))
+fn parse_store_folder(element: &Element) -> Result<PathBuf, ConfigError> {
+    element.allow_only(&["folder"], &[])?;
+    element.required("folder", parse_absolute_path)
 }
 
-fn overrides(all: &Element) -> Result<(OverrideLimits, Vec<ConfiguredOverride>), Wrong> {
-    all.has_only(&["longest", "most", "ended-kept"], &["weight", "out", "pin"])?;
-    let usual = OverrideLimits::default();
-    let bounds = OverrideLimits {
-        max_duration: all.maybe("longest", text::parse_duration)?.unwrap_or(usual.max_duration),
-        max_active: all.maybe("most", |text| whole(text, MOST))?.unwrap_or(usual.max_active),
-        ended_retention: all.maybe("ended-kept", text::parse_duration)?.unwrap_or(usual.ended_retention),
-    };
-    let (mut ids, mut orders) = (BTreeSet::new(), Vec::new());
-    for one in &all.children {
-        let order = order(one)?;
-        if !ids.insert(order.id.clone()) {
-            return Err(one.wrong(format!("id: {:?} is there twice", order.id)));
+fn parse_management(element: &Element) -> Result<ManagementEndpoint, ConfigError> {
+    element.allow_only(&["socket", "address", "token-file"], &[])?;
+    match (element.attribute("socket"), element.attribute("address")) {
+        (Some(_), None) if element.attribute("token-file").is_some() => {
+            Err(element.error(StructureError::TokenForSocket))
         }
-        orders.push(order);
-    }
-    if orders.len() > bounds.max_active {
-        return Err(all.wrong(format!(
-            "{} overrides are more than the most, {}",
-            orders.len(),
-            bounds.max_active
-        )));
+        (Some(_), None) => Ok(ManagementEndpoint::Socket(element.required("socket", parse_absolute_path)?)),
+        (None, Some(_)) => Ok(ManagementEndpoint::Address {
+            address: element.required("address", parse_loopback_address)?,
+            token_file: element.required("token-file", parse_absolute_path)?,
+        }),
+        _ => Err(element.error(StructureError::SocketOrAddress)),
     }
-    Ok((bounds, orders))
 }
 
-fn order(one: &Element) -> Result<ConfiguredOverride, Wrong> {
-    let own: &[&str] = match one.name.as_str() {
-        "weight" => &["id", "server", "author", "reason", "until", "factor"],
-        "pin" => &["id", "server", "author", "reason", "until", "slices"],
-        _ => &["id", "server", "author", "reason", "until"],
-    };
-    one.has_only(own, &[])?;
-    let text = |name| one.must(name, |text| Ok::<_, Infallible>(text.to_string()));
-    let replica = text("server")?;
-    let kind = match one.name.as_str() {
-        "weight" => {
-            let number = |text: &str| text.parse().map_err(|_| format!("{text:?} is no number"));
-            OverrideKind::Weight { replica, factor: one.must("factor", number)? }
-        }
-        "pin" => {
-            let (first, last) = one.must("slices", text::parse_slices)?;
-            OverrideKind::Pin { first, last, replica }
-        }
-        _ => OverrideKind::Out { replica },
-    };
-    let (id, author, reason) = (text("id")?, text("author")?, text("reason")?);
-    validation::validate(&id, &kind, &author, &reason).map_err(|invalid| one.wrong(invalid))?;
-    Ok(ConfiguredOverride { id, kind, author, reason, expires_at: one.must("until", text::parse_wall_time)? })
+fn parse_cores(element: &Element) -> Result<usize, ConfigError> {
+    element.allow_only(&["most"], &[])?;
+    element.required("most", |text| parse_whole_number(text, MAX_CORES))
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,11 +1,15 @@
-//! The operators' own file. `tree` reads XML into elements that know their place, `file` makes of them what
-//! the program goes by, `subsetting` a part of that; its schema is `deploy/operators.xsd`.
+//! The operators' XML file: [`xml`] reads elements with their locations, [`mod@file`] and [`subsetting`] take them apart,
+//! [`values`] reads the values of attributes. The schema is `deploy/operators.xsd`.
 #![forbid(unsafe_code)]
+#![warn(clippy::unwrap_used)]
 
+pub mod error;
 pub mod file;
+mod overrides;
 pub mod subsetting;
-pub mod tree;
+pub mod values;
+pub mod xml;
 
-pub use file::{Doors, LogForm, OperatorsFile};
+pub use error::{ConfigError, Location};
+pub use file::{LogFormat, ManagementEndpoint, OperatorsFile};
 pub use subsetting::{AggregatorMember, ControllerMember, SubsettingConfig, UnknownMember};
-pub use tree::Wrong;
--- /dev/null
+++ b/crates/operator-config/src/xml.rs
@@ -0,0 +1,220 @@
+//! XML as elements with their locations, for errors that name them.
+
+use crate::error::{ConfigError, Location, StructureError};
+use quick_xml::events::{BytesStart, Event};
+use quick_xml::{Reader, XmlVersion};
+use std::fmt;
+
+/// The most levels of elements: no file needs more, and a deeper one could overflow the stack.
+const MAX_DEPTH: usize = 8;
+
+/// An element with all that it contains.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Element {
+    /// Its name.
+    pub name: String,
+    /// Where it begins.
+    pub location: Location,
+    /// Its attributes, names and values, in the file's order.
+    pub attributes: Vec<(String, String)>,
+    /// The elements in it, in the file's order.
+    pub children: Vec<Element>,
+}
+
+/// Reads a text as one element. Only elements and attributes have a meaning; comments are ignored.
+///
+/// # Errors
+/// Text that is not XML, and XML that is not one element.
+pub fn parse(text: &str) -> Result<Element, ConfigError> {
+    Parser { text, reader: Reader::from_str(text), open: Vec::new(), root: None }.parse()
+}
+
+struct Parser<'a> {
+    text: &'a str,
+    reader: Reader<&'a [u8]>,
+    /// The elements that are not closed yet, the outermost first.
+    open: Vec<Element>,
+    root: Option<Element>,
+}
+
+/// Whether a start tag is its element's end tag too.
+#[derive(Clone, Copy, PartialEq)]
+enum Tag {
+    Start,
+    Empty,
+}
+
+impl Parser<'_> {
+    fn parse(mut self) -> Result<Element, ConfigError> {
+        loop {
+            let location = self.location(self.reader.buffer_position());
+            let event = match self.reader.read_event() {
+                Ok(event) => event,
+                Err(error) => {
+                    let location = self.location(self.reader.error_position());
+                    return Err(self.error(location, &StructureError::NotWellFormed(error.to_string())));
+                }
+            };
+            let unexpected = match event {
+                Event::Start(tag) => {
+                    self.start_element(&tag, Tag::Start, location)?;
+                    continue;
+                }
+                Event::Empty(tag) => {
+                    self.start_element(&tag, Tag::Empty, location)?;
+                    continue;
+                }
+                Event::End(_) => {
+                    let element = self.open.pop();
+                    let element =
+                        element.ok_or_else(|| self.error(location, &StructureError::EndWithoutStart))?;
+                    self.close_element(element);
+                    continue;
+                }
+                Event::Eof => return self.finish(),
+                Event::Comment(_) | Event::Decl(_) => continue,
+                Event::Text(text) if text.trim().is_empty() => continue,
+                Event::Text(_) | Event::CData(_) | Event::GeneralRef(_) => StructureError::Text,
+                Event::PI(_) => StructureError::ProcessingInstruction,
+                Event::DocType(_) => StructureError::DocumentType,
+            };
+            return Err(self.error(location, &unexpected));
+        }
+    }
+
+    fn start_element(&mut self, start: &BytesStart, tag: Tag, location: Location) -> Result<(), ConfigError> {
+        if self.root.is_some() {
+            return Err(self.error(location, &StructureError::SecondRoot));
+        }
+        if self.open.len() == MAX_DEPTH {
+            return Err(self.error(location, &StructureError::TooDeep));
+        }
+        let element = Element::from_tag(start, location)?;
+        match tag {
+            Tag::Start => self.open.push(element),
+            Tag::Empty => self.close_element(element),
+        }
+        Ok(())
+    }
+
+    fn close_element(&mut self, element: Element) {
+        match self.open.last_mut() {
+            Some(parent) => parent.children.push(element),
+            None => self.root = Some(element),
+        }
+    }
+
+    fn finish(self) -> Result<Element, ConfigError> {
+        if let Some(unclosed) = self.open.last() {
+            return Err(unclosed.error(StructureError::Unclosed));
+        }
+        let end = self.location(self.text.len() as u64);
+        self.root.ok_or_else(|| ConfigError {
+            element: String::new(),
+            location: end,
+            reason: StructureError::NoElement.to_string(),
+        })
+    }
+
+    /// An error about the innermost open element.
+    fn error(&self, location: Location, reason: &StructureError) -> ConfigError {
+        let element = self.open.last().map_or(String::new(), |element| element.name.clone());
+        ConfigError { element, location, reason: reason.to_string() }
+    }
+
+    fn location(&self, offset: u64) -> Location {
+        let before = self.text.get(..offset as usize).unwrap_or(self.text);
+        let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
+        Location { line: before.matches('\n').count() + 1, column: before[line_start..].chars().count() + 1 }
+    }
+}
+
+impl Element {
+    fn from_tag(start: &BytesStart, location: Location) -> Result<Element, ConfigError> {
+        let name = start.name().as_ref().to_string();
+        let mut element = Element { name, location, attributes: Vec::new(), children: Vec::new() };
+        for attribute in start.attributes() {
+            let attribute = attribute.map_err(|error| element.error(error))?;
+            let value =
+                attribute.normalized_value(XmlVersion::Explicit1_0).map_err(|error| element.error(error))?;
+            element.attributes.push((attribute.key.as_ref().to_string(), value.into_owned()));
+        }
+        Ok(element)
+    }
+
+    /// An error about this element.
+    pub fn error(&self, reason: impl fmt::Display) -> ConfigError {
+        ConfigError { element: self.name.clone(), location: self.location, reason: reason.to_string() }
+    }
+
+    /// Rejects all attributes and children but these, lest a misspelled one count as a default.
+    ///
+    /// # Errors
+    /// The first that is unknown.
+    pub fn allow_only(&self, attributes: &[&str], children: &[&str]) -> Result<(), ConfigError> {
+        for (name, _) in &self.attributes {
+            if !attributes.contains(&name.as_str()) {
+                return Err(self.error(StructureError::UnknownAttribute(name.clone())));
+            }
+        }
+        for child in &self.children {
+            if !children.contains(&child.name.as_str()) {
+                return Err(child.error(StructureError::UnknownElement { parent: self.name.clone() }));
+            }
+        }
+        Ok(())
+    }
+
+    /// The text of an attribute.
+    pub fn attribute(&self, name: &str) -> Option<&str> {
+        self.attributes.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+    }
+
+    /// The value of an attribute that may be missing.
+    ///
+    /// # Errors
+    /// The value is invalid.
+    pub fn optional<T, E: fmt::Display>(
+        &self,
+        name: &str,
+        parse: impl FnOnce(&str) -> Result<T, E>,
+    ) -> Result<Option<T>, ConfigError> {
+        let value = self.attribute(name).map(parse).transpose();
+        value.map_err(|error| self.error(format!("{name}: {error}")))
+    }
+
+    /// The value of an attribute that has to be there.
+    ///
+    /// # Errors
+    /// The attribute is missing, or its value invalid.
+    pub fn required<T, E: fmt::Display>(
+        &self,
+        name: &str,
+        parse: impl FnOnce(&str) -> Result<T, E>,
+    ) -> Result<T, ConfigError> {
+        let value = self.optional(name, parse)?;
+        value.ok_or_else(|| self.error(StructureError::MissingAttribute(name.into())))
+    }
+
+    /// The text of an attribute that has to be there.
+    ///
+    /// # Errors
+    /// The attribute is missing.
+    pub fn required_text(&self, name: &str) -> Result<String, ConfigError> {
+        let text = self.attribute(name).map(str::to_string);
+        text.ok_or_else(|| self.error(StructureError::MissingAttribute(name.into())))
+    }
+
+    /// The child of this name, which may be there once.
+    ///
+    /// # Errors
+    /// It is there twice.
+    pub fn optional_child(&self, name: &str) -> Result<Option<&Element>, ConfigError> {
+        let mut children = self.children.iter().filter(|child| child.name == name);
+        let first = children.next();
+        match children.next() {
+            None => Ok(first),
+            Some(second) => Err(second.error(StructureError::DuplicateElement)),
+        }
+    }
+}
--- a/crates/operator-config/tests/every_part.rs
+++ b/crates/operator-config/tests/every_part.rs
@@ -2,10 +2,9 @@
 //! from it, and what happens when a name is spelt differently.
 
 use std::path::PathBuf;
-use whinwall_operator_config::file::{self, Doors, LogForm, OperatorsFile};
+use whinwall_operator_config::file::{self, LogFormat, ManagementEndpoint, OperatorsFile};
 use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
-use whinwall_overrides::ConfiguredOverride;
-use whinwall_overrides::{OverrideKind, OverrideLimits};
+use whinwall_overrides::{ConfiguredOverride, OverrideKind, OverrideLimits};
 use whinwall_policy::time::{Moment, Span};
 
 const EVERY_PART: &str = include_str!("fixtures/every-part.xml");
@@ -31,7 +30,7 @@
     ("aggregator", &["name", "address"]),
 ];
 
-fn order(id: &str, kind: OverrideKind, author: &str, reason: &str, until_s: u64) -> ConfiguredOverride {
+fn configured(id: &str, kind: OverrideKind, author: &str, reason: &str, until_s: u64) -> ConfiguredOverride {
     let expires_at = Moment::at_ns(until_s * 1_000_000_000);
     ConfiguredOverride { id: id.into(), kind, author: author.into(), reason: reason.into(), expires_at }
 }
@@ -41,22 +40,22 @@
     let out = OverrideKind::Out { replica: "s-2".into() };
     let pin = OverrideKind::Pin { first: 40, last: 47, replica: "s-3".into() };
     OperatorsFile {
-        log: LogForm::Json,
-        store: Some("/var/lib/fleet".into()),
-        management: Some(Doors::Address {
+        log_format: LogFormat::Json,
+        store_folder: Some("/var/lib/fleet".into()),
+        management: Some(ManagementEndpoint::Address {
             address: "127.0.0.1:8600".parse().unwrap(),
             token_file: "/etc/fleet/token".into(),
         }),
-        cores: Some(3),
-        bounds: OverrideLimits {
+        max_cores: Some(3),
+        override_limits: OverrideLimits {
             max_duration: Span::ms(12 * HOUR_MS),
             max_active: 500,
             ended_retention: Span::ms(48 * HOUR_MS),
         },
         overrides: vec![
-            order("w-1", weight, "ann", "half its memory", FIRST_END_S),
-            order("o-1", out, "bob", "disk is failing", FIRST_END_S + DAY_S),
-            order("p-1", pin, "eve", "audit", FIRST_END_S + 2 * DAY_S),
+            configured("w-1", weight, "ann", "half its memory", FIRST_END_S),
+            configured("o-1", out, "bob", "disk is failing", FIRST_END_S + DAY_S),
+            configured("p-1", pin, "eve", "audit", FIRST_END_S + 2 * DAY_S),
         ],
         subsetting: Some(SubsettingConfig {
             subset_size: 48,
@@ -81,15 +80,15 @@
     before.to_string() + &after.replacen(&format!(" {name}=\""), &format!(" {misspelt}=\""), 1)
 }
 
-/// Without its place in the file.
+/// The error without its location.
 fn message(text: &str) -> String {
-    let wrong = file::read(text).unwrap_err();
-    format!("<{}>: {}", wrong.element, wrong.why)
+    let error = file::parse(text).unwrap_err();
+    format!("<{}>: {}", error.element, error.reason)
 }
 
 #[test]
 fn file_with_every_part_is_read() {
-    assert_eq!(file::read(EVERY_PART), Ok(expected()));
+    assert_eq!(file::parse(EVERY_PART), Ok(expected()));
 }
 
 #[test]
@@ -152,31 +151,31 @@
 fn management_by_a_socket_is_read() {
     let address = "address=\"127.0.0.1:8600\" token-file=\"/etc/fleet/token\"";
     let text = EVERY_PART.replace(address, "socket=\"/run/fleet.sock\"");
-    let socket = Doors::Socket(PathBuf::from("/run/fleet.sock"));
-    assert_eq!(file::read(&text), Ok(OperatorsFile { management: Some(socket), ..expected() }));
+    let socket = ManagementEndpoint::Socket(PathBuf::from("/run/fleet.sock"));
+    assert_eq!(file::parse(&text), Ok(OperatorsFile { management: Some(socket), ..expected() }));
 }
 
 #[test]
 fn log_in_text_form_is_read() {
     let text = EVERY_PART.replace("form=\"json\"", "form=\"text\"");
-    assert_eq!(file::read(&text), Ok(OperatorsFile { log: LogForm::Text, ..expected() }));
+    assert_eq!(file::parse(&text), Ok(OperatorsFile { log_format: LogFormat::Text, ..expected() }));
 }
 
 #[test]
 fn parts_that_are_not_named_have_their_defaults() {
-    let read = file::read("<operators version=\"1\"/>").unwrap();
+    let read = file::parse("<operators version=\"1\"/>").unwrap();
     let day = Span::ms(24 * HOUR_MS);
-    let bounds = OverrideLimits { max_duration: day, max_active: 1000, ended_retention: day };
-    assert_eq!(read, OperatorsFile { bounds, ..OperatorsFile::default() });
+    let override_limits = OverrideLimits { max_duration: day, max_active: 1000, ended_retention: day };
+    assert_eq!(read, OperatorsFile { override_limits, ..OperatorsFile::default() });
     assert_eq!(
-        (read.log, read.store, read.management, read.cores, read.subsetting),
-        (LogForm::Text, None, None, None, None)
+        (read.log_format, read.store_folder, read.management, read.max_cores, read.subsetting),
+        (LogFormat::Text, None, None, None, None)
     );
 }
 
 #[test]
-fn wrong_values_are_refused_with_their_messages() {
-    for (right, wrong, expected) in [
+fn invalid_values_are_rejected_with_their_messages() {
+    for (valid, invalid, expected) in [
         ("version=\"1\"", "version=\"2\"", "<operators>: version: \"2\" is not \"1\""),
         ("form=\"json\"", "form=\"xml\"", "<log>: form: \"xml\" is neither \"text\" nor \"json\""),
         ("\"/var/lib/fleet\"", "\"fleet\"", "<store>: folder: \"fleet\" is no absolute path"),
@@ -203,14 +202,14 @@
              underscores",
         ),
     ] {
-        let text = EVERY_PART.replace(right, wrong);
-        assert_ne!(text, EVERY_PART, "{right} is not in the file");
+        let text = EVERY_PART.replace(valid, invalid);
+        assert_ne!(text, EVERY_PART, "{valid} is not in the file");
         assert_eq!(message(&text), expected);
     }
 }
 
 #[test]
 fn message_names_line_column_and_element() {
-    let wrong = file::read(&EVERY_PART.replace("form=\"json\"", "forms=\"json\"")).unwrap_err();
-    assert_eq!(wrong.to_string(), "line 3, column 3: <log>: it has no attribute \"forms\"");
+    let error = file::parse(&EVERY_PART.replace("form=\"json\"", "forms=\"json\"")).unwrap_err();
+    assert_eq!(error.to_string(), "line 3, column 3: <log>: it has no attribute \"forms\"");
 }
--- a/crates/operator-config/tests/subsetting.rs
+++ b/crates/operator-config/tests/subsetting.rs
@@ -1,4 +1,4 @@
-//! The element `<subsetting>`: what it says, and errors that name the place.
+//! The element `<subsetting>`: its contents, and errors that name the location.
 
 use whinwall_operator_config::file;
 use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig, UnknownMember};
@@ -14,22 +14,22 @@
     format!("<operators version=\"1\">\n<subsetting {attributes}>{members}</subsetting>\n</operators>")
 }
 
-fn whole(members: &str) -> String {
+fn with_default_sizes(members: &str) -> String {
     with(r#"subset="48" bytes-per-second="27000""#, members)
 }
 
 fn read(text: &str) -> SubsettingConfig {
-    file::read(text).expect("a file that can be used").subsetting.expect("the element")
+    file::parse(text).expect("a file that can be used").subsetting.expect("the element")
 }
 
 #[test]
-fn it_is_off_where_it_is_not_named() {
-    assert_eq!(file::read("<operators version='1'/>").expect("a file").subsetting, None);
+fn subsetting_is_off_without_the_element() {
+    assert_eq!(file::parse("<operators version='1'/>").expect("a file").subsetting, None);
 }
 
 #[test]
 fn members_and_sizes_are_read() {
-    let config = read(&whole(MEMBERS));
+    let config = read(&with_default_sizes(MEMBERS));
     let address = |text: &str| text.parse().expect("an address");
     let controllers = [
         ControllerMember {
@@ -56,7 +56,7 @@
 
 #[test]
 fn members_are_found_by_name() {
-    let config = read(&whole(MEMBERS));
+    let config = read(&with_default_sizes(MEMBERS));
     assert_eq!(config.controller("n2").map(|controller| &controller.name), Ok(&"n2".to_string()));
     assert_eq!(config.aggregator("m2").map(|aggregator| &aggregator.name), Ok(&"m2".to_string()));
     assert_eq!(config.controller("n3"), Err(UnknownMember::Controller("n3".into())));
@@ -65,11 +65,11 @@
 }
 
 #[test]
-fn errors_name_the_place_and_the_fault() {
+fn errors_name_the_location_and_the_reason() {
     let sizes = |subset: &str, bytes: &str| {
         with(&format!("subset=\"{subset}\" bytes-per-second=\"{bytes}\""), MEMBERS)
     };
-    let members = |more: &str| whole(&format!("{MEMBERS}{more}"));
+    let members = |more: &str| with_default_sizes(&format!("{MEMBERS}{more}"));
     let cases = [
         (
             sizes("0", "27000"),
@@ -100,15 +100,15 @@
         (members("<governor name=\"n3\" slices=\"9-4\"/>"), "slices: \"9-4\" ends before it begins"),
         (members("<governor name=\"n3\" slices=\"all\"/>"), "slices: \"all\" is no slice or range of slices"),
         (members("<governor name=\"n3\" slices=\"0-9,9-12\"/>"), "slices: slice 9 is there twice"),
-        (whole("<governor name=\"n1\"/>"), "<subsetting>: no <aggregator> is named"),
+        (with_default_sizes("<governor name=\"n1\"/>"), "<subsetting>: no <aggregator> is named"),
         (
-            whole("<aggregator name=\"m1\" address=\"127.0.0.1:7001\"/>"),
+            with_default_sizes("<aggregator name=\"m1\" address=\"127.0.0.1:7001\"/>"),
             "<subsetting>: no <governor> is named",
         ),
         (members("") + "<x/>", "more than one outermost element"),
     ];
     for (text, expected) in cases {
-        let wrong = file::read(&text).expect_err(&text).to_string();
-        assert!(wrong.contains(expected), "{wrong:?} lacks {expected:?}");
+        let error = file::parse(&text).expect_err(&text).to_string();
+        assert!(error.contains(expected), "{error:?} lacks {expected:?}");
     }
 }
