--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,5 +1,6 @@
-//! What can be asked on the command line.
+//! The command line. Doc comments of types and fields for clap are its help texts, which tests pin.
 
+use crate::tables::{Listing, OutputFormat};
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use whinwall_management_api::client::ManagementAddress;
@@ -20,16 +21,17 @@
         whinwall -g 127.0.0.1:8600 --token-file /etc/whinwall/token status\n  \
         whinwall check deploy/operators.xml deploy/example.json"
 )]
-pub struct Arguments {
+pub(crate) struct Arguments {
     #[command(flatten)]
-    pub reach: Reach,
+    pub connection: ConnectionOptions,
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Which governors, and how hard to try.
+// Not a doc comment: clap would take it as the help text of the command.
+// The controllers to call, and for how long calls are retried.
 #[derive(Args, Clone)]
-pub struct Reach {
+pub(crate) struct ConnectionOptions {
     /// A governor's management front: the path of its socket, or its address; may be given several times
     #[arg(
         short = 'g',
@@ -39,17 +41,20 @@
         value_delimiter = ',',
         value_name = "PLACE"
     )]
-    pub controller: Vec<ManagementAddress>,
+    pub controllers: Vec<ManagementAddress>,
     /// The file with the token, for fronts at an address
     #[arg(long, global = true, env = "WHINWALL_TOKEN_FILE", value_name = "FILE")]
     pub token_file: Option<PathBuf>,
     /// How long a call is made again that failed, or whose outcome is unknown
-    #[arg(long, global = true, default_value = "10s", value_parser = text::parse_duration, value_name = "SPAN")]
-    pub keep_trying: Span,
+    #[arg(
+        long = "keep-trying",
+        global = true,
+        default_value = "10s", value_parser = text::parse_duration, value_name = "SPAN")]
+    pub retry_time_limit: Span,
 }
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Overrides: what holds for a while, whatever the list says
     #[command(subcommand)]
     Override(OverrideCommand),
@@ -68,7 +73,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum OverrideCommand {
+pub(crate) enum OverrideCommand {
     /// Sets one that ends by itself
     #[command(subcommand)]
     Set(SetCommand),
@@ -90,7 +95,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum SetCommand {
+pub(crate) enum SetCommand {
     /// A factor on a server's listed size
     #[command(
         after_help = "Example: whinwall -g n0.sock override set weight s-3 0.5 --for 2h --reason 'half its memory'"
@@ -128,10 +133,10 @@
 }
 
 #[derive(Args, Clone)]
-pub struct Terms {
+pub(crate) struct Terms {
     /// When it ends, from now: 90s, 30m, 1h30m, 2d
     #[arg(long = "for", value_parser = text::parse_duration, value_name = "SPAN")]
-    pub lasts: Span,
+    pub duration: Span,
     /// Why; it is always shown with it
     #[arg(long)]
     pub reason: String,
@@ -144,7 +149,8 @@
 }
 
 impl SetCommand {
-    pub fn parts(self) -> (OverrideKind, Terms) {
+    /// The effect of the override, and the options that all kinds share.
+    pub fn into_kind_and_terms(self) -> (OverrideKind, Terms) {
         match self {
             SetCommand::Weight { replica, factor, terms } => {
                 (OverrideKind::Weight { replica, factor }, terms)
@@ -156,3 +162,25 @@
         }
     }
 }
+
+/// The value of the flag `--json`.
+impl From<bool> for OutputFormat {
+    fn from(is_json: bool) -> Self {
+        if is_json {
+            OutputFormat::Json
+        } else {
+            OutputFormat::Table
+        }
+    }
+}
+
+/// The value of the flag `--ended`.
+impl From<bool> for Listing {
+    fn from(with_ended: bool) -> Self {
+        if with_ended {
+            Listing::All
+        } else {
+            Listing::Active
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/src/commands.rs
@@ -0,0 +1,136 @@
+//! What each subcommand does: calls the controllers, prints their replies, and returns the exit status.
+
+use crate::arguments::{ConnectionOptions, SetCommand};
+use crate::client_calls::{call_controllers, random_seed};
+use crate::error::CommandError;
+use crate::replies::{ExitStatus, Replies};
+use crate::tables::{self, Listing, OutputFormat, OverrideRow};
+use std::path::{Path, PathBuf};
+use whinwall_controller::program::configuration::{self, Surroundings};
+use whinwall_management_api::wire::{ChangeOutcome, SetBody};
+use whinwall_overrides::validation::validate;
+use whinwall_policy::random::Random;
+
+/// The characters of a generated id, without those that are easily confused.
+const ID_ALPHABET: &[u8] = b"abcdefghjkmnpqrstuvwxyz23456789";
+const ID_PREFIX: &str = "o-";
+/// The number of random characters of a generated id.
+const ID_LENGTH: usize = 8;
+
+/// Sets an override at all controllers.
+pub(crate) fn set_override(
+    connection: &ConnectionOptions,
+    command: SetCommand,
+) -> Result<ExitStatus, CommandError> {
+    let (kind, terms) = command.into_kind_and_terms();
+    let id = terms.id.unwrap_or_else(generate_id);
+    // An override that all controllers would reject is not sent.
+    validate(&id, &kind, &terms.author, &terms.reason)?;
+    let body = SetBody::new(&kind, &terms.author, &terms.reason, terms.duration);
+    let replies = call_controllers(connection, async |client| client.set(&id, &body).await)?;
+    let status = print_outcomes(&replies);
+    if status != ExitStatus::Success {
+        eprintln!("say it again with --id {id}: what has it already stays as it is");
+    }
+    Ok(status)
+}
+
+fn generate_id() -> String {
+    let mut random = Random::from_seed(random_seed());
+    let alphabet = ID_ALPHABET.len();
+    let letter = |_| char::from(ID_ALPHABET[(random.draw() * alphabet as f64) as usize % alphabet]);
+    ID_PREFIX.chars().chain((0..ID_LENGTH).map(letter)).collect()
+}
+
+/// Clears an override at all controllers.
+pub(crate) fn clear_override(
+    connection: &ConnectionOptions,
+    id: &str,
+    author: &str,
+) -> Result<ExitStatus, CommandError> {
+    let replies = call_controllers(connection, async |client| client.clear(id, author).await)?;
+    Ok(print_outcomes(&replies))
+}
+
+/// Lists the overrides of all controllers side by side.
+pub(crate) fn list_overrides(
+    connection: &ConnectionOptions,
+    format: OutputFormat,
+    listing: Listing,
+) -> Result<ExitStatus, CommandError> {
+    let replies = call_controllers(connection, async |client| client.list().await)?;
+    let rows = tables::collect_rows(&replies, listing);
+    match format {
+        OutputFormat::Json => println!("{}", tables::format_rows_as_json(&rows)),
+        OutputFormat::Table => print!("{}", tables::format_rows(&rows, replies.controller_count())),
+    }
+    print_errors(&replies);
+    Ok(match replies.exit_status() {
+        ExitStatus::Success if !rows.iter().all(OverrideRow::agrees) => ExitStatus::Disagreement,
+        status => status,
+    })
+}
+
+/// Prints the status of all controllers.
+pub(crate) fn show_status(
+    connection: &ConnectionOptions,
+    format: OutputFormat,
+) -> Result<ExitStatus, CommandError> {
+    let replies = call_controllers(connection, async |client| client.status().await)?;
+    for (address, state) in replies.successes() {
+        match format {
+            OutputFormat::Json => println!("{}", serde_json::to_string(state)?),
+            OutputFormat::Table => println!("{address}: {}", tables::format_status(state)),
+        }
+    }
+    print_errors(&replies);
+    Ok(replies.exit_status())
+}
+
+fn print_outcomes(replies: &Replies<ChangeOutcome>) -> ExitStatus {
+    for (address, outcome) in replies.successes() {
+        println!("{address}: {}", tables::format_outcome(outcome));
+    }
+    print_errors(replies);
+    replies.exit_status()
+}
+
+fn print_errors<T>(replies: &Replies<T>) {
+    for (address, error) in replies.errors() {
+        eprintln!("{address}: {error}");
+    }
+}
+
+/// Checks configuration files, and prints what is wrong with each.
+pub(crate) fn check_files(files: &[PathBuf]) -> ExitStatus {
+    let mut status = ExitStatus::Success;
+    for file in files {
+        match check_file(file) {
+            Ok(()) => println!("{}: fine", file.display()),
+            Err(message) => {
+                eprintln!("{message}");
+                status = ExitStatus::Rejected;
+            }
+        }
+    }
+    status
+}
+
+/// Checks a file: `.xml` is the operators' file, anything else the platform's. The error names the file.
+fn check_file(file: &Path) -> Result<(), String> {
+    let checked = if file.extension().is_some_and(|extension| extension == "xml") {
+        configuration::operators(file).map(|_| ())
+    } else {
+        let surroundings = Surroundings { file: Some(file.to_path_buf()), ..Surroundings::default() };
+        configuration::read(surroundings).map(|_| ())
+    };
+    checked.map_err(|error| {
+        let name = file.display().to_string();
+        // Some of the errors name their file already.
+        if error.contains(&name) {
+            error
+        } else {
+            format!("{name}: {error}")
+        }
+    })
+}
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -1,82 +1,118 @@
-//! What controllers said, as tables for people and JSON for scripts.
+//! Replies of controllers as tables for people, and as JSON for scripts.
 
-use crate::answers::Said;
+use crate::replies::Replies;
 use std::collections::BTreeMap;
 use whinwall_management_api::client::ManagementAddress;
 use whinwall_management_api::wire::{
     ChangeOutcome, ControllerState, KindName, OverrideItem, OverrideList, ReportState, SubsettingState,
 };
-use whinwall_overrides::text;
+use whinwall_overrides::text::format_duration;
 use whinwall_policy::time::Span;
 
-/// One override at all controllers that answered; none where one lacks it.
-pub struct Row {
-    pub at: Vec<(ManagementAddress, Option<OverrideItem>)>,
+/// Expiry times that are closer together than this count as the same: each controller counts the duration from when
+/// it received the request.
+const SAME_EXPIRY_TOLERANCE_S: f64 = 15.0;
+const HEADER: [&str; 7] = ["ID", "WHAT", "STATE", "LEFT", "ENDS", "AUTHOR", "REASON"];
+const COLUMN_SEPARATOR: &str = "  ";
+/// The state of an override that has ended.
+const ENDED: &str = "ended";
+
+/// How replies are printed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OutputFormat {
+    /// Text for people.
+    Table,
+    /// JSON for scripts.
+    Json,
+}
+
+/// Which overrides are listed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Listing {
+    /// Those that are active at one controller at least.
+    Active,
+    /// All that a controller lists, ended ones included.
+    All,
+}
+
+/// An override at one controller.
+pub struct ControllerItem {
+    /// The controller's address.
+    pub address: ManagementAddress,
+    /// The override there; none where the controller does not list it.
+    pub item: Option<OverrideItem>,
 }
 
-/// Ends that lie closer together than this are one: each controller counts from when it was told.
-const SAME_END_S: f64 = 15.0;
+/// One override at all controllers that replied.
+pub struct OverrideRow {
+    /// The override at each of them, in the order of the command line.
+    pub controllers: Vec<ControllerItem>,
+}
 
-impl Row {
+impl OverrideRow {
     fn items(&self) -> impl Iterator<Item = &OverrideItem> {
-        self.at.iter().filter_map(|(_, item)| item.as_ref())
+        self.controllers.iter().filter_map(|controller| controller.item.as_ref())
     }
 
     fn first(&self) -> Option<&OverrideItem> {
         self.items().next()
     }
 
-    /// All have it, it is the same one, it stands or has ended everywhere, and ends at about the same time.
+    /// Whether all controllers list the same override, active or ended everywhere, with about the same expiry time.
     pub fn agrees(&self) -> bool {
         let Some(first) = self.first() else { return true };
-        let what = |item: &OverrideItem| {
-            (
-                item.kind,
-                item.replica.clone(),
-                item.slices.clone(),
-                item.factor.map(f64::to_bits),
-                item.state == "ended",
-            )
-        };
-        self.at.iter().all(|(_, item)| {
-            item.as_ref().is_some_and(|item| {
-                what(item) == what(first) && (item.remaining_s - first.remaining_s).abs() < SAME_END_S
-            })
-        })
+        self.controllers
+            .iter()
+            .all(|controller| controller.item.as_ref().is_some_and(|item| is_same_override(item, first)))
     }
 }
 
-/// By id, the oldest first as the first controller has them.
-pub fn rows(said: &Said<OverrideList>, ended: bool) -> Vec<Row> {
-    let answered: Vec<_> =
-        said.iter().filter_map(|(place, said)| Some((place, said.as_ref().ok()?))).collect();
-    let (mut order, mut by_id) = (Vec::new(), BTreeMap::<&str, BTreeMap<usize, &OverrideItem>>::new());
-    for (n, (_, list)) in answered.iter().enumerate() {
+fn is_same_override(item: &OverrideItem, other: &OverrideItem) -> bool {
+    let factor_bits = |item: &OverrideItem| item.factor.map(f64::to_bits);
+    let is_ended = |item: &OverrideItem| item.state == ENDED;
+    item.kind == other.kind
+        && item.replica == other.replica
+        && item.slices == other.slices
+        && factor_bits(item) == factor_bits(other)
+        && is_ended(item) == is_ended(other)
+        && (item.remaining_s - other.remaining_s).abs() < SAME_EXPIRY_TOLERANCE_S
+}
+
+/// The overrides of all controllers by id, in the order in which the controllers list them.
+pub fn collect_rows(replies: &Replies<OverrideList>, listing: Listing) -> Vec<OverrideRow> {
+    let lists: Vec<(&ManagementAddress, &OverrideList)> = replies.successes().collect();
+    let mut ids = Vec::new();
+    let mut items_by_id: BTreeMap<&str, BTreeMap<usize, &OverrideItem>> = BTreeMap::new();
+    for (controller, (_, list)) in lists.iter().enumerate() {
         for item in &list.overrides {
-            let at = by_id.entry(&item.id).or_insert_with(|| {
-                order.push(item.id.as_str());
+            let items = items_by_id.entry(&item.id).or_insert_with(|| {
+                ids.push(item.id.as_str());
                 BTreeMap::new()
             });
-            // The newest of an id counts, where an older one of the file is still listed.
-            at.insert(n, item);
+            // A controller may list an older override of the same id; the newest counts, and is the last.
+            items.insert(controller, item);
         }
     }
-    let row = |id: &str| Row {
-        at: answered
-            .iter()
-            .enumerate()
-            .map(|(n, (place, _))| ((*place).clone(), by_id[id].get(&n).map(|item| (*item).clone())))
-            .collect(),
+    let row = |id: &str| {
+        let items = &items_by_id[id];
+        let controller = |(index, (address, _)): (usize, &(&ManagementAddress, _))| ControllerItem {
+            address: (*address).clone(),
+            item: items.get(&index).map(|item| (*item).clone()),
+        };
+        OverrideRow { controllers: lists.iter().enumerate().map(controller).collect() }
+    };
+    let is_listed = |row: &OverrideRow| match listing {
+        Listing::All => true,
+        Listing::Active => row.items().any(|item| item.state != ENDED),
     };
-    let shows = |row: &Row| ended || row.items().any(|item| item.state != "ended");
-    order.into_iter().map(row).filter(shows).collect()
+    ids.into_iter().map(row).filter(is_listed).collect()
 }
 
-fn left(item: &OverrideItem) -> String {
-    text::format_duration(Span::ms(1000).times(item.remaining_s))
+fn describe_remaining_time(item: &OverrideItem) -> String {
+    format_duration(Span::ms(1000).times(item.remaining_s))
 }
 
-fn what(item: &OverrideItem) -> String {
+fn describe_effect(item: &OverrideItem) -> String {
     match item.kind {
         KindName::Weight => format!("weight {} on {}", item.factor.unwrap_or(1.0), item.replica),
         KindName::Out => format!("{} out of service", item.replica),
@@ -84,43 +120,67 @@
     }
 }
 
-fn state(item: &OverrideItem) -> String {
+fn describe_state(item: &OverrideItem) -> String {
     match &item.cause {
         Some(cause) => format!("{}: {cause}", item.state),
         None => item.state.clone(),
     }
 }
 
-pub fn list(rows: &[Row], controllers: usize) -> String {
-    if rows.is_empty() {
-        return "no overrides\n".into();
+/// One line of the table, with the notes below it.
+struct TableLine {
+    cells: [String; HEADER.len()],
+    notes: Vec<String>,
+}
+
+impl TableLine {
+    fn new(row: &OverrideRow, controller_count: usize) -> Option<Self> {
+        let item = row.first()?;
+        let cells = [
+            item.id.clone(),
+            describe_effect(item),
+            describe_state(item),
+            describe_remaining_time(item),
+            item.expires_at.clone(),
+            item.author.clone(),
+            item.reason.clone(),
+        ];
+        let has_notes = controller_count > 1 && !row.agrees();
+        let notes = if has_notes { row.controllers.iter().map(note).collect() } else { Vec::new() };
+        Some(TableLine { cells, notes })
     }
-    let header = ["ID", "WHAT", "STATE", "LEFT", "ENDS", "AUTHOR", "REASON"].map(String::from);
-    let mut lines = vec![header.to_vec()];
-    let mut notes: Vec<(usize, String)> = Vec::new();
-    for row in rows {
-        let Some(item) = row.first() else { continue };
-        let (left, ends) = (left(item), item.expires_at.clone());
-        let reason = item.reason.clone();
-        let line = [item.id.clone(), what(item), state(item), left, ends, item.author.clone(), reason];
-        lines.push(line.to_vec());
-        if controllers > 1 && !row.agrees() {
-            for (place, item) in &row.at {
-                let there = item.as_ref().map_or("missing".into(), |item| {
-                    format!("{}, {}, ends {}", what(item), state(item), item.expires_at)
-                });
-                notes.push((lines.len() - 1, format!("  ! {place}: {there}")));
-            }
+}
+
+/// What one controller lists, where controllers disagree.
+fn note(ControllerItem { address, item }: &ControllerItem) -> String {
+    match item {
+        Some(item) => {
+            let (effect, state) = (describe_effect(item), describe_state(item));
+            format!("  ! {address}: {effect}, {state}, ends {}", item.expires_at)
         }
+        None => format!("  ! {address}: missing"),
     }
-    let width = |column: usize| lines.iter().map(|line| line[column].chars().count()).max().unwrap_or(0);
-    let widths: Vec<_> = (0..header.len()).map(width).collect();
+}
+
+/// The table of overrides; `controller_count` is the number of controllers that were called.
+pub fn format_rows(rows: &[OverrideRow], controller_count: usize) -> String {
+    if rows.is_empty() {
+        return "no overrides\n".into();
+    }
+    let mut lines = vec![TableLine { cells: HEADER.map(String::from), notes: Vec::new() }];
+    lines.extend(rows.iter().filter_map(|row| TableLine::new(row, controller_count)));
+    let width = |column: usize| {
+        let lengths = lines.iter().map(|line| line.cells[column].chars().count());
+        lengths.max().unwrap_or(0)
+    };
+    let widths: Vec<usize> = (0..HEADER.len()).map(width).collect();
     let mut text = String::new();
-    for (n, line) in lines.iter().enumerate() {
-        let cells: Vec<_> = line.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
-        text.push_str(cells.join("  ").trim_end());
+    for TableLine { cells, notes } in &lines {
+        let padded: Vec<_> =
+            cells.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
+        text.push_str(padded.join(COLUMN_SEPARATOR).trim_end());
         text.push('\n');
-        for (_, note) in notes.iter().filter(|(at, _)| *at == n) {
+        for note in notes {
             text.push_str(note);
             text.push('\n');
         }
@@ -128,75 +188,83 @@
     text
 }
 
-pub fn json(rows: &[Row]) -> String {
-    let row = |row: &Row| {
-        let at = row.at.iter().map(|(place, item)| (place.to_string(), serde_json::json!(item)));
-        let at: serde_json::Map<_, _> = at.collect();
-        serde_json::json!({"id": row.first().map(|item| &item.id), "agrees": row.agrees(), "governors": at})
+/// The overrides as JSON, with the item of each controller.
+pub fn format_rows_as_json(rows: &[OverrideRow]) -> String {
+    let row = |row: &OverrideRow| {
+        let items = row.controllers.iter();
+        let items: serde_json::Map<_, _> = items
+            .map(|controller| (controller.address.to_string(), serde_json::json!(controller.item)))
+            .collect();
+        serde_json::json!({
+            "id": row.first().map(|item| &item.id),
+            "agrees": row.agrees(),
+            "governors": items,
+        })
     };
     serde_json::json!({ "overrides": rows.iter().map(row).collect::<Vec<_>>() }).to_string()
 }
 
-pub fn outcome(outcome: &ChangeOutcome) -> String {
+/// The outcome of a change, as one line.
+pub fn format_outcome(outcome: &ChangeOutcome) -> String {
     let ChangeOutcome { outcome, durability, item } = outcome;
-    let ends = if item.state == "ended" {
+    let expiry = if item.state == ENDED {
         String::new()
     } else {
-        format!(", ends {} ({})", item.expires_at, left(item))
+        format!(", ends {} ({})", item.expires_at, describe_remaining_time(item))
     };
-    let kept = match durability.as_str() {
+    let durability = match durability.as_str() {
         "on disk" => String::new(),
         "nowhere" => "; kept nowhere: it ends with the governor".into(),
-        why => format!("; {why}"),
+        reason => format!("; {reason}"),
     };
-    format!("{} {outcome}: {}{ends}; {}{kept}", item.id, what(item), state(item))
+    let (effect, state) = (describe_effect(item), describe_state(item));
+    format!("{} {outcome}: {effect}{expiry}; {state}{durability}", item.id)
 }
 
-pub fn status(state: &ControllerState) -> String {
-    let failing: Vec<_> =
-        state.failures.iter().map(|f| format!("{} ({} times)", f.source, f.count)).collect();
-    let failing =
-        if failing.is_empty() { "nothing fails".into() } else { format!("failing: {}", failing.join(", ")) };
-    let open = if state.has_open_commands { "; orders are open" } else { "" };
-    let subsetting = state.subsetting.as_ref().map(subsetting).unwrap_or_default();
-    let reports = state.reports.as_ref().map(reports).unwrap_or_default();
+/// The status of a controller, as one line.
+pub fn format_status(state: &ControllerState) -> String {
+    let ControllerState { name, version, proxies, slices, replicas, .. } = state;
+    let ControllerState { active_overrides, listed_overrides, .. } = state;
+    let uptime = format_duration(Span::ms(1000).times(state.uptime_s));
+    let failures = describe_failures(state);
+    let open_commands = if state.has_open_commands { "; orders are open" } else { "" };
+    let subsetting = state.subsetting.as_ref().map(describe_subsetting).unwrap_or_default();
+    let reports = state.reports.as_ref().map(describe_reports).unwrap_or_default();
     format!(
-        "{} {}, up {}; {} proxies, {} slices, {} servers; {} overrides stand, {} listed; {failing}{open}{subsetting}{reports}",
-        state.name,
-        state.version,
-        text::format_duration(Span::ms(1000).times(state.uptime_s)),
-        state.proxies,
-        state.slices,
-        state.replicas,
-        state.active_overrides,
-        state.listed_overrides,
+        "{name} {version}, up {uptime}; {proxies} proxies, {slices} slices, {replicas} servers; \
+         {active_overrides} overrides stand, {listed_overrides} listed; \
+         {failures}{open_commands}{subsetting}{reports}"
     )
 }
 
-fn subsetting(subsetting: &SubsettingState) -> String {
-    let SubsettingState {
-        controllers,
-        aggregators,
-        subset_size,
-        own_replicas,
-        listed_replicas,
-        bytes_per_second,
-    } = subsetting;
+fn describe_failures(state: &ControllerState) -> String {
+    if state.failures.is_empty() {
+        return "nothing fails".into();
+    }
+    let failures = state.failures.iter();
+    let failures: Vec<_> =
+        failures.map(|failure| format!("{} ({} times)", failure.source, failure.count)).collect();
+    format!("failing: {}", failures.join(", "))
+}
+
+fn describe_subsetting(subsetting: &SubsettingState) -> String {
+    let SubsettingState { controllers, aggregators, subset_size, .. } = subsetting;
+    let SubsettingState { own_replicas, listed_replicas, bytes_per_second, .. } = subsetting;
     format!(
-        "; steers {own_replicas} of {listed_replicas} replicas ({subset_size} wished) among {controllers} governors; \
-         {aggregators} aggregators may tell it {bytes_per_second} bytes a second"
+        "; steers {own_replicas} of {listed_replicas} replicas ({subset_size} wished) among {controllers} \
+         governors; {aggregators} aggregators may tell it {bytes_per_second} bytes a second"
     )
 }
 
-fn reports(reports: &ReportState) -> String {
+fn describe_reports(reports: &ReportState) -> String {
     let age = match reports.age_s {
-        Some(age) => format!("the latest report {age:.1} s old"),
+        Some(age_s) => format!("the latest report {age_s:.1} s old"),
         None => "no report yet".into(),
     };
     let stale = if reports.stale { ", STALE: no replica is judged" } else { "" };
     let partial = match reports.partial_replicas {
         0 => String::new(),
-        some => format!(", {some} replicas reported in part"),
+        count => format!(", {count} replicas reported in part"),
     };
     format!("; told {:.0} bytes a second, {age}{stale}{partial}", reports.bytes_per_second)
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as it is started, against controllers whose clerks and fronts are the real ones.
+//! The command as a process, against real override controllers and management servers.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -9,84 +9,93 @@
 use whinwall_management_api::messages::{ListedOverride, Reply, Request, Status};
 use whinwall_management_api::server::{ListenAddress, ManagementServer, PendingRequest};
 use whinwall_overrides::{ClockReading, OverrideController, OverrideEffect, OverrideLimits};
-use whinwall_policy::api::OverrideStatus;
+use whinwall_policy::api::{OverrideId, OverrideStatus};
 use whinwall_policy::time::{Moment, Span};
 
-/// A controller whose front is there or away; its clerk goes on while it is away.
+/// A controller whose management server can be stopped; its overrides go on meanwhile.
 struct Controller {
     socket: PathBuf,
-    ask: mpsc::Sender<PendingRequest>,
-    serving: Option<ManagementServer>,
-    /// So many answers are kept back: whoever asks does not know the outcome.
-    swallow: Arc<AtomicU32>,
+    requests: mpsc::Sender<PendingRequest>,
+    server: Option<ManagementServer>,
+    /// How many replies are dropped, so that the client does not know the outcome.
+    replies_to_drop: Arc<AtomicU32>,
+}
+
+/// The reply of a controller that started at this time.
+fn reply_to_request(
+    overrides: &mut OverrideController,
+    request: Request,
+    started_at: Moment,
+    now: Moment,
+) -> Reply {
+    match request {
+        Request::Change(change) => {
+            overrides.handle_request(now, 1, change);
+            let mut effects = overrides.take_effects().into_iter();
+            let reply = effects.find_map(|effect| match effect {
+                OverrideEffect::Reply { reply, .. } => Some(reply),
+                _ => None,
+            });
+            Reply::from_change(reply.unwrap(), now, |number| listed(overrides, number))
+        }
+        Request::List => {
+            let numbers = overrides.registry().listed().map(|entry| entry.number);
+            let listed = numbers.filter_map(|number| listed(overrides, number)).collect();
+            Reply::Listed { overrides: listed, now }
+        }
+        Request::Metrics => Reply::Metrics(String::new()),
+        Request::Status => Reply::Status(Status {
+            now,
+            started_at,
+            proxies: 3,
+            slices: 6,
+            replicas: 3,
+            failures: vec![("discovery's watch", 2)],
+            has_open_commands: true,
+            active_overrides: overrides.registry().active().count(),
+            listed_overrides: overrides.registry().listed().count(),
+            subsetting: None,
+            reports: None,
+        }),
+    }
+}
+
+fn listed(overrides: &OverrideController, number: OverrideId) -> Option<ListedOverride> {
+    let entry = overrides.registry().get_by_number(number)?.clone();
+    let status = entry.is_active().then_some(OverrideStatus::InForce);
+    Some(ListedOverride { entry, status })
 }
 
 impl Controller {
     fn start(folder: &Path, name: &str) -> Self {
-        let (ask, mut asked) = mpsc::channel::<PendingRequest>(16);
-        let swallow = Arc::new(AtomicU32::new(0));
-        let swallows = swallow.clone();
+        let (requests, mut received) = mpsc::channel::<PendingRequest>(16);
+        let replies_to_drop = Arc::new(AtomicU32::new(0));
+        let drops = replies_to_drop.clone();
         std::thread::spawn(move || {
             let began = Instant::now();
             let start = Moment::at_ns(1_800_000_000_000_000_000);
-            let now = || start + Span::ns(began.elapsed().as_nanos() as u64);
             let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: start };
-            let mut clerk = OverrideController::in_memory(start, &reading, OverrideLimits::default());
-            while let Some(PendingRequest { request, reply_to }) = asked.blocking_recv() {
-                let now = now();
-                clerk.tick(now);
-                let listed = |clerk: &OverrideController, number| {
-                    let entry = clerk.registry().get_by_number(number)?.clone();
-                    let status = entry.is_active().then_some(OverrideStatus::InForce);
-                    Some(ListedOverride { entry, status })
-                };
-                let reply = match request {
-                    Request::Change(change) => {
-                        clerk.handle_request(now, 1, change);
-                        let mut acts = clerk.take_effects().into_iter();
-                        let answer = acts.find_map(|act| match act {
-                            OverrideEffect::Reply { reply: answer, .. } => Some(answer),
-                            _ => None,
-                        });
-                        Reply::from_change(answer.unwrap(), now, |number| listed(&clerk, number))
-                    }
-                    Request::List => {
-                        let numbers: Vec<_> = clerk.registry().listed().map(|one| one.number).collect();
-                        let overrides =
-                            numbers.into_iter().filter_map(|number| listed(&clerk, number)).collect();
-                        Reply::Listed { overrides, now }
-                    }
-                    Request::Metrics => Reply::Metrics(String::new()),
-                    Request::Status => Reply::Status(Status {
-                        now,
-                        started_at: start,
-                        proxies: 3,
-                        slices: 6,
-                        replicas: 3,
-                        failures: vec![("discovery's watch", 2)],
-                        has_open_commands: true,
-                        active_overrides: clerk.registry().active().count(),
-                        listed_overrides: clerk.registry().listed().count(),
-                        subsetting: None,
-                        reports: None,
-                    }),
-                };
-                let kept_back =
-                    swallows.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
-                if kept_back.is_err() {
+            let mut overrides = OverrideController::in_memory(start, &reading, OverrideLimits::default());
+            while let Some(PendingRequest { request, reply_to }) = received.blocking_recv() {
+                let now = start + Span::ns(began.elapsed().as_nanos() as u64);
+                overrides.tick(now);
+                let reply = reply_to_request(&mut overrides, request, start, now);
+                let is_dropped =
+                    drops.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |count| count.checked_sub(1));
+                if is_dropped.is_err() {
                     _ = reply_to.send(reply);
                 }
             }
         });
-        let mut controller =
-            Controller { socket: folder.join(format!("{name}.sock")), ask, serving: None, swallow };
-        controller.comes();
+        let socket = folder.join(format!("{name}.sock"));
+        let mut controller = Controller { socket, requests, server: None, replies_to_drop };
+        controller.start_server();
         controller
     }
 
-    fn comes(&mut self) {
-        let doors = ListenAddress::Socket(self.socket.clone());
-        self.serving = Some(ManagementServer::start(doors, "n".into(), self.ask.clone()).unwrap());
+    fn start_server(&mut self) {
+        let listen = ListenAddress::Socket(self.socket.clone());
+        self.server = Some(ManagementServer::start(listen, "n".into(), self.requests.clone()).unwrap());
     }
 }
 
@@ -97,16 +106,16 @@
     command.args(arguments).output().unwrap()
 }
 
-fn said(output: &Output) -> (Option<i32>, String) {
+fn status_and_text(output: &Output) -> (Option<i32>, String) {
     let text = [output.stdout.clone(), output.stderr.clone()].concat();
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
 }
 
 #[test]
-fn what_is_set_is_listed_with_its_state_and_end_and_can_be_cleared() {
+fn override_is_set_listed_and_cleared() {
     let folder = tempfile::tempdir().unwrap();
     let controller = Controller::start(folder.path(), "n0");
-    let run = |arguments: &[&str]| said(&whinwall(&[&controller], arguments));
+    let run = |arguments: &[&str]| status_and_text(&whinwall(&[&controller], arguments));
     assert_eq!(run(&["override", "list"]), (Some(0), "no overrides\n".into()));
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk is failing", "--id", "a"];
     let (code, text) = run(&set);
@@ -140,56 +149,56 @@
 }
 
 #[test]
-fn of_two_controllers_the_one_that_was_away_is_shown_until_it_has_it_too() {
+fn controller_that_missed_a_change_is_shown_until_the_change_is_repeated() {
     let folder = tempfile::tempdir().unwrap();
     let (first, mut second) =
         (Controller::start(folder.path(), "n0"), Controller::start(folder.path(), "n1"));
-    second.serving = None;
+    second.server = None;
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
-    let (code, text) = said(&whinwall(&[&first, &second], &set));
+    let (code, text) = status_and_text(&whinwall(&[&first, &second], &set));
     assert_eq!(code, Some(1), "{text}");
     assert!(text.contains("not sent") && text.contains("--id a"), "{text}");
-    second.comes();
-    let (code, text) = said(&whinwall(&[&first, &second], &["override", "list"]));
+    second.start_server();
+    let (code, text) = status_and_text(&whinwall(&[&first, &second], &["override", "list"]));
     assert!(code == Some(4) && text.contains("n1.sock: missing"), "{text}");
-    // Said again: the first has it, the second gets it.
-    let (code, text) = said(&whinwall(&[&first, &second], &set));
+    // A retry sets it at the second controller only.
+    let (code, text) = status_and_text(&whinwall(&[&first, &second], &set));
     assert!(code == Some(0) && text.contains("a set before") && text.contains("a set:"), "{text}");
-    assert_eq!(said(&whinwall(&[&first, &second], &["override", "list"])).0, Some(0));
-    // Cleared while the other is away, it stands there until it is cleared there too.
-    second.serving = None;
-    assert_eq!(said(&whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(1));
-    second.comes();
-    let (code, text) = said(&whinwall(&[&first, &second], &["override", "list"]));
+    assert_eq!(status_and_text(&whinwall(&[&first, &second], &["override", "list"])).0, Some(0));
+    // Cleared at one controller, it is active at the other until it is cleared there too.
+    second.server = None;
+    assert_eq!(status_and_text(&whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(1));
+    second.start_server();
+    let (code, text) = status_and_text(&whinwall(&[&first, &second], &["override", "list"]));
     assert!(code == Some(4) && text.contains("ended: cleared") && text.contains("in force"), "{text}");
-    assert_eq!(said(&whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(0));
+    assert_eq!(status_and_text(&whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(0));
 }
 
 #[test]
-fn an_unknown_outcome_is_asked_for_again_and_sets_nothing_twice() {
+fn unknown_outcome_is_retried_and_sets_nothing_twice() {
     let folder = tempfile::tempdir().unwrap();
     let controller = Controller::start(folder.path(), "n0");
-    controller.swallow.store(1, Ordering::SeqCst);
+    controller.replies_to_drop.store(1, Ordering::SeqCst);
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
-    let (code, text) = said(&whinwall(&[&controller], &set));
+    let (code, text) = status_and_text(&whinwall(&[&controller], &set));
     assert!(code == Some(0) && text.contains("a set before"), "{text}");
-    assert_eq!(said(&whinwall(&[&controller], &["override", "list"])).1.lines().count(), 2);
+    assert_eq!(status_and_text(&whinwall(&[&controller], &["override", "list"])).1.lines().count(), 2);
 }
 
 #[test]
-fn nobody_there_is_said_in_time() {
+fn unreachable_controller_is_reported_in_time() {
     let folder = tempfile::tempdir().unwrap();
     let mut controller = Controller::start(folder.path(), "n0");
-    controller.serving = None;
+    controller.server = None;
     let began = Instant::now();
-    assert_eq!(said(&whinwall(&[&controller], &["status"])).0, Some(3));
+    assert_eq!(status_and_text(&whinwall(&[&controller], &["status"])).0, Some(3));
     assert!(began.elapsed() < Duration::from_secs(5));
-    let (code, text) = said(&whinwall(&[], &["status"]));
+    let (code, text) = status_and_text(&whinwall(&[], &["status"]));
     assert!(code == Some(2) && text.contains("--governor"), "{text}");
 }
 
 #[test]
-fn wrong_words_are_refused_before_anybody_is_asked() {
+fn invalid_arguments_are_rejected_before_any_call() {
     let folder = tempfile::tempdir().unwrap();
     let controller = Controller::start(folder.path(), "n0");
     for (arguments, expected) in [
@@ -200,7 +209,7 @@
         (&["override", "set", "out", "s-3", "--for", "30m", "--reason", "x", "--id", "a b"], "id"),
         (&["override", "set", "out", "s-3", "--for", "9d", "--reason", "x"], "the longest"),
     ] {
-        let (code, text) = said(&whinwall(&[&controller], arguments));
+        let (code, text) = status_and_text(&whinwall(&[&controller], arguments));
         assert!(code == Some(2) && text.contains(expected), "{arguments:?}: {text}");
     }
 }
@@ -211,7 +220,7 @@
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let check = |files: &[PathBuf]| {
         let files: Vec<_> = files.iter().map(|file| file.to_str().unwrap()).collect();
-        said(&whinwall(&[], &[&["check"], files.as_slice()].concat()))
+        status_and_text(&whinwall(&[], &[&["check"], files.as_slice()].concat()))
     };
     let (code, text) = check(&[deploy.join("operators.xml"), deploy.join("example.json")]);
     assert_eq!((code, text.matches(": fine").count()), (Some(0), 2), "{text}");
@@ -220,6 +229,6 @@
     let (code, text) = check(&[faulty.clone(), deploy.join("example.json")]);
     assert!(code == Some(2) && text.contains("faulty.xml: line 2, column 3: <stor>"), "{text}");
     assert_eq!(check(&[folder.path().join("none.json")]).0, Some(2));
-    let (code, text) = said(&whinwall(&[], &["completions", "bash"]));
+    let (code, text) = status_and_text(&whinwall(&[], &["completions", "bash"]));
     assert!(code == Some(0) && text.contains("_whinwall"), "{text}");
 }
--- a/crates/cli/tests/table_forms.rs
+++ b/crates/cli/tests/table_forms.rs
@@ -1,7 +1,7 @@
 //! The words and columns of the tables for people, and the JSON for scripts, to the letter.
 
-use whinwall_cli::answers::Said;
-use whinwall_cli::tables;
+use whinwall_cli::replies::{ControllerReply, Replies};
+use whinwall_cli::tables::{self, Listing};
 use whinwall_management_api::client::ClientError;
 use whinwall_management_api::wire::{
     ChangeOutcome, ControllerState, KindName, OverrideItem, OverrideList, RepeatedFailure, ReportState,
@@ -31,54 +31,54 @@
     OverrideItem { state: "suspended".into(), cause, ..item(id, KindName::Out) }
 }
 
-fn said(lists: &[&[OverrideItem]]) -> Said<OverrideList> {
+fn replies(lists: &[&[OverrideItem]]) -> Replies<OverrideList> {
     let list = |(n, items): (usize, &&[OverrideItem])| {
-        let place = format!("127.0.0.1:{}", 8600 + n).parse().unwrap();
-        (place, Ok(OverrideList { overrides: items.to_vec() }))
+        let address = format!("127.0.0.1:{}", 8600 + n).parse().unwrap();
+        ControllerReply { address, result: Ok(OverrideList { overrides: items.to_vec() }) }
     };
-    lists.iter().enumerate().map(list).collect()
+    Replies(lists.iter().enumerate().map(list).collect())
 }
 
 #[test]
 fn table_of_overrides_has_its_headings_and_cells() {
     let items = [item("w", KindName::Weight), suspended("out-1"), item("p", KindName::Pin)];
-    let rows = tables::rows(&said(&[&items]), false);
-    assert_eq!(tables::list(&rows, 1), include_str!("fixtures/override-list.txt"));
+    let rows = tables::collect_rows(&replies(&[&items]), Listing::Active);
+    assert_eq!(tables::format_rows(&rows, 1), include_str!("fixtures/override-list.txt"));
 }
 
 #[test]
 fn table_of_overrides_notes_where_controllers_disagree() {
-    let rows = tables::rows(&said(&[&[suspended("a")], &[]]), false);
-    assert_eq!(tables::list(&rows, 2), include_str!("fixtures/override-list-disagreement.txt"));
+    let rows = tables::collect_rows(&replies(&[&[suspended("a")], &[]]), Listing::Active);
+    assert_eq!(tables::format_rows(&rows, 2), include_str!("fixtures/override-list-disagreement.txt"));
 }
 
 #[test]
 fn empty_table_of_overrides_says_so() {
-    assert_eq!(tables::list(&[], 1), "no overrides\n");
+    assert_eq!(tables::format_rows(&[], 1), "no overrides\n");
 }
 
 #[test]
 fn overrides_have_their_json_form() {
-    let rows = tables::rows(&said(&[&[suspended("a")], &[]]), false);
+    let rows = tables::collect_rows(&replies(&[&[suspended("a")], &[]]), Listing::Active);
     let item = r#"{"author":"mb","cause":"no other server is well","ends":"2026-12-01T22:00:00Z","id":"a","kind":"out","left_s":1800.0,"origin":"request","reason":"disk is failing","server":"s-1","set":"2026-12-01T21:30:00Z","state":"suspended"}"#;
     let expected = format!(
         r#"{{"overrides":[{{"agrees":false,"governors":{{"127.0.0.1:8600":{item},"127.0.0.1:8601":null}},"id":"a"}}]}}"#
     );
-    assert_eq!(tables::json(&rows), expected);
+    assert_eq!(tables::format_rows_as_json(&rows), expected);
 }
 
 fn outcome(kept: &str, item: OverrideItem) -> String {
-    tables::outcome(&ChangeOutcome { outcome: "set".into(), durability: kept.into(), item })
+    tables::format_outcome(&ChangeOutcome { outcome: "set".into(), durability: kept.into(), item })
 }
 
 #[test]
-fn outcome_of_an_override_on_disk_has_its_words() {
+fn outcome_of_an_override_on_disk_has_its_text() {
     let expected = "a set: s-1 out of service, ends 2026-12-01T22:00:00Z (30m); in force";
     assert_eq!(outcome("on disk", item("a", KindName::Out)), expected);
 }
 
 #[test]
-fn outcome_of_an_override_that_is_not_on_disk_has_its_words() {
+fn outcome_of_an_override_that_is_not_on_disk_has_its_text() {
     let expected = "a set: s-1 out of service, ends 2026-12-01T22:00:00Z (30m); in force";
     let nowhere = format!("{expected}; kept nowhere: it ends with the governor");
     assert_eq!(outcome("nowhere", item("a", KindName::Out)), nowhere);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn outcome_of_an_override_that_has_ended_has_its_words() {
+fn outcome_of_an_override_that_has_ended_has_its_text() {
     let cause = Some("expired at 2026-12-01T22:00:00Z".into());
     let ended = OverrideItem { state: "ended".into(), cause, ..item("a", KindName::Out) };
     let expected = "a set: s-1 out of service; ended: expired at 2026-12-01T22:00:00Z";
@@ -124,17 +124,17 @@
 }
 
 #[test]
-fn status_with_every_part_has_its_words() {
+fn status_with_every_part_has_its_text() {
     let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 servers; 1 overrides stand, 2 listed; \
                     failing: discovery (4 times); orders are open; steers 51 of 2200 replicas (48 wished) \
                     among 650 governors; 4 aggregators may tell it 27000 bytes a second; told 21300 bytes a \
                     second, the latest report 0.8 s old, STALE: no replica is judged, 7 replicas reported in \
                     part";
-    assert_eq!(tables::status(&state()), expected);
+    assert_eq!(tables::format_status(&state()), expected);
 }
 
 #[test]
-fn status_where_nothing_fails_has_its_words() {
+fn status_where_nothing_fails_has_its_text() {
     let state = ControllerState {
         has_open_commands: false,
         failures: vec![],
@@ -144,11 +144,11 @@
     };
     let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 servers; 1 overrides stand, 2 listed; \
                     nothing fails";
-    assert_eq!(tables::status(&state), expected);
+    assert_eq!(tables::format_status(&state), expected);
 }
 
 #[test]
-fn failures_of_calls_have_their_words() {
+fn errors_of_calls_have_their_text() {
     let problem = whinwall_management_api::wire::ErrorBody::new("no such override");
     assert_eq!(ClientError::NotSent("away".into()).to_string(), "not sent: away");
     assert_eq!(ClientError::OutcomeUnknown("cut off".into()).to_string(), "outcome unknown: cut off");
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -1,7 +1,7 @@
-//! What several controllers said, side by side.
+//! Replies of several controllers, side by side.
 
-use whinwall_cli::answers::Said;
-use whinwall_cli::tables::*;
+use whinwall_cli::replies::{ControllerReply, Replies};
+use whinwall_cli::tables::{collect_rows, format_rows, format_status, Listing, OverrideRow};
 use whinwall_management_api::client::ClientError;
 use whinwall_management_api::wire::{
     ControllerState, KindName, OverrideItem, OverrideList, ReportState, SubsettingState,
@@ -25,40 +25,40 @@
     }
 }
 
-fn said(lists: &[&[OverrideItem]]) -> Said<OverrideList> {
+fn replies(lists: &[&[OverrideItem]]) -> Replies<OverrideList> {
     let list = |(n, items): (usize, &&[OverrideItem])| {
-        let place = format!("127.0.0.1:{}", 8600 + n).parse().unwrap();
-        (place, Ok(OverrideList { overrides: items.to_vec() }))
+        let address = format!("127.0.0.1:{}", 8600 + n).parse().unwrap();
+        ControllerReply { address, result: Ok(OverrideList { overrides: items.to_vec() }) }
     };
-    lists.iter().enumerate().map(list).collect()
+    Replies(lists.iter().enumerate().map(list).collect())
 }
 
 #[test]
-fn controllers_that_hold_the_same_agree() {
-    let both = said(&[&[item("a", "in force", 600.0)], &[item("a", "waiting", 598.0)]]);
-    assert!(rows(&both, false).iter().all(Row::agrees));
+fn controllers_with_the_same_overrides_agree() {
+    let both = replies(&[&[item("a", "in force", 600.0)], &[item("a", "waiting", 598.0)]]);
+    assert!(collect_rows(&both, Listing::Active).iter().all(OverrideRow::agrees));
 }
 
 #[test]
-fn a_controller_that_was_away_when_it_was_set_or_cleared_is_shown() {
-    let missing = said(&[&[item("a", "in force", 600.0)], &[]]);
-    let shown = rows(&missing, false);
+fn controller_that_missed_a_change_is_shown() {
+    let missing = replies(&[&[item("a", "in force", 600.0)], &[]]);
+    let shown = collect_rows(&missing, Listing::Active);
     assert!(!shown[0].agrees());
-    let text = list(&shown, 2);
+    let text = format_rows(&shown, 2);
     assert!(text.contains("! 127.0.0.1:8601: missing"), "{text}");
-    let cleared = said(&[&[item("a", "ended", 0.0)], &[item("a", "in force", 600.0)]]);
-    assert!(!rows(&cleared, false)[0].agrees());
-    let late = said(&[&[item("a", "in force", 600.0)], &[item("a", "in force", 900.0)]]);
-    assert!(!rows(&late, false)[0].agrees());
+    let cleared = replies(&[&[item("a", "ended", 0.0)], &[item("a", "in force", 600.0)]]);
+    assert!(!collect_rows(&cleared, Listing::Active)[0].agrees());
+    let late = replies(&[&[item("a", "in force", 600.0)], &[item("a", "in force", 900.0)]]);
+    assert!(!collect_rows(&late, Listing::Active)[0].agrees());
 }
 
 #[test]
-fn ended_ones_are_shown_on_request_and_a_silent_controller_is_no_disagreement() {
-    let mut both = said(&[&[item("a", "ended", 0.0), item("b", "in force", 9.0)]]);
+fn ended_overrides_are_listed_on_request_and_a_silent_controller_is_no_disagreement() {
+    let mut both = replies(&[&[item("a", "ended", 0.0), item("b", "in force", 9.0)]]);
     let silent = "127.0.0.1:8601".parse().unwrap();
-    both.push((silent, Err(ClientError::NotSent("away".into()))));
-    assert_eq!((rows(&both, false).len(), rows(&both, true).len()), (1, 2));
-    assert!(rows(&both, true).iter().all(Row::agrees));
+    both.0.push(ControllerReply { address: silent, result: Err(ClientError::NotSent("away".into())) });
+    assert_eq!((collect_rows(&both, Listing::Active).len(), collect_rows(&both, Listing::All).len()), (1, 2));
+    assert!(collect_rows(&both, Listing::All).iter().all(OverrideRow::agrees));
 }
 
 fn state() -> ControllerState {
@@ -80,7 +80,7 @@
 
 #[test]
 fn status_names_members_subset_and_reports_where_there_are_subsets() {
-    let plain = status(&state());
+    let plain = format_status(&state());
     assert!(plain.ends_with("0 overrides stand, 0 listed; nothing fails"), "{plain}");
     let subsetting = SubsettingState {
         controllers: 650,
@@ -96,9 +96,9 @@
     let expected = "; steers 51 of 2200 replicas (48 wished) among 650 governors; \
                     4 aggregators may tell it 27000 bytes a second; told 21300 bytes a second, \
                     the latest report 0.8 s old";
-    assert_eq!(status(&with), format!("{plain}{expected}"));
+    assert_eq!(format_status(&with), format!("{plain}{expected}"));
     let late = ReportState { age_s: None, stale: true, partial_replicas: 7, ..reports };
-    let text = status(&ControllerState { reports: Some(late), ..with });
+    let text = format_status(&ControllerState { reports: Some(late), ..with });
     let expected = "no report yet, STALE: no replica is judged, 7 replicas reported in part";
     assert!(text.ends_with(expected), "{text}");
 }
