--- a/crates/aggregation/src/program/configuration.rs
+++ b/crates/aggregation/src/program/configuration.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use thiserror::Error;
 use whinwall_aggregation::configuration::{Configuration, ConfigurationError, ControllerMember};
-use whinwall_operator_config::file::{self, LARGEST};
-use whinwall_operator_config::{SubsettingConfig, Wrong};
+use whinwall_operator_config::file::{self, MAX_FILE_BYTES};
+use whinwall_operator_config::{ConfigError, SubsettingConfig};
 
 /// What the file says.
 pub struct Members {
@@ -23,11 +23,11 @@
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
     /// It is larger than any file that somebody wrote.
-    #[error("it has more than {LARGEST} bytes")]
+    #[error("it has more than {MAX_FILE_BYTES} bytes")]
     TooLarge,
     /// It is faulty at a place.
     #[error("{0}")]
-    Faulty(Wrong),
+    Faulty(ConfigError),
     /// It says nothing of subsetting.
     #[error("it has no element <subsetting>")]
     NoSubsetting,
@@ -42,11 +42,11 @@
 ///
 /// Where the file can't be read, is invalid, or does not name this aggregator.
 pub fn read(path: &Path, own: &str) -> Result<Members, ConfigurationFileError> {
-    if std::fs::metadata(path)?.len() > LARGEST as u64 {
+    if std::fs::metadata(path)?.len() > MAX_FILE_BYTES as u64 {
         return Err(ConfigurationFileError::TooLarge);
     }
     let text = std::fs::read_to_string(path)?;
-    let file = file::read(&text).map_err(ConfigurationFileError::Faulty)?;
+    let file = file::parse(&text).map_err(ConfigurationFileError::Faulty)?;
     members(file.subsetting.ok_or(ConfigurationFileError::NoSubsetting)?, own)
 }
 
