--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -4,7 +4,7 @@
     DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, ProxyId, ProxyTables, ReplicaId,
     ReplicaListing, Report, ReportBody, ReportFlow, ReportSubject, SliceId, SubsetMembership,
 };
-use crate::measure::load_estimates::RECENT_WINDOW;
+use crate::measure::windows::RECENT_WINDOW;
 use crate::rules::recovery::REPEAT_WITHDRAWAL_GRACE_SHARE;
 use crate::state::admission::UNKNOWN_REDUCTION;
 use crate::state::controller::ControllerState;
--- a/crates/policy/src/measure/fleet_averages.rs
+++ b/crates/policy/src/measure/fleet_averages.rs
@@ -1,6 +1,6 @@
 //! Averages over the fleet: AvgL of DDMC and what goes with it.
 
-use crate::measure::load_estimates::LOAD_WINDOW;
+use crate::measure::windows::LOAD_WINDOW;
 use crate::state::controller::ControllerState;
 use crate::state::fleet_averages::FleetAverages;
 use crate::state::replica::Replica;
--- a/crates/policy/src/measure/load_estimates.rs
+++ b/crates/policy/src/measure/load_estimates.rs
@@ -1,22 +1,15 @@
 //! Load estimates of replicas and slices, refreshed once a tick and corrected by each change of a table.
 
 use crate::api::{ReplicaId, ReportFlow, SliceId};
+use crate::measure::windows::{
+    BURST_WINDOW, LOAD_WINDOW, MIN_SAMPLES, RECENT_WINDOW, RETRIED_SHARE_OF_FAILURES,
+};
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
 use crate::state::slice::Slice;
 use crate::time::Span;
 use std::mem::take;
 
-/// The window of load estimates (docs/design.md: shorter is noise, longer misses slices in demand for ten seconds).
-pub(crate) const LOAD_WINDOW: Span = Span::ms(8000);
-/// The shorter window that replication looks at: a key in demand may be gone in ten seconds.
-pub(crate) const BURST_WINDOW: Span = Span::ms(3000);
-/// The window in which a replica's answers are looked at, besides the lag of the reports (docs/design.md, Outlier ejection).
-pub(crate) const RECENT_WINDOW: Span = Span::ms(3000);
-/// Requests below which a mean or a share says nothing (docs/design.md, Outlier ejection: six attempts).
-pub(crate) const MIN_SAMPLES: f64 = 6.0;
-/// The share of failed requests that is taken for requests that are retried (docs/design.md: seven tenths).
-pub(crate) const RETRIED_SHARE_OF_FAILURES: f64 = 0.7;
 /// Limits of a listed weight that is used: a list may say anything.
 const WEIGHT_RANGE: (f64, f64) = (0.01, 1e6);
 /// Limits of a replica's speed relative to its like.
--- a/crates/policy/src/measure/mod.rs
+++ b/crates/policy/src/measure/mod.rs
@@ -9,3 +9,4 @@
 pub(crate) mod shared_load;
 pub(crate) mod slow_start;
 pub(crate) mod table_changes;
+pub(crate) mod windows;
--- a/crates/policy/src/measure/relative_latency.rs
+++ b/crates/policy/src/measure/relative_latency.rs
@@ -1,6 +1,6 @@
 //! Latencies of replicas against those of their like, and what links between zones add.
 
-use crate::measure::load_estimates::MIN_SAMPLES;
+use crate::measure::windows::MIN_SAMPLES;
 use crate::state::controller::ControllerState;
 use crate::state::link_latency::Link;
 use crate::state::replica::Replica;
--- a/crates/policy/src/measure/report_timing.rs
+++ b/crates/policy/src/measure/report_timing.rs
@@ -1,7 +1,7 @@
 //! How late load reports are, and rates that allow for it.
 
 use crate::api::ReportFlow;
-use crate::measure::load_estimates::RECENT_WINDOW;
+use crate::measure::windows::RECENT_WINDOW;
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
 use crate::time::{Moment, Span};
--- a/crates/policy/src/measure/shared_load.rs
+++ b/crates/policy/src/measure/shared_load.rs
@@ -4,7 +4,7 @@
 //! reported by what its own slices bring now.
 
 use crate::api::SubsetMembership;
-use crate::measure::load_estimates::RETRIED_SHARE_OF_FAILURES;
+use crate::measure::windows::RETRIED_SHARE_OF_FAILURES;
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
 use crate::state::shared_load::{SAMPLE_BUCKET, SAMPLE_BUCKETS};
--- a/crates/policy/src/rules/outlier_ejection.rs
+++ b/crates/policy/src/rules/outlier_ejection.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, ReplicaId};
 use crate::measure::admission::{LATE_RATIO, QUICK_RATIO};
-use crate::measure::load_estimates::{MIN_SAMPLES, RECENT_WINDOW};
+use crate::measure::windows::{MIN_SAMPLES, RECENT_WINDOW};
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
 use crate::time::Span;
--- a/crates/policy/src/rules/replication.rs
+++ b/crates/policy/src/rules/replication.rs
@@ -4,7 +4,7 @@
 //! replica that has just failed is still an owner.
 
 use crate::api::{ReplicaId, SliceId};
-use crate::measure::load_estimates::{BURST_WINDOW, LOAD_WINDOW};
+use crate::measure::windows::{BURST_WINDOW, LOAD_WINDOW};
 use crate::rules::placement::RefugeScope;
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
--- a/crates/policy/src/state/link_latency.rs
+++ b/crates/policy/src/state/link_latency.rs
@@ -1,7 +1,7 @@
 //! Latencies between zones.
 
 use crate::api::{EndpointReport, ZoneId};
-use crate::state::replica_reports::recent_counter;
+use crate::state::recent_counter::recent_counter;
 use crate::time::Moment;
 use crate::windowed_counter::WindowedCounter;
 use std::collections::BTreeMap;
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -2,7 +2,8 @@
 
 use crate::api::{ReplicaListing, ReplicaState, SliceId, SubsetMembership, ZoneId};
 use crate::random::Random;
-use crate::state::replica_reports::{RecentCounts, ReplicaReports, LONGEST_LOOKBACK};
+use crate::state::recent_counter::LONGEST_LOOKBACK;
+use crate::state::replica_reports::{RecentCounts, ReplicaReports};
 use crate::state::shared_load::SharedLoad;
 use crate::time::{Moment, Span};
 use std::collections::BTreeSet;
--- a/crates/policy/src/state/replica_reports.rs
+++ b/crates/policy/src/state/replica_reports.rs
@@ -1,19 +1,10 @@
 //! What was reported of a replica.
 
 use crate::api::EndpointReport;
+use crate::state::recent_counter::recent_counter;
 use crate::time::{Moment, Span};
 use crate::windowed_counter::WindowedCounter;
 
-const BUCKET: Span = Span::ms(500);
-const BUCKETS: usize = 40;
-/// The longest time that any rule looks back: the buckets together.
-pub(crate) const LONGEST_LOOKBACK: Span = Span::ms(20_000);
-
-/// A counter that reaches back as long as any rule looks.
-pub(crate) fn recent_counter() -> WindowedCounter {
-    WindowedCounter::new(BUCKET, BUCKETS)
-}
-
 /// What was reported of a replica, by the time to which it belongs.
 pub(crate) struct ReplicaReports {
     /// Requests sent to it, retries included.
--- a/crates/policy/src/state/reporting.rs
+++ b/crates/policy/src/state/reporting.rs
@@ -1,7 +1,7 @@
 //! How load reports arrive.
 
 use crate::api::ReportFlow;
-use crate::state::replica_reports::recent_counter;
+use crate::state::recent_counter::recent_counter;
 use crate::time::Span;
 use crate::windowed_counter::WindowedCounter;
 
--- a/crates/policy/src/state/slice.rs
+++ b/crates/policy/src/state/slice.rs
@@ -1,7 +1,7 @@
 //! A slice of the key space: its routing table, what was reported of it, and what was decided about it.
 
 use crate::api::{OverrideId, ReplicaId};
-use crate::state::replica_reports::recent_counter;
+use crate::state::recent_counter::recent_counter;
 use crate::state::routing_table::RoutingTable;
 use crate::time::Moment;
 use crate::windowed_counter::WindowedCounter;
