--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -167,11 +167,12 @@
             }
             "bell" => policy.timer_fired(now, event.whole(0, "name")?),
             "connected" => {
+                let proxy = event.id(0, "clientLb")?;
                 let tables = match event.flag(3, "set")? {
                     true => ProxyTables::Empty,
                     false => ProxyTables::Retained,
                 };
-                policy.proxy_joined(now, event.id(0, "clientLb")?, tables);
+                policy.proxy_joined(now, proxy, tables);
             }
             "parted" => policy.proxy_left(now, event.id(0, "clientLb")?),
             "trafficReport" => {
