--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -84,9 +84,9 @@
     loop {
         tokio::select! {
             biased;
-            signal = signals.come() => match signal {
-                Signal::End(why) => return Ok(why),
-                Signal::ReadAnew => turn.read_anew(&start),
+            signal = signals.next() => match signal {
+                Signal::Terminate(termination) => return Ok(termination.signal),
+                Signal::Reload => turn.read_anew(&start),
             },
             _ = ticks.tick() => turn.tick(),
             (controller, happened) = turn.links.happens() => turn.link(&controller, happened),
--- a/crates/cli/src/calls.rs
+++ b/crates/cli/src/calls.rs
@@ -7,7 +7,7 @@
 use futures_util::future::join_all;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall_controller::program::configuration::{self, Surroundings};
+use whinwall_controller::program::configuration::{self, ProcessEnvironment};
 use whinwall_management_api::client::{Client, Failure};
 use whinwall_management_api::wire::{self, Outcome};
 use whinwall_overrides::record;
@@ -160,10 +160,11 @@
     let mut went = Went::Well;
     for file in files {
         let checked = match file.extension().is_some_and(|ending| ending == "xml") {
-            true => configuration::operators(file).map(|_| ()),
+            true => configuration::read_operators_file(file).map(|_| ()).map_err(|error| error.to_string()),
             false => {
-                let around = Surroundings { file: Some(file.clone()), ..Surroundings::default() };
-                configuration::read(around).map(|_| ())
+                let environment =
+                    ProcessEnvironment { config_file: Some(file.clone()), ..ProcessEnvironment::default() };
+                configuration::load(environment).map(|_| ()).map_err(|error| error.to_string())
             }
         };
         match checked {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,6 +1,7 @@
-//! The parts of the controller, by layer; a layer knows only those below it.
-//! `program` starts and ends it and turns the loop; `routing` holds all state, behind one reducer; `protocol`
-//! decodes and encodes messages; `transport` reads and writes lines.
+//! The controller's process. `program` is the only layer here; the layers below it are packages of their own:
+//! `whinwall-routing` holds all state behind one reducer, `whinwall-protocol` decodes and encodes messages, and
+//! `whinwall-transport` reads and writes lines.
 #![forbid(unsafe_code)]
+#![warn(clippy::unwrap_used)]
 
 pub mod program;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,6 +1,6 @@
-//! whinwall's decisions on real sockets, between collectors, relay and discovery. Layers, each of which knows
-//! only those after it: program, routing, protocol, transport.
+//! The controller program: the decisions of whinwall on sockets, between collectors, relay and discovery.
 #![forbid(unsafe_code)]
+#![warn(clippy::unwrap_used)]
 
 use std::process::ExitCode;
 
--- /dev/null
+++ b/crates/controller/src/program/input.rs
@@ -0,0 +1,273 @@
+//! Decodes what arrives from peers, readers, the storage thread and management clients, and feeds it to the reducer.
+
+use super::effects::Dispatcher;
+use super::metrics::{self, ReaderMetrics, ReportMetrics};
+use super::reader::{BatchItem, ReportBatch};
+use super::reader_pool::{PoolEvent, ReaderPool};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use whinwall_ingest::reorder::Ready;
+use whinwall_management_api::ask::{Reply, Request};
+use whinwall_management_api::server::PendingRequest;
+use whinwall_override_store::desk::Word;
+use whinwall_policy::time::Moment;
+use whinwall_protocol::{collector, discovery, relay, Malformed};
+use whinwall_routing::Event;
+use whinwall_runtime::clock::Clock;
+use whinwall_transport::{limits, Back, CallError, ConnectionId, FollowId, Input, StreamError};
+
+/// Time between two checks of the readers.
+pub(super) const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+
+/// The reader pool, where reports are not read on the event loop's own thread.
+pub(super) struct Readers {
+    pub(super) pool: Rc<RefCell<ReaderPool>>,
+    pub(super) metrics: Arc<ReaderMetrics>,
+}
+
+/// Everything that arrives goes through it.
+pub(super) struct InputHandler<'a> {
+    pub(super) dispatcher: Dispatcher<'a>,
+    readers: Option<Readers>,
+    readers_checked_at: Moment,
+    /// Bytes from collectors in this iteration.
+    received_bytes: u64,
+}
+
+fn unreadable(error: &Malformed) -> StreamError {
+    StreamError::Unreadable(error.to_string())
+}
+
+impl<'a> InputHandler<'a> {
+    pub(super) fn new(dispatcher: Dispatcher<'a>, readers: Option<Readers>) -> Self {
+        let readers_checked_at = dispatcher.clock.now();
+        InputHandler { dispatcher, readers, readers_checked_at, received_bytes: 0 }
+    }
+
+    pub(super) fn has_readers(&self) -> bool {
+        self.readers.is_some()
+    }
+
+    /// Takes one input from a peer.
+    pub(super) fn receive(&mut self, input: Input) {
+        let event = match input {
+            Input::Line { from, line, back, .. } => Some(self.decode_line(from, &line, back)),
+            Input::Ended(id, chunks) => self.end_connection(id, chunks),
+            Input::RelayEvent(id, line) => self.decode_relay_event(id, line),
+            Input::List(id, line) => self.decode_registry_message(id, line),
+            Input::Answer(outcome) => Some(self.decode_relay_reply(outcome)),
+            Input::Surplus => Some(Event::UnexpectedReply),
+        };
+        if let Some(event) = event {
+            self.dispatcher.apply(event);
+        }
+    }
+
+    fn decode_line(
+        &mut self,
+        from: ConnectionId,
+        line: &str,
+        replies: tokio::sync::mpsc::Sender<Back>,
+    ) -> Event {
+        tracing::debug!(connection = from, line, "line from a collector");
+        self.received_bytes += line.len() as u64 + 1;
+        self.dispatcher.set_reply_sender(from, replies);
+        match collector::decode(line) {
+            Ok(message) => Event::Message { from, message },
+            Err(error) => Event::Invalid { from, error },
+        }
+    }
+
+    /// Behind a reader pool the end counts only after all chunks of the connection.
+    fn end_connection(&mut self, id: ConnectionId, chunks: u64) -> Option<Event> {
+        let Some(readers) = &self.readers else { return Some(Event::Disconnected(id)) };
+        let ready = readers.pool.borrow_mut().end_connection(self.dispatcher.clock.now(), id, chunks);
+        self.apply_ready(id, ready);
+        None
+    }
+
+    fn decode_relay_event(&mut self, id: FollowId, line: Result<String, StreamError>) -> Option<Event> {
+        if !self.dispatcher.watches.is_current_relay_watch(id) {
+            return None;
+        }
+        let line = match line {
+            Ok(line) => line,
+            Err(error) => return Some(Event::WatchLost(error)),
+        };
+        Some(match relay::decode_event(&line) {
+            Ok(event) => {
+                tracing::debug!(event = line, "relay event");
+                Event::Relay(event)
+            }
+            Err(error) => {
+                self.dispatcher.watches.close_relay_watch();
+                Event::WatchLost(unreadable(&error))
+            }
+        })
+    }
+
+    fn decode_registry_message(&mut self, id: FollowId, line: Result<String, StreamError>) -> Option<Event> {
+        if line.is_ok() {
+            self.dispatcher.watches.promote_renewed_registry_watch(id);
+        }
+        if !self.dispatcher.watches.is_current_registry_watch(id) {
+            return None;
+        }
+        let line = match line {
+            Ok(line) => line,
+            Err(error) => return Some(Event::RegistryLost(error)),
+        };
+        match discovery::decode(&line) {
+            Ok(heartbeat_or_list) => {
+                let list = heartbeat_or_list?;
+                let entries = list.entries.len();
+                tracing::debug!(version = list.version, entries, "endpoint list");
+                Some(Event::Registry(list))
+            }
+            Err(error) => {
+                self.dispatcher.watches.close_registry_watch();
+                Some(Event::RegistryLost(unreadable(&error)))
+            }
+        }
+    }
+
+    fn decode_relay_reply(&mut self, outcome: Result<String, CallError>) -> Event {
+        tracing::debug!(?outcome, "relay reply");
+        self.dispatcher.relay.complete_request();
+        let decode = |line: String| {
+            relay::decode_answer(&line).map_err(|error| CallError::OutcomeUnknown(unreadable(&error)))
+        };
+        Event::RelayReply(outcome.and_then(decode))
+    }
+
+    /// Takes the batch of one chunk, and others of its connection that have waited for it.
+    pub(super) fn receive_batch(&mut self, batch: ReportBatch) {
+        let Some(readers) = &self.readers else { return };
+        let from = batch.source.from;
+        let ready = readers.pool.borrow_mut().accept_batch(self.dispatcher.clock.now(), batch);
+        self.apply_ready(from, ready);
+    }
+
+    fn apply_ready(&mut self, from: ConnectionId, ready: Ready<ReportBatch>) {
+        for batch in ready.chunks {
+            let source = batch.source;
+            tracing::debug!(connection = from, chunk = source.number, reader = batch.reader, "chunk decoded");
+            self.received_bytes += source.bytes as u64;
+            self.dispatcher.set_reply_sender(from, batch.replies);
+            for item in batch.items {
+                let event = self.batch_event(from, item);
+                self.dispatcher.apply(event);
+            }
+            if let Some(readers) = &self.readers {
+                readers.metrics.observe_report_lag(source.at.elapsed());
+            }
+        }
+        if ready.is_ended {
+            self.dispatcher.apply(Event::Disconnected(from));
+        }
+    }
+
+    fn batch_event(&self, from: ConnectionId, item: BatchItem) -> Event {
+        match item {
+            BatchItem::Reports(reports) => Event::Reports { from, reports },
+            BatchItem::Message(message) => Event::Message { from, message },
+            BatchItem::Invalid(error) => Event::Invalid { from, error },
+            BatchItem::Panicked => {
+                tracing::error!(connection = from, "panic while decoding a chunk, connection closed");
+                self.dispatcher.send_back(from, Back::End(None));
+                Event::Disconnected(from)
+            }
+        }
+    }
+
+    /// Publishes new names to the readers at once, and checks the readers at intervals.
+    pub(super) fn supervise_readers(&mut self) {
+        let Some(readers) = &self.readers else { return };
+        let version = readers.pool.borrow().names_version();
+        if let Some(names) = self.dispatcher.reducer.known(Some(version)) {
+            readers.pool.borrow().publish_names(names);
+        }
+        let now = self.dispatcher.clock.now();
+        if now - self.readers_checked_at < limits::span(READER_CHECK_INTERVAL) {
+            return;
+        }
+        self.readers_checked_at = now;
+        let events = readers.pool.borrow_mut().supervise(now);
+        for event in events {
+            self.handle_pool_event(event);
+        }
+    }
+
+    fn handle_pool_event(&mut self, event: PoolEvent) {
+        match event {
+            PoolEvent::ReaderStalled { reader, connections } => {
+                tracing::warn!(reader, connections, "reader stalled, its connections are closed");
+            }
+            PoolEvent::ReaderDied { reader, connections } => {
+                tracing::warn!(reader, connections, "reader died, its connections are closed");
+            }
+            PoolEvent::ReaderRestarted { reader } => tracing::warn!(reader, "reader restarted"),
+            PoolEvent::ReaderNotRestarted { reader, error } => {
+                tracing::warn!(reader, %error, "reader could not be restarted");
+            }
+            PoolEvent::ChunksOverdue { connections } => {
+                tracing::warn!(connections, "chunks are held by a stopped reader, connections are closed");
+            }
+            PoolEvent::ConnectionsLost(ids) => {
+                for id in ids {
+                    self.dispatcher.apply(Event::Disconnected(id));
+                }
+            }
+        }
+    }
+
+    /// Tells the reducer how many bytes have arrived, once an iteration and not with each line.
+    pub(super) fn report_received_bytes(&mut self) {
+        let bytes = std::mem::take(&mut self.received_bytes);
+        if bytes > 0 {
+            self.dispatcher.apply(Event::ReportBytes(bytes));
+        }
+    }
+
+    /// Takes a reply of the storage thread.
+    pub(super) fn receive_store_reply(&mut self, reply: Word) {
+        let event = match reply {
+            Word::Opened(found) => {
+                if let Some(set_aside) = found.set_aside {
+                    tracing::error!(set_aside, "override store is corrupt, a new one was created");
+                }
+                let (records, stamp) = (found.records, found.stamp);
+                Event::StoreRead { records, stamp, reading: Clock::read_machine_clocks() }
+            }
+            Word::NotOpened(error) => Event::StoreNotRead(error.to_string()),
+            Word::Done { serial, outcome } => {
+                Event::Saved { serial, outcome: outcome.map_err(|error| error.to_string()) }
+            }
+        };
+        self.dispatcher.apply(event);
+    }
+
+    /// Takes a request of a management client.
+    pub(super) fn receive_management_request(&mut self, (request, client): PendingRequest) {
+        let ticket = self.dispatcher.services.register_client(client);
+        tracing::debug!(?request, "management request");
+        let metrics = if request == Request::Metrics { self.encode_metrics() } else { None };
+        match metrics {
+            Some(text) => self.dispatcher.services.reply(ticket, Reply::Metrics(text)),
+            None => self.dispatcher.apply(Event::ManagementRequest { ticket, request }),
+        }
+    }
+
+    /// The metrics in the text format; none where neither readers nor aggregated reports are counted.
+    fn encode_metrics(&self) -> Option<String> {
+        let readers = self.readers.as_ref().map(|readers| &*readers.metrics);
+        let reducer = &self.dispatcher.reducer;
+        let measured_load = reducer.total_measured_load();
+        let freshness = reducer.report_freshness(self.dispatcher.clock.now());
+        let reports = freshness.map(|freshness| ReportMetrics { freshness, measured_load });
+        let has_metrics = readers.is_some() || reports.is_some();
+        has_metrics.then(|| metrics::encode(readers, reports.as_ref()))
+    }
+}
--- /dev/null
+++ b/crates/controller/src/program/metrics.rs
@@ -0,0 +1,221 @@
+//! Metrics of the reader threads, counted where the work is done, and of the reports that aggregators send. The
+//! management API serves them in the text format of Prometheus.
+
+use prometheus_client::encoding::text::{encode_eof, encode_registry};
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
+use prometheus_client::registry::Registry;
+use std::sync::atomic::AtomicU64;
+use std::time::{Duration, Instant};
+use whinwall_ingest::liveness::ReaderEvent;
+use whinwall_ingest::ReaderId;
+use whinwall_management_api::ask::ReportFreshness;
+
+/// Each name begins with it.
+const PREFIX: &str = "whinwall";
+/// Upper bounds of the lag's buckets in seconds: the first one, the factor between two, and how many there are.
+const LAG_BUCKETS: (f64, f64, u16) = (0.0001, 2.0, 16);
+
+type ReaderLabel = [(&'static str, String); 1];
+
+fn label(reader: ReaderId) -> ReaderLabel {
+    [("reader", reader.to_string())]
+}
+
+/// The counters of all readers, by label.
+struct ReaderFamilies {
+    lines: Family<ReaderLabel, Counter>,
+    bytes: Family<ReaderLabel, Counter>,
+    chunks: Family<ReaderLabel, Counter>,
+    busy_microseconds: Family<ReaderLabel, Counter>,
+    stalls: Family<ReaderLabel, Counter>,
+    deaths: Family<ReaderLabel, Counter>,
+    panics: Family<ReaderLabel, Counter>,
+    connections: Family<ReaderLabel, Gauge>,
+}
+
+impl ReaderFamilies {
+    fn register(registry: &mut Registry) -> Self {
+        let mut counters = |name: &str, help: &str| {
+            let family = Family::<ReaderLabel, Counter>::default();
+            registry.register(name, help, family.clone());
+            family
+        };
+        let lines = counters("reader_lines", "Lines taken apart");
+        let bytes = counters("reader_bytes", "Bytes taken apart");
+        let chunks = counters("reader_chunks", "Chunks taken apart");
+        let busy_microseconds = counters("reader_busy_microseconds", "Time spent taking chunks apart");
+        let stalls = counters("reader_stalls", "Times that it was replaced because it did not go on");
+        let deaths = counters("reader_deaths", "Times that it was replaced because its thread had ended");
+        let panics = counters("reader_panics", "Chunks lost by a fault of ours");
+        let connections = Family::<ReaderLabel, Gauge>::default();
+        registry.register("reader_connections", "Connections that it reads", connections.clone());
+        ReaderFamilies { lines, bytes, chunks, busy_microseconds, stalls, deaths, panics, connections }
+    }
+
+    fn counters_of(&self, reader: ReaderId) -> ReaderCounters {
+        let label = &label(reader);
+        ReaderCounters {
+            lines: self.lines.get_or_create(label).clone(),
+            bytes: self.bytes.get_or_create(label).clone(),
+            chunks: self.chunks.get_or_create(label).clone(),
+            busy_microseconds: self.busy_microseconds.get_or_create(label).clone(),
+            stalls: self.stalls.get_or_create(label).clone(),
+            deaths: self.deaths.get_or_create(label).clone(),
+            panics: self.panics.get_or_create(label).clone(),
+            connections: self.connections.get_or_create(label).clone(),
+        }
+    }
+}
+
+/// The counters of one reader.
+struct ReaderCounters {
+    lines: Counter,
+    bytes: Counter,
+    chunks: Counter,
+    busy_microseconds: Counter,
+    stalls: Counter,
+    deaths: Counter,
+    panics: Counter,
+    connections: Gauge,
+}
+
+/// What the reader pool has queued.
+#[derive(Clone, Copy, Debug)]
+pub struct PoolBacklog {
+    /// Chunks that wait for a reader.
+    pub queued_chunks: usize,
+    /// Batches that wait for an earlier one of their connection.
+    pub early_batches: usize,
+    /// Batches that came too late or twice, since the start.
+    pub late_batches: u64,
+}
+
+/// Metrics of the reader pool.
+pub struct ReaderMetrics {
+    registry: Registry,
+    readers: Vec<ReaderCounters>,
+    queued_chunks: Gauge,
+    early_batches: Gauge,
+    late_batches: Gauge,
+    /// From the arrival of a chunk until its reports are applied.
+    report_lag: Histogram,
+}
+
+impl ReaderMetrics {
+    /// Metrics of a pool of so many readers, all zero.
+    pub fn new(readers: usize) -> Self {
+        let mut registry = Registry::with_prefix(PREFIX);
+        let families = ReaderFamilies::register(&mut registry);
+        let mut gauge = |name: &str, help: &str| {
+            let gauge = Gauge::default();
+            registry.register(name, help, gauge.clone());
+            gauge
+        };
+        let queued_chunks = gauge("chunks_waiting", "Chunks that wait for a reader");
+        let early_batches = gauge("batches_early", "Batches that wait for an earlier one");
+        let late_batches = gauge("batches_late", "Batches that came for nobody since the start");
+        let (first, factor, count) = LAG_BUCKETS;
+        let report_lag = Histogram::new(exponential_buckets(first, factor, count));
+        registry.register(
+            "report_lag_seconds",
+            "From a report's arrival to the decisions",
+            report_lag.clone(),
+        );
+        let readers = (0..readers).map(|reader| families.counters_of(reader)).collect();
+        ReaderMetrics { registry, readers, queued_chunks, early_batches, late_batches, report_lag }
+    }
+
+    /// Counts a chunk that a reader has decoded since `began`.
+    pub fn count_chunk(&self, reader: ReaderId, bytes: usize, lines: usize, began: Instant) {
+        if let Some(reader) = self.readers.get(reader) {
+            reader.lines.inc_by(lines as u64);
+            reader.bytes.inc_by(bytes as u64);
+            reader.chunks.inc();
+            reader.busy_microseconds.inc_by(began.elapsed().as_micros() as u64);
+        }
+    }
+
+    /// Counts a chunk that was lost by a panic.
+    pub fn count_panic(&self, reader: ReaderId) {
+        self.readers.get(reader).map(|reader| reader.panics.inc());
+    }
+
+    /// Counts a reader that has stopped; a restart is not counted.
+    pub fn count_reader_event(&self, reader: ReaderId, event: ReaderEvent) {
+        if let Some(reader) = self.readers.get(reader) {
+            match event {
+                ReaderEvent::Stalled => _ = reader.stalls.inc(),
+                ReaderEvent::Died => _ = reader.deaths.inc(),
+                ReaderEvent::RestartDue => {}
+            }
+        }
+    }
+
+    /// Shows the queues of the pool, and the number of connections of each reader.
+    pub fn set_backlog(&self, backlog: PoolBacklog, connections: impl Fn(ReaderId) -> usize) {
+        self.queued_chunks.set(backlog.queued_chunks as i64);
+        self.early_batches.set(backlog.early_batches as i64);
+        self.late_batches.set(backlog.late_batches as i64);
+        for (id, reader) in self.readers.iter().enumerate() {
+            reader.connections.set(connections(id) as i64);
+        }
+    }
+
+    /// Records the time from the arrival of a chunk until its reports were applied.
+    pub fn observe_report_lag(&self, lag: Duration) {
+        self.report_lag.observe(lag.as_secs_f64());
+    }
+
+    /// The metrics of the readers alone, in the text format.
+    pub fn encode(&self) -> String {
+        encode(Some(self), None)
+    }
+}
+
+/// Metrics of the reports that aggregators send.
+pub struct ReportMetrics {
+    /// How recent and how complete they are.
+    pub freshness: ReportFreshness,
+    /// Requests a second that they show for the controller's slices.
+    pub measured_load: f64,
+}
+
+/// All metrics that there are, in the text format.
+pub fn encode(readers: Option<&ReaderMetrics>, reports: Option<&ReportMetrics>) -> String {
+    let report_registry = reports.map(registry_of_reports);
+    let registries = [readers.map(|metrics| &metrics.registry), report_registry.as_ref()];
+    let mut text = String::new();
+    for registry in registries.into_iter().flatten() {
+        // Writing to a `String` does not fail.
+        _ = encode_registry(&mut text, registry);
+    }
+    _ = encode_eof(&mut text);
+    text
+}
+
+fn registry_of_reports(metrics: &ReportMetrics) -> Registry {
+    let freshness = &metrics.freshness;
+    let mut registry = Registry::with_prefix(PREFIX);
+    let mut gauge = |name: &str, help: &str, value: f64| {
+        let gauge = Gauge::<f64, AtomicU64>::default();
+        gauge.set(value);
+        registry.register(name, help, gauge);
+    };
+    gauge(
+        "aggregated_report_bytes_per_second",
+        "Bytes of reports that came of late",
+        freshness.bytes_per_second,
+    );
+    if let Some(age) = freshness.age {
+        gauge("aggregated_report_age_seconds", "Time since the last report came", age.seconds());
+    }
+    let stale = f64::from(u8::from(freshness.stale));
+    gauge("aggregated_reports_stale", "1 while the governor goes on with what it has", stale);
+    let partial = freshness.partial_replicas as f64;
+    gauge("partially_observed_replicas", "Replicas that no verdict is given on", partial);
+    gauge("measured_requests_per_second", "Requests for the governor's slices", metrics.measured_load);
+    registry
+}
--- a/crates/controller/src/program/mod.rs
+++ b/crates/controller/src/program/mod.rs
@@ -1,20 +1,32 @@
-//! Starts and ends the governor.
+//! The controller process: command line, exit codes, and the modules that serve until a signal ends it.
 
 pub mod configuration;
-mod event_loop;
-mod fronts;
-
-pub mod meters;
-pub mod readers;
+mod configuration_file;
+mod effects;
+mod incarnation;
+mod input;
+pub mod metrics;
+mod queues;
+pub mod reader;
+pub mod reader_pool;
+mod reload;
+mod services;
+mod shutdown;
+mod startup;
+mod watches;
 
 use clap::Parser;
-use configuration::Surroundings;
+use configuration::{ConfigError, ControllerConfig, LoggingConfig, ProcessEnvironment};
+use std::fmt::Display;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 use whinwall_runtime::signals::Signals;
 
-/// What the command line says; all else is in the environment and the files that it names.
+/// Exit code for a configuration that cannot be used.
+const EXIT_CONFIGURATION: u8 = 2;
+
+/// The command line; everything else is in the environment and in the files that it names.
 #[derive(Parser)]
 #[command(
     name = "whinwall-controller",
@@ -32,45 +44,69 @@
     check: bool,
 }
 
-/// Runs until a signal ends it; a configuration that can't be used ends it at once.
+/// Why the program cannot start; its text is shown to the operator.
+#[derive(Debug, thiserror::Error)]
+enum StartupError {
+    #[error("signals: {0}")]
+    Signals(#[from] std::io::Error),
+    #[error(transparent)]
+    Configuration(#[from] ConfigError),
+}
+
+/// Runs until a signal ends it; a configuration that cannot be used ends it at once.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse();
-    let mut around = Surroundings::of_process();
-    around.operators = arguments.operators.or(around.operators);
-    let logging = around.logging();
-    let (level, lines) = logging.clone().unwrap_or((LevelFilter::INFO, u32::MAX));
-    let form = whinwall_runtime::logger::start(level, lines);
+    let mut environment = ProcessEnvironment::of_process();
+    environment.operators_file = arguments.operators.or(environment.operators_file);
+    let logging = environment.logging();
+    // Until the error in the logging variables is reported, nothing is left out of the log.
+    let log_all = LoggingConfig { level: LevelFilter::INFO, lines_per_second: u32::MAX };
+    let LoggingConfig { level, lines_per_second } = *logging.as_ref().unwrap_or(&log_all);
+    let log_format = whinwall_runtime::logger::start(level, lines_per_second);
     if arguments.check {
-        return match logging.and_then(|_| configuration::read(around)) {
-            Ok(start) => {
-                println!("the files of {} are fine", start.name);
-                ExitCode::SUCCESS
-            }
-            Err(wrong) => faulty(&wrong),
-        };
+        return check(logging, environment);
     }
     let system = actix_rt::System::new();
-    // Before anything else, lest a signal meet a program that does not know it yet.
+    // Installed before anything else, so that no signal meets its default action.
     let signals = system.block_on(async { Signals::listen() });
-    let signals = signals.map_err(|why| format!("signals: {why}"));
-    let read = || Ok((signals?, logging.and_then(|_| configuration::read(around))?));
-    let (signals, start) = match read() {
-        Ok(all) => all,
-        Err::<_, String>(wrong) => return faulty(&wrong),
+    let (signals, config) = match load(signals, logging, environment) {
+        Ok(loaded) => loaded,
+        Err(error) => return reject_configuration(&error),
     };
-    match system.block_on(event_loop::serve(start, signals, form)) {
-        Ok(why) => {
-            tracing::info!("{why}, ending");
+    match system.block_on(startup::serve(config, signals, log_format)) {
+        Ok(termination) => {
+            tracing::info!(signal = termination.signal, "shutdown complete");
             ExitCode::SUCCESS
         }
-        Err(wrong) => {
-            tracing::error!("{wrong}");
+        Err(error) => {
+            tracing::error!("{error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn faulty(wrong: &str) -> ExitCode {
-    tracing::error!("configuration: {wrong}");
-    ExitCode::from(2)
+fn load(
+    signals: std::io::Result<Signals>,
+    logging: Result<LoggingConfig, ConfigError>,
+    environment: ProcessEnvironment,
+) -> Result<(Signals, ControllerConfig), StartupError> {
+    let signals = signals?;
+    logging?;
+    Ok((signals, configuration::load(environment)?))
+}
+
+/// Loads the files without serving.
+fn check(logging: Result<LoggingConfig, ConfigError>, environment: ProcessEnvironment) -> ExitCode {
+    match logging.and_then(|_| configuration::load(environment)) {
+        Ok(config) => {
+            println!("the files of {} are fine", config.name);
+            ExitCode::SUCCESS
+        }
+        Err(error) => reject_configuration(&error),
+    }
+}
+
+fn reject_configuration(error: &dyn Display) -> ExitCode {
+    tracing::error!("configuration: {error}");
+    ExitCode::from(EXIT_CONFIGURATION)
 }
--- /dev/null
+++ b/crates/controller/src/program/services.rs
@@ -0,0 +1,156 @@
+//! What the operators' file switches on: the storage thread of overrides and the management server, each on a thread of
+//! its own, and the clients that wait for a reply of the controller.
+
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use tokio::sync::mpsc::{channel, Receiver, Sender};
+use tokio::sync::oneshot;
+use whinwall_management_api::ask::Reply;
+use whinwall_management_api::server::{self, PendingRequest, Serving};
+use whinwall_operator_config::{Doors, LogForm, OperatorsFile};
+use whinwall_override_store::desk::{Desk, Word};
+use whinwall_override_store::{Job, Keeper};
+use whinwall_overrides::Ticket;
+use whinwall_runtime::logger::{LogFormat, LogFormatSwitch};
+
+/// Management requests that may wait for the event loop; further ones are rejected and may be retried.
+pub(super) const REQUEST_QUEUE: usize = 64;
+/// Replies of the storage thread that may wait for the event loop; there is one job at a time.
+const STORE_REPLY_QUEUE: usize = 16;
+
+/// Why a service cannot be started; its text is shown to the operator.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ServiceError {
+    #[error("keeper: {0}")]
+    StorageThread(#[source] std::io::Error),
+    /// The token file of the management server cannot be used; the text names it.
+    #[error("management: token-file: {0}")]
+    Token(String),
+    #[error("management: {endpoint:?}: {source}")]
+    Management { endpoint: Doors, source: std::io::Error },
+}
+
+/// A running management server.
+struct ManagementServer {
+    endpoint: Doors,
+    /// Ends the server when it is dropped.
+    _server: Serving,
+}
+
+/// The services, and the queues between their threads and the event loop.
+pub(super) struct OperatorServices {
+    storage: Option<Desk>,
+    pub(super) store_replies: Receiver<Word>,
+    management: Option<ManagementServer>,
+    request_sender: Sender<PendingRequest>,
+    pub(super) requests: Receiver<PendingRequest>,
+    /// Clients that wait for a reply, by ticket.
+    clients: BTreeMap<Ticket, oneshot::Sender<Reply>>,
+    last_ticket: Ticket,
+    log_format: LogFormatSwitch,
+}
+
+impl OperatorServices {
+    /// Starts what the file asks for. The storage thread keeps its folder as long as the program runs.
+    pub(super) fn start(
+        controller: &str,
+        file: Option<&OperatorsFile>,
+        log_format: LogFormatSwitch,
+    ) -> Result<Self, ServiceError> {
+        let (reply_sender, store_replies) = channel(STORE_REPLY_QUEUE);
+        let (request_sender, requests) = channel(REQUEST_QUEUE);
+        let folder: Option<PathBuf> = file.and_then(|file| file.store.clone());
+        let storage = folder.map(|folder| {
+            // Called on the storage thread, which alone waits where the event loop is slow.
+            Desk::start(Keeper::at(folder), move |reply| _ = reply_sender.blocking_send(reply))
+        });
+        let mut services = OperatorServices {
+            storage: storage.transpose().map_err(ServiceError::StorageThread)?,
+            store_replies,
+            management: None,
+            request_sender,
+            requests,
+            clients: BTreeMap::new(),
+            last_ticket: 0,
+            log_format,
+        };
+        services.reconfigure(controller, file)?;
+        Ok(services)
+    }
+
+    /// Applies what may change while the program runs: the format of the log and the management server.
+    pub(super) fn reconfigure(
+        &mut self,
+        controller: &str,
+        file: Option<&OperatorsFile>,
+    ) -> Result<(), ServiceError> {
+        let wants_json = file.is_some_and(|file| file.log == LogForm::Json);
+        self.log_format.set(if wants_json { LogFormat::Json } else { LogFormat::Text });
+        match file.and_then(|file| file.management.clone()) {
+            None => self.management = None,
+            Some(endpoint) if self.is_serving_socket(&endpoint) => {}
+            Some(endpoint) => self.start_management(controller, endpoint)?,
+        }
+        Ok(())
+    }
+
+    /// Whether the server is on this socket already. A server on an address is always restarted, as its token may have
+    /// changed in the same file.
+    fn is_serving_socket(&self, endpoint: &Doors) -> bool {
+        let is_same = self.management.as_ref().is_some_and(|server| server.endpoint == *endpoint);
+        is_same && matches!(endpoint, Doors::Socket(_))
+    }
+
+    fn start_management(&mut self, controller: &str, endpoint: Doors) -> Result<(), ServiceError> {
+        let listen_on = match endpoint.clone() {
+            Doors::Socket(path) => server::Doors::Socket(path),
+            Doors::Address { address, token_file } => {
+                let token = server::token(&token_file).map_err(ServiceError::Token)?;
+                server::Doors::Address { address, token }
+            }
+        };
+        self.management = None; // frees the address of the former server
+        let server = match server::start(listen_on, controller.to_string(), self.request_sender.clone()) {
+            Ok(server) => server,
+            Err(source) => return Err(ServiceError::Management { endpoint, source }),
+        };
+        match (&endpoint, server.address) {
+            (Doors::Socket(path), _) => tracing::info!(socket = %path.display(), "management API listening"),
+            (_, Some(address)) => tracing::info!(%address, "management API listening"),
+            (_, None) => {}
+        }
+        self.management = Some(ManagementServer { endpoint, _server: server });
+        Ok(())
+    }
+
+    /// Asks the storage thread for all records, where there is one.
+    pub(super) fn read_store(&self) {
+        if let Some(storage) = &self.storage {
+            storage.open();
+        }
+    }
+
+    pub(super) fn has_store(&self) -> bool {
+        self.storage.is_some()
+    }
+
+    /// Hands a job to the storage thread; false where it takes none, and no reply follows.
+    pub(super) fn write_store(&self, serial: u64, job: Job) -> bool {
+        self.storage.as_ref().is_some_and(|storage| storage.keep(serial, job))
+    }
+
+    /// Keeps a client until the reply for its ticket.
+    pub(super) fn register_client(&mut self, client: oneshot::Sender<Reply>) -> Ticket {
+        self.clients.retain(|_, client| !client.is_closed());
+        self.last_ticket += 1;
+        self.clients.insert(self.last_ticket, client);
+        self.last_ticket
+    }
+
+    pub(super) fn reply(&mut self, ticket: Ticket, reply: Reply) {
+        if let Some(client) = self.clients.remove(&ticket) {
+            // A client that has stopped waiting loses the reply.
+            _ = client.send(reply);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/program/startup.rs
@@ -0,0 +1,88 @@
+//! Start-up: binds the listener, starts the services, and starts another incarnation after a panic.
+
+use super::configuration::ControllerConfig;
+use super::incarnation::run_incarnation;
+use super::services::{OperatorServices, ServiceError};
+use actix_rt::net::TcpListener;
+use futures_util::FutureExt;
+use std::net::SocketAddr;
+use std::panic::AssertUnwindSafe;
+use std::rc::Rc;
+use whinwall_runtime::logger::LogFormatSwitch;
+use whinwall_runtime::signals::{Signals, Termination};
+use whinwall_transport::limits;
+
+/// Retries of the bind, `limits::PAUSE` apart: a former process may hold the address a moment longer.
+const MAX_BIND_RETRIES: u32 = 50;
+
+/// Why the controller cannot serve; its text is shown to the operator.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ServeError {
+    #[error("listen: {address}: {source}")]
+    Bind { address: SocketAddr, source: std::io::Error },
+    #[error("listen: {0}")]
+    LocalAddress(#[source] std::io::Error),
+    #[error(transparent)]
+    Service(#[from] ServiceError),
+}
+
+/// Serves until a signal ends the program.
+pub(super) async fn serve(
+    config: ControllerConfig,
+    mut signals: Signals,
+    log_format: LogFormatSwitch,
+) -> Result<Termination, ServeError> {
+    let listener = match bind(config.listen, &mut signals).await? {
+        Bound::Listening(listener) => Rc::new(listener),
+        Bound::Terminated(termination) => return Ok(termination),
+    };
+    let address = listener.local_addr().map_err(ServeError::LocalAddress)?;
+    tracing::info!("{} serves at {address}", config.name);
+    let services = OperatorServices::start(&config.name, config.operators.as_ref(), log_format)?;
+    Ok(run_incarnations(config, listener, signals, services).await)
+}
+
+/// A panic costs the state of the reducer, as a restart would, and not the process: the relay and discovery hold all
+/// that is needed to rebuild it.
+async fn run_incarnations(
+    mut config: ControllerConfig,
+    listener: Rc<TcpListener>,
+    mut signals: Signals,
+    mut services: OperatorServices,
+) -> Termination {
+    loop {
+        let incarnation = run_incarnation(&mut config, listener.clone(), &mut signals, &mut services);
+        match AssertUnwindSafe(incarnation).catch_unwind().await {
+            Ok(termination) => return termination,
+            Err(_) => tracing::error!("panic in the event loop, starting a new incarnation"),
+        }
+        config.begin_new_incarnation();
+        if let Err(termination) = signals.sleep(limits::PAUSE).await {
+            return termination;
+        }
+    }
+}
+
+/// How an attempt to bind the listener ended without an error.
+enum Bound {
+    Listening(TcpListener),
+    Terminated(Termination),
+}
+
+async fn bind(address: SocketAddr, signals: &mut Signals) -> Result<Bound, ServeError> {
+    let mut retries = 0;
+    loop {
+        match TcpListener::bind(address).await {
+            Ok(listener) => return Ok(Bound::Listening(listener)),
+            Err(source) if retries == MAX_BIND_RETRIES => return Err(ServeError::Bind { address, source }),
+            Err(error) if retries == 0 => {
+                tracing::warn!(%address, %error, "listen address not available, retrying");
+            }
+            Err(_) => {}
+        }
+        retries += 1;
+        if let Err(termination) = signals.sleep(limits::PAUSE).await {
+            return Ok(Bound::Terminated(termination));
+        }
+    }
+}
--- a/crates/controller/tests/cores.rs
+++ b/crates/controller/tests/cores.rs
@@ -43,7 +43,7 @@
         collectors.iter_mut().for_each(|collector| collector.stream.write_all(failing().as_bytes()).unwrap());
         thread::sleep(Duration::from_millis(100));
     }
-    collectors.iter_mut().for_each(|collector| collector.pings());
+    collectors.iter_mut().for_each(stand_ins::Peer::pings);
     managed.world.relist(2, "leaving", 0);
     managed.world.order("OUT,s-2");
     assert!(managed.world.is_left("s-2") < Duration::from_millis(2500), "within the grace");
@@ -89,7 +89,7 @@
         .collect();
     let pid = Pid::from_child(&managed.program().child);
     kill_process(pid, Signal::HUP).unwrap();
-    managed.log("SIGHUP: relay at");
+    managed.log("configuration reloaded");
     let told = Instant::now();
     managed.world.relist(2, "leaving", 0);
     assert!(managed.world.order("OUT,s-2") - told < Duration::from_secs(2), "a flood delays no drain");
--- a/crates/controller/tests/crossings.rs
+++ b/crates/controller/tests/crossings.rs
@@ -420,7 +420,7 @@
         }
         // At the second refusal the first order is skipped, and nothing may be left.
         let may_be_over = taken >= orders.len() || orders.len() == 1;
-        self.open = Some((orders.iter().map(|order| order.to_string()).collect(), may_be_over));
+        self.open = Some((orders.iter().map(std::string::ToString::to_string).collect(), may_be_over));
         self.rig.tell(Event::RelayReply(Ok(Answer::Taken(taken.min(orders.len())))));
     }
 
--- a/crates/controller/tests/faults.rs
+++ b/crates/controller/tests/faults.rs
@@ -24,7 +24,7 @@
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             say.send(listener.local_addr().unwrap()).unwrap();
             _ = forward(listener, target, rules, Log::default()).await;
-        })
+        });
     });
     address.recv().unwrap()
 }
--- a/crates/controller/tests/instants.rs
+++ b/crates/controller/tests/instants.rs
@@ -33,8 +33,8 @@
     open.carried_out();
     program.signal(Signal::TERM);
     program.goes_on();
-    program.logs("SIGTERM: no more calls, one is open");
-    program.logs("the open call has its outcome");
+    program.logs("shutting down requests_in_flight=1 signal=SIGTERM");
+    program.logs("relay request in flight has its outcome");
     assert!(program.ends().success());
     let newer = relay.heard.arrives.try_iter().find(|said| said.line.starts_with("APPLY"));
     assert_eq!(newer.map(|said| said.line), None, "a call after the signal");
@@ -51,7 +51,7 @@
     program.signal(Signal::TERM);
     program.signal(Signal::INT);
     program.goes_on();
-    program.logs("SIGINT too");
+    program.logs("second signal, shutting down at once signal=SIGINT");
     assert!(program.ends().success());
 }
 
@@ -87,7 +87,7 @@
     let launch = |file: &serde_json::Value| {
         let written = ConfigurationFile::write(&file.to_string());
         let mut program = Program::launch(command(&written), written);
-        program.logs("trying for a while");
+        program.logs("listen address not available, retrying");
         program
     };
     let mut ended = launch(&file);
@@ -111,7 +111,7 @@
     file["distributor"]["address"] = json!(second.address.to_string());
     let text = file.to_string();
     program.reads_anew(&text[..text.len() / 2]);
-    program.logs("stays as it was");
+    program.logs("configuration reload failed, the former configuration stays");
     std::fs::write(&program.file.0, &text).unwrap();
     second.watcher();
     program.connect().pings();
--- a/crates/controller/tests/metrics_text.rs
+++ b/crates/controller/tests/metrics_text.rs
@@ -2,8 +2,8 @@
 //! The fixture is the exposition text with each value replaced by `_`.
 
 use std::time::{Duration, Instant};
-use whinwall_controller::program::meters::{text, Meters, ReportFigures};
-use whinwall_ingest::watch::Found;
+use whinwall_controller::program::metrics::{encode, PoolBacklog, ReaderMetrics, ReportMetrics};
+use whinwall_ingest::liveness::ReaderEvent;
 use whinwall_management_api::ask::ReportFreshness;
 use whinwall_policy::time::Span;
 
@@ -16,33 +16,34 @@
     text.lines().map(line).collect()
 }
 
-fn figures(age: Option<Span>) -> ReportFigures {
+fn report_metrics(age: Option<Span>) -> ReportMetrics {
     let freshness = ReportFreshness { bytes_per_second: 2.5, age, stale: true, partial_replicas: 3 };
-    ReportFigures { freshness, measured_load: 4.5 }
+    ReportMetrics { freshness, measured_load: 4.5 }
 }
 
 /// What two readers count.
-fn meters() -> Meters {
-    let meters = Meters::of(2);
-    meters.carried(0, 100, 7, Instant::now());
-    meters.panicked(0);
-    meters.stopped(1, Found::Stalled);
-    meters.stopped(1, Found::Dead);
-    meters.state(11, 12, 13, |core| 20 + core);
-    meters.applied(Duration::from_millis(5));
-    meters
+fn reader_metrics() -> ReaderMetrics {
+    let metrics = ReaderMetrics::new(2);
+    metrics.count_chunk(0, 100, 7, Instant::now());
+    metrics.count_panic(0);
+    metrics.count_reader_event(1, ReaderEvent::Stalled);
+    metrics.count_reader_event(1, ReaderEvent::Died);
+    let backlog = PoolBacklog { queued_chunks: 11, early_batches: 12, late_batches: 13 };
+    metrics.set_backlog(backlog, |reader| 20 + reader);
+    metrics.observe_report_lag(Duration::from_millis(5));
+    metrics
 }
 
 #[test]
-fn metrics_are_named_described_and_labelled_to_the_letter() {
+fn metric_names_help_and_labels_are_pinned() {
     // Samples of several readers come in no certain order.
-    let shown = text(Some(&Meters::of(1)), Some(&figures(Some(Span::ms(250)))));
+    let shown = encode(Some(&ReaderMetrics::new(1)), Some(&report_metrics(Some(Span::ms(250)))));
     assert_eq!(without_values(&shown), include_str!("fixtures/metrics.txt"));
 }
 
 #[test]
-fn each_metric_shows_the_value_that_its_name_says() {
-    let shown = text(Some(&meters()), Some(&figures(Some(Span::ms(250)))));
+fn each_metric_shows_its_value() {
+    let shown = encode(Some(&reader_metrics()), Some(&report_metrics(Some(Span::ms(250)))));
     let expected = [
         r#"whinwall_reader_lines_total{reader="0"} 7"#,
         r#"whinwall_reader_bytes_total{reader="0"} 100"#,
@@ -68,13 +69,13 @@
 }
 
 #[test]
-fn the_age_of_reports_is_left_out_where_none_came() {
-    let shown = text(None, Some(&figures(None)));
+fn report_age_is_left_out_before_the_first_report() {
+    let shown = encode(None, Some(&report_metrics(None)));
     assert!(!shown.contains("age_seconds"), "{shown}");
     assert!(shown.starts_with("# HELP whinwall_aggregated_report_bytes_per_second "), "{shown}");
 }
 
 #[test]
-fn the_text_ends_with_an_end_version_also_where_it_has_no_metrics() {
-    assert_eq!(text(None, None), "# EOF\n");
+fn text_without_metrics_ends_with_the_end_marker() {
+    assert_eq!(encode(None, None), "# EOF\n");
 }
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -188,7 +188,7 @@
     assert_eq!(managed.becomes("f-1", |item| item.state == "in force").origin, "file");
     managed.operators("<overrides>\n<out id=\"f-2\" server=\"s-2\"/>\n</overrides>");
     hang_up(&mut managed);
-    let line = managed.log("all stays as it was");
+    let line = managed.log("configuration reload failed, the former configuration stays");
     assert!(line.contains("operators.xml: line 6, column 1: <out>"), "{line}");
     assert_eq!(managed.item("f-1").state, "in force");
     // One that can't be because of another is refused too, and the former stay.
@@ -214,7 +214,7 @@
     std::fs::write(&store, &bytes[..bytes.len() / 2]).unwrap();
     let (command, file) = managed.command();
     managed.spawn(command, file);
-    let line = managed.log("spoilt");
+    let line = managed.log("override store is corrupt, a new one was created");
     assert!(line.contains("overrides.redb.spoilt-1"), "{line}");
     managed.log("the store is read");
     assert!(managed.list().is_empty());
@@ -282,7 +282,7 @@
                     for _ in 0..300 {
                         _ = client.list().await;
                     }
-                })
+                });
             })
         })
         .collect();
@@ -311,7 +311,7 @@
     let line: Value = serde_json::from_str(&line).unwrap();
     assert_eq!(line["level"], json!("info"));
     let spans: Vec<_> = line["spans"].as_array().unwrap().iter().map(|span| span["name"].clone()).collect();
-    assert_eq!(spans, ["turn", "report"], "{line}");
+    assert_eq!(spans, ["iteration", "report"], "{line}");
 }
 
 #[test]
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Readers on loopback sockets with an owner that notes what counts: stalls and panics at each stage, order,
+//! Readers on loopback sockets with an owner that events what counts: stalls and panics at each stage, order,
 //! many connections, the same sums over any number of them.
 
 use std::cell::RefCell;
@@ -11,9 +11,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use whinwall_controller::program::meters::Meters;
-use whinwall_controller::program::readers::{Batch, Hand, Heard, Hook, Item, Pool, Stage};
-use whinwall_ingest::sequence::Due;
+use whinwall_controller::program::metrics::ReaderMetrics;
+use whinwall_controller::program::reader::{BatchItem, ReaderStage, ReportBatch, StageHook};
+use whinwall_controller::program::reader_pool::{PoolConfig, PoolEvent, PoolHandle, ReaderPool};
+use whinwall_ingest::reorder::Ready;
 use whinwall_policy::api::ReportBody;
 use whinwall_protocol::collector::Message;
 use whinwall_routing::known::Known;
@@ -38,24 +39,24 @@
 struct Owner {
     address: SocketAddr,
     counted: Arc<Mutex<Vec<Counted>>>,
-    notes: Arc<Mutex<Vec<String>>>,
-    meters: Arc<Meters>,
+    events: Arc<Mutex<Vec<String>>>,
+    metrics: Arc<ReaderMetrics>,
     held: Arc<Mutex<(usize, usize)>>,
     _end: tokio::sync::oneshot::Sender<()>,
 }
 
-struct Turn {
-    pool: Rc<RefCell<Pool>>,
+struct OwnerState {
+    pool: Rc<RefCell<ReaderPool>>,
     counted: Arc<Mutex<Vec<Counted>>>,
 }
 
-impl Turn {
-    fn due(&self, from: ConnectionId, due: Due<Batch>) {
+impl OwnerState {
+    fn apply(&self, from: ConnectionId, ready: Ready<ReportBatch>) {
         let mut counted = self.counted.lock().unwrap();
-        for batch in due.chunks {
+        for batch in ready.chunks {
             for item in batch.items {
                 match item {
-                    Item::Reports(reports) => {
+                    BatchItem::Reports(reports) => {
                         counted.extend(reports.iter().map(|report| match report.what {
                             ReportBody::DemandReport { slice, asked } => {
                                 Counted::DemandReport(from, slice, asked.came, report.lines)
@@ -63,49 +64,51 @@
                             ReportBody::EndpointReport { replica, met, .. } => {
                                 Counted::EndpointReport(from, replica, met.attempts)
                             }
-                        }))
+                        }));
                     }
-                    Item::Message(Message::Source { .. }) => _ = batch.back.try_send(Back::Keep),
-                    Item::Message(Message::Ping) => {
+                    BatchItem::Message(Message::Source { .. }) => _ = batch.replies.try_send(Back::Keep),
+                    BatchItem::Message(Message::Ping) => {
                         counted.push(Counted::Ping(from));
-                        _ = batch.back.try_send(Back::Say("PONG".into()));
+                        _ = batch.replies.try_send(Back::Say("PONG".into()));
                     }
-                    Item::Lost => {
+                    BatchItem::Panicked => {
                         counted.push(Counted::Lost(from));
-                        _ = batch.back.try_send(Back::End(None));
+                        _ = batch.replies.try_send(Back::End(None));
                     }
-                    Item::Message(other) => panic!("{other:?}"),
-                    Item::Invalid(_) => _ = batch.back.try_send(Back::End(None)),
+                    BatchItem::Message(other) => panic!("{other:?}"),
+                    BatchItem::Invalid(_) => _ = batch.replies.try_send(Back::End(None)),
                 }
             }
         }
-        if due.ended {
+        if ready.is_ended {
             counted.push(Counted::Ended(from));
         }
     }
 }
 
 impl Owner {
-    fn start(readers: usize, hook: Hook) -> Self {
-        let (counted, notes) = (Arc::<Mutex<Vec<_>>>::default(), Arc::<Mutex<Vec<_>>>::default());
-        let (meters, held) = (Arc::new(Meters::of(readers)), Arc::<Mutex<(usize, usize)>>::default());
+    fn start(readers: usize, hook: StageHook) -> Self {
+        let (counted, events) = (Arc::<Mutex<Vec<_>>>::default(), Arc::<Mutex<Vec<_>>>::default());
+        let (metrics, held) =
+            (Arc::new(ReaderMetrics::new(readers)), Arc::<Mutex<(usize, usize)>>::default());
         let (end, mut ended) = tokio::sync::oneshot::channel();
         let (started, address) = std_mpsc::channel();
-        let (into_counted, into_notes, counts, holds) =
-            (counted.clone(), notes.clone(), meters.clone(), held.clone());
+        let (into_counted, into_events, counts, holds) =
+            (counted.clone(), events.clone(), metrics.clone(), held.clone());
         thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let listener = Rc::new(actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
                 started.send(listener.local_addr().unwrap()).unwrap();
                 let (inbox, mut arrived) = mpsc::channel(64);
                 let (bounds, clock) = (Bounds::new(3000, 4 << 20), Clock::start());
-                let (pool, mut batches) =
-                    Pool::start(readers, clock, bounds.clone(), inbox, counts, hook).unwrap();
+                let config =
+                    PoolConfig { readers, clock, bounds: bounds.clone(), inbox, metrics: counts, hook };
+                let (pool, mut batches) = ReaderPool::start(config).unwrap();
                 let replicas = (0..10).map(|n| (format!("s-{n}"), n)).collect();
                 let (zones, request_classes) = (vec!["north".into()], vec!["lookup".into()]);
-                pool.publish(Known { zones, request_classes, replicas, changes: 1 });
-                let turn = Turn { pool: Rc::new(RefCell::new(pool)), counted: into_counted };
-                actix_rt::spawn(listener::listen(listener, bounds, Hand(turn.pool.clone())));
+                pool.publish_names(Known { zones, request_classes, replicas, changes: 1 });
+                let owner = OwnerState { pool: Rc::new(RefCell::new(pool)), counted: into_counted };
+                actix_rt::spawn(listener::listen(listener, bounds, PoolHandle(owner.pool.clone())));
                 let mut looks = tokio::time::interval(Duration::from_millis(100));
                 loop {
                     tokio::select! {
@@ -113,31 +116,32 @@
                         _ = &mut ended => return,
                         Some(input) = arrived.recv() => {
                             let Input::Ended(id, chunks) = input else { panic!("{input:?}") };
-                            let due = turn.pool.borrow_mut().ends(clock.now(), id, chunks);
-                            turn.due(id, due);
+                            let ready = owner.pool.borrow_mut().end_connection(clock.now(), id, chunks);
+                            owner.apply(id, ready);
                         }
                         Some(batch) = batches.recv() => {
-                            let from = batch.told.from;
-                            let due = turn.pool.borrow_mut().come(clock.now(), batch);
-                            turn.due(from, due);
+                            let from = batch.source.from;
+                            let ready = owner.pool.borrow_mut().accept_batch(clock.now(), batch);
+                            owner.apply(from, ready);
                         }
                         _ = looks.tick() => {
-                            let heard = turn.pool.borrow_mut().look(clock.now());
-                            for heard in heard {
-                                match heard {
-                                    Heard::Note(text) => into_notes.lock().unwrap().push(text),
-                                    Heard::Lost(ids) => {
-                                        turn.counted.lock().unwrap().extend(ids.into_iter().map(Counted::Ended));
+                            let events = owner.pool.borrow_mut().supervise(clock.now());
+                            for event in events {
+                                match event {
+                                    PoolEvent::ConnectionsLost(ids) => {
+                                        owner.counted.lock().unwrap().extend(ids.into_iter().map(Counted::Ended));
                                     }
+                                    event => into_events.lock().unwrap().push(format!("{event:?}")),
                                 }
                             }
-                            *holds.lock().unwrap() = turn.pool.borrow().held();
+                            let size = owner.pool.borrow().size();
+                            *holds.lock().unwrap() = (size.connections, size.early_batches);
                         }
                     }
                 }
-            })
+            });
         });
-        Owner { address: address.recv().unwrap(), counted, notes, meters, held, _end: end }
+        Owner { address: address.recv().unwrap(), counted, events, metrics, held, _end: end }
     }
 
     fn quiet(readers: usize) -> Self {
@@ -151,13 +155,13 @@
     fn until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
         let end = Instant::now() + PATIENCE;
         while !is_so(self) {
-            assert!(Instant::now() < end, "{what} never comes; notes {:?}", self.notes.lock().unwrap());
+            assert!(Instant::now() < end, "{what} never comes; events {:?}", self.events.lock().unwrap());
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    fn noted(&self, with: &str) -> bool {
-        self.notes.lock().unwrap().iter().any(|note| note.contains(with))
+    fn has_event(&self, with: &str) -> bool {
+        self.events.lock().unwrap().iter().any(|event| event.contains(with))
     }
 }
 
@@ -216,13 +220,13 @@
 }
 
 #[test]
-fn what_one_connection_says_counts_in_its_order_whoever_takes_it_apart() {
+fn reports_of_a_connection_apply_in_order_whichever_reader_decodes_them() {
     let takers = Arc::new(Mutex::new(BTreeMap::<usize, u32>::new()));
     let noted = takers.clone();
     let owner = Owner::start(
         3,
         Arc::new(move |core, stage| {
-            if stage == Stage::Taken {
+            if stage == ReaderStage::ChunkTaken {
                 *noted.lock().unwrap().entry(core).or_default() += 1;
                 // One of them is slow: chunks overtake each other on their way.
                 thread::sleep(Duration::from_millis(if core == 0 { 5 } else { 0 }));
@@ -246,7 +250,7 @@
 }
 
 #[test]
-fn the_same_reports_make_the_same_sums_over_any_number_of_readers() {
+fn sums_are_the_same_for_any_number_of_readers() {
     let mut expected = None;
     for readers in [1, 2, 4, 8] {
         let owner = Owner::quiet(readers);
@@ -276,8 +280,10 @@
 /// Of two readers the first stops at this stage, once. Everybody else goes on meanwhile; what it had in hand
 /// is there whole or not at all; it is replaced, and says nothing fresh when it goes on.
 #[test]
-fn a_reader_that_stalls_at_any_stage_holds_up_nobody_else() {
-    for stage in [Stage::Arrival, Stage::Taken, Stage::Halfway, Stage::Done] {
+fn reader_that_stalls_at_any_stage_is_replaced_and_delays_no_other() {
+    for stage in
+        [ReaderStage::Connected, ReaderStage::ChunkTaken, ReaderStage::HalfDecoded, ReaderStage::Decoded]
+    {
         let (armed, stalled) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
         let (arms, stalls) = (armed.clone(), stalled.clone());
         let owner = Owner::start(
@@ -296,7 +302,7 @@
         armed.store(1, Ordering::SeqCst);
         // The one that has the reader stop: a new connection, or a chunk of an old one.
         let mut victim = match stage {
-            Stage::Arrival => Collector::connect(&owner),
+            ReaderStage::Connected => Collector::connect(&owner),
             _ => collectors.remove(0),
         };
         (0..40).for_each(|n| victim.asked(1000 + n, 1));
@@ -312,8 +318,8 @@
             assert!(collector.pings());
         }
         assert!(began.elapsed() < Duration::from_secs(4), "{stage:?}: {:?}", began.elapsed());
-        owner.until("its replacement", |owner| owner.noted("is started again"));
-        assert!(owner.noted("is stalled"), "{stage:?}");
+        owner.until("its replacement", |owner| owner.has_event("ReaderRestarted"));
+        assert!(owner.has_event("ReaderStalled"), "{stage:?}");
         let expected = 3.0 * collectors.len() as f64;
         owner.until("the sums", |owner| sums(&owner.counted(), None).get(&7) == Some(&expected));
         let before = sums(&owner.counted(), None);
@@ -324,8 +330,8 @@
         assert!(anew.pings());
         let after = sums(&owner.counted(), None);
         let late = |sums: &BTreeMap<u32, f64>| sums.range(1000..).map(|(_, came)| came).sum::<f64>();
-        assert_eq!(late(&before), late(&after), "{stage:?}: late news passed for fresh");
-        let text = owner.meters.text();
+        assert_eq!(late(&before), late(&after), "{stage:?}: late reports passed for fresh");
+        let text = owner.metrics.encode();
         assert!(
             text.lines().any(|line| line.starts_with("whinwall_reader_stalls") && line.ends_with(" 1")),
             "{text}"
@@ -334,7 +340,7 @@
 }
 
 #[test]
-fn a_panic_at_any_stage_costs_a_chunk_or_a_reader_and_nothing_half() {
+fn panic_at_any_stage_loses_a_whole_chunk_or_its_reader() {
     // To print where it happened takes longer, in a fresh build on a busy machine, than a reader may stand still: it would
     // be taken for stalled before it is dead.
     let usual = std::panic::take_hook();
@@ -343,7 +349,9 @@
             usual(panic);
         }
     }));
-    for stage in [Stage::Arrival, Stage::Taken, Stage::Halfway, Stage::Done] {
+    for stage in
+        [ReaderStage::Connected, ReaderStage::ChunkTaken, ReaderStage::HalfDecoded, ReaderStage::Decoded]
+    {
         let armed = Arc::new(AtomicU32::new(0));
         let arms = armed.clone();
         let owner = Owner::start(
@@ -357,7 +365,7 @@
         let mut others: Vec<_> = (0..4).map(|_| Collector::join(&owner)).collect();
         armed.store(1, Ordering::SeqCst);
         let mut victim = match stage {
-            Stage::Arrival => Collector::connect(&owner),
+            ReaderStage::Connected => Collector::connect(&owner),
             _ => others.remove(0),
         };
         victim
@@ -369,9 +377,9 @@
         let came = sums(&owner.counted(), None).range(1000..).count();
         assert_eq!(came, 0, "{stage:?}: half of a chunk counted");
         match stage {
-            Stage::Arrival => {
-                owner.until("its replacement", |owner| owner.noted("is dead") && owner.noted("again"))
-            }
+            ReaderStage::Connected => owner.until("its replacement", |owner| {
+                owner.has_event("ReaderDied") && owner.has_event("ReaderRestarted")
+            }),
             _ => assert!(owner.counted().iter().any(|one| matches!(one, Counted::Lost(_)))),
         }
         for other in &mut others {
@@ -384,7 +392,7 @@
 }
 
 #[test]
-fn connections_that_come_and_go_by_the_thousand_leave_nothing_behind() {
+fn thousands_of_short_connections_leave_no_state_behind() {
     let owner = Owner::quiet(3);
     thread::scope(|scope| {
         for worker in 0..8 {
@@ -436,13 +444,13 @@
 /// Every connection stops its reader for good: the threads that are given up are bounded, and once they go
 /// on, all is as before.
 #[test]
-fn readers_that_stop_again_and_again_do_not_pile_up() {
+fn threads_of_readers_that_stop_repeatedly_are_bounded() {
     let (sticks, stuck) = (Arc::new(AtomicU32::new(1)), Arc::new(AtomicU32::new(0)));
     let (stick, counts) = (sticks.clone(), stuck.clone());
     let owner = Owner::start(
         1,
         Arc::new(move |_, stage| {
-            if stage == Stage::Arrival {
+            if stage == ReaderStage::Connected {
                 counts.fetch_add(1, Ordering::SeqCst);
                 while stick.load(Ordering::SeqCst) == 1 {
                     thread::sleep(Duration::from_millis(5));
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -384,7 +384,7 @@
                 1 => rig.set(&id, Kind::Weight { replica, factor: f64::from(figure) / 20.0 + 0.05 }, lasts),
                 2 | 3 => rig.set(&id, Kind::Pin { first, last: first + 3, replica }, lasts),
                 4 if rig.replicas.values().filter(|state| **state == "leaving").count() < 2 => {
-                    rig.drain(&replica)
+                    rig.drain(&replica);
                 }
                 5 => {
                     rig.replicas.insert(replica, "active");
@@ -667,7 +667,7 @@
             let replica = format!("s-{}", n % 6);
             match deed % 9 {
                 0 if rig.replicas.values().filter(|state| **state == "active").count() > 2 => {
-                    rig.drain(&replica)
+                    rig.drain(&replica);
                 }
                 1 => {
                     rig.replicas.insert(replica, "active");
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -30,7 +30,7 @@
 #[test]
 fn limits_are_encoded_to_the_letter() {
     let limit = |slice, request_classes: &[&str], share, retries| {
-        let request_classes = request_classes.iter().map(|name| name.to_string()).collect();
+        let request_classes = request_classes.iter().map(std::string::ToString::to_string).collect();
         Command::SetAdmission { slice, request_classes, share, retries }.encode(false)
     };
     assert_eq!(limit(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use stand_ins::rig::*;
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall_ingest::sums::Sums;
+use whinwall_ingest::aggregate::ReportAggregator;
 use whinwall_management_api::ask::{Reply, ReportFreshness, Request};
 use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
 use whinwall_policy::api::Report;
@@ -569,11 +569,11 @@
         sums.rig.pass(STEP_MS);
         sums.at_ms += STEP_MS;
         for feed in both {
-            let mut chunk = Sums::at(sums.rig.now);
+            let mut chunk = ReportAggregator::new(sums.rig.now);
             for line in feed.lines(&sums.rig, sums.at_ms, well, 0) {
                 chunk.add(known.numbered(&collector::quick(&line).unwrap()).unwrap());
             }
-            sums.rig.tell(Event::Reports { from: feed.connection, reports: chunk.summed() });
+            sums.rig.tell(Event::Reports { from: feed.connection, reports: chunk.into_reports() });
         }
         sums.rig.pass(0);
         for (one, other) in lines.loads().iter().zip(sums.loads()) {
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -173,7 +173,7 @@
 fn strangers_cost_nobody_else_a_zone() {
     let (relay, discovery) = (Relay::start(), Discovery::start());
     let program = Program::start_with(&relay, &discovery, |file| {
-        file["limits"] = json!({"sockets": 128, "memory_mb": 31.5})
+        file["limits"] = json!({"sockets": 128, "memory_mb": 31.5});
     });
     let mut collector = program.connect();
     collector.joins();
@@ -238,7 +238,9 @@
     let mut file = configuration();
     for (text, key) in [("{\"name\":", "PROXY_CONFIG"), ("{\"distributor\":{}}", "distributor")] {
         program.reads_anew(text);
-        program.log.wait(key, |line: &String| line.contains("stays as it was") && line.contains(key));
+        program
+            .log
+            .wait(key, |line: &String| line.contains("the former configuration stays") && line.contains(key));
         program.connect().pings();
     }
     for round in 0..2 {
@@ -248,7 +250,9 @@
         file["discovery"] = json!(agent.address.to_string());
         file["limits"]["sockets"] = json!(500 + round);
         program.reads_anew(&file.to_string());
-        program.log.wait("limits", |line: &String| line.contains("limits has changed"));
+        program.log.wait("limits", |line: &String| {
+            line.contains("a changed configuration key needs a restart key=limits")
+        });
         let watch = agent.watch(42 + round);
         _ = open.way.shutdown(std::net::Shutdown::Both);
         let _news = second.introduce();
@@ -288,7 +292,7 @@
         (|file| file["settings"]["peersTotal"] = json!(2.5), "peersTotal"),
         (
             |file| file["known"] = json!({"version": 3, "full": true, "servers": [{"id": 7}]}),
-            "begun without it",
+            "known endpoint list ignored",
         ),
     ];
     for (change, expected) in cases {
--- a/crates/controller/tests/stand_ins/mod.rs
+++ b/crates/controller/tests/stand_ins/mod.rs
@@ -190,7 +190,7 @@
                     let (stream, from) = listener.accept().await.unwrap();
                     actix_rt::spawn(service.call((stream, Some(from))));
                 }
-            })
+            });
         });
         Discovery { address: address.recv().unwrap(), heard: Heard::new(heard) }
     }
--- a/crates/controller/tests/stand_ins/rig.rs
+++ b/crates/controller/tests/stand_ins/rig.rs
@@ -153,7 +153,7 @@
                     assert!(!table.is_empty(), "{order} leaves a table empty");
                 }
                 ["SYNC", version, _] => {
-                    (0..self.proxies).for_each(|proxy| self.news(&format!("* ACK {proxy} {version} 90.5")))
+                    (0..self.proxies).for_each(|proxy| self.news(&format!("* ACK {proxy} {version} 90.5")));
                 }
                 _ => {}
             }
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -6,7 +6,9 @@
 use std::path::PathBuf;
 use std::process::Command;
 use tracing::level_filters::LevelFilter;
-use whinwall_controller::program::configuration::{read, Start, Surroundings};
+use whinwall_controller::program::configuration::{
+    load, ControllerConfig, LoggingConfig, ProcessEnvironment,
+};
 use whinwall_protocol::discovery::{Entry, List, State};
 
 fn fixture(name: &str) -> PathBuf {
@@ -17,23 +19,32 @@
     serde_json::from_slice(&std::fs::read(fixture("config.json")).unwrap()).unwrap()
 }
 
-/// What starts from the fixture's file, with a second file of the operators.
-fn surroundings() -> Surroundings {
-    let operators = Some(fixture("operators.xml"));
-    Surroundings { file: Some(fixture("config.json")), operators, ..Surroundings::default() }
+/// The environment that names the fixture's files.
+fn environment() -> ProcessEnvironment {
+    ProcessEnvironment {
+        config_file: Some(fixture("config.json")),
+        operators_file: Some(fixture("operators.xml")),
+        ..ProcessEnvironment::default()
+    }
+}
+
+/// Loads the files; an error is the text that the operator sees.
+fn read(environment: ProcessEnvironment) -> Result<ControllerConfig, String> {
+    load(environment).map_err(|error| error.to_string())
 }
 
-fn start_from(file: &Value) -> Result<Start, String> {
+/// Loads a configuration file with this content.
+fn config_from(file: &Value) -> Result<ControllerConfig, String> {
     let written = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(written.path(), file.to_string()).unwrap();
-    read(Surroundings { file: Some(written.path().into()), ..Surroundings::default() })
+    read(ProcessEnvironment { config_file: Some(written.path().into()), ..ProcessEnvironment::default() })
 }
 
 /// The error where the value at `pointer` is another.
 fn error_with(pointer: &str, value: Value) -> String {
     let mut file = every_key();
     *file.pointer_mut(pointer).unwrap() = value;
-    start_from(&file).unwrap_err()
+    config_from(&file).unwrap_err()
 }
 
 /// The file without a key of the object at `pointer`.
@@ -49,14 +60,14 @@
 
 #[test]
 fn every_key_of_the_file_is_read() {
-    let start = read(surroundings()).unwrap();
-    assert_eq!(start.name, "g0");
-    assert_eq!(start.listen, address(7101));
-    assert_eq!(start.targets.discovery, address(7102));
-    assert_eq!(start.targets.relay, address(7103));
-    assert_eq!(start.seed, 255);
-    assert_eq!(start.cores, 2, "the fewer of the file's limits and the operators' most");
-    assert_eq!(start.settings.request_classes, ["lookup"]);
+    let config = read(environment()).unwrap();
+    assert_eq!(config.name, "g0");
+    assert_eq!(config.listen, address(7101));
+    assert_eq!(config.targets.discovery, address(7102));
+    assert_eq!(config.targets.relay, address(7103));
+    assert_eq!(config.seed, 255);
+    assert_eq!(config.cores, 2, "the fewer of the file's limits and the operators' most");
+    assert_eq!(config.settings.request_classes, ["lookup"]);
     let entry = Entry {
         replica: "s-1".into(),
         zone: "a".into(),
@@ -65,55 +76,55 @@
         size: 2.5,
         started_ms: 7,
     };
-    assert_eq!(start.known, List { version: 41, whole: true, entries: vec![entry] });
+    assert_eq!(config.known_endpoints, List { version: 41, whole: true, entries: vec![entry] });
 }
 
 #[test]
-fn the_operators_file_is_taken_along() {
-    let start = read(surroundings()).unwrap();
-    assert_eq!(start.operators.as_ref().and_then(|file| file.cores), Some(8));
-    assert!(start.fleet.is_some());
+fn operators_file_is_loaded() {
+    let config = read(environment()).unwrap();
+    assert_eq!(config.operators.as_ref().and_then(|file| file.cores), Some(8));
+    assert!(config.fleet.is_some());
 }
 
 #[test]
-fn limits_of_sockets_and_memory_are_read() {
+fn limits_of_sockets_and_memory_are_applied() {
     let one_core = without("/limits", "cores");
-    let start = start_from(&one_core).unwrap();
-    assert_eq!(start.line_bytes, 64_000_000 / whinwall_transport::limits::LINES_PART);
-    assert_eq!(start.connections, 500 - whinwall_transport::limits::RESERVED);
+    let config = config_from(&one_core).unwrap();
+    assert_eq!(config.line_bytes, 64_000_000 / whinwall_transport::limits::LINES_PART);
+    assert_eq!(config.max_connections, 500 - whinwall_transport::limits::RESERVED);
 }
 
 #[test]
-fn keys_that_are_left_out_have_defaults() {
-    let start = start_from(&without("", "limits")).unwrap();
-    assert_eq!(start.line_bytes, 192_000_000 / whinwall_transport::limits::LINES_PART);
-    assert_eq!(start.connections, 1024 - whinwall_transport::limits::RESERVED);
-    assert_eq!(start_from(&without("", "known")).unwrap().known, List::default());
+fn missing_keys_have_defaults() {
+    let config = config_from(&without("", "limits")).unwrap();
+    assert_eq!(config.line_bytes, 192_000_000 / whinwall_transport::limits::LINES_PART);
+    assert_eq!(config.max_connections, 1024 - whinwall_transport::limits::RESERVED);
+    assert_eq!(config_from(&without("", "known")).unwrap().known_endpoints, List::default());
     let seeds = [json!(255), json!("ff")].map(|seed| {
         let mut file = every_key();
         file["seed"] = seed;
-        start_from(&file).unwrap().seed
+        config_from(&file).unwrap().seed
     });
     assert_eq!(seeds, [255, 255]);
 }
 
 #[test]
-fn variables_win_over_the_file() {
-    let start = read(Surroundings {
+fn environment_variables_take_precedence_over_the_file() {
+    let config = read(ProcessEnvironment {
         name: Some("g1".into()),
         listen: Some("127.0.0.1:8101".into()),
         discovery: Some("127.0.0.1:8102".into()),
-        ..surroundings()
+        ..environment()
     });
-    let start = start.unwrap();
-    assert_eq!(start.name, "g1");
-    assert_eq!(start.listen, address(8101));
-    assert_eq!(start.targets.discovery, address(8102));
+    let config = config.unwrap();
+    assert_eq!(config.name, "g1");
+    assert_eq!(config.listen, address(8101));
+    assert_eq!(config.targets.discovery, address(8102));
 }
 
 #[test]
-fn required_keys_are_named_where_they_are_missing() {
-    let missing = |pointer, key| start_from(&without(pointer, key)).unwrap_err();
+fn missing_required_key_is_named_in_the_error() {
+    let missing = |pointer, key| config_from(&without(pointer, key)).unwrap_err();
     assert_eq!(missing("", "name"), "name is given neither in the file nor as PROXY_NAME");
     assert_eq!(missing("", "listen"), "listen is given neither in the file nor as PROXY_LISTEN");
     assert_eq!(missing("", "discovery"), "discovery is given neither in the file nor as PROXY_DISCOVERY");
@@ -123,7 +134,7 @@
 }
 
 #[test]
-fn faulty_values_are_named_by_their_key() {
+fn invalid_value_is_named_by_its_key_in_the_error() {
     let no_address = |key: &str| format!("{key}: \"x\" is no address: invalid socket address syntax");
     assert_eq!(error_with("/listen", json!("x")), no_address("listen"));
     assert_eq!(error_with("/discovery", json!("x")), no_address("discovery"));
@@ -137,35 +148,41 @@
 }
 
 #[test]
-fn errors_of_the_files_name_the_variable_or_the_file() {
-    let why = read(Surroundings::default()).unwrap_err();
+fn unreadable_file_is_named_in_the_error() {
+    let why = read(ProcessEnvironment::default()).unwrap_err();
     assert_eq!(why, "PROXY_CONFIG is not set; it names the configuration file");
-    let why = read(Surroundings { file: Some("/absent/file".into()), ..Surroundings::default() });
+    let why = read(ProcessEnvironment {
+        config_file: Some("/absent/file".into()),
+        ..ProcessEnvironment::default()
+    });
     assert!(why.unwrap_err().starts_with("PROXY_CONFIG: /absent/file: "));
-    let why = read(Surroundings { operators: Some("/absent/operators".into()), ..surroundings() });
+    let why = read(ProcessEnvironment { operators_file: Some("/absent/operators".into()), ..environment() });
     assert!(why.unwrap_err().starts_with("/absent/operators: "));
 }
 
 #[test]
-fn keys_that_need_a_new_start_are_named_to_the_letter() {
+fn changed_keys_that_need_a_restart_are_named_to_the_letter() {
     let written = tempfile::NamedTempFile::new().unwrap();
     let mut file = every_key();
     std::fs::write(written.path(), file.to_string()).unwrap();
-    let around = Surroundings { file: Some(written.path().into()), ..Surroundings::default() };
-    let mut start = read(around).unwrap();
+    let environment =
+        ProcessEnvironment { config_file: Some(written.path().into()), ..ProcessEnvironment::default() };
+    let mut config = read(environment).unwrap();
     file["name"] = json!("g1");
     file["listen"] = json!("127.0.0.1:9101");
     file["limits"]["sockets"] = json!(400);
     file["settings"]["membershipMode"] = json!("ask");
     std::fs::write(written.path(), file.to_string()).unwrap();
-    assert_eq!(start.read_anew().unwrap(), ["name", "listen", "limits", "settings"]);
+    assert_eq!(config.reload().unwrap(), ["name", "listen", "limits", "settings"]);
 }
 
 #[test]
-fn log_variables_are_read_and_named_where_they_are_faulty() {
+fn invalid_log_variable_is_named_in_the_error() {
     let logging = |level: Option<&str>, lines: Option<&str>| {
         let (log_level, log_lines) = (level.map(str::to_string), lines.map(str::to_string));
-        Surroundings { log_level, log_lines, ..Surroundings::default() }.logging()
+        let environment = ProcessEnvironment { log_level, log_lines, ..ProcessEnvironment::default() };
+        let values = |config: LoggingConfig| (config.level, config.lines_per_second);
+        environment.logging().map(values).map_err(|error| error.to_string())
     };
     assert_eq!(logging(None, None), Ok((LevelFilter::INFO, 40)));
     assert_eq!(logging(Some("debug"), Some("7")), Ok((LevelFilter::DEBUG, 7)));
@@ -175,21 +192,21 @@
     assert_eq!(why, "WHINWALL_LOG_LINES: invalid digit found in string");
 }
 
-/// Set for the process that only shows what it finds around it.
-const SHOW: &str = "TEST_SHOWS_ITS_SURROUNDINGS";
+/// Set for the process that only prints its environment.
+const SHOW: &str = "TEST_SHOWS_ITS_ENVIRONMENT";
 
 /// Does nothing but in a process that the next test starts: variables of this one are shared by all tests.
 #[test]
-fn surroundings_of_a_process_are_shown() {
+fn environment_of_a_process_is_shown() {
     if std::env::var_os(SHOW).is_some() {
-        println!("{:?}", Surroundings::of_process());
+        println!("{:?}", ProcessEnvironment::of_process());
     }
 }
 
 #[test]
 fn environment_variables_are_read_by_their_names() {
     let output = Command::new(std::env::current_exe().unwrap())
-        .args(["--exact", "surroundings_of_a_process_are_shown", "--nocapture"])
+        .args(["--exact", "environment_of_a_process_is_shown", "--nocapture"])
         .env_clear()
         .env(SHOW, "1")
         .env("PROXY_NAME", "the-name")
@@ -201,14 +218,14 @@
         .env("WHINWALL_OPERATORS", "the-operators")
         .output()
         .unwrap();
-    let expected = Surroundings {
+    let expected = ProcessEnvironment {
         name: Some("the-name".into()),
         listen: Some("the-listen".into()),
         discovery: Some("the-discovery".into()),
-        file: Some("the-config".into()),
+        config_file: Some("the-config".into()),
         log_level: Some("the-level".into()),
         log_lines: Some("the-lines".into()),
-        operators: Some("the-operators".into()),
+        operators_file: Some("the-operators".into()),
     };
     let shown = String::from_utf8(output.stdout).unwrap();
     assert!(shown.contains(&format!("{expected:?}")), "{shown}");
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -300,7 +300,8 @@
 
 /// As the pure package has it, for the registry of the stand-in.
 fn own_subset(names: &[&str]) -> usize {
-    let membership = Membership::new(names.iter().map(|name| name.to_string())).expect("names differ");
+    let membership =
+        Membership::new(names.iter().map(std::string::ToString::to_string)).expect("names differ");
     let ids: Vec<_> = (0..12).map(|number| format!("s-{number}")).collect();
     let lend = |id| Replica { id, zone: "north", group: "m2", weight: 1.0 };
     let replicas: Vec<_> = ids.iter().map(String::as_str).map(lend).collect();
@@ -322,7 +323,7 @@
     // A fleet without this controller changes nothing.
     managed.operators(&element(&["n1", "n2"]));
     managed.program().signal(Signal::HUP);
-    let refused = managed.log("all stays as it was");
+    let refused = managed.log("configuration reload failed, the former configuration stays");
     let expected = "<subsetting>: this governor's own name, \"n0\", is not among its governors";
     assert!(refused.contains(expected), "{refused}");
     assert_eq!(
--- a/crates/controller/tests/transport.rs
+++ b/crates/controller/tests/transport.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use whinwall_controller::program::configuration::{self, Surroundings};
+use whinwall_controller::program::configuration::{self, ProcessEnvironment};
 use whinwall_transport::listener::{self, Bounds, Here};
 use whinwall_transport::{calls, earliest, limits, CallError, Input, StreamError};
 
@@ -99,7 +99,7 @@
             assert!(matches!(line, Some(Input::Line { .. })), "{line:?}");
             taking.abort();
             _ = is_over.await;
-        })
+        });
     });
     let mut silent = std::net::TcpStream::connect(address.recv().unwrap()).unwrap();
     silent.write_all(b"{\"@type\":\"PING\"}\n").unwrap();
@@ -116,14 +116,17 @@
 /// Marks begin at a number drawn from the seed: in a life after a panic no ack of the former one may pass for one of its.
 #[test]
 fn a_incarnation_after_a_panic_draws_anew() {
-    let file = std::env::temp_dir().join(format!("whinwall-life-{}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!("whinwall-incarnation-{}.json", std::process::id()));
     std::fs::write(&file, include_str!("../../../deploy/example.json")).unwrap();
-    let read = configuration::read(Surroundings { file: Some(file.clone()), ..Surroundings::default() });
+    let read = configuration::load(ProcessEnvironment {
+        config_file: Some(file.clone()),
+        ..ProcessEnvironment::default()
+    });
     std::fs::remove_file(&file).unwrap();
-    let mut start = read.unwrap();
-    let mut versions = std::collections::BTreeSet::from([start.seed as u16]);
+    let mut config = read.unwrap();
+    let mut versions = std::collections::BTreeSet::from([config.seed as u16]);
     for _ in 0..20 {
-        start.begin_new_incarnation();
-        assert!(versions.insert(start.seed as u16), "a life begins where another did");
+        config.begin_new_incarnation();
+        assert!(versions.insert(config.seed as u16), "an incarnation begins where another did");
     }
 }
--- /dev/null
+++ b/crates/ingest/src/aggregate.rs
@@ -0,0 +1,103 @@
+//! Pre-aggregation: one report in place of several of the same subject, that is, of the same replica as seen from the
+//! same zone, or of the same slice and request class, in windows of the same length. In an ordinary second no two reports
+//! have the same subject; where a collector catches up, or several report for one zone, most do.
+
+use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
+use whinwall_policy::time::{Moment, Span};
+
+/// The reports of one chunk, which arrived at the same time.
+#[derive(Debug)]
+pub struct ReportAggregator {
+    arrived_at: Moment,
+    reports: Vec<ReportBody>,
+}
+
+impl ReportAggregator {
+    /// No reports yet; those that are added arrived at this time.
+    pub fn new(arrived_at: Moment) -> Self {
+        ReportAggregator { arrived_at, reports: Vec::new() }
+    }
+
+    /// Adds a report.
+    pub fn add(&mut self, report: ReportBody) {
+        self.reports.push(report);
+    }
+
+    /// Whether no report was added.
+    pub fn is_empty(&self) -> bool {
+        self.reports.is_empty()
+    }
+
+    /// The sums, ordered by subject. They lose nothing: what the decisions make of reports is linear in them, but for
+    /// the latest latency, which is kept.
+    pub fn into_reports(self) -> Vec<Report> {
+        let mut bodies = self.reports;
+        // A stable sort: the latest report of a subject stays the last one of it.
+        bodies.sort_by_key(subject);
+        let mut reports: Vec<Report> = Vec::new();
+        for body in bodies {
+            match reports.last_mut().filter(|last| subject(&last.what) == subject(&body)) {
+                Some(sum) => {
+                    sum.lines += 1.0;
+                    add(&mut sum.what, body);
+                }
+                None => reports.push(Report { at: self.arrived_at, lines: 1.0, what: body }),
+            }
+        }
+        reports
+    }
+}
+
+/// Kind, then replica or slice, then zone or request class, then the length of the window.
+fn subject(report: &ReportBody) -> (u8, u32, usize, Span) {
+    match report {
+        ReportBody::EndpointReport { replica, met, .. } => (0, *replica, met.zone, met.covers),
+        ReportBody::DemandReport { slice, asked } => (1, *slice, asked.request_class, asked.covers),
+    }
+}
+
+/// Adds a later report of the same subject.
+fn add(sum: &mut ReportBody, report: ReportBody) {
+    match (sum, report) {
+        (
+            ReportBody::EndpointReport { met: sum, latest, .. },
+            ReportBody::EndpointReport { met: report, latest: later, .. },
+        ) => {
+            if succeeded(&report) > 0.0 {
+                *latest = later;
+            }
+            add_endpoint_report(sum, &report);
+        }
+        (ReportBody::DemandReport { asked: sum, .. }, ReportBody::DemandReport { asked: report, .. }) => {
+            sum.came += report.came;
+            sum.failed += report.failed;
+        }
+        // Reports of different kinds have different subjects.
+        _ => {}
+    }
+}
+
+fn add_endpoint_report(sum: &mut EndpointReport, report: &EndpointReport) {
+    let (sum_succeeded, report_succeeded) = (succeeded(sum), succeeded(report));
+    let latency = sum.mean_latency.times(sum_succeeded) + report.mean_latency.times(report_succeeded);
+    let all_succeeded = sum_succeeded + report_succeeded;
+    if all_succeeded > 0.0 {
+        sum.mean_latency = latency.times(1.0 / all_succeeded);
+    }
+    sum.attempts += report.attempts;
+    sum.failed += report.failed;
+}
+
+fn succeeded(report: &EndpointReport) -> f64 {
+    (report.attempts - report.failed).max(0.0)
+}
+
+/// A single endpoint report, whose mean latency is also its latest.
+pub fn endpoint_report(replica: u32, report: EndpointReport) -> ReportBody {
+    ReportBody::EndpointReport { replica, met: report, latest: report.mean_latency }
+}
+
+/// A single demand report.
+pub fn demand_report(slice: u32, report: DemandReport) -> ReportBody {
+    ReportBody::DemandReport { slice, asked: report }
+}
--- a/crates/ingest/src/lib.rs
+++ b/crates/ingest/src/lib.rs
@@ -1,16 +1,19 @@
-//! How the work of one controller is spread over several cores. Readers take bytes from collectors, cut them
-//! into chunks of whole lines, and decode chunks, whoever read them; one owner applies what comes of it. Here
-//! is the logic of it, without input, output or clock: `spread` says which reader a connection belongs to,
-//! `sequence` in what order decoded chunks count, `sums` makes one report of many, `watch` notices readers
-//! that stopped.
+//! The decisions of a reader pool, without I/O or clock. Reader threads read bytes from collectors, cut them into
+//! chunks of whole lines, and decode chunks, whichever of them read the chunk; one owner applies what comes of it.
+//!
+//! - `partition` assigns connections to readers.
+//! - `reorder` restores the order of each connection's chunks.
+//! - `aggregate` sums reports of the same subject.
+//! - `liveness` notices readers that have stopped.
 #![forbid(unsafe_code)]
+#![warn(clippy::unwrap_used)]
 
-pub mod sequence;
-pub mod spread;
-pub mod sums;
-pub mod watch;
+pub mod aggregate;
+pub mod liveness;
+pub mod partition;
+pub mod reorder;
 
-/// Which of the readers.
-pub type CoreId = usize;
-/// Which of the connections to our own address.
+/// Identifies a reader: its position in the pool.
+pub type ReaderId = usize;
+/// Identifies a connection from a collector.
 pub type ConnectionId = u64;
--- /dev/null
+++ b/crates/ingest/src/partition.rs
@@ -0,0 +1,101 @@
+//! Assigns connections to readers. All readers share the decoding; the assignment decides who reads a connection, and
+//! so which connections are lost with a reader.
+
+use crate::{ConnectionId, ReaderId};
+use std::collections::BTreeMap;
+
+/// The fraction of a reader's load that remains after `decay_load`.
+const LOAD_DECAY: f64 = 0.8;
+/// The load of an open connection, in bytes: many idle ones are work too.
+const IDLE_CONNECTION_BYTES: f64 = 1000.0;
+
+#[derive(Clone, Debug, Default)]
+struct Reader {
+    is_disabled: bool,
+    connections: usize,
+    /// Bytes that its connections sent, older ones decayed.
+    recent_bytes: f64,
+}
+
+impl Reader {
+    fn load(&self) -> f64 {
+        self.recent_bytes + self.connections as f64 * IDLE_CONNECTION_BYTES
+    }
+}
+
+/// Which reader each connection belongs to, and the load of the readers.
+#[derive(Clone, Debug, Default)]
+pub struct Partitioner {
+    readers: Vec<Reader>,
+    connections: BTreeMap<ConnectionId, ReaderId>,
+}
+
+impl Partitioner {
+    /// So many readers, all enabled and idle.
+    pub fn new(readers: usize) -> Self {
+        Partitioner { readers: vec![Reader::default(); readers], connections: BTreeMap::new() }
+    }
+
+    /// Assigns a new connection to the reader with the least load; none where all are disabled.
+    pub fn assign(&mut self, id: ConnectionId) -> Option<ReaderId> {
+        let enabled = self.readers.iter().enumerate().filter(|(_, reader)| !reader.is_disabled);
+        let (reader, _) = enabled.min_by(|a, b| a.1.load().total_cmp(&b.1.load()))?;
+        self.readers[reader].connections += 1;
+        self.connections.insert(id, reader);
+        Some(reader)
+    }
+
+    /// The reader that a connection is assigned to.
+    pub fn reader_of(&self, id: ConnectionId) -> Option<ReaderId> {
+        self.connections.get(&id).copied()
+    }
+
+    /// Removes a connection that has ended.
+    pub fn remove(&mut self, id: ConnectionId) {
+        let reader = self.connections.remove(&id);
+        if let Some(reader) = reader.and_then(|reader| self.readers.get_mut(reader)) {
+            reader.connections = reader.connections.saturating_sub(1);
+        }
+    }
+
+    /// Counts bytes of a connection as load of its reader.
+    pub fn add_bytes(&mut self, id: ConnectionId, bytes: usize) {
+        let reader = self.connections.get(&id).copied();
+        if let Some(reader) = reader.and_then(|reader| self.readers.get_mut(reader)) {
+            reader.recent_bytes += bytes as f64;
+        }
+    }
+
+    /// Reduces the load of the past; called at regular intervals.
+    pub fn decay_load(&mut self) {
+        for reader in &mut self.readers {
+            reader.recent_bytes *= LOAD_DECAY;
+        }
+    }
+
+    /// Assigns no more connections to a reader that has stopped, and returns those that it had.
+    pub fn disable(&mut self, reader: ReaderId) -> Vec<ConnectionId> {
+        let assigned = self.connections.iter().filter(|(_, assigned)| **assigned == reader);
+        let lost: Vec<_> = assigned.map(|(id, _)| *id).collect();
+        for id in &lost {
+            self.remove(*id);
+        }
+        if let Some(reader) = self.readers.get_mut(reader) {
+            reader.is_disabled = true;
+            reader.recent_bytes = 0.0;
+        }
+        lost
+    }
+
+    /// Assigns connections to a reader again.
+    pub fn enable(&mut self, reader: ReaderId) {
+        if let Some(reader) = self.readers.get_mut(reader) {
+            reader.is_disabled = false;
+        }
+    }
+
+    /// The number of connections that are assigned to a reader.
+    pub fn connections_of(&self, reader: ReaderId) -> usize {
+        self.readers.get(reader).map_or(0, |reader| reader.connections)
+    }
+}
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,45 +1,52 @@
-//! The wall's time at the start, and from then on a clock that never jumps.
+//! A clock that shows the wall time of the start and never jumps from then on.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use whinwall_overrides::Reading;
 use whinwall_policy::time::{Moment, Span};
 
+/// The clock of the decisions: wall time at its start, monotonic since.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    wall: Moment,
+    wall_at_start: Moment,
     start: Instant,
 }
 
 impl Clock {
+    /// Starts at the current wall time.
     pub fn start() -> Self {
-        Clock { wall: Clock::wall(), start: Instant::now() }
+        Clock { wall_at_start: Clock::wall_time(), start: Instant::now() }
     }
 
+    /// The current time of this clock.
     pub fn now(&self) -> Moment {
-        self.wall + Span::ns(self.start.elapsed().as_nanos() as u64)
+        self.moment_of(Instant::now())
     }
 
-    /// What the machine's clocks say; its own goes on in sleep and over steps of the wall's.
-    pub fn reading() -> Reading {
+    /// Reads the clocks of the machine: its time since boot, which goes on in suspend and over steps of the wall clock,
+    /// and the wall clock.
+    pub fn read_machine_clocks() -> Reading {
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
         let since = clock_gettime(ClockId::Boottime);
         let since_boot = Duration::new(since.tv_sec.max(0) as u64, since.tv_nsec.max(0) as u32);
         let since_boot = Span::ns(since_boot.as_nanos() as u64);
-        Reading { boot: boot.trim().into(), since_boot, wall: Clock::wall() }
+        Reading { boot: boot.trim().into(), since_boot, wall: Clock::wall_time() }
     }
 
-    pub fn wall() -> Moment {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Moment::at_ns(wall.as_nanos() as u64)
+    /// The wall clock of the machine, which may be stepped.
+    pub fn wall_time() -> Moment {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Moment::at_ns(since_epoch.as_nanos() as u64)
     }
 
-    /// The moment of this instant.
-    pub fn at(&self, instant: Instant) -> Moment {
-        self.wall + Span::ns(instant.saturating_duration_since(self.start).as_nanos() as u64)
+    /// The time of this clock at an instant; its start for an earlier one.
+    pub fn moment_of(&self, instant: Instant) -> Moment {
+        let since_start = instant.saturating_duration_since(self.start);
+        self.wall_at_start + Span::ns(since_start.as_nanos() as u64)
     }
 
-    pub fn until(&self, at: Moment) -> Duration {
+    /// The time from now until then; zero if it has passed.
+    pub fn duration_until(&self, at: Moment) -> Duration {
         Duration::from_nanos((at - self.now()).as_ns())
     }
 }
--- a/crates/runtime/src/logger.rs
+++ b/crates/runtime/src/logger.rs
@@ -1,5 +1,5 @@
-//! The log on standard error, as text or as JSON lines. It never waits for a reader and never writes more
-//! than so many lines of one kind a second.
+//! The log on standard error, as text or as JSON lines. It never blocks, and writes a bounded number of lines of one
+//! kind in a second.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use serde_json::{Map, Value};
@@ -17,49 +17,84 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::LookupSpan;
 
-/// A pipe that takes anything takes this much at once.
-const LINE_BYTES: usize = 1000;
+/// The longest line in bytes: a pipe that is writable takes this much without blocking.
+const MAX_LINE_BYTES: usize = 1000;
+/// The longest message of a JSON line in bytes.
+const MAX_JSON_MESSAGE_BYTES: usize = MAX_LINE_BYTES / 2;
+/// The longest text field of a JSON line in bytes.
+const MAX_JSON_FIELD_BYTES: usize = MAX_LINE_BYTES / 4;
+/// The period over which lines of one kind are counted.
+const RATE_LIMIT_PERIOD: Duration = Duration::from_secs(1);
+/// Fields that begin so repeat the metadata of a record of the `log` facade.
+const LOG_FACADE_PREFIX: &str = "log.";
 
-/// As text until the operators' file says otherwise.
+/// How lines are written.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LogFormat {
+    /// Level, message and `name=value` for each field.
+    #[default]
+    Text,
+    /// One JSON object.
+    Json,
+}
+
+/// Changes the format of the running logger; text until it is set.
 #[derive(Clone, Default)]
-pub struct Form(Arc<AtomicBool>);
+pub struct LogFormatSwitch {
+    is_json: Arc<AtomicBool>,
+}
+
+impl LogFormatSwitch {
+    /// Writes the lines from now on in this format.
+    pub fn set(&self, format: LogFormat) {
+        self.is_json.store(format == LogFormat::Json, Ordering::Relaxed);
+    }
 
-impl Form {
-    pub fn json(&self, json: bool) {
-        self.0.store(json, Ordering::Relaxed);
+    fn get(&self) -> LogFormat {
+        if self.is_json.load(Ordering::Relaxed) {
+            LogFormat::Json
+        } else {
+            LogFormat::Text
+        }
     }
 }
 
 struct Logger {
     start: Instant,
     level: LevelFilter,
-    lines_a_second: u32,
-    form: Form,
-    /// By the place in the code, that is, by kind: a flood of one kind hides no other.
-    seconds: Mutex<BTreeMap<Place, Second>>,
+    lines_per_second: u32,
+    format: LogFormatSwitch,
+    /// By the callsite, that is, by kind: a flood of one kind hides no other.
+    rate_limits: Mutex<BTreeMap<Callsite, RateLimit>>,
 }
 
-type Place = (Option<String>, Option<u32>);
+/// Where in the code a line is logged.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Callsite {
+    file: Option<String>,
+    line: Option<u32>,
+}
 
-struct Second {
-    began: Instant,
+/// The lines of one kind in the current period.
+struct RateLimit {
+    period_began: Instant,
     lines: u32,
-    left_out: u64,
+    /// Lines that were suppressed since the last one that was written.
+    suppressed: u64,
 }
 
-/// What an event or a span says: its message, and its fields by name.
+/// The message of an event, and the fields of an event or span by name.
 #[derive(Default)]
-struct Said {
+struct Record {
     message: String,
     fields: Map<String, Value>,
 }
 
-impl Visit for Said {
+impl Visit for Record {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
             "message" => _ = write!(self.message, "{value:?}"),
-            // What a record of the other facade says of its origin is in the metadata already.
-            name if name.starts_with("log.") => {}
+            name if name.starts_with(LOG_FACADE_PREFIX) => {}
             name => _ = self.fields.insert(name.into(), format!("{value:?}").into()),
         }
     }
@@ -71,45 +106,68 @@
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             "message" => self.message.push_str(value),
-            name if name.starts_with("log.") => {}
+            name if name.starts_with(LOG_FACADE_PREFIX) => {}
             name => _ = self.fields.insert(name.into(), value.into()),
         }
     }
 }
 
-/// Takes all that is logged from now on.
-pub fn start(level: LevelFilter, lines_a_second: u32) -> Form {
-    let form = Form::default();
-    let (start, seconds) = (Instant::now(), Mutex::default());
-    let logger = Logger { start, level, lines_a_second, form: form.clone(), seconds };
+/// Writes everything that the process logs from now on, at most so many lines of one kind in a second. Only the first
+/// call in a process has an effect.
+pub fn start(level: LevelFilter, lines_per_second: u32) -> LogFormatSwitch {
+    let format = LogFormatSwitch::default();
+    let logger = Logger {
+        start: Instant::now(),
+        level,
+        lines_per_second,
+        format: format.clone(),
+        rate_limits: Mutex::default(),
+    };
     let subscriber = tracing_subscriber::registry().with(logger);
     if tracing::subscriber::set_global_default(subscriber).is_ok() {
-        // Some libraries speak to the older facade.
+        // Some libraries log through the `log` facade.
         _ = tracing_log::LogTracer::init();
     }
-    form
+    format
 }
 
-impl Second {
-    /// Whether one more line may be written; with how many were left out before it.
-    fn admit(&mut self, now: Instant, most: u32) -> Option<u64> {
-        if now - self.began >= Duration::from_secs(1) {
-            (self.began, self.lines) = (now, 0);
+impl RateLimit {
+    fn begin(now: Instant) -> Self {
+        RateLimit { period_began: now, lines: 0, suppressed: 0 }
+    }
+
+    /// The number of lines that were suppressed before this one; none if this one is to be suppressed too.
+    fn admit(&mut self, now: Instant, max_lines: u32) -> Option<u64> {
+        if now - self.period_began >= RATE_LIMIT_PERIOD {
+            self.period_began = now;
+            self.lines = 0;
         }
-        if self.lines >= most {
-            self.left_out += 1;
+        if self.lines >= max_lines {
+            self.suppressed += 1;
             return None;
         }
         self.lines += 1;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed))
+    }
+}
+
+impl Logger {
+    /// The number of lines of this kind that were suppressed before this one; none if this one is suppressed too.
+    fn admit(&self, metadata: &Metadata) -> Option<u64> {
+        let now = Instant::now();
+        let callsite = Callsite { file: metadata.file().map(str::to_string), line: metadata.line() };
+        // A thread that panicked while it held the lock silences the log: the process is about to start anew.
+        let mut rate_limits = self.rate_limits.lock().ok()?;
+        let rate_limit = rate_limits.entry(callsite).or_insert_with(|| RateLimit::begin(now));
+        rate_limit.admit(now, self.lines_per_second)
     }
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for Logger {
     fn enabled(&self, metadata: &Metadata, _: Context<S>) -> bool {
-        // What libraries say below a warning is theirs.
-        let ours = metadata.target().starts_with("whinwall");
-        *metadata.level() <= self.level && (ours || *metadata.level() <= Level::WARN)
+        // Of libraries only warnings and errors are of interest.
+        let is_ours = metadata.target().starts_with("whinwall");
+        *metadata.level() <= self.level && (is_ours || *metadata.level() <= Level::WARN)
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
@@ -117,82 +175,126 @@
     }
 
     fn on_new_span(&self, attributes: &Attributes, id: &Id, context: Context<S>) {
-        let mut said = Said::default();
-        attributes.record(&mut said);
+        let mut record = Record::default();
+        attributes.record(&mut record);
         if let Some(span) = context.span(id) {
-            span.extensions_mut().insert(said);
+            span.extensions_mut().insert(record);
         }
     }
 
     fn on_event(&self, event: &Event, context: Context<S>) {
-        let normal = event.normalized_metadata();
-        let metadata = normal.as_ref().unwrap_or_else(|| event.metadata());
-        let Ok(mut seconds) = self.seconds.lock() else { return };
-        let (place, now) = ((metadata.file().map(str::to_string), metadata.line()), Instant::now());
-        let second = seconds.entry(place).or_insert(Second { began: now, lines: 0, left_out: 0 });
-        let Some(left_out) = second.admit(now, self.lines_a_second) else { return };
-        drop(seconds);
-        let mut said = Said::default();
-        event.record(&mut said);
-        let mut spans = Vec::new();
-        for span in context.event_scope(event).into_iter().flat_map(|scope| scope.from_root()) {
-            let fields = span.extensions().get::<Said>().map(|said| said.fields.clone());
-            spans.push((span.name(), fields.unwrap_or_default()));
-        }
-        let since = self.start.elapsed().as_secs_f64();
-        let json = self.form.0.load(Ordering::Relaxed);
-        let write = if json { as_json } else { as_text };
-        let line = write(since, metadata, said, &spans, left_out);
-        let error = std::io::stderr();
-        let mut ready = [PollFd::new(&error, PollFlags::OUT)];
-        if matches!(poll(&mut ready, Some(&Timespec::default())), Ok(1..)) {
-            _ = error.lock().write_all(line.as_bytes());
-        }
+        let normalized = event.normalized_metadata();
+        let metadata = normalized.as_ref().unwrap_or_else(|| event.metadata());
+        let Some(suppressed) = self.admit(metadata) else { return };
+        let mut record = Record::default();
+        event.record(&mut record);
+        let scope = context.event_scope(event);
+        let spans = scope.into_iter().flat_map(tracing_subscriber::registry::Scope::from_root).map(|span| {
+            SpanFields {
+                name: span.name(),
+                fields: span
+                    .extensions()
+                    .get::<Record>()
+                    .map(|record| record.fields.clone())
+                    .unwrap_or_default(),
+            }
+        });
+        let line = Line {
+            seconds_since_start: self.start.elapsed().as_secs_f64(),
+            metadata,
+            record,
+            spans: spans.collect(),
+            suppressed,
+        };
+        write_without_blocking(&match self.format.get() {
+            LogFormat::Text => line.into_text(),
+            LogFormat::Json => line.into_json(),
+        });
     }
 }
 
-type Spans = [(&'static str, Map<String, Value>)];
+/// Drops the line where standard error is not writable now.
+fn write_without_blocking(line: &str) {
+    let stderr = std::io::stderr();
+    let mut readiness = [PollFd::new(&stderr, PollFlags::OUT)];
+    if matches!(poll(&mut readiness, Some(&Timespec::default())), Ok(1..)) {
+        _ = stderr.lock().write_all(line.as_bytes());
+    }
+}
+
+/// A span that an event was logged in.
+struct SpanFields {
+    name: &'static str,
+    fields: Map<String, Value>,
+}
 
-fn cut(text: &str, most: usize) -> &str {
-    &text[..text.floor_char_boundary(most.min(text.len()))]
+/// A line of the log, before it is formatted.
+struct Line<'a> {
+    seconds_since_start: f64,
+    metadata: &'a Metadata<'a>,
+    record: Record,
+    /// From the outermost to the innermost.
+    spans: Vec<SpanFields>,
+    /// Lines of the same kind that were suppressed before this one.
+    suppressed: u64,
 }
 
-fn as_text(since: f64, metadata: &Metadata, said: Said, spans: &Spans, left_out: u64) -> String {
-    let mut line = format!("{since:.3} {} {}", metadata.level().as_str().to_lowercase(), said.message);
-    for (name, value) in &said.fields {
-        _ = write!(line, " {name}={value}");
+impl Line<'_> {
+    fn level(&self) -> String {
+        self.metadata.level().as_str().to_lowercase()
     }
-    for (name, fields) in spans {
-        let fields: Vec<_> = fields.iter().map(|(name, value)| format!(" {name}={value}")).collect();
-        _ = write!(line, " [{name}{}]", fields.concat());
+
+    fn into_text(self) -> String {
+        let mut line = format!("{:.3} {} {}", self.seconds_since_start, self.level(), self.record.message);
+        push_fields(&mut line, &self.record.fields);
+        for SpanFields { name, fields } in &self.spans {
+            _ = write!(line, " [{name}");
+            push_fields(&mut line, fields);
+            line.push(']');
+        }
+        if self.suppressed > 0 {
+            _ = write!(line, " ({} of the kind left out before this one)", self.suppressed);
+        }
+        truncate(&line.replace('\n', " "), MAX_LINE_BYTES).to_string() + "\n"
     }
-    if left_out > 0 {
-        _ = write!(line, " ({left_out} of the kind left out before this one)");
+
+    /// The message and the fields are truncated, never the line, which would be no JSON then.
+    fn into_json(self) -> String {
+        let mut line = Map::new();
+        line.insert("t".into(), ((self.seconds_since_start * 1000.0).round() / 1000.0).into());
+        line.insert("level".into(), self.level().into());
+        line.insert("from".into(), self.metadata.target().into());
+        line.insert("message".into(), truncate(&self.record.message, MAX_JSON_MESSAGE_BYTES).into());
+        line.extend(self.record.fields.into_iter().map(|(name, value)| match value {
+            Value::String(text) => (name, truncate(&text, MAX_JSON_FIELD_BYTES).into()),
+            value => (name, value),
+        }));
+        if !self.spans.is_empty() {
+            let spans = self.spans.into_iter().map(|SpanFields { name, mut fields }| {
+                fields.insert("name".into(), name.into());
+                Value::Object(fields)
+            });
+            line.insert("spans".into(), spans.collect());
+        }
+        if self.suppressed > 0 {
+            line.insert("left_out".into(), self.suppressed.into());
+        }
+        Value::Object(line).to_string() + "\n"
     }
-    cut(&line.replace('\n', " "), LINE_BYTES).to_string() + "\n"
 }
 
-/// The message is cut, never the line: half of it would be no JSON.
-fn as_json(since: f64, metadata: &Metadata, said: Said, spans: &Spans, left_out: u64) -> String {
-    let mut line = Map::new();
-    line.insert("t".into(), ((since * 1000.0).round() / 1000.0).into());
-    line.insert("level".into(), metadata.level().as_str().to_lowercase().into());
-    line.insert("from".into(), metadata.target().into());
-    line.insert("message".into(), cut(&said.message, LINE_BYTES / 2).into());
-    line.extend(said.fields.into_iter().map(|(name, value)| match value {
-        Value::String(text) => (name, cut(&text, LINE_BYTES / 8).into()),
-        value => (name, value),
-    }));
-    if !spans.is_empty() {
-        let spans = spans.iter().map(|(name, fields)| {
-            let mut span = fields.clone();
-            span.insert("name".into(), (*name).into());
-            Value::Object(span)
-        });
-        line.insert("spans".into(), spans.collect());
+/// Appends ` name=value` for each field; texts stand there as they are, without quotes or escapes.
+fn push_fields(line: &mut String, fields: &Map<String, Value>) {
+    for (name, value) in fields {
+        // Writing to a `String` does not fail.
+        _ = match value {
+            Value::String(text) => write!(line, " {name}={text}"),
+            value => write!(line, " {name}={value}"),
+        };
     }
-    if left_out > 0 {
-        line.insert("left_out".into(), left_out.into());
-    }
-    Value::Object(line).to_string() + "\n"
+}
+
+/// The longest prefix of whole characters within so many bytes.
+fn truncate(text: &str, max_bytes: usize) -> &str {
+    &text[..text.floor_char_boundary(max_bytes.min(text.len()))]
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,56 +1,82 @@
-//! The signals that end the program, or have it read its configuration anew.
+//! The process signals that end the program or have it reload its configuration.
 
 use actix_rt::signal::unix::{self, signal, SignalKind};
+use std::fmt;
 use std::io;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
+/// A signal has asked the program to end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Termination {
+    /// The name of the signal: `SIGTERM` or `SIGINT`.
+    pub signal: &'static str,
+}
+
+impl fmt::Display for Termination {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(self.signal)
+    }
+}
+
+/// What a signal asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// To end, under this name.
-    End(&'static str),
-    ReadAnew,
+    /// End the program.
+    Terminate(Termination),
+    /// Reload the configuration (`SIGHUP`).
+    Reload,
 }
 
+/// Receives the signals of the process.
 pub struct Signals {
     terminate: unix::Signal,
     interrupt: unix::Signal,
     hangup: unix::Signal,
-    /// One to read anew came while nobody could.
-    kept: bool,
+    /// A reload was asked for while `sleep` was waiting.
+    is_reload_pending: bool,
 }
 
 impl Signals {
+    /// Replaces the default actions of the signals; needs a running runtime.
+    ///
+    /// # Errors
+    /// Where the system refuses a handler.
     pub fn listen() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
             hangup: signal(SignalKind::hangup())?,
-            kept: false,
+            is_reload_pending: false,
         })
     }
 
-    pub async fn come(&mut self) -> Signal {
+    /// Waits for the next signal. Termination comes before a reload.
+    pub async fn next(&mut self) -> Signal {
         tokio::select! {
             biased;
-            _ = self.terminate.recv() => Signal::End("SIGTERM"),
-            _ = self.interrupt.recv() => Signal::End("SIGINT"),
-            _ = std::future::ready(()), if std::mem::take(&mut self.kept) => Signal::ReadAnew,
-            _ = self.hangup.recv() => Signal::ReadAnew,
+            _ = self.terminate.recv() => Signal::Terminate(Termination { signal: "SIGTERM" }),
+            _ = self.interrupt.recv() => Signal::Terminate(Termination { signal: "SIGINT" }),
+            _ = std::future::ready(()), if std::mem::take(&mut self.is_reload_pending) => Signal::Reload,
+            _ = self.hangup.recv() => Signal::Reload,
         }
     }
 
-    /// Sleeps, unless a signal ends the program, under that name. One to read anew is kept for whoever can: what was
-    /// read before may be old.
-    pub async fn sleep(&mut self, time: Duration) -> Result<(), &'static str> {
-        let wakes = Instant::now() + time;
-        let mut kept = false;
-        while let Ok(signal) = timeout_at(wakes, self.come()).await {
+    /// Sleeps. A reload that is asked for meanwhile is returned by `next` later, as the configuration that was read
+    /// before may be old.
+    ///
+    /// # Errors
+    /// Where the program is to end; at once.
+    pub async fn sleep(&mut self, duration: Duration) -> Result<(), Termination> {
+        let wake_at = Instant::now() + duration;
+        let mut is_reload_pending = false;
+        while let Ok(signal) = timeout_at(wake_at, self.next()).await {
             match signal {
-                Signal::End(why) => return Err(why),
-                Signal::ReadAnew => kept = true,
+                Signal::Terminate(termination) => return Err(termination),
+                Signal::Reload => is_reload_pending = true,
             }
         }
-        self.kept |= kept;
+        self.is_reload_pending |= is_reload_pending;
         Ok(())
     }
 }
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -16,7 +16,7 @@
 const LONGEST: Duration = Duration::from_secs(20);
 
 /// What the controller logs when it has read its files anew.
-const RELOADED: &str = "SIGHUP: relay at";
+const RELOADED: &str = "configuration reloaded";
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
