--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -8,8 +8,8 @@
 use tokio::sync::mpsc::Sender;
 use tokio::sync::watch;
 use tracing::{debug_span, Span};
-use whinwall_override_store::Job;
-use whinwall_overrides::{saved, Stamp, Timeline};
+use whinwall_override_store::WriteBatch;
+use whinwall_overrides::{encoding, ClockStamp, Timeline};
 use whinwall_policy::api::OverrideId;
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector;
@@ -197,10 +197,10 @@
         drops: Vec<OverrideId>,
         timeline: &Timeline,
     ) {
-        let line = timeline.on_line(self.clock.now());
-        let stamp = Stamp { line, reading: Clock::read_machine_clocks() };
-        let job = Job { puts, drops, stamp: saved::write_stamp(&stamp) };
-        if !self.services.write_store(serial, job) {
+        let position = timeline.to_persistent(self.clock.now());
+        let stamp = ClockStamp { position, reading: Clock::read_machine_clocks() };
+        let batch = WriteBatch { writes: puts, removals: drops, stamp: encoding::encode_stamp(&stamp) };
+        if !self.services.write_store(serial, batch) {
             self.apply(Event::Saved { serial, outcome: Err(STORAGE_BUSY.into()) });
         }
     }
--- a/crates/controller/src/program/incarnation.rs
+++ b/crates/controller/src/program/incarnation.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{self, Receiver};
 use tokio::sync::watch;
-use whinwall_overrides::WallWatch;
+use whinwall_overrides::WallClockMonitor;
 use whinwall_routing::Event;
 use whinwall_runtime::clock::Clock;
 use whinwall_runtime::signals::{Signal, Signals, Termination};
@@ -111,10 +111,10 @@
     signals: &mut Signals,
 ) -> Termination {
     let mut reloader = Reloader::default();
-    let mut wall_watch = WallWatch::default();
+    let mut wall_monitor = WallClockMonitor::default();
     loop {
         input.dispatcher.clear_wake_at();
-        check_wall_clock(&mut wall_watch, &mut input.dispatcher);
+        check_wall_clock(&mut wall_monitor, &mut input.dispatcher);
         input.supervise_readers();
         reloader.retry(config, &mut input.dispatcher);
         input.report_received_bytes();
@@ -143,9 +143,9 @@
     }
 }
 
-fn check_wall_clock(wall_watch: &mut WallWatch, dispatcher: &mut Dispatcher) {
+fn check_wall_clock(wall_monitor: &mut WallClockMonitor, dispatcher: &mut Dispatcher) {
     let (now, wall) = (dispatcher.clock.now(), Clock::wall_time());
-    if wall_watch.has_stepped(now, wall) {
+    if wall_monitor.has_stepped(now, wall) {
         tracing::warn!("wall clock stepped");
         dispatcher.apply(Event::WallStepped(wall));
     }
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -11,7 +11,7 @@
 use whinwall_ingest::reorder::Ready;
 use whinwall_management_api::ask::{Reply, Request};
 use whinwall_management_api::server::PendingRequest;
-use whinwall_override_store::desk::Word;
+use whinwall_override_store::storage_thread::StoreReply;
 use whinwall_policy::time::Moment;
 use whinwall_protocol::{collector, discovery, relay, Malformed};
 use whinwall_routing::Event;
@@ -232,17 +232,18 @@
     }
 
     /// Takes a reply of the storage thread.
-    pub(super) fn receive_store_reply(&mut self, reply: Word) {
+    pub(super) fn receive_store_reply(&mut self, reply: StoreReply) {
         let event = match reply {
-            Word::Opened(found) => {
+            StoreReply::Opened(found) => {
                 if let Some(set_aside) = found.set_aside {
-                    tracing::error!(set_aside, "override store is corrupt, a new one was created");
+                    let path = set_aside.path.display();
+                    tracing::error!(%path, reason = %set_aside.reason, "override store file is corrupt, set aside");
                 }
                 let (records, stamp) = (found.records, found.stamp);
                 Event::StoreRead { records, stamp, reading: Clock::read_machine_clocks() }
             }
-            Word::NotOpened(error) => Event::StoreNotRead(error.to_string()),
-            Word::Done { serial, outcome } => {
+            StoreReply::Unavailable(error) => Event::StoreNotRead(error.to_string()),
+            StoreReply::Written { serial, outcome } => {
                 Event::Saved { serial, outcome: outcome.map_err(|error| error.to_string()) }
             }
         };
--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -8,14 +8,14 @@
 use whinwall_management_api::ask::Reply;
 use whinwall_management_api::server::{self, PendingRequest, Serving};
 use whinwall_operator_config::{Doors, LogForm, OperatorsFile};
-use whinwall_override_store::desk::{Desk, Word};
-use whinwall_override_store::{Job, Keeper};
-use whinwall_overrides::Ticket;
+use whinwall_override_store::storage_thread::{StorageThread, StoreReply};
+use whinwall_override_store::{OverrideStore, WriteBatch};
+use whinwall_overrides::RequestId;
 use whinwall_runtime::logger::{LogFormat, LogFormatSwitch};
 
 /// Management requests that may wait for the event loop; further ones are rejected and may be retried.
 pub(super) const REQUEST_QUEUE: usize = 64;
-/// Replies of the storage thread that may wait for the event loop; there is one job at a time.
+/// Replies of the storage thread that may wait for the event loop; there is one write at a time.
 const STORE_REPLY_QUEUE: usize = 16;
 
 /// Why a service cannot be started; its text is shown to the operator.
@@ -39,14 +39,14 @@
 
 /// The services, and the queues between their threads and the event loop.
 pub(super) struct OperatorServices {
-    storage: Option<Desk>,
-    pub(super) store_replies: Receiver<Word>,
+    storage: Option<StorageThread>,
+    pub(super) store_replies: Receiver<StoreReply>,
     management: Option<ManagementServer>,
     request_sender: Sender<PendingRequest>,
     pub(super) requests: Receiver<PendingRequest>,
     /// Clients that wait for a reply, by ticket.
-    clients: BTreeMap<Ticket, oneshot::Sender<Reply>>,
-    last_ticket: Ticket,
+    clients: BTreeMap<RequestId, oneshot::Sender<Reply>>,
+    last_ticket: RequestId,
     log_format: LogFormatSwitch,
 }
 
@@ -62,7 +62,7 @@
         let folder: Option<PathBuf> = file.and_then(|file| file.store.clone());
         let storage = folder.map(|folder| {
             // Called on the storage thread, which alone waits where the event loop is slow.
-            Desk::start(Keeper::at(folder), move |reply| _ = reply_sender.blocking_send(reply))
+            StorageThread::spawn(OverrideStore::new(folder), move |reply| _ = reply_sender.blocking_send(reply))
         });
         let mut services = OperatorServices {
             storage: storage.transpose().map_err(ServiceError::StorageThread)?,
@@ -126,7 +126,8 @@
     /// Asks the storage thread for all records, where there is one.
     pub(super) fn read_store(&self) {
         if let Some(storage) = &self.storage {
-            storage.open();
+            // A full queue holds a request already.
+            _ = storage.request_open();
         }
     }
 
@@ -134,20 +135,20 @@
         self.storage.is_some()
     }
 
-    /// Hands a job to the storage thread; false where it takes none, and no reply follows.
-    pub(super) fn write_store(&self, serial: u64, job: Job) -> bool {
-        self.storage.as_ref().is_some_and(|storage| storage.keep(serial, job))
+    /// Hands a batch of writes to the storage thread; false where it takes none, and no reply follows.
+    pub(super) fn write_store(&self, serial: u64, batch: WriteBatch) -> bool {
+        self.storage.as_ref().is_some_and(|storage| storage.request_write(serial, batch).is_ok())
     }
 
     /// Keeps a client until the reply for its ticket.
-    pub(super) fn register_client(&mut self, client: oneshot::Sender<Reply>) -> Ticket {
+    pub(super) fn register_client(&mut self, client: oneshot::Sender<Reply>) -> RequestId {
         self.clients.retain(|_, client| !client.is_closed());
         self.last_ticket += 1;
         self.clients.insert(self.last_ticket, client);
         self.last_ticket
     }
 
-    pub(super) fn reply(&mut self, ticket: Ticket, reply: Reply) {
+    pub(super) fn reply(&mut self, ticket: RequestId, reply: Reply) {
         if let Some(client) = self.clients.remove(&ticket) {
             // A client that has stopped waiting loses the reply.
             _ = client.send(reply);
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -2,7 +2,7 @@
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall_overrides::Reading;
+use whinwall_overrides::ClockReading;
 use whinwall_policy::time::{Moment, Span};
 
 /// The clock of the decisions: wall time at its start, monotonic since.
@@ -25,12 +25,12 @@
 
     /// Reads the clocks of the machine: its time since boot, which goes on in suspend and over steps of the wall clock,
     /// and the wall clock.
-    pub fn read_machine_clocks() -> Reading {
+    pub fn read_machine_clocks() -> ClockReading {
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
         let since = clock_gettime(ClockId::Boottime);
-        let since_boot = Duration::new(since.tv_sec.max(0) as u64, since.tv_nsec.max(0) as u32);
-        let since_boot = Span::ns(since_boot.as_nanos() as u64);
-        Reading { boot: boot.trim().into(), since_boot, wall: Clock::wall_time() }
+        let uptime = Duration::new(since.tv_sec.max(0) as u64, since.tv_nsec.max(0) as u32);
+        let uptime = Span::ns(uptime.as_nanos() as u64);
+        ClockReading { boot_id: boot.trim().into(), uptime, wall_time: Clock::wall_time() }
     }
 
     /// The wall clock of the machine, which may be stepped.
