--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -329,7 +329,8 @@
     // Beside readers the event loop has a second descriptor of each connection.
     let descriptors_per_connection = if cores > 1 { 2 } else { 1 };
     let sockets = file.limits.sockets;
-    let max_connections = (sockets as usize).saturating_sub(limits::RESERVED) / descriptors_per_connection;
+    let max_connections =
+        (sockets as usize).saturating_sub(limits::RESERVED_DESCRIPTORS) / descriptors_per_connection;
     if max_connections == 0 {
         return Err(ConfigError::TooFewSockets { sockets });
     }
@@ -347,7 +348,7 @@
         },
         seed: file.seed.unwrap_or_else(seed_from_wall_clock),
         max_connections,
-        line_bytes: (file.limits.memory_mb * 1e6) as usize / limits::LINES_PART,
+        line_bytes: (file.limits.memory_mb * 1e6) as usize / limits::LINE_MEMORY_DIVISOR,
         known_endpoints: decode_known_endpoints(file.known_endpoints),
         settings: file.settings,
         operators,
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -16,29 +16,29 @@
 use whinwall_routing::overrides::OverrideConfig;
 use whinwall_routing::{Effect, Event, Reducer};
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::calls::Call;
-use whinwall_transport::{Back, ConnectionId};
+use whinwall_transport::relay_requests::RelayRequest;
+use whinwall_transport::{ConnectionCommand, ConnectionId};
 
 /// The outcome of a write that the storage thread did not take; clients of the management API see it.
 const STORAGE_BUSY: &str = "the keeper is busy";
 
 /// Requests to the relay, one at a time.
 pub(super) struct RelayRequests {
-    requests: Sender<Call>,
+    requests: Sender<RelayRequest>,
     /// Where the relay is; none once the program is shutting down.
     target: watch::Sender<Option<SocketAddr>>,
     has_request_in_flight: bool,
 }
 
 impl RelayRequests {
-    pub(super) fn new(requests: Sender<Call>, target: watch::Sender<Option<SocketAddr>>) -> Self {
+    pub(super) fn new(requests: Sender<RelayRequest>, target: watch::Sender<Option<SocketAddr>>) -> Self {
         RelayRequests { requests, target, has_request_in_flight: false }
     }
 
-    fn send(&mut self, call: Call) {
+    fn send(&mut self, request: RelayRequest) {
         self.has_request_in_flight = true;
         // The reducer waits for a reply before its next request, so that the queue of one has room.
-        _ = self.requests.try_send(call);
+        _ = self.requests.try_send(request);
     }
 
     pub(super) fn set_target(&self, relay: SocketAddr) {
@@ -70,8 +70,8 @@
     pub(super) relay: RelayRequests,
     pub(super) watches: Watches,
     pub(super) services: &'a mut OperatorServices,
-    /// Where replies go, for the connections that sent something in this iteration.
-    reply_senders: BTreeMap<ConnectionId, Sender<Back>>,
+    /// Where commands go, for the connections that sent something in this iteration.
+    connections: BTreeMap<ConnectionId, Sender<ConnectionCommand>>,
     /// When the reducer wants to be called next.
     wake_at: Option<Moment>,
     iterations: u64,
@@ -100,7 +100,7 @@
             relay,
             watches,
             services,
-            reply_senders: BTreeMap::new(),
+            connections: BTreeMap::new(),
             wake_at: None,
             iterations: 0,
             span: Span::none(),
@@ -118,14 +118,14 @@
 
     /// Begins an iteration of the event loop.
     pub(super) fn begin_iteration(&mut self) {
-        self.reply_senders.clear();
+        self.connections.clear();
         self.iterations += 1;
         self.span = debug_span!("iteration", number = self.iterations);
     }
 
-    /// Remembers until the end of the iteration where replies to a connection go.
-    pub(super) fn set_reply_sender(&mut self, connection: ConnectionId, replies: Sender<Back>) {
-        self.reply_senders.insert(connection, replies);
+    /// Remembers until the end of the iteration where commands for a connection go.
+    pub(super) fn set_connection(&mut self, connection: ConnectionId, commands: Sender<ConnectionCommand>) {
+        self.connections.insert(connection, commands);
     }
 
     /// Feeds an event to the reducer and carries out its effects.
@@ -151,9 +151,9 @@
     }
 
     /// A peer that does not read its replies loses them, and then its connection; the loop does not wait for it.
-    pub(super) fn send_back(&self, to: ConnectionId, back: Back) {
-        if let Some(replies) = self.reply_senders.get(&to) {
-            _ = replies.try_send(back);
+    pub(super) fn send_command(&self, to: ConnectionId, command: ConnectionCommand) {
+        if let Some(commands) = self.connections.get(&to) {
+            _ = commands.try_send(command);
         }
     }
 
@@ -167,16 +167,16 @@
             | Effect::RenewRegistryWatch { .. }
                 if is_shutting_down => {}
             Effect::Pong { to } => {
-                self.send_back(to, Back::Say(collector::encode(collector::Reply::Pong)));
+                self.send_command(to, ConnectionCommand::Send(collector::encode(collector::Reply::Pong)));
             }
-            Effect::Admit { to } => self.send_back(to, Back::Keep),
+            Effect::Admit { to } => self.send_command(to, ConnectionCommand::Admit),
             Effect::Disconnect { to, why } => {
                 let close_reason = why.map(|why| collector::encode(collector::Reply::Nack { why }));
-                self.send_back(to, Back::End(close_reason));
+                self.send_command(to, ConnectionCommand::Close(close_reason));
             }
-            Effect::RelayRequest { relay, line, afresh } => {
+            Effect::RelayRequest { relay, line, needs_new_connection } => {
                 tracing::debug!(request = line, "relay request");
-                self.relay.send(Call { relay, line, afresh });
+                self.relay.send(RelayRequest { relay, line, needs_new_connection });
             }
             Effect::WatchRelay { relay } => self.watches.watch_relay(relay),
             Effect::WatchRegistry { discovery, since } => self.watches.watch_registry(discovery, since),
--- a/crates/controller/src/program/incarnation.rs
+++ b/crates/controller/src/program/incarnation.rs
@@ -25,7 +25,7 @@
 use whinwall_runtime::clock::Clock;
 use whinwall_runtime::signals::{Signal, Signals, Termination};
 use whinwall_runtime::task::Task;
-use whinwall_transport::{calls, limits, listener, Inbox};
+use whinwall_transport::{limits, listener, relay_requests, Bounds, InputSender};
 
 /// An iteration of the event loop begins at least so often, whatever the reducer asks for.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
@@ -38,11 +38,11 @@
     services: &mut OperatorServices,
 ) -> Termination {
     let clock = Clock::start();
-    let (inbox, peers) = mpsc::channel(limits::INBOX);
-    let (collector_inbox, collectors) = mpsc::channel(limits::INBOX);
+    let (inbox, peers) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
+    let (collector_inbox, collectors) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
     let (request_sender, requests) = mpsc::channel(1);
     let (relay_target, target_receiver) = watch::channel(Some(config.targets.relay));
-    let _relay_task = Task::spawn(calls::serve(requests, target_receiver, inbox.clone()));
+    let _relay_task = Task::spawn(relay_requests::serve(requests, target_receiver, inbox.clone()));
     let Ingress { readers, batches, _listener_task } =
         Ingress::start(config, clock, listener, collector_inbox);
     let mut queues = InputQueues { peers, collectors, batches };
@@ -62,8 +62,8 @@
 }
 
 impl Ingress {
-    fn start(config: &ControllerConfig, clock: Clock, listener: Rc<TcpListener>, inbox: Inbox) -> Self {
-        let bounds = listener::Bounds::new(config.max_connections, config.line_bytes);
+    fn start(config: &ControllerConfig, clock: Clock, listener: Rc<TcpListener>, inbox: InputSender) -> Self {
+        let bounds = Bounds::new(config.max_connections, config.line_bytes);
         if config.cores > 1 {
             match start_pool(config.cores, clock, bounds.clone(), inbox.clone()) {
                 Ok((readers, batches)) => {
@@ -77,7 +77,7 @@
                 }
             }
         }
-        let this_thread = listener::Here { bounds: bounds.clone(), inbox };
+        let this_thread = listener::LocalReader { bounds: bounds.clone(), inputs: inbox };
         let task = Task::spawn(listener::listen(listener, bounds, this_thread));
         let (_, no_batches) = mpsc::channel(1);
         Ingress { readers: None, batches: no_batches, _listener_task: task }
@@ -87,8 +87,8 @@
 fn start_pool(
     readers: usize,
     clock: Clock,
-    bounds: listener::Bounds,
-    inbox: Inbox,
+    bounds: Bounds,
+    inbox: InputSender,
 ) -> std::io::Result<(Readers, Receiver<ReportBatch>)> {
     let metrics = Arc::new(ReaderMetrics::new(readers));
     let hook = Arc::new(|_, _| {});
@@ -154,7 +154,7 @@
 /// Until the reducer, the supervision of the readers or a retry of a reload has something to do.
 fn sleep_duration(input: &InputHandler, reloader: &Reloader) -> Duration {
     let max_sleep = if reloader.has_retry() {
-        limits::PAUSE
+        limits::RETRY_BACKOFF
     } else if input.has_readers() {
         READER_CHECK_INTERVAL
     } else {
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -13,10 +13,12 @@
 use whinwall_management_api::server::PendingRequest;
 use whinwall_override_store::storage_thread::StoreReply;
 use whinwall_policy::time::Moment;
-use whinwall_protocol::{collector, discovery, relay, Malformed};
+use whinwall_protocol::{collector, discovery, relay, DecodeError};
 use whinwall_routing::Event;
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::{limits, Back, CallError, ConnectionId, FollowId, Input, StreamError};
+use whinwall_transport::{
+    limits, ConnectionCommand, ConnectionId, Input, RequestError, StreamError, WatchId,
+};
 
 /// Time between two checks of the readers.
 pub(super) const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -36,7 +38,7 @@
     received_bytes: u64,
 }
 
-fn unreadable(error: &Malformed) -> StreamError {
+fn unreadable(error: &DecodeError) -> StreamError {
     StreamError::Unreadable(error.to_string())
 }
 
@@ -54,11 +56,11 @@
     pub(super) fn receive(&mut self, input: Input) {
         let event = match input {
             Input::Line { from, line, back, .. } => Some(self.decode_line(from, &line, back)),
-            Input::Ended(id, chunks) => self.end_connection(id, chunks),
-            Input::RelayEvent(id, line) => self.decode_relay_event(id, line),
-            Input::List(id, line) => self.decode_registry_message(id, line),
-            Input::Answer(outcome) => Some(self.decode_relay_reply(outcome)),
-            Input::Surplus => Some(Event::UnexpectedReply),
+            Input::Disconnected(id, chunks) => self.end_connection(id, chunks),
+            Input::WatchLine(id, line) => self.decode_relay_event(id, line),
+            Input::RegistryLine(id, line) => self.decode_registry_message(id, line),
+            Input::RelayResponse(outcome) => Some(self.decode_relay_response(outcome)),
+            Input::UnsolicitedResponse => Some(Event::UnexpectedReply),
         };
         if let Some(event) = event {
             self.dispatcher.apply(event);
@@ -69,11 +71,11 @@
         &mut self,
         from: ConnectionId,
         line: &str,
-        replies: tokio::sync::mpsc::Sender<Back>,
+        commands: tokio::sync::mpsc::Sender<ConnectionCommand>,
     ) -> Event {
         tracing::debug!(connection = from, line, "line from a collector");
         self.received_bytes += line.len() as u64 + 1;
-        self.dispatcher.set_reply_sender(from, replies);
+        self.dispatcher.set_connection(from, commands);
         match collector::decode(line) {
             Ok(message) => Event::Message { from, message },
             Err(error) => Event::Invalid { from, error },
@@ -88,7 +90,7 @@
         None
     }
 
-    fn decode_relay_event(&mut self, id: FollowId, line: Result<String, StreamError>) -> Option<Event> {
+    fn decode_relay_event(&mut self, id: WatchId, line: Result<String, StreamError>) -> Option<Event> {
         if !self.dispatcher.watches.is_current_relay_watch(id) {
             return None;
         }
@@ -108,7 +110,7 @@
         })
     }
 
-    fn decode_registry_message(&mut self, id: FollowId, line: Result<String, StreamError>) -> Option<Event> {
+    fn decode_registry_message(&mut self, id: WatchId, line: Result<String, StreamError>) -> Option<Event> {
         if line.is_ok() {
             self.dispatcher.watches.promote_renewed_registry_watch(id);
         }
@@ -133,11 +135,11 @@
         }
     }
 
-    fn decode_relay_reply(&mut self, outcome: Result<String, CallError>) -> Event {
-        tracing::debug!(?outcome, "relay reply");
+    fn decode_relay_response(&mut self, outcome: Result<String, RequestError>) -> Event {
+        tracing::debug!(?outcome, "relay response");
         self.dispatcher.relay.complete_request();
         let decode = |line: String| {
-            relay::decode_answer(&line).map_err(|error| CallError::OutcomeUnknown(unreadable(&error)))
+            relay::decode_response(&line).map_err(|error| RequestError::OutcomeUnknown(unreadable(&error)))
         };
         Event::RelayReply(outcome.and_then(decode))
     }
@@ -145,23 +147,23 @@
     /// Takes the batch of one chunk, and others of its connection that have waited for it.
     pub(super) fn receive_batch(&mut self, batch: ReportBatch) {
         let Some(readers) = &self.readers else { return };
-        let from = batch.source.from;
+        let from = batch.info.from;
         let ready = readers.pool.borrow_mut().accept_batch(self.dispatcher.clock.now(), batch);
         self.apply_ready(from, ready);
     }
 
     fn apply_ready(&mut self, from: ConnectionId, ready: Ready<ReportBatch>) {
         for batch in ready.chunks {
-            let source = batch.source;
-            tracing::debug!(connection = from, chunk = source.number, reader = batch.reader, "chunk decoded");
-            self.received_bytes += source.bytes as u64;
-            self.dispatcher.set_reply_sender(from, batch.replies);
+            let info = batch.info;
+            tracing::debug!(connection = from, chunk = info.number, reader = batch.reader, "chunk decoded");
+            self.received_bytes += info.bytes as u64;
+            self.dispatcher.set_connection(from, batch.commands);
             for item in batch.items {
                 let event = self.batch_event(from, item);
                 self.dispatcher.apply(event);
             }
             if let Some(readers) = &self.readers {
-                readers.metrics.observe_report_lag(source.at.elapsed());
+                readers.metrics.observe_report_lag(info.at.elapsed());
             }
         }
         if ready.is_ended {
@@ -176,7 +178,7 @@
             BatchItem::Invalid(error) => Event::Invalid { from, error },
             BatchItem::Panicked => {
                 tracing::error!(connection = from, "panic while decoding a chunk, connection closed");
-                self.dispatcher.send_back(from, Back::End(None));
+                self.dispatcher.send_command(from, ConnectionCommand::Close(None));
                 Event::Disconnected(from)
             }
         }
--- a/crates/controller/src/program/queues.rs
+++ b/crates/controller/src/program/queues.rs
@@ -22,7 +22,7 @@
     /// Takes what has arrived, of each queue no more than it holds at once: the rest is for the next iteration.
     pub(super) fn drain_into(&mut self, input: &mut InputHandler) {
         for queue in [&mut self.peers, &mut self.collectors] {
-            for _ in 0..limits::INBOX {
+            for _ in 0..limits::MAX_QUEUED_INPUTS {
                 let Ok(message) = queue.try_recv() else { break };
                 input.receive(message);
             }
--- a/crates/controller/src/program/reader.rs
+++ b/crates/controller/src/program/reader.rs
@@ -15,8 +15,8 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_routing::known::Known;
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::listener::{self, Arrival, Bounds, Bulk};
-use whinwall_transport::{Back, Chunk, Inbox, Told};
+use whinwall_transport::connection::{self, AcceptedConnection, ChunkSender};
+use whinwall_transport::{Bounds, Chunk, ChunkInfo, ConnectionCommand, InputSender};
 
 /// Time between two heartbeats of a reader.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
@@ -27,15 +27,15 @@
 #[derive(Debug)]
 pub struct ReportBatch {
     /// Which chunk of which connection it was.
-    pub source: Told,
+    pub info: ChunkInfo,
     /// When the last byte of the chunk was read.
     pub arrived_at: Moment,
     /// The reader that decoded it.
     pub reader: ReaderId,
     /// The messages of the chunk.
     pub items: Vec<BatchItem>,
-    /// Where replies to the connection go.
-    pub replies: mpsc::Sender<Back>,
+    /// Where commands for the connection go.
+    pub commands: mpsc::Sender<ConnectionCommand>,
     /// The share of the memory for lines that wait; released when the batch is dropped.
     _memory: OwnedSemaphorePermit,
 }
@@ -77,9 +77,9 @@
     pub(super) names: watch::Receiver<Arc<Known>>,
     /// Both ends of the queue of chunks.
     pub(super) chunks: async_channel::Receiver<Chunk>,
-    pub(super) chunk_queue: Bulk,
+    pub(super) chunk_queue: ChunkSender,
     pub(super) batches: mpsc::Sender<ReportBatch>,
-    pub(super) inbox: Inbox,
+    pub(super) inbox: InputSender,
     pub(super) hook: StageHook,
     pub(super) metrics: Arc<ReaderMetrics>,
 }
@@ -88,7 +88,7 @@
 pub(super) fn run_reader(
     reader: ReaderId,
     context: ReaderContext,
-    mut arrivals: mpsc::Receiver<Arrival>,
+    mut arrivals: mpsc::Receiver<AcceptedConnection>,
     heartbeat: Arc<AtomicU64>,
 ) {
     // On Linux a thread has a nice value of its own; elsewhere all threads stay equal.
@@ -100,7 +100,7 @@
         while let Some(arrival) = arrivals.recv().await {
             (context.hook)(reader, ReaderStage::Connected);
             let (bounds, inbox) = (context.bounds.clone(), context.inbox.clone());
-            actix_rt::spawn(listener::read(arrival, bounds, inbox, Some(context.chunk_queue.clone())));
+            actix_rt::spawn(connection::read(arrival, bounds, inbox, Some(context.chunk_queue.clone())));
         }
     });
 }
@@ -125,8 +125,8 @@
 
 fn decode_chunk(reader: ReaderId, context: &ReaderContext, chunk: Chunk) -> ReportBatch {
     let names = context.names.borrow().clone();
-    let Chunk { told: source, lines, back: replies, weight } = chunk;
-    let arrived_at = context.clock.moment_of(source.at);
+    let Chunk { info, lines, back: commands, weight } = chunk;
+    let arrived_at = context.clock.moment_of(info.at);
     let began = Instant::now();
     let hook = |stage| (context.hook)(reader, stage);
     let decoded = catch_unwind(AssertUnwindSafe(|| decode_lines(&lines, arrived_at, &names, hook)));
@@ -136,7 +136,7 @@
     });
     let line_count = lines.iter().filter(|byte| **byte == b'\n').count();
     context.metrics.count_chunk(reader, lines.len(), line_count, began);
-    ReportBatch { source, arrived_at, reader, items, replies, _memory: weight }
+    ReportBatch { info, arrived_at, reader, items, commands, _memory: weight }
 }
 
 fn decode_lines(
@@ -157,10 +157,10 @@
         }
         let Ok(line) = std::str::from_utf8(without_line_end(line)) else {
             push_reports(&mut items, &mut reports, arrived_at);
-            items.push(BatchItem::Invalid(InvalidMessage::no_text()));
+            items.push(BatchItem::Invalid(InvalidMessage::not_utf8()));
             continue;
         };
-        if let Some(report) = collector::quick(line).and_then(|report| names.numbered(&report)) {
+        if let Some(report) = collector::decode_report(line).and_then(|report| names.numbered(&report)) {
             reports.add(report);
             continue;
         }
--- a/crates/controller/src/program/reader_pool.rs
+++ b/crates/controller/src/program/reader_pool.rs
@@ -18,8 +18,8 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_routing::known::Known;
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::listener::{self, Arrival, Bounds, Bulk};
-use whinwall_transport::{limits, ConnectionId, Inbox};
+use whinwall_transport::connection::{AcceptedConnection, ChunkSender};
+use whinwall_transport::{limits, listener, Bounds, ConnectionId, InputSender};
 
 /// Abandoned threads that may still run, for each reader.
 const MAX_ABANDONED_PER_READER: usize = 4;
@@ -33,7 +33,7 @@
 struct Reader {
     /// Incremented by the thread as long as it runs.
     heartbeat: Arc<AtomicU64>,
-    arrivals: mpsc::Sender<Arrival>,
+    arrivals: mpsc::Sender<AcceptedConnection>,
     thread: JoinHandle<()>,
 }
 
@@ -46,7 +46,7 @@
     /// What all connections together may cost.
     pub bounds: Bounds,
     /// Where the ends of connections are announced.
-    pub inbox: Inbox,
+    pub inbox: InputSender,
     /// Where the work is counted.
     pub metrics: Arc<ReaderMetrics>,
     /// Called at each stage of the work.
@@ -121,7 +121,7 @@
     /// Where a thread cannot be started.
     pub fn start(config: PoolConfig) -> std::io::Result<(Self, mpsc::Receiver<ReportBatch>)> {
         let PoolConfig { readers, clock, bounds, inbox, metrics, hook } = config;
-        let (chunk_sender, chunks) = async_channel::bounded(limits::CHUNKS);
+        let (chunk_sender, chunks) = async_channel::bounded(limits::MAX_QUEUED_CHUNKS);
         let (batches, batch_receiver) = mpsc::channel(BATCH_QUEUE);
         let (names, names_receiver) = watch::channel(Arc::new(Known::default()));
         let context = ReaderContext {
@@ -129,7 +129,7 @@
             bounds,
             names: names_receiver,
             chunks,
-            chunk_queue: Bulk { chunks: chunk_sender },
+            chunk_queue: ChunkSender { chunks: chunk_sender },
             batches,
             inbox,
             hook,
@@ -169,7 +169,7 @@
     }
 
     /// Hands a connection to a reader; false where none takes it.
-    fn assign(&mut self, arrival: Arrival) -> bool {
+    fn assign(&mut self, arrival: AcceptedConnection) -> bool {
         let id = arrival.id;
         let Ok(socket) = arrival.stream.try_clone() else { return false };
         let Some(reader) = self.partitioner.assign(id) else { return false };
@@ -203,8 +203,8 @@
 
     /// Takes a batch from a reader, and returns those of its connection that are ready, in order.
     pub fn accept_batch(&mut self, now: Moment, batch: ReportBatch) -> Ready<ReportBatch> {
-        let (from, number) = (batch.source.from, batch.source.number);
-        self.partitioner.add_bytes(from, batch.source.bytes);
+        let (from, number) = (batch.info.from, batch.info.number);
+        self.partitioner.add_bytes(from, batch.info.bytes);
         self.reorder.insert(now, from, number, batch)
     }
 
@@ -295,7 +295,7 @@
 pub struct PoolHandle(pub Rc<RefCell<ReaderPool>>);
 
 impl listener::Readers for PoolHandle {
-    fn hand_over(&self, arrival: Arrival) -> bool {
+    fn hand_over(&self, arrival: AcceptedConnection) -> bool {
         self.0.borrow_mut().assign(arrival)
     }
 }
--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -62,7 +62,9 @@
         let folder: Option<PathBuf> = file.and_then(|file| file.store.clone());
         let storage = folder.map(|folder| {
             // Called on the storage thread, which alone waits where the event loop is slow.
-            StorageThread::spawn(OverrideStore::new(folder), move |reply| _ = reply_sender.blocking_send(reply))
+            StorageThread::spawn(OverrideStore::new(folder), move |reply| {
+                _ = reply_sender.blocking_send(reply)
+            })
         });
         let mut services = OperatorServices {
             storage: storage.transpose().map_err(ServiceError::StorageThread)?,
--- a/crates/controller/src/program/shutdown.rs
+++ b/crates/controller/src/program/shutdown.rs
@@ -18,9 +18,9 @@
     let requests_in_flight = u8::from(input.dispatcher.relay.has_request_in_flight());
     tracing::info!(signal = termination.signal, requests_in_flight, "shutting down");
     input.dispatcher.relay.stop();
-    let deadline = Instant::now() + limits::ENDING;
+    let deadline = Instant::now() + limits::SHUTDOWN_TIMEOUT;
     loop {
-        let idle = timeout_at(deadline, sleep(limits::ANSWERED));
+        let idle = timeout_at(deadline, sleep(limits::SHUTDOWN_QUIET_PERIOD));
         tokio::select! {
             biased;
             signal = signals.next() => match signal {
@@ -32,9 +32,9 @@
             },
             () = sleep_until(deadline) => return,
             Some(message) = queues.peers.recv() => {
-                let is_relay_reply = matches!(message, Input::Answer(_));
+                let is_relay_response = matches!(message, Input::RelayResponse(_));
                 input.receive(message);
-                if is_relay_reply {
+                if is_relay_response {
                     tracing::info!("relay request in flight has its outcome");
                 }
             }
--- a/crates/controller/src/program/startup.rs
+++ b/crates/controller/src/program/startup.rs
@@ -12,7 +12,7 @@
 use whinwall_runtime::signals::{Signals, Termination};
 use whinwall_transport::limits;
 
-/// Retries of the bind, `limits::PAUSE` apart: a former process may hold the address a moment longer.
+/// Retries of the bind, `limits::RETRY_BACKOFF` apart: a former process may hold the address a moment longer.
 const MAX_BIND_RETRIES: u32 = 50;
 
 /// Why the controller cannot serve; its text is shown to the operator.
@@ -57,7 +57,7 @@
             Err(_) => tracing::error!("panic in the event loop, starting a new incarnation"),
         }
         config.begin_new_incarnation();
-        if let Err(termination) = signals.sleep(limits::PAUSE).await {
+        if let Err(termination) = signals.sleep(limits::RETRY_BACKOFF).await {
             return termination;
         }
     }
@@ -81,7 +81,7 @@
             Err(_) => {}
         }
         retries += 1;
-        if let Err(termination) = signals.sleep(limits::PAUSE).await {
+        if let Err(termination) = signals.sleep(limits::RETRY_BACKOFF).await {
             return Ok(Bound::Terminated(termination));
         }
     }
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -19,8 +19,8 @@
 use whinwall_protocol::collector::Message;
 use whinwall_routing::known::Known;
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::listener::{self, Bounds};
-use whinwall_transport::{Back, ConnectionId, Input};
+use whinwall_transport::listener;
+use whinwall_transport::{Bounds, ConnectionCommand, ConnectionId, Input};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -57,26 +57,28 @@
             for item in batch.items {
                 match item {
                     BatchItem::Reports(reports) => {
-                        counted.extend(reports.iter().map(|report| match report.what {
-                            ReportBody::DemandReport { slice, asked } => {
-                                Counted::DemandReport(from, slice, asked.came, report.lines)
+                        counted.extend(reports.iter().map(|report| match report.body {
+                            ReportBody::Demand { slice, report: asked } => {
+                                Counted::DemandReport(from, slice, asked.requests, report.line_count)
                             }
-                            ReportBody::EndpointReport { replica, met, .. } => {
+                            ReportBody::Endpoint { replica, report: met, .. } => {
                                 Counted::EndpointReport(from, replica, met.attempts)
                             }
                         }));
                     }
-                    BatchItem::Message(Message::Source { .. }) => _ = batch.replies.try_send(Back::Keep),
+                    BatchItem::Message(Message::Source { .. }) => {
+                        _ = batch.commands.try_send(ConnectionCommand::Admit)
+                    }
                     BatchItem::Message(Message::Ping) => {
                         counted.push(Counted::Ping(from));
-                        _ = batch.replies.try_send(Back::Say("PONG".into()));
+                        _ = batch.commands.try_send(ConnectionCommand::Send("PONG".into()));
                     }
                     BatchItem::Panicked => {
                         counted.push(Counted::Lost(from));
-                        _ = batch.replies.try_send(Back::End(None));
+                        _ = batch.commands.try_send(ConnectionCommand::Close(None));
                     }
                     BatchItem::Message(other) => panic!("{other:?}"),
-                    BatchItem::Invalid(_) => _ = batch.replies.try_send(Back::End(None)),
+                    BatchItem::Invalid(_) => _ = batch.commands.try_send(ConnectionCommand::Close(None)),
                 }
             }
         }
@@ -115,12 +117,12 @@
                         biased;
                         _ = &mut ended => return,
                         Some(input) = arrived.recv() => {
-                            let Input::Ended(id, chunks) = input else { panic!("{input:?}") };
+                            let Input::Disconnected(id, chunks) = input else { panic!("{input:?}") };
                             let ready = owner.pool.borrow_mut().end_connection(clock.now(), id, chunks);
                             owner.apply(id, ready);
                         }
                         Some(batch) = batches.recv() => {
-                            let from = batch.source.from;
+                            let from = batch.info.from;
                             let ready = owner.pool.borrow_mut().accept_batch(clock.now(), batch);
                             owner.apply(from, ready);
                         }
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -11,11 +11,11 @@
 use whinwall_overrides::{ChangeRequest, ClockReading, NewOverride, OverrideKind, OverrideLimits};
 use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
 use whinwall_policy::time::{Moment, Span};
-use whinwall_protocol::relay::{decode_answer, decode_event, Answer};
+use whinwall_protocol::relay::{decode_event, decode_response, Response};
 use whinwall_protocol::{collector, discovery};
 use whinwall_routing::overrides::OverrideConfig;
 use whinwall_routing::{Effect, Event};
-use whinwall_transport::{CallError, StreamError, Targets};
+use whinwall_transport::{RequestError, StreamError, Targets};
 
 #[test]
 fn orders_rest_on_whole_tables() {
@@ -188,7 +188,7 @@
     for (taken, next) in [(usize::MAX, 0), (orders.len() + 1, 0), (0, 0), (2, 2), (1, 3), (0, 4)] {
         let before = rig.notes.len();
         rig.open = None;
-        rig.tell(Event::RelayReply(Ok(Answer::Taken(taken))));
+        rig.tell(Event::RelayReply(Ok(Response::Accepted(taken))));
         rig.quiet();
         if rig.open.is_none() {
             rig.now = rig.now + Span::ms(100);
@@ -206,9 +206,9 @@
         from = next;
     }
     for line in ["OK", "OK -1", "OK 2 3", "OK x", "?????", "unavailablex", "ERR"] {
-        assert!(decode_answer(line).is_err(), "{line}");
+        assert!(decode_response(line).is_err(), "{line}");
     }
-    assert_eq!(decode_answer("-ERR unavailable"), Ok(Answer::NotNow("-ERR unavailable".into())));
+    assert_eq!(decode_response("-ERR unavailable"), Ok(Response::Retryable("-ERR unavailable".into())));
 }
 
 #[test]
@@ -427,7 +427,7 @@
     rig.drain("s-2");
     rig.open = None;
     rig.follows.clear();
-    rig.tell(Event::RelayReply(Ok(Answer::Unusable("ERR bad_request".into()))));
+    rig.tell(Event::RelayReply(Ok(Response::Rejected("ERR bad_request".into()))));
     assert_eq!(rig.follows, [Effect::WatchRelay { relay: RELAY }]);
     rig.standing(&[]);
     rig.pass(1000);
@@ -506,7 +506,7 @@
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let call = rig.open.take().unwrap();
-    rig.tell(Event::RelayReply(Err(CallError::NotSent(StreamError::Closed))));
+    rig.tell(Event::RelayReply(Err(RequestError::NotSent(StreamError::Closed))));
     // The relay is back with the tables as they were: the call is still to come, and it alone.
     rig.standing(&[]);
     assert_eq!(rig.open.as_ref(), Some(&call));
@@ -529,10 +529,8 @@
         assert_eq!(rig.follows.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since }));
     }
     rig.list();
-    let notes = [
-        "discovery's watch failed: closed by the other side",
-        "discovery's watch works again, after 2 failures",
-    ];
+    let notes =
+        ["discovery's watch failed: closed by the peer", "discovery's watch works again, after 2 failures"];
     assert_eq!(rig.notes, notes, "an outage is worth two lines, not one an attempt");
 }
 
@@ -549,7 +547,7 @@
     rig.pass(2000);
     rig.drain("s-2");
     assert!(rig.open.is_some());
-    rig.tell(Event::RegistryLost(StreamError::Silent));
+    rig.tell(Event::RegistryLost(StreamError::TimedOut));
     for _ in 0..31 {
         rig.now = rig.now + Span::ms(100);
         rig.quiet();
@@ -692,7 +690,7 @@
                     }
                 }
                 4 if rig.open.take().is_some() => {
-                    rig.tell(Event::RelayReply(Ok(Answer::NotNow("ERR unavailable".into()))));
+                    rig.tell(Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into()))));
                     rig.quiet();
                 }
                 5 => {
@@ -765,11 +763,12 @@
 #[test]
 fn the_quick_way_takes_nothing_that_the_slow_one_does_not() {
     fn holds(line: Garbled) -> bool {
-        collector::quick(&line.0)
-            .is_none_or(|report| collector::decode_slowly(&line.0) == Ok(collector::Message::from(report)))
+        collector::decode_report(&line.0).is_none_or(|report| {
+            collector::decode_with_diagnosis(&line.0) == Ok(collector::Message::from(report))
+        })
     }
     let line = r#"{"@type":"SHARD","partition":1,"kind":"lookup","n":9,"bad":9,"window":100.0}"#;
-    assert!(collector::quick(line).is_some());
+    assert!(collector::decode_report(line).is_some());
     quickcheck::QuickCheck::new().tests(20_000).quickcheck(holds as fn(Garbled) -> bool);
 }
 
@@ -777,17 +776,17 @@
 /// asked.
 fn chunks() -> Vec<(u64, Vec<Report>)> {
     let covers = Span::ms(1000);
-    let told = |what| Report { at: Moment::default(), lines: 1.0, what };
+    let told = |what| Report { at: Moment::default(), line_count: 1.0, body: what };
     let met = |zone, replica: u32| {
         let failed = if replica == 3 { 9.0 } else { 0.0 };
         let mean_latency = Span::ms(40);
-        let met = EndpointReport { zone, covers, attempts: 9.0, failed, mean_latency };
-        told(ReportBody::EndpointReport { replica, met, latest: mean_latency })
+        let met = EndpointReport { zone, window: covers, attempts: 9.0, failed, mean_latency };
+        told(ReportBody::Endpoint { replica, report: met, latest_latency: mean_latency })
     };
     let asked = |slice, request_class| {
-        told(ReportBody::DemandReport {
+        told(ReportBody::Demand {
             slice,
-            asked: DemandReport { request_class, covers, came: 9.0, failed: 0.0 },
+            report: DemandReport { request_class, window: covers, requests: 9.0, failed: 0.0 },
         })
     };
     let chunk = |from: u64| {
@@ -850,8 +849,12 @@
     joined(&mut rig);
     rig.news("* GRANT 4 0");
     let fails = |slice| {
-        let asked = DemandReport { request_class: 0, covers: Span::ms(1000), came: 1e6, failed: 1e6 };
-        vec![Report { at: Moment::default(), lines: 1.0, what: ReportBody::DemandReport { slice, asked } }]
+        let asked = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1e6, failed: 1e6 };
+        vec![Report {
+            at: Moment::default(),
+            line_count: 1.0,
+            body: ReportBody::Demand { slice, report: asked },
+        }]
     };
     let before = rig.calls.len();
     for _ in 0..5 {
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -73,10 +73,10 @@
         zone: "a".into(),
         machine: "m".into(),
         state: State::Ready,
-        size: 2.5,
+        weight: 2.5,
         started_ms: 7,
     };
-    assert_eq!(config.known_endpoints, List { version: 41, whole: true, entries: vec![entry] });
+    assert_eq!(config.known_endpoints, List { version: 41, is_complete: true, entries: vec![entry] });
 }
 
 #[test]
@@ -90,15 +90,15 @@
 fn limits_of_sockets_and_memory_are_applied() {
     let one_core = without("/limits", "cores");
     let config = config_from(&one_core).unwrap();
-    assert_eq!(config.line_bytes, 64_000_000 / whinwall_transport::limits::LINES_PART);
-    assert_eq!(config.max_connections, 500 - whinwall_transport::limits::RESERVED);
+    assert_eq!(config.line_bytes, 64_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
+    assert_eq!(config.max_connections, 500 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
 }
 
 #[test]
 fn missing_keys_have_defaults() {
     let config = config_from(&without("", "limits")).unwrap();
-    assert_eq!(config.line_bytes, 192_000_000 / whinwall_transport::limits::LINES_PART);
-    assert_eq!(config.max_connections, 1024 - whinwall_transport::limits::RESERVED);
+    assert_eq!(config.line_bytes, 192_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
+    assert_eq!(config.max_connections, 1024 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
     assert_eq!(config_from(&without("", "known")).unwrap().known_endpoints, List::default());
     let seeds = [json!(255), json!("ff")].map(|seed| {
         let mut file = every_key();
--- a/crates/ingest/src/aggregate.rs
+++ b/crates/ingest/src/aggregate.rs
@@ -36,12 +36,12 @@
         bodies.sort_by_key(subject);
         let mut reports: Vec<Report> = Vec::new();
         for body in bodies {
-            match reports.last_mut().filter(|last| subject(&last.what) == subject(&body)) {
+            match reports.last_mut().filter(|last| subject(&last.body) == subject(&body)) {
                 Some(sum) => {
-                    sum.lines += 1.0;
-                    add(&mut sum.what, body);
+                    sum.line_count += 1.0;
+                    add(&mut sum.body, body);
                 }
-                None => reports.push(Report { at: self.arrived_at, lines: 1.0, what: body }),
+                None => reports.push(Report { at: self.arrived_at, line_count: 1.0, body }),
             }
         }
         reports
@@ -51,8 +51,8 @@
 /// Kind, then replica or slice, then zone or request class, then the length of the window.
 fn subject(report: &ReportBody) -> (u8, u32, usize, Span) {
     match report {
-        ReportBody::EndpointReport { replica, met, .. } => (0, *replica, met.zone, met.covers),
-        ReportBody::DemandReport { slice, asked } => (1, *slice, asked.request_class, asked.covers),
+        ReportBody::Endpoint { replica, report, .. } => (0, *replica, report.zone, report.window),
+        ReportBody::Demand { slice, report } => (1, *slice, report.request_class, report.window),
     }
 }
 
@@ -60,16 +60,16 @@
 fn add(sum: &mut ReportBody, report: ReportBody) {
     match (sum, report) {
         (
-            ReportBody::EndpointReport { met: sum, latest, .. },
-            ReportBody::EndpointReport { met: report, latest: later, .. },
+            ReportBody::Endpoint { report: sum, latest_latency, .. },
+            ReportBody::Endpoint { report, latest_latency: later, .. },
         ) => {
             if succeeded(&report) > 0.0 {
-                *latest = later;
+                *latest_latency = later;
             }
             add_endpoint_report(sum, &report);
         }
-        (ReportBody::DemandReport { asked: sum, .. }, ReportBody::DemandReport { asked: report, .. }) => {
-            sum.came += report.came;
+        (ReportBody::Demand { report: sum, .. }, ReportBody::Demand { report, .. }) => {
+            sum.requests += report.requests;
             sum.failed += report.failed;
         }
         // Reports of different kinds have different subjects.
@@ -94,10 +94,10 @@
 
 /// A single endpoint report, whose mean latency is also its latest.
 pub fn endpoint_report(replica: u32, report: EndpointReport) -> ReportBody {
-    ReportBody::EndpointReport { replica, met: report, latest: report.mean_latency }
+    ReportBody::Endpoint { replica, report, latest_latency: report.mean_latency }
 }
 
 /// A single demand report.
 pub fn demand_report(slice: u32, report: DemandReport) -> ReportBody {
-    ReportBody::DemandReport { slice, asked: report }
+    ReportBody::Demand { slice, report }
 }
