--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -81,7 +81,7 @@
     let figures = Shared::default();
     let _metrics = start.metrics.map(|address| Task::spawn(serve_metrics(address, figures.clone())));
     let mut turn = Loop::new(&start, inbox, figures);
-    tracing::info!("aggregator {} serves at {address}", start.name);
+    tracing::info!(%address, aggregator = start.name, "listening for collectors");
     let mut ticks = interval(Duration::from_nanos(TICK.as_ns()));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
--- a/crates/aggregation/tests/stand_ins/mod.rs
+++ b/crates/aggregation/tests/stand_ins/mod.rs
@@ -175,8 +175,10 @@
 impl Program {
     pub fn start(name: &str, file: &str, discovery: &Discovery, more: &[&str]) -> Self {
         let mut program = Program::launch(name, file, discovery, more);
-        let serves = program.log.wait("the address", |line| line.contains("serves at"));
-        program.address = serves.rsplit(' ').next().unwrap().parse().unwrap();
+        let serves =
+            program.log.wait("the address", |line| line.contains("listening for collectors address="));
+        program.address =
+            serves.split("address=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
         program
     }
 
--- a/crates/controller/src/program/startup.rs
+++ b/crates/controller/src/program/startup.rs
@@ -37,7 +37,7 @@
         Bound::Terminated(termination) => return Ok(termination),
     };
     let address = listener.local_addr().map_err(ServeError::LocalAddress)?;
-    tracing::info!("{} serves at {address}", config.name);
+    tracing::info!(%address, controller = config.name, "listening for collectors");
     let services = OperatorServices::start(&config.name, config.operators.as_ref(), log_format)?;
     Ok(run_incarnations(config, listener, signals, services).await)
 }
--- a/crates/controller/tests/stand_ins/mod.rs
+++ b/crates/controller/tests/stand_ins/mod.rs
@@ -289,8 +289,9 @@
     }
 
     pub fn serves(&mut self) {
-        let serves = self.log.wait("the address", |line: &String| line.contains("serves at"));
-        self.address = serves.rsplit(' ').next().unwrap().parse().unwrap();
+        let serves =
+            self.log.wait("the address", |line: &String| line.contains("listening for collectors address="));
+        self.address = serves.split("address=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
     }
 
     pub fn signal(&self, signal: Signal) {
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -5,6 +5,7 @@
 use super::stand_ins::Addresses;
 use super::tracker::{Condition, Tracker};
 use super::ManyError;
+use crate::process::listening_address;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -74,13 +75,14 @@
         let mut lines = BufReader::new(stderr).lines();
         let address = loop {
             match lines.next_line().await {
-                Ok(Some(line)) if line.contains("serves at") => break line,
-                Ok(Some(_)) => {}
+                Ok(Some(line)) => {
+                    if let Some(address) = listening_address(&line) {
+                        break address;
+                    }
+                }
                 _ => return Err(silent),
             }
         };
-        let address = address.rsplit(' ').next().and_then(|address| address.parse::<SocketAddr>().ok());
-        let Some(address) = address else { return Err(silent) };
         tokio::spawn(drain(lines));
         while ping(address).await.is_err() {
             sleep(PING_AGAIN).await;
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -15,8 +15,13 @@
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const PING_TIMEOUT: Duration = Duration::from_secs(30);
 const CONTROLLER: &str = "whinwall-controller";
-/// What a program of whinwall's logs once it listens; its address follows.
-const SERVES: &str = "serves at ";
+/// What a program of whinwall's logs once it listens; its address follows, up to a blank.
+const LISTENING: &str = "listening for collectors address=";
+
+/// The address in a line of the log that says that a program listens.
+pub(crate) fn listening_address(line: &str) -> Option<SocketAddr> {
+    line.split_once(LISTENING)?.1.split(' ').next()?.trim().parse().ok()
+}
 
 /// Why a process could not be started or observed.
 #[derive(Debug, thiserror::Error)]
@@ -190,7 +195,7 @@
         let end = self.started + START_TIMEOUT;
         let mut last = String::new();
         while let Ok(line) = self.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
-            if let Some(Ok(address)) = line.split(SERVES).nth(1).map(|rest| rest.trim().parse()) {
+            if let Some(address) = listening_address(&line) {
                 return Ok(address);
             }
             last = line;
