--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::level_filters::LevelFilter;
-use whinwall_operator_config::{file, OperatorsFile, Wrong};
+use whinwall_operator_config::{file, OperatorsFile};
 use whinwall_protocol::discovery::List;
 use whinwall_routing::subset::{Fleet, FleetError};
 use whinwall_settings::Settings;
@@ -98,7 +98,7 @@
         /// What the system says.
         source: std::io::Error,
     },
-    /// It is larger than `file::LARGEST` bytes.
+    /// It is larger than `file::MAX_FILE_BYTES` bytes.
     #[error("{}: {bytes} bytes are too many", path.display())]
     TooLarge {
         /// The operators' file.
@@ -107,12 +107,12 @@
         bytes: u64,
     },
     /// Its contents are not valid.
-    #[error("{}: {error}", path.display())]
+    #[error("{}: {source}", path.display())]
     Invalid {
         /// The operators' file.
         path: PathBuf,
         /// The position and what is wrong there.
-        error: Wrong,
+        source: whinwall_operator_config::ConfigError,
     },
 }
 
@@ -244,7 +244,7 @@
     fn changes_that_need_a_restart(&self, new: &Self) -> Vec<&'static str> {
         let has_changed = |key: &&str| new.file.get(key) != self.file.get(key);
         let mut changes: Vec<_> = KEYS_THAT_NEED_A_RESTART.into_iter().filter(has_changed).collect();
-        let store = |config: &Self| config.operators.as_ref().and_then(|file| file.store.clone());
+        let store = |config: &Self| config.operators.as_ref().and_then(|file| file.store_folder.clone());
         if store(new) != store(self) {
             changes.push("operators' file: <store>");
         }
@@ -269,11 +269,11 @@
 pub fn read_operators_file(path: &Path) -> Result<OperatorsFile, OperatorsFileError> {
     let unreadable = |source| OperatorsFileError::Unreadable { path: path.into(), source };
     let bytes = std::fs::metadata(path).map_err(unreadable)?.len();
-    if bytes > file::LARGEST as u64 {
+    if bytes > file::MAX_FILE_BYTES as u64 {
         return Err(OperatorsFileError::TooLarge { path: path.into(), bytes });
     }
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    file::read(&text).map_err(|error| OperatorsFileError::Invalid { path: path.into(), error })
+    file::parse(&text).map_err(|source| OperatorsFileError::Invalid { path: path.into(), source })
 }
 
 /// An unreadable list is no error: discovery sends the current one soon.
@@ -325,7 +325,7 @@
     let operators = environment.operators_file.as_deref().map(read_operators_file).transpose()?;
     // More threads than the platform grants cores would only take turns.
     let granted_cores = file.limits.cores.map_or(usize::MAX, |cores| (cores as usize).max(1));
-    let cores = operators.as_ref().and_then(|file| file.cores).unwrap_or(1).min(granted_cores);
+    let cores = operators.as_ref().and_then(|file| file.max_cores).unwrap_or(1).min(granted_cores);
     // Beside readers the event loop has a second descriptor of each connection.
     let descriptors_per_connection = if cores > 1 { 2 } else { 1 };
     let sockets = file.limits.sockets;
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -144,7 +144,7 @@
     /// Tells the reducer what the operators' file says of overrides, where there is one.
     pub(super) fn apply_override_config(&mut self, config: &ControllerConfig) {
         if let Some(file) = &config.operators {
-            let (bounds, orders) = (file.bounds.clone(), file.overrides.clone());
+            let (bounds, orders) = (file.override_limits.clone(), file.overrides.clone());
             let overrides = OverrideConfig { bounds, orders, has_store: self.services.has_store() };
             self.apply(Event::OperatorConfigChanged(overrides, Clock::read_machine_clocks()));
         }
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use whinwall_ingest::reorder::Ready;
-use whinwall_management_api::ask::{Reply, Request};
+use whinwall_management_api::messages::{Reply, Request};
 use whinwall_management_api::server::PendingRequest;
 use whinwall_override_store::storage_thread::StoreReply;
 use whinwall_policy::time::Moment;
@@ -253,8 +253,9 @@
     }
 
     /// Takes a request of a management client.
-    pub(super) fn receive_management_request(&mut self, (request, client): PendingRequest) {
-        let ticket = self.dispatcher.services.register_client(client);
+    pub(super) fn receive_management_request(&mut self, pending: PendingRequest) {
+        let PendingRequest { request, reply_to } = pending;
+        let ticket = self.dispatcher.services.register_client(reply_to);
         tracing::debug!(?request, "management request");
         let metrics = if request == Request::Metrics { self.encode_metrics() } else { None };
         match metrics {
--- a/crates/controller/src/program/metrics.rs
+++ b/crates/controller/src/program/metrics.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use whinwall_ingest::liveness::ReaderEvent;
 use whinwall_ingest::ReaderId;
-use whinwall_management_api::ask::ReportFreshness;
+use whinwall_management_api::messages::ReportFreshness;
 
 /// Each name begins with it.
 const PREFIX: &str = "whinwall";
--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -5,9 +5,9 @@
 use std::path::PathBuf;
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::sync::oneshot;
-use whinwall_management_api::ask::Reply;
-use whinwall_management_api::server::{self, PendingRequest, Serving};
-use whinwall_operator_config::{Doors, LogForm, OperatorsFile};
+use whinwall_management_api::messages::Reply;
+use whinwall_management_api::server::{self, ManagementServer, PendingRequest};
+use whinwall_operator_config::{ManagementEndpoint, OperatorsFile};
 use whinwall_override_store::storage_thread::{StorageThread, StoreReply};
 use whinwall_override_store::{OverrideStore, WriteBatch};
 use whinwall_overrides::RequestId;
@@ -23,25 +23,24 @@
 pub(super) enum ServiceError {
     #[error("keeper: {0}")]
     StorageThread(#[source] std::io::Error),
-    /// The token file of the management server cannot be used; the text names it.
     #[error("management: token-file: {0}")]
-    Token(String),
+    Token(#[from] server::TokenError),
     #[error("management: {endpoint:?}: {source}")]
-    Management { endpoint: Doors, source: std::io::Error },
+    Management { endpoint: ManagementEndpoint, source: std::io::Error },
 }
 
 /// A running management server.
-struct ManagementServer {
-    endpoint: Doors,
+struct RunningServer {
+    endpoint: ManagementEndpoint,
     /// Ends the server when it is dropped.
-    _server: Serving,
+    _server: ManagementServer,
 }
 
 /// The services, and the queues between their threads and the event loop.
 pub(super) struct OperatorServices {
     storage: Option<StorageThread>,
     pub(super) store_replies: Receiver<StoreReply>,
-    management: Option<ManagementServer>,
+    management: Option<RunningServer>,
     request_sender: Sender<PendingRequest>,
     pub(super) requests: Receiver<PendingRequest>,
     /// Clients that wait for a reply, by ticket.
@@ -59,7 +58,7 @@
     ) -> Result<Self, ServiceError> {
         let (reply_sender, store_replies) = channel(STORE_REPLY_QUEUE);
         let (request_sender, requests) = channel(REQUEST_QUEUE);
-        let folder: Option<PathBuf> = file.and_then(|file| file.store.clone());
+        let folder: Option<PathBuf> = file.and_then(|file| file.store_folder.clone());
         let storage = folder.map(|folder| {
             // Called on the storage thread, which alone waits where the event loop is slow.
             StorageThread::spawn(OverrideStore::new(folder), move |reply| {
@@ -86,7 +85,8 @@
         controller: &str,
         file: Option<&OperatorsFile>,
     ) -> Result<(), ServiceError> {
-        let wants_json = file.is_some_and(|file| file.log == LogForm::Json);
+        let wants_json =
+            file.is_some_and(|file| file.log_format == whinwall_operator_config::LogFormat::Json);
         self.log_format.set(if wants_json { LogFormat::Json } else { LogFormat::Text });
         match file.and_then(|file| file.management.clone()) {
             None => self.management = None,
@@ -98,30 +98,37 @@
 
     /// Whether the server is on this socket already. A server on an address is always restarted, as its token may have
     /// changed in the same file.
-    fn is_serving_socket(&self, endpoint: &Doors) -> bool {
+    fn is_serving_socket(&self, endpoint: &ManagementEndpoint) -> bool {
         let is_same = self.management.as_ref().is_some_and(|server| server.endpoint == *endpoint);
-        is_same && matches!(endpoint, Doors::Socket(_))
+        is_same && matches!(endpoint, ManagementEndpoint::Socket(_))
     }
 
-    fn start_management(&mut self, controller: &str, endpoint: Doors) -> Result<(), ServiceError> {
+    fn start_management(
+        &mut self,
+        controller: &str,
+        endpoint: ManagementEndpoint,
+    ) -> Result<(), ServiceError> {
         let listen_on = match endpoint.clone() {
-            Doors::Socket(path) => server::Doors::Socket(path),
-            Doors::Address { address, token_file } => {
-                let token = server::token(&token_file).map_err(ServiceError::Token)?;
-                server::Doors::Address { address, token }
+            ManagementEndpoint::Socket(path) => server::ListenAddress::Socket(path),
+            ManagementEndpoint::Address { address, token_file } => {
+                let token = server::read_token(&token_file)?;
+                server::ListenAddress::Address { address, token }
             }
         };
         self.management = None; // frees the address of the former server
-        let server = match server::start(listen_on, controller.to_string(), self.request_sender.clone()) {
-            Ok(server) => server,
-            Err(source) => return Err(ServiceError::Management { endpoint, source }),
-        };
-        match (&endpoint, server.address) {
-            (Doors::Socket(path), _) => tracing::info!(socket = %path.display(), "management API listening"),
+        let server =
+            match ManagementServer::start(listen_on, controller.to_string(), self.request_sender.clone()) {
+                Ok(server) => server,
+                Err(source) => return Err(ServiceError::Management { endpoint, source }),
+            };
+        match (&endpoint, server.address()) {
+            (ManagementEndpoint::Socket(path), _) => {
+                tracing::info!(socket = %path.display(), "management API listening")
+            }
             (_, Some(address)) => tracing::info!(%address, "management API listening"),
             (_, None) => {}
         }
-        self.management = Some(ManagementServer { endpoint, _server: server });
+        self.management = Some(RunningServer { endpoint, _server: server });
         Ok(())
     }
 
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -82,7 +82,7 @@
 #[test]
 fn operators_file_is_loaded() {
     let config = read(environment()).unwrap();
-    assert_eq!(config.operators.as_ref().and_then(|file| file.cores), Some(8));
+    assert_eq!(config.operators.as_ref().and_then(|file| file.max_cores), Some(8));
     assert!(config.fleet.is_some());
 }
 
