--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -123,7 +123,7 @@
             };
         match (&endpoint, server.address()) {
             (ManagementEndpoint::Socket(path), _) => {
-                tracing::info!(socket = %path.display(), "management API listening")
+                tracing::info!(socket = %path.display(), "management API listening");
             }
             (_, Some(address)) => tracing::info!(%address, "management API listening"),
             (_, None) => {}
