--- a/crates/cli/src/calls.rs
+++ b/crates/cli/src/calls.rs
@@ -7,10 +7,10 @@
 use futures_util::future::join_all;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use whinwall_controller::program::configuration::{self, Surroundings};
+use whinwall_controller::program::configuration::{self, ProcessEnvironment};
 use whinwall_management_api::client::{Client, Failure};
 use whinwall_management_api::wire::{self, Outcome};
-use whinwall_overrides::record;
+use whinwall_overrides::validation;
 use whinwall_policy::random::Random;
 use whinwall_policy::time::Span;
 
@@ -112,8 +112,7 @@
     let (kind, terms) = what.parts();
     let id = terms.id.unwrap_or_else(drawn_id);
     // Nobody is asked for what all would refuse.
-    record::check(&id, &kind, &terms.author, &terms.reason)
-        .map_err(|(part, why)| format!("{part}: {why}"))?;
+    validation::validate(&id, &kind, &terms.author, &terms.reason).map_err(|invalid| invalid.to_string())?;
     let set = wire::set_of(&kind, &terms.author, &terms.reason, terms.lasts);
     let said = at_each(reach, async |client| client.set(&id, &set).await)?;
     let went = show_outcomes(&said);
@@ -160,10 +159,11 @@
     let mut went = Went::Well;
     for file in files {
         let checked = match file.extension().is_some_and(|ending| ending == "xml") {
-            true => configuration::operators(file).map(|_| ()),
+            true => configuration::read_operators_file(file).map(|_| ()).map_err(|error| error.to_string()),
             false => {
-                let around = Surroundings { file: Some(file.clone()), ..Surroundings::default() };
-                configuration::read(around).map(|_| ())
+                let environment =
+                    ProcessEnvironment { config_file: Some(file.clone()), ..ProcessEnvironment::default() };
+                configuration::load(environment).map(|_| ()).map_err(|error| error.to_string())
             }
         };
         match checked {
--- /dev/null
+++ b/crates/overrides/tests/controller.rs
@@ -0,0 +1,349 @@
+//! The override controller: requests, writes to the store and their failures, clears meanwhile, restarts, retries.
+
+use quickcheck::{Arbitrary, Gen};
+use std::collections::BTreeMap;
+use whinwall_overrides::{
+    encoding, ChangeReply, ChangeRequest, ClockReading, ClockStamp, ConfiguredOverride, Durability,
+    NewOverride, OverrideController, OverrideEffect, OverrideError, OverrideKind, OverrideLimits, RequestId,
+};
+use whinwall_policy::time::{Moment, Span};
+
+fn at(ms: u64) -> Moment {
+    Moment::at_ns((1_800_000_000_000 + ms) * 1_000_000)
+}
+
+fn reading(ms: u64) -> ClockReading {
+    ClockReading { boot_id: "a".into(), uptime: Span::ms(ms), wall_time: at(ms) }
+}
+
+fn out(id: &str, replica: &str, duration_ms: u64) -> NewOverride {
+    let (kind, duration) = (OverrideKind::Out { replica: replica.into() }, Span::ms(duration_ms));
+    NewOverride { id: id.into(), kind, author: "mb".into(), reason: "disk".into(), duration }
+}
+
+fn set(id: &str) -> ChangeRequest {
+    ChangeRequest::Set(out(id, &format!("s-{id}"), 60_000))
+}
+
+fn limits() -> OverrideLimits {
+    OverrideLimits { max_active: 300, ..OverrideLimits::default() }
+}
+
+/// A controller with a store whose writes succeed or fail as the test says.
+struct Harness {
+    controller: OverrideController,
+    stored: BTreeMap<u64, Vec<u8>>,
+    stamp: Option<Vec<u8>>,
+    now_ms: u64,
+    replies: BTreeMap<RequestId, ChangeReply>,
+    logged: Vec<String>,
+    pending_save: Option<(u64, OverrideEffect)>,
+}
+
+impl Harness {
+    fn in_memory() -> Self {
+        Harness::new(OverrideController::in_memory(at(0), &reading(0), limits()))
+    }
+
+    fn with_unread_store() -> Self {
+        Harness::new(OverrideController::with_store(at(0), &reading(0), limits()))
+    }
+
+    fn new(controller: OverrideController) -> Self {
+        Harness {
+            controller,
+            stored: BTreeMap::new(),
+            stamp: None,
+            now_ms: 0,
+            replies: BTreeMap::new(),
+            logged: Vec::new(),
+            pending_save: None,
+        }
+    }
+
+    fn with_store_read() -> Self {
+        let mut harness = Harness::with_unread_store();
+        harness.read_store();
+        harness
+    }
+
+    fn read_store(&mut self) {
+        let records: Vec<_> = self.stored.iter().map(|(n, bytes)| (*n, bytes.clone())).collect();
+        self.controller.handle_store_read(
+            at(self.now_ms),
+            &reading(self.now_ms),
+            self.stamp.as_deref(),
+            &records,
+        );
+        self.take_effects();
+    }
+
+    /// Kills the program and starts it again with what is stored.
+    fn restart(&mut self) {
+        let fresh = Harness::with_unread_store();
+        (self.controller, self.pending_save) = (fresh.controller, None);
+        self.read_store();
+    }
+
+    fn take_effects(&mut self) {
+        for effect in self.controller.take_effects() {
+            match effect {
+                OverrideEffect::Save { serial, .. } => {
+                    assert!(self.pending_save.replace((serial, effect)).is_none(), "one write at a time");
+                }
+                OverrideEffect::Reply { request_id, reply } => {
+                    assert!(self.replies.insert(request_id, reply).is_none(), "{request_id} has two replies");
+                }
+                OverrideEffect::Log(event) => self.logged.push(event.to_string()),
+            }
+        }
+    }
+
+    fn request(&mut self, request_id: RequestId, request: ChangeRequest) {
+        self.controller.handle_request(at(self.now_ms), request_id, request);
+        self.take_effects();
+    }
+
+    /// Stores the pending write without an outcome; returns its serial number.
+    fn store_pending(&mut self) -> Option<u64> {
+        let (serial, effect) = self.pending_save.take()?;
+        let OverrideEffect::Save { writes, removals, timeline, .. } = effect else { panic!("a write") };
+        self.stored.extend(writes);
+        self.stored.retain(|number, _| !removals.contains(number));
+        let stamp =
+            ClockStamp { reading: reading(self.now_ms), position: timeline.to_persistent(at(self.now_ms)) };
+        self.stamp = Some(encoding::encode_stamp(&stamp));
+        Some(serial)
+    }
+
+    /// The pending write succeeds; false where there is none.
+    fn complete_save(&mut self) -> bool {
+        let serial = self.store_pending();
+        self.report_outcome(serial, Ok(()))
+    }
+
+    /// The pending write fails and stores nothing; false where there is none.
+    fn fail_save(&mut self) -> bool {
+        let serial = self.pending_save.take().map(|(serial, _)| serial);
+        self.report_outcome(serial, Err("full".into()))
+    }
+
+    fn report_outcome(&mut self, serial: Option<u64>, outcome: Result<(), String>) -> bool {
+        let Some(serial) = serial else { return false };
+        self.controller.handle_save_outcome(at(self.now_ms), serial, outcome);
+        self.take_effects();
+        true
+    }
+
+    fn advance(&mut self, ms: u64) {
+        self.now_ms += ms;
+        if self.controller.next_tick_at().is_some_and(|due| due <= at(self.now_ms)) {
+            self.controller.tick(at(self.now_ms));
+            self.take_effects();
+        }
+    }
+
+    fn active_ids(&self) -> Vec<&str> {
+        self.controller.registry().active().map(|one| one.id.as_str()).collect()
+    }
+
+    /// The active overrides that a restart would find.
+    fn stored_ids(&self) -> Vec<String> {
+        let mut other = Harness::with_unread_store();
+        (other.stored, other.stamp, other.now_ms) = (self.stored.clone(), self.stamp.clone(), self.now_ms);
+        other.read_store();
+        other.active_ids().into_iter().map(str::to_string).collect()
+    }
+}
+
+#[test]
+fn override_is_active_once_it_is_stored() {
+    let mut harness = Harness::with_store_read();
+    harness.request(1, set("a"));
+    assert!(harness.active_ids().is_empty() && harness.replies.is_empty());
+    assert!(!harness.controller.take_changed() || harness.active_ids().is_empty());
+    harness.complete_save();
+    assert_eq!(harness.active_ids(), ["a"]);
+    assert!(harness.controller.take_changed());
+    assert!(matches!(
+        harness.replies[&1],
+        ChangeReply::Set { is_repeat: false, durability: Durability::OnDisk, .. }
+    ));
+    harness.request(2, set("a"));
+    assert!(matches!(harness.replies[&2], ChangeReply::Set { is_repeat: true, .. }));
+    harness.request(3, ChangeRequest::Set(out("a", "other", 60_000)));
+    assert_eq!(harness.replies[&3], ChangeReply::Rejected(OverrideError::IdInUse { id: "a".into() }));
+}
+
+#[test]
+fn failed_write_changes_nothing_even_if_it_was_stored() {
+    let mut harness = Harness::with_store_read();
+    harness.request(1, set("a"));
+    harness.fail_save();
+    assert_eq!(harness.replies[&1], ChangeReply::NotStored("full".into()));
+    assert!(harness.active_ids().is_empty());
+    // Stored although the write failed: the next write removes it.
+    harness.request(2, set("b"));
+    let serial = harness.store_pending().unwrap();
+    harness.controller.handle_save_outcome(at(harness.now_ms), serial, Err("flush".into()));
+    harness.take_effects();
+    assert_eq!(harness.stored_ids(), ["b"], "stored until then");
+    harness.advance(5000);
+    assert!(harness.complete_save(), "retried without a request");
+    assert!(harness.stored_ids().is_empty() && harness.active_ids().is_empty());
+    assert!(harness.logged.iter().any(|line| line.contains("override store recovered")));
+    harness.request(3, set("b"));
+    harness.complete_save();
+    assert_eq!(harness.stored_ids(), ["b"]);
+}
+
+#[test]
+fn clearing_and_expiry_do_not_wait_for_the_store() {
+    let mut harness = Harness::with_store_read();
+    for (request_id, id) in [(1, "a"), (2, "b")] {
+        harness.request(request_id, set(id));
+        harness.complete_save();
+    }
+    // The write of a third override hangs.
+    harness.request(3, set("c"));
+    harness.request(4, ChangeRequest::Clear { id: "a".into(), by: "mb".into() });
+    assert_eq!(harness.active_ids(), ["b"], "at once");
+    harness.advance(60_000);
+    assert!(harness.active_ids().is_empty(), "expired while the write hangs");
+    assert!(!harness.replies.contains_key(&4), "no reply before the end is stored");
+    harness.fail_save();
+    assert!(matches!(harness.replies[&3], ChangeReply::NotStored(_)));
+    harness.fail_save();
+    assert!(matches!(harness.replies[&4], ChangeReply::Cleared { durability: Durability::Pending(_), .. }));
+    harness.advance(5000);
+    while harness.complete_save() {}
+    assert!(harness.stored_ids().is_empty());
+}
+
+#[test]
+fn requests_are_rejected_before_the_store_is_read_and_beyond_the_queue() {
+    let mut harness = Harness::with_unread_store();
+    harness.request(1, set("a"));
+    assert!(matches!(harness.replies[&1], ChangeReply::NotStored(_)), "not read yet");
+    harness.controller.handle_store_unavailable("in use");
+    harness.controller.handle_store_unavailable("in use");
+    harness.take_effects();
+    assert_eq!(harness.logged.len(), 1, "logged once: {:?}", harness.logged);
+    harness.read_store();
+    for request_id in 10..300 {
+        harness.request(request_id, set(&request_id.to_string()));
+    }
+    let busy = harness.replies.values().filter(|reply| **reply == ChangeReply::Busy).count();
+    assert_eq!(busy, 290 - 256 - 1, "one is being written, 256 are queued");
+    while harness.complete_save() {}
+    assert_eq!(harness.active_ids().len(), 257);
+}
+
+#[test]
+fn expiries_of_many_overrides_are_one_write() {
+    let mut harness = Harness::with_store_read();
+    for n in 0..300 {
+        harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), &format!("s-{n}"), 60_000)));
+        harness.complete_save();
+    }
+    harness.advance(60_000);
+    assert!(harness.active_ids().is_empty());
+    assert!(harness.complete_save());
+    assert!(!harness.complete_save(), "no second write");
+    assert_eq!(harness.controller.next_tick_at(), None, "nothing more to do");
+}
+
+#[test]
+fn configured_overrides_are_active_before_and_after_the_store_is_read() {
+    let mut harness = Harness::with_store_read();
+    harness.request(1, set("a"));
+    harness.complete_save();
+    harness.restart();
+    let file = |expires_at_ms| {
+        let NewOverride { id, kind, author, reason, .. } = out("f-1", "s-9", 0);
+        vec![ConfiguredOverride { id, kind, author, reason, expires_at: at(expires_at_ms) }]
+    };
+    let mut fresh = Harness::with_unread_store();
+    (fresh.stored, fresh.stamp) = (harness.stored.clone(), harness.stamp.clone());
+    fresh.controller.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
+    assert_eq!(fresh.active_ids(), ["f-1"]);
+    fresh.controller.handle_store_unavailable("in use");
+    fresh.read_store();
+    assert_eq!(fresh.active_ids(), ["a", "f-1"], "{:?}", fresh.logged);
+    while fresh.complete_save() {}
+    assert_eq!(fresh.stored_ids(), ["a", "f-1"]);
+    // The wall clock went forward by 20 s: the file's override expires in 10 s, the other one in 60 s.
+    fresh.controller.handle_wall_clock_step(at(0), at(20_000));
+    fresh.advance(10_000);
+    assert_eq!(fresh.active_ids(), ["a"]);
+}
+
+#[test]
+fn without_a_store_requests_are_carried_out_at_once_and_nothing_accumulates() {
+    let mut harness = Harness::in_memory();
+    for n in 0..500 {
+        harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), "s-1", 1000)));
+        harness.advance(1000);
+    }
+    assert!(matches!(harness.replies[&7], ChangeReply::Set { durability: Durability::InMemory, .. }));
+    assert!(harness.pending_save.is_none() && harness.controller.registry().unsaved().is_empty());
+    assert!(harness.controller.registry().listed().count() <= 301);
+}
+
+/// A random history of requests, writes that succeed, fail or fail after they were stored, time, and restarts.
+#[derive(Clone, Debug)]
+struct History(Vec<(u8, u8)>);
+
+impl Arbitrary for History {
+    fn arbitrary(gen: &mut Gen) -> Self {
+        History((0..60).map(|_| (u8::arbitrary(gen), u8::arbitrary(gen))).collect())
+    }
+}
+
+#[test]
+fn active_overrides_are_stored_and_failed_ones_are_not_restored() {
+    fn holds(history: History) -> bool {
+        let mut harness = Harness::with_store_read();
+        for (n, (choice, figure)) in history.0.into_iter().enumerate() {
+            let request_id = n as u64;
+            match choice % 8 {
+                0..=2 => {
+                    harness.request(request_id, set(&format!("o{}", figure % 12)));
+                }
+                3 => {
+                    let id = format!("o{}", figure % 12);
+                    harness.request(request_id, ChangeRequest::Clear { id, by: "mb".into() });
+                }
+                4 | 5 => _ = harness.complete_save(),
+                6 => match figure % 3 {
+                    0 => _ = harness.fail_save(),
+                    1 => {
+                        if let Some(serial) = harness.store_pending() {
+                            harness.controller.handle_save_outcome(
+                                at(harness.now_ms),
+                                serial,
+                                Err("flush".into()),
+                            );
+                            harness.take_effects();
+                        }
+                    }
+                    _ => harness.advance(u64::from(figure) * 100),
+                },
+                _ => harness.restart(),
+            }
+            for entry in harness.controller.registry().active() {
+                assert!(entry.expires_at > at(harness.now_ms), "{} is active after its expiry", entry.id);
+            }
+            let stored_ids = harness.stored_ids();
+            for id in harness.active_ids() {
+                assert!(stored_ids.iter().any(|stored| stored == id), "{id} is active and not stored");
+            }
+        }
+        // Once writes succeed again, the store holds the active overrides.
+        while harness.complete_save() {}
+        harness.advance(5001);
+        while harness.complete_save() {}
+        harness.stored_ids() == harness.active_ids()
+    }
+    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(History) -> bool);
+}
--- a/crates/routing/src/log_event.rs
+++ b/crates/routing/src/log_event.rs
@@ -2,6 +2,7 @@
 
 use crate::source_failures::Source;
 use std::fmt;
+use whinwall_overrides::StoreEvent;
 use whinwall_policy::time::Span;
 
 /// A line for the log. Its text is a constant message with fields.
@@ -59,8 +60,8 @@
         /// What is wrong with them.
         reason: String,
     },
-    /// A line about overrides.
-    Override(String),
+    /// An event of the override store.
+    Override(StoreEvent),
     /// A replica is ejected as an outlier.
     ReplicaEjected {
         /// Its name.
@@ -117,7 +118,7 @@
             LogEvent::OverrideConfigRejected { reason } => {
                 write!(f, "override configuration rejected reason={reason:?}")
             }
-            LogEvent::Override(text) => f.write_str(text),
+            LogEvent::Override(event) => event.fmt(f),
             LogEvent::ReplicaEjected { replica, reason } => {
                 write!(f, "replica ejected replica={replica} reason={reason:?}")
             }
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -114,16 +114,22 @@
             Event::OperatorConfigChanged(config, reading) => self.overrides_configured(now, config, &reading),
             Event::ManagementRequest { ticket, request } => self.management_requested(now, ticket, request),
             Event::StoreRead { records, stamp, reading } => self.change_overrides(now, |overrides| {
-                overrides.clerk.restored(now, &reading, stamp.as_deref(), &records);
+                overrides.controller.handle_store_read(now, &reading, stamp.as_deref(), &records);
             }),
             Event::StoreNotRead(reason) => {
-                self.change_overrides(now, |overrides| overrides.clerk.not_read(&reason));
+                self.change_overrides(now, |overrides| {
+                    overrides.controller.handle_store_unavailable(&reason)
+                });
             }
             Event::Saved { serial, outcome } => {
-                self.change_overrides(now, |overrides| overrides.clerk.kept(now, serial, outcome));
+                self.change_overrides(now, |overrides| {
+                    overrides.controller.handle_save_outcome(now, serial, outcome);
+                });
             }
             Event::WallStepped(wall) => {
-                self.change_overrides(now, |overrides| overrides.clerk.wall_told(now, wall));
+                self.change_overrides(now, |overrides| {
+                    overrides.controller.handle_wall_clock_step(now, wall)
+                });
             }
             Event::InputDrained => self.input_drained(now),
         }
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -5,19 +5,21 @@
 use crate::overrides::Overrides;
 use crate::subset::Subsets;
 use whinwall_management_api::ask::{Reply, Request, Status};
-use whinwall_overrides::{Refused, Ticket};
+use whinwall_overrides::{OverrideError, RequestId};
 use whinwall_policy::time::Moment;
 
 impl Reducer {
-    pub(super) fn management_requested(&mut self, now: Moment, ticket: Ticket, request: Request) {
+    pub(super) fn management_requested(&mut self, now: Moment, ticket: RequestId, request: Request) {
         let reply = match (request, &self.overrides) {
             (Request::Change(ask), Some(_)) => {
-                return self.change_overrides(now, |overrides| overrides.clerk.ask(now, ticket, ask));
+                return self.change_overrides(now, |overrides| {
+                    overrides.controller.handle_request(now, ticket, ask)
+                });
             }
-            (Request::Change(_), None) => Reply::Refused(Refused::Full { most: 0 }),
+            (Request::Change(_), None) => Reply::Refused(OverrideError::LimitReached { limit: 0 }),
             (Request::List, overrides) => {
                 let list = |overrides: &Overrides| {
-                    let listed = overrides.clerk.book().listed();
+                    let listed = overrides.controller.registry().listed();
                     listed.map(|one| overrides.shown(&self.policy, one)).collect()
                 };
                 Reply::Listed { all: overrides.as_ref().map_or_else(Vec::new, list), now }
@@ -30,7 +32,7 @@
     }
 
     fn status(&self, now: Moment) -> Status {
-        let book = self.overrides.as_ref().map(|overrides| overrides.clerk.book());
+        let registry = self.overrides.as_ref().map(|overrides| overrides.controller.registry());
         let failing = self.failures.iter().map(|(source, count)| (source.status_name(), count));
         Status {
             now,
@@ -40,8 +42,8 @@
             replicas: self.names.len(),
             failing: failing.collect(),
             orders_open: !self.commands.outbox.is_empty(),
-            standing: book.map_or(0, |book| book.standing().count()),
-            listed: book.map_or(0, |book| book.listed().count()),
+            standing: registry.map_or(0, |registry| registry.active().count()),
+            listed: registry.map_or(0, |registry| registry.listed().count()),
             subsetting: self.subsets.as_ref().map(Subsets::status),
             reports: self.report_freshness(now),
         }
--- a/crates/routing/src/reducer/overrides.rs
+++ b/crates/routing/src/reducer/overrides.rs
@@ -5,17 +5,27 @@
 use crate::log_event::LogEvent;
 use crate::overrides::{OverrideConfig, Overrides};
 use whinwall_management_api::ask::Reply;
-use whinwall_overrides::{Act, Reading};
+use whinwall_overrides::{ClockReading, OverrideEffect};
 use whinwall_policy::time::Moment;
 
 impl Reducer {
     /// Takes over the overrides of the operators' file. Where they cannot be used nothing changes, as with the rest of
     /// the file.
-    pub(super) fn overrides_configured(&mut self, now: Moment, config: OverrideConfig, reading: &Reading) {
+    pub(super) fn overrides_configured(
+        &mut self,
+        now: Moment,
+        config: OverrideConfig,
+        reading: &ClockReading,
+    ) {
         self.overrides.get_or_insert_with(|| Overrides::start(now, reading, &config));
         let mut rejected = None;
         self.change_overrides(now, |overrides| {
-            let result = overrides.clerk.file_said(now, reading.wall, config.bounds, config.orders);
+            let result = overrides.controller.apply_configuration(
+                now,
+                reading.wall_time,
+                config.bounds,
+                config.orders,
+            );
             rejected = result.err();
         });
         if let Some(error) = rejected {
@@ -28,16 +38,18 @@
         let Some(mut overrides) = self.overrides.take() else { return };
         change(&mut overrides);
         overrides.apply_to_policy(now, &self.names, &mut self.policy);
-        for act in overrides.clerk.acts() {
-            self.effects.push(match act {
-                Act::Keep { serial, puts, drops, line } => Effect::Save { serial, puts, drops, line },
-                Act::Note(text) => Effect::Log(LogEvent::Override(text)),
-                Act::Answer { ticket, answer } => {
+        for effect in overrides.controller.take_effects() {
+            self.effects.push(match effect {
+                OverrideEffect::Save { serial, writes, removals, timeline } => {
+                    Effect::Save { serial, puts: writes, drops: removals, line: timeline }
+                }
+                OverrideEffect::Log(event) => Effect::Log(LogEvent::Override(event)),
+                OverrideEffect::Reply { request_id, reply } => {
                     let shown = |number| {
-                        let one = overrides.clerk.book().number(number)?;
+                        let one = overrides.controller.registry().get_by_number(number)?;
                         Some(overrides.shown(&self.policy, one))
                     };
-                    Effect::Reply { ticket, reply: Reply::of(answer, now, shown) }
+                    Effect::Reply { ticket: request_id, reply: Reply::of(reply, now, shown) }
                 }
             });
         }
