--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -186,7 +186,7 @@
             Effect::Save { serial, puts, drops, line } => self.save(serial, puts, drops, &line),
             Effect::Reply { ticket, reply } => self.services.reply(ticket, reply),
             Effect::WakeAt(at) => self.wake_at = Some(at),
-            Effect::Log(text) => tracing::info!("{text}"),
+            Effect::Log(event) => tracing::info!("{event}"),
         }
     }
 
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -188,7 +188,7 @@
     pub(super) fn supervise_readers(&mut self) {
         let Some(readers) = &self.readers else { return };
         let version = readers.pool.borrow().names_version();
-        if let Some(names) = self.dispatcher.reducer.known(Some(version)) {
+        if let Some(names) = self.dispatcher.reducer.report_names(Some(version)) {
             readers.pool.borrow().publish_names(names);
         }
         let now = self.dispatcher.clock.now();
--- a/crates/controller/src/program/reader.rs
+++ b/crates/controller/src/program/reader.rs
@@ -13,7 +13,7 @@
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::{self, Message};
 use whinwall_protocol::InvalidMessage;
-use whinwall_routing::known::Known;
+use whinwall_routing::report_names::ReportNames;
 use whinwall_runtime::clock::Clock;
 use whinwall_transport::connection::{self, AcceptedConnection, ChunkSender};
 use whinwall_transport::{Bounds, Chunk, ChunkInfo, ConnectionCommand, InputSender};
@@ -74,7 +74,7 @@
 pub(super) struct ReaderContext {
     pub(super) clock: Clock,
     pub(super) bounds: Bounds,
-    pub(super) names: watch::Receiver<Arc<Known>>,
+    pub(super) names: watch::Receiver<Arc<ReportNames>>,
     /// Both ends of the queue of chunks.
     pub(super) chunks: async_channel::Receiver<Chunk>,
     pub(super) chunk_queue: ChunkSender,
@@ -142,7 +142,7 @@
 fn decode_lines(
     lines: &[u8],
     arrived_at: Moment,
-    names: &Known,
+    names: &ReportNames,
     hook: impl Fn(ReaderStage),
 ) -> Vec<BatchItem> {
     hook(ReaderStage::ChunkTaken);
@@ -160,7 +160,7 @@
             items.push(BatchItem::Invalid(InvalidMessage::not_utf8()));
             continue;
         };
-        if let Some(report) = collector::decode_report(line).and_then(|report| names.numbered(&report)) {
+        if let Some(report) = collector::decode_report(line).and_then(|report| names.resolve(&report)) {
             reports.add(report);
             continue;
         }
--- a/crates/controller/src/program/reader_pool.rs
+++ b/crates/controller/src/program/reader_pool.rs
@@ -16,7 +16,7 @@
 use whinwall_ingest::reorder::{Ready, ReorderBuffer};
 use whinwall_ingest::ReaderId;
 use whinwall_policy::time::{Moment, Span};
-use whinwall_routing::known::Known;
+use whinwall_routing::report_names::ReportNames;
 use whinwall_runtime::clock::Clock;
 use whinwall_transport::connection::{AcceptedConnection, ChunkSender};
 use whinwall_transport::{limits, listener, Bounds, ConnectionId, InputSender};
@@ -64,7 +64,7 @@
     reorder: ReorderBuffer<ReportBatch>,
     /// A second descriptor of each connection, which can be closed though its reader has stopped.
     sockets: BTreeMap<ConnectionId, std::net::TcpStream>,
-    names: watch::Sender<Arc<Known>>,
+    names: watch::Sender<Arc<ReportNames>>,
 }
 
 /// How much a pool holds.
@@ -123,7 +123,7 @@
         let PoolConfig { readers, clock, bounds, inbox, metrics, hook } = config;
         let (chunk_sender, chunks) = async_channel::bounded(limits::MAX_QUEUED_CHUNKS);
         let (batches, batch_receiver) = mpsc::channel(BATCH_QUEUE);
-        let (names, names_receiver) = watch::channel(Arc::new(Known::default()));
+        let (names, names_receiver) = watch::channel(Arc::new(ReportNames::default()));
         let context = ReaderContext {
             clock,
             bounds,
@@ -192,13 +192,13 @@
     }
 
     /// Gives the readers new names to decode with.
-    pub fn publish_names(&self, names: Known) {
+    pub fn publish_names(&self, names: ReportNames) {
         self.names.send_replace(Arc::new(names));
     }
 
     /// The version of the names that the readers decode with.
     pub fn names_version(&self) -> u64 {
-        self.names.borrow().changes
+        self.names.borrow().version
     }
 
     /// Takes a batch from a reader, and returns those of its connection that are ready, in order.
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -17,7 +17,7 @@
 use whinwall_ingest::reorder::Ready;
 use whinwall_policy::api::ReportBody;
 use whinwall_protocol::collector::Message;
-use whinwall_routing::known::Known;
+use whinwall_routing::report_names::ReportNames;
 use whinwall_runtime::clock::Clock;
 use whinwall_transport::listener;
 use whinwall_transport::{Bounds, ConnectionCommand, ConnectionId, Input};
@@ -108,7 +108,7 @@
                 let (pool, mut batches) = ReaderPool::start(config).unwrap();
                 let replicas = (0..10).map(|n| (format!("s-{n}"), n)).collect();
                 let (zones, request_classes) = (vec!["north".into()], vec!["lookup".into()]);
-                pool.publish_names(Known { zones, request_classes, replicas, changes: 1 });
+                pool.publish_names(ReportNames { zones, request_classes, replicas, version: 1 });
                 let owner = OwnerState { pool: Rc::new(RefCell::new(pool)), counted: into_counted };
                 actix_rt::spawn(listener::listen(listener, bounds, PoolHandle(owner.pool.clone())));
                 let mut looks = tokio::time::interval(Duration::from_millis(100));
