--- a/crates/controller/tests/crossings.rs
+++ b/crates/controller/tests/crossings.rs
@@ -40,20 +40,20 @@
 /// Each attempt at a call whose answer is lost may have been carried out, and then it is one more message to every
 /// proxy (rule 5): no more of them than the window allows, however long the relay is mute.
 #[test]
-fn repeats_of_unknown_outcome_keep_the_message_cap() {
+fn resends_of_unknown_outcome_keep_the_message_cap() {
     keeps_the_message_cap(12, Span::ms(100), || UNKNOWN);
 }
 
 /// A relay that takes one order at a time makes each rest a message of its own.
 #[test]
-fn answers_that_are_short_keep_the_message_cap() {
+fn partially_accepted_requests_keep_the_message_cap() {
     keeps_the_message_cap(60, Span::ms(50), || Event::RelayReply(Ok(Response::Accepted(1))));
 }
 
 /// A proxy whose acks are held up holds the former table, and writes by it: no new owner before it has acked that its requests
 /// are held back, however long that takes (rule 2).
 #[test]
-fn a_single_writer_changes_hands_only_once_all_have_acked() {
+fn single_writer_is_replaced_only_once_all_proxies_have_acknowledged() {
     let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).set_going();
     rig.pass(10_000);
     let before = rig.calls.len();
@@ -71,7 +71,7 @@
 /// A proxy that we never met may have been joined to the former controller of a slice until it was given to us, and writes
 /// by its table for the tenure.
 #[test]
-fn a_single_writer_given_to_us_keeps_its_owner_for_the_tenure() {
+fn granted_single_writer_slice_keeps_its_owner_for_the_tenure() {
     let tenure = 4000;
     let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).set_going();
     rig.pass(20_000);
@@ -92,7 +92,7 @@
 /// Drain after drain, each of several stages, under a cap on messages: what drains is held back within the grace, though
 /// all other orders would use the cap up (kitchen-help, herd+mass 21: one controller said nothing for 4.8 s).
 #[test]
-fn drains_that_follow_each_other_find_a_message_within_the_grace() {
+fn consecutive_drains_get_a_message_within_the_grace() {
     let grace = Span::ms(2000);
     let mut rig = Rig::with(60, |settings| {
         settings["familyInfo"]["singleWriter"] = json!(true);
@@ -119,7 +119,7 @@
 /// Where one owner writes nothing is ever withdrawn: to let all replicas in after a restart took the channel from what
 /// had to be held back (kitchen-help, roll+mass 21: four messages of 80 lines).
 #[test]
-fn a_single_writers_restart_lets_in_nobody() {
+fn restart_of_a_single_writer_admits_no_other() {
     let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true));
     rig.list();
     rig.news("OK");
@@ -134,7 +134,7 @@
 /// orders for ever (regina-rating, roll+silent+mass 524: a controller that had come back ordered nothing from 13.0 s to the
 /// end of the day).
 #[test]
-fn acks_lost_with_the_news_leave_room_for_what_drains() {
+fn lost_acknowledgements_leave_capacity_for_drains() {
     let grace = 1500;
     let mut rig = Rig::with(300, |settings| {
         settings["familyInfo"]["queueCap"] = json!(400);
@@ -164,7 +164,7 @@
 /// acks it; a call for it whose outcome was unknown held up all orders for three seconds, for it did not fit twice any more
 /// once further proxies had joined (regina-rating, roll+silent+mass 524: no call from 15.8 s to 18.8 s).
 #[test]
-fn lifts_of_a_controller_without_slices_hold_up_no_drain() {
+fn reinstatements_without_slices_delay_no_drain() {
     let grace = Span::ms(1500);
     let mut rig = Rig::with(20, |settings| {
         settings["familyInfo"]["partitionsN"] = json!(100);
@@ -225,7 +225,7 @@
 
 /// After a move the agent is behind: its whole list is from before a drain and a new replica.
 #[test]
-fn an_agent_that_is_behind_takes_nothing_back() {
+fn lagging_agent_takes_nothing_back() {
     let mut rig = Rig::serving();
     rig.pass(5000);
     rig.drain("s-2");
@@ -252,7 +252,7 @@
 
 /// One that stays below the version held has begun its count anew: the whole list is asked for, and believed.
 #[test]
-fn a_count_that_began_anew_is_believed_after_a_while() {
+fn restarted_list_version_is_believed_after_the_lag_timeout() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     rig.pass(1000);
@@ -271,7 +271,7 @@
 
 /// Controllers whose ways broke at the same instant must not come again together each time.
 #[test]
-fn pauses_are_drawn_from_the_seed() {
+fn backoff_is_drawn_from_the_seed() {
     let wakes = |seed| {
         let mut rig = Rig::with_seed(12, seed, |_| {}).set_going();
         (0..8)
@@ -291,7 +291,7 @@
 
 /// Another customer's words for request classes, places and kinds of machine: the same happens, and the same is ordered.
 #[test]
-fn names_decide_nothing() {
+fn replica_names_do_not_influence_decisions() {
     let played = |request_classes: [&str; 2], zones: [&str; 3], machine: &str| {
         let mut rig = Rig::with(12, |settings| {
             settings["classes"][0]["name"] = json!(request_classes[0]);
@@ -499,7 +499,7 @@
 }
 
 #[test]
-fn whatever_crosses_calls_keep_their_order_and_their_slices() {
+fn requests_keep_their_order_and_slices_under_drawn_crossings() {
     for seed in 0..240 {
         let events = Events::arbitrary(&mut Gen::from_size_and_seed(160, seed));
         let rig = Rig::with(12, |settings| {
@@ -547,7 +547,7 @@
 /// A new owner takes the place of the former in the store, so it does in what we believe of it: else each break of the news
 /// made all moved slices new to us, and forgot what is held back.
 #[test]
-fn a_single_writers_tables_are_known_again_after_a_break_of_the_news() {
+fn single_writer_tables_are_known_again_after_a_broken_watch() {
     let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).set_going();
     rig.pass(10_000);
     rig.drain("s-2");
@@ -562,7 +562,7 @@
 
 /// A slice of ours whose table is another after a break: nobody knows its levels, so they are told anew.
 #[test]
-fn a_table_that_changed_while_the_news_was_broken_has_its_levels_told_anew() {
+fn table_changed_during_a_broken_watch_gets_its_admission_resent() {
     let mut rig = Rig::serving();
     rig.pass(5000);
     let before = rig.calls.len();
@@ -577,7 +577,7 @@
 
 /// An order that is skipped stands with us and not in the store; but one that can't be used is not tried for ever.
 #[test]
-fn what_is_skipped_has_the_store_read_anew_once() {
+fn skipped_command_has_the_store_read_again_once() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     rig.follows.clear();
@@ -599,7 +599,7 @@
 /// A call is reset under way and said again: of the first nothing was carried out, so that its copies are never acked. What
 /// drains then must not wait until they are given up (kitchen-help, soak: 44.85 s to 49.0 s without a call).
 #[test]
-fn copies_that_were_never_carried_out_hold_up_no_drain() {
+fn resends_that_were_never_applied_delay_no_drain() {
     let mut rig = Rig::with(60, |settings| {
         settings["familyInfo"]["singleWriter"] = json!(true);
         settings["familyInfo"]["fixedCost"] = json!(30);
@@ -630,7 +630,7 @@
 /// left under the cap: what is held back for them, more each time than fits twice into the channel, is so within the
 /// grace (kitchen-help, herd+mass 501: 396 slices in 1.8 s at 94 a message, the last ones after 4.2 s of 3.7).
 #[test]
-fn drains_of_slices_that_killed_controllers_leave_us_find_messages_within_the_grace() {
+fn drains_of_slices_from_killed_controllers_get_messages_within_the_grace() {
     const OWN: u32 = 200;
     let grace = Span::ms(3700);
     let mut rig = Rig::with(600, |settings| {
@@ -673,7 +673,7 @@
 /// Later stages of moves leave messages for drains: what drains is held back at once, also while these would fill each
 /// message that the cap allows (kitchen-help, herd+mass 501: three of twelve were left when the controllers were killed).
 #[test]
-fn what_can_wait_leaves_messages_for_drains() {
+fn deferrable_commands_leave_messages_for_drains() {
     for moving in [5000, 7000, 9000] {
         let mut rig = Rig::with(600, |settings| {
             settings["familyInfo"]["singleWriter"] = json!(true);
@@ -704,7 +704,7 @@
 /// one message, not in small ones that are mostly heads and wait for each other (edge-meters, roll+mass at full size: 39
 /// orders in four messages 1.3 s apart).
 #[test]
-fn drains_after_a_restart_are_not_parted_into_small_messages() {
+fn drains_after_a_restart_are_not_split_into_small_messages() {
     let mut rig = Rig::with(78, |settings| {
         settings["familyInfo"]["singleWriter"] = json!(true);
         settings["familyInfo"]["updateCap"] = json!(10);
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -18,7 +18,7 @@
 use whinwall_transport::{RequestError, StreamError, Targets};
 
 #[test]
-fn orders_rest_on_whole_tables() {
+fn commands_rest_on_complete_routing_tables() {
     let mut rig = Rig::new();
     rig.list();
     for line in ["OK", "* SUBSCRIBE 0 north 9.5 1", "* GRANT 3 1"] {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_table_without_lines_is_filled_once_that_is_sure() {
+fn empty_routing_table_is_filled_once_it_is_known_to_be_empty() {
     let mut rig = Rig::new();
     rig.list();
     rig.store.insert(3, BTreeMap::new());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_drain_moves_all_slices_in_one_call() {
+fn drain_migrates_all_slices_in_one_request() {
     let mut rig = Rig::serving();
     let before = rig.calls.len();
     rig.drain("s-2");
@@ -66,7 +66,7 @@
 /// Lists doubled, out of order, lower in version, empty, of places that nobody knows, with absurd starts: one that leaves
 /// gets nothing again until it is listed as active.
 #[test]
-fn odd_lists_bring_no_replica_back_that_leaves() {
+fn outdated_lists_do_not_return_a_draining_replica() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     rig.pass(1000);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_open_call_is_said_again_before_anything_newer() {
+fn pending_request_is_resent_before_newer_commands() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let first = rig.open.take().unwrap();
@@ -123,7 +123,7 @@
 /// The relay carries out each call and its answers are lost: what lies in the channel then is each of them
 /// (seen on `join+mass`, seed 112: 733,986 lines waited where 551,400 may).
 #[test]
-fn calls_of_unknown_outcome_do_not_overfill_the_channel() {
+fn requests_of_unknown_outcome_do_not_overfill_the_channel() {
     let cap = 400;
     let mut rig = Rig::with(300, |settings| settings["familyInfo"]["queueCap"] = json!(cap)).set_going();
     rig.drain("s-2");
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn new_targets_are_followed_and_an_open_call_stays_the_first() {
+fn new_targets_are_watched_and_a_pending_request_stays_the_first() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let first = rig.open.clone().unwrap();
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn only_what_is_refused_twice_is_skipped() {
+fn only_a_command_refused_twice_is_skipped() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let call = rig.open.clone().unwrap();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn acks_lost_with_the_news_are_made_up_for_by_later_ones() {
+fn lost_acknowledgements_are_covered_by_later_ones() {
     let single = |settings: &mut serde_json::Value| settings["familyInfo"]["singleWriter"] = true.into();
     let mut rig = Rig::with(12, single).set_going();
     rig.pass(5000);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn replicas_are_replaced_without_end() {
+fn replicas_can_be_replaced_without_end() {
     let mut rig = Rig::serving();
     let known = |rig: &mut Rig| {
         rig.tell(Event::WatchLost(StreamError::Closed));
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn an_override_ends_on_time_while_a_call_is_open() {
+fn override_ends_on_time_while_a_request_is_pending() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 3000);
     rig.pass(500);
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn an_override_follows_its_replica_under_another_number() {
+fn override_follows_its_replica_under_another_id() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 3_600_000);
     rig.pass(1000);
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_step_of_the_walls_clock_prolongs_nothing() {
+fn wall_clock_step_prolongs_no_override() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 10_000);
     rig.tell(Event::WallStepped(rig.now - Span::ms(7_200_000)));
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_thousand_that_end_in_the_same_second_end_in_one_turn() {
+fn thousand_overrides_of_one_end_end_in_one_turn() {
     let mut rig = Rig::serving().with_overrides();
     for n in 0..1000 {
         let replica = format!("s-{}", n % 6);
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn whatever_is_wished_the_rules_hold_and_ends_come() {
+fn rules_hold_and_overrides_end_under_drawn_requests() {
     fn holds(days: Operated) -> bool {
         let mut rig = Rig::serving().with_overrides();
         for (n, (deed, figure)) in days.0.into_iter().enumerate() {
@@ -422,7 +422,7 @@
 }
 
 #[test]
-fn a_call_that_is_no_call_is_dropped_and_the_store_read_anew() {
+fn rejected_request_is_dropped_and_the_store_read_again() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     rig.open = None;
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn news_that_broke_off_is_made_up_for() {
+fn broken_relay_watch_is_made_up_for() {
     let mut rig = Rig::serving();
     // A break in the middle of a table: the half is forgotten.
     rig.news("OK");
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn stale_orders_for_a_slice_that_changed_hands_are_not_repeated() {
+fn stale_commands_for_a_slice_that_changed_hands_are_not_resent() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     assert!(rig.open.take().unwrap().contains("SET,8,s-2,0"));
@@ -481,7 +481,7 @@
 }
 
 #[test]
-fn newer_orders_for_a_slice_that_changed_hands_are_made() {
+fn newer_commands_for_a_slice_that_changed_hands_are_sent() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     // Another controller had it meanwhile; it comes back on a replica that drains.
@@ -502,7 +502,7 @@
 }
 
 #[test]
-fn tables_under_an_open_call_are_not_taken_for_changed() {
+fn routing_tables_under_a_pending_request_do_not_count_as_changed() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let call = rig.open.take().unwrap();
@@ -517,7 +517,7 @@
 }
 
 #[test]
-fn a_lost_list_is_asked_for_again() {
+fn lost_registry_watch_is_opened_again() {
     let mut rig = Rig::serving();
     rig.notes.clear();
     for (why, since) in
@@ -535,7 +535,7 @@
 }
 
 #[test]
-fn a_list_that_must_be_asked_for_is_asked_for_though_the_relay_is_silent() {
+fn list_is_polled_though_the_relay_is_silent() {
     let mut rig = Rig::with(12, |settings| settings["membershipMode"] = "ask".into());
     rig.quiet();
     assert_eq!(
@@ -556,7 +556,7 @@
 }
 
 #[test]
-fn a_reply_too_large_for_a_call_becomes_several_in_order() {
+fn reply_too_large_for_a_request_becomes_several_in_order() {
     let mut rig = Rig::with(5000, |_| {});
     rig.list();
     rig.standing(&[]);
@@ -572,7 +572,7 @@
 }
 
 #[test]
-fn strange_messages_change_nothing() {
+fn invalid_messages_change_nothing() {
     let mut rigs = [Rig::serving(), Rig::serving()];
     rigs.iter_mut().for_each(|rig| rig.says(1, r#"{"@type":"SOURCE","az":"north"}"#));
     let [rig, twin] = &mut rigs;
@@ -633,7 +633,7 @@
 }
 
 #[test]
-fn whoever_has_not_joined_is_let_go() {
+fn unauthenticated_peers_are_disconnected() {
     let mut rig = Rig::serving();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-1","n":9,"bad":9,"avg":1,"window":1000}"#;
     rig.says(1, r#"{"@type":"SOURCE","az":"north"}"#);
@@ -665,7 +665,7 @@
 }
 
 #[test]
-fn whatever_fails_the_store_ends_as_ordered() {
+fn store_ends_as_commanded_under_drawn_failures() {
     for seed in 0..100 {
         let deeds = Deeds::arbitrary(&mut Gen::from_size_and_seed(80, seed));
         let mut rig = Rig::serving();
@@ -761,7 +761,7 @@
 }
 
 #[test]
-fn the_quick_way_takes_nothing_that_the_slow_one_does_not() {
+fn fast_decoding_agrees_with_diagnosing_decoding() {
     fn holds(line: Garbled) -> bool {
         collector::decode_report(&line.0).is_none_or(|report| {
             collector::decode_with_diagnosis(&line.0) == Ok(collector::Message::from(report))
@@ -809,7 +809,7 @@
 /// The order in which chunks of several connections count changes no table, and is the same each time it is
 /// played from its record.
 #[test]
-fn interleavings_of_chunks_lead_to_the_same_orders() {
+fn interleavings_of_chunks_lead_to_the_same_commands() {
     fn played(orders: &[Vec<usize>]) -> Vec<String> {
         let mut rig = Rig::serving();
         joined(&mut rig);
@@ -844,7 +844,7 @@
 }
 
 #[test]
-fn a_chunk_for_a_slice_that_changed_hands_or_from_who_is_gone_counts_for_nothing() {
+fn chunk_for_a_revoked_slice_or_from_a_closed_connection_is_ignored() {
     let mut rig = Rig::serving();
     joined(&mut rig);
     rig.news("* GRANT 4 0");
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_another_connection_told_is_cut_off() {
+fn time_covered_by_another_connection_does_not_count() {
     let mut coverage = ReportCoverage::default();
     let first = coverage.count(&line(1, 1000, 1000)).unwrap();
     assert_eq!((first.fraction, first.continuity), (1.0, Continuity::Unknown));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_gap_is_known_and_filled_at_the_rate_of_the_line_that_ends_it() {
+fn gap_is_known_and_filled_at_the_rate_of_the_line_that_ends_it() {
     let mut coverage = ReportCoverage::default();
     coverage.count(&line(1, 1000, 1000));
     let jitter = coverage.count(&line(2, 2250, 1000)).unwrap();
@@ -258,7 +258,7 @@
 /// Whoever tells, in whatever order and with whatever delay: an even rate adds up to itself, but for the delays at both
 /// ends.
 #[test]
-fn an_even_rate_adds_up_to_itself_whoever_tells_of_it() {
+fn even_rate_is_preserved_whichever_connection_reports() {
     fn holds(turns: Vec<(u8, u8)>) -> bool {
         let (window, jitter) = (1000, 100);
         let mut coverage = ReportCoverage::default();
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn two_that_serve_at_once_count_as_one() {
+fn two_aggregators_at_once_count_as_one() {
     for window in [1000, 4000] {
         let (mut one, mut two) = (Served::new(), Served::new());
         let feeds = [Feed::of(1, window), Feed::of(2, window)];
@@ -304,7 +304,7 @@
 
 /// Without coverage the same lines count twice: what the test above holds is no accident of the stand-ins.
 #[test]
-fn without_coverage_two_count_twice() {
+fn two_aggregators_count_twice_without_coverage() {
     let mut two = Served::new();
     two.rig.tell(Event::SubsettingConfigured(None));
     two.run(20, &[Feed::of(1, 1000), Feed::of(2, 1000)], well);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn no_load_falls_and_nobody_is_judged_where_one_takes_over_after_a_gap() {
+fn takeover_after_a_gap_lowers_no_load_and_ejects_nobody() {
     for (window, gap) in [(1000, 3), (1000, 7), (4000, 3), (8000, 3)] {
         let mut served = Served::new();
         served.run(30, &[Feed::of(1, window)], well);
@@ -329,7 +329,7 @@
 
 /// The replica is well, but whoever takes over tells of what was asked before telling of what was answered.
 #[test]
-fn a_replica_that_was_not_told_of_yet_does_not_look_silent() {
+fn replica_not_reported_yet_does_not_look_silent() {
     let mut served = Served::new();
     served.run(20, &[Feed::of(1, 1000)], well);
     for at_ms in (20_000..36_000).step_by(STEP_MS as usize) {
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn a_sick_replica_is_known_by_aggregated_reports_too() {
+fn outlier_is_ejected_by_aggregated_reports_too() {
     for window in [1000, 4000, 8000] {
         for fate in [third_fails, third_hangs] {
             let mut served = Served::new();
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn nobody_is_judged_by_lines_that_lack_zones() {
+fn incomplete_lines_eject_nobody() {
     for fate in [third_fails, third_hangs] {
         let mut served = Served::new();
         let (whole, partial) = (Feed::of(1, 1000), Feed { missing: 2, ..Feed::of(1, 1000) });
@@ -385,7 +385,7 @@
 
 /// An aggregator that goes by an old list tells nothing of a replica, and all else as it should.
 #[test]
-fn a_replica_that_nobody_tells_of_is_known_as_missing() {
+fn unreported_replica_is_known_as_missing() {
     let mut served = Served::new();
     served.run(20, &[Feed::of(1, 1000)], well);
     assert_eq!(served.freshness().partial_replicas, 0);
@@ -402,7 +402,7 @@
 
 /// Where no aggregators are, the field says nothing: all is as it was.
 #[test]
-fn without_aggregators_the_field_changes_nothing() {
+fn missing_field_changes_nothing_without_aggregators() {
     let mut with = Served::new();
     with.rig.tell(Event::SubsettingConfigured(None));
     with.run(10, &[Feed { missing: 2, ..Feed::of(1, 1000) }], third_fails);
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn an_hour_without_reports_changes_no_table_and_ends_by_itself() {
+fn hour_without_reports_changes_no_table_and_ends_by_itself() {
     for window in [1000, 8000] {
         let mut served = Served::new();
         served.run(40, &[Feed::of(1, window)], well);
@@ -458,7 +458,7 @@
 
 /// Some slices are told of seconds after others: until all were, replicas of the others only look light.
 #[test]
-fn nothing_is_moved_at_a_cold_start() {
+fn cold_start_migrates_nothing() {
     for window in [1000, 5000, 8000] {
         let mut served = Served::new();
         let calls = served.rig.calls.len();
@@ -470,7 +470,7 @@
 
 /// Answers are late, so levels are cut: how far is decided by reports alone.
 #[test]
-fn levels_stay_as_they_are_while_nothing_comes() {
+fn admission_rates_stay_while_no_reports_arrive() {
     let late = Feed { mean_latency_ms: 900.0, ..Feed::of(1, 1000) };
     let mut served = Served::new();
     served.run(20, &[late], well);
@@ -486,7 +486,7 @@
 
 /// Shorter than what is worth an alarm, and longer than between two lines: nothing is said, and nothing decided.
 #[test]
-fn a_short_silence_only_holds_the_decisions() {
+fn short_silence_only_holds_the_load_estimates() {
     let mut served = Served::new();
     served.run(30, &[Feed::of(1, 1000)], well);
     let (calls, loads) = (served.rig.calls.len(), served.loads());
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn what_a_connection_told_stands_after_its_end_and_what_comes_later_does_not() {
+fn reports_count_after_their_connection_ends_and_later_ones_do_not() {
     let mut served = Served::new();
     served.run(20, &[Feed::of(1, 1000)], well);
     served.rig.tell(Event::Disconnected(1));
@@ -521,7 +521,7 @@
 }
 
 #[test]
-fn entries_end_with_their_replica_and_slice() {
+fn coverage_ends_with_its_replica_or_slice() {
     let mut served = Served::new();
     let feed = Feed::of(1, 1000);
     served.run(3, &[feed], well);
@@ -576,7 +576,7 @@
 
 /// A reader's chunk is one connection's: what it adds up was told by one, and it counts as its lines do one by one.
 #[test]
-fn what_readers_sum_counts_as_its_lines_do() {
+fn sums_of_readers_count_as_their_lines() {
     let (mut lines, mut sums) = (Served::new(), Served::new());
     let known = known();
     let feeds = [Feed::of(1, 1000), Feed::of(2, 1000)];
@@ -601,7 +601,7 @@
 }
 
 #[test]
-fn several_lines_at_once_count_alike_one_by_one_and_summed() {
+fn simultaneous_lines_count_alike_one_by_one_and_summed() {
     let (mut one_by_one, mut summed) = (ReportCoverage::default(), ReportCoverage::default());
     for coverage in [&mut one_by_one, &mut summed] {
         coverage.count(&line(1, 1000, 1000));
@@ -614,7 +614,7 @@
 
 /// Lines that lack zones are not summed with others, and reach the reducer as the messages that they are.
 #[test]
-fn readers_leave_lines_that_lack_zones_as_they_are() {
+fn readers_leave_incomplete_lines_as_they_are() {
     let known = known();
     let mut fields: BTreeSet<u32> = BTreeSet::new();
     for (text, lacks) in [("", 0), (r#","missing":0"#, 0), (r#","missing":3"#, 3)] {
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn without_a_fleet_everyone_steers_every_replica() {
+fn every_controller_steers_every_replica_without_a_fleet() {
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(None));
     rig.quiet();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn shares_are_what_the_pure_package_computes_whatever_comes_first() {
+fn memberships_equal_the_subsetting_package_in_any_order_of_events() {
     let expected = expected(&names(CONTROLLERS), &registry());
     assert!(expected.values().any(|share| *share == SubsetMembership::Others));
     let mut list_first = rig();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_status_names_members_and_the_own_subset() {
+fn status_has_the_members_and_the_own_subset() {
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     let own = expected(&names(CONTROLLERS), &registry());
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_change_of_the_registry_changes_the_shares() {
+fn registry_change_changes_the_memberships() {
     let fleet_names = names(CONTROLLERS);
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_small_change_does_not_put_off_a_large_one() {
+fn small_change_does_not_delay_a_large_one() {
     let fleet_names = names(CONTROLLERS);
     let mut rig = Rig::new();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
@@ -206,7 +206,7 @@
 
 /// Aggregators compute the same subsets from the registry alone.
 #[test]
-fn zones_that_the_settings_do_not_name_count_by_the_registrys_names() {
+fn unnamed_zones_count_by_the_names_of_the_registry() {
     let mut rig = rig();
     let mut replicas = registry();
     for (number, listed) in replicas.iter_mut().enumerate().filter(|(number, _)| number % 2 == 0) {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_zone_lost_and_back_leaves_the_shares_as_they_were() {
+fn zone_lost_and_back_leaves_the_memberships_unchanged() {
     let fleet_names = names(CONTROLLERS);
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_change_of_the_fleet_changes_the_shares_at_once_and_none_switches_it_off() {
+fn fleet_change_applies_at_once_and_no_fleet_disables_subsetting() {
     let mut rig = rig();
     for controllers in [CONTROLLERS, CONTROLLERS - 1, 1] {
         rig.tell(Event::SubsettingConfigured(Some(fleet(&names(controllers)))));
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_day_of_changes_keeps_the_shares_exact() {
+fn day_of_changes_keeps_the_memberships_exact() {
     let (mut registry, mut fleet_names) = (registry(), names(CONTROLLERS));
     let mut rig = rig();
     rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn the_program_takes_over_another_fleet_at_a_signal() {
+fn program_takes_over_another_fleet_on_sighup() {
     let mut managed = Managed::start(12, 24);
     assert_eq!(becomes(&managed, None), None);
     let fleets: [&[&str]; 3] = [&["n0", "n1", "n2"], &["n0", "n1", "n2", "n3", "n4"], &["n4", "n0"]];
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_start_refuses_a_fleet_without_this_controller() {
+fn start_refuses_a_fleet_without_this_controller() {
     let managed = Managed::start(3, 6);
     managed.operators(&element(&["n1", "n2"]));
     let (mut command, _file) = managed.command();
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -14,7 +14,7 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_transport::{ConnectionId, RequestError, StreamError, Targets};
 
-/// What the program tells the reducer.
+/// The reducer's input.
 #[derive(Debug)]
 pub enum Event {
     /// The program is ready to carry out effects.
@@ -25,14 +25,14 @@
     SubsettingConfigured(Option<Fleet>),
     /// A message arrived at the controller's own address.
     Message {
-        /// The connection that it came on.
+        /// Its connection.
         from: ConnectionId,
         /// What it says.
         message: Message,
     },
     /// Reports of one connection, decoded by a reader thread.
     Reports {
-        /// The connection that they came on.
+        /// Their connection.
         from: ConnectionId,
         /// The reports, in order.
         reports: Vec<Report>,
@@ -41,7 +41,7 @@
     ReportBytes(u64),
     /// A line at the controller's own address is not a valid message.
     Invalid {
-        /// The connection that it came on.
+        /// Its connection.
         from: ConnectionId,
         /// What is wrong with it.
         error: InvalidMessage,
@@ -93,7 +93,7 @@
     InputDrained,
 }
 
-/// What the reducer asks the program to do.
+/// The reducer's output: what the program is to do.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Answer a ping.
@@ -106,11 +106,11 @@
         /// Its connection.
         to: ConnectionId,
     },
-    /// Close a connection. An unauthenticated peer is told the reason; nothing is ever written to a collector.
+    /// Close a connection. The reason is sent to an unauthenticated peer; nothing is ever written to a collector.
     Disconnect {
         /// The connection to close.
         to: ConnectionId,
-        /// The reason, where it is told.
+        /// The reason, where it is sent.
         why: Option<&'static str>,
     },
     /// Send a request to the relay.
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -118,7 +118,7 @@
             }),
             Event::StoreNotRead(reason) => {
                 self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_store_unavailable(&reason)
+                    overrides.controller.handle_store_unavailable(&reason);
                 });
             }
             Event::Saved { serial, outcome } => {
@@ -128,7 +128,7 @@
             }
             Event::WallStepped(wall) => {
                 self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_wall_clock_step(now, wall)
+                    overrides.controller.handle_wall_clock_step(now, wall);
                 });
             }
             Event::InputDrained => self.input_drained(now),
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -13,7 +13,7 @@
         let reply = match (request, &self.overrides) {
             (Request::Change(ask), Some(_)) => {
                 return self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_request(now, ticket, ask)
+                    overrides.controller.handle_request(now, ticket, ask);
                 });
             }
             (Request::Change(_), None) => Reply::Refused(OverrideError::LimitReached { limit: 0 }),
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -72,7 +72,7 @@
         let mut is_in_doubt = false;
         if let Some(command) = self.commands.outbox.accept(count) {
             self.log(LogEvent::CommandSkipped { command: command.clone() });
-            // Its change is in the known routing tables and not in the store, unless the responses were spoilt. A
+            // Its change is in the known routing tables and not in the store, unless the responses were garbled. A
             // command that was skipped before cannot be used whatever the store holds.
             is_in_doubt = self.commands.skip(command);
         }
@@ -190,7 +190,7 @@
     }
 }
 
-/// A response that accepts more commands than were sent belongs to another request, or is spoilt.
+/// A response that accepts more commands than were sent belongs to another request, or is garbled.
 fn check_count(response: Response, commands: usize) -> Result<Response, RequestError> {
     match response {
         Response::Accepted(count) if count > commands => {
