--- a/crates/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::configuration::{Configuration, ControllerMember};
-use whinwall_aggregation::messages::{Effect, Event, Note};
+use whinwall_aggregation::log_event::LogEvent;
+use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::collector::Report;
 use whinwall_protocol::discovery::{Entry, List, State};
@@ -96,7 +97,7 @@
     connections: BTreeMap<String, u64>,
     /// Events for its next step.
     queue: Vec<Answer>,
-    notes: Vec<Note>,
+    notes: Vec<LogEvent>,
 }
 
 enum Answer {
@@ -153,7 +154,7 @@
         zone: zone_name(zone),
         machine: "m".into(),
         state: State::Ready,
-        size: 1.0,
+        weight: 1.0,
         started_ms: 0,
     }
 }
@@ -260,7 +261,7 @@
         self.machines[index].aggregator.as_ref().unwrap()
     }
 
-    pub fn notes(&self, index: usize) -> &[Note] {
+    pub fn notes(&self, index: usize) -> &[LogEvent] {
         &self.machines[index].notes
     }
 
@@ -364,7 +365,7 @@
                 id: &entry.replica,
                 zone: &entry.zone,
                 group: &entry.machine,
-                weight: entry.size,
+                weight: entry.weight,
             })
             .collect();
         let parameters = Parameters::new(self.subset_size).unwrap();
@@ -418,7 +419,7 @@
                 attempts: n,
                 failed: bad,
                 mean_latency_ms: avg,
-                covers_ms: PERIOD_MS as f64,
+                window_ms: PERIOD_MS as f64,
                 missing: 0,
             };
             self.tell_all(zone, at_ms, report);
@@ -427,13 +428,13 @@
             let (n, bad) = (self.draw(300) as f64, self.draw(10) as f64);
             let said = Said { at_ms, zone, n, bad, avg: 0.0 };
             self.said.entry(format!("{slice}/{class}")).or_default().push(said);
-            let covers_ms = PERIOD_MS as f64;
+            let window_ms = PERIOD_MS as f64;
             let report = Report::DemandReport {
                 slice,
                 request_class: class,
-                came: n,
+                requests: n,
                 failed: bad,
-                covers_ms,
+                window_ms,
                 missing: 0,
             };
             self.tell_all(zone, at_ms, report);
@@ -452,7 +453,7 @@
             if self.machines[index].cut_zones.contains(&zone) {
                 continue;
             }
-            let event = Event::ReportBody { connection: connection_of(zone), report };
+            let event = Event::ReportReceived { connection: connection_of(zone), report };
             self.event_at(index, at_ms, event);
         }
     }
@@ -479,7 +480,7 @@
                 true => self.event(index, Event::RegistryAlive),
                 false => {
                     let entries = self.replicas.values().cloned().collect();
-                    let list = List { version: self.version, whole: true, entries };
+                    let list = List { version: self.version, is_complete: true, entries };
                     machine.list_version = self.version;
                     self.event(index, Event::RegistryListed(list));
                 }
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -16,10 +16,10 @@
 use whinwall_ingest::sequence::Due;
 use whinwall_policy::api::ReportBody;
 use whinwall_protocol::collector::Message;
-use whinwall_routing::known::Known;
+use whinwall_routing::report_names::ReportNames;
 use whinwall_runtime::clock::Clock;
-use whinwall_transport::listener::{self, Bounds};
-use whinwall_transport::{Back, ConnectionId, Input};
+use whinwall_transport::listener;
+use whinwall_transport::{Bounds, ConnectionCommand, ConnectionId, Input};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -56,26 +56,28 @@
             for item in batch.items {
                 match item {
                     Item::Reports(reports) => {
-                        counted.extend(reports.iter().map(|report| match report.what {
-                            ReportBody::DemandReport { slice, asked } => {
-                                Counted::DemandReport(from, slice, asked.came, report.lines)
+                        counted.extend(reports.iter().map(|report| match report.body {
+                            ReportBody::Demand { slice, report: asked } => {
+                                Counted::DemandReport(from, slice, asked.requests, report.line_count)
                             }
-                            ReportBody::EndpointReport { replica, met, .. } => {
+                            ReportBody::Endpoint { replica, report: met, .. } => {
                                 Counted::EndpointReport(from, replica, met.attempts)
                             }
                         }))
                     }
-                    Item::Message(Message::Source { .. }) => _ = batch.back.try_send(Back::Keep),
+                    Item::Message(Message::Source { .. }) => {
+                        _ = batch.back.try_send(ConnectionCommand::Admit)
+                    }
                     Item::Message(Message::Ping) => {
                         counted.push(Counted::Ping(from));
-                        _ = batch.back.try_send(Back::Say("PONG".into()));
+                        _ = batch.back.try_send(ConnectionCommand::Send("PONG".into()));
                     }
                     Item::Lost => {
                         counted.push(Counted::Lost(from));
-                        _ = batch.back.try_send(Back::End(None));
+                        _ = batch.back.try_send(ConnectionCommand::Close(None));
                     }
                     Item::Message(other) => panic!("{other:?}"),
-                    Item::Invalid(_) => _ = batch.back.try_send(Back::End(None)),
+                    Item::Invalid(_) => _ = batch.back.try_send(ConnectionCommand::Close(None)),
                 }
             }
         }
@@ -103,7 +105,7 @@
                     Pool::start(readers, clock, bounds.clone(), inbox, counts, hook).unwrap();
                 let replicas = (0..10).map(|n| (format!("s-{n}"), n)).collect();
                 let (zones, request_classes) = (vec!["north".into()], vec!["lookup".into()]);
-                pool.publish(Known { zones, request_classes, replicas, changes: 1 });
+                pool.publish(ReportNames { zones, request_classes, replicas, version: 1 });
                 let turn = Turn { pool: Rc::new(RefCell::new(pool)), counted: into_counted };
                 actix_rt::spawn(listener::listen(listener, bounds, Hand(turn.pool.clone())));
                 let mut looks = tokio::time::interval(Duration::from_millis(100));
@@ -112,12 +114,12 @@
                         biased;
                         _ = &mut ended => return,
                         Some(input) = arrived.recv() => {
-                            let Input::Ended(id, chunks) = input else { panic!("{input:?}") };
+                            let Input::Disconnected(id, chunks) = input else { panic!("{input:?}") };
                             let due = turn.pool.borrow_mut().ends(clock.now(), id, chunks);
                             turn.due(id, due);
                         }
                         Some(batch) = batches.recv() => {
-                            let from = batch.told.from;
+                            let from = batch.info.from;
                             let due = turn.pool.borrow_mut().come(clock.now(), batch);
                             turn.due(from, due);
                         }
--- a/crates/emulator/src/day/reports.rs
+++ b/crates/emulator/src/day/reports.rs
@@ -41,7 +41,8 @@
     }
 
     fn steered(&self, at: usize) -> BTreeSet<ReplicaIx> {
-        let shares = self.controllers[at].reducer.as_ref().map(Reducer::shares).unwrap_or_default();
+        let shares =
+            self.controllers[at].reducer.as_ref().map(Reducer::subset_memberships).unwrap_or_default();
         let steered = shares.iter().filter(|(_, share)| **share != SubsetMembership::Others);
         steered.filter_map(|(name, _)| self.names.get(*name).copied()).collect()
     }
@@ -101,7 +102,7 @@
         if self.policy != Policy::Governed {
             return;
         }
-        let covers_ms = 1000.0;
+        let window_ms = 1000.0;
         let mut messages = Vec::new();
         self.line_of_second(&met, &asked);
         let met = if self.sizes.subset > 0 { summed_over_zones(met, self.sizes.zones) } else { met };
@@ -113,15 +114,21 @@
                 attempts: seen.attempts,
                 failed: seen.failed,
                 mean_latency_ms: seen.busy * 1000.0 / answered,
-                covers_ms: covers_ms * f64::from(window),
+                window_ms: window_ms * f64::from(window),
                 missing: 0,
             };
             messages.push((About::Replica(replica), zone, Message::EndpointReport(met)));
         }
         for ((slice, kind), (came, failed)) in asked {
             let request_class = self.sizes.kinds[kind].name.to_string();
-            let asked =
-                DemandReport { slice: slice as u32, request_class, came, failed, covers_ms, missing: 0 };
+            let asked = DemandReport {
+                slice: slice as u32,
+                request_class,
+                requests: came,
+                failed,
+                window_ms,
+                missing: 0,
+            };
             messages.push((About::Slice(slice), slice % self.sizes.zones, Message::DemandReport(asked)));
         }
         for at in 0..self.controllers.len() {
--- /dev/null
+++ b/crates/policy/src/measure/load_estimates.rs
@@ -0,0 +1,175 @@
+//! Load estimates of replicas and slices, refreshed once a tick and corrected by each change of a table.
+
+use crate::api::{ReplicaId, ReportFlow, SliceId};
+use crate::state::controller::ControllerState;
+use crate::state::replica::Replica;
+use crate::state::slice::Slice;
+use crate::time::Span;
+use std::mem::take;
+
+/// The window of load estimates (docs/design.md: shorter is noise, longer misses slices in demand for ten seconds).
+pub(crate) const LOAD_WINDOW: Span = Span::ms(8000);
+/// The shorter window that replication looks at: a key in demand may be gone in ten seconds.
+pub(crate) const BURST_WINDOW: Span = Span::ms(3000);
+/// The window in which a replica's answers are looked at, besides the lag of the reports (docs/design.md, Outlier ejection).
+pub(crate) const RECENT_WINDOW: Span = Span::ms(3000);
+/// Requests below which a mean or a share says nothing (docs/design.md, Outlier ejection: six attempts).
+pub(crate) const MIN_SAMPLES: f64 = 6.0;
+/// The share of failed requests that is taken for requests that are retried (docs/design.md: seven tenths).
+pub(crate) const RETRIED_SHARE_OF_FAILURES: f64 = 0.7;
+/// Limits of a listed weight that is used: a list may say anything.
+const WEIGHT_RANGE: (f64, f64) = (0.01, 1e6);
+/// Limits of a replica's speed relative to its like.
+const SPEED_RANGE: (f64, f64) = (0.5, 1.3);
+
+/// The load estimates of a slice, in requests a second.
+struct SliceLoad {
+    load: f64,
+    burst_load: f64,
+    demand: f64,
+}
+
+/// A slice that rebalancing may move.
+#[derive(Clone, Copy)]
+pub(crate) struct MovableSlice {
+    pub id: SliceId,
+    pub load: f64,
+    pub move_count: u32,
+}
+
+impl ControllerState {
+    /// Refreshes loads, capacities, averages and rankings, once a tick.
+    pub(crate) fn refresh_load_estimates(&mut self) -> bool {
+        if !take(&mut self.pending_work.load_estimates) || self.keeps_last_estimates() {
+            return false;
+        }
+        self.forget_gone();
+        self.reporting.lag = self.measure_report_lag(RECENT_WINDOW);
+        let recent_window = RECENT_WINDOW + self.reporting.lag;
+        self.links.delays = self.measure_link_delays(recent_window);
+        self.refresh_replica_counts(recent_window);
+        self.refresh_capacities();
+        self.refresh_slice_loads();
+        self.averages = self.measure_fleet_averages();
+        self.rebuild_rankings();
+        true
+    }
+
+    /// While no reports come the last estimates stay; a replica that is new since then counts for what it is listed as.
+    fn keeps_last_estimates(&mut self) -> bool {
+        if self.reporting.flow != ReportFlow::Interrupted {
+            return false;
+        }
+        self.forget_gone();
+        for replica in self.replicas.values_mut() {
+            if replica.reports.attempts.newest() < self.started_at {
+                replica.service_rate = replica.weight.clamp(WEIGHT_RANGE.0, WEIGHT_RANGE.1);
+            }
+            replica.effective_capacity =
+                replica.service_rate * replica.weight_factor * replica.ownership.max(1.0);
+        }
+        self.rebuild_rankings();
+        true
+    }
+
+    /// What was reported of each replica recently, and how late its answers are against the tightest target.
+    fn refresh_replica_counts(&mut self, window: Span) {
+        let now = self.now;
+        let target = self.tightest_target_seconds();
+        for replica in self.replicas.values_mut() {
+            let recent = replica.reports.recent_counts(now, window);
+            replica.latency_ratio = match () {
+                _ if recent.succeeded > 0.0 => recent.latency_seconds / recent.succeeded / target,
+                _ if recent.attempts > 0.0 => replica.reports.last_latency_seconds / target,
+                _ => 0.0,
+            };
+            replica.recent = recent;
+        }
+    }
+
+    /// mu of DDMC: the listed weight times the root of the replica's speed. Only the root counts, as a full replica looks
+    /// slow too, and by the whole ratio it would lose the slices whose keys it has warm.
+    fn refresh_capacities(&mut self) {
+        let relative_latencies = self.relative_latencies(LOAD_WINDOW + self.reporting.lag);
+        let ownerships: Vec<_> =
+            self.replicas.values().map(|replica| self.measure_ownership(replica)).collect();
+        let measured = relative_latencies.into_iter().zip(ownerships);
+        for (replica, (relative_latency, ownership)) in self.replicas.values_mut().zip(measured) {
+            let speed = (1.0 / relative_latency).sqrt().clamp(SPEED_RANGE.0, SPEED_RANGE.1);
+            replica.service_rate = replica.weight.clamp(WEIGHT_RANGE.0, WEIGHT_RANGE.1) * speed;
+            replica.ownership = ownership;
+            replica.effective_capacity = replica.service_rate * replica.weight_factor * ownership.max(1.0);
+        }
+    }
+
+    /// The load of each slice, added up over the endpoints of its table, and what other controllers bring.
+    fn refresh_slice_loads(&mut self) {
+        let loads: Vec<_> = self.slices.values().map(|slice| self.measure_slice_load(slice)).collect();
+        for replica in self.replicas.values_mut() {
+            replica.load = 0.0;
+            replica.demand = 0.0;
+        }
+        for (slice, measured) in self.slices.values_mut().zip(loads) {
+            slice.load = measured.load;
+            slice.burst_load = measured.burst_load;
+            slice.demand = measured.demand;
+            for (id, share) in slice.table.request_shares() {
+                if let Some(replica) = self.replicas.get_mut(&id) {
+                    replica.load += slice.load * share;
+                    replica.demand += slice.demand * share;
+                }
+            }
+        }
+        self.add_others_load();
+    }
+
+    /// Clients retry after a failure: counted in full, a broken replica's slices would look like hot ones. But all requests,
+    /// retries too, are what a replica feels.
+    fn measure_slice_load(&self, slice: &Slice) -> SliceLoad {
+        let since = slice.granted_at.max(slice.observed_since);
+        let admitted = |window| self.request_rate(&slice.admitted, window, since);
+        let failed = |window| self.request_rate(&slice.failed, window, since);
+        let load = |window| (admitted(window) - RETRIED_SHARE_OF_FAILURES * failed(window)).max(0.0);
+        SliceLoad {
+            load: load(LOAD_WINDOW),
+            burst_load: load(BURST_WINDOW),
+            demand: admitted(BURST_WINDOW).max(admitted(LOAD_WINDOW)),
+        }
+    }
+
+    /// The share of admitted requests that failed, of the request class that fares best; 0 where nothing is known.
+    pub(crate) fn lowest_failed_share(&self) -> f64 {
+        let window = RECENT_WINDOW + self.reporting.lag;
+        let failed_shares = self.class_outcomes.iter().filter_map(|class| {
+            let admitted = class.admitted.sum(self.now, window);
+            (admitted >= MIN_SAMPLES).then(|| class.failed.sum(self.now, window) / admitted)
+        });
+        failed_shares.reduce(f64::min).unwrap_or(0.0)
+    }
+
+    /// Whether a slice's table has been with all proxies long enough to show in reports.
+    pub(crate) fn has_stood(&self, slice: &Slice) -> bool {
+        slice.awaited_version.is_none() && self.now - slice.settled_at > RECENT_WINDOW + self.reporting.lag
+    }
+
+    /// The slices that a replica owns alone, that are not pinned to it and for which no change is under way, the heaviest
+    /// first.
+    pub(crate) fn movable_slices(&self, owner: ReplicaId, replica: &Replica) -> Vec<MovableSlice> {
+        let is_free = |slice: &Slice| {
+            slice.awaited_version.is_none()
+                && slice.table.sole_owner() == Some(owner)
+                && slice.table.is_applied()
+        };
+        let pins = &self.operator_overrides.pins;
+        let is_pinned_here = |id: SliceId| pins.get(id).is_some_and(|(replica, _)| replica == owner);
+        let mut movable = Vec::new();
+        for id in replica.slices.iter().copied() {
+            let slice = &self.slices[&id];
+            if is_free(slice) && !is_pinned_here(id) {
+                movable.push(MovableSlice { id, load: slice.load, move_count: slice.move_count });
+            }
+        }
+        movable.sort_by(|one, other| other.load.total_cmp(&one.load));
+        movable
+    }
+}
--- /dev/null
+++ b/crates/policy/src/rules/load_shedding.rs
@@ -0,0 +1,160 @@
+//! Load shedding: where answers are late, retries are stopped first, then admission rates are reduced, the request class with
+//! the least priority weight first.
+//!
+//! Guards against a queue that makes all answers late and so serves nobody.
+
+use crate::api::Action;
+use crate::measure::admission::{LATE_RATIO, QUICK_RATIO};
+use crate::rules::outlier_ejection::FAILING_SHARE;
+use crate::state::admission::RETRIES_ONLY_REDUCTION;
+use crate::state::controller::ControllerState;
+use crate::state::pending_slices::Priority;
+use crate::state::replica::Replica;
+use crate::state::schedule::ROUND;
+use std::mem::take;
+
+/// How much a reduction shrinks in a round, at the limit of quick answers; up to twice that the quicker they are. The
+/// reduction of a cold replica that is sent too much grows by the same.
+const REDUCTION_STEP: f64 = 0.15;
+/// The part of what is not answered by which a reduction grows.
+const REDUCTION_GAIN: f64 = 0.85;
+/// A share of answered requests below this counts as this.
+const MIN_ANSWERED_SHARE: f64 = 0.5;
+/// Where commands for each slice would take more than so many seconds of the channel, one reduction may hold for all slices.
+const MAX_SECONDS_FOR_SLICE_COMMANDS: f64 = 2.0;
+/// A smaller change of a slice's reduction is not worth a line at each proxy.
+const MIN_REDUCTION_CHANGE: f64 = 0.08;
+
+/// A reduction after another round: it grows by what goes unanswered where answers are late, and shrinks where they are
+/// quick.
+fn next_reduction(reduction: f64, latency_ratio: f64, answered_share: f64) -> f64 {
+    let step = if latency_ratio > LATE_RATIO {
+        (1.0 - reduction) * (1.0 - REDUCTION_GAIN * answered_share.max(MIN_ANSWERED_SHARE))
+    } else if latency_ratio < QUICK_RATIO {
+        REDUCTION_STEP * (latency_ratio / QUICK_RATIO - 2.0)
+    } else {
+        0.0
+    };
+    (reduction + step).clamp(0.0, 1.0)
+}
+
+impl ControllerState {
+    /// Refreshes all reductions, once a round.
+    pub(crate) fn shed_load(&mut self) -> bool {
+        if !take(&mut self.pending_work.load_shedding) {
+            return false;
+        }
+        // Answers that never come leave no latency to be measured. Where every request class lacks them, and the usual
+        // replica, it is neither one class nor some replicas that fail, but all that is too much.
+        let usual_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
+        let failed_share = self.lowest_failed_share().min(usual_failed_share);
+        let fleet_latency_ratio = self.fleet_latency_ratio(failed_share);
+        self.refresh_global_reduction(fleet_latency_ratio, failed_share);
+        self.refresh_replica_reductions(fleet_latency_ratio);
+        self.refresh_slice_reductions();
+        true
+    }
+
+    /// How late the usual replica answers; 0 where commands for each slice take few seconds of the channel, as each owner's
+    /// own reduction is the finer tool there.
+    fn fleet_latency_ratio(&self, failed_share: f64) -> f64 {
+        let classes = self.deployment.request_classes.len();
+        let commands = (self.slices.len() * classes * self.channel.proxies.len()) as f64;
+        let is_costly = commands > self.deployment.lines_per_second * MAX_SECONDS_FOR_SLICE_COMMANDS;
+        let usual_ratio = if failed_share > FAILING_SHARE {
+            1.0
+        } else {
+            self.median_of_usable(|replica| replica.latency_ratio)
+        };
+        f64::from(u8::from(is_costly)) * usual_ratio
+    }
+
+    fn refresh_global_reduction(&mut self, fleet_latency_ratio: f64, failed_share: f64) {
+        let former = self.global_admission.reduction;
+        // What the last step did is not in the reports yet; stopping retries alone shows at once.
+        let pause = if former <= RETRIES_ONLY_REDUCTION { ROUND } else { ROUND + self.reporting.lag };
+        if self.now - self.global_admission.changed_at < pause {
+            return;
+        }
+        let next = next_reduction(former, fleet_latency_ratio, 1.0 - failed_share);
+        let reduction = if former == 0.0 { next.min(RETRIES_ONLY_REDUCTION) } else { next };
+        if reduction != former {
+            self.global_admission.reduction = reduction;
+            self.global_admission.changed_at = self.now;
+        }
+    }
+
+    fn refresh_replica_reductions(&mut self, fleet_latency_ratio: f64) {
+        let next = |replica: &Replica| self.next_replica_reduction(replica, fleet_latency_ratio);
+        let reductions: Vec<f64> = self.replicas.values().map(next).collect();
+        for (replica, reduction) in self.replicas.values_mut().zip(reductions) {
+            if replica.reduction != reduction {
+                replica.reduction = reduction;
+                replica.reduction_changed_at = self.now;
+            }
+        }
+    }
+
+    fn next_replica_reduction(&self, replica: &Replica, fleet_latency_ratio: f64) -> f64 {
+        let former = replica.reduction;
+        let is_late = replica.latency_ratio > LATE_RATIO;
+        if self.now - replica.reduction_changed_at < ROUND + ROUND + self.reporting.lag {
+            // What the last step did is not in the reports yet.
+            former
+        } else if is_late && fleet_latency_ratio > LATE_RATIO {
+            // What is too much for all is not reduced twice.
+            former
+        } else if is_late {
+            next_reduction(former, replica.latency_ratio, 1.0 - replica.recent.failed_share())
+        } else if replica.demand > self.slow_start_budget(replica) {
+            // Against a cold replica that collapses where its slices have no other place to go.
+            (former + REDUCTION_STEP).min(1.0)
+        } else {
+            next_reduction(former, replica.latency_ratio, 1.0)
+        }
+    }
+
+    /// Slices follow their least reduced owner, beyond what holds for all slices.
+    fn refresh_slice_reductions(&mut self) {
+        let global_reduction = self.global_admission.reduction;
+        let mut changed = Vec::new();
+        for (id, slice) in &mut self.slices {
+            let owners = slice.table.owners().filter_map(|owner| self.replicas.get(&owner));
+            let reduction = owners.map(|owner| owner.reduction).fold(1.0, f64::min);
+            let applied = slice.applied_reduction;
+            slice.reduction = if reduction <= global_reduction {
+                0.0
+            } else if applied == 0.0 {
+                reduction.min(RETRIES_ONLY_REDUCTION)
+            } else if (reduction - applied).abs() < MIN_REDUCTION_CHANGE {
+                applied
+            } else {
+                reduction
+            };
+            if slice.reduction != applied {
+                changed.push(*id);
+            }
+        }
+        changed.into_iter().for_each(|id| self.mark_pending(id, Priority::Calm));
+    }
+
+    /// Sends what holds for all slices: one command a request class, where one a slice would take the channel many seconds.
+    /// One retry is allowed, only after proof that the first attempt never ran: no effect happens twice.
+    pub(crate) fn send_global_admission(&mut self) -> bool {
+        let class_count = self.deployment.request_classes.len();
+        let is_needed = !self.global_admission.is_applied() && !self.channel.proxies.is_empty();
+        if !is_needed || !self.has_channel_room(class_count as f64, Priority::Urgent) {
+            return false;
+        }
+        let reduction = self.global_admission.reduction;
+        let retries = self.allowed_retries(reduction);
+        for class in 0..class_count {
+            let share = self.admission_rate(reduction, class);
+            let request_classes = 1u64 << class;
+            self.actions.push(Action::SetAdmission { slice: None, request_classes, share, retries });
+        }
+        self.add_lines(class_count as f64);
+        self.global_admission.applied = Some(reduction);
+        true
+    }
+}
--- /dev/null
+++ b/crates/policy/src/state/controller.rs
@@ -0,0 +1,167 @@
+//! One controller's whole memory.
+
+use crate::api::{Action, ProxyId, ReplicaId, SliceId};
+use crate::deployment::Deployment;
+use crate::random::Random;
+use crate::state::admission::GlobalAdmission;
+use crate::state::command_channel::CommandChannel;
+use crate::state::fleet_averages::FleetAverages;
+use crate::state::link_latency::Links;
+use crate::state::operator_overrides::OperatorOverrides;
+use crate::state::pending_slices::{PendingSlices, Priority};
+use crate::state::ranking::Rankings;
+use crate::state::replica::Replica;
+use crate::state::replica_reports::recent_counter;
+use crate::state::reporting::Reporting;
+use crate::state::schedule::{Deadlines, PendingWork};
+use crate::state::shared_load::SharingState;
+use crate::state::slice::Slice;
+use crate::state::withdrawals::Withdrawals;
+use crate::time::Moment;
+use crate::windowed_counter::WindowedCounter;
+use std::collections::BTreeMap;
+use std::mem::take;
+
+/// One controller's whole memory; it is lost when the controller is killed.
+pub(crate) struct ControllerState {
+    pub deployment: Deployment,
+    pub random: Random,
+    /// The time of the event that is being handled.
+    pub now: Moment,
+    /// When this incarnation started.
+    pub started_at: Moment,
+    pub replicas: BTreeMap<ReplicaId, Replica>,
+    pub slices: BTreeMap<SliceId, Slice>,
+    pub proxies: ProxyHistory,
+    pub channel: CommandChannel,
+    /// The actions of the next reply.
+    pub actions: Vec<Action>,
+    /// Whether the batch of events is complete, so that commands may be added to the reply.
+    pub is_replying: bool,
+    pub deadlines: Deadlines,
+    pub pending_work: PendingWork,
+    /// Whether the list, the slices or the overrides changed in this batch of events.
+    pub fleet_changed: bool,
+    /// Whether the list is more than what a former incarnation cached.
+    pub has_fresh_list: bool,
+    pub withdrawals: Withdrawals,
+    pub pending_slices: PendingSlices,
+    /// By request class.
+    pub class_outcomes: Vec<ClassOutcomes>,
+    pub global_admission: GlobalAdmission,
+    pub reporting: Reporting,
+    pub links: Links,
+    pub averages: FleetAverages,
+    pub rankings: Rankings,
+    pub sharing: SharingState,
+    /// The token of the newest timer.
+    pub timer_token: u64,
+    pub operator_overrides: OperatorOverrides,
+}
+
+/// Proxies that have joined since the start, whether they are connected or not.
+pub(crate) struct ProxyHistory {
+    /// Until when each has applied what was sent.
+    pub applied_until: BTreeMap<ProxyId, Moment>,
+    /// When one last disconnected.
+    pub last_left_at: Moment,
+}
+
+/// What became of the requests of one class.
+pub(crate) struct ClassOutcomes {
+    /// Requests that were received and admitted.
+    pub admitted: WindowedCounter,
+    /// Those of them that failed.
+    pub failed: WindowedCounter,
+}
+
+impl ControllerState {
+    /// The memory of a controller that knows nothing yet.
+    pub(crate) fn new(deployment: Deployment, seed: u64, now: Moment) -> Self {
+        let new_outcomes = |_| ClassOutcomes { admitted: recent_counter(), failed: recent_counter() };
+        ControllerState {
+            // Versions begin elsewhere in each incarnation: else an acknowledgement from before a restart would pass for
+            // one of this incarnation's.
+            channel: CommandChannel::new(deployment.message_window, seed as u16),
+            class_outcomes: deployment.request_classes.iter().map(new_outcomes).collect(),
+            deadlines: Deadlines::new(now, (!deployment.list_pushed).then_some(now)),
+            deployment,
+            random: Random::from_seed(seed),
+            now,
+            started_at: now,
+            replicas: BTreeMap::new(),
+            slices: BTreeMap::new(),
+            proxies: ProxyHistory { applied_until: BTreeMap::new(), last_left_at: now },
+            actions: Vec::new(),
+            is_replying: false,
+            pending_work: PendingWork::default(),
+            fleet_changed: false,
+            has_fresh_list: false,
+            withdrawals: Withdrawals::default(),
+            pending_slices: PendingSlices::default(),
+            global_admission: GlobalAdmission::new(now),
+            reporting: Reporting::default(),
+            links: Links::default(),
+            averages: FleetAverages::default(),
+            rankings: Rankings::default(),
+            sharing: SharingState::default(),
+            timer_token: 0,
+            operator_overrides: OperatorOverrides::default(),
+        }
+    }
+
+    /// Opens the reply to a batch of events: only now is it known which proxies get the message, as they may join with the
+    /// batch's last events.
+    pub(crate) fn open_reply(&mut self) {
+        self.is_replying = true;
+        if take(&mut self.fleet_changed) {
+            self.pending_work.load_estimates = true;
+            self.pending_work.overrides = true;
+            self.pending_work.evacuation = true;
+        }
+    }
+
+    /// Closes the reply and takes its actions; its version ends it.
+    pub(crate) fn close_reply(&mut self) -> Vec<Action> {
+        let version = self.channel.open_version.take();
+        self.actions.extend(version.map(|number| Action::Sync { number }));
+        self.is_replying = false;
+        take(&mut self.actions)
+    }
+
+    /// Drops replicas that have gone for good and that nothing names. Replicas are replaced for as long as the fleet runs:
+    /// else the map would grow for ever.
+    pub(crate) fn forget_gone(&mut self) {
+        let (now, withdrawals) = (self.now, &self.withdrawals);
+        self.replicas.retain(|id, replica| {
+            replica.withdrawn || withdrawals.concerns(id) || !replica.is_forgettable(now)
+        });
+    }
+
+    /// Frees the slices that wait for a version, and forgets it where no acknowledgement is missing.
+    pub(crate) fn finish_version(&mut self, version: u16) {
+        let Some(sent) = self.channel.sent.get_mut(&version) else { return };
+        for id in take(&mut sent.waiting_slices) {
+            let slice = self.slices.get_mut(&id).filter(|slice| slice.awaited_version == Some(version));
+            if let Some(slice) = slice {
+                slice.awaited_version = None;
+                slice.settled_at = self.now;
+            }
+        }
+        if sent.unacked_copies.is_empty() {
+            self.channel.sent.remove(&version);
+        }
+    }
+
+    /// Has a slice's differences sent, if the slice is this controller's.
+    pub(crate) fn mark_pending(&mut self, id: SliceId, priority: Priority) {
+        if self.slices.contains_key(&id) {
+            self.pending_slices.mark(id, priority, self.now);
+        }
+    }
+
+    /// Opens this reply's message if need be, and adds lines to it; its version.
+    pub(crate) fn add_lines(&mut self, lines: f64) -> u16 {
+        self.channel.add_lines(self.now, self.deployment.message_overhead_lines + 1.0, lines)
+    }
+}
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -1,5 +1,6 @@
 //! Inputs and outputs of the reducer, as typed messages.
 
+use super::log_event::LogEvent;
 use super::overrides::OverrideConfig;
 use super::subset::Fleet;
 use std::net::SocketAddr;
@@ -9,9 +10,9 @@
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery::List;
-use whinwall_protocol::relay::{Answer, RelayEvent};
+use whinwall_protocol::relay::{RelayEvent, Response};
 use whinwall_protocol::InvalidMessage;
-use whinwall_transport::{CallError, ConnectionId, StreamError, Targets};
+use whinwall_transport::{ConnectionId, RequestError, StreamError, Targets};
 
 /// What the program tells the reducer.
 #[derive(Debug)]
@@ -52,7 +53,7 @@
     /// The relay watch has failed.
     WatchLost(StreamError),
     /// The outcome of the relay request that was in flight.
-    RelayReply(Result<Answer, CallError>),
+    RelayReply(Result<Response, RequestError>),
     /// The relay sent a reply without a request: an earlier reply may have belonged to another request.
     UnexpectedReply,
     /// A registry snapshot, or changes since the last one.
@@ -61,7 +62,7 @@
     RegistryLost(StreamError),
     /// The operators' file as read at the start or anew, and the clocks at that moment.
     OperatorConfigChanged(OverrideConfig, ClockReading),
-    /// A request at the management front.
+    /// A request at the management API.
     ManagementRequest {
         /// Identifies the reply.
         ticket: RequestId,
@@ -119,7 +120,7 @@
         /// The encoded request.
         line: String,
         /// On a new connection, as the last attempt failed.
-        afresh: bool,
+        needs_new_connection: bool,
     },
     /// Open the relay watch.
     WatchRelay {
@@ -160,6 +161,6 @@
     },
     /// Feed `Event::InputDrained` at this time, if not earlier.
     WakeAt(Moment),
-    /// Write a line to the log.
-    Log(String),
+    /// Write an event to the log.
+    Log(LogEvent),
 }
--- /dev/null
+++ b/crates/routing/src/reducer/management.rs
@@ -0,0 +1,51 @@
+//! Requests of the management API.
+
+use super::Reducer;
+use crate::events::Effect;
+use crate::overrides::Overrides;
+use crate::subset::Subsets;
+use whinwall_management_api::messages::{Reply, Request, Status};
+use whinwall_overrides::{OverrideError, RequestId};
+use whinwall_policy::time::Moment;
+
+impl Reducer {
+    pub(super) fn management_requested(&mut self, now: Moment, ticket: RequestId, request: Request) {
+        let reply = match (request, &self.overrides) {
+            (Request::Change(ask), Some(_)) => {
+                return self.change_overrides(now, |overrides| {
+                    overrides.controller.handle_request(now, ticket, ask)
+                });
+            }
+            (Request::Change(_), None) => Reply::Rejected(OverrideError::LimitReached { limit: 0 }),
+            (Request::List, overrides) => {
+                let list = |overrides: &Overrides| {
+                    let listed = overrides.controller.registry().listed();
+                    listed.map(|one| overrides.shown(&self.policy, one)).collect()
+                };
+                Reply::Listed { overrides: overrides.as_ref().map_or_else(Vec::new, list), now }
+            }
+            // The program counts; the reducer has no metrics.
+            (Request::Metrics, _) => Reply::Metrics(String::new()),
+            (Request::Status, _) => Reply::Status(self.status(now)),
+        };
+        self.effects.push(Effect::Reply { ticket, reply });
+    }
+
+    fn status(&self, now: Moment) -> Status {
+        let registry = self.overrides.as_ref().map(|overrides| overrides.controller.registry());
+        let failing = self.failures.iter().map(|(source, count)| (source.status_name(), count));
+        Status {
+            now,
+            started_at: self.started,
+            proxies: self.relay.proxies.len(),
+            slices: self.relay.tables.len(),
+            replicas: self.names.len(),
+            failures: failing.collect(),
+            has_open_commands: !self.commands.outbox.is_empty(),
+            active_overrides: registry.map_or(0, |registry| registry.active().count()),
+            listed_overrides: registry.map_or(0, |registry| registry.listed().count()),
+            subsetting: self.subsets.as_ref().map(Subsets::status),
+            reports: self.report_freshness(now),
+        }
+    }
+}
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! of the protocol's first message. The simulator adapter and the controller share this package, so that the decision
 //! module needs no JSON.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::unwrap_used)]
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
@@ -35,9 +35,18 @@
     }
 }
 
-/// Parses the settings; the error names the key that is missing or has the wrong type.
-pub fn read(settings: &serde_json::Value) -> Result<Settings, String> {
-    serde_path_to_error::deserialize(settings).map_err(|error| error.to_string())
+/// The settings can't be used; the text names the key that is missing or has the wrong type.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct SettingsError(#[from] serde_path_to_error::Error<serde_json::Error>);
+
+/// Parses the settings.
+///
+/// # Errors
+///
+/// Where a key is missing, has the wrong type, or its value is outside its range.
+pub fn read(settings: &serde_json::Value) -> Result<Settings, SettingsError> {
+    Ok(serde_path_to_error::deserialize(settings)?)
 }
 
 /// The settings as they are written.
@@ -154,25 +163,25 @@
         let deployment = Deployment {
             request_classes: self.request_classes.iter().map(request_class).collect(),
             report_period: fleet.report_period,
-            gone_is_advice: rules.gone_is_advice,
+            delisting_is_advisory: rules.gone_is_advice,
             list_pushed: self.registry_mode == RegistryMode::Push,
-            sizes_known: matches!(self.replica_weights.as_str(), "nominal" | "rough"),
-            levels_followed: fleet.level_kind == "fraction",
-            controllers: self.controllers,
+            weights_known: matches!(self.replica_weights.as_str(), "nominal" | "rough"),
+            admission_supported: fleet.level_kind == "fraction",
+            controller_count: self.controllers,
             // Without a number of its own, one of several controllers takes no part in draws among them.
-            number: self.number.unwrap_or(if self.controllers > 1 { u32::MAX } else { 0 }),
-            slices: fleet.slices,
+            controller_index: self.number.unwrap_or(if self.controllers > 1 { u32::MAX } else { 0 }),
+            slice_count: fleet.slices,
             single_writer: fleet.single_writer,
             tenure: fleet.tenure,
             write_lifetime: fleet.write_lifetime,
-            cold_share: rules.cold_share,
-            warm_after: rules.warm_after,
-            fall_multiple: rules.fall_multiple,
+            cold_capacity_share: rules.cold_share,
+            warm_up: rules.warm_after,
+            collapse_multiple: rules.fall_multiple,
             drain_grace: rules.drain_grace,
-            message_head: fleet.message_head,
-            pace: fleet.pace,
-            queue_cap: fleet.queue_cap,
-            message_cap: fleet.message_cap as u32,
+            message_overhead_lines: fleet.message_head,
+            lines_per_second: fleet.pace,
+            queue_capacity_lines: fleet.queue_cap,
+            message_limit: fleet.message_cap as u32,
             message_window: fleet.message_window,
         };
         let request_classes = self.request_classes.into_iter().map(|class| class.name).collect();
