--- /dev/null
+++ b/crates/overrides/src/controller/saving.rs
@@ -0,0 +1,122 @@
+//! Writes to the store, one at a time, and what follows from their outcomes.
+
+use super::{
+    new_override_number, ChangeReply, Durability, OverrideController, OverrideEffect, RequestId, StoreEvent,
+};
+use crate::encoding;
+use crate::registry::RegistryChange;
+use std::mem::{replace, take};
+use whinwall_policy::api::OverrideId;
+use whinwall_policy::time::{Moment, Span};
+
+/// The time until a failed write is retried.
+const WRITE_RETRY_DELAY: Span = Span::ms(5000);
+/// How often the clock stamp is stored: a step of the wall clock that nobody noticed prolongs an override by this
+/// much at the most.
+const STAMP_INTERVAL: Span = Span::ms(60_000);
+
+/// A new override that is being stored.
+pub(super) struct PendingSet {
+    pub request_id: RequestId,
+    pub change: RegistryChange,
+}
+
+/// A request that has ended an override, and is replied to once the end is stored.
+pub(super) struct PendingClear {
+    pub request_id: RequestId,
+    pub number: OverrideId,
+}
+
+/// The write to the store that is in flight.
+pub(super) struct PendingSave {
+    pub serial: u64,
+    pub set: Option<PendingSet>,
+    /// Changes that have taken effect already.
+    pub unsaved: RegistryChange,
+    pub clears: Vec<PendingClear>,
+}
+
+impl OverrideController {
+    pub(super) fn is_save_due(&self, now: Moment) -> bool {
+        if !self.pending_clears.is_empty() {
+            return true;
+        }
+        let may_write = self.retry_at.is_none_or(|at| at <= now);
+        let is_stamp_due = self.stamp_due_at <= now && self.registry.next_expiry().is_some();
+        may_write && (is_stamp_due || !self.registry.unsaved().is_empty())
+    }
+
+    pub(super) fn start_save(&mut self, set: Option<PendingSet>) {
+        self.last_serial += 1;
+        let serial = self.last_serial;
+        let unsaved = self.registry.unsaved();
+        let timeline = *self.registry.timeline();
+        let new = set.iter().flat_map(|set| &set.change.writes);
+        let writes = unsaved
+            .writes
+            .iter()
+            .chain(new)
+            .map(|entry| (entry.number, encoding::encode_override(entry, &timeline)))
+            .collect();
+        let removals = unsaved.removals.clone();
+        let clears = take(&mut self.pending_clears);
+        self.effects.push(OverrideEffect::Save { serial, writes, removals, timeline });
+        self.pending_save = Some(PendingSave { serial, set, unsaved, clears });
+    }
+
+    /// Takes in the outcome of a write, with the reason why it failed. The outcome of a write that is not in
+    /// flight any more is ignored.
+    pub fn handle_save_outcome(&mut self, now: Moment, serial: u64, outcome: Result<(), String>) {
+        let Some(save) = self.pending_save.take_if(|save| save.serial == serial) else { return };
+        let durability = match &outcome {
+            Ok(()) => {
+                self.registry.mark_saved(&save.unsaved);
+                self.note_successful_write(now);
+                Durability::OnDisk
+            }
+            Err(reason) => {
+                self.note_failed_write(now, reason);
+                Durability::Pending(reason.clone())
+            }
+        };
+        if let Some(set) = save.set {
+            self.finish_set(set, outcome);
+        }
+        for PendingClear { request_id, number } in save.clears {
+            let durability = durability.clone();
+            self.reply(request_id, ChangeReply::Cleared { number, is_repeat: false, durability });
+        }
+        self.tick(now);
+    }
+
+    fn note_successful_write(&mut self, now: Moment) {
+        self.retry_at = None;
+        self.stamp_due_at = now + STAMP_INTERVAL;
+        if take(&mut self.has_write_failed) {
+            self.log(StoreEvent::Recovered);
+        }
+    }
+
+    fn note_failed_write(&mut self, now: Moment, reason: &str) {
+        self.retry_at = Some(now + WRITE_RETRY_DELAY);
+        if !replace(&mut self.has_write_failed, true) {
+            self.log(StoreEvent::WriteFailed { reason: reason.into() });
+        }
+    }
+
+    fn finish_set(&mut self, PendingSet { request_id, change }: PendingSet, outcome: Result<(), String>) {
+        let number = new_override_number(&change);
+        let reply = match outcome {
+            Ok(()) => {
+                self.apply(change.clone());
+                self.registry.mark_saved(&change);
+                ChangeReply::Set { number, is_repeat: false, durability: Durability::OnDisk }
+            }
+            Err(reason) => {
+                self.registry.abandon(&change);
+                ChangeReply::NotStored(reason)
+            }
+        };
+        self.reply(request_id, reply);
+    }
+}
