--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -89,15 +89,15 @@
     let metrics = SharedMetrics::default();
     let _metrics = config.metrics.map(|address| Task::spawn(serve_metrics(address, metrics.clone())));
     let mut event_loop = EventLoop::new(&config, registry_lines, metrics);
-    tracing::info!("aggregator {} serves at {address}", config.name);
+    tracing::info!(%address, aggregator = config.name, "listening for collectors");
     let mut ticks = interval(Duration::from_nanos(TICK.as_ns()));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
         tokio::select! {
             biased;
-            signal = signals.come() => match signal {
-                Signal::End(name) => return Ok(name),
-                Signal::ReadAnew => event_loop.reload(&config),
+            signal = signals.next() => match signal {
+                Signal::Terminate(termination) => return Ok(termination.signal),
+                Signal::Reload => event_loop.reload(&config),
             },
             _ = ticks.tick() => event_loop.tick(),
             (controller, event) = event_loop.controllers.next_event() => {
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -6,7 +6,7 @@
 use crate::replies::{ExitStatus, Replies};
 use crate::tables::{self, Listing, OutputFormat, OverrideRow};
 use std::path::{Path, PathBuf};
-use whinwall_controller::program::configuration::{self, Surroundings};
+use whinwall_controller::program::configuration::{self, ProcessEnvironment};
 use whinwall_management_api::wire::{ChangeOutcome, SetBody};
 use whinwall_overrides::validation::validate;
 use whinwall_policy::random::Random;
@@ -119,10 +119,11 @@
 /// Checks a file: `.xml` is the operators' file, anything else the platform's. The error names the file.
 fn check_file(file: &Path) -> Result<(), String> {
     let checked = if file.extension().is_some_and(|extension| extension == "xml") {
-        configuration::operators(file).map(|_| ())
+        configuration::read_operators_file(file).map(|_| ()).map_err(|error| error.to_string())
     } else {
-        let surroundings = Surroundings { file: Some(file.to_path_buf()), ..Surroundings::default() };
-        configuration::read(surroundings).map(|_| ())
+        let environment =
+            ProcessEnvironment { config_file: Some(file.to_path_buf()), ..ProcessEnvironment::default() };
+        configuration::load(environment).map(|_| ()).map_err(|error| error.to_string())
     };
     checked.map_err(|error| {
         let name = file.display().to_string();
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -31,7 +31,7 @@
 #[test]
 fn admission_commands_are_encoded() {
     let limit = |slice, request_classes: &[&str], share, retries| {
-        let request_classes = request_classes.iter().map(|name| name.to_string()).collect();
+        let request_classes = request_classes.iter().map(std::string::ToString::to_string).collect();
         Command::SetAdmission { slice, request_classes, share, retries }.encode(SyncScope::ReachedProxies)
     };
     assert_eq!(limit(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -2,8 +2,9 @@
 
 use super::replica_names::ReplicaNames;
 use whinwall_management_api::messages::ListedOverride;
-use whinwall_overrides::ConfiguredOverride;
-use whinwall_overrides::{ClockReading, Override, OverrideController, OverrideKind, OverrideLimits};
+use whinwall_overrides::{
+    ClockReading, ConfiguredOverride, Override, OverrideController, OverrideKind, OverrideLimits,
+};
 use whinwall_policy::api::{OverrideId, OverrideSpec, OverrideStatus};
 use whinwall_policy::time::Moment;
 use whinwall_policy::Policy;
@@ -21,7 +22,7 @@
 
 /// The overrides in force, and what the policy knows of them.
 pub(crate) struct Overrides {
-    /// Decides on requests for overrides.
+    /// Decides on requests for overrides, and when they end.
     pub controller: OverrideController,
     /// What the policy was given last.
     applied: Vec<(OverrideId, OverrideSpec)>,
@@ -66,7 +67,7 @@
         ListedOverride { entry: one.clone(), status: heeded }
     }
 
-    /// When the overrides change by the passing of time, no sooner than the last call's answer.
+    /// When the overrides change by the passing of time, no sooner than at the last call.
     pub fn due_at(&self) -> Option<Moment> {
         self.controller.next_tick_at()
     }
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -13,7 +13,7 @@
         let reply = match (request, &self.overrides) {
             (Request::Change(ask), Some(_)) => {
                 return self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_request(now, ticket, ask)
+                    overrides.controller.handle_request(now, ticket, ask);
                 });
             }
             (Request::Change(_), None) => Reply::Rejected(OverrideError::LimitReached { limit: 0 }),
@@ -33,14 +33,14 @@
 
     fn status(&self, now: Moment) -> Status {
         let registry = self.overrides.as_ref().map(|overrides| overrides.controller.registry());
-        let failing = self.failures.iter().map(|(source, count)| (source.status_name(), count));
+        let failures = self.failures.iter().map(|(source, count)| (source.status_name(), count));
         Status {
             now,
             started_at: self.started,
             proxies: self.relay.proxies.len(),
             slices: self.relay.tables.len(),
             replicas: self.names.len(),
-            failures: failing.collect(),
+            failures: failures.collect(),
             has_open_commands: !self.commands.outbox.is_empty(),
             active_overrides: registry.map_or(0, |registry| registry.active().count()),
             listed_overrides: registry.map_or(0, |registry| registry.listed().count()),
--- a/crates/routing/src/reducer/overrides.rs
+++ b/crates/routing/src/reducer/overrides.rs
@@ -43,7 +43,7 @@
                 OverrideEffect::Save { serial, writes, removals, timeline } => {
                     Effect::Save { serial, puts: writes, drops: removals, line: timeline }
                 }
-                OverrideEffect::Log(event) => Effect::Log(LogEvent::Override(event.to_string())),
+                OverrideEffect::Log(event) => Effect::Log(LogEvent::Override(event)),
                 OverrideEffect::Reply { request_id, reply } => {
                     let shown = |number| {
                         let one = overrides.controller.registry().get_by_number(number)?;
