--- a/crates/management-api/src/wire/mod.rs
+++ b/crates/management-api/src/wire/mod.rs
@@ -1,57 +1,17 @@
 //! Requests and replies as JSON. The names of fields, and of the types in serde's error messages, are part of the
-//! interface and stay when a type is renamed.
+//! interface and stay when a field or type is renamed: by `rename`, `expecting`, or an alias.
 
+mod bodies;
 mod decode;
 mod encode;
 
+pub use bodies::{Clear as ClearBody, Set as SetBody};
 pub use decode::{decode_clear, decode_set};
 pub use encode::encode;
 
 use serde::{Deserialize, Serialize};
-use whinwall_overrides::text::{format_duration, format_slices};
+use whinwall_overrides::text::format_slices;
 use whinwall_overrides::{InvalidField, OverrideKind};
-use whinwall_policy::time::Span;
-
-/// The body of a request to set an override; its id is in the path. Unknown fields are rejected, lest a misspelled
-/// one count as a default.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Set", deny_unknown_fields)]
-pub struct SetBody {
-    /// The effect.
-    pub kind: KindName,
-    /// The replica's name.
-    #[serde(rename = "server")]
-    pub replica: String,
-    /// Of a weight: the multiplier.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub factor: Option<f64>,
-    /// Of a pin: a slice or a range of slices.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub slices: Option<String>,
-    /// Who requests it.
-    pub author: String,
-    /// Why, for other operators.
-    pub reason: String,
-    /// How long it holds, such as `1h30m`.
-    #[serde(rename = "for")]
-    pub duration: String,
-}
-
-impl SetBody {
-    /// The body that sets this override.
-    pub fn new(kind: &OverrideKind, author: &str, reason: &str, duration: Span) -> SetBody {
-        let fields = KindFields::from(kind);
-        SetBody {
-            kind: fields.name,
-            replica: kind.replica().into(),
-            factor: fields.factor,
-            slices: fields.slices,
-            author: author.into(),
-            reason: reason.into(),
-            duration: format_duration(duration),
-        }
-    }
-}
 
 /// The name of an override's kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -87,17 +47,9 @@
     }
 }
 
-/// The body of a request to clear an override; its id is in the path.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Clear", deny_unknown_fields)]
-pub struct ClearBody {
-    /// Who ends it.
-    pub by: String,
-}
-
 /// A listed override.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Item")]
+#[serde(expecting = "struct Item")]
 pub struct OverrideItem {
     /// Its id.
     pub id: String,
@@ -136,7 +88,7 @@
 
 /// The reply to a request for the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "List")]
+#[serde(expecting = "struct List")]
 pub struct OverrideList {
     /// All listed overrides, the oldest first.
     pub overrides: Vec<OverrideItem>,
@@ -144,7 +96,7 @@
 
 /// The reply to a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Outcome")]
+#[serde(expecting = "struct Outcome")]
 pub struct ChangeOutcome {
     /// `set`, `set before`, `cleared` or `ended before`.
     pub outcome: String,
@@ -158,7 +110,7 @@
 
 /// The status of a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "State")]
+#[serde(expecting = "struct State")]
 pub struct ControllerState {
     /// The controller's name.
     pub name: String,
@@ -196,7 +148,7 @@
 
 /// The fleet and the controller's subset of the replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Subsetting")]
+#[serde(expecting = "struct Subsetting")]
 pub struct SubsettingState {
     /// Controllers of the fleet, the one that replies included.
     #[serde(rename = "governors")]
@@ -217,7 +169,7 @@
 
 /// How fresh and how complete the reports are that the controller decides by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Reports")]
+#[serde(expecting = "struct Reports")]
 pub struct ReportState {
     /// The rate of the reports at present.
     #[serde(rename = "bytes_per_s")]
@@ -233,7 +185,7 @@
 
 /// What fails at present.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Failing")]
+#[serde(expecting = "struct Failing")]
 pub struct RepeatedFailure {
     /// What fails.
     #[serde(rename = "what")]
@@ -245,7 +197,7 @@
 
 /// The body of a reply to a request that was not carried out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Problem")]
+#[serde(expecting = "struct Problem")]
 pub struct ErrorBody {
     /// What is wrong.
     pub error: String,
--- a/crates/management-api/tests/wire_text.rs
+++ b/crates/management-api/tests/wire_text.rs
@@ -154,6 +154,14 @@
     assert_eq!(wire::decode_clear("a", br#"{"author":"jo"}"#), Err(ErrorBody::new(error)));
 }
 
+#[test]
+fn body_of_another_type_is_rejected_with_the_names_of_the_types() {
+    let error = "invalid length 0, expected struct Set with 7 elements at line 1 column 2";
+    assert_eq!(wire::decode_set("a", b"[]"), Err(ErrorBody::new(error)));
+    let error = "invalid type: integer `1`, expected struct Clear at line 1 column 1";
+    assert_eq!(wire::decode_clear("a", b"1"), Err(ErrorBody::new(error)));
+}
+
 #[test]
 fn invalid_author_of_a_request_to_clear_is_named() {
     let error = "by: it must have 1 to 64 bytes and no control characters";
