--- a/crates/controller/benches/cores.rs
+++ b/crates/controller/benches/cores.rs
@@ -3,16 +3,16 @@
 //! Bounded in lines and time; ends by itself. `WHINWALL_FORMER` names another build to measure in turn with
 //! this one, on one core.
 
-#[path = "../tests/stand_ins/mod.rs"]
-mod stand_ins;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
 use hdrhistogram::Histogram;
-use stand_ins::managed::Managed;
-use stand_ins::{configuration, ConfigurationFile, Program, PATIENCE};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
+use support::managed_controller::ManagedController;
+use support::{example_config, ConfigFile, ControllerProcess, TEST_TIMEOUT};
 
 const REPLICAS: usize = 100;
 const SLICES: usize = 600;
@@ -60,7 +60,7 @@
     fn join(address: SocketAddr, zone: &str) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         let mut collector = Collector { stream, reader };
         collector
@@ -185,13 +185,13 @@
         Way::Hot(cores) => (cores, None),
     };
     let zones = if matches!(way, Way::Hot(_)) { &ZONES[..1] } else { &ZONES[..] };
-    let mut managed = Managed::start(REPLICAS, SLICES);
+    let mut managed = ManagedController::start(REPLICAS, SLICES);
     managed.program = None;
-    managed.operators(&format!("<cores most=\"{cores}\"/><overrides/>"));
-    let mut file = configuration();
-    file["distributor"]["address"] = serde_json::json!(managed.world.relay.to_string());
+    managed.write_operators_file(&format!("<cores most=\"{cores}\"/><overrides/>"));
+    let mut file = example_config();
+    file["distributor"]["address"] = serde_json::json!(managed.fleet.relay.to_string());
     file["limits"]["cores"] = serde_json::json!(cores);
-    let file = ConfigurationFile::write(&file.to_string());
+    let file = ConfigFile::write(&file.to_string());
     let (plain, _former_file) = managed.command();
     let program = former.map_or(plain.get_program().to_owned(), Into::into);
     // As many processors as cores, as far as the machine has them.
@@ -204,13 +204,13 @@
     command
         .env_clear()
         .env("PROXY_CONFIG", &file.0)
-        .env("PROXY_DISCOVERY", managed.world.discovery.to_string());
+        .env("PROXY_DISCOVERY", managed.fleet.discovery.to_string());
     if former.is_none() {
         command.args(plain.get_args());
     }
     command.stderr(Stdio::piped()).stdin(Stdio::null());
-    managed.program = Some(Program::spawn(command, file));
-    managed.log("relay snapshot complete");
+    managed.program = Some(ControllerProcess::spawn(command, file));
+    managed.wait_for_log("relay snapshot complete");
     let (address, pid) = (managed.program().address, managed.program().child.id());
     let mut collectors: Vec<_> = zones.iter().map(|zone| Collector::join(address, zone)).collect();
     flood(&mut collectors, FLOOD / 10);
--- a/crates/controller/benches/lateness.rs
+++ b/crates/controller/benches/lateness.rs
@@ -1,17 +1,17 @@
 //! How late overrides revert: 200 replicas out of service on a program of its own, over loopback; of each, the
 //! time from its end to the order that lets it in again, as the relay sees it.
 
-#[path = "../tests/stand_ins/mod.rs"]
-mod stand_ins;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
 use hdrhistogram::Histogram;
-use stand_ins::managed::{out, Managed};
 use std::time::{Duration, Instant};
+use support::managed_controller::{out, ManagedController};
 
 const MANY: usize = 200;
 
 fn main() {
-    let mut managed = Managed::start(2 * MANY + 50, 6 * MANY);
+    let mut managed = ManagedController::start(2 * MANY + 50, 6 * MANY);
     let mut ends = Vec::new();
     for n in 0..MANY {
         let lasts = 4 + n % 5;
@@ -22,7 +22,7 @@
     }
     let mut late = Histogram::<u64>::new(3).unwrap();
     for (n, end) in ends.iter().enumerate() {
-        let back = managed.world.order(&format!("IN,s-{n}"));
+        let back = managed.fleet.wait_for_command(&format!("IN,s-{n}"));
         late.record(back.saturating_duration_since(*end).as_micros() as u64).unwrap();
     }
     let ms = |us: u64| us as f64 / 1000.0;
--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -29,7 +29,7 @@
     UnreadableFile {
         /// The configuration file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: std::io::Error,
     },
     /// The configuration file is not JSON.
@@ -62,7 +62,7 @@
     InvalidAddress {
         /// The key in the file.
         key: &'static str,
-        /// What it says.
+        /// Its value.
         value: String,
         /// What is wrong with it.
         source: AddrParseError,
@@ -95,7 +95,7 @@
     Unreadable {
         /// The operators' file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: std::io::Error,
     },
     /// It is larger than `file::MAX_FILE_BYTES` bytes.
@@ -173,7 +173,7 @@
     }
 }
 
-/// Everything that the controller is told before it starts.
+/// The complete configuration of a controller.
 #[derive(Clone, Debug)]
 pub struct ControllerConfig {
     /// The name of this controller.
--- a/crates/controller/src/program/reader_pool.rs
+++ b/crates/controller/src/program/reader_pool.rs
@@ -102,7 +102,7 @@
     ReaderNotRestarted {
         /// The reader.
         reader: ReaderId,
-        /// What the system says.
+        /// The error of the system.
         error: std::io::Error,
     },
     /// A stopped reader has chunks of so many other connections, which were closed.
--- a/crates/controller/tests/collector_wire.rs
+++ b/crates/controller/tests/collector_wire.rs
@@ -1,9 +1,9 @@
 //! The exact text between the controller and collectors or aggregators. Each line is written out, so that a
 //! renamed field, message or reason fails here.
 
-mod stand_ins;
+mod support;
 
-use stand_ins::rig::Rig;
+use support::rig::Rig;
 use whinwall_protocol::collector::{
     decode, decode_report, decode_with_diagnosis, encode, DemandReport, EndpointReport, Message, Reply,
     Report,
@@ -150,8 +150,8 @@
 #[test]
 fn unauthenticated_reporter_gets_the_close_reason() {
     let mut rig = Rig::new();
-    rig.says(1, LOAD);
-    let told = rig.follows.iter().find_map(|effect| match effect {
+    rig.collector_line(1, LOAD);
+    let told = rig.other_effects.iter().find_map(|effect| match effect {
         Effect::Disconnect { to: 1, why: Some(why) } => Some(encode(Reply::Nack { why })),
         _ => None,
     });
--- a/crates/controller/tests/crossings.rs
+++ b/crates/controller/tests/crossings.rs
@@ -1,11 +1,11 @@
 //! Two events that cross: each test makes the bad order happen every time.
 
-mod stand_ins;
+mod support;
 
 use quickcheck::{Arbitrary, Gen};
 use serde_json::json;
-use stand_ins::rig::*;
 use std::collections::{BTreeMap, BTreeSet};
+use support::rig::*;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
 use whinwall_protocol::relay::Response;
@@ -20,17 +20,17 @@
         settings["familyInfo"]["updateCap"] = json!(cap);
         settings["familyInfo"]["reloadSpanNs"] = json!(window.as_ns());
     })
-    .set_going();
-    rig.pass(20_000);
+    .start_serving();
+    rig.advance_ms(20_000);
     rig.drain("s-2");
     let mut made = Vec::new();
     for _ in 0..400 {
-        if rig.open.take().is_some() {
+        if rig.pending_request.take().is_some() {
             made.push(rig.now);
-            rig.tell(answer());
+            rig.apply(answer());
         }
         rig.now = rig.now + pause;
-        rig.quiet();
+        rig.drain_input();
         let recent = made.iter().filter(|at| rig.now - **at < window).count();
         assert!(recent <= cap, "{recent} messages within the window, of {} in all", made.len());
     }
@@ -54,18 +54,20 @@
 /// are held back, however long that takes (rule 2).
 #[test]
 fn single_writer_is_replaced_only_once_all_proxies_have_acknowledged() {
-    let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).set_going();
-    rig.pass(10_000);
-    let before = rig.calls.len();
+    let mut rig =
+        Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).start_serving();
+    rig.advance_ms(10_000);
+    let before = rig.requests.len();
     let proxies = std::mem::replace(&mut rig.proxies, 3);
     rig.drain("s-2");
-    rig.pass(20_000);
-    let moved =
-        |rig: &Rig| rig.calls[before..].iter().any(|call| call.contains("SET,2,") || call.contains("SET,8,"));
-    assert!(!moved(&rig), "the fourth has acked nothing: {:?}", &rig.calls[before..]);
+    rig.advance_ms(20_000);
+    let moved = |rig: &Rig| {
+        rig.requests[before..].iter().any(|call| call.contains("SET,2,") || call.contains("SET,8,"))
+    };
+    assert!(!moved(&rig), "the fourth has acked nothing: {:?}", &rig.requests[before..]);
     rig.proxies = proxies;
-    rig.pass(20_000);
-    assert!(moved(&rig), "all have acked: {:?}", &rig.calls[before..]);
+    rig.advance_ms(20_000);
+    assert!(moved(&rig), "all have acked: {:?}", &rig.requests[before..]);
 }
 
 /// A proxy that we never met may have been joined to the former controller of a slice until it was given to us, and writes
@@ -73,20 +75,21 @@
 #[test]
 fn granted_single_writer_slice_keeps_its_owner_for_the_tenure() {
     let tenure = 4000;
-    let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).set_going();
-    rig.pass(20_000);
-    rig.news("* GRANT 2 0");
-    rig.pass(1000);
-    rig.news("* GRANT 2 1");
-    rig.news("* ROW 2 s-2 1.0");
-    rig.news("*");
-    let before = rig.calls.len();
+    let mut rig =
+        Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).start_serving();
+    rig.advance_ms(20_000);
+    rig.relay_event("* GRANT 2 0");
+    rig.advance_ms(1000);
+    rig.relay_event("* GRANT 2 1");
+    rig.relay_event("* ROW 2 s-2 1.0");
+    rig.relay_event("*");
+    let before = rig.requests.len();
     rig.drain("s-2");
-    rig.pass(tenure - 200);
-    let moved = |rig: &Rig| rig.calls[before..].iter().any(|call| call.contains("SET,2,"));
-    assert!(!moved(&rig), "within the tenure: {:?}", &rig.calls[before..]);
-    rig.pass(3000);
-    assert!(moved(&rig), "after the tenure: {:?}", &rig.calls[before..]);
+    rig.advance_ms(tenure - 200);
+    let moved = |rig: &Rig| rig.requests[before..].iter().any(|call| call.contains("SET,2,"));
+    assert!(!moved(&rig), "within the tenure: {:?}", &rig.requests[before..]);
+    rig.advance_ms(3000);
+    assert!(moved(&rig), "after the tenure: {:?}", &rig.requests[before..]);
 }
 
 /// Drain after drain, each of several stages, under a cap on messages: what drains is held back within the grace, though
@@ -101,16 +104,16 @@
     });
     rig.replicas = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..60).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 20), 1.0)]))).collect();
-    let mut rig = rig.set_going();
-    rig.pass(20_000);
+    let mut rig = rig.start_serving();
+    rig.advance_ms(20_000);
     for n in 0..14 {
         let replica = format!("s-{n}");
         rig.drain(&replica);
-        rig.pass(1500);
+        rig.advance_ms(1500);
         for slice in rig.store.iter().filter(|(_, table)| table.contains_key(&replica)).map(|(n, _)| *n) {
             let start = format!("LIMIT,{slice},");
             let last =
-                rig.calls.iter().flat_map(|call| call.split([';', ' '])).rfind(|o| o.starts_with(&start));
+                rig.requests.iter().flat_map(|call| call.split([';', ' '])).rfind(|o| o.starts_with(&start));
             assert!(last.is_some_and(|level| level.ends_with(",0,0")), "{slice} of {replica}: {last:?}");
         }
     }
@@ -121,13 +124,13 @@
 #[test]
 fn restart_of_a_single_writer_admits_no_other() {
     let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true));
-    rig.list();
-    rig.news("OK");
-    rig.news("* SUBSCRIBE 7 north 21.5 0");
-    rig.standing(&[]);
-    rig.news("* SUBSCRIBE 8 north 21.5 0");
-    rig.pass(5000);
-    assert!(!rig.calls.iter().any(|call| call.contains("IN,")), "{:?}", rig.calls);
+    rig.send_list();
+    rig.relay_event("OK");
+    rig.relay_event("* SUBSCRIBE 7 north 21.5 0");
+    rig.send_snapshot(&[]);
+    rig.relay_event("* SUBSCRIBE 8 north 21.5 0");
+    rig.advance_ms(5000);
+    assert!(!rig.requests.iter().any(|call| call.contains("IN,")), "{:?}", rig.requests);
 }
 
 /// Acks that come while the news is silent are told to nobody. The lines that they were for took the room of all further
@@ -140,23 +143,23 @@
         settings["familyInfo"]["queueCap"] = json!(400);
         settings["obligations"]["drainGraceNs"] = json!(Span::ms(grace).as_ns());
     })
-    .set_going();
-    rig.pass(20_000);
+    .start_serving();
+    rig.advance_ms(20_000);
     let proxies = std::mem::take(&mut rig.proxies);
     for replica in ["s-0", "s-1", "s-2", "s-3"] {
         rig.drain(replica);
-        rig.pass(600);
+        rig.advance_ms(600);
     }
     rig.proxies = proxies;
-    rig.tell(Event::WatchLost(StreamError::TimedOut));
-    rig.pass(200);
-    assert!(rig.renew(), "the news is asked for anew");
-    let before = rig.calls.len();
+    rig.apply(Event::WatchLost(StreamError::TimedOut));
+    rig.advance_ms(200);
+    assert!(rig.resend_snapshot_if_requested(), "the news is asked for anew");
+    let before = rig.requests.len();
     rig.drain("s-4");
-    rig.pass(grace);
-    let withdrawn = rig.calls[before..].iter().any(|call| call.contains("OUT,s-4"));
-    assert!(withdrawn, "nothing is ordered any more: {:?}", &rig.calls[before..]);
-    rig.pass(10_000);
+    rig.advance_ms(grace);
+    let withdrawn = rig.requests[before..].iter().any(|call| call.contains("OUT,s-4"));
+    assert!(withdrawn, "nothing is ordered any more: {:?}", &rig.requests[before..]);
+    rig.advance_ms(10_000);
     assert_eq!(rig.owners().into_iter().collect::<Vec<_>>(), ["s-5"]);
 }
 
@@ -173,43 +176,43 @@
     });
     rig.replicas = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..20).map(|n| (n, BTreeMap::from([(format!("s-{n}"), 1.0)]))).collect();
-    rig.list();
+    rig.send_list();
     for line in ["OK", "* SUBSCRIBE 0 north 21.5 0", "*"] {
-        rig.news(line);
+        rig.relay_event(line);
     }
     let step = |rig: &mut Rig, until: Moment, is_mute: bool| {
         while rig.now < until {
             rig.now = rig.now + Span::ms(50);
-            rig.quiet();
-            match &rig.open {
+            rig.drain_input();
+            match &rig.pending_request {
                 Some(call) if is_mute && call.contains("IN,") => {
-                    rig.open = None;
-                    rig.tell(UNKNOWN);
+                    rig.pending_request = None;
+                    rig.apply(UNKNOWN);
                 }
-                _ => rig.answer(),
+                _ => rig.accept_request(),
             }
         }
     };
     let joined = rig.now + Span::ms(2000);
     step(&mut rig, joined, true);
-    assert!(!rig.calls.iter().any(|call| call.contains("IN,")), "it reaches nobody: {:?}", rig.calls);
+    assert!(!rig.requests.iter().any(|call| call.contains("IN,")), "it reaches nobody: {:?}", rig.requests);
     for proxy in 1..rig.proxies {
-        rig.news(&format!("* SUBSCRIBE {proxy} north 21.5 0"));
+        rig.relay_event(&format!("* SUBSCRIBE {proxy} north 21.5 0"));
     }
     for slice in 0..20 {
-        rig.news(&format!("* GRANT {slice} 1"));
-        rig.news(&format!("* ROW {slice} s-{slice} 1.0"));
+        rig.relay_event(&format!("* GRANT {slice} 1"));
+        rig.relay_event(&format!("* ROW {slice} s-{slice} 1.0"));
     }
-    rig.news("*");
+    rig.relay_event("*");
     rig.drain("s-2");
     let due = rig.now + grace;
     step(&mut rig, due, false);
-    assert!(rig.calls.iter().any(|call| call.contains("OUT,s-2")), "{:?}", rig.calls);
+    assert!(rig.requests.iter().any(|call| call.contains("OUT,s-2")), "{:?}", rig.requests);
     let later = rig.now + Span::ms(10_000);
     step(&mut rig, later, false);
     for replica in (0..20).filter(|n| *n != 2) {
         let lifts = |call: &String| call.contains(&format!("IN,s-{replica};"));
-        assert!(rig.calls.iter().any(lifts), "s-{replica} is let in: {:?}", rig.calls);
+        assert!(rig.requests.iter().any(lifts), "s-{replica} is let in: {:?}", rig.requests);
     }
 }
 
@@ -217,37 +220,37 @@
     json!({"id": id, "zone": "north", "state": state, "started_ms": started_ms})
 }
 
-fn tell_list(rig: &mut Rig, version: u64, whole: bool, replicas: Vec<serde_json::Value>) {
+fn send_list(rig: &mut Rig, version: u64, whole: bool, replicas: Vec<serde_json::Value>) {
     let list = json!({"version": version, "full": whole, "servers": replicas});
-    rig.tell(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
-    rig.quiet();
+    rig.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+    rig.drain_input();
 }
 
 /// After a move the agent is behind: its whole list is from before a drain and a new replica.
 #[test]
 fn lagging_agent_takes_nothing_back() {
     let mut rig = Rig::serving();
-    rig.pass(5000);
+    rig.advance_ms(5000);
     rig.drain("s-2");
-    rig.pass(1000);
+    rig.advance_ms(1000);
     let new = vec![entry("s-7", "active", 1_700_000_000_000)];
-    tell_list(&mut rig, 43, false, new);
+    send_list(&mut rig, 43, false, new);
     rig.replicas.insert("s-7".into(), "active");
-    rig.pass(1000);
-    let before = rig.calls.len();
+    rig.advance_ms(1000);
+    let before = rig.requests.len();
     let all = || (0..6).map(|n| entry(&format!("s-{n}"), "active", 0)).collect();
-    tell_list(&mut rig, 40, true, all());
-    rig.pass(4000);
-    let made = rig.calls[before..].join(" ");
+    send_list(&mut rig, 40, true, all());
+    rig.advance_ms(4000);
+    let made = rig.requests[before..].join(" ");
     assert!(!made.contains("IN,s-2") && !made.contains(",s-2,1") && !made.contains("OUT,s-7"), "{made}");
     // What it tells that is new counts all the same.
-    tell_list(&mut rig, 41, false, vec![entry("s-3", "leaving", 0)]);
-    rig.pass(1000);
+    send_list(&mut rig, 41, false, vec![entry("s-3", "leaving", 0)]);
+    rig.advance_ms(1000);
     assert!(!rig.owners().contains("s-3") && !rig.owners().contains("s-2"));
     // It catches up, and from there on all is taken at its word.
-    tell_list(&mut rig, 44, false, vec![entry("s-2", "active", 0)]);
-    rig.pass(3000);
-    assert!(rig.calls.iter().any(|call| call.contains("IN,s-2")));
+    send_list(&mut rig, 44, false, vec![entry("s-2", "active", 0)]);
+    rig.advance_ms(3000);
+    assert!(rig.requests.iter().any(|call| call.contains("IN,s-2")));
 }
 
 /// One that stays below the version held has begun its count anew: the whole list is asked for, and believed.
@@ -255,32 +258,32 @@
 fn restarted_list_version_is_believed_after_the_lag_timeout() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    rig.pass(1000);
+    rig.advance_ms(1000);
     let all = || (0..6).map(|n| entry(&format!("s-{n}"), "active", 0)).collect();
-    rig.follows.clear();
+    rig.other_effects.clear();
     for _ in 0..5 {
-        tell_list(&mut rig, 3, true, all());
-        rig.pass(2000);
+        send_list(&mut rig, 3, true, all());
+        rig.advance_ms(2000);
     }
     let whole = Effect::WatchRegistry { discovery: DISCOVERY, since: 0 };
-    assert!(rig.follows.contains(&whole), "{:?}", rig.follows);
-    tell_list(&mut rig, 3, true, all());
-    rig.pass(3000);
-    assert!(rig.calls.iter().any(|call| call.contains("IN,s-2")));
+    assert!(rig.other_effects.contains(&whole), "{:?}", rig.other_effects);
+    send_list(&mut rig, 3, true, all());
+    rig.advance_ms(3000);
+    assert!(rig.requests.iter().any(|call| call.contains("IN,s-2")));
 }
 
 /// Controllers whose ways broke at the same instant must not come again together each time.
 #[test]
 fn backoff_is_drawn_from_the_seed() {
     let wakes = |seed| {
-        let mut rig = Rig::with_seed(12, seed, |_| {}).set_going();
+        let mut rig = Rig::with_seed(12, seed, |_| {}).start_serving();
         (0..8)
             .map(|_| {
-                rig.tell(Event::WatchLost(StreamError::Closed));
-                rig.quiet();
-                let pause = rig.wake.unwrap() - rig.now;
+                rig.apply(Event::WatchLost(StreamError::Closed));
+                rig.drain_input();
+                let pause = rig.wake_at.unwrap() - rig.now;
                 assert!(pause <= Span::ms(100), "{pause:?}");
-                rig.pass(200);
+                rig.advance_ms(200);
                 pause
             })
             .collect::<Vec<_>>()
@@ -303,31 +306,31 @@
                 |(n, (id, state))| json!({"id": id, "zone": zones[n % 3], "kind": machine, "state": state}),
             );
             let replicas = replicas.collect();
-            tell_list(rig, version, true, replicas);
+            send_list(rig, version, true, replicas);
         };
         list(&mut rig, 41);
-        rig.standing(&[]);
-        rig.says(1, &json!({"@type": "SOURCE", "az": zones[0]}).to_string());
+        rig.send_snapshot(&[]);
+        rig.collector_line(1, &json!({"@type": "SOURCE", "az": zones[0]}).to_string());
         for second in 0..30 {
             for n in 0..6 {
                 let (bad, avg) =
                     if n == 4 && second > 8 { (9, 0.0) } else { (0, 300.0 + 400.0 * f64::from(n)) };
                 let met = json!({"@type": "LOAD", "az": zones[n as usize % 3], "host": format!("s-{n}"), "n": 9,
                     "bad": bad, "avg": avg, "window": 1000.0});
-                rig.says(1, &met.to_string());
+                rig.collector_line(1, &met.to_string());
             }
             for slice in 0..12 {
                 let asked = json!({"@type": "SHARD", "partition": slice, "kind": request_classes[slice % 2],
                     "n": 3 + slice * second / 9, "bad": slice / 9, "window": 1000.0});
-                rig.says(1, &asked.to_string());
+                rig.collector_line(1, &asked.to_string());
             }
             if second == 15 {
                 rig.replicas.insert("s-1".into(), "leaving");
                 list(&mut rig, 42);
             }
-            rig.pass(1000);
+            rig.advance_ms(1000);
         }
-        let calls = rig.calls.join("\n");
+        let calls = rig.requests.join("\n");
         calls
             .replace(&format!(",{},", request_classes[0]), ",first,")
             .replace(&format!(",{},", request_classes[1]), ",second,")
@@ -366,8 +369,8 @@
     /// Of each call made since the last look: orders only for slices held, nothing new while one is open, nothing put
     /// on a replica that leaves.
     fn look(&mut self) {
-        let calls: Vec<String> = self.rig.calls[self.seen..].to_vec();
-        self.seen = self.rig.calls.len();
+        let calls: Vec<String> = self.rig.requests[self.seen..].to_vec();
+        self.seen = self.rig.requests.len();
         for call in calls {
             for order in call["APPLY ".len()..].split(';') {
                 match order.split(',').collect::<Vec<_>>()[..] {
@@ -405,14 +408,14 @@
 
     /// Carries out the call that is open, or does not, and says so or something else.
     fn answer(&mut self, is_done: bool, answer: impl FnOnce(usize) -> Event) {
-        let Some(call) = self.rig.open.take() else { return };
+        let Some(call) = self.rig.pending_request.take() else { return };
         let orders = if is_done { self.rig.carry_out(&call) } else { call.split(';').count() };
         self.open = self.open.take().map(|(open, _)| (open, is_done));
-        self.rig.tell(answer(orders));
+        self.rig.apply(answer(orders));
     }
 
     fn is_short(&mut self, taken: usize) {
-        let Some(call) = self.rig.open.take() else { return };
+        let Some(call) = self.rig.pending_request.take() else { return };
         let orders: Vec<_> = call["APPLY ".len()..].split(';').collect();
         let stand = orders[..taken.min(orders.len())].join(";");
         if !stand.is_empty() {
@@ -421,25 +424,25 @@
         // At the second refusal the first order is skipped, and nothing may be left.
         let may_be_over = taken >= orders.len() || orders.len() == 1;
         self.open = Some((orders.iter().map(std::string::ToString::to_string).collect(), may_be_over));
-        self.rig.tell(Event::RelayReply(Ok(Response::Accepted(taken.min(orders.len())))));
+        self.rig.apply(Event::RelayReply(Ok(Response::Accepted(taken.min(orders.len())))));
     }
 
     fn list(&mut self, version: u64) {
         let replicas = self.rig.replicas.iter().map(|(id, state)| entry(id, state, 0)).collect();
-        tell_list(&mut self.rig, version, true, replicas);
+        send_list(&mut self.rig, version, true, replicas);
     }
 
     fn take_slice_away_and_back(&mut self, slice: u32, is_seen_between: bool) {
-        self.rig.news(&format!("* GRANT {slice} 0"));
+        self.rig.relay_event(&format!("* GRANT {slice} 0"));
         self.held.remove(&slice);
         if is_seen_between {
-            self.rig.quiet();
+            self.rig.drain_input();
             self.look();
         }
-        self.rig.news(&format!("* GRANT {slice} 1"));
+        self.rig.relay_event(&format!("* GRANT {slice} 1"));
         self.held.insert(slice);
         let rows = self.rig.store[&slice].clone();
-        rows.iter().for_each(|(s, weight)| self.rig.news(&format!("* ROW {slice} {s} {weight}")));
+        rows.iter().for_each(|(s, weight)| self.rig.relay_event(&format!("* ROW {slice} {s} {weight}")));
     }
 
     fn play(&mut self, event: u8, n: u32) {
@@ -459,41 +462,41 @@
             // From an agent that is behind: all that leaves is active there.
             2 => {
                 let all = (0..6).map(|n| entry(&format!("s-{n}"), "active", 0)).collect();
-                tell_list(&mut self.rig, self.version - 1 - u64::from(n % 9), n.is_multiple_of(2), all);
-                tell_list(&mut self.rig, self.version, false, Vec::new());
+                send_list(&mut self.rig, self.version - 1 - u64::from(n % 9), n.is_multiple_of(2), all);
+                send_list(&mut self.rig, self.version, false, Vec::new());
             }
-            3 => self.rig.tell(Event::RegistryLost(StreamError::TimedOut)),
+            3 => self.rig.apply(Event::RegistryLost(StreamError::TimedOut)),
             4 | 5 => self.answer(event % 18 == 4, |_| UNKNOWN),
             6 => self.answer(false, |_| Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into())))),
             7 => self.is_short(n as usize % 3),
             8 => {
-                let settles = self.rig.open.is_some();
+                let settles = self.rig.pending_request.is_some();
                 self.answer(true, |orders| Event::RelayReply(Ok(Response::Accepted(orders))));
                 self.open = self.open.take().filter(|_| !settles);
             }
-            9 => self.rig.tell(Event::UnexpectedReply),
+            9 => self.rig.apply(Event::UnexpectedReply),
             10 => {
-                self.rig.tell(Event::WatchLost(StreamError::TimedOut));
+                self.rig.apply(Event::WatchLost(StreamError::TimedOut));
                 self.rig.now = self.rig.now + Span::ms(u64::from(n % 300));
             }
             11 | 12 => self.take_slice_away_and_back(n % 12, event % 18 == 12),
             13 => {
                 self.targets.relay.set_port(6400 + (n % 2) as u16);
                 self.targets.discovery.set_port(8500 + (n % 3) as u16);
-                self.rig.tell(Event::Configured(self.targets));
+                self.rig.apply(Event::Configured(self.targets));
             }
-            14 => self.rig.news(&format!("* CLOSED {}", n % 4)),
-            15 => self.rig.news(&format!("* SUBSCRIBE {} north 21.5 {}", n % 4, n / 4 % 2)),
+            14 => self.rig.relay_event(&format!("* CLOSED {}", n % 4)),
+            15 => self.rig.relay_event(&format!("* SUBSCRIBE {} north 21.5 {}", n % 4, n / 4 % 2)),
             16 => {
-                self.rig.now = self.rig.wake.unwrap_or(self.rig.now).max(self.rig.now);
+                self.rig.now = self.rig.wake_at.unwrap_or(self.rig.now).max(self.rig.now);
             }
             _ => {
                 self.rig.now = self.rig.now + Span::ms(u64::from(n % 700));
             }
         }
-        self.rig.quiet();
+        self.rig.drain_input();
         self.look();
-        self.rig.renew();
+        self.rig.resend_snapshot_if_requested();
         self.look();
     }
 }
@@ -506,8 +509,8 @@
             settings["familyInfo"]["singleWriter"] = json!(seed % 3 == 0);
             settings["familyInfo"]["updateCap"] = json!(if seed % 2 == 0 { 0 } else { 12 });
         });
-        let rig = rig.set_going();
-        let seen = rig.calls.len();
+        let rig = rig.start_serving();
+        let seen = rig.requests.len();
         let targets = Targets { relay: RELAY, discovery: DISCOVERY };
         let held = (0..12).collect();
         let mut played = Played {
@@ -527,20 +530,20 @@
         assert!(known <= 6, "seed {seed}: {known} servers known of 6");
         // Once nothing fails any more, the store is as it believes, and what leaves has nothing.
         for proxy in 0..4 {
-            played.rig.news(&format!("* SUBSCRIBE {proxy} north 21.5 0"));
+            played.rig.relay_event(&format!("* SUBSCRIBE {proxy} north 21.5 0"));
         }
         for _ in 0..30 {
-            played.rig.renew();
-            played.rig.pass(1000);
+            played.rig.resend_snapshot_if_requested();
+            played.rig.advance_ms(1000);
         }
         let rig = &mut played.rig;
         let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
         assert_eq!(drained, None, "seed {seed}: {events:?}");
-        rig.tell(Event::WatchLost(StreamError::Closed));
-        rig.pass(100);
-        rig.standing(&[]);
+        rig.apply(Event::WatchLost(StreamError::Closed));
+        rig.advance_ms(100);
+        rig.send_snapshot(&[]);
         let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
-        assert_eq!(rig.notes.last().unwrap(), stands, "seed {seed}: {events:?}");
+        assert_eq!(rig.logs.last().unwrap(), stands, "seed {seed}: {events:?}");
     }
 }
 
@@ -548,30 +551,31 @@
 /// made all moved slices new to us, and forgot what is held back.
 #[test]
 fn single_writer_tables_are_known_again_after_a_broken_watch() {
-    let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).set_going();
-    rig.pass(10_000);
+    let mut rig =
+        Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).start_serving();
+    rig.advance_ms(10_000);
     rig.drain("s-2");
-    rig.pass(20_000);
+    rig.advance_ms(20_000);
     assert!(!rig.owners().contains("s-2"));
-    rig.tell(Event::WatchLost(StreamError::TimedOut));
-    rig.pass(100);
-    rig.standing(&[]);
+    rig.apply(Event::WatchLost(StreamError::TimedOut));
+    rig.advance_ms(100);
+    rig.send_snapshot(&[]);
     let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
-    assert_eq!(rig.notes.last().unwrap(), stands);
+    assert_eq!(rig.logs.last().unwrap(), stands);
 }
 
 /// A slice of ours whose table is another after a break: nobody knows its levels, so they are told anew.
 #[test]
 fn table_changed_during_a_broken_watch_gets_its_admission_resent() {
     let mut rig = Rig::serving();
-    rig.pass(5000);
-    let before = rig.calls.len();
-    rig.tell(Event::WatchLost(StreamError::TimedOut));
+    rig.advance_ms(5000);
+    let before = rig.requests.len();
+    rig.apply(Event::WatchLost(StreamError::TimedOut));
     rig.store.insert(3, BTreeMap::from([("s-5".into(), 1.0)]));
-    rig.pass(100);
-    rig.standing(&[]);
-    rig.pass(2000);
-    let made = rig.calls[before..].join(" ");
+    rig.advance_ms(100);
+    rig.send_snapshot(&[]);
+    rig.advance_ms(2000);
+    let made = rig.requests[before..].join(" ");
     assert!(made.contains("LIMIT,3,*,1,1") && !made.contains("LIMIT,4,"), "{made}");
 }
 
@@ -580,19 +584,19 @@
 fn skipped_command_has_the_store_read_again_once() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    rig.follows.clear();
+    rig.other_effects.clear();
     let mut read_anew = 0;
     for _ in 0..40 {
-        if rig.open.take().is_some() {
-            rig.tell(Event::RelayReply(Ok(Response::Accepted(0))));
+        if rig.pending_request.take().is_some() {
+            rig.apply(Event::RelayReply(Ok(Response::Accepted(0))));
         }
         rig.now = rig.now + Span::ms(100);
-        rig.quiet();
-        read_anew += usize::from(rig.renew());
+        rig.drain_input();
+        read_anew += usize::from(rig.resend_snapshot_if_requested());
     }
-    let skipped = rig.notes.iter().filter(|note| note.contains("skipped")).count();
+    let skipped = rig.logs.iter().filter(|note| note.contains("skipped")).count();
     assert!(read_anew > 0 && skipped > read_anew, "{read_anew} of {skipped}");
-    rig.pass(10_000);
+    rig.advance_ms(10_000);
     assert!(!rig.owners().contains("s-2"), "{:?}", rig.store);
 }
 
@@ -607,20 +611,20 @@
     });
     rig.replicas = (0..20).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..60).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 20), 1.0)]))).collect();
-    let mut rig = rig.set_going();
-    rig.pass(20_000);
+    let mut rig = rig.start_serving();
+    rig.advance_ms(20_000);
     // As large a call as fits twice: the drains of several replicas.
     (1..8).for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
-    rig.list();
-    rig.quiet();
-    assert!(rig.open.take().is_some());
-    rig.tell(UNKNOWN);
-    rig.quiet();
-    rig.pass(300);
-    let before = rig.calls.len();
+    rig.send_list();
+    rig.drain_input();
+    assert!(rig.pending_request.take().is_some());
+    rig.apply(UNKNOWN);
+    rig.drain_input();
+    rig.advance_ms(300);
+    let before = rig.requests.len();
     rig.drain("s-9");
-    rig.pass(1000);
-    let made = rig.calls[before..].join(" ");
+    rig.advance_ms(1000);
+    let made = rig.requests[before..].join(" ");
     for slice in [9, 29, 49] {
         assert!(made.contains(&format!("LIMIT,{slice},*,0,0")), "{slice}: {made}");
     }
@@ -641,30 +645,30 @@
     });
     rig.replicas = (0..60).map(|n| (format!("s-{n}"), "active")).collect();
     rig.store = (0..600).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 60), 1.0)]))).collect();
-    rig.list();
-    rig.standing(&(OWN..600).collect::<Vec<_>>());
-    rig.pass(20_000);
+    rig.send_list();
+    rig.send_snapshot(&(OWN..600).collect::<Vec<_>>());
+    rig.advance_ms(20_000);
     // Replicas that drain one by one, each in several stages, use the messages up.
     for n in 0..14 {
         rig.drain(&format!("s-{n}"));
-        rig.pass(500);
+        rig.advance_ms(500);
     }
     for slice in OWN..600 {
         let replica = rig.store[&slice].keys().next().unwrap().clone();
-        rig.news(&format!("* GRANT {slice} 1"));
-        rig.news(&format!("* ROW {slice} {replica} 1.0"));
+        rig.relay_event(&format!("* GRANT {slice} 1"));
+        rig.relay_event(&format!("* ROW {slice} {replica} 1.0"));
     }
-    rig.news("*");
+    rig.relay_event("*");
     let mut due = Vec::new();
     for (drained, pause) in [(14..28, 800), (28..47, 1000), (47..54, 0)] {
         drained.for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
         due.push((rig.now + grace, rig.still_sent_to_leaving()));
-        rig.list();
-        rig.quiet();
-        rig.pass(pause);
+        rig.send_list();
+        rig.drain_input();
+        rig.advance_ms(pause);
     }
     for (end, slices) in due {
-        rig.pass((end - rig.now).as_ns() / 1_000_000);
+        rig.advance_ms((end - rig.now).as_ns() / 1_000_000);
         let late: Vec<_> = rig.still_sent_to_leaving().intersection(&slices).copied().collect();
         assert!(late.is_empty(), "of {} slices still sent to servers that drain: {late:?}", slices.len());
     }
@@ -683,19 +687,19 @@
         });
         rig.replicas = (0..60).map(|n| (format!("s-{n}"), "active")).collect();
         rig.store = (0..600).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 60), 1.0)]))).collect();
-        let mut rig = rig.set_going();
-        rig.pass(20_000);
+        let mut rig = rig.start_serving();
+        rig.advance_ms(20_000);
         // Half of all slices are held back, then move, then are let in: many messages' worth.
         (0..30).for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
-        rig.list();
-        rig.quiet();
-        rig.pass(moving);
+        rig.send_list();
+        rig.drain_input();
+        rig.advance_ms(moving);
         for replica in ["s-30", "s-31"] {
             rig.drain(replica);
-            rig.pass(250);
+            rig.advance_ms(250);
             let late = rig.still_sent_to_leaving();
             assert!(late.is_empty(), "{replica} drains after {moving} ms: {late:?}");
-            rig.pass(250);
+            rig.advance_ms(250);
         }
     }
 }
@@ -715,13 +719,13 @@
     });
     rig.replicas = (0..26).map(|n| (format!("s-{n}"), if n < 13 { "leaving" } else { "active" })).collect();
     rig.store = (0..78).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 26), 1.0)]))).collect();
-    rig.list();
-    rig.standing(&(0..78).collect::<Vec<_>>());
-    rig.pass(1600);
-    rig.standing(&[]);
+    rig.send_list();
+    rig.send_snapshot(&(0..78).collect::<Vec<_>>());
+    rig.advance_ms(1600);
+    rig.send_snapshot(&[]);
     // One proxy's acks are on their way all that time.
     rig.proxies -= 1;
-    rig.pass(2500);
+    rig.advance_ms(2500);
     let late = rig.still_sent_to_leaving();
     assert!(late.is_empty(), "{} of 39 are still sent to servers that drain: {late:?}", late.len());
 }
--- a/crates/controller/tests/faults.rs
+++ b/crates/controller/tests/faults.rs
@@ -1,20 +1,20 @@
-//! Every fault at every way to the program, through the tool of `faults/`: it recovers by itself, and how
-//! long that took from a drain's news to the last order is a table that the test prints.
+//! Every fault on every connection of the program, through the fault proxy: the controller recovers by itself. The test
+//! prints a table of the time from a drain in the endpoint list until the replica was unused.
 
-mod stand_ins;
+mod support;
 
 use serde_json::json;
-use stand_ins::world::World;
-use stand_ins::{command, configuration, ConfigurationFile, Program};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
+use support::fake_fleet::FakeFleet;
+use support::{command, example_config, ConfigFile, ControllerProcess};
 use whinwall_fault_injection::proxy::{forward, FaultSource, InjectionLog};
 use whinwall_fault_injection::schedule;
 
-/// The tool on a thread of its own; its address.
-fn between(target: SocketAddr, rules: &str) -> SocketAddr {
+/// The fault proxy on a thread of its own; returns its address.
+fn start_fault_proxy(target: SocketAddr, rules: &str) -> SocketAddr {
     let rules = FaultSource::Schedule(Arc::new(
         schedule::read(rules).unwrap_or_else(|wrong| panic!("{rules}: {wrong}")),
     ));
@@ -78,23 +78,23 @@
 
 /// How long it took from the news of a drain until the replica was left, with these faults on the ways.
 fn recovers(at_relay: &str, at_discovery: &str) -> Duration {
-    let world = World::start(4, 24, 3);
-    let mut file = configuration();
-    file["distributor"]["address"] = json!(between(world.relay, at_relay).to_string());
-    let file = ConfigurationFile::write(&file.to_string());
+    let fleet = FakeFleet::start(4, 24, 3);
+    let mut file = example_config();
+    file["distributor"]["address"] = json!(start_fault_proxy(fleet.relay, at_relay).to_string());
+    let file = ConfigFile::write(&file.to_string());
     let mut command = command(&file);
-    command.env("PROXY_DISCOVERY", between(world.discovery, at_discovery).to_string());
-    let mut program = Program::spawn(command, file);
-    world.relist(2, "leaving", 0);
-    let took = world.is_left("s-2");
+    command.env("PROXY_DISCOVERY", start_fault_proxy(fleet.discovery, at_discovery).to_string());
+    let mut program = ControllerProcess::spawn(command, file);
+    fleet.set_listed_state(2, "leaving", 0);
+    let took = fleet.wait_until_unused("s-2");
     // It has ended no other connection, and serves.
-    program.connect().pings();
+    program.connect().ping();
     assert!(program.child.try_wait().unwrap().is_none());
     took
 }
 
 #[test]
-fn it_recovers_from_every_fault_at_every_way() {
+fn controller_recovers_from_every_connection_fault() {
     let mut cases: Vec<(&'static str, &'static str)> = AT_RELAY.iter().map(|rules| (*rules, "")).collect();
     cases.extend(AT_DISCOVERY.iter().map(|rules| ("", *rules)));
     cases.extend(PAIRS);
--- a/crates/controller/tests/fleet.rs
+++ b/crates/controller/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The program in the emulator's world, on loopback sockets and in real time: the checkers look on.
 
-mod stand_ins;
+mod support;
 
 use serde_json::json;
-use stand_ins::{command, configuration, ConfigurationFile, Program};
+use support::{command, example_config, ConfigFile, ControllerProcess};
 use whinwall_emulator::day::Outcome;
 use whinwall_emulator::live::Stages;
 use whinwall_emulator::sizes::Sizes;
@@ -17,12 +17,12 @@
         .iter()
         .enumerate()
         .map(|(number, stage)| {
-            let mut file = configuration();
+            let mut file = example_config();
             file["distributor"]["address"] = json!(stage.found.relay.to_string());
             file["discovery"] = json!(stage.found.discovery.to_string());
             file["settings"] = sizes.settings(number);
-            let file = ConfigurationFile::write(&file.to_string());
-            Program::spawn(command(&file), file)
+            let file = ConfigFile::write(&file.to_string());
+            ControllerProcess::spawn(command(&file), file)
         })
         .collect();
     let addresses: Vec<_> = programs.iter().map(|program| program.address).collect();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_day_with_drains_errors_and_a_silent_relay_keeps_the_rules() {
+fn rules_hold_with_drains_errors_and_a_silent_relay() {
     let sizes = Sizes { lasts: Span::ms(16_000), ..Sizes::small() };
     let troubles = [
         at(6000, 9000, What::Drain { replica: 3 }),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn two_programs_share_a_fleet_and_hand_slices_over() {
+fn two_controllers_share_a_fleet_and_migrate_slices() {
     let sizes = Sizes { lasts: Span::ms(14_000), controllers: 2, ..Sizes::small() };
     let troubles =
         [at(6000, 4000, What::HandOver { from: 0, to: 20 }), at(7000, 6000, What::Crash { replica: 2 })];
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -1,15 +1,15 @@
 //! Overrides through the program as it is started: set at its management front, seen in the orders that come
 //! to the relay, ended on time, kept over kills.
 
-mod stand_ins;
+mod support;
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
-use stand_ins::managed::{out, Managed};
-use stand_ins::world::Manner;
 use std::process::Stdio;
 use std::thread;
 use std::time::{Duration, Instant};
+use support::fake_fleet::RelayBehaviour;
+use support::managed_controller::{out, ManagedController};
 use whinwall_management_api::client::ClientError;
 use whinwall_management_api::wire::{KindName, SetBody};
 
@@ -27,30 +27,30 @@
 }
 
 #[test]
-fn it_is_listed_with_its_end_and_reverts_within_a_second() {
-    let mut managed = Managed::start(4, 12);
+fn override_is_listed_with_its_expiry_and_reverts_within_a_second() {
+    let mut managed = ManagedController::start(4, 12);
     let set = managed.set("a", &out("s-1", "2s")).unwrap();
     let began = Instant::now();
     assert_eq!((set.outcome.as_str(), set.durability.as_str()), ("set", "on disk"));
-    managed.world.order("OUT,s-1");
-    let item = managed.becomes("a", |item| item.state == "in force");
+    managed.fleet.wait_for_command("OUT,s-1");
+    let item = managed.wait_for_item("a", |item| item.state == "in force");
     assert!(item.remaining_s <= 2.0 && item.author == "mb" && item.reason == "disk", "{item:?}");
-    managed.world.is_left("s-1");
-    let back = managed.world.order("IN,s-1") - began;
+    managed.fleet.wait_until_unused("s-1");
+    let back = managed.fleet.wait_for_command("IN,s-1") - began;
     assert!(back > Duration::from_millis(1900) && back < Duration::from_secs(2) + SECOND, "{back:?}");
     let item = managed.item("a");
     assert!(item.state == "ended" && item.cause.unwrap().starts_with("expired at"));
-    // Said again with the same id it does not stand again.
+    // Set again with the same id it does not stand again.
     assert_eq!(managed.set("a", &out("s-1", "2s")).unwrap().outcome, "set before");
 }
 
 #[test]
-fn pins_come_and_clearing_one_is_at_once() {
-    let mut managed = Managed::start(4, 12);
+fn slice_pins_apply_and_clear_at_once() {
+    let mut managed = ManagedController::start(4, 12);
     managed.set("p", &pin("4-6", "s-3", "1h")).unwrap();
-    managed.becomes("p", |item| item.state == "in force");
-    let there = |managed: &Managed, slice| {
-        managed.world.tables.lock().unwrap()[&slice].get("s-3").is_some_and(|weight| *weight >= 1.0)
+    managed.wait_for_item("p", |item| item.state == "in force");
+    let there = |managed: &ManagedController, slice| {
+        managed.fleet.tables.lock().unwrap()[&slice].get("s-3").is_some_and(|weight| *weight >= 1.0)
     };
     assert!((4..=6).all(|slice| there(&managed, slice)));
     let cleared = managed.clear("p").unwrap();
@@ -62,20 +62,20 @@
 }
 
 #[test]
-fn it_outlives_kills_and_the_time_away_counts() {
-    let mut managed = Managed::start(4, 12);
+fn override_survives_a_kill_and_downtime_counts() {
+    let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out("s-1", "3s")).unwrap();
     let began = Instant::now();
-    managed.world.order("OUT,s-1");
+    managed.fleet.wait_for_command("OUT,s-1");
     managed.set("b", &out("s-2", "1h")).unwrap();
-    managed.world.order("OUT,s-2");
+    managed.fleet.wait_for_command("OUT,s-2");
     managed.program = None;
     thread::sleep(SECOND);
     managed.restart();
     assert_eq!(managed.item("a").remaining_s.ceil(), (3.0 - began.elapsed().as_secs_f64()).ceil());
-    managed.becomes("a", |item| item.state == "ended");
+    managed.wait_for_item("a", |item| item.state == "ended");
     assert!(began.elapsed() < Duration::from_secs(3) + SECOND);
-    managed.becomes("b", |item| item.state == "in force");
+    managed.wait_for_item("b", |item| item.state == "in force");
     // Ended while nobody was there.
     managed.set("c", &pin("0", "s-3", "1s")).unwrap();
     managed.program = None;
@@ -87,8 +87,8 @@
 /// Killed again and again while orders are on their way: what was acknowledged is there, and what was said
 /// twice is there once.
 #[test]
-fn acknowledged_means_on_disk_and_a_repeat_sets_nothing_twice() {
-    let mut managed = Managed::start(4, 12);
+fn acknowledged_override_is_durable_and_a_retry_is_idempotent() {
+    let mut managed = ManagedController::start(4, 12);
     let mut acknowledged = Vec::new();
     for round in 0..6u64 {
         let pid = Pid::from_child(&managed.program().child);
@@ -121,92 +121,92 @@
 }
 
 #[test]
-fn what_ends_while_its_replica_drains_does_not_bring_it_back() {
-    let mut managed = Managed::start(4, 12);
+fn override_that_expires_during_a_drain_does_not_reinstate_the_replica() {
+    let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out("s-1", "2s")).unwrap();
-    managed.world.order("OUT,s-1");
-    managed.world.relist(1, "leaving", 0);
-    managed.becomes("a", |item| item.state == "ended");
+    managed.fleet.wait_for_command("OUT,s-1");
+    managed.fleet.set_listed_state(1, "leaving", 0);
+    managed.wait_for_item("a", |item| item.state == "ended");
     thread::sleep(SECOND);
-    assert!(!managed.world.has_come("IN,s-1"));
-    managed.world.is_left("s-1");
+    assert!(!managed.fleet.has_received("IN,s-1"));
+    managed.fleet.wait_until_unused("s-1");
 }
 
 #[test]
-fn a_replica_that_leaves_and_rejoins_under_its_name_is_out_still() {
-    let mut managed = Managed::start(4, 12);
+fn replica_that_rejoins_under_its_name_stays_out_of_service() {
+    let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out("s-1", "1h")).unwrap();
-    managed.world.order("OUT,s-1");
-    managed.world.relist(1, "left", 0);
-    managed.becomes("a", |item| item.state == "absent");
-    managed.world.relist(1, "active", 1_900_000_000_000);
-    managed.becomes("a", |item| item.state == "in force");
-    managed.world.is_left("s-1");
+    managed.fleet.wait_for_command("OUT,s-1");
+    managed.fleet.set_listed_state(1, "left", 0);
+    managed.wait_for_item("a", |item| item.state == "absent");
+    managed.fleet.set_listed_state(1, "active", 1_900_000_000_000);
+    managed.wait_for_item("a", |item| item.state == "in force");
+    managed.fleet.wait_until_unused("s-1");
 }
 
 #[test]
-fn it_ends_on_time_though_the_relay_is_away_or_mute() {
-    for manner in [Manner::Away, Manner::Mute] {
-        let mut managed = Managed::start(4, 12);
+fn override_expires_on_time_while_the_relay_is_unreachable_or_silent() {
+    for behaviour in [RelayBehaviour::Unreachable, RelayBehaviour::Silent] {
+        let mut managed = ManagedController::start(4, 12);
         managed.set("a", &out("s-1", "2s")).unwrap();
         let began = Instant::now();
-        managed.world.order("OUT,s-1");
-        managed.world.be(manner);
+        managed.fleet.wait_for_command("OUT,s-1");
+        managed.fleet.set_relay_behaviour(behaviour);
         // A drain makes a call, whose outcome is unknown.
-        managed.world.relist(2, "leaving", 0);
-        managed.becomes("a", |item| item.state == "ended");
+        managed.fleet.set_listed_state(2, "leaving", 0);
+        managed.wait_for_item("a", |item| item.state == "ended");
         assert!(began.elapsed() < Duration::from_secs(2) + SECOND, "{:?}", began.elapsed());
-        managed.world.be(Manner::Answers);
-        managed.world.order("OUT,s-2");
-        managed.world.order("IN,s-1");
+        managed.fleet.set_relay_behaviour(RelayBehaviour::Responds);
+        managed.fleet.wait_for_command("OUT,s-2");
+        managed.fleet.wait_for_command("IN,s-1");
     }
 }
 
 #[test]
-fn all_replicas_of_a_slice_out_of_service_never_leave_it_bare() {
-    let managed = Managed::start(3, 6);
+fn slice_keeps_an_endpoint_when_all_its_replicas_are_out_of_service() {
+    let managed = ManagedController::start(3, 6);
     for replica in ["s-0", "s-1", "s-2"] {
         managed.set(replica, &out(replica, "1h")).unwrap();
     }
-    managed.becomes("s-0", |item| item.state == "in force");
-    let second = managed.becomes("s-1", |item| item.state == "suspended");
+    managed.wait_for_item("s-0", |item| item.state == "in force");
+    let second = managed.wait_for_item("s-1", |item| item.state == "suspended");
     assert!(second.cause.unwrap().starts_with("rule 1"));
     assert_eq!(managed.item("s-2").state, "suspended");
-    assert!(managed.world.named("s-1") + managed.world.named("s-2") >= 6);
+    assert!(managed.fleet.slices_on("s-1") + managed.fleet.slices_on("s-2") >= 6);
 }
 
 #[test]
-fn the_operators_file_is_read_anew_and_a_faulty_one_changes_nothing() {
-    let mut managed = Managed::start(4, 12);
-    let hang_up = |managed: &mut Managed| {
+fn operators_file_is_reloaded_and_an_invalid_one_changes_nothing() {
+    let mut managed = ManagedController::start(4, 12);
+    let hang_up = |managed: &mut ManagedController| {
         let pid = Pid::from_child(&managed.program().child);
         kill_process(pid, Signal::HUP).unwrap();
     };
-    managed.operators(&format!("<overrides>\n{}\n</overrides>", until("f-1", "s-1", 3600)));
+    managed.write_operators_file(&format!("<overrides>\n{}\n</overrides>", until("f-1", "s-1", 3600)));
     hang_up(&mut managed);
-    managed.world.order("OUT,s-1");
-    assert_eq!(managed.becomes("f-1", |item| item.state == "in force").origin, "file");
-    managed.operators("<overrides>\n<out id=\"f-2\" server=\"s-2\"/>\n</overrides>");
+    managed.fleet.wait_for_command("OUT,s-1");
+    assert_eq!(managed.wait_for_item("f-1", |item| item.state == "in force").origin, "file");
+    managed.write_operators_file("<overrides>\n<out id=\"f-2\" server=\"s-2\"/>\n</overrides>");
     hang_up(&mut managed);
-    let line = managed.log("configuration reload failed, the former configuration stays");
+    let line = managed.wait_for_log("configuration reload failed, the former configuration stays");
     assert!(line.contains("operators.xml: line 6, column 1: <out>"), "{line}");
     assert_eq!(managed.item("f-1").state, "in force");
     // One that can't be because of another is refused too, and the former stay.
     managed.set("f-3", &out("s-3", "1h")).unwrap();
-    managed.operators(&format!("<overrides>{}</overrides>", until("f-3", "s-2", 3600)));
+    managed.write_operators_file(&format!("<overrides>{}</overrides>", until("f-3", "s-2", 3600)));
     hang_up(&mut managed);
-    managed.log("f-3 is another override already");
+    managed.wait_for_log("f-3 is another override already");
     assert_eq!(managed.item("f-1").state, "in force");
-    managed.operators("<overrides/>");
+    managed.write_operators_file("<overrides/>");
     hang_up(&mut managed);
-    managed.world.order("IN,s-1");
+    managed.fleet.wait_for_command("IN,s-1");
     let cause = managed.item("f-1").cause.unwrap();
     assert!(cause.starts_with("cleared by the operators' file"), "{cause}");
 }
 
 #[test]
 fn corrupt_store_file_is_set_aside_and_the_program_goes_on() {
-    let mut managed = Managed::start(4, 12);
+    let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out("s-1", "1h")).unwrap();
     managed.program = None;
     let store = managed.path("store").join("overrides.redb");
@@ -214,18 +214,18 @@
     std::fs::write(&store, &bytes[..bytes.len() / 2]).unwrap();
     let (command, file) = managed.command();
     managed.spawn(command, file);
-    let line = managed.log("override store file is corrupt");
+    let line = managed.wait_for_log("override store file is corrupt");
     assert!(line.contains("overrides.redb.spoilt-1"), "{line}");
-    managed.log("override store read");
+    managed.wait_for_log("override store read");
     assert!(managed.list().is_empty());
     managed.set("b", &out("s-2", "1h")).unwrap();
-    managed.world.order("OUT,s-2");
+    managed.fleet.wait_for_command("OUT,s-2");
 }
 
 /// The disk's bound is the process's own here: the store can't grow, as on a full disk.
 #[test]
-fn a_full_disk_refuses_and_changes_nothing_but_clearing_works() {
-    let mut managed = Managed::start(4, 12);
+fn full_disk_rejects_new_overrides_and_clearing_works() {
+    let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out("s-1", "1h")).unwrap();
     managed.program = None;
     let size = std::fs::metadata(managed.path("store").join("overrides.redb")).unwrap().len().div_ceil(512);
@@ -236,8 +236,12 @@
     bounded.envs(plain.get_envs().filter_map(|(key, value)| Some((key, value?))));
     bounded.stderr(Stdio::piped()).stdin(Stdio::null());
     managed.spawn(bounded, file);
-    managed.log("override store read");
-    assert_eq!(managed.becomes("a", |item| item.state == "in force").replica, "s-1", "what is kept is read");
+    managed.wait_for_log("override store read");
+    assert_eq!(
+        managed.wait_for_item("a", |item| item.state == "in force").replica,
+        "s-1",
+        "what is kept is read"
+    );
     let mut kept = Vec::new();
     let (refused, why) = (0..1000)
         .find_map(|n| {
@@ -253,7 +257,7 @@
         })
         .expect("the store has grown beyond its bound");
     assert!(matches!(&why, ClientError::NotNow(why) if why.contains("not kept")), "{why}");
-    let is_there = |managed: &Managed, id: &str| managed.list().iter().any(|item| item.id == id);
+    let is_there = |managed: &ManagedController, id: &str| managed.list().iter().any(|item| item.id == id);
     assert!(!is_there(&managed, &refused));
     let cleared = managed.clear("a").unwrap();
     assert_eq!(cleared.item.state, "ended", "clearing asks for no disk: {cleared:?}");
@@ -266,8 +270,8 @@
 
 /// Many ask for a long list without end while a replica drains: its orders are as quick as ever.
 #[test]
-fn a_flood_at_the_front_holds_up_no_orders() {
-    let mut managed = Managed::start(40, 120);
+fn flood_of_management_requests_does_not_delay_commands() {
+    let mut managed = ManagedController::start(40, 120);
     for n in 0..120 {
         managed.set(&format!("p{n}"), &pin(&format!("{n}"), &format!("s-{}", n % 40), "1h")).unwrap();
     }
@@ -288,16 +292,16 @@
         .collect();
     for n in 0..10 {
         let told = Instant::now();
-        managed.world.relist(n, "leaving", 0);
-        let took = managed.world.order(&format!("OUT,s-{n}")) - told;
+        managed.fleet.set_listed_state(n, "leaving", 0);
+        let took = managed.fleet.wait_for_command(&format!("OUT,s-{n}")) - told;
         assert!(took < SECOND, "{took:?}");
     }
     floods.into_iter().for_each(|flood| flood.join().unwrap());
 }
 
 #[test]
-fn logs_as_json_lines_name_spans() {
-    let mut managed = Managed::start(3, 6);
+fn json_log_lines_name_their_spans() {
+    let mut managed = ManagedController::start(3, 6);
     managed.program = None;
     let text = std::fs::read_to_string(managed.path("operators.xml")).unwrap();
     std::fs::write(managed.path("operators.xml"), text.replace("\"text\"", "\"json\"")).unwrap();
@@ -305,9 +309,10 @@
     command.env("WHINWALL_LOG", "debug");
     managed.spawn(command, file);
     let mut collector = managed.program().connect();
-    collector.joins();
-    collector.says(r#"{"@type":"LOAD","az":"north","host":"s-9","n":9,"bad":0,"avg":1.0,"window":100.0}"#);
-    let line = managed.log("report ignored");
+    collector.join_zone();
+    collector
+        .send_line(r#"{"@type":"LOAD","az":"north","host":"s-9","n":9,"bad":0,"avg":1.0,"window":100.0}"#);
+    let line = managed.wait_for_log("report ignored");
     let line: Value = serde_json::from_str(&line).unwrap();
     assert_eq!(line["level"], json!("info"));
     let spans: Vec<_> = line["spans"].as_array().unwrap().iter().map(|span| span["name"].clone()).collect();
@@ -315,8 +320,8 @@
 }
 
 #[test]
-fn the_command_line_checks_files_and_explains_itself() {
-    let managed = Managed::start(3, 6);
+fn command_line_checks_files_and_prints_help() {
+    let managed = ManagedController::start(3, 6);
     let run = |arguments: &[&str], change: &str| {
         let (plain, _file) = managed.command();
         let mut command = std::process::Command::new(plain.get_program());
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -1,5 +1,5 @@
-//! Readers on loopback sockets with an owner that events what counts: stalls and panics at each stage, order,
-//! many connections, the same sums over any number of them.
+//! The reader pool on loopback sockets, with an owner that records what it applies: stalls and panics at each stage,
+//! order, many connections, the same sums for any number of readers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 use whinwall_transport::listener;
 use whinwall_transport::{Bounds, ConnectionCommand, ConnectionId, Input};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What counted, in its order.
 #[derive(Clone, Debug, PartialEq)]
@@ -155,7 +155,7 @@
     }
 
     fn until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while !is_so(self) {
             assert!(Instant::now() < end, "{what} never comes; events {:?}", self.events.lock().unwrap());
             thread::sleep(Duration::from_millis(10));
@@ -175,28 +175,28 @@
 impl Collector {
     fn connect(owner: &Owner) -> Self {
         let stream = TcpStream::connect(owner.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Collector { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
     fn join(owner: &Owner) -> Self {
         let mut collector = Collector::connect(owner);
-        collector.says("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
-        assert!(collector.pings());
+        collector.send_line("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
+        assert!(collector.ping());
         collector
     }
 
-    fn says(&mut self, line: &str) {
+    fn send_line(&mut self, line: &str) {
         _ = self.stream.write_all(format!("{line}\n").as_bytes());
     }
 
     fn asked(&mut self, slice: u32, came: u32) {
-        self.says(&asked(slice, came));
+        self.send_line(&asked(slice, came));
     }
 
     /// False where the connection is no more.
-    fn pings(&mut self) -> bool {
-        self.says("{\"@type\":\"PING\"}");
+    fn ping(&mut self) -> bool {
+        self.send_line("{\"@type\":\"PING\"}");
         let mut answer = String::new();
         self.reader.read_line(&mut answer).is_ok() && answer == "PONG\n"
     }
@@ -241,7 +241,7 @@
     for piece in text.as_bytes().chunks(50_000) {
         collector.stream.write_all(piece).unwrap();
     }
-    assert!(collector.pings());
+    assert!(collector.ping());
     let slices = |counted: &[Counted]| -> Vec<u32> {
         let slice =
             |one: &Counted| if let Counted::DemandReport(_, slice, ..) = one { Some(*slice) } else { None };
@@ -264,7 +264,7 @@
                     let lines: Vec<_> =
                         (0..3000).map(|n| asked((n * 7 + connection) % 50, n % 9) + "\n").collect();
                     collector.stream.write_all(lines.concat().as_bytes()).unwrap();
-                    assert!(collector.pings());
+                    assert!(collector.ping());
                 });
             }
         });
@@ -313,11 +313,11 @@
         // Some of the others are read by the one that stopped: they end and come back. All go on soon.
         for collector in &mut collectors {
             collector.stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-            if !collector.pings() {
+            if !collector.ping() {
                 *collector = Collector::join(&owner);
             }
             collector.asked(7, 3);
-            assert!(collector.pings());
+            assert!(collector.ping());
         }
         assert!(began.elapsed() < Duration::from_secs(4), "{stage:?}: {:?}", began.elapsed());
         owner.until("its replacement", |owner| owner.has_event("ReaderRestarted"));
@@ -329,7 +329,7 @@
         // It goes on, and what it has is nobody's; the victim comes back and is heard.
         let mut anew = Collector::join(&owner);
         anew.asked(8, 1);
-        assert!(anew.pings());
+        assert!(anew.ping());
         let after = sums(&owner.counted(), None);
         let late = |sums: &BTreeMap<u32, f64>| sums.range(1000..).map(|(_, came)| came).sum::<f64>();
         assert_eq!(late(&before), late(&after), "{stage:?}: late reports passed for fresh");
@@ -385,10 +385,10 @@
             _ => assert!(owner.counted().iter().any(|one| matches!(one, Counted::Lost(_)))),
         }
         for other in &mut others {
-            if !other.pings() {
+            if !other.ping() {
                 *other = Collector::join(&owner);
             }
-            assert!(other.pings(), "{stage:?}");
+            assert!(other.ping(), "{stage:?}");
         }
     }
 }
@@ -404,12 +404,12 @@
                     let mut collector = Collector::connect(owner);
                     match (worker + n) % 5 {
                         0 => {}
-                        1 => collector.says("{\"@type\":\"SOU"),
-                        2 => collector.says("no message"),
+                        1 => collector.send_line("{\"@type\":\"SOU"),
+                        2 => collector.send_line("no message"),
                         _ => {
-                            collector.says("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
+                            collector.send_line("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
                             collector.asked(5, 1);
-                            assert!(collector.pings());
+                            assert!(collector.ping());
                         }
                     }
                 }
@@ -424,7 +424,7 @@
 
 /// Half a line at the end of a chunk, and lines that come byte by byte.
 #[test]
-fn lines_are_cut_where_they_end_and_nowhere_else() {
+fn lines_split_at_any_byte_are_decoded_whole() {
     let owner = Owner::quiet(2);
     let mut collector = Collector::join(&owner);
     let text: String = (0..2000).map(|n| asked(n, 1) + "\r\n").collect();
@@ -434,7 +434,7 @@
     for byte in (asked(2000, 1) + "\n").as_bytes() {
         collector.stream.write_all(&[*byte]).unwrap();
     }
-    assert!(collector.pings());
+    assert!(collector.ping());
     assert_eq!(sums(&owner.counted(), None).len(), 2001);
     // A last line without its end is no line.
     collector.stream.write_all(asked(3000, 1).as_bytes()).unwrap();
@@ -469,12 +469,12 @@
     }
     assert!((3..=5).contains(&most), "{most} threads stand still");
     sticks.store(0, Ordering::SeqCst);
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     let answers = || {
         let mut collector = Collector::connect(&owner);
-        collector.says("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
+        collector.send_line("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
         collector.stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-        collector.pings()
+        collector.ping()
     };
     while !answers() {
         assert!(Instant::now() < end, "it does not come back");
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -1,12 +1,12 @@
 //! The reducer's answers to one event after another, without sockets.
 
-mod stand_ins;
+mod support;
 
 use quickcheck::{Arbitrary, Gen};
 use serde_json::json;
-use stand_ins::rig::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use support::rig::*;
 use whinwall_management_api::messages::{Reply, Request};
 use whinwall_overrides::{ChangeRequest, ClockReading, NewOverride, OverrideKind, OverrideLimits};
 use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
@@ -20,46 +20,46 @@
 #[test]
 fn commands_rest_on_complete_routing_tables() {
     let mut rig = Rig::new();
-    rig.list();
+    rig.send_list();
     for line in ["OK", "* SUBSCRIBE 0 north 9.5 1", "* GRANT 3 1"] {
-        rig.news(line);
+        rig.relay_event(line);
     }
     // The piece ends here: the row is still under way, and the table must not be taken for empty.
-    rig.pass(900);
-    assert!(!rig.calls.join(" ").contains("SET"), "{:?}", rig.calls);
-    rig.news("* ROW 3 s-3 1.0");
-    rig.pass(3000);
-    let made = rig.calls.join(" ");
+    rig.advance_ms(900);
+    assert!(!rig.requests.join(" ").contains("SET"), "{:?}", rig.requests);
+    rig.relay_event("* ROW 3 s-3 1.0");
+    rig.advance_ms(3000);
+    let made = rig.requests.join(" ");
     assert!(!made.contains("SET,3,s-3,") && made.contains("SET,3,"), "who stands by is all it lacks: {made}");
     // A line that comes late is in the table all the same, and leaves it with its replica.
-    rig.news("* ROW 3 s-5 1.0");
-    rig.news("*");
+    rig.relay_event("* ROW 3 s-5 1.0");
+    rig.relay_event("*");
     rig.store.insert(3, BTreeMap::from([("s-3".into(), 1.0), ("s-5".into(), 1.0)]));
-    rig.pass(500);
+    rig.advance_ms(500);
     rig.drain("s-5");
-    assert!(rig.open.take().unwrap().contains("SET,3,s-5,0"));
+    assert!(rig.pending_request.take().unwrap().contains("SET,3,s-5,0"));
 }
 
 #[test]
 fn empty_routing_table_is_filled_once_it_is_known_to_be_empty() {
     let mut rig = Rig::new();
-    rig.list();
+    rig.send_list();
     rig.store.insert(3, BTreeMap::new());
-    rig.standing(&[]);
-    rig.pass(500);
+    rig.send_snapshot(&[]);
+    rig.advance_ms(500);
     assert!(!rig.store[&3].is_empty());
 }
 
 #[test]
 fn drain_migrates_all_slices_in_one_request() {
     let mut rig = Rig::serving();
-    let before = rig.calls.len();
+    let before = rig.requests.len();
     rig.drain("s-2");
-    let call = rig.calls[before..].first().expect("no call follows a drain").clone();
+    let call = rig.requests[before..].first().expect("no call follows a drain").clone();
     assert!(
         call.starts_with("APPLY OUT,s-2;") && call.contains("SET,2,s-2,0") && call.contains("SET,8,s-2,0")
     );
-    rig.pass(1000);
+    rig.advance_ms(1000);
     assert!(!rig.owners().contains("s-2"));
 }
 
@@ -69,7 +69,7 @@
 fn outdated_lists_do_not_return_a_draining_replica() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    rig.pass(1000);
+    rig.advance_ms(1000);
     let entry = |id: &str, state: &str, zone: &str, started: u64| json!({"id": id, "zone": zone, "state": state, "started_ms": started});
     let (leaves, far) = (entry("s-2", "leaving", "north", 0), entry("s-1", "active", "north", u64::MAX));
     let others = |zone: &str| [0, 1, 3, 4, 5].map(|n| entry(&format!("s-{n}"), "active", zone, 0));
@@ -84,39 +84,42 @@
         json!({"version": 46, "full": false, "servers": [far, leaves]}),
         json!({"version": 46, "full": true, "servers": twice}),
     ];
-    let before = rig.calls.len();
+    let before = rig.requests.len();
     for list in odd {
-        rig.tell(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
-        rig.pass(700);
+        rig.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+        rig.advance_ms(700);
     }
     let again =
         |call: &String| call.contains("IN,s-2") || call.contains(",s-2,1") || call.contains(",s-2,0.");
-    assert!(!rig.calls[before..].iter().any(again), "{:?}", &rig.calls[before..]);
+    assert!(!rig.requests[before..].iter().any(again), "{:?}", &rig.requests[before..]);
     let back = json!({"version": 50, "full": false, "servers": [entry("s-2", "active", "north", 0)]});
-    rig.tell(Event::Registry(discovery::decode(&back.to_string()).unwrap().unwrap()));
-    rig.pass(3000);
-    assert!(rig.calls[before..].iter().any(|call| call.contains("IN,s-2")));
+    rig.apply(Event::Registry(discovery::decode(&back.to_string()).unwrap().unwrap()));
+    rig.advance_ms(3000);
+    assert!(rig.requests[before..].iter().any(|call| call.contains("IN,s-2")));
 }
 
 #[test]
 fn pending_request_is_resent_before_newer_commands() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    let first = rig.open.take().unwrap();
-    rig.tell(UNKNOWN);
+    let first = rig.pending_request.take().unwrap();
+    rig.apply(UNKNOWN);
     // What is learnt meanwhile makes no call of its own.
     rig.drain("s-3");
-    assert_eq!(rig.open.as_ref(), Some(&first), "the first repeat is made at once");
-    rig.open = None;
-    rig.tell(UNKNOWN);
-    rig.quiet();
-    assert_eq!(rig.open, None, "the second repeat waits, or a broken relay would be called without end");
+    assert_eq!(rig.pending_request.as_ref(), Some(&first), "the first repeat is made at once");
+    rig.pending_request = None;
+    rig.apply(UNKNOWN);
+    rig.drain_input();
+    assert_eq!(
+        rig.pending_request, None,
+        "the second repeat waits, or a broken relay would be called without end"
+    );
     rig.now = rig.now + Span::ms(100);
-    rig.quiet();
-    assert_eq!(rig.open.as_ref(), Some(&first));
-    rig.answer();
-    assert!(rig.open.as_ref().unwrap().contains("OUT,s-3"));
-    rig.pass(1000);
+    rig.drain_input();
+    assert_eq!(rig.pending_request.as_ref(), Some(&first));
+    rig.accept_request();
+    assert!(rig.pending_request.as_ref().unwrap().contains("OUT,s-3"));
+    rig.advance_ms(1000);
     assert!(!rig.owners().contains("s-2") && !rig.owners().contains("s-3"));
 }
 
@@ -125,23 +128,23 @@
 #[test]
 fn requests_of_unknown_outcome_do_not_overfill_the_channel() {
     let cap = 400;
-    let mut rig = Rig::with(300, |settings| settings["familyInfo"]["queueCap"] = json!(cap)).set_going();
+    let mut rig = Rig::with(300, |settings| settings["familyInfo"]["queueCap"] = json!(cap)).start_serving();
     rig.drain("s-2");
     let (mut waiting, mut calls) = (0, 0);
     for _ in 0..20 {
-        if let Some(call) = rig.open.take() {
+        if let Some(call) = rig.pending_request.take() {
             (waiting, calls) = (waiting + (call.split(';').count() + 8) * rig.proxies as usize, calls + 1);
-            rig.tell(UNKNOWN);
+            rig.apply(UNKNOWN);
         }
         assert!(waiting <= cap, "{waiting} lines in {calls} calls");
         rig.now = rig.now + Span::ms(100);
-        rig.quiet();
+        rig.drain_input();
     }
     assert!(calls > 1, "it is said again at once where there is room");
     // Nothing is acked for so long that nothing can wait any more: it was never carried out.
     rig.now = rig.now + Span::ms(3000);
-    rig.quiet();
-    rig.pass(20_000);
+    rig.drain_input();
+    rig.advance_ms(20_000);
     assert!(!rig.owners().contains("s-2"));
 }
 
@@ -149,59 +152,59 @@
 fn new_targets_are_watched_and_a_pending_request_stays_the_first() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    let first = rig.open.clone().unwrap();
-    rig.tell(Event::WatchLost(StreamError::Closed));
-    rig.follows.clear();
+    let first = rig.pending_request.clone().unwrap();
+    rig.apply(Event::WatchLost(StreamError::Closed));
+    rig.other_effects.clear();
     let moved = |port, other| Targets {
         relay: SocketAddr::new(RELAY.ip(), port),
         discovery: SocketAddr::new(RELAY.ip(), other),
     };
-    rig.tell(Event::Configured(moved(RELAY.port(), DISCOVERY.port())));
-    assert_eq!(rig.follows, [], "nothing has moved");
-    let (targets, before) = (moved(6401, 8501), rig.calls.len());
-    rig.tell(Event::Configured(targets));
+    rig.apply(Event::Configured(moved(RELAY.port(), DISCOVERY.port())));
+    assert_eq!(rig.other_effects, [], "nothing has moved");
+    let (targets, before) = (moved(6401, 8501), rig.requests.len());
+    rig.apply(Event::Configured(targets));
     let expected = [
         Effect::WatchRelay { relay: targets.relay },
         Effect::WatchRegistry { discovery: targets.discovery, since: 41 },
     ];
-    assert_eq!(rig.follows, expected);
-    rig.open = None;
-    rig.tell(UNKNOWN);
+    assert_eq!(rig.other_effects, expected);
+    rig.pending_request = None;
+    rig.apply(UNKNOWN);
     rig.drain("s-3");
-    assert_eq!((rig.open.as_ref(), rig.relay), (Some(&first), Some(targets.relay)));
-    rig.follows.clear();
-    rig.standing(&[]);
-    rig.pass(1000);
-    assert_eq!(rig.follows, [], "what was to be asked for again is asked for already");
-    assert!(rig.calls.len() > before && !rig.owners().contains("s-2") && !rig.owners().contains("s-3"));
+    assert_eq!((rig.pending_request.as_ref(), rig.relay), (Some(&first), Some(targets.relay)));
+    rig.other_effects.clear();
+    rig.send_snapshot(&[]);
+    rig.advance_ms(1000);
+    assert_eq!(rig.other_effects, [], "what was to be asked for again is asked for already");
+    assert!(rig.requests.len() > before && !rig.owners().contains("s-2") && !rig.owners().contains("s-3"));
 }
 
 #[test]
 fn only_a_command_refused_twice_is_skipped() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    let call = rig.open.clone().unwrap();
+    let call = rig.pending_request.clone().unwrap();
     let orders: Vec<_> = call.strip_prefix("APPLY ").unwrap().split(';').collect();
     // What was taken, as the relay says, and where the next call begins: a figure that can't be says nothing,
     // one that is wrong costs a repeat and no order.
     let mut from = 0;
     for (taken, next) in [(usize::MAX, 0), (orders.len() + 1, 0), (0, 0), (2, 2), (1, 3), (0, 4)] {
-        let before = rig.notes.len();
-        rig.open = None;
-        rig.tell(Event::RelayReply(Ok(Response::Accepted(taken))));
-        rig.quiet();
-        if rig.open.is_none() {
+        let before = rig.logs.len();
+        rig.pending_request = None;
+        rig.apply(Event::RelayReply(Ok(Response::Accepted(taken))));
+        rig.drain_input();
+        if rig.pending_request.is_none() {
             rig.now = rig.now + Span::ms(100);
-            rig.quiet();
+            rig.drain_input();
         }
         // With the order that is skipped goes what it would have gone with: the old line alone would leave the table bare.
         let with_skipped = orders[3].split(',').take(2).collect::<Vec<_>>().join(",") + ",";
         let stays = |order: &&&str| next < 4 || !order.starts_with(&with_skipped);
         let rest: Vec<_> = orders[next..].iter().filter(stays).copied().collect();
         assert!(next < 4 || rest.len() + 1 == orders.len() - 4, "{with_skipped} has an old line behind it");
-        assert_eq!(rig.open, Some(format!("APPLY {}", rest.join(";"))), "{taken} from {from}");
+        assert_eq!(rig.pending_request, Some(format!("APPLY {}", rest.join(";"))), "{taken} from {from}");
         let skipped =
-            rig.notes[before..].iter().any(|note| note.contains("skipped") && note.contains(orders[3]));
+            rig.logs[before..].iter().any(|note| note.contains("skipped") && note.contains(orders[3]));
         assert_eq!(skipped, next == 4);
         from = next;
     }
@@ -214,28 +217,29 @@
 #[test]
 fn lost_acknowledgements_are_covered_by_later_ones() {
     let single = |settings: &mut serde_json::Value| settings["familyInfo"]["singleWriter"] = true.into();
-    let mut rig = Rig::with(12, single).set_going();
-    rig.pass(5000);
+    let mut rig = Rig::with(12, single).start_serving();
+    rig.advance_ms(5000);
     rig.drain("s-2");
     let proxies = std::mem::take(&mut rig.proxies);
-    rig.answer();
+    rig.accept_request();
     rig.proxies = proxies;
-    rig.pass(500);
-    let moved = |rig: &Rig| rig.calls.iter().any(|call| call.contains("SET,2,") && call.contains("SET,8,"));
+    rig.advance_ms(500);
+    let moved =
+        |rig: &Rig| rig.requests.iter().any(|call| call.contains("SET,2,") && call.contains("SET,8,"));
     assert!(!moved(&rig), "a single writer waits until all know that ops are held back");
     rig.drain("s-3");
-    rig.pass(1000);
-    assert!(moved(&rig), "who is through with what came later has the former too: {:?}", rig.calls);
+    rig.advance_ms(1000);
+    assert!(moved(&rig), "who is through with what came later has the former too: {:?}", rig.requests);
 }
 
 #[test]
 fn replicas_can_be_replaced_without_end() {
     let mut rig = Rig::serving();
     let known = |rig: &mut Rig| {
-        rig.tell(Event::WatchLost(StreamError::Closed));
-        rig.pass(100);
-        rig.standing(&[]);
-        let note = rig.notes.last().unwrap().clone();
+        rig.apply(Event::WatchLost(StreamError::Closed));
+        rig.advance_ms(100);
+        rig.send_snapshot(&[]);
+        let note = rig.logs.last().unwrap().clone();
         note.rsplit('=').next().unwrap().parse::<usize>().unwrap()
     };
     assert_eq!(known(&mut rig), 6);
@@ -244,15 +248,15 @@
         let name = if n % 50 == 49 { format!("s-{}", 6 + n - 49) } else { format!("s-{}", 6 + n) };
         let former = rig.replicas.keys().nth(n % 6).unwrap().clone();
         rig.drain(&former);
-        rig.pass(500);
+        rig.advance_ms(500);
         assert!(!rig.owners().contains(former.as_str()));
         rig.replicas.remove(&former);
         rig.replicas.insert(name, "active");
-        rig.list();
-        rig.pass(1500);
+        rig.send_list();
+        rig.advance_ms(1500);
     }
-    rig.pass(30_000);
-    let calls = rig.calls.join(" ");
+    rig.advance_ms(30_000);
+    let calls = rig.requests.join(" ");
     assert!(calls.contains("OUT,s-100;") && calls.contains("IN,s-100;"));
     assert_eq!(known(&mut rig), 6, "those that went are forgotten");
 }
@@ -263,19 +267,19 @@
         let wanted =
             OverrideConfig { bounds: OverrideLimits::default(), orders: Vec::new(), has_store: false };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: self.now };
-        self.tell(Event::OperatorConfigChanged(wanted, reading));
+        self.apply(Event::OperatorConfigChanged(wanted, reading));
         self
     }
 
     fn set(&mut self, id: &str, kind: OverrideKind, lasts_ms: u64) {
         let (author, reason, duration) = ("mb".into(), "disk".into(), Span::ms(lasts_ms));
         let order = NewOverride { id: id.into(), kind, author, reason, duration };
-        self.tell(Event::ManagementRequest {
+        self.apply(Event::ManagementRequest {
             ticket: 1,
             request: Request::Change(ChangeRequest::Set(order)),
         });
         assert!(matches!(self.replies.pop(), Some(Reply::Set { .. })));
-        self.quiet();
+        self.drain_input();
     }
 
     fn out(&mut self, replica: &str, lasts_ms: u64) {
@@ -284,7 +288,7 @@
 
     /// Those that are listed as standing, checked against the time.
     fn standing_overrides(&mut self) -> Vec<String> {
-        self.tell(Event::ManagementRequest { ticket: 2, request: Request::List });
+        self.apply(Event::ManagementRequest { ticket: 2, request: Request::List });
         let Some(Reply::Listed { overrides, now }) = self.replies.pop() else { panic!("a list") };
         let standing: Vec<_> = overrides.into_iter().filter(|listed| listed.entry.is_active()).collect();
         assert!(standing.iter().all(|listed| listed.entry.expires_at > now), "one stands after its end");
@@ -296,44 +300,44 @@
 fn override_ends_on_time_while_a_request_is_pending() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 3000);
-    rig.pass(500);
-    assert!(rig.calls.join(" ").contains("OUT,s-1;") && !rig.owners().contains("s-1"));
+    rig.advance_ms(500);
+    assert!(rig.requests.join(" ").contains("OUT,s-1;") && !rig.owners().contains("s-1"));
     // A call whose outcome stays unknown holds back all newer orders, and no end.
     rig.drain("s-2");
-    let open = rig.open.take().expect("the drain's call");
+    let open = rig.pending_request.take().expect("the drain's call");
     for _ in 0..30 {
         rig.now = rig.now + Span::ms(100);
-        rig.tell(UNKNOWN);
-        rig.quiet();
-        rig.open = None;
+        rig.apply(UNKNOWN);
+        rig.drain_input();
+        rig.pending_request = None;
     }
     assert!(rig.standing_overrides().is_empty());
-    assert!(!rig.calls.join(" ").contains("IN,s-1"), "nothing newer before it: {open}");
-    rig.tell(UNKNOWN);
-    rig.quiet();
-    rig.pass(1000);
-    assert!(rig.calls.join(" ").contains("IN,s-1"), "and then at once");
+    assert!(!rig.requests.join(" ").contains("IN,s-1"), "nothing newer before it: {open}");
+    rig.apply(UNKNOWN);
+    rig.drain_input();
+    rig.advance_ms(1000);
+    assert!(rig.requests.join(" ").contains("IN,s-1"), "and then at once");
 }
 
 #[test]
 fn override_follows_its_replica_under_another_id() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 3_600_000);
-    rig.pass(1000);
+    rig.advance_ms(1000);
     // It leaves, is forgotten, and its name returns.
     rig.replicas.remove("s-1");
-    rig.list();
-    rig.pass(60_000);
+    rig.send_list();
+    rig.advance_ms(60_000);
     rig.replicas.insert("s-1".into(), "active");
-    rig.list();
-    rig.pass(60_000);
+    rig.send_list();
+    rig.advance_ms(60_000);
     assert!(!rig.owners().contains("s-1"), "out of service still");
     assert_eq!(rig.standing_overrides(), ["s-1"]);
     // One for a replica that nobody has heard of waits for it.
     rig.out("s-77", 3_600_000);
     rig.replicas.insert("s-77".into(), "active");
-    rig.list();
-    rig.pass(60_000);
+    rig.send_list();
+    rig.advance_ms(60_000);
     assert!(!rig.owners().contains("s-77"));
 }
 
@@ -341,12 +345,12 @@
 fn wall_clock_step_prolongs_no_override() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 10_000);
-    rig.tell(Event::WallStepped(rig.now - Span::ms(7_200_000)));
-    rig.pass(10_000);
+    rig.apply(Event::WallStepped(rig.now - Span::ms(7_200_000)));
+    rig.advance_ms(10_000);
     assert!(rig.standing_overrides().is_empty());
     rig.out("s-2", 10_000);
-    rig.tell(Event::WallStepped(rig.now + Span::ms(7_200_000)));
-    rig.pass(9000);
+    rig.apply(Event::WallStepped(rig.now + Span::ms(7_200_000)));
+    rig.advance_ms(9000);
     assert_eq!(rig.standing_overrides(), ["s-2"], "forwards it has its time");
 }
 
@@ -357,9 +361,9 @@
         let replica = format!("s-{}", n % 6);
         rig.set(&format!("p{n}"), OverrideKind::Pin { first: n, last: n, replica }, 60_000);
     }
-    rig.pass(30_000);
+    rig.advance_ms(30_000);
     assert_eq!(rig.standing_overrides().len(), 1000);
-    rig.pass(30_000);
+    rig.advance_ms(30_000);
     assert!(rig.standing_overrides().is_empty());
 }
 
@@ -396,23 +400,23 @@
                 }
                 5 => {
                     rig.replicas.insert(replica, "active");
-                    rig.list();
+                    rig.send_list();
                 }
                 6 => {
-                    rig.tell(Event::WatchLost(StreamError::Closed));
-                    rig.pass(200);
-                    rig.renew();
+                    rig.apply(Event::WatchLost(StreamError::Closed));
+                    rig.advance_ms(200);
+                    rig.resend_snapshot_if_requested();
                 }
-                _ if rig.open.take().is_some() => {
-                    rig.tell(UNKNOWN);
-                    rig.quiet();
+                _ if rig.pending_request.take().is_some() => {
+                    rig.apply(UNKNOWN);
+                    rig.drain_input();
                 }
                 _ => {}
             }
-            rig.pass(700);
+            rig.advance_ms(700);
             rig.standing_overrides();
         }
-        rig.pass(20_000);
+        rig.advance_ms(20_000);
         let gone: Vec<_> =
             rig.replicas.iter().filter(|(_, s)| **s == "leaving").map(|(n, _)| n.clone()).collect();
         rig.standing_overrides().is_empty()
@@ -425,12 +429,12 @@
 fn rejected_request_is_dropped_and_the_store_read_again() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    rig.open = None;
-    rig.follows.clear();
-    rig.tell(Event::RelayReply(Ok(Response::Rejected("ERR bad_request".into()))));
-    assert_eq!(rig.follows, [Effect::WatchRelay { relay: RELAY }]);
-    rig.standing(&[]);
-    rig.pass(1000);
+    rig.pending_request = None;
+    rig.other_effects.clear();
+    rig.apply(Event::RelayReply(Ok(Response::Rejected("ERR bad_request".into()))));
+    assert_eq!(rig.other_effects, [Effect::WatchRelay { relay: RELAY }]);
+    rig.send_snapshot(&[]);
+    rig.advance_ms(1000);
     assert!(!rig.owners().contains("s-2"), "what was dropped is ordered again");
 }
 
@@ -438,33 +442,33 @@
 fn broken_relay_watch_is_made_up_for() {
     let mut rig = Rig::serving();
     // A break in the middle of a table: the half is forgotten.
-    rig.news("OK");
-    rig.news("* GRANT 3 1");
-    rig.tell(Event::WatchLost(StreamError::Closed));
-    rig.quiet();
+    rig.relay_event("OK");
+    rig.relay_event("* GRANT 3 1");
+    rig.apply(Event::WatchLost(StreamError::Closed));
+    rig.drain_input();
     assert_eq!(
-        rig.follows.last(),
+        rig.other_effects.last(),
         Some(&Effect::WatchRegistry { discovery: DISCOVERY, since: 0 }),
         "it pauses first"
     );
-    let before = rig.notes.len();
-    rig.pass(100);
-    assert_eq!(rig.follows.last(), Some(&Effect::WatchRelay { relay: RELAY }));
-    assert_eq!(rig.notes.len(), before, "half a snapshot was taken for all that stands");
+    let before = rig.logs.len();
+    rig.advance_ms(100);
+    assert_eq!(rig.other_effects.last(), Some(&Effect::WatchRelay { relay: RELAY }));
+    assert_eq!(rig.logs.len(), before, "half a snapshot was taken for all that stands");
     // Meanwhile two proxies left, slice 4 went to another controller, and slice 5 to another replica.
     rig.store.insert(5, BTreeMap::from([("s-0".into(), 1.0)]));
     rig.proxies = 2;
-    rig.standing(&[4]);
-    rig.pass(500);
+    rig.send_snapshot(&[4]);
+    rig.advance_ms(500);
     assert_eq!(
-        rig.notes.last().unwrap(),
+        rig.logs.last().unwrap(),
         "relay snapshot complete proxies=2 slices=11 changed_slices=1 replicas=6"
     );
-    let before = rig.calls.len();
+    let before = rig.requests.len();
     rig.drain("s-4");
     rig.drain("s-0");
-    rig.pass(1000);
-    let after = rig.calls[before..].join(" ");
+    rig.advance_ms(1000);
+    let after = rig.requests[before..].join(" ");
     assert!(!after.contains("SET,4,") && after.contains("SET,10,s-4,0") && after.contains("SET,5,s-0,0"));
 }
 
@@ -472,11 +476,11 @@
 fn stale_commands_for_a_slice_that_changed_hands_are_not_resent() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    assert!(rig.open.take().unwrap().contains("SET,8,s-2,0"));
-    rig.news("* GRANT 8 0");
-    rig.tell(UNKNOWN);
-    rig.quiet();
-    let again = rig.open.clone().unwrap();
+    assert!(rig.pending_request.take().unwrap().contains("SET,8,s-2,0"));
+    rig.relay_event("* GRANT 8 0");
+    rig.apply(UNKNOWN);
+    rig.drain_input();
+    let again = rig.pending_request.clone().unwrap();
     assert!(again.contains("SET,2,s-2,0") && !again.contains(",8,"), "{again}");
 }
 
@@ -487,17 +491,17 @@
     // Another controller had it meanwhile; it comes back on a replica that drains.
     rig.store.insert(8, BTreeMap::from([("s-2".into(), 1.0)]));
     for line in ["* GRANT 8 0", "* GRANT 8 1", "* ROW 8 s-2 1.0", "*"] {
-        rig.news(line);
+        rig.relay_event(line);
     }
-    rig.follows.clear();
-    rig.pass(100);
+    rig.other_effects.clear();
+    rig.advance_ms(100);
     assert_eq!(
-        rig.follows,
+        rig.other_effects,
         [Effect::WatchRelay { relay: RELAY }],
         "the open call may have met the slice, or not"
     );
-    rig.standing(&[]);
-    rig.pass(1000);
+    rig.send_snapshot(&[]);
+    rig.advance_ms(1000);
     assert!(!rig.owners().contains("s-2"));
 }
 
@@ -505,65 +509,65 @@
 fn routing_tables_under_a_pending_request_do_not_count_as_changed() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    let call = rig.open.take().unwrap();
-    rig.tell(Event::RelayReply(Err(RequestError::NotSent(StreamError::Closed))));
+    let call = rig.pending_request.take().unwrap();
+    rig.apply(Event::RelayReply(Err(RequestError::NotSent(StreamError::Closed))));
     // The relay is back with the tables as they were: the call is still to come, and it alone.
-    rig.standing(&[]);
-    assert_eq!(rig.open.as_ref(), Some(&call));
-    rig.answer();
-    rig.pass(250);
-    let again = rig.calls.iter().filter(|made| made.contains("SET,2,s-2,0")).count();
-    assert_eq!(again, 2, "{:?}", rig.calls);
+    rig.send_snapshot(&[]);
+    assert_eq!(rig.pending_request.as_ref(), Some(&call));
+    rig.accept_request();
+    rig.advance_ms(250);
+    let again = rig.requests.iter().filter(|made| made.contains("SET,2,s-2,0")).count();
+    assert_eq!(again, 2, "{:?}", rig.requests);
 }
 
 #[test]
 fn lost_registry_watch_is_opened_again() {
     let mut rig = Rig::serving();
-    rig.notes.clear();
+    rig.logs.clear();
     for (why, since) in
         [(StreamError::Closed, 41), (StreamError::Unreadable("a list that is none".into()), 0)]
     {
-        rig.tell(Event::RegistryLost(why));
-        rig.quiet();
-        rig.pass(100);
-        assert_eq!(rig.follows.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since }));
+        rig.apply(Event::RegistryLost(why));
+        rig.drain_input();
+        rig.advance_ms(100);
+        assert_eq!(rig.other_effects.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since }));
     }
-    rig.list();
+    rig.send_list();
     let notes =
         ["registry watch failed reason=\"closed by the peer\"", "registry watch recovered failures=2"];
-    assert_eq!(rig.notes, notes, "an outage is worth two lines, not one an attempt");
+    assert_eq!(rig.logs, notes, "an outage is worth two lines, not one an attempt");
 }
 
 #[test]
 fn list_is_polled_though_the_relay_is_silent() {
     let mut rig = Rig::with(12, |settings| settings["membershipMode"] = "ask".into());
-    rig.quiet();
+    rig.drain_input();
     assert_eq!(
-        rig.follows,
+        rig.other_effects,
         [Effect::WatchRelay { relay: RELAY }, Effect::WatchRegistry { discovery: DISCOVERY, since: 0 }]
     );
-    rig.list();
-    rig.standing(&[]);
-    rig.pass(2000);
+    rig.send_list();
+    rig.send_snapshot(&[]);
+    rig.advance_ms(2000);
     rig.drain("s-2");
-    assert!(rig.open.is_some());
-    rig.tell(Event::RegistryLost(StreamError::TimedOut));
+    assert!(rig.pending_request.is_some());
+    rig.apply(Event::RegistryLost(StreamError::TimedOut));
     for _ in 0..31 {
         rig.now = rig.now + Span::ms(100);
-        rig.quiet();
+        rig.drain_input();
     }
-    assert_eq!(rig.follows.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since: 41 }));
+    assert_eq!(rig.other_effects.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since: 41 }));
 }
 
 #[test]
 fn reply_too_large_for_a_request_becomes_several_in_order() {
     let mut rig = Rig::with(5000, |_| {});
-    rig.list();
-    rig.standing(&[]);
-    rig.pass(4000);
-    let [first, second] = &rig.calls.iter().filter(|call| call.contains("SET,")).collect::<Vec<_>>()[..]
+    rig.send_list();
+    rig.send_snapshot(&[]);
+    rig.advance_ms(4000);
+    let [first, second] = &rig.requests.iter().filter(|call| call.contains("SET,")).collect::<Vec<_>>()[..]
     else {
-        panic!("{} calls", rig.calls.len())
+        panic!("{} calls", rig.requests.len())
     };
     assert!(first.len() < 60_010 && !first.contains("SYNC"));
     // Some proxies may have got the first piece only: all are asked whether they are through.
@@ -574,7 +578,7 @@
 #[test]
 fn invalid_messages_change_nothing() {
     let mut rigs = [Rig::serving(), Rig::serving()];
-    rigs.iter_mut().for_each(|rig| rig.says(1, r#"{"@type":"SOURCE","az":"north"}"#));
+    rigs.iter_mut().for_each(|rig| rig.collector_line(1, r#"{"@type":"SOURCE","az":"north"}"#));
     let [rig, twin] = &mut rigs;
     let spoilt = [
         r#"{"@type":"LOAD","az":"nowhere","host":"s-1","n":200,"bad":0,"avg":1,"window":9000.0}"#,
@@ -597,35 +601,35 @@
         for rig in [&mut *rig, &mut *twin] {
             for n in 0..12 {
                 let (replica, failed) = (n % 6, if n == 1 && second > 9 { 9 } else { 0 });
-                rig.says(1, &format!(
+                rig.collector_line(1, &format!(
                     r#"{{"@type":"LOAD","az":"north","host":"s-{replica}","n":9,"bad":{failed},"avg":41.7,"window":1000.0}}"#
                 ));
-                rig.says(1, &format!(
+                rig.collector_line(1, &format!(
                     r#"{{"@type":"SHARD","partition":{n},"kind":"lookup","n":9,"bad":{failed},"window":1000.0}}"#
                 ));
             }
-            rig.pass(1000);
+            rig.advance_ms(1000);
         }
-        spoilt.iter().for_each(|line| rig.says(1, line));
+        spoilt.iter().for_each(|line| rig.collector_line(1, line));
     }
     for line in ["* CLOSED 77", "* ACK 77 9 1.5", "* ACK 0 65535 1.5", "* GRANT 400 0", "* ROW 401 s-1 1.0"] {
-        rig.news(line);
-        rig.quiet();
+        rig.relay_event(line);
+        rig.drain_input();
     }
-    assert!(twin.calls.iter().any(|call| call.contains("OUT,s-1")), "good reports count");
-    assert_eq!(rig.calls, twin.calls);
-    assert!(!rig.follows.iter().any(|effect| matches!(effect, Effect::Disconnect { .. })));
+    assert!(twin.requests.iter().any(|call| call.contains("OUT,s-1")), "good reports count");
+    assert_eq!(rig.requests, twin.requests);
+    assert!(!rig.other_effects.iter().any(|effect| matches!(effect, Effect::Disconnect { .. })));
     for line in ["", "[]", "{", r#"{"@type":"LOAD","az":"a{"@type":"LOAD"}"#, "GET / HTTP/1.1", "7"] {
-        rig.says(1, r#"{"@type":"SOURCE","az":"north"}"#);
-        rig.follows.clear();
-        rig.says(1, line);
+        rig.collector_line(1, r#"{"@type":"SOURCE","az":"north"}"#);
+        rig.other_effects.clear();
+        rig.collector_line(1, line);
         assert_eq!(
-            rig.follows,
+            rig.other_effects,
             [Effect::Disconnect { to: 1, why: None }],
             "{line}: a collector is told nothing"
         );
-        rig.says(1, spoilt[0]);
-        assert_eq!(rig.follows.len(), 2, "{line}: it has not joined any more");
+        rig.collector_line(1, spoilt[0]);
+        assert_eq!(rig.other_effects.len(), 2, "{line}: it has not joined any more");
     }
     for line in ["", "GRANT 1 1", "* GRANT", "* GRANT x 1", "* ROW 1 s-1 NaN", "* ACK 1 70000 1", "* NEWS"] {
         assert!(decode_event(line).is_err(), "{line}");
@@ -636,21 +640,21 @@
 fn unauthenticated_peers_are_disconnected() {
     let mut rig = Rig::serving();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-1","n":9,"bad":9,"avg":1,"window":1000}"#;
-    rig.says(1, r#"{"@type":"SOURCE","az":"north"}"#);
-    assert_eq!(rig.follows.last(), Some(&Effect::Admit { to: 1 }));
-    rig.says(1, met);
-    rig.tell(Event::Disconnected(1));
+    rig.collector_line(1, r#"{"@type":"SOURCE","az":"north"}"#);
+    assert_eq!(rig.other_effects.last(), Some(&Effect::Admit { to: 1 }));
+    rig.collector_line(1, met);
+    rig.apply(Event::Disconnected(1));
     for line in [met, r#"{"@type":"SOURCE","az":"nowhere"}"#, r#"{"@type":"SET","partition":1}"#, "GET /"] {
-        rig.follows.clear();
-        rig.says(1, line);
+        rig.other_effects.clear();
+        rig.collector_line(1, line);
         assert!(
-            matches!(rig.follows[..], [Effect::Disconnect { to: 1, why: Some(_) }]),
+            matches!(rig.other_effects[..], [Effect::Disconnect { to: 1, why: Some(_) }]),
             "{line}: {:?}",
-            rig.follows
+            rig.other_effects
         );
     }
-    rig.says(2, r#"{"@type":"PING"}"#);
-    assert_eq!(rig.follows.last(), Some(&Effect::Pong { to: 2 }));
+    rig.collector_line(2, r#"{"@type":"PING"}"#);
+    assert_eq!(rig.other_effects.last(), Some(&Effect::Pong { to: 2 }));
 }
 
 /// What happens, in any order: every call is answered, lost before or after it was carried out, or turned
@@ -677,51 +681,52 @@
                 }
                 1 => {
                     rig.replicas.insert(replica, "active");
-                    rig.list();
-                    rig.quiet();
+                    rig.send_list();
+                    rig.drain_input();
                 }
                 2 | 3 => {
-                    if let Some(call) = rig.open.take() {
+                    if let Some(call) = rig.pending_request.take() {
                         if deed % 9 == 2 {
                             rig.carry_out(&call);
                         }
-                        rig.tell(UNKNOWN);
-                        rig.quiet();
+                        rig.apply(UNKNOWN);
+                        rig.drain_input();
                     }
                 }
-                4 if rig.open.take().is_some() => {
-                    rig.tell(Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into()))));
-                    rig.quiet();
+                4 if rig.pending_request.take().is_some() => {
+                    rig.apply(Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into()))));
+                    rig.drain_input();
                 }
                 5 => {
-                    rig.tell(Event::WatchLost(StreamError::Closed));
-                    rig.standing(&[]);
+                    rig.apply(Event::WatchLost(StreamError::Closed));
+                    rig.send_snapshot(&[]);
                 }
                 6 => {
                     let slice = n % 12;
-                    rig.news(&format!("* GRANT {slice} 0"));
-                    rig.news(&format!("* GRANT {slice} 1"));
+                    rig.relay_event(&format!("* GRANT {slice} 0"));
+                    rig.relay_event(&format!("* GRANT {slice} 1"));
                     let rows = rig.store[&slice].clone();
-                    rows.iter().for_each(|(s, weight)| rig.news(&format!("* ROW {slice} {s} {weight}")));
-                    rig.quiet();
+                    rows.iter()
+                        .for_each(|(s, weight)| rig.relay_event(&format!("* ROW {slice} {s} {weight}")));
+                    rig.drain_input();
                 }
                 7 => {
-                    rig.now = rig.wake.unwrap_or(rig.now).max(rig.now);
-                    rig.quiet();
+                    rig.now = rig.wake_at.unwrap_or(rig.now).max(rig.now);
+                    rig.drain_input();
                 }
-                _ => rig.pass(u64::from(n % 400)),
+                _ => rig.advance_ms(u64::from(n % 400)),
             }
-            rig.renew();
+            rig.resend_snapshot_if_requested();
         }
-        while rig.renew() || rig.open.is_some() {
-            rig.pass(1000);
+        while rig.resend_snapshot_if_requested() || rig.pending_request.is_some() {
+            rig.advance_ms(1000);
         }
-        rig.pass(8000);
-        rig.tell(Event::WatchLost(StreamError::Closed));
-        rig.pass(100);
-        rig.standing(&[]);
+        rig.advance_ms(8000);
+        rig.apply(Event::WatchLost(StreamError::Closed));
+        rig.advance_ms(100);
+        rig.send_snapshot(&[]);
         let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
-        assert_eq!(rig.notes.last().unwrap(), stands, "seed {seed}: {deeds:?}");
+        assert_eq!(rig.logs.last().unwrap(), stands, "seed {seed}: {deeds:?}");
         let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
         assert_eq!(drained, None, "seed {seed}: {deeds:?}");
     }
@@ -802,7 +807,7 @@
 
 fn joined(rig: &mut Rig) {
     for (from, zone) in ["north", "south", "west"].iter().enumerate() {
-        rig.says(from as u64, &format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}"));
+        rig.collector_line(from as u64, &format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}"));
     }
 }
 
@@ -818,12 +823,12 @@
             for at in order {
                 let (from, mut reports) = chunks[*at].clone();
                 reports.iter_mut().for_each(|report| report.at = rig.now);
-                rig.tell(Event::Reports { from, reports });
+                rig.apply(Event::Reports { from, reports });
             }
-            rig.quiet();
-            rig.pass(1000);
+            rig.drain_input();
+            rig.advance_ms(1000);
         }
-        rig.calls
+        rig.requests
     }
     fn holds(seeds: Vec<u64>) -> bool {
         let many = chunks().len();
@@ -847,7 +852,7 @@
 fn chunk_for_a_revoked_slice_or_from_a_closed_connection_is_ignored() {
     let mut rig = Rig::serving();
     joined(&mut rig);
-    rig.news("* GRANT 4 0");
+    rig.relay_event("* GRANT 4 0");
     let fails = |slice| {
         let asked = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1e6, failed: 1e6 };
         vec![Report {
@@ -856,14 +861,14 @@
             body: ReportBody::Demand { slice, report: asked },
         }]
     };
-    let before = rig.calls.len();
+    let before = rig.requests.len();
     for _ in 0..5 {
-        rig.tell(Event::Reports { from: 0, reports: fails(4) });
-        rig.pass(1000);
+        rig.apply(Event::Reports { from: 0, reports: fails(4) });
+        rig.advance_ms(1000);
     }
-    assert!(!rig.calls[before..].join(" ").contains("LIMIT"), "nobody's ops cut no levels");
-    rig.tell(Event::Disconnected(1));
-    rig.follows.clear();
-    rig.tell(Event::Reports { from: 1, reports: fails(5) });
-    assert!(matches!(rig.follows[..], [Effect::Disconnect { to: 1, .. }]));
+    assert!(!rig.requests[before..].join(" ").contains("LIMIT"), "nobody's ops cut no levels");
+    rig.apply(Event::Disconnected(1));
+    rig.other_effects.clear();
+    rig.apply(Event::Reports { from: 1, reports: fails(5) });
+    assert!(matches!(rig.other_effects[..], [Effect::Disconnect { to: 1, .. }]));
 }
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -1,11 +1,11 @@
 //! Reports that aggregators make: what two of them tell counts once, what is missing is known as missing and no replica
 //! is judged by it, and where nothing comes the controller goes on with what it has.
 
-mod stand_ins;
+mod support;
 
 use serde_json::{json, Value};
-use stand_ins::rig::*;
 use std::collections::{BTreeMap, BTreeSet};
+use support::rig::*;
 use whinwall_ingest::aggregate::ReportAggregator;
 use whinwall_management_api::messages::{Reply, ReportFreshness, Request};
 use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
@@ -108,14 +108,14 @@
 impl Served {
     fn new() -> Self {
         let mut rig = Rig::serving();
-        rig.tell(Event::SubsettingConfigured(Some(fleet())));
+        rig.apply(Event::SubsettingConfigured(Some(fleet())));
         let mut served = Served { rig, at_ms: 0, ill_since: None };
         (0..8).for_each(|connection| served.joins(connection));
         served
     }
 
     fn joins(&mut self, connection: u64) {
-        self.rig.says(connection, r#"{"@type":"SOURCE","az":"north"}"#);
+        self.rig.collector_line(connection, r#"{"@type":"SOURCE","az":"north"}"#);
     }
 
     fn run(&mut self, seconds: u64, feeds: &[Feed], fate: impl Fn(&str) -> Fate + Copy) {
@@ -125,17 +125,17 @@
     }
 
     fn step(&mut self, feeds: &[Feed], fate: impl Fn(&str) -> Fate + Copy) {
-        self.rig.pass(STEP_MS);
+        self.rig.advance_ms(STEP_MS);
         self.at_ms += STEP_MS;
         let is_ill = self.rig.replicas.keys().any(|replica| fate(replica) != Fate::Answered);
         self.ill_since = self.ill_since.or(Some(self.at_ms - STEP_MS)).filter(|_| is_ill);
         let ill_ms = self.ill_since.map_or(0, |since| self.at_ms - since);
         for feed in feeds {
             for line in feed.lines(&self.rig, self.at_ms, fate, ill_ms) {
-                self.rig.says(feed.connection, &line);
+                self.rig.collector_line(feed.connection, &line);
             }
         }
-        self.rig.pass(0);
+        self.rig.advance_ms(0);
     }
 
     fn loads(&self) -> Vec<f64> {
@@ -153,7 +153,7 @@
     }
 
     fn notes_with(&self, with: &str) -> usize {
-        self.rig.notes.iter().filter(|note| note.contains(with)).count()
+        self.rig.logs.iter().filter(|note| note.contains(with)).count()
     }
 
     fn sick(&self) -> usize {
@@ -161,7 +161,7 @@
     }
 
     fn freshness(&mut self) -> ReportFreshness {
-        self.rig.tell(Event::ManagementRequest { ticket: 1, request: Request::Status });
+        self.rig.apply(Event::ManagementRequest { ticket: 1, request: Request::Status });
         match self.rig.replies.pop() {
             Some(Reply::Status(status)) => status.reports.unwrap(),
             other => panic!("{other:?}"),
@@ -289,14 +289,14 @@
         let feeds = [Feed::of(1, window), Feed::of(2, window)];
         one.run(30, &feeds[..1], well);
         two.run(10, &feeds[..1], well);
-        let calls = two.rig.calls.len();
+        let calls = two.rig.requests.len();
         for _ in 0..20 {
             two.run(1, &feeds, well);
             two.loads_are_right(0.07);
         }
         two.run(20, &feeds[1..], well);
         two.loads_are_right(0.07);
-        assert_eq!((two.sick(), two.rig.calls.len()), (0, calls), "windows of {window} ms");
+        assert_eq!((two.sick(), two.rig.requests.len()), (0, calls), "windows of {window} ms");
         let sums = |served: &Served| served.loads().iter().sum::<f64>();
         assert!((sums(&one) / sums(&two) - 1.0).abs() < 0.03, "{} and {}", sums(&one), sums(&two));
     }
@@ -306,7 +306,7 @@
 #[test]
 fn two_aggregators_count_twice_without_coverage() {
     let mut two = Served::new();
-    two.rig.tell(Event::SubsettingConfigured(None));
+    two.rig.apply(Event::SubsettingConfigured(None));
     two.run(20, &[Feed::of(1, 1000), Feed::of(2, 1000)], well);
     two.loads().iter().for_each(|load| assert!(*load > 3.8 * RATE, "{load}"));
 }
@@ -316,14 +316,14 @@
     for (window, gap) in [(1000, 3), (1000, 7), (4000, 3), (8000, 3)] {
         let mut served = Served::new();
         served.run(30, &[Feed::of(1, window)], well);
-        let calls = served.rig.calls.len();
-        served.rig.tell(Event::Disconnected(1));
+        let calls = served.rig.requests.len();
+        served.rig.apply(Event::Disconnected(1));
         served.run(gap, &[], well);
         for _ in 0..40 {
             served.run(1, &[Feed::of(2, window)], well);
             served.loads_are_right(0.15);
         }
-        assert_eq!((served.sick(), served.rig.calls.len()), (0, calls), "{window} ms, {gap} s");
+        assert_eq!((served.sick(), served.rig.requests.len()), (0, calls), "{window} ms, {gap} s");
     }
 }
 
@@ -333,13 +333,13 @@
     let mut served = Served::new();
     served.run(20, &[Feed::of(1, 1000)], well);
     for at_ms in (20_000..36_000).step_by(STEP_MS as usize) {
-        served.rig.pass(STEP_MS);
+        served.rig.advance_ms(STEP_MS);
         let asked = Feed::of(2, 1000).lines(&served.rig, at_ms, well, 0).into_iter();
         for line in asked.filter(|line| line.contains("SHARD") || at_ms > 28_000) {
-            served.rig.says(2, &line);
+            served.rig.collector_line(2, &line);
         }
     }
-    assert_eq!(served.sick(), 0, "{:?}", served.rig.notes);
+    assert_eq!(served.sick(), 0, "{:?}", served.rig.logs);
 }
 
 #[test]
@@ -359,7 +359,7 @@
             // The line that the fault began in tells of answers in all of its window; then there is one that tells of
             // none, and three seconds of that are looked at.
             assert!(seconds * 1000 <= 3000 + 2 * window, "{seconds} s with windows of {window} ms");
-            assert!(served.rig.notes.iter().any(|note| note.contains("replica ejected replica=s-3 ")));
+            assert!(served.rig.logs.iter().any(|note| note.contains("replica ejected replica=s-3 ")));
         }
     }
 }
@@ -372,13 +372,13 @@
         served.run(20, &[whole], well);
         served.run(2, &[partial], well);
         served.run(30, &[partial], fate);
-        assert_eq!(served.sick(), 0, "{:?}", served.rig.notes);
+        assert_eq!(served.sick(), 0, "{:?}", served.rig.logs);
         assert_eq!(served.freshness().partial_replicas, 6);
         // The zones are back: it is judged once the judging window has only whole lines.
         served.run(3, &[whole], fate);
-        assert_eq!(served.sick(), 0, "{:?}", served.rig.notes);
+        assert_eq!(served.sick(), 0, "{:?}", served.rig.logs);
         served.run(3, &[whole], fate);
-        assert_eq!(served.sick(), 1, "{:?}", served.rig.notes);
+        assert_eq!(served.sick(), 1, "{:?}", served.rig.logs);
         assert_eq!(served.freshness().partial_replicas, 0);
     }
 }
@@ -390,21 +390,21 @@
     served.run(20, &[Feed::of(1, 1000)], well);
     assert_eq!(served.freshness().partial_replicas, 0);
     for at_ms in (20_000..50_000).step_by(STEP_MS as usize) {
-        served.rig.pass(STEP_MS);
+        served.rig.advance_ms(STEP_MS);
         for line in Feed::of(1, 1000).lines(&served.rig, at_ms + STEP_MS, well, 0) {
             if !line.contains("s-3") {
-                served.rig.says(1, &line);
+                served.rig.collector_line(1, &line);
             }
         }
     }
-    assert_eq!((served.freshness().partial_replicas, served.sick()), (1, 0), "{:?}", served.rig.notes);
+    assert_eq!((served.freshness().partial_replicas, served.sick()), (1, 0), "{:?}", served.rig.logs);
 }
 
 /// Where no aggregators are, the field says nothing: all is as it was.
 #[test]
 fn missing_field_changes_nothing_without_aggregators() {
     let mut with = Served::new();
-    with.rig.tell(Event::SubsettingConfigured(None));
+    with.rig.apply(Event::SubsettingConfigured(None));
     with.run(10, &[Feed { missing: 2, ..Feed::of(1, 1000) }], third_fails);
     assert_eq!(with.sick(), 1);
 }
@@ -414,7 +414,7 @@
     for window in [1000, 8000] {
         let mut served = Served::new();
         served.run(40, &[Feed::of(1, window)], well);
-        let (calls, before, loads) = (served.rig.calls.len(), served.rig.store.clone(), served.loads());
+        let (calls, before, loads) = (served.rig.requests.len(), served.rig.store.clone(), served.loads());
         served.run(STALE_AFTER.as_ns() / 1_000_000_000 - 2, &[], well);
         assert!(!served.freshness().stale);
         served.run(4, &[], well);
@@ -422,10 +422,10 @@
         assert!(freshness.stale && freshness.age > Some(STALE_AFTER) && freshness.bytes_per_second == 0.0);
         served.run(1770, &[], well);
         assert_eq!(
-            (&served.rig.store, served.rig.calls.len()),
+            (&served.rig.store, served.rig.requests.len()),
             (&before, calls),
             "{:?}",
-            served.rig.calls.last()
+            served.rig.requests.last()
         );
         assert_eq!(served.loads(), loads);
         // The registry is obeyed.
@@ -433,7 +433,7 @@
         served.run(2, &[], well);
         assert!(!served.rig.owners().contains("s-2"));
         served.run(1800, &[], well);
-        let calls = served.rig.calls.len();
+        let calls = served.rig.requests.len();
         assert_eq!((served.notes_with("reports stale"), served.sick()), (1, 0));
         // Back: nothing rests on them until each replica and slice was told of.
         let mut recovered = 0;
@@ -451,8 +451,8 @@
         assert_eq!(served.sick(), 0);
         // It decides again.
         served.run(30, &[Feed::of(2, window)], third_fails);
-        assert_eq!(served.sick(), 1, "{:?}", served.rig.notes);
-        assert!(served.rig.calls.len() > calls);
+        assert_eq!(served.sick(), 1, "{:?}", served.rig.logs);
+        assert!(served.rig.requests.len() > calls);
     }
 }
 
@@ -461,9 +461,9 @@
 fn cold_start_migrates_nothing() {
     for window in [1000, 5000, 8000] {
         let mut served = Served::new();
-        let calls = served.rig.calls.len();
+        let calls = served.rig.requests.len();
         served.run(40, &[Feed::of(1, window)], well);
-        assert_eq!((served.rig.calls.len(), served.sick()), (calls, 0), "windows of {window} ms");
+        assert_eq!((served.rig.requests.len(), served.sick()), (calls, 0), "windows of {window} ms");
         served.loads_are_right(0.07);
     }
 }
@@ -474,11 +474,11 @@
     let late = Feed { mean_latency_ms: 900.0, ..Feed::of(1, 1000) };
     let mut served = Served::new();
     served.run(20, &[late], well);
-    let orders = |served: &Served| served.rig.calls.iter().filter(|call| call.contains("LIMIT")).count();
+    let orders = |served: &Served| served.rig.requests.iter().filter(|call| call.contains("LIMIT")).count();
     let before = orders(&served);
-    assert!(before > 3, "{:?}", served.rig.calls);
+    assert!(before > 3, "{:?}", served.rig.requests);
     served.run(600, &[], well);
-    assert_eq!(orders(&served), before, "{:?}", served.rig.calls.last());
+    assert_eq!(orders(&served), before, "{:?}", served.rig.requests.last());
     // Quick answers lift the cut again.
     served.run(60, &[Feed::of(1, 1000)], well);
     assert!(orders(&served) > before);
@@ -489,11 +489,11 @@
 fn short_silence_only_holds_the_load_estimates() {
     let mut served = Served::new();
     served.run(30, &[Feed::of(1, 1000)], well);
-    let (calls, loads) = (served.rig.calls.len(), served.loads());
+    let (calls, loads) = (served.rig.requests.len(), served.loads());
     served.run(20, &[], well);
     served.run(30, &[Feed::of(2, 1000)], well);
     served.loads_are_right(0.05);
-    assert_eq!((served.rig.calls.len(), served.sick(), served.notes_with("stale")), (calls, 0, 0));
+    assert_eq!((served.rig.requests.len(), served.sick(), served.notes_with("stale")), (calls, 0, 0));
     assert_eq!(loads.len(), served.loads().len());
 }
 
@@ -501,12 +501,16 @@
 fn reports_count_after_their_connection_ends_and_later_ones_do_not() {
     let mut served = Served::new();
     served.run(20, &[Feed::of(1, 1000)], well);
-    served.rig.tell(Event::Disconnected(1));
+    served.rig.apply(Event::Disconnected(1));
     // Its lines come on; whoever has not joined is nobody's collector.
     served.run(1, &[Feed::of(1, 1000)], well);
-    served.rig.follows.clear();
+    served.rig.other_effects.clear();
     served.run(1, &[Feed::of(1, 1000), Feed::of(2, 1000)], well);
-    assert!(served.rig.follows.iter().any(|effect| format!("{effect:?}").contains("Disconnect { to: 1")));
+    assert!(served
+        .rig
+        .other_effects
+        .iter()
+        .any(|effect| format!("{effect:?}").contains("Disconnect { to: 1")));
     for _ in 0..15 {
         served.run(1, &[Feed::of(2, 1000)], well);
         served.loads_are_right(0.1);
@@ -528,16 +532,17 @@
     assert_eq!(served.rig.reducer.covered_subjects(), 6 + 12);
     // What nobody knows leaves nothing, however much of it comes.
     for n in 100..2000 {
-        served.rig.says(
+        served.rig.collector_line(
             1,
             &feed.line(
                 json!({"@type": "LOAD", "az": "north", "host": format!("s-{n}"), "n": 1, "bad": 0, "avg": 1}),
             ),
         );
-        served
-            .rig
-            .says(1, &feed.line(json!({"@type": "SHARD", "partition": n, "kind": CLASS, "n": 1, "bad": 0})));
-        served.rig.says(
+        served.rig.collector_line(
+            1,
+            &feed.line(json!({"@type": "SHARD", "partition": n, "kind": CLASS, "n": 1, "bad": 0})),
+        );
+        served.rig.collector_line(
             1,
             &feed.line(json!({"@type": "SHARD", "partition": 1, "kind": format!("k-{n}"), "n": 1, "bad": 0})),
         );
@@ -545,26 +550,26 @@
     assert_eq!(served.rig.reducer.covered_subjects(), 6 + 12);
     for slice in [2, 8] {
         served.rig.store.remove(&slice);
-        served.rig.news(&format!("* GRANT {slice} 0"));
+        served.rig.relay_event(&format!("* GRANT {slice} 0"));
     }
-    served.rig.quiet();
+    served.rig.drain_input();
     assert_eq!(served.rig.reducer.covered_subjects(), 6 + 10);
     served.rig.drain("s-2");
     served.run(5, &[feed], well);
     served.rig.replicas.remove("s-2");
-    served.rig.list();
+    served.rig.send_list();
     served.run(30, &[feed], well);
     assert_eq!(served.rig.reducer.covered_subjects(), 5 + 10);
     // A reader that does not know yet that the replica is gone makes no entry of it.
     let known = known();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-2","n":9,"bad":0,"avg":41.7,"window":1000.0}"#;
     let what = known.resolve(&collector::decode_report(met).unwrap()).unwrap();
-    served.rig.tell(Event::Reports {
+    served.rig.apply(Event::Reports {
         from: 1,
         reports: vec![Report { at: served.rig.now, line_count: 1.0, body: what }],
     });
     assert_eq!(served.rig.reducer.covered_subjects(), 5 + 10);
-    served.rig.tell(Event::SubsettingConfigured(None));
+    served.rig.apply(Event::SubsettingConfigured(None));
     assert_eq!(served.rig.reducer.covered_subjects(), 0);
 }
 
@@ -583,16 +588,16 @@
     for step in 0..160 {
         let both = &feeds[usize::from(step > 120)..if step > 40 { 2 } else { 1 }];
         lines.step(both, well);
-        sums.rig.pass(STEP_MS);
+        sums.rig.advance_ms(STEP_MS);
         sums.at_ms += STEP_MS;
         for feed in both {
             let mut chunk = ReportAggregator::new(sums.rig.now);
             for line in feed.lines(&sums.rig, sums.at_ms, well, 0) {
                 chunk.add(known.resolve(&collector::decode_report(&line).unwrap()).unwrap());
             }
-            sums.rig.tell(Event::Reports { from: feed.connection, reports: chunk.into_reports() });
+            sums.rig.apply(Event::Reports { from: feed.connection, reports: chunk.into_reports() });
         }
-        sums.rig.pass(0);
+        sums.rig.advance_ms(0);
         for (one, other) in lines.loads().iter().zip(sums.loads()) {
             assert!((one - other).abs() < 1e-6, "{one} and {other}");
         }
--- a/crates/controller/tests/size.rs
+++ b/crates/controller/tests/size.rs
@@ -1,12 +1,12 @@
 //! As large as the operators' lists may get: 1,024 controllers and 1,024 replicas, hundreds of places.
 
-mod stand_ins;
+mod support;
 
 use serde_json::{json, Value};
-use stand_ins::*;
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
+use support::*;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery;
 use whinwall_protocol::relay::{decode_event, Response};
@@ -27,7 +27,7 @@
 }
 
 /// Kilobytes resident, and threads.
-fn used(program: &Program) -> (usize, usize) {
+fn used(program: &ControllerProcess) -> (usize, usize) {
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
     let figure = |key: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(key)).unwrap();
@@ -38,9 +38,9 @@
 
 /// All of them known at the start, listed, and each place with a collector; within the smallest limits.
 #[test]
-fn the_program_serves_a_thousand_of_everything_within_the_smallest_limit() {
-    let (mut relay, mut discovery) = (Relay::start(), Discovery::start());
-    let program = Program::start_with(&relay, &discovery, |file| {
+fn controller_serves_a_large_fleet_within_the_smallest_memory_limit() {
+    let (mut relay, mut discovery) = (FakeRelay::start(), FakeDiscovery::start());
+    let program = ControllerProcess::start_with(&relay, &discovery, |file| {
         file["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 512});
         file["peers"] = (0..MANY).map(|n| json!(format!("127.1.{}.{}:7946", n / 256, n % 256))).collect();
         file["known"] = list(1, (0..MANY).map(|n| (n, "active")));
@@ -48,33 +48,33 @@
         file["settings"]["peersTotal"] = json!(MANY);
     });
     let watch = discovery.watch(1);
-    let say = |list: Value| watch.say.send(format!("{list}\n")).unwrap();
+    let say = |list: Value| watch.lines.send(format!("{list}\n")).unwrap();
     say(list(1, (0..MANY).map(|n| (n, "active"))));
     let joined = |n| {
         let mut collector = program.connect();
-        collector.says(&json!({"@type": "SOURCE", "az": zone(n)}).to_string());
-        collector.pings();
+        collector.send_line(&json!({"@type": "SOURCE", "az": zone(n)}).to_string());
+        collector.ping();
         collector
     };
     let mut collectors: Vec<_> = (0..ZONES).map(joined).collect();
-    let mut news = relay.introduce_fleet(MANY, 2 * MANY, 3);
+    let mut news = relay.serve_fleet_snapshot(MANY, 2 * MANY, 3);
     // Signs of life, for as long as somebody listens.
     std::thread::spawn(move || {
         while news.write_all(b"*\r\n").is_ok() {
             std::thread::sleep(Duration::from_millis(500));
         }
     });
-    relay.answer_until("SYNC").carried_out();
+    relay.accept_requests_until("SYNC").accept();
     say(list(2, [(MANY - 1, "leaving")].into_iter()));
-    relay.answer_until(&format!("OUT,s-{};", MANY - 1)).carried_out();
-    collectors.iter_mut().for_each(Peer::pings);
+    relay.accept_requests_until(&format!("OUT,s-{};", MANY - 1)).accept();
+    collectors.iter_mut().for_each(Peer::ping);
     let (kilobytes, threads) = used(&program);
     assert!(kilobytes < 32 << 10 && threads <= 2, "{kilobytes} kB, {threads} threads");
 }
 
 /// A fleet in the reducer: half of it drains at once. The longest turn that this leads to.
 fn longest_turn(replicas: usize) -> Duration {
-    let mut file = configuration();
+    let mut file = example_config();
     file["settings"]["zones"] = (0..ZONES).map(zone).collect();
     file["settings"]["familyInfo"]["queueCap"] = json!(1e9);
     file["settings"]["familyInfo"]["pushRate"] = json!(1e9);
@@ -124,7 +124,7 @@
 /// A slice that must leave looks for another replica in their order, and not at each: four times as many of all cost
 /// about five times as much in a release build, up to ten in a debug one.
 #[test]
-fn a_turn_grows_as_the_fleet_does() {
+fn iteration_time_grows_linearly_with_the_fleet() {
     let turn = |replicas| (0..3).map(|_| longest_turn(replicas)).min().unwrap();
     let (small, large) = (turn(256), turn(MANY));
     println!("half of the servers leave: {small:?} a turn with 256 servers, {large:?} with {MANY}");
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -1,18 +1,18 @@
 //! The program as it is started, spoken to over loopback sockets by stand-ins for all it meets.
 
-mod stand_ins;
+mod support;
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
-use stand_ins::*;
 use std::io::{BufRead, Write};
 use std::thread;
 use std::time::{Duration, Instant};
+use support::*;
 
 #[test]
-fn a_faulty_configuration_names_its_key() {
+fn invalid_configuration_is_rejected_with_its_key() {
     let refuses = |text: &str, expected: &str| {
-        let file = ConfigurationFile::write(text);
+        let file = ConfigFile::write(text);
         let output = command(&file).output().unwrap();
         let said = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{said}");
@@ -34,43 +34,43 @@
         (|file| file["seed"] = json!("not hexadecimal"), "seed"),
     ];
     for (change, expected) in cases {
-        let mut file = configuration();
+        let mut file = example_config();
         change(&mut file);
         refuses(&file.to_string(), expected);
     }
-    let gone = ConfigurationFile("/nowhere/at/all.json".into());
+    let gone = ConfigFile("/nowhere/at/all.json".into());
     let output = command(&gone).output().unwrap();
     assert!(String::from_utf8_lossy(&output.stderr).contains("PROXY_CONFIG"));
 }
 
 #[test]
-fn a_drain_goes_from_the_list_to_the_store() {
-    let (mut relay, mut discovery, mut program) = all();
-    program.connect().pings();
-    let watch = discovery.introduce();
-    let _news = relay.introduce();
-    relay.answer_until("SYNC").carried_out();
+fn drain_in_the_endpoint_list_withdraws_the_replica() {
+    let (mut relay, mut discovery, mut program) = start_all();
+    program.connect().ping();
+    let watch = discovery.serve_snapshot();
+    let _news = relay.serve_snapshot();
+    relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["active", "leaving"]);
-    let call = relay.answer_until("OUT,s-1;");
+    let call = relay.accept_requests_until("OUT,s-1;");
     assert!(call.line.contains("SET,1,s-1,0") && call.line.contains("SET,4,s-1,0"), "{}", call.line);
-    call.carried_out();
+    call.accept();
     kill_process(Pid::from_child(&program.child), Signal::TERM).unwrap();
-    assert!(program.ends().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
-fn what_collectors_report_is_acted_on() {
-    let (mut relay, mut discovery, program) = all();
-    let _watch = discovery.introduce();
-    let _news = relay.introduce();
-    relay.answer_until("SYNC").carried_out();
+fn collector_reports_lead_to_commands() {
+    let (mut relay, mut discovery, program) = start_all();
+    let _watch = discovery.serve_snapshot();
+    let _news = relay.serve_snapshot();
+    relay.accept_requests_until("SYNC").accept();
     let mut collector = program.connect();
-    collector.says(r#"{"@type":"SOURCE","az":"north"}"#);
+    collector.send_line(r#"{"@type":"SOURCE","az":"north"}"#);
     // One that fails all it is asked, quickly, in between lines that say nothing of use.
-    let end = Instant::now() + PATIENCE;
-    while !relay.heard.arrives.try_iter().any(|said| {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while !relay.messages.receiver.try_iter().any(|said| {
         let out = said.line.contains("OUT,s-1;");
-        said.carried_out();
+        said.accept();
         out
     }) {
         assert!(Instant::now() < end, "s-1 is not withdrawn");
@@ -81,23 +81,23 @@
             r#"{"@type":"SHARD","partition":1,"kind":"lookup","n":9,"bad":9,"window":100.0}"#,
             r#"{"@type":"LOAD","az":"north"}"#,
         ] {
-            collector.says(line);
+            collector.send_line(line);
         }
         thread::sleep(Duration::from_millis(100));
     }
-    collector.pings();
+    collector.ping();
 }
 
 #[test]
-fn a_call_is_repeated_until_its_outcome_is_known() {
-    let (mut relay, mut discovery, _program) = all();
-    let watch = discovery.introduce();
-    let _news = relay.introduce();
-    relay.answer_until("SYNC").carried_out();
+fn relay_request_is_retried_until_its_outcome_is_known() {
+    let (mut relay, mut discovery, _program) = start_all();
+    let watch = discovery.serve_snapshot();
+    let _news = relay.serve_snapshot();
+    relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["active", "leaving"]);
-    let first = relay.answer_until("OUT,s-1;");
+    let first = relay.accept_requests_until("OUT,s-1;");
     let line = first.line.clone();
-    let mut way = first.way;
+    let mut way = first.stream;
     // Silence; a break; half an answer and a break; something that is no answer; a refusal for now.
     for (answer, ends) in
         [("", false), ("", true), ("OK 1", true), ("HELLO\r\n", false), ("ERR unavailable\r\n", false)]
@@ -106,20 +106,20 @@
         if ends {
             _ = way.shutdown(std::net::Shutdown::Both);
         }
-        let again = relay.call("APPLY ");
+        let again = relay.wait_for_request("APPLY ");
         assert_eq!(again.line, line, "after {answer:?}");
-        way = again.way;
+        way = again.stream;
     }
     // A late answer on an old connection is nobody's.
-    Said { line, way }.carried_out();
+    RelayRequest { line, stream: way }.accept();
 }
 
 #[test]
-fn news_are_asked_for_again_when_they_break_off() {
-    let (mut relay, mut discovery, mut program) = all();
-    let _watch = discovery.introduce();
+fn relay_watch_is_reopened_when_it_is_lost() {
+    let (mut relay, mut discovery, mut program) = start_all();
+    let _watch = discovery.serve_snapshot();
     let stands = |line: &String| line.contains("proxies=3 slices=6 ");
-    let mut news = relay.introduce();
+    let mut news = relay.serve_snapshot();
     program.log.wait("a snapshot", stands);
     // Half a line and the end; what can't be read; silence (no sign of life for seconds).
     for (last, ends) in [("* CLOSED 2", true), ("* WHAT 7\r\n", false), ("\u{0}\r\n", false), ("", false)] {
@@ -127,69 +127,69 @@
         if ends {
             news.shutdown(std::net::Shutdown::Both).unwrap();
         }
-        news = relay.introduce();
+        news = relay.serve_snapshot();
         program.log.wait("a snapshot", stands);
     }
 }
 
 #[test]
-fn the_list_is_watched_again_when_it_is_lost() {
-    let (_relay, mut discovery, program) = all();
-    discovery.introduce().list(43, false, &["active"]); // and the answer ends
+fn registry_watch_is_reopened_when_it_is_lost() {
+    let (_relay, mut discovery, program) = start_all();
+    discovery.serve_snapshot().list(43, false, &["active"]); // and the answer ends
     let watch = discovery.watch(43);
-    watch.say.send("{\"version\":44,\"full\":false,\"ser".into()).unwrap();
+    watch.lines.send("{\"version\":44,\"full\":false,\"ser".into()).unwrap();
     drop(watch); // cut in half, it counts for nothing
     let watch = discovery.watch(43);
-    watch.say.send("\nno list\n".into()).unwrap();
+    watch.lines.send("\nno list\n".into()).unwrap();
     let watch = discovery.watch(0); // who says such things may have said wrong ones before
     watch.list(45, true, &["active"]);
     let silent = discovery.watch(45); // silence
-    program.connect().pings();
+    program.connect().ping();
     drop((watch, silent));
 }
 
 #[test]
-fn all_ways_may_fail_at_once() {
-    let (mut relay, mut discovery, program) = all();
-    let watch = discovery.introduce();
-    let news = relay.introduce();
-    relay.answer_until("SYNC").carried_out();
+fn controller_recovers_when_all_connections_fail_at_once() {
+    let (mut relay, mut discovery, program) = start_all();
+    let watch = discovery.serve_snapshot();
+    let news = relay.serve_snapshot();
+    relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["leaving"]);
-    let open = relay.answer_until("OUT,s-0;");
+    let open = relay.accept_requests_until("OUT,s-0;");
     drop(watch);
     _ = news.shutdown(std::net::Shutdown::Both);
-    _ = open.way.shutdown(std::net::Shutdown::Both);
+    _ = open.stream.shutdown(std::net::Shutdown::Both);
     let _strangers: Vec<_> = (0..40).map(|_| program.connect()).collect();
     // All are back, and more has happened: what was open is carried out, then what is new.
     let watch = discovery.watch(42);
     watch.list(43, false, &["leaving", "leaving"]);
-    let _news = relay.introduce();
-    relay.call("OUT,s-0;").carried_out();
-    let call = relay.answer_until("OUT,s-1;");
+    let _news = relay.serve_snapshot();
+    relay.wait_for_request("OUT,s-0;").accept();
+    let call = relay.accept_requests_until("OUT,s-1;");
     assert!(call.line.contains("SET,1,s-1,0") && call.line.contains("SET,4,s-1,0"), "{}", call.line);
 }
 
 #[test]
-fn strangers_cost_nobody_else_a_zone() {
-    let (relay, discovery) = (Relay::start(), Discovery::start());
-    let program = Program::start_with(&relay, &discovery, |file| {
+fn unauthenticated_peers_do_not_displace_collectors() {
+    let (relay, discovery) = (FakeRelay::start(), FakeDiscovery::start());
+    let program = ControllerProcess::start_with(&relay, &discovery, |file| {
         file["limits"] = json!({"sockets": 128, "memory_mb": 31.5});
     });
     let mut collector = program.connect();
-    collector.joins();
+    collector.join_zone();
     let mut strangers: Vec<_> = (0..64).map(|_| program.connect()).collect();
-    collector.pings();
-    assert!(strangers[0].is_let_go(), "64 strangers fit where 32 connections may be");
+    collector.ping();
+    assert!(strangers[0].is_disconnected(), "64 strangers fit where 32 connections may be");
     let held = || std::fs::read_dir(format!("/proc/{}/fd", program.child.id())).unwrap().count();
     assert!(held() < 64, "{} descriptors", held());
-    collector.pings();
+    collector.ping();
 }
 
 #[test]
-fn whoever_is_of_no_use_hears_so_and_goes() {
-    let (_relay, _discovery, mut program) = all();
+fn invalid_peer_is_told_the_reason_and_disconnected() {
+    let (_relay, _discovery, mut program) = start_all();
     let mut collector = program.connect();
-    collector.joins();
+    collector.join_zone();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-0","n":9,"bad":0,"avg":41.7,"window":100.0}"#;
     for line in [
         "GET / HTTP/1.1\r\nHost: x\r\n\r",
@@ -201,11 +201,11 @@
         r#"{"@type":"SET","partition":1,"host":"s-0","weight":1.0}"#,
     ] {
         let mut stranger = program.connect();
-        stranger.says(line);
+        stranger.send_line(line);
         let mut answer = String::new();
         _ = stranger.reader.read_line(&mut answer);
         assert!(answer.starts_with(r#"{"@type":"NACK""#), "{line}: {answer}");
-        assert!(stranger.is_let_go());
+        assert!(stranger.is_disconnected());
     }
     // Nothing, half a line, no end of a line, a sign of life now and then: all gain no time.
     let began = Instant::now();
@@ -215,72 +215,73 @@
     while strangers[3].stream.write_all(b"{\"@type\":\"PING\"}\n").is_ok() {
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(strangers.iter_mut().all(|stranger| stranger.let_go_in(Duration::from_millis(10))));
+    assert!(strangers.iter_mut().all(|stranger| stranger.is_disconnected_within(Duration::from_millis(10))));
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
-    collector.pings();
+    collector.ping();
     // A spoilt report is passed over; one that can't be read ends the connection, so that it comes back.
-    collector
-        .says(r#"{"@type":"LOAD","az":"north","host":"s-0","n":"nan","bad":0,"avg":41.7,"window":100.0}"#);
+    collector.send_line(
+        r#"{"@type":"LOAD","az":"north","host":"s-0","n":"nan","bad":0,"avg":41.7,"window":100.0}"#,
+    );
     program.log.wait("a note", |line: &String| line.contains("report ignored"));
-    collector.pings();
-    collector.says(&format!("{}{met}", &met[..40]));
-    assert!(collector.is_let_go());
+    collector.ping();
+    collector.send_line(&format!("{}{met}", &met[..40]));
+    assert!(collector.is_disconnected());
 }
 
 #[test]
-fn a_new_configuration_moves_calls_news_and_watch() {
-    let (mut relay, mut discovery, mut program) = all();
-    let watch = discovery.introduce();
-    let _news = relay.introduce();
-    relay.answer_until("SYNC").carried_out();
+fn configuration_is_reloaded_on_sighup() {
+    let (mut relay, mut discovery, mut program) = start_all();
+    let watch = discovery.serve_snapshot();
+    let _news = relay.serve_snapshot();
+    relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["active", "leaving"]);
-    let open = relay.answer_until("OUT,s-1;");
-    let mut file = configuration();
+    let open = relay.accept_requests_until("OUT,s-1;");
+    let mut file = example_config();
     for (text, key) in [("{\"name\":", "PROXY_CONFIG"), ("{\"distributor\":{}}", "distributor")] {
-        program.reads_anew(text);
+        program.reload_with(text);
         program
             .log
             .wait(key, |line: &String| line.contains("the former configuration stays") && line.contains(key));
-        program.connect().pings();
+        program.connect().ping();
     }
     for round in 0..2 {
         // The second time the variable names what the file named in between.
-        let (mut second, mut agent) = (Relay::start(), Discovery::start());
+        let (mut second, mut agent) = (FakeRelay::start(), FakeDiscovery::start());
         file["distributor"]["address"] = json!(second.address.to_string());
         file["discovery"] = json!(agent.address.to_string());
         file["limits"]["sockets"] = json!(500 + round);
-        program.reads_anew(&file.to_string());
+        program.reload_with(&file.to_string());
         program.log.wait("limits", |line: &String| {
             line.contains("a changed configuration key needs a restart key=limits")
         });
         let watch = agent.watch(42 + round);
-        _ = open.way.shutdown(std::net::Shutdown::Both);
-        let _news = second.introduce();
+        _ = open.stream.shutdown(std::net::Shutdown::Both);
+        let _news = second.serve_snapshot();
         if round == 0 {
-            let again = second.call("APPLY ");
+            let again = second.wait_for_request("APPLY ");
             assert_eq!(again.line, open.line, "the open call is the first at the new address");
-            again.carried_out();
+            again.accept();
         }
         watch.list(43 + round, false, &["leaving", "leaving"]);
         if round == 0 {
-            second.answer_until("OUT,s-0;").carried_out();
+            second.accept_requests_until("OUT,s-0;").accept();
         }
     }
     kill_process(Pid::from_child(&program.child), Signal::TERM).unwrap();
-    assert!(program.ends().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
-fn it_ends_at_once_though_nobody_answers() {
-    let (mut relay, _discovery, mut program) = all();
-    let _silent = relay.watcher();
+fn shutdown_is_immediate_without_a_request_in_flight() {
+    let (mut relay, _discovery, mut program) = start_all();
+    let _silent = relay.accept_watch();
     kill_process(Pid::from_child(&program.child), Signal::TERM).unwrap();
-    assert!(program.ends().success());
+    assert!(program.wait_for_exit().success());
 }
 
 /// Another customer's forms of the same settings; a list from a former life that can't be read.
 #[test]
-fn settings_in_other_forms_start_as_well() {
+fn settings_in_other_number_formats_are_accepted() {
     type Change = fn(&mut Value);
     let cases: [(Change, &str); 8] = [
         (|file| file["settings"]["classes"][0]["targetNs"] = json!(1.2e9), "fine"),
@@ -296,9 +297,9 @@
         ),
     ];
     for (change, expected) in cases {
-        let mut file = configuration();
+        let mut file = example_config();
         change(&mut file);
-        let file = ConfigurationFile::write(&file.to_string());
+        let file = ConfigFile::write(&file.to_string());
         let output = command(&file).arg("--check").output().unwrap();
         let said = String::from_utf8_lossy(&output.stderr) + String::from_utf8_lossy(&output.stdout);
         assert!(said.contains(expected), "{said:?} lacks {expected:?}");
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -1,15 +1,15 @@
 //! Subsetting in the controller: the decisions are told what the pure package computes, for the registry and the fleet
 //! as they are known; off where the operators' file does not name a fleet.
 
-mod stand_ins;
+mod support;
 
 use rustix::process::Signal;
 use serde_json::json;
-use stand_ins::managed::Managed;
-use stand_ins::rig::Rig;
-use stand_ins::PATIENCE;
 use std::collections::BTreeMap;
 use std::time::Instant;
+use support::managed_controller::ManagedController;
+use support::rig::Rig;
+use support::TEST_TIMEOUT;
 use whinwall_management_api::messages::{Reply, Request, SubsettingStatus};
 use whinwall_management_api::wire::SubsettingState;
 use whinwall_operator_config::{AggregatorMember, ControllerMember, SubsettingConfig};
@@ -78,7 +78,7 @@
     rig.replicas.extend(registry.iter().map(|listed| (listed.id.clone(), listed.state)));
     let replicas: Vec<_> = registry.iter().map(entry).collect();
     let line = json!({"version": version, "full": whole, "servers": replicas}).to_string();
-    rig.tell(Event::Registry(discovery::decode(&line).expect("a list").expect("a change")));
+    rig.apply(Event::Registry(discovery::decode(&line).expect("a list").expect("a change")));
 }
 
 /// What the pure package says of each replica for the controller under test.
@@ -104,12 +104,12 @@
 fn rig() -> Rig {
     let mut rig = Rig::new();
     list(&mut rig, 41, true, &registry());
-    rig.standing(&[]);
+    rig.send_snapshot(&[]);
     rig
 }
 
 fn status(rig: &mut Rig) -> Option<SubsettingStatus> {
-    rig.tell(Event::ManagementRequest { ticket: 1, request: Request::Status });
+    rig.apply(Event::ManagementRequest { ticket: 1, request: Request::Status });
     match rig.replies.pop() {
         Some(Reply::Status(status)) => status.subsetting,
         other => panic!("no status: {other:?}"),
@@ -119,8 +119,8 @@
 #[test]
 fn every_controller_steers_every_replica_without_a_fleet() {
     let mut rig = rig();
-    rig.tell(Event::SubsettingConfigured(None));
-    rig.quiet();
+    rig.apply(Event::SubsettingConfigured(None));
+    rig.drain_input();
     assert_eq!(rig.reducer.subset_memberships().len(), REPLICAS);
     assert!(rig.reducer.subset_memberships().values().all(|share| *share == SubsetMembership::Everyone));
     assert_eq!(status(&mut rig), None);
@@ -131,19 +131,19 @@
     let expected = expected(&names(CONTROLLERS), &registry());
     assert!(expected.values().any(|share| *share == SubsetMembership::Others));
     let mut list_first = rig();
-    list_first.tell(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
+    list_first.apply(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     assert_eq!(told(&list_first, &expected), expected);
     let mut fleet_first = Rig::new();
-    fleet_first.tell(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
+    fleet_first.apply(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     list(&mut fleet_first, 41, true, &registry());
-    fleet_first.quiet();
+    fleet_first.drain_input();
     assert_eq!(told(&fleet_first, &expected), expected);
 }
 
 #[test]
 fn status_has_the_members_and_the_own_subset() {
     let mut rig = rig();
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
+    rig.apply(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     let own = expected(&names(CONTROLLERS), &registry());
     let own = own.values().filter(|share| matches!(share, SubsetMembership::Subset { .. })).count();
     let expected = SubsettingStatus {
@@ -161,15 +161,15 @@
 fn registry_change_changes_the_memberships() {
     let fleet_names = names(CONTROLLERS);
     let mut rig = rig();
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
-    rig.pass(2000);
+    rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
+    rig.advance_ms(2000);
     let mut registry = registry();
     registry[3].state = "left";
     registry[4].state = "leaving";
     let new = Listed { id: "s-new".into(), ..registry[3].clone() };
     registry.push(Listed { state: "active", ..new });
     list(&mut rig, 42, false, &registry[3..]);
-    rig.quiet();
+    rig.drain_input();
     let first = expected(&fleet_names, &registry);
     assert_eq!(told(&rig, &first), first);
     assert!(
@@ -180,10 +180,10 @@
     // What follows within a second is computed together; until then a new replica is left to others.
     registry.push(Listed { id: "s-newer".into(), ..registry[5].clone() });
     list(&mut rig, 43, false, &registry[registry.len() - 1..]);
-    rig.quiet();
+    rig.drain_input();
     assert_eq!(rig.reducer.subset_memberships()["s-newer"], SubsetMembership::Others);
     assert_eq!(told(&rig, &first), first);
-    rig.pass(1000);
+    rig.advance_ms(1000);
     let second = expected(&fleet_names, &registry);
     assert_eq!(told(&rig, &second), second);
 }
@@ -192,14 +192,14 @@
 fn small_change_does_not_delay_a_large_one() {
     let fleet_names = names(CONTROLLERS);
     let mut rig = Rig::new();
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
+    rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     let mut registry = registry();
     list(&mut rig, 41, true, &registry[..10]);
-    rig.quiet();
+    rig.drain_input();
     list(&mut rig, 42, true, &registry);
     registry[0].state = "leaving";
     list(&mut rig, 43, false, &registry[..1]);
-    rig.quiet();
+    rig.drain_input();
     let expected = expected(&fleet_names, &registry);
     assert_eq!(told(&rig, &expected), expected);
 }
@@ -218,7 +218,7 @@
     let unnamed = |listed: &&mut Listed| !ZONES.contains(&listed.zone);
     together.iter_mut().filter(unnamed).for_each(|listed| listed.zone = "");
     assert_ne!(expected(&names, &replicas), expected(&names, &together), "the zones make a difference");
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&names))));
+    rig.apply(Event::SubsettingConfigured(Some(fleet(&names))));
     let expected = expected(&names, &replicas);
     assert_eq!(told(&rig, &expected), expected);
 }
@@ -227,11 +227,11 @@
 fn zone_lost_and_back_leaves_the_memberships_unchanged() {
     let fleet_names = names(CONTROLLERS);
     let mut rig = rig();
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
+    rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     let rest: Vec<_> = registry().into_iter().filter(|listed| listed.zone != "west").collect();
     for (version, registry) in [(42, rest), (43, registry())] {
         list(&mut rig, version, true, &registry);
-        rig.pass(2000);
+        rig.advance_ms(2000);
         let expected = expected(&fleet_names, &registry);
         assert_eq!(told(&rig, &expected), expected);
     }
@@ -241,18 +241,18 @@
 fn fleet_change_applies_at_once_and_no_fleet_disables_subsetting() {
     let mut rig = rig();
     for controllers in [CONTROLLERS, CONTROLLERS - 1, 1] {
-        rig.tell(Event::SubsettingConfigured(Some(fleet(&names(controllers)))));
+        rig.apply(Event::SubsettingConfigured(Some(fleet(&names(controllers)))));
         let expected = expected(&names(controllers), &registry());
         assert_eq!(told(&rig, &expected), expected);
         assert!(rig
-            .notes
+            .logs
             .pop()
             .is_some_and(|note| note.contains(&format!("subset assigned controllers={controllers} "))));
     }
-    rig.notes.clear();
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&names(1)))));
-    assert_eq!(rig.notes, [""; 0], "the same fleet again is no change");
-    rig.tell(Event::SubsettingConfigured(None));
+    rig.logs.clear();
+    rig.apply(Event::SubsettingConfigured(Some(fleet(&names(1)))));
+    assert_eq!(rig.logs, [""; 0], "the same fleet again is no change");
+    rig.apply(Event::SubsettingConfigured(None));
     assert!(rig.reducer.subset_memberships().values().all(|share| *share == SubsetMembership::Everyone));
 }
 
@@ -260,18 +260,18 @@
 fn day_of_changes_keeps_the_memberships_exact() {
     let (mut registry, mut fleet_names) = (registry(), names(CONTROLLERS));
     let mut rig = rig();
-    rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
+    rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     for change in 0..470_usize {
         rig.now = rig.now + Span::ms(1000);
         if change % 3 == 0 {
             fleet_names[1 + change % (CONTROLLERS - 1)] = format!("replacement-{change}");
-            rig.tell(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
+            rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
         } else {
             let at = change * 7 % registry.len();
             registry[at].id = format!("s-{}", REPLICAS + change);
             list(&mut rig, 42 + change as u64, true, &registry);
         }
-        rig.pass(1000);
+        rig.advance_ms(1000);
         let expected = expected(&fleet_names, &registry);
         assert_eq!(told(&rig, &expected), expected, "change {change}");
     }
@@ -286,10 +286,10 @@
 }
 
 /// Asks until the status shows so many controllers.
-fn becomes(managed: &Managed, controllers: Option<usize>) -> Option<SubsettingState> {
-    let end = Instant::now() + PATIENCE;
+fn becomes(managed: &ManagedController, controllers: Option<usize>) -> Option<SubsettingState> {
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
-        let status = managed.ask(async |client| client.status().await).expect("a status");
+        let status = managed.request(async |client| client.status().await).expect("a status");
         let listed = status.subsetting.as_ref().is_none_or(|subsetting| subsetting.listed_replicas == 12);
         if status.subsetting.as_ref().map(|subsetting| subsetting.controllers) == controllers && listed {
             return status.subsetting;
@@ -310,20 +310,20 @@
 
 #[test]
 fn program_takes_over_another_fleet_on_sighup() {
-    let mut managed = Managed::start(12, 24);
+    let mut managed = ManagedController::start(12, 24);
     assert_eq!(becomes(&managed, None), None);
     let fleets: [&[&str]; 3] = [&["n0", "n1", "n2"], &["n0", "n1", "n2", "n3", "n4"], &["n4", "n0"]];
     for names in fleets {
-        managed.operators(&element(names));
+        managed.write_operators_file(&element(names));
         managed.program().signal(Signal::HUP);
-        managed.log(&format!("subset assigned controllers={} ", names.len()));
+        managed.wait_for_log(&format!("subset assigned controllers={} ", names.len()));
         let subsetting = becomes(&managed, Some(names.len())).expect("subsets");
         assert_eq!((subsetting.own_replicas, subsetting.aggregators), (own_subset(names), 1));
     }
     // A fleet without this controller changes nothing.
-    managed.operators(&element(&["n1", "n2"]));
+    managed.write_operators_file(&element(&["n1", "n2"]));
     managed.program().signal(Signal::HUP);
-    let refused = managed.log("configuration reload failed, the former configuration stays");
+    let refused = managed.wait_for_log("configuration reload failed, the former configuration stays");
     let expected = "<subsetting>: this governor's own name, \"n0\", is not among its governors";
     assert!(refused.contains(expected), "{refused}");
     assert_eq!(
@@ -331,22 +331,22 @@
         Some(own_subset(fleets[2]))
     );
     // Over a restart it is there from the beginning.
-    managed.operators(&element(fleets[0]));
+    managed.write_operators_file(&element(fleets[0]));
     managed.restart();
     assert_eq!(
         becomes(&managed, Some(3)).map(|subsetting| subsetting.own_replicas),
         Some(own_subset(fleets[0]))
     );
-    managed.operators("<overrides/>");
+    managed.write_operators_file("<overrides/>");
     managed.program().signal(Signal::HUP);
-    managed.log("subsetting disabled");
+    managed.wait_for_log("subsetting disabled");
     assert_eq!(becomes(&managed, None), None);
 }
 
 #[test]
 fn start_refuses_a_fleet_without_this_controller() {
-    let managed = Managed::start(3, 6);
-    managed.operators(&element(&["n1", "n2"]));
+    let managed = ManagedController::start(3, 6);
+    managed.write_operators_file(&element(&["n1", "n2"]));
     let (mut command, _file) = managed.command();
     let output = command.arg("--check").output().expect("it runs");
     let said = String::from_utf8_lossy(&output.stderr);
--- a/crates/controller/tests/stand_ins/world.rs
+++ b/crates/controller/tests/support/fake_fleet.rs
@@ -1,28 +1,28 @@
-//! A relay with a store, joined proxies that ack, and a discovery with a list: they go on by themselves, as
-//! long as the test does, and tell each order with the moment at which it came.
+//! A relay with a store, proxies that acknowledge, and a discovery agent with an endpoint list: they run by themselves
+//! as long as the test, and record each command with the time of its arrival.
 
 use super::*;
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 
-/// How the relay treats calls.
+/// How the relay treats requests.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Manner {
-    Answers,
-    /// Carries out and says nothing: the outcome is unknown to whoever called.
-    Mute,
-    /// Closes what comes and carries out nothing.
-    Away,
+pub enum RelayBehaviour {
+    Responds,
+    /// Applies requests and sends no response: their outcome is unknown to the controller.
+    Silent,
+    /// Closes connections and applies nothing.
+    Unreachable,
 }
 
-pub struct World {
+pub struct FakeFleet {
     pub relay: SocketAddr,
     pub discovery: SocketAddr,
-    pub orders: Heard<(Instant, String)>,
+    pub commands: MessageQueue<(Instant, String)>,
     /// Of each slice, the weights by replica.
     pub tables: Arc<Mutex<BTreeMap<usize, BTreeMap<String, f64>>>>,
-    manner: Arc<Mutex<Manner>>,
+    behaviour: Arc<Mutex<RelayBehaviour>>,
     list: Arc<Mutex<List>>,
     ends: Arc<AtomicBool>,
 }
@@ -46,35 +46,35 @@
     }
 }
 
-impl Drop for World {
+impl Drop for FakeFleet {
     fn drop(&mut self) {
         self.ends.store(true, Ordering::Relaxed);
     }
 }
 
-impl World {
+impl FakeFleet {
     pub fn start(replicas: usize, slices: usize, proxies: usize) -> Self {
-        let (relay, discovery) = (Relay::start(), Discovery::start());
+        let (relay, discovery) = (FakeRelay::start(), FakeDiscovery::start());
         let (relay_address, discovery_address) = (relay.address, discovery.address);
         let tables =
             (0..slices).map(|n| (n, BTreeMap::from([(format!("s-{}", n % replicas), 1.0)]))).collect();
-        let (say, orders) = channel();
-        let world = World {
+        let (say, commands) = channel();
+        let fleet = FakeFleet {
             relay: relay_address,
             discovery: discovery_address,
-            orders: Heard::new(orders),
+            commands: MessageQueue::new(commands),
             tables: Arc::new(Mutex::new(tables)),
-            manner: Arc::new(Mutex::new(Manner::Answers)),
+            behaviour: Arc::new(Mutex::new(RelayBehaviour::Responds)),
             list: Arc::new(Mutex::new(List { version: 1, replicas: vec![("active", 0); replicas] })),
             ends: Arc::default(),
         };
-        let (tables, manner, ends) = (world.tables.clone(), world.manner.clone(), world.ends.clone());
-        thread::spawn(move || serve_relay(relay, proxies, &tables, &manner, &ends, say));
-        let (list, ends) = (world.list.clone(), world.ends.clone());
+        let (tables, behaviour, ends) = (fleet.tables.clone(), fleet.behaviour.clone(), fleet.ends.clone());
+        thread::spawn(move || serve_relay(relay, proxies, &tables, &behaviour, &ends, say));
+        let (list, ends) = (fleet.list.clone(), fleet.ends.clone());
         thread::spawn(move || {
-            let (mut watches, mut told) = (Vec::<(Watch, u64)>::new(), Instant::now());
+            let (mut watches, mut told) = (Vec::<(RegistryWatch, u64)>::new(), Instant::now());
             while !ends.load(Ordering::Relaxed) {
-                if let Ok(watch) = discovery.heard.arrives.recv_timeout(Duration::from_millis(10)) {
+                if let Ok(watch) = discovery.messages.receiver.recv_timeout(Duration::from_millis(10)) {
                     watches.push((watch, 0));
                 }
                 let list = list.lock().unwrap().clone();
@@ -82,60 +82,60 @@
                 told = if alive { Instant::now() } else { told };
                 watches.retain_mut(|(watch, version)| {
                     let said = match *version < list.version {
-                        true => watch.say.send(list.line(true, None)).is_ok(),
-                        false => !alive || watch.say.send("\n".into()).is_ok(),
+                        true => watch.lines.send(list.line(true, None)).is_ok(),
+                        false => !alive || watch.lines.send("\n".into()).is_ok(),
                     };
                     *version = list.version;
                     said
                 });
             }
         });
-        world
+        fleet
     }
 
-    pub fn be(&self, manner: Manner) {
-        *self.manner.lock().unwrap() = manner;
+    pub fn set_relay_behaviour(&self, behaviour: RelayBehaviour) {
+        *self.behaviour.lock().unwrap() = behaviour;
     }
 
     /// A replica's state in the list, and when it was started.
-    pub fn relist(&self, replica: usize, state: &'static str, started_ms: u64) {
+    pub fn set_listed_state(&self, replica: usize, state: &'static str, started_ms: u64) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
         list.replicas[replica] = (state, started_ms);
     }
 
-    /// When this order came.
-    pub fn order(&mut self, text: &str) -> Instant {
-        self.orders.wait(text, |(_, order)| order == text).0
+    /// Waits for a command; returns when it arrived.
+    pub fn wait_for_command(&mut self, text: &str) -> Instant {
+        self.commands.wait(text, |(_, order)| order == text).0
     }
 
-    /// Whether this order came so far and was not waited for yet.
-    pub fn has_come(&mut self, text: &str) -> bool {
-        self.orders.kept.extend(self.orders.arrives.try_iter());
-        self.orders.kept.iter().any(|(_, order)| order == text)
+    /// Whether a command has arrived that was not waited for yet.
+    pub fn has_received(&mut self, text: &str) -> bool {
+        self.commands.skipped.extend(self.commands.receiver.try_iter());
+        self.commands.skipped.iter().any(|(_, order)| order == text)
     }
 
-    /// Waits until no slice names a replica; how long that took.
-    pub fn is_left(&self, replica: &str) -> Duration {
+    /// Waits until no routing table names a replica; returns how long that took.
+    pub fn wait_until_unused(&self, replica: &str) -> Duration {
         let began = Instant::now();
-        while self.named(replica) > 0 {
-            assert!(began.elapsed() < PATIENCE, "{replica} is still named");
+        while self.slices_on(replica) > 0 {
+            assert!(began.elapsed() < TEST_TIMEOUT, "{replica} is still named");
             thread::sleep(Duration::from_millis(10));
         }
         began.elapsed()
     }
 
-    /// How many slices name a replica.
-    pub fn named(&self, replica: &str) -> usize {
+    /// The number of slices whose routing table names a replica.
+    pub fn slices_on(&self, replica: &str) -> usize {
         self.tables.lock().unwrap().values().filter(|table| table.contains_key(replica)).count()
     }
 }
 
 fn serve_relay(
-    relay: Relay,
+    relay: FakeRelay,
     proxies: usize,
     tables: &Mutex<BTreeMap<usize, BTreeMap<String, f64>>>,
-    manner: &Mutex<Manner>,
+    behaviour: &Mutex<RelayBehaviour>,
     ends: &AtomicBool,
     say: std::sync::mpsc::Sender<(Instant, String)>,
 ) {
@@ -145,10 +145,10 @@
             told = Instant::now();
             news = news.filter(|way: &TcpStream| (&*way).write_all(b"*\r\n").is_ok());
         }
-        let Ok(said) = relay.heard.arrives.recv_timeout(Duration::from_millis(10)) else { continue };
-        let manner = *manner.lock().unwrap();
-        if manner == Manner::Away {
-            _ = said.way.shutdown(std::net::Shutdown::Both);
+        let Ok(said) = relay.messages.receiver.recv_timeout(Duration::from_millis(10)) else { continue };
+        let behaviour = *behaviour.lock().unwrap();
+        if behaviour == RelayBehaviour::Unreachable {
+            _ = said.stream.shutdown(std::net::Shutdown::Both);
             news = news.filter(|way| way.shutdown(std::net::Shutdown::Both).is_err());
             continue;
         }
@@ -162,7 +162,7 @@
                 );
             }
             lines.push("*".into());
-            let mut way = said.way;
+            let mut way = said.stream;
             news = way.write_all(format!("{}\r\n", lines.join("\r\n")).as_bytes()).is_ok().then_some(way);
             continue;
         }
@@ -176,7 +176,7 @@
             _ => false,
         };
         let Some(call) = said.line.strip_prefix("APPLY ").filter(|call| call.split(';').all(readable)) else {
-            _ = (&said.way).write_all(b"ERR bad_request\r\n");
+            _ = (&said.stream).write_all(b"ERR bad_request\r\n");
             continue;
         };
         let now = Instant::now();
@@ -195,8 +195,8 @@
             let acks: Vec<_> = (0..proxies).map(|proxy| format!("* ACK {proxy} {version}\r\n")).collect();
             _ = way.write_all(acks.concat().as_bytes());
         }
-        if manner == Manner::Answers {
-            said.carried_out();
+        if behaviour == RelayBehaviour::Responds {
+            said.accept();
         }
     }
 }
--- a/crates/controller/tests/stand_ins/managed.rs
+++ b/crates/controller/tests/support/managed_controller.rs
@@ -1,17 +1,17 @@
-//! The program with an operators' file, a store and a management front in a folder of its own.
+//! A controller process with an operators' file, an override store and a management API in a folder of its own.
 
-use super::world::World;
+use super::fake_fleet::FakeFleet;
 use super::*;
 use std::path::PathBuf;
 use whinwall_management_api::client::{Client, ClientError, ManagementAddress};
 use whinwall_management_api::wire::{ChangeOutcome, KindName, OverrideItem, SetBody};
 
-pub struct Managed {
+pub struct ManagedController {
     pub folder: tempfile::TempDir,
-    pub world: World,
-    pub program: Option<Program>,
-    /// Cores that the platform lends.
-    pub lent: f64,
+    pub fleet: FakeFleet,
+    pub program: Option<ControllerProcess>,
+    /// Cores that the platform grants.
+    pub granted_cores: f64,
     pub memory_mb: f64,
 }
 
@@ -28,11 +28,12 @@
     }
 }
 
-impl Managed {
+impl ManagedController {
     pub fn start(replicas: usize, slices: usize) -> Self {
-        let (folder, world) = (tempfile::tempdir().unwrap(), World::start(replicas, slices, 3));
-        let mut managed = Managed { folder, world, program: None, lent: 8.0, memory_mb: 192.0 };
-        managed.operators("<overrides/>");
+        let (folder, fleet) = (tempfile::tempdir().unwrap(), FakeFleet::start(replicas, slices, 3));
+        let mut managed =
+            ManagedController { folder, fleet, program: None, granted_cores: 8.0, memory_mb: 192.0 };
+        managed.write_operators_file("<overrides/>");
         managed.restart();
         managed
     }
@@ -42,7 +43,7 @@
     }
 
     /// Writes the operators' file with these overrides.
-    pub fn operators(&self, overrides: &str) {
+    pub fn write_operators_file(&self, overrides: &str) {
         let (store, socket) = (self.path("store"), self.path("m.sock"));
         let text = format!(
             "<operators version=\"1\">\n<log form=\"text\"/>\n<store folder=\"{}\"/>\n<management socket=\"{}\"/>\n{overrides}\n</operators>",
@@ -52,63 +53,63 @@
         std::fs::write(self.path("operators.xml"), text).unwrap();
     }
 
-    pub fn command(&self) -> (Command, ConfigurationFile) {
-        let mut file = configuration();
-        file["distributor"]["address"] = json!(self.world.relay.to_string());
-        file["limits"]["cores"] = json!(self.lent);
+    pub fn command(&self) -> (Command, ConfigFile) {
+        let mut file = example_config();
+        file["distributor"]["address"] = json!(self.fleet.relay.to_string());
+        file["limits"]["cores"] = json!(self.granted_cores);
         file["limits"]["memory_mb"] = json!(self.memory_mb);
-        let file = ConfigurationFile::write(&file.to_string());
+        let file = ConfigFile::write(&file.to_string());
         let mut command = command(&file);
-        command.env("PROXY_DISCOVERY", self.world.discovery.to_string());
+        command.env("PROXY_DISCOVERY", self.fleet.discovery.to_string());
         command.arg("--operators").arg(self.path("operators.xml"));
         (command, file)
     }
 
-    /// Kills it, if it runs, and starts it again: it is there once its store was read.
+    /// Kills the process, if it runs, starts it again, and waits until it has read its store.
     pub fn restart(&mut self) {
         self.program = None;
         let (command, file) = self.command();
         self.spawn(command, file);
-        self.log("override store read");
-        self.log("relay snapshot complete");
+        self.wait_for_log("override store read");
+        self.wait_for_log("relay snapshot complete");
     }
 
-    pub fn spawn(&mut self, command: Command, file: ConfigurationFile) {
-        self.program = Some(Program::spawn(command, file));
+    pub fn spawn(&mut self, command: Command, file: ConfigFile) {
+        self.program = Some(ControllerProcess::spawn(command, file));
     }
 
-    pub fn program(&mut self) -> &mut Program {
+    pub fn program(&mut self) -> &mut ControllerProcess {
         self.program.as_mut().unwrap()
     }
 
-    pub fn log(&mut self, with: &str) -> String {
+    pub fn wait_for_log(&mut self, with: &str) -> String {
         self.program().log.wait(with, |line: &String| line.contains(with))
     }
 
-    pub fn ask<T>(&self, call: impl AsyncFn(&Client) -> T) -> T {
+    pub fn request<T>(&self, call: impl AsyncFn(&Client) -> T) -> T {
         let zone = ManagementAddress::Socket(self.path("m.sock"));
         actix_rt::System::new().block_on(async { call(&Client::new(zone, None)).await })
     }
 
     pub fn set(&self, id: &str, set: &SetBody) -> Result<ChangeOutcome, ClientError> {
-        self.ask(async |client| client.set(id, set).await)
+        self.request(async |client| client.set(id, set).await)
     }
 
     pub fn clear(&self, id: &str) -> Result<ChangeOutcome, ClientError> {
-        self.ask(async |client| client.clear(id, "mb").await)
+        self.request(async |client| client.clear(id, "mb").await)
     }
 
     pub fn list(&self) -> Vec<OverrideItem> {
-        self.ask(async |client| client.list().await).unwrap().overrides
+        self.request(async |client| client.list().await).unwrap().overrides
     }
 
     pub fn item(&self, id: &str) -> OverrideItem {
         self.list().into_iter().find(|item| item.id == id).unwrap_or_else(|| panic!("{id} is not listed"))
     }
 
-    /// Asks until the list shows it so.
-    pub fn becomes(&self, id: &str, fits: impl Fn(&OverrideItem) -> bool) -> OverrideItem {
-        let end = Instant::now() + PATIENCE;
+    /// Polls the list until the override fits.
+    pub fn wait_for_item(&self, id: &str, fits: impl Fn(&OverrideItem) -> bool) -> OverrideItem {
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             let item = self.item(id);
             if fits(&item) {
--- a/crates/controller/tests/stand_ins/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for all that the program meets, and the program itself, on loopback sockets.
+//! Fakes of the peers of the controller, and the controller process itself, on loopback sockets.
 #![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
 
-pub mod managed;
+pub mod fake_fleet;
+pub mod managed_controller;
 pub mod rig;
-pub mod world;
 
 use actix_http::body::BodyStream;
 use actix_http::{HttpService, Request, Response};
@@ -22,48 +22,48 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 
 /// Far longer than anything takes: a test that waits so long has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What others say, to be waited for in any order.
-pub struct Heard<T> {
-    pub arrives: Receiver<T>,
-    pub kept: VecDeque<T>,
+/// Messages of a peer, which can be waited for in any order.
+pub struct MessageQueue<T> {
+    pub receiver: Receiver<T>,
+    pub skipped: VecDeque<T>,
 }
 
-impl<T> Heard<T> {
-    pub fn new(arrives: Receiver<T>) -> Self {
-        Heard { arrives, kept: VecDeque::new() }
+impl<T> MessageQueue<T> {
+    pub fn new(receiver: Receiver<T>) -> Self {
+        MessageQueue { receiver, skipped: VecDeque::new() }
     }
 
-    /// The first that fits; what does not is kept for later.
+    /// The first message that fits; those before it stay for later calls.
     pub fn wait(&mut self, what: &str, fits: impl Fn(&T) -> bool) -> T {
-        if let Some(at) = self.kept.iter().position(&fits) {
-            return self.kept.remove(at).unwrap();
+        if let Some(at) = self.skipped.iter().position(&fits) {
+            return self.skipped.remove(at).unwrap();
         }
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            match self.arrives.recv_timeout(left) {
+            match self.receiver.recv_timeout(left) {
                 Ok(next) if fits(&next) => return next,
-                Ok(next) => self.kept.push_back(next),
+                Ok(next) => self.skipped.push_back(next),
                 Err(_) => panic!("waited in vain for {what}"),
             }
         }
     }
 }
 
-/// A line that came to the relay, with the way back.
-pub struct Said {
+/// A line that the relay received, with the connection to reply on.
+pub struct RelayRequest {
     pub line: String,
-    pub way: TcpStream,
+    pub stream: TcpStream,
 }
 
-pub struct Relay {
+pub struct FakeRelay {
     pub address: SocketAddr,
-    pub heard: Heard<Said>,
+    pub messages: MessageQueue<RelayRequest>,
 }
 
-impl Relay {
+impl FakeRelay {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -81,19 +81,19 @@
                             // Garbled on its way by a test.
                             Err(garbled) => String::from_utf8_lossy(garbled.as_bytes()).into_owned(),
                         };
-                        if says.send(Said { line, way: stream.try_clone().unwrap() }).is_err() {
+                        if says.send(RelayRequest { line, stream: stream.try_clone().unwrap() }).is_err() {
                             return;
                         }
                     }
                 });
             }
         });
-        Relay { address, heard: Heard::new(heard) }
+        FakeRelay { address, messages: MessageQueue::new(heard) }
     }
 
     /// A fleet of this size: each slice on the replica that has its number, by turns.
-    pub fn introduce_fleet(&mut self, replicas: usize, slices: usize, proxies: usize) -> TcpStream {
-        let mut way = self.watcher();
+    pub fn serve_fleet_snapshot(&mut self, replicas: usize, slices: usize, proxies: usize) -> TcpStream {
+        let mut way = self.accept_watch();
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..proxies).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for slice in 0..slices {
@@ -105,14 +105,14 @@
         way
     }
 
-    /// A connection that asks for news.
-    pub fn watcher(&mut self) -> TcpStream {
-        self.heard.wait("WATCH", |said| said.line == "WATCH").way
+    /// Waits for a connection that opens the relay watch.
+    pub fn accept_watch(&mut self) -> TcpStream {
+        self.messages.wait("WATCH", |said| said.line == "WATCH").stream
     }
 
-    /// ... and what stands, told to it.
-    pub fn introduce(&mut self) -> TcpStream {
-        let mut way = self.watcher();
+    /// Accepts a relay watch and sends a snapshot of three replicas, six slices and three proxies.
+    pub fn serve_snapshot(&mut self) -> TcpStream {
+        let mut way = self.accept_watch();
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..3).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for slice in 0..6 {
@@ -128,47 +128,47 @@
         way
     }
 
-    pub fn call(&mut self, with: &str) -> Said {
-        self.heard.wait(&format!("a call with {with}"), |said| said.line.contains(with))
+    pub fn wait_for_request(&mut self, with: &str) -> RelayRequest {
+        self.messages.wait(&format!("a call with {with}"), |said| said.line.contains(with))
     }
 
-    /// Answers calls until one has this in it.
-    pub fn answer_until(&mut self, with: &str) -> Said {
+    /// Accepts requests until one contains this text; returns that one.
+    pub fn accept_requests_until(&mut self, with: &str) -> RelayRequest {
         loop {
-            let said = self.call("APPLY ");
+            let said = self.wait_for_request("APPLY ");
             if said.line.contains(with) {
                 return said;
             }
-            said.carried_out();
+            said.accept();
         }
     }
 }
 
-impl Said {
-    /// The version that it asks proxies to answer.
+impl RelayRequest {
+    /// The version that proxies are asked to acknowledge.
     pub fn version(&self) -> Option<&str> {
         self.line.split(';').find_map(|order| order.strip_prefix("SYNC,")?.split(',').next())
     }
 
-    pub fn carried_out(mut self) {
+    pub fn accept(mut self) {
         let orders = self.line.split(';').count();
-        // On a busy machine the answer may come too late, and the call again.
-        _ = write!(self.way, "OK {orders}\r\n");
+        // On a busy machine the response may come too late, and the request is retried.
+        _ = write!(self.stream, "OK {orders}\r\n");
     }
 }
 
-/// A request for the list, with the way to say something: dropped, the answer ends.
-pub struct Watch {
+/// A registry watch that was opened, with the sender of its lines; the response ends when it is dropped.
+pub struct RegistryWatch {
     pub path: String,
-    pub say: UnboundedSender<String>,
+    pub lines: UnboundedSender<String>,
 }
 
-pub struct Discovery {
+pub struct FakeDiscovery {
     pub address: SocketAddr,
-    pub heard: Heard<Watch>,
+    pub messages: MessageQueue<RegistryWatch>,
 }
 
-impl Discovery {
+impl FakeDiscovery {
     pub fn start() -> Self {
         let (started, address) = channel();
         let (asked, heard) = channel();
@@ -177,11 +177,11 @@
                 let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
                 started.send(listener.local_addr().unwrap()).unwrap();
                 let answer = move |request: Request| {
-                    let (say, said) = unbounded_channel::<String>();
-                    _ = asked.send(Watch { path: request.uri().to_string(), say });
-                    let lines = futures_util::stream::unfold(said, |mut said| async move {
-                        let line = said.recv().await?;
-                        Some((Ok::<_, Infallible>(bytes::Bytes::from(line)), said))
+                    let (lines, queued) = unbounded_channel::<String>();
+                    _ = asked.send(RegistryWatch { path: request.uri().to_string(), lines });
+                    let lines = futures_util::stream::unfold(queued, |mut queued| async move {
+                        let line = queued.recv().await?;
+                        Some((Ok::<_, Infallible>(bytes::Bytes::from(line)), queued))
                     });
                     async { Ok::<_, Infallible>(Response::ok().set_body(BodyStream::new(lines))) }
                 };
@@ -192,23 +192,23 @@
                 }
             });
         });
-        Discovery { address: address.recv().unwrap(), heard: Heard::new(heard) }
+        FakeDiscovery { address: address.recv().unwrap(), messages: MessageQueue::new(heard) }
     }
 
-    pub fn watch(&mut self, since: u64) -> Watch {
+    pub fn watch(&mut self, since: u64) -> RegistryWatch {
         let path = format!("/registry/instances?follow=1&since={since}");
-        self.heard.wait(&path, |watch| watch.path == path)
+        self.messages.wait(&path, |watch| watch.path == path)
     }
 
-    /// A watch from the start, and the whole list told to it.
-    pub fn introduce(&mut self) -> Watch {
+    /// Accepts a watch from version 0 and sends it a complete list.
+    pub fn serve_snapshot(&mut self) -> RegistryWatch {
         let watch = self.watch(0);
         watch.list(41, true, &["active", "active", "active"]);
         watch
     }
 }
 
-impl Watch {
+impl RegistryWatch {
     pub fn list(&self, version: u64, whole: bool, states: &[&str]) {
         let entry = |(n, state): (usize, &&str)| {
             json!({"id": format!("s-{n}"), "addr": "127.0.0.9:1", "zone": "north", "kind": "m2", "cell": 3,
@@ -216,79 +216,84 @@
         };
         let replicas: Vec<_> = states.iter().enumerate().map(entry).collect();
         let list = json!({"version": version, "full": whole, "servers": replicas});
-        self.say.send(format!("{list}\n")).unwrap();
+        self.lines.send(format!("{list}\n")).unwrap();
     }
 }
 
-/// A folder entry that is gone after the test.
-pub struct ConfigurationFile(pub std::path::PathBuf);
+/// A configuration file that is removed after the test.
+pub struct ConfigFile(pub std::path::PathBuf);
 
-impl ConfigurationFile {
+impl ConfigFile {
     pub fn write(text: &str) -> Self {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("whinwall-{}-{count}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
-        ConfigurationFile(path)
+        ConfigFile(path)
     }
 }
 
-impl Drop for ConfigurationFile {
+impl Drop for ConfigFile {
     fn drop(&mut self) {
         _ = std::fs::remove_file(&self.0);
     }
 }
 
-pub struct Program {
+pub struct ControllerProcess {
     pub child: Child,
     pub address: SocketAddr,
-    pub log: Heard<String>,
-    pub file: ConfigurationFile,
+    pub log: MessageQueue<String>,
+    pub file: ConfigFile,
 }
 
-pub fn configuration() -> Value {
+pub fn example_config() -> Value {
     let mut file: Value = serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap();
     file["listen"] = json!("127.0.0.1:0");
     file
 }
 
-pub fn command(file: &ConfigurationFile) -> Command {
+pub fn command(file: &ConfigFile) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinwall-controller"));
     command.env_clear().env("PROXY_CONFIG", &file.0).stderr(Stdio::piped()).stdin(Stdio::null());
     command
 }
 
-impl Program {
-    pub fn start(relay: &Relay, discovery: &Discovery) -> Self {
-        Program::start_with(relay, discovery, |_| {})
+impl ControllerProcess {
+    pub fn start(relay: &FakeRelay, discovery: &FakeDiscovery) -> Self {
+        ControllerProcess::start_with(relay, discovery, |_| {})
     }
 
-    pub fn start_with(relay: &Relay, discovery: &Discovery, change: impl Fn(&mut Value)) -> Self {
-        let mut file = configuration();
+    pub fn start_with(relay: &FakeRelay, discovery: &FakeDiscovery, change: impl Fn(&mut Value)) -> Self {
+        let mut file = example_config();
         file["distributor"]["address"] = json!(relay.address.to_string());
         change(&mut file);
-        let file = ConfigurationFile::write(&file.to_string());
+        let file = ConfigFile::write(&file.to_string());
         let mut command = command(&file);
         command.env("PROXY_DISCOVERY", discovery.address.to_string());
-        Program::spawn(command, file)
+        ControllerProcess::spawn(command, file)
     }
 
-    pub fn spawn(command: Command, file: ConfigurationFile) -> Self {
-        let mut program = Program::launch(command, file);
-        program.serves();
+    pub fn spawn(command: Command, file: ConfigFile) -> Self {
+        let mut program = ControllerProcess::launch(command, file);
+        program.wait_until_listening();
         program
     }
 
-    /// One that need not serve yet.
-    pub fn launch(mut command: Command, file: ConfigurationFile) -> Self {
+    /// Starts a process without waiting until it listens.
+    pub fn launch(mut command: Command, file: ConfigFile) -> Self {
         let mut child = command.spawn().unwrap();
         let (says, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| says.send(line)));
-        Program { child, address: SocketAddr::from(([127, 0, 0, 1], 0)), log: Heard::new(log), file }
+        ControllerProcess {
+            child,
+            address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            log: MessageQueue::new(log),
+            file,
+        }
     }
 
-    pub fn serves(&mut self) {
+    pub fn wait_until_listening(&mut self) {
         let serves =
             self.log.wait("the address", |line: &String| line.contains("listening for collectors address="));
         self.address = serves.split("address=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
@@ -298,8 +303,8 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Stands still: whatever happens until it goes on, it meets at once.
-    pub fn stops(&self) {
+    /// Stops the process: whatever happens until `resume`, it meets at once.
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
@@ -307,28 +312,28 @@
         }
     }
 
-    pub fn goes_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    pub fn logs(&mut self, with: &str) -> String {
+    pub fn wait_for_log(&mut self, with: &str) -> String {
         self.log.wait(with, |line: &String| line.contains(with))
     }
 
     pub fn connect(&self) -> Peer {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Peer { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
-    /// The configuration is replaced, and the program told.
-    pub fn reads_anew(&self, text: &str) {
+    /// Replaces the configuration file and sends SIGHUP.
+    pub fn reload_with(&self, text: &str) {
         std::fs::write(&self.file.0, text).unwrap();
         kill_process(Pid::from_child(&self.child), Signal::HUP).unwrap();
     }
 
-    pub fn ends(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < end {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
@@ -339,43 +344,43 @@
     }
 }
 
-impl Drop for Program {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 }
 
-/// Somebody at the controller's address.
+/// A connection to the controller.
 pub struct Peer {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
 }
 
 impl Peer {
-    pub fn says(&mut self, line: &str) {
+    pub fn send_line(&mut self, line: &str) {
         self.stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
-    pub fn pings(&mut self) {
-        self.says(r#"{"@type":"PING"}"#);
+    pub fn ping(&mut self) {
+        self.send_line(r#"{"@type":"PING"}"#);
         let mut answer = String::new();
         self.reader.read_line(&mut answer).unwrap();
         assert_eq!(answer, "{\"@type\":\"PONG\"}\n");
     }
 
-    pub fn joins(&mut self) {
-        self.says(r#"{"@type":"SOURCE","az":"north"}"#);
-        self.pings();
+    pub fn join_zone(&mut self) {
+        self.send_line(r#"{"@type":"SOURCE","az":"north"}"#);
+        self.ping();
     }
 
-    /// Nothing more can be read: the other side has let go.
-    pub fn is_let_go(&mut self) -> bool {
-        self.let_go_in(PATIENCE)
+    /// Whether the controller closes the connection.
+    pub fn is_disconnected(&mut self) -> bool {
+        self.is_disconnected_within(TEST_TIMEOUT)
     }
 
-    /// ... within this time, whatever it said before.
-    pub fn let_go_in(&mut self, time: Duration) -> bool {
+    /// ... within this time, whatever it sends before.
+    pub fn is_disconnected_within(&mut self, time: Duration) -> bool {
         self.stream.set_read_timeout(Some(time)).unwrap();
         match self.reader.read_to_end(&mut Vec::new()) {
             Err(why) => !matches!(why.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
@@ -384,8 +389,8 @@
     }
 }
 
-pub fn all() -> (Relay, Discovery, Program) {
-    let (relay, discovery) = (Relay::start(), Discovery::start());
-    let program = Program::start(&relay, &discovery);
+pub fn start_all() -> (FakeRelay, FakeDiscovery, ControllerProcess) {
+    let (relay, discovery) = (FakeRelay::start(), FakeDiscovery::start());
+    let program = ControllerProcess::start(&relay, &discovery);
     (relay, discovery, program)
 }
--- a/crates/controller/tests/stand_ins/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -1,4 +1,4 @@
-//! The reducer without sockets, against a store that carries out calls or loses them.
+//! The reducer without sockets, against a store that applies relay requests or loses them.
 
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,17 +15,17 @@
 pub struct Rig {
     pub reducer: Reducer,
     pub now: Moment,
-    pub wake: Option<Moment>,
+    pub wake_at: Option<Moment>,
     pub store: Store,
     pub single_writer: bool,
     pub replicas: BTreeMap<String, &'static str>,
     pub proxies: u32,
-    /// The call that waits for its answer, and all that were made.
-    pub open: Option<String>,
+    /// The request that waits for its response.
+    pub pending_request: Option<String>,
     pub relay: Option<SocketAddr>,
-    pub calls: Vec<String>,
-    pub follows: Vec<Effect>,
-    pub notes: Vec<String>,
+    pub requests: Vec<String>,
+    pub other_effects: Vec<Effect>,
+    pub logs: Vec<String>,
     pub replies: Vec<Reply>,
 }
 
@@ -54,75 +54,75 @@
         let mut rig = Rig {
             reducer: Reducer::start(settings, targets, seed, &discovery::List::default(), now),
             now,
-            wake: None,
+            wake_at: None,
             store: (0..slices).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 6), 1.0)]))).collect(),
             replicas: (0..6).map(|n| (format!("s-{n}"), "active")).collect(),
             single_writer,
             proxies: 4,
-            open: None,
+            pending_request: None,
             relay: None,
-            calls: Vec::new(),
-            follows: Vec::new(),
-            notes: Vec::new(),
+            requests: Vec::new(),
+            other_effects: Vec::new(),
+            logs: Vec::new(),
             replies: Vec::new(),
         };
-        rig.tell(Event::Started);
+        rig.apply(Event::Started);
         rig
     }
 
     /// One that serves: list and news told, the first orders out.
     pub fn serving() -> Self {
-        Rig::new().set_going()
+        Rig::new().start_serving()
     }
 
-    pub fn set_going(mut self) -> Self {
-        self.list();
-        self.standing(&[]);
-        self.pass(2000);
+    pub fn start_serving(mut self) -> Self {
+        self.send_list();
+        self.send_snapshot(&[]);
+        self.advance_ms(2000);
         self
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn apply(&mut self, event: Event) {
         for effect in self.reducer.apply(self.now, event) {
             match effect {
                 Effect::RelayRequest { relay, line, .. } => {
                     self.relay = Some(relay);
-                    assert_eq!(self.open.replace(line.clone()), None, "two calls at a time");
-                    self.calls.push(line);
+                    assert_eq!(self.pending_request.replace(line.clone()), None, "two calls at a time");
+                    self.requests.push(line);
                 }
-                Effect::WakeAt(at) => self.wake = Some(at),
-                Effect::Log(event) => self.notes.push(event.to_string()),
+                Effect::WakeAt(at) => self.wake_at = Some(at),
+                Effect::Log(event) => self.logs.push(event.to_string()),
                 Effect::Reply { reply, .. } => self.replies.push(reply),
-                other => self.follows.push(other),
+                other => self.other_effects.push(other),
             }
         }
     }
 
-    pub fn quiet(&mut self) {
-        self.wake = None;
-        self.tell(Event::InputDrained);
+    pub fn drain_input(&mut self) {
+        self.wake_at = None;
+        self.apply(Event::InputDrained);
     }
 
-    pub fn news(&mut self, line: &str) {
-        self.tell(Event::Relay(decode_event(line).unwrap()));
+    pub fn relay_event(&mut self, line: &str) {
+        self.apply(Event::Relay(decode_event(line).unwrap()));
     }
 
-    pub fn says(&mut self, from: u64, line: &str) {
-        self.tell(match collector::decode(line) {
+    pub fn collector_line(&mut self, from: u64, line: &str) {
+        self.apply(match collector::decode(line) {
             Ok(message) => Event::Message { from, message },
             Err(error) => Event::Invalid { from, error },
         });
     }
 
-    pub fn list(&mut self) {
+    pub fn send_list(&mut self) {
         let entry = |(id, state)| json!({"id": id, "zone": "north", "state": state});
         let entries: Vec<_> = self.replicas.iter().map(entry).collect();
         let list = json!({"version": 41, "full": true, "servers": entries});
-        self.tell(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+        self.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
     }
 
     /// What a new news connection says stands, all but the slices without a grant.
-    pub fn standing(&mut self, ungranted: &[u32]) {
+    pub fn send_snapshot(&mut self, ungranted: &[u32]) {
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..self.proxies).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for (slice, table) in self.store.iter().filter(|(slice, _)| !ungranted.contains(slice)) {
@@ -130,8 +130,8 @@
             lines.extend(table.iter().map(|(replica, weight)| format!("* ROW {slice} {replica} {weight}")));
         }
         lines.push("*".into());
-        lines.iter().for_each(|line| self.news(line));
-        self.quiet();
+        lines.iter().for_each(|line| self.relay_event(line));
+        self.drain_input();
     }
 
     /// Carries out what the call says, and acks its version.
@@ -153,7 +153,8 @@
                     assert!(!table.is_empty(), "{order} leaves a table empty");
                 }
                 ["SYNC", version, _] => {
-                    (0..self.proxies).for_each(|proxy| self.news(&format!("* ACK {proxy} {version} 90.5")));
+                    (0..self.proxies)
+                        .for_each(|proxy| self.relay_event(&format!("* ACK {proxy} {version} 90.5")));
                 }
                 _ => {}
             }
@@ -161,50 +162,50 @@
         orders.len()
     }
 
-    pub fn answer(&mut self) {
-        let Some(call) = self.open.take() else { return };
+    pub fn accept_request(&mut self) {
+        let Some(call) = self.pending_request.take() else { return };
         let taken = self.carry_out(&call);
-        self.tell(Event::RelayReply(Ok(Response::Accepted(taken))));
-        self.quiet();
+        self.apply(Event::RelayReply(Ok(Response::Accepted(taken))));
+        self.drain_input();
     }
 
     /// Time passes, calls are answered at once.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         let end = self.now + Span::ms(ms);
         loop {
-            self.answer();
-            if self.open.is_some() {
+            self.accept_request();
+            if self.pending_request.is_some() {
                 continue;
             }
-            match self.wake {
+            match self.wake_at {
                 Some(at) if at <= end => self.now = at.max(self.now),
                 _ => break,
             }
-            self.quiet();
+            self.drain_input();
         }
         self.now = end;
-        self.quiet();
+        self.drain_input();
     }
 
     /// Tells what stands if that was asked for.
-    pub fn renew(&mut self) -> bool {
-        let asked = self.follows.drain(..).any(|follow| matches!(follow, Effect::WatchRelay { .. }));
+    pub fn resend_snapshot_if_requested(&mut self) -> bool {
+        let asked = self.other_effects.drain(..).any(|follow| matches!(follow, Effect::WatchRelay { .. }));
         if asked {
-            self.standing(&[]);
+            self.send_snapshot(&[]);
         }
         asked
     }
 
     pub fn drain(&mut self, replica: &str) {
         self.replicas.insert(replica.into(), "leaving");
-        self.list();
-        self.quiet();
+        self.send_list();
+        self.drain_input();
     }
 
     /// Slices whose tables name a replica that leaves, and whose requests are not halted.
     pub fn still_sent_to_leaving(&self) -> BTreeSet<u32> {
         let mut halted = BTreeSet::new();
-        let orders = self.calls.iter().flat_map(|call| call.trim_start_matches("APPLY ").split(';'));
+        let orders = self.requests.iter().flat_map(|call| call.trim_start_matches("APPLY ").split(';'));
         for order in orders {
             match order.split(',').collect::<Vec<_>>()[..] {
                 ["LIMIT", slice, "*", "0", _] => halted.extend(slice.parse::<u32>()),
