--- a/crates/overrides/src/registry/configured.rs
+++ b/crates/overrides/src/registry/configured.rs
@@ -2,7 +2,7 @@
 
 use super::{OverrideLimits, OverrideRegistry, RegistryChange};
 use crate::error::OverrideError;
-use crate::record::{ConfiguredOverride, EndCause, Origin, Override};
+use crate::record::{ConfiguredOverride, EndCause, NewOverride, Origin, Override};
 use crate::text::format_duration;
 use crate::validation::{validate, InvalidField};
 use std::collections::BTreeSet;
@@ -107,18 +107,14 @@
             let reason = format!("{id} ends later than {longest} from now, the longest");
             return Err(InvalidField::new("until", reason).into());
         }
-        let entry = Override {
-            number: self.registry.next_number,
+        let request = NewOverride {
             id: id.clone(),
             kind: kind.clone(),
             author: author.clone(),
             reason: reason.clone(),
-            origin: Origin::File,
-            set_at: clocks.now,
-            expires_at: clocks.now + remaining,
-            expires_at_wall_time: Some(*expires_at),
-            ended: None,
+            duration: remaining,
         };
+        let entry = self.registry.new_entry(clocks.now, &request, Origin::File, Some(*expires_at));
         let change = self.registry.with_replaced(clocks.now, entry)?;
         self.write(change.writes);
         Ok(())
--- a/crates/overrides/src/registry/proposals.rs
+++ b/crates/overrides/src/registry/proposals.rs
@@ -26,19 +26,30 @@
             };
         }
         self.validate_duration(*duration)?;
-        let entry = Override {
+        let entry = self.new_entry(now, request, Origin::Request, None);
+        self.with_replaced(now, entry).map(Proposal::Change)
+    }
+
+    /// An active override with the next number.
+    pub(super) fn new_entry(
+        &self,
+        now: Moment,
+        request: &NewOverride,
+        origin: Origin,
+        expires_at_wall_time: Option<Moment>,
+    ) -> Override {
+        Override {
             number: self.next_number,
-            id: id.clone(),
-            kind: kind.clone(),
-            author: author.clone(),
-            reason: reason.clone(),
-            origin: Origin::Request,
+            id: request.id.clone(),
+            kind: request.kind.clone(),
+            author: request.author.clone(),
+            reason: request.reason.clone(),
+            origin,
             set_at: now,
-            expires_at: now + *duration,
-            expires_at_wall_time: None,
+            expires_at: now + request.duration,
+            expires_at_wall_time,
             ended: None,
-        };
-        self.with_replaced(now, entry).map(Proposal::Change)
+        }
     }
 
     fn validate_duration(&self, duration: Span) -> Result<(), InvalidField> {
