--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -8,8 +8,8 @@
 use tokio::sync::mpsc;
 use whinwall_management_api::messages::{ListedOverride, Reply, Request, Status};
 use whinwall_management_api::server::{ListenAddress, ManagementServer, PendingRequest};
-use whinwall_overrides::{ClockReading, OverrideController, OverrideEffect, OverrideLimits};
-use whinwall_policy::api::{OverrideId, OverrideStatus};
+use whinwall_overrides::{ClockReading, OverrideEffect, OverrideLimits, OverrideManager};
+use whinwall_policy::api::{OverrideNumber, OverrideStatus};
 use whinwall_policy::time::{Moment, Span};
 
 /// A controller whose management server can be stopped; its overrides go on meanwhile.
@@ -23,7 +23,7 @@
 
 /// The reply of a controller that started at this time.
 fn reply_to_request(
-    overrides: &mut OverrideController,
+    overrides: &mut OverrideManager,
     request: Request,
     started_at: Moment,
     now: Moment,
@@ -60,7 +60,7 @@
     }
 }
 
-fn listed(overrides: &OverrideController, number: OverrideId) -> Option<ListedOverride> {
+fn listed(overrides: &OverrideManager, number: OverrideNumber) -> Option<ListedOverride> {
     let entry = overrides.registry().get_by_number(number)?.clone();
     let status = entry.is_active().then_some(OverrideStatus::InForce);
     Some(ListedOverride { entry, status })
@@ -75,7 +75,7 @@
             let began = Instant::now();
             let start = Moment::at_ns(1_800_000_000_000_000_000);
             let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: start };
-            let mut overrides = OverrideController::in_memory(start, &reading, OverrideLimits::default());
+            let mut overrides = OverrideManager::in_memory(start, &reading, OverrideLimits::default());
             while let Some(PendingRequest { request, reply_to }) = received.blocking_recv() {
                 let now = start + Span::ns(began.elapsed().as_nanos() as u64);
                 overrides.tick(now);
--- a/crates/controller/benches/turn.rs
+++ b/crates/controller/benches/turn.rs
@@ -43,8 +43,8 @@
         let mut fleet = Fleet { reducer, now };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: now };
         let wanted = OverrideConfig {
-            bounds: OverrideLimits { max_active: 10_000, ..OverrideLimits::default() },
-            orders: vec![],
+            limits: OverrideLimits { max_active: 10_000, ..OverrideLimits::default() },
+            configured: vec![],
             has_store: false,
         };
         fleet.tell(Event::OperatorConfigChanged(wanted, reading));
@@ -70,7 +70,7 @@
             let (id, author, reason) = (format!("o{n}"), "bench".into(), "bench".into());
             let order = NewOverride { id, kind, author, reason, duration: Span::ms(3_600_000) };
             fleet.tell(Event::ManagementRequest {
-                ticket: 0,
+                request_id: 0,
                 request: Request::Change(ChangeRequest::Set(order)),
             });
         }
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -10,7 +10,7 @@
 use tracing::{debug_span, Span};
 use whinwall_override_store::WriteBatch;
 use whinwall_overrides::{encoding, ClockStamp, Timeline};
-use whinwall_policy::api::OverrideId;
+use whinwall_policy::api::OverrideNumber;
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector;
 use whinwall_routing::overrides::OverrideConfig;
@@ -144,8 +144,8 @@
     /// Tells the reducer what the operators' file says of overrides, where there is one.
     pub(super) fn apply_override_config(&mut self, config: &ControllerConfig) {
         if let Some(file) = &config.operators {
-            let (bounds, orders) = (file.override_limits.clone(), file.overrides.clone());
-            let overrides = OverrideConfig { bounds, orders, has_store: self.services.has_store() };
+            let (limits, configured) = (file.override_limits.clone(), file.overrides.clone());
+            let overrides = OverrideConfig { limits, configured, has_store: self.services.has_store() };
             self.apply(Event::OperatorConfigChanged(overrides, Clock::read_machine_clocks()));
         }
     }
@@ -183,8 +183,10 @@
             Effect::RenewRegistryWatch { discovery, since } => {
                 self.watches.renew_registry_watch(discovery, since);
             }
-            Effect::Save { serial, puts, drops, line } => self.save(serial, puts, drops, &line),
-            Effect::Reply { ticket, reply } => self.services.reply(ticket, reply),
+            Effect::Save { serial, writes, removals, timeline } => {
+                self.save(serial, writes, removals, &timeline);
+            }
+            Effect::Reply { request_id, reply } => self.services.reply(request_id, reply),
             Effect::WakeAt(at) => self.wake_at = Some(at),
             Effect::Log(event) => tracing::info!("{event}"),
         }
@@ -193,13 +195,13 @@
     fn save(
         &mut self,
         serial: u64,
-        puts: Vec<(OverrideId, Vec<u8>)>,
-        drops: Vec<OverrideId>,
+        writes: Vec<(OverrideNumber, Vec<u8>)>,
+        removals: Vec<OverrideNumber>,
         timeline: &Timeline,
     ) {
         let position = timeline.to_persistent(self.clock.now());
         let stamp = ClockStamp { position, reading: Clock::read_machine_clocks() };
-        let batch = WriteBatch { writes: puts, removals: drops, stamp: encoding::encode_stamp(&stamp) };
+        let batch = WriteBatch { writes, removals, stamp: encoding::encode_stamp(&stamp) };
         if !self.services.write_store(serial, batch) {
             self.apply(Event::Saved { serial, outcome: Err(STORAGE_BUSY.into()) });
         }
--- a/crates/controller/src/program/incarnation.rs
+++ b/crates/controller/src/program/incarnation.rs
@@ -1,35 +1,28 @@
-//! One incarnation of the controller: its tasks, and the event loop that runs until a signal ends it. A panic ends an
-//! incarnation too, and all its tasks with it.
+//! One incarnation of the controller: its tasks, and the reducer that its event loop drives. A panic ends an incarnation,
+//! and all its tasks with it.
 
 use super::configuration::ControllerConfig;
 use super::effects::{Dispatcher, RelayRequests};
-use super::input::{InputHandler, Readers, READER_CHECK_INTERVAL};
+use super::event_loop::run_event_loop;
+use super::input::{InputHandler, Readers};
 use super::metrics::ReaderMetrics;
 use super::queues::InputQueues;
 use super::reader::ReportBatch;
 use super::reader_pool::{PoolConfig, PoolHandle, ReaderPool};
-use super::reload::Reloader;
 use super::services::OperatorServices;
-use super::shutdown::drain;
 use super::watches::Watches;
 use actix_rt::net::TcpListener;
-use actix_rt::time::sleep;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::mpsc::{self, Receiver};
 use tokio::sync::watch;
-use whinwall_overrides::WallClockMonitor;
 use whinwall_routing::Event;
 use whinwall_runtime::clock::Clock;
-use whinwall_runtime::signals::{Signal, Signals, Termination};
+use whinwall_runtime::signals::{Signals, Termination};
 use whinwall_runtime::task::Task;
 use whinwall_transport::{limits, listener, relay_requests, Bounds, InputSender};
 
-/// An iteration of the event loop begins at least so often, whatever the reducer asks for.
-const MAX_SLEEP: Duration = Duration::from_secs(1);
-
 /// Serves until a signal ends the program.
 pub(super) async fn run_incarnation(
     config: &mut ControllerConfig,
@@ -103,63 +96,3 @@
     dispatcher.apply_override_config(config);
     dispatcher.services.read_store();
 }
-
-async fn run_event_loop(
-    config: &mut ControllerConfig,
-    input: &mut InputHandler<'_>,
-    queues: &mut InputQueues,
-    signals: &mut Signals,
-) -> Termination {
-    let mut reloader = Reloader::default();
-    let mut wall_monitor = WallClockMonitor::default();
-    loop {
-        input.dispatcher.clear_wake_at();
-        check_wall_clock(&mut wall_monitor, &mut input.dispatcher);
-        input.supervise_readers();
-        reloader.retry(config, &mut input.dispatcher);
-        input.report_received_bytes();
-        input.dispatcher.apply(Event::InputDrained);
-        input.dispatcher.begin_iteration();
-        let wait = sleep_duration(input, &reloader);
-        tokio::select! {
-            biased;
-            signal = signals.next() => match signal {
-                Signal::Terminate(termination) => {
-                    drain(input, queues, signals, termination).await;
-                    return termination;
-                }
-                Signal::Reload => reloader.reload(config, &mut input.dispatcher),
-            },
-            Some(reply) = input.dispatcher.services.store_replies.recv() => input.receive_store_reply(reply),
-            Some(request) = input.dispatcher.services.requests.recv() => {
-                input.receive_management_request(request);
-            }
-            Some(message) = queues.peers.recv() => input.receive(message),
-            Some(message) = queues.collectors.recv() => input.receive(message),
-            Some(batch) = queues.batches.recv() => input.receive_batch(batch),
-            () = sleep(wait) => {}
-        }
-        queues.drain_into(input);
-    }
-}
-
-fn check_wall_clock(wall_monitor: &mut WallClockMonitor, dispatcher: &mut Dispatcher) {
-    let (now, wall) = (dispatcher.clock.now(), Clock::wall_time());
-    if wall_monitor.has_stepped(now, wall) {
-        tracing::warn!("wall clock stepped");
-        dispatcher.apply(Event::WallStepped(wall));
-    }
-}
-
-/// Until the reducer, the supervision of the readers or a retry of a reload has something to do.
-fn sleep_duration(input: &InputHandler, reloader: &Reloader) -> Duration {
-    let max_sleep = if reloader.has_retry() {
-        limits::RETRY_BACKOFF
-    } else if input.has_readers() {
-        READER_CHECK_INTERVAL
-    } else {
-        MAX_SLEEP
-    };
-    let wake_at = input.dispatcher.wake_at();
-    wake_at.map_or(max_sleep, |at| input.dispatcher.clock.duration_until(at).min(max_sleep))
-}
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -255,12 +255,12 @@
     /// Takes a request of a management client.
     pub(super) fn receive_management_request(&mut self, pending: PendingRequest) {
         let PendingRequest { request, reply_to } = pending;
-        let ticket = self.dispatcher.services.register_client(reply_to);
+        let request_id = self.dispatcher.services.register_client(reply_to);
         tracing::debug!(?request, "management request");
         let metrics = if request == Request::Metrics { self.encode_metrics() } else { None };
         match metrics {
-            Some(text) => self.dispatcher.services.reply(ticket, Reply::Metrics(text)),
-            None => self.dispatcher.apply(Event::ManagementRequest { ticket, request }),
+            Some(text) => self.dispatcher.services.reply(request_id, Reply::Metrics(text)),
+            None => self.dispatcher.apply(Event::ManagementRequest { request_id, request }),
         }
     }
 
--- a/crates/controller/src/program/mod.rs
+++ b/crates/controller/src/program/mod.rs
@@ -3,6 +3,7 @@
 pub mod configuration;
 mod configuration_file;
 mod effects;
+mod event_loop;
 mod incarnation;
 mod input;
 pub mod metrics;
--- a/crates/controller/src/program/reload.rs
+++ b/crates/controller/src/program/reload.rs
@@ -1,4 +1,5 @@
-//! Reloads the configuration while the program runs.
+//! Reloads the configuration on SIGHUP, called by the event loop. Files that cannot be used change nothing; the reload is
+//! retried for a while, as they may be half written.
 
 use super::configuration::{ConfigError, ControllerConfig};
 use super::effects::Dispatcher;
@@ -24,7 +25,7 @@
         self.retry.is_some()
     }
 
-    /// Reloads at the operator's request. A file that cannot be used changes nothing, and is read again for a while.
+    /// Reloads the files, after SIGHUP. Where they cannot be used, [`Reloader::retry`] goes on for a while.
     pub(super) fn reload(&mut self, config: &mut ControllerConfig, dispatcher: &mut Dispatcher) {
         self.retry = None;
         if let Err(error) = apply_files(config, dispatcher) {
--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -43,9 +43,9 @@
     management: Option<RunningServer>,
     request_sender: Sender<PendingRequest>,
     pub(super) requests: Receiver<PendingRequest>,
-    /// Clients that wait for a reply, by ticket.
+    /// Clients that wait for a reply, by request_id.
     clients: BTreeMap<RequestId, oneshot::Sender<Reply>>,
-    last_ticket: RequestId,
+    last_request_id: RequestId,
     log_format: LogFormatSwitch,
 }
 
@@ -72,7 +72,7 @@
             request_sender,
             requests,
             clients: BTreeMap::new(),
-            last_ticket: 0,
+            last_request_id: 0,
             log_format,
         };
         services.reconfigure(controller, file)?;
@@ -149,16 +149,16 @@
         self.storage.as_ref().is_some_and(|storage| storage.request_write(serial, batch).is_ok())
     }
 
-    /// Keeps a client until the reply for its ticket.
+    /// Keeps a client until the reply for its request_id.
     pub(super) fn register_client(&mut self, client: oneshot::Sender<Reply>) -> RequestId {
         self.clients.retain(|_, client| !client.is_closed());
-        self.last_ticket += 1;
-        self.clients.insert(self.last_ticket, client);
-        self.last_ticket
+        self.last_request_id += 1;
+        self.clients.insert(self.last_request_id, client);
+        self.last_request_id
     }
 
-    pub(super) fn reply(&mut self, ticket: RequestId, reply: Reply) {
-        if let Some(client) = self.clients.remove(&ticket) {
+    pub(super) fn reply(&mut self, request_id: RequestId, reply: Reply) {
+        if let Some(client) = self.clients.remove(&request_id) {
             // A client that has stopped waiting loses the reply.
             _ = client.send(reply);
         }
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -265,7 +265,7 @@
     /// Overrides are switched on, and kept nowhere.
     fn with_overrides(mut self) -> Self {
         let wanted =
-            OverrideConfig { bounds: OverrideLimits::default(), orders: Vec::new(), has_store: false };
+            OverrideConfig { limits: OverrideLimits::default(), configured: Vec::new(), has_store: false };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: self.now };
         self.apply(Event::OperatorConfigChanged(wanted, reading));
         self
@@ -275,7 +275,7 @@
         let (author, reason, duration) = ("mb".into(), "disk".into(), Span::ms(lasts_ms));
         let order = NewOverride { id: id.into(), kind, author, reason, duration };
         self.apply(Event::ManagementRequest {
-            ticket: 1,
+            request_id: 1,
             request: Request::Change(ChangeRequest::Set(order)),
         });
         assert!(matches!(self.replies.pop(), Some(Reply::Set { .. })));
@@ -288,7 +288,7 @@
 
     /// Those that are listed as standing, checked against the time.
     fn standing_overrides(&mut self) -> Vec<String> {
-        self.apply(Event::ManagementRequest { ticket: 2, request: Request::List });
+        self.apply(Event::ManagementRequest { request_id: 2, request: Request::List });
         let Some(Reply::Listed { overrides, now }) = self.replies.pop() else { panic!("a list") };
         let standing: Vec<_> = overrides.into_iter().filter(|listed| listed.entry.is_active()).collect();
         assert!(standing.iter().all(|listed| listed.entry.expires_at > now), "one stands after its end");
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -161,7 +161,7 @@
     }
 
     fn freshness(&mut self) -> ReportFreshness {
-        self.rig.apply(Event::ManagementRequest { ticket: 1, request: Request::Status });
+        self.rig.apply(Event::ManagementRequest { request_id: 1, request: Request::Status });
         match self.rig.replies.pop() {
             Some(Reply::Status(status)) => status.reports.unwrap(),
             other => panic!("{other:?}"),
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -109,7 +109,7 @@
 }
 
 fn status(rig: &mut Rig) -> Option<SubsettingStatus> {
-    rig.apply(Event::ManagementRequest { ticket: 1, request: Request::Status });
+    rig.apply(Event::ManagementRequest { request_id: 1, request: Request::Status });
     match rig.replies.pop() {
         Some(Reply::Status(status)) => status.subsetting,
         other => panic!("no status: {other:?}"),
--- a/crates/emulator/src/day/controllers.rs
+++ b/crates/emulator/src/day/controllers.rs
@@ -30,7 +30,7 @@
         self.tell(at, Event::Started);
         self.tell(at, Event::SubsettingConfigured(subsets::fleet(&self.sizes, at)));
         let wanted =
-            OverrideConfig { bounds: OverrideLimits::default(), orders: Vec::new(), has_store: false };
+            OverrideConfig { limits: OverrideLimits::default(), configured: Vec::new(), has_store: false };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: self.now };
         self.tell(at, Event::OperatorConfigChanged(wanted, reading));
         for zone in 0..self.sizes.zones {
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -116,7 +116,7 @@
                     self.tell(
                         controller,
                         Event::ManagementRequest {
-                            ticket: 0,
+                            request_id: 0,
                             request: Request::Change(ChangeRequest::Set(order)),
                         },
                     );
--- a/crates/management-api/src/messages.rs
+++ b/crates/management-api/src/messages.rs
@@ -1,7 +1,7 @@
 //! Requests to a controller and its replies, as validated values without HTTP.
 
 use whinwall_overrides::{ChangeReply, ChangeRequest, Durability, Override, OverrideError};
-use whinwall_policy::api::{OverrideId, OverrideStatus};
+use whinwall_policy::api::{OverrideNumber, OverrideStatus};
 use whinwall_policy::time::{Moment, Span};
 
 /// A request to a controller.
@@ -140,7 +140,7 @@
     pub fn from_change(
         reply: ChangeReply,
         now: Moment,
-        find: impl FnOnce(OverrideId) -> Option<ListedOverride>,
+        find: impl FnOnce(OverrideNumber) -> Option<ListedOverride>,
     ) -> Reply {
         let not_listed = || Reply::NotStored("it is not listed any more".into());
         match reply {
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -7,19 +7,19 @@
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
-pub mod controller;
 pub mod encoding;
 pub mod error;
+pub mod manager;
 pub mod record;
 pub mod registry;
 pub mod text;
 pub mod timeline;
 pub mod validation;
 
-pub use controller::{
-    ChangeReply, ChangeRequest, Durability, OverrideController, OverrideEffect, RequestId, StoreEvent,
-};
 pub use error::OverrideError;
+pub use manager::{
+    ChangeReply, ChangeRequest, Durability, OverrideEffect, OverrideManager, RequestId, StoreEvent,
+};
 pub use record::{
     ConfiguredOverride, EndCause, Ending, NewOverride, Origin, Override, OverrideKind, StoredRecord,
 };
--- a/crates/overrides/src/controller/messages.rs
+++ b/crates/overrides/src/manager/messages.rs
@@ -1,10 +1,10 @@
-//! Requests to the override controller, its replies, and the effects that its caller carries out.
+//! Requests to the override manager, its replies, and the effects that its caller carries out.
 
 use crate::error::OverrideError;
 use crate::record::{NewOverride, StoredRecord};
 use crate::timeline::Timeline;
 use std::fmt;
-use whinwall_policy::api::OverrideId;
+use whinwall_policy::api::OverrideNumber;
 
 /// Identifies the reply to a request.
 pub type RequestId = u64;
@@ -40,7 +40,7 @@
     /// The override is set.
     Set {
         /// Its number.
-        number: OverrideId,
+        number: OverrideNumber,
         /// Whether an earlier request had set it.
         is_repeat: bool,
         /// Whether it outlives the program.
@@ -49,7 +49,7 @@
     /// The override has ended.
     Cleared {
         /// Its number.
-        number: OverrideId,
+        number: OverrideNumber,
         /// Whether it had ended before.
         is_repeat: bool,
         /// Whether the end outlives the program.
@@ -63,18 +63,18 @@
     Busy,
 }
 
-/// What the caller of the override controller has to do.
+/// What the caller of the override manager has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverrideEffect {
     /// Write to the store, atomically, with a clock stamp on this timeline, and pass the outcome to
-    /// [`OverrideController::handle_save_outcome`](super::OverrideController::handle_save_outcome).
+    /// [`OverrideManager::handle_save_outcome`](super::OverrideManager::handle_save_outcome).
     Save {
         /// Identifies the outcome.
         serial: u64,
         /// Records to write.
         writes: Vec<StoredRecord>,
         /// Numbers of the records to remove.
-        removals: Vec<OverrideId>,
+        removals: Vec<OverrideNumber>,
         /// The timeline to stamp the store with.
         timeline: Timeline,
     },
--- a/crates/overrides/src/controller/mod.rs
+++ b/crates/overrides/src/manager/mod.rs
@@ -14,7 +14,7 @@
 use saving::{PendingClear, PendingSave, PendingSet};
 use std::collections::VecDeque;
 use std::mem::take;
-use whinwall_policy::api::OverrideId;
+use whinwall_policy::api::OverrideNumber;
 use whinwall_policy::time::Moment;
 
 /// The most requests that wait for the store, of each kind; more are rejected, or not waited for.
@@ -37,7 +37,7 @@
 }
 
 /// The overrides of a controller with their requests and their store.
-pub struct OverrideController {
+pub struct OverrideManager {
     registry: OverrideRegistry,
     store: StoreState,
     queued_sets: VecDeque<QueuedSet>,
@@ -53,7 +53,7 @@
     effects: Vec<OverrideEffect>,
 }
 
-impl OverrideController {
+impl OverrideManager {
     /// A controller without a store: all overrides are lost with the program.
     pub fn in_memory(now: Moment, reading: &ClockReading, limits: OverrideLimits) -> Self {
         Self::new(now, reading, limits, StoreState::NotConfigured)
@@ -65,7 +65,7 @@
     }
 
     fn new(now: Moment, reading: &ClockReading, limits: OverrideLimits, store: StoreState) -> Self {
-        OverrideController {
+        OverrideManager {
             registry: OverrideRegistry::new(limits, Timeline::resume(now, reading, None).timeline),
             store,
             queued_sets: VecDeque::new(),
@@ -292,6 +292,6 @@
 }
 
 /// The number of the override that a request sets: the last one, after those that it replaces.
-fn new_override_number(change: &RegistryChange) -> OverrideId {
+fn new_override_number(change: &RegistryChange) -> OverrideNumber {
     change.writes.last().map_or(0, |entry| entry.number)
 }
--- a/crates/overrides/src/controller/saving.rs
+++ b/crates/overrides/src/manager/saving.rs
@@ -1,12 +1,12 @@
 //! Writes to the store, one at a time, and what follows from their outcomes.
 
 use super::{
-    new_override_number, ChangeReply, Durability, OverrideController, OverrideEffect, RequestId, StoreEvent,
+    new_override_number, ChangeReply, Durability, OverrideEffect, OverrideManager, RequestId, StoreEvent,
 };
 use crate::encoding;
 use crate::registry::RegistryChange;
 use std::mem::{replace, take};
-use whinwall_policy::api::OverrideId;
+use whinwall_policy::api::OverrideNumber;
 use whinwall_policy::time::{Moment, Span};
 
 /// The time until a failed write is retried.
@@ -24,7 +24,7 @@
 /// A request that has ended an override, and is replied to once the end is stored.
 pub(super) struct PendingClear {
     pub request_id: RequestId,
-    pub number: OverrideId,
+    pub number: OverrideNumber,
 }
 
 /// The write to the store that is in flight.
@@ -36,7 +36,7 @@
     pub clears: Vec<PendingClear>,
 }
 
-impl OverrideController {
+impl OverrideManager {
     pub(super) fn is_save_due(&self, now: Moment) -> bool {
         if !self.pending_clears.is_empty() {
             return true;
--- a/crates/overrides/src/record.rs
+++ b/crates/overrides/src/record.rs
@@ -1,11 +1,11 @@
 //! One override, and the requests that create one.
 
 use std::fmt;
-use whinwall_policy::api::{OverrideId, SliceId};
+use whinwall_policy::api::{OverrideNumber, SliceId};
 use whinwall_policy::time::{Moment, Span};
 
 /// An override as the store holds it: its number and its encoded record.
-pub type StoredRecord = (OverrideId, Vec<u8>);
+pub type StoredRecord = (OverrideNumber, Vec<u8>);
 
 /// The effect of an override. Replicas are named, as their numbers are internal to a program and may change.
 #[derive(Clone, Debug, PartialEq)]
@@ -153,7 +153,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
     /// Ascending in the order in which overrides were set; identifies the override to the policy and the store.
-    pub number: OverrideId,
+    pub number: OverrideNumber,
     /// The id that its client or the operators' file chose.
     pub id: String,
     /// The effect.
--- a/crates/overrides/src/registry/mod.rs
+++ b/crates/overrides/src/registry/mod.rs
@@ -8,7 +8,7 @@
 use crate::record::{EndCause, Ending, Origin, Override, StoredRecord};
 use crate::timeline::{ClockReading, ClockStamp, Timeline};
 use std::collections::{BTreeMap, BTreeSet};
-use whinwall_policy::api::OverrideId;
+use whinwall_policy::api::OverrideNumber;
 use whinwall_policy::time::{Moment, Span};
 
 const DAY: Span = Span::ms(24 * 3_600_000);
@@ -38,7 +38,7 @@
     /// Overrides to write, new or replaced.
     pub writes: Vec<Override>,
     /// Overrides to remove.
-    pub removals: Vec<OverrideId>,
+    pub removals: Vec<OverrideNumber>,
 }
 
 impl RegistryChange {
@@ -57,7 +57,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Proposal {
     /// Nothing: the request was carried out before, on this override, which may have ended since.
-    Unchanged(OverrideId),
+    Unchanged(OverrideNumber),
     /// This change has to be stored and applied.
     Change(RegistryChange),
 }
@@ -69,15 +69,15 @@
     #[error("record {key} says that it is {number}")]
     WrongNumber {
         /// The number that it is stored under.
-        key: OverrideId,
+        key: OverrideNumber,
         /// The number that it contains.
-        number: OverrideId,
+        number: OverrideNumber,
     },
     /// The record cannot be decoded.
     #[error("record {key}: {source}")]
     Undecodable {
         /// The number that it is stored under.
-        key: OverrideId,
+        key: OverrideNumber,
         /// What is wrong with it.
         source: DecodeError,
     },
@@ -95,16 +95,16 @@
 pub struct OverrideRegistry {
     limits: OverrideLimits,
     timeline: Timeline,
-    overrides: BTreeMap<OverrideId, Override>,
+    overrides: BTreeMap<OverrideNumber, Override>,
     /// The newest override of each id.
-    newest_by_id: BTreeMap<String, OverrideId>,
+    newest_by_id: BTreeMap<String, OverrideNumber>,
     /// The active overrides by expiry time.
-    expiries: BTreeSet<(Moment, OverrideId)>,
-    next_number: OverrideId,
+    expiries: BTreeSet<(Moment, OverrideNumber)>,
+    next_number: OverrideNumber,
     /// Overrides that are not listed any more and still stored.
-    pending_removals: Vec<OverrideId>,
+    pending_removals: Vec<OverrideNumber>,
     /// Overrides whose present state is not stored yet.
-    pending_writes: BTreeSet<OverrideId>,
+    pending_writes: BTreeSet<OverrideNumber>,
 }
 
 impl OverrideRegistry {
@@ -188,7 +188,7 @@
     }
 
     /// The override of this number.
-    pub fn get_by_number(&self, number: OverrideId) -> Option<&Override> {
+    pub fn get_by_number(&self, number: OverrideNumber) -> Option<&Override> {
         self.overrides.get(&number)
     }
 
@@ -197,7 +197,7 @@
         self.expiries.first().map(|(at, _)| *at)
     }
 
-    fn reserve_number(&mut self, number: OverrideId) {
+    fn reserve_number(&mut self, number: OverrideNumber) {
         self.next_number = self.next_number.max(number.saturating_add(1));
     }
 
@@ -215,7 +215,7 @@
         self.overrides.insert(number, entry);
     }
 
-    fn end(&mut self, number: OverrideId, at: Moment, cause: EndCause) {
+    fn end(&mut self, number: OverrideNumber, at: Moment, cause: EndCause) {
         let Some(entry) = self.overrides.get_mut(&number).filter(|entry| entry.is_active()) else { return };
         self.expiries.remove(&(entry.expires_at, number));
         entry.ended = Some(Ending { at, cause });
@@ -235,7 +235,7 @@
 
     /// Removes ended overrides that are past their retention, and the oldest of them beyond the limit.
     pub fn prune_ended(&mut self, now: Moment) {
-        let mut ended: Vec<(Moment, OverrideId)> = self
+        let mut ended: Vec<(Moment, OverrideNumber)> = self
             .overrides
             .values()
             .filter_map(|entry| Some((entry.ended.as_ref()?.at, entry.number)))
@@ -251,7 +251,7 @@
         }
     }
 
-    fn remove(&mut self, number: OverrideId) {
+    fn remove(&mut self, number: OverrideNumber) {
         if let Some(entry) = self.overrides.remove(&number) {
             if self.newest_by_id.get(&entry.id) == Some(&number) {
                 self.newest_by_id.remove(&entry.id);
--- a/crates/overrides/tests/controller.rs
+++ b/crates/overrides/tests/manager.rs
@@ -1,10 +1,10 @@
-//! The override controller: requests, writes to the store and their failures, clears meanwhile, restarts, retries.
+//! The override manager: requests, writes to the store and their failures, clears meanwhile, restarts, retries.
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 use whinwall_overrides::{
     encoding, ChangeReply, ChangeRequest, ClockReading, ClockStamp, ConfiguredOverride, Durability,
-    NewOverride, OverrideController, OverrideEffect, OverrideError, OverrideKind, OverrideLimits, RequestId,
+    NewOverride, OverrideEffect, OverrideError, OverrideKind, OverrideLimits, OverrideManager, RequestId,
 };
 use whinwall_policy::time::{Moment, Span};
 
@@ -29,9 +29,9 @@
     OverrideLimits { max_active: 300, ..OverrideLimits::default() }
 }
 
-/// A controller with a store whose writes succeed or fail as the test says.
+/// A manager with a store whose writes succeed or fail as the test says.
 struct Harness {
-    controller: OverrideController,
+    manager: OverrideManager,
     stored: BTreeMap<u64, Vec<u8>>,
     stamp: Option<Vec<u8>>,
     now_ms: u64,
@@ -42,16 +42,16 @@
 
 impl Harness {
     fn in_memory() -> Self {
-        Harness::new(OverrideController::in_memory(at(0), &reading(0), limits()))
+        Harness::new(OverrideManager::in_memory(at(0), &reading(0), limits()))
     }
 
     fn with_unread_store() -> Self {
-        Harness::new(OverrideController::with_store(at(0), &reading(0), limits()))
+        Harness::new(OverrideManager::with_store(at(0), &reading(0), limits()))
     }
 
-    fn new(controller: OverrideController) -> Self {
+    fn new(manager: OverrideManager) -> Self {
         Harness {
-            controller,
+            manager,
             stored: BTreeMap::new(),
             stamp: None,
             now_ms: 0,
@@ -69,7 +69,7 @@
 
     fn read_store(&mut self) {
         let records: Vec<_> = self.stored.iter().map(|(n, bytes)| (*n, bytes.clone())).collect();
-        self.controller.handle_store_read(
+        self.manager.handle_store_read(
             at(self.now_ms),
             &reading(self.now_ms),
             self.stamp.as_deref(),
@@ -81,12 +81,12 @@
     /// Kills the program and starts it again with what is stored.
     fn restart(&mut self) {
         let fresh = Harness::with_unread_store();
-        (self.controller, self.pending_save) = (fresh.controller, None);
+        (self.manager, self.pending_save) = (fresh.manager, None);
         self.read_store();
     }
 
     fn take_effects(&mut self) {
-        for effect in self.controller.take_effects() {
+        for effect in self.manager.take_effects() {
             match effect {
                 OverrideEffect::Save { serial, .. } => {
                     assert!(self.pending_save.replace((serial, effect)).is_none(), "one write at a time");
@@ -100,7 +100,7 @@
     }
 
     fn request(&mut self, request_id: RequestId, request: ChangeRequest) {
-        self.controller.handle_request(at(self.now_ms), request_id, request);
+        self.manager.handle_request(at(self.now_ms), request_id, request);
         self.take_effects();
     }
 
@@ -130,21 +130,21 @@
 
     fn report_outcome(&mut self, serial: Option<u64>, outcome: Result<(), String>) -> bool {
         let Some(serial) = serial else { return false };
-        self.controller.handle_save_outcome(at(self.now_ms), serial, outcome);
+        self.manager.handle_save_outcome(at(self.now_ms), serial, outcome);
         self.take_effects();
         true
     }
 
     fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
-        if self.controller.next_tick_at().is_some_and(|due| due <= at(self.now_ms)) {
-            self.controller.tick(at(self.now_ms));
+        if self.manager.next_tick_at().is_some_and(|due| due <= at(self.now_ms)) {
+            self.manager.tick(at(self.now_ms));
             self.take_effects();
         }
     }
 
     fn active_ids(&self) -> Vec<&str> {
-        self.controller.registry().active().map(|one| one.id.as_str()).collect()
+        self.manager.registry().active().map(|one| one.id.as_str()).collect()
     }
 
     /// The active overrides that a restart would find.
@@ -161,10 +161,10 @@
     let mut harness = Harness::with_store_read();
     harness.request(1, set("a"));
     assert!(harness.active_ids().is_empty() && harness.replies.is_empty());
-    assert!(!harness.controller.take_changed() || harness.active_ids().is_empty());
+    assert!(!harness.manager.take_changed() || harness.active_ids().is_empty());
     harness.complete_save();
     assert_eq!(harness.active_ids(), ["a"]);
-    assert!(harness.controller.take_changed());
+    assert!(harness.manager.take_changed());
     assert!(matches!(
         harness.replies[&1],
         ChangeReply::Set { is_repeat: false, durability: Durability::OnDisk, .. }
@@ -185,7 +185,7 @@
     // Stored although the write failed: the next write removes it.
     harness.request(2, set("b"));
     let serial = harness.store_pending().unwrap();
-    harness.controller.handle_save_outcome(at(harness.now_ms), serial, Err("flush".into()));
+    harness.manager.handle_save_outcome(at(harness.now_ms), serial, Err("flush".into()));
     harness.take_effects();
     assert_eq!(harness.stored_ids(), ["b"], "stored until then");
     harness.advance(5000);
@@ -225,8 +225,8 @@
     let mut harness = Harness::with_unread_store();
     harness.request(1, set("a"));
     assert!(matches!(harness.replies[&1], ChangeReply::NotStored(_)), "not read yet");
-    harness.controller.handle_store_unavailable("in use");
-    harness.controller.handle_store_unavailable("in use");
+    harness.manager.handle_store_unavailable("in use");
+    harness.manager.handle_store_unavailable("in use");
     harness.take_effects();
     assert_eq!(harness.logged.len(), 1, "logged once: {:?}", harness.logged);
     harness.read_store();
@@ -250,7 +250,7 @@
     assert!(harness.active_ids().is_empty());
     assert!(harness.complete_save());
     assert!(!harness.complete_save(), "no second write");
-    assert_eq!(harness.controller.next_tick_at(), None, "nothing more to do");
+    assert_eq!(harness.manager.next_tick_at(), None, "nothing more to do");
 }
 
 #[test]
@@ -265,15 +265,15 @@
     };
     let mut fresh = Harness::with_unread_store();
     (fresh.stored, fresh.stamp) = (harness.stored.clone(), harness.stamp.clone());
-    fresh.controller.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
+    fresh.manager.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
     assert_eq!(fresh.active_ids(), ["f-1"]);
-    fresh.controller.handle_store_unavailable("in use");
+    fresh.manager.handle_store_unavailable("in use");
     fresh.read_store();
     assert_eq!(fresh.active_ids(), ["a", "f-1"], "{:?}", fresh.logged);
     while fresh.complete_save() {}
     assert_eq!(fresh.stored_ids(), ["a", "f-1"]);
     // The wall clock went forward by 20 s: the file's override expires in 10 s, the other one in 60 s.
-    fresh.controller.handle_wall_clock_step(at(0), at(20_000));
+    fresh.manager.handle_wall_clock_step(at(0), at(20_000));
     fresh.advance(10_000);
     assert_eq!(fresh.active_ids(), ["a"]);
 }
@@ -286,8 +286,8 @@
         harness.advance(1000);
     }
     assert!(matches!(harness.replies[&7], ChangeReply::Set { durability: Durability::InMemory, .. }));
-    assert!(harness.pending_save.is_none() && harness.controller.registry().unsaved().is_empty());
-    assert!(harness.controller.registry().listed().count() <= 301);
+    assert!(harness.pending_save.is_none() && harness.manager.registry().unsaved().is_empty());
+    assert!(harness.manager.registry().listed().count() <= 301);
 }
 
 /// A random history of requests, writes that succeed, fail or fail after they were stored, time, and restarts.
@@ -319,7 +319,7 @@
                     0 => _ = harness.fail_save(),
                     1 => {
                         if let Some(serial) = harness.store_pending() {
-                            harness.controller.handle_save_outcome(
+                            harness.manager.handle_save_outcome(
                                 at(harness.now_ms),
                                 serial,
                                 Err("flush".into()),
@@ -331,7 +331,7 @@
                 },
                 _ => harness.restart(),
             }
-            for entry in harness.controller.registry().active() {
+            for entry in harness.manager.registry().active() {
                 assert!(entry.expires_at > at(harness.now_ms), "{} is active after its expiry", entry.id);
             }
             let stored_ids = harness.stored_ids();
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -110,7 +110,7 @@
 }
 
 /// An override's id, given by the caller; it stays the same for as long as the override exists.
-pub type OverrideId = u64;
+pub type OverrideNumber = u64;
 
 /// Whether an override is in force, and if not, what it waits for or which rule suspends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,7 +1,7 @@
 //! How events are taken into the state. Nothing is decided here: the rules run afterwards.
 
 use crate::api::{
-    DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, ProxyId, ProxyTables, ReplicaId,
+    DemandReport, EndpointReport, ListScope, OverrideNumber, OverrideSpec, ProxyId, ProxyTables, ReplicaId,
     ReplicaListing, Report, ReportBody, ReportFlow, ReportSubject, SliceId, SubsetMembership,
 };
 use crate::measure::windows::RECENT_WINDOW;
@@ -43,7 +43,7 @@
         self.fleet_changed = true;
     }
 
-    pub(crate) fn record_overrides(&mut self, overrides: &[(OverrideId, OverrideSpec)]) {
+    pub(crate) fn record_overrides(&mut self, overrides: &[(OverrideNumber, OverrideSpec)]) {
         self.operator_overrides.replace(overrides);
         let out_of_service = self.operator_overrides.replicas_out_of_service();
         for (id, replica) in &mut self.replicas {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -47,7 +47,7 @@
 pub mod windowed_counter;
 
 use crate::api::{
-    Action, DemandReport, EndpointReport, ListScope, OverrideId, OverrideSpec, OverrideStatus, ProxyId,
+    Action, DemandReport, EndpointReport, ListScope, OverrideNumber, OverrideSpec, OverrideStatus, ProxyId,
     ProxyTables, ReplicaId, ReplicaListing, ReplicaState, Report, ReportBody, ReportFlow, ReportSubject,
     SliceId, SubsetMembership,
 };
@@ -199,7 +199,7 @@
 
     /// All overrides that operators have set, the oldest first. One that is missing has ended; one that is known already goes
     /// on as it is.
-    pub fn set_overrides(&mut self, now: Moment, overrides: &[(OverrideId, OverrideSpec)]) {
+    pub fn set_overrides(&mut self, now: Moment, overrides: &[(OverrideNumber, OverrideSpec)]) {
         self.state.record_overrides(overrides);
         self.settle(now);
     }
@@ -296,7 +296,7 @@
     }
 
     /// Whether an override is in force, and if not, why.
-    pub fn override_status(&self, id: OverrideId) -> Option<OverrideStatus> {
+    pub fn override_status(&self, id: OverrideNumber) -> Option<OverrideStatus> {
         self.state.operator_overrides.entries.get(&id).map(|entry| entry.status)
     }
 }
--- a/crates/policy/src/rules/evacuation.rs
+++ b/crates/policy/src/rules/evacuation.rs
@@ -42,7 +42,7 @@
     fn find_departures(&self) -> Vec<Departure> {
         let may_be_left = |replica: &Replica| {
             replica.withdrawn
-                || self.must_be_left(replica)
+                || self.must_be_evacuated(replica)
                 || self.is_ejected(replica)
                 || self.is_warming_up(replica)
         };
@@ -80,7 +80,7 @@
     /// How far the search for a refuge from a replica may go.
     fn refuge_scope(&self, from: Option<&Replica>) -> RefugeScope {
         match from {
-            Some(replica) if self.must_be_left(replica) => RefugeScope::Any,
+            Some(replica) if self.must_be_evacuated(replica) => RefugeScope::Any,
             Some(replica) if self.is_ejected(replica) => RefugeScope::AnyWarm,
             Some(_) => RefugeScope::WithCapacity,
             None => RefugeScope::Any,
@@ -104,7 +104,8 @@
     /// Has a slice sent at once whose applied table names nothing that may be used.
     fn mark_if_without_endpoint(&mut self, id: SliceId) {
         let single_writer = self.deployment.single_writer;
-        let is_lost = |replica: &Replica| replica.withdrawn || (single_writer && self.must_be_left(replica));
+        let is_lost =
+            |replica: &Replica| replica.withdrawn || (single_writer && self.must_be_evacuated(replica));
         let is_open = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| !is_lost(replica));
         let has_no_endpoint = |slice: &Slice| {
             !slice.is_fully_applied()
@@ -140,7 +141,7 @@
             return false;
         }
         let is_named = !replica.slices.is_empty();
-        if self.must_be_left(replica) {
+        if self.must_be_evacuated(replica) {
             return is_named || (replica.withdrawn && !replica.is_forgettable(self.now));
         }
         let is_owner = |slice: &SliceId| self.slices[slice].table.owners().any(|owner| owner == id);
--- a/crates/policy/src/rules/outlier_ejection.rs
+++ b/crates/policy/src/rules/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: against all that looks alike from outside, that is, crash, hang, silence, fast errors and a cut network.
+//! Ejects replicas that do not answer or fail fast, whatever the cause (crash, hang, silence, cut network).
 
 use crate::api::{Action, ReplicaId};
 use crate::measure::admission::{LATE_RATIO, QUICK_RATIO};
@@ -9,10 +9,11 @@
 use std::mem::take;
 
 /// How long an outlier is ejected for the first time; longer each time (docs/design.md, Outlier ejection).
-pub(crate) const OUTLIER_EJECTION: Span = Span::ms(8000);
+pub(crate) const BASE_EJECTION_DURATION: Span = Span::ms(8000);
 /// The longest ejection, in multiples of the first.
 const MAX_EJECTION_MULTIPLE: u32 = 4;
-/// The share of attempts that fail at an outlier, and above which, at the usual replica, the fleet is overloaded.
+/// At or above this share of failed attempts a replica may be an outlier; at or above it at the median replica, the fleet
+/// counts as overloaded.
 pub(crate) const FAILING_SHARE: f64 = 0.3;
 /// An outlier fails this many times the usual share more than that.
 const USUAL_FAILURES_MULTIPLE: f64 = 2.0;
@@ -34,7 +35,7 @@
         }
         for (id, cause) in outliers {
             if let Some(replica) = self.replicas.get_mut(&id) {
-                replica.eject(self.now, OUTLIER_EJECTION, MAX_EJECTION_MULTIPLE);
+                replica.eject(self.now, BASE_EJECTION_DURATION, MAX_EJECTION_MULTIPLE);
                 self.actions.push(Action::ReplicaEjected { replica: id, cause });
             }
         }
@@ -44,14 +45,14 @@
     /// The outliers that are not ejected yet, and why.
     fn find_outliers(&self) -> Vec<(ReplicaId, &'static str)> {
         let usual_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
-        let is_watched = |replica: &Replica| {
-            !self.must_be_left(replica)
+        let is_candidate = |replica: &Replica| {
+            !self.must_be_evacuated(replica)
                 && !self.is_ejected(replica)
                 && self.is_observed(replica)
                 && !replica.slices.is_empty()
         };
-        let watched = self.replicas.iter().filter(|(_, replica)| is_watched(replica));
-        let with_cause = watched
+        let candidates = self.replicas.iter().filter(|(_, replica)| is_candidate(replica));
+        let with_cause = candidates
             .filter_map(|(id, replica)| Some((*id, self.ejection_cause(replica, usual_failed_share)?)));
         with_cause.collect()
     }
@@ -71,7 +72,7 @@
 
     /// Whether so many new outliers would make too large a share of the fleet.
     fn would_eject_too_many(&self, outliers: usize) -> bool {
-        let counted = || self.replicas.values().filter(|replica| !self.must_be_left(replica));
+        let counted = || self.replicas.values().filter(|replica| !self.must_be_evacuated(replica));
         let ejected = outliers + counted().filter(|replica| self.is_ejected(replica)).count();
         ejected as f64 > MAX_EJECTED_SHARE * counted().count() as f64
     }
--- a/crates/policy/src/rules/overrides.rs
+++ b/crates/policy/src/rules/overrides.rs
@@ -5,9 +5,9 @@
 //! into force by itself later, but not at once, lest the fleet flaps.
 
 use crate::api::OverrideStatus::{self, Absent, InForce, Suspended, Waiting};
-use crate::api::{OverrideId, OverrideSpec, ReplicaId, ReplicaState, SliceId};
+use crate::api::{OverrideNumber, OverrideSpec, ReplicaId, ReplicaState, SliceId};
 use crate::measure::admission::QUICK_RATIO;
-use crate::rules::outlier_ejection::OUTLIER_EJECTION;
+use crate::rules::outlier_ejection::BASE_EJECTION_DURATION;
 use crate::state::controller::ControllerState;
 use crate::state::operator_overrides::OverrideEntry;
 use crate::state::pending_slices::Priority;
@@ -86,7 +86,7 @@
         let others_are_warm = fleet.warm > usize::from(is_warm);
         let missing = fleet.missing + usize::from(!was_out && !self.is_ejected(replica));
         let too_many_missing = missing * 2 > fleet.ready;
-        let just_suspended = entry.suspended_at.is_some_and(|at| self.now - at < OUTLIER_EJECTION);
+        let just_suspended = entry.suspended_at.is_some_and(|at| self.now - at < BASE_EJECTION_DURATION);
         let may_stay_out = was_out || !(too_many_missing || just_suspended);
         let is_out = replica.state == ReplicaState::Draining || (others_are_warm && may_stay_out);
         if is_out && !was_out {
@@ -127,7 +127,7 @@
     }
 
     /// Brings pinned slices to their replicas, one a replica and tick; the status of the first of each that is not there.
-    fn apply_pins(&mut self) -> BTreeMap<OverrideId, OverrideStatus> {
+    fn apply_pins(&mut self) -> BTreeMap<OverrideNumber, OverrideStatus> {
         let mut statuses = BTreeMap::new();
         let mut moves = BTreeMap::new();
         for (first, last, (to, id)) in self.operator_overrides.pins.ranges() {
@@ -149,7 +149,7 @@
     }
 
     /// Makes a replica a slice's only owner.
-    fn move_to_pin(&mut self, id: SliceId, to: ReplicaId, by: OverrideId) {
+    fn move_to_pin(&mut self, id: SliceId, to: ReplicaId, by: OverrideNumber) {
         let others: Vec<_> = self.slices[&id].table.owners().filter(|owner| *owner != to).collect();
         for other in others.iter().skip(1) {
             self.replace_endpoint(id, Some(*other), None, Priority::Calm);
@@ -162,7 +162,7 @@
     }
 
     /// How far a slice is at its pin. What the rules take from there comes back later each time.
-    fn pin_status(&self, id: SliceId, slice: &Slice, to: ReplicaId, by: OverrideId) -> OverrideStatus {
+    fn pin_status(&self, id: SliceId, slice: &Slice, to: ReplicaId, by: OverrideNumber) -> OverrideStatus {
         let Some(replica) = self.replicas.get(&to).filter(|replica| replica.listed) else { return Absent };
         let backoff_steps = f64::from(slice.pin_moves.count_by(by)).min(MAX_PIN_BACKOFF_STEPS);
         let backoff = PIN_BACKOFF.times(backoff_steps);
--- a/crates/policy/src/state/operator_overrides.rs
+++ b/crates/policy/src/state/operator_overrides.rs
@@ -1,6 +1,6 @@
 //! The operators' overrides.
 
-use crate::api::{OverrideId, OverrideSpec, OverrideStatus, ReplicaId};
+use crate::api::{OverrideNumber, OverrideSpec, OverrideStatus, ReplicaId};
 use crate::state::slice_pins::SlicePins;
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 /// All overrides, by id, and the slices that they pin.
 #[derive(Default)]
 pub(crate) struct OperatorOverrides {
-    pub entries: BTreeMap<OverrideId, OverrideEntry>,
+    pub entries: BTreeMap<OverrideNumber, OverrideEntry>,
     pub pins: SlicePins,
 }
 
@@ -23,7 +23,7 @@
 
 impl OperatorOverrides {
     /// Takes over all overrides, the oldest first. One that is known already keeps its status.
-    pub(crate) fn replace(&mut self, overrides: &[(OverrideId, OverrideSpec)]) {
+    pub(crate) fn replace(&mut self, overrides: &[(OverrideNumber, OverrideSpec)]) {
         let mut former = take(&mut self.entries);
         self.pins = SlicePins::default();
         for (id, spec) in overrides {
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -35,8 +35,8 @@
     pub(crate) latency_ratio: f64,
     /// Until when it is ejected as an outlier.
     pub(crate) ejected_until: Option<Moment>,
-    /// How often it was ejected; each ejection is longer, up to a limit.
-    pub(crate) consecutive_ejections: u32,
+    /// How often it was ejected, never reset; each ejection is longer, up to a limit.
+    pub(crate) ejection_count: u32,
     /// How far the load of its slices is to be shed (see [`crate::state::admission`]).
     pub(crate) reduction: f64,
     /// When that last changed.
@@ -89,7 +89,7 @@
             recent: RecentCounts::default(),
             latency_ratio: 0.0,
             ejected_until: None,
-            consecutive_ejections: 0,
+            ejection_count: 0,
             reduction: 0.0,
             reduction_changed_at: Moment::default(),
             rounds_outside_band: 0,
@@ -136,8 +136,8 @@
 
     /// Ejects it for `base`, or longer if it was ejected before.
     pub(crate) fn eject(&mut self, now: Moment, base: Span, max_multiple: u32) {
-        self.consecutive_ejections += 1;
-        let multiple = self.consecutive_ejections.min(max_multiple);
+        self.ejection_count += 1;
+        let multiple = self.ejection_count.min(max_multiple);
         self.ejected_until = Some(now + base.times(f64::from(multiple)));
         self.clear_reports();
     }
--- a/crates/policy/src/state/replica_status.rs
+++ b/crates/policy/src/state/replica_status.rs
@@ -12,7 +12,7 @@
 impl ControllerState {
     /// Whether slices must leave it whatever it answers. Where the list is advisory, a missing entry may be wrong, and what
     /// is reported of the replica counts.
-    pub(crate) fn must_be_left(&self, replica: &Replica) -> bool {
+    pub(crate) fn must_be_evacuated(&self, replica: &Replica) -> bool {
         match replica.state {
             ReplicaState::Draining => true,
             _ if replica.out_of_service => true,
--- a/crates/policy/src/state/slice.rs
+++ b/crates/policy/src/state/slice.rs
@@ -1,6 +1,6 @@
 //! A slice of the key space: its routing table, what was reported of it, and what was decided about it.
 
-use crate::api::{OverrideId, ReplicaId};
+use crate::api::{OverrideNumber, ReplicaId};
 use crate::state::recent_counter::recent_counter;
 use crate::state::routing_table::RoutingTable;
 use crate::time::Moment;
@@ -42,7 +42,7 @@
 /// How often an override brought a slice to its replica.
 #[derive(Default)]
 pub(crate) struct PinMoves {
-    by: OverrideId,
+    by: OverrideNumber,
     count: u32,
 }
 
@@ -76,12 +76,12 @@
 
 impl PinMoves {
     /// Counts a move that this override caused.
-    pub(crate) fn record(&mut self, by: OverrideId) {
+    pub(crate) fn record(&mut self, by: OverrideNumber) {
         *self = PinMoves { by, count: self.count_by(by).saturating_add(1) };
     }
 
     /// How often this override has caused a move.
-    pub(crate) fn count_by(&self, by: OverrideId) -> u32 {
+    pub(crate) fn count_by(&self, by: OverrideNumber) -> u32 {
         if self.by == by {
             self.count
         } else {
--- a/crates/policy/src/state/slice_pins.rs
+++ b/crates/policy/src/state/slice_pins.rs
@@ -1,10 +1,10 @@
 //! Which replica each slice is pinned to: ranges of slices that do not overlap, each under the newest override.
 
-use crate::api::{OverrideId, ReplicaId, SliceId};
+use crate::api::{OverrideNumber, ReplicaId, SliceId};
 use std::collections::BTreeMap;
 
 /// Where a range of slices belongs, and by which override.
-type Pin = (ReplicaId, OverrideId);
+type Pin = (ReplicaId, OverrideNumber);
 
 /// By the first slice of each range, its last one and its pin.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/policy/tests/overrides.rs
+++ b/crates/policy/tests/overrides.rs
@@ -8,17 +8,17 @@
 use whinwall_policy::deployment::Deployment;
 use OverrideStatus::{Absent, InForce, Suspended, Waiting};
 
-const REPLICA_0_OUT: [(OverrideId, OverrideSpec); 1] = [(1, OverrideSpec::Out { replica: 0 })];
+const REPLICA_0_OUT: [(OverrideNumber, OverrideSpec); 1] = [(1, OverrideSpec::Out { replica: 0 })];
 
 /// Four even replicas and twelve slices, with these overrides.
-fn fleet_with_overrides(overrides: &[(OverrideId, OverrideSpec)]) -> Fleet {
+fn fleet_with_overrides(overrides: &[(OverrideNumber, OverrideSpec)]) -> Fleet {
     let mut fleet = Fleet::new(site(), 4, 12, 3);
     fleet.advance(2000);
     set_overrides(&mut fleet, overrides);
     fleet
 }
 
-fn set_overrides(fleet: &mut Fleet, overrides: &[(OverrideId, OverrideSpec)]) {
+fn set_overrides(fleet: &mut Fleet, overrides: &[(OverrideNumber, OverrideSpec)]) {
     fleet.policy.set_overrides(at(fleet.now_ms), overrides);
     fleet.collect_reply();
 }
@@ -312,7 +312,7 @@
 fn rules_hold_whatever_overrides_are_set() {
     fn holds(run: RandomRun) -> bool {
         let mut fleet = Fleet::new(site(), 8, 24, 3);
-        let mut overrides: Vec<(OverrideId, OverrideSpec)> = Vec::new();
+        let mut overrides: Vec<(OverrideNumber, OverrideSpec)> = Vec::new();
         for (at, (kind, n)) in run.0.into_iter().enumerate() {
             let (replica, slice) = (n % 8, n / 8 % 24);
             match kind % 10 {
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use whinwall_management_api::messages::{Reply, Request};
 use whinwall_overrides::{ClockReading, RequestId, Timeline};
-use whinwall_policy::api::{OverrideId, Report};
+use whinwall_policy::api::{OverrideNumber, Report};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::Message;
 use whinwall_protocol::discovery::List;
@@ -65,14 +65,14 @@
     /// A request at the management API.
     ManagementRequest {
         /// Identifies the reply.
-        ticket: RequestId,
+        request_id: RequestId,
         /// What is asked for.
         request: Request,
     },
     /// The override store was read.
     StoreRead {
         /// The stored overrides.
-        records: Vec<(OverrideId, Vec<u8>)>,
+        records: Vec<(OverrideNumber, Vec<u8>)>,
         /// The clock stamp that was stored with them.
         stamp: Option<Vec<u8>>,
         /// The clocks at that moment.
@@ -146,16 +146,16 @@
         /// Identifies the outcome.
         serial: u64,
         /// Overrides to write.
-        puts: Vec<(OverrideId, Vec<u8>)>,
+        writes: Vec<(OverrideNumber, Vec<u8>)>,
         /// Overrides to remove.
-        drops: Vec<OverrideId>,
+        removals: Vec<OverrideNumber>,
         /// The timeline to stamp it with.
-        line: Timeline,
+        timeline: Timeline,
     },
     /// Reply to a management request.
     Reply {
-        /// The request's ticket.
-        ticket: RequestId,
+        /// The request's request_id.
+        request_id: RequestId,
         /// The reply.
         reply: Reply,
     },
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -10,14 +10,15 @@
     requests: VecDeque<Vec<PendingCommand>>,
     state: State,
     consecutive_failures: u32,
-    /// The last attempt at the first request may have been carried out, or was in part.
-    may_be_applied: bool,
+    /// Some of the first request may have been carried out already: the outcome of the last attempt is unknown, or the relay
+    /// accepted only some of its commands.
+    may_be_partly_applied: bool,
     /// A proxy has acknowledged the version of what is pending: all of it was carried out.
     is_acknowledged: bool,
     /// The relay has stopped once at the first command.
     has_stopped_at_first: bool,
-    /// Slices that have changed hands since the request in flight was sent.
-    crossed_slices: BTreeSet<SliceId>,
+    /// Slices that were revoked or granted since the request in flight was sent.
+    reassigned_slices: BTreeSet<SliceId>,
 }
 
 /// A command as the relay reads it, and what must be known of it.
@@ -70,9 +71,8 @@
     /// Takes the commands of one reply of the policy, while nothing is pending. They are one request, unless that
     /// is too large. Of several requests the last alone has the version, and asks all proxies to acknowledge it: some
     /// may have got an earlier request only, and a version by itself reaches none.
-    pub fn replace(&mut self, commands: &[Command]) {
-        self.requests = VecDeque::new();
-        (self.has_stopped_at_first, self.may_be_applied, self.is_acknowledged) = (false, false, false);
+    pub fn enqueue(&mut self, commands: &[Command]) {
+        self.clear();
         let (mut request, mut bytes) = (Vec::new(), 0);
         for command in commands {
             let is_scope_all = !self.requests.is_empty() || request.is_empty();
@@ -88,7 +88,14 @@
         self.requests.extend((!request.is_empty()).then_some(request));
     }
 
-    /// Drops the commands for a slice that has changed hands: they were for a routing table that is no longer there.
+    fn clear(&mut self) {
+        self.requests = VecDeque::new();
+        self.has_stopped_at_first = false;
+        self.may_be_partly_applied = false;
+        self.is_acknowledged = false;
+    }
+
+    /// Drops the commands for a slice that was revoked or granted: they were for a routing table that is no longer there.
     /// Those of the request in flight are out of reach, but are not sent again with it.
     pub fn drop_slice(&mut self, slice: SliceId) {
         let is_in_flight = self.state == State::InFlight;
@@ -96,7 +103,7 @@
             request.retain(|command| command.slice != Some(slice));
         }
         if is_in_flight {
-            self.crossed_slices.insert(slice);
+            self.reassigned_slices.insert(slice);
         }
     }
 
@@ -112,7 +119,7 @@
         }
         self.requests.retain(|request| !request.is_empty());
         let texts: Vec<_> = self.requests.front()?.iter().map(|command| command.text.as_str()).collect();
-        (self.state, self.may_be_applied) = (State::InFlight, false);
+        (self.state, self.may_be_partly_applied) = (State::InFlight, false);
         let needs_new_connection = self.consecutive_failures > 0;
         Some(NextRequest { line: relay::encode_request(&texts), needs_new_connection })
     }
@@ -133,16 +140,16 @@
     /// overtake it. The first failure may be a connection that was closed meanwhile; a second one in a row is not.
     pub fn request_failed(&mut self, outcome: Outcome) -> Retry {
         self.consecutive_failures += 1;
-        self.may_be_applied = outcome == Outcome::Unknown;
+        self.may_be_partly_applied = outcome == Outcome::Unknown;
         let retry = if self.consecutive_failures > 1 { Retry::AfterBackoff } else { Retry::Now };
         self.state = if retry == Retry::AfterBackoff { State::BackingOff } else { State::Idle };
-        self.drop_crossed_commands();
+        self.drop_reassigned_commands();
         retry
     }
 
     /// The version of the request to resend next, where its outcome is unknown.
     pub fn version_of_unknown_outcome(&self) -> Option<u16> {
-        self.version().filter(|_| self.may_be_applied && self.state == State::Idle)
+        self.version().filter(|_| self.may_be_partly_applied && self.state == State::Idle)
     }
 
     /// Takes note of an acknowledgement: it proves that the request was carried out, whatever became of the response,
@@ -153,21 +160,21 @@
 
     /// Drops a request of unknown outcome that was acknowledged.
     pub fn drop_acknowledged(&mut self) {
-        if self.is_acknowledged && self.may_be_applied {
-            self.replace(&[]);
+        if self.is_acknowledged && self.may_be_partly_applied {
+            self.clear();
             (self.state, self.consecutive_failures) = (State::Idle, 0);
         }
     }
 
     /// Whether slices of the request in flight changed hands since it was sent: if it still met them, it changed a
     /// routing table after that was read.
-    pub fn is_crossed(&self) -> bool {
+    pub fn has_reassigned_slices(&self) -> bool {
         let slices = self.requests.front().into_iter().flatten().filter_map(|command| command.slice);
-        slices.into_iter().any(|slice| self.crossed_slices.contains(&slice))
+        slices.into_iter().any(|slice| self.reassigned_slices.contains(&slice))
     }
 
-    fn drop_crossed_commands(&mut self) {
-        let crossed = std::mem::take(&mut self.crossed_slices);
+    fn drop_reassigned_commands(&mut self) {
+        let crossed = std::mem::take(&mut self.reassigned_slices);
         if let Some(request) = self.requests.front_mut() {
             request.retain(|command| command.slice.is_none_or(|slice| !crossed.contains(&slice)));
         }
@@ -197,15 +204,15 @@
         request.retain(|command| slice.is_none() || command.slice != slice);
         self.has_stopped_at_first = !is_skipping && !request.is_empty();
         // What was accepted has gone out to proxies by itself: the rest is weighed like a resend.
-        self.may_be_applied = count > 0 && !request.is_empty();
-        self.drop_crossed_commands();
+        self.may_be_partly_applied = count > 0 && !request.is_empty();
+        self.drop_reassigned_commands();
         skipped.map(|command| command.text)
     }
 
     /// Drops the request in flight, which the relay cannot decode.
     pub fn drop_rejected(&mut self) {
         (self.state, self.consecutive_failures) = (State::Idle, 0);
-        self.crossed_slices.clear();
+        self.reassigned_slices.clear();
         self.requests.pop_front();
     }
 }
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -3,9 +3,9 @@
 use super::replica_names::ReplicaNames;
 use whinwall_management_api::messages::ListedOverride;
 use whinwall_overrides::{
-    ClockReading, ConfiguredOverride, Override, OverrideController, OverrideKind, OverrideLimits,
+    ClockReading, ConfiguredOverride, Override, OverrideKind, OverrideLimits, OverrideManager,
 };
-use whinwall_policy::api::{OverrideId, OverrideSpec, OverrideStatus};
+use whinwall_policy::api::{OverrideNumber, OverrideSpec, OverrideStatus};
 use whinwall_policy::time::Moment;
 use whinwall_policy::Policy;
 
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug)]
 pub struct OverrideConfig {
     /// The bounds on overrides.
-    pub bounds: OverrideLimits,
+    pub limits: OverrideLimits,
     /// The overrides that the file has itself.
-    pub orders: Vec<ConfiguredOverride>,
+    pub configured: Vec<ConfiguredOverride>,
     /// Whether overrides are stored on disk; those in the store arrive later.
     pub has_store: bool,
 }
@@ -23,27 +23,27 @@
 /// The overrides in force, and what the policy knows of them.
 pub(crate) struct Overrides {
     /// Decides on requests for overrides, and when they end.
-    pub controller: OverrideController,
+    pub manager: OverrideManager,
     /// What the policy was given last.
-    applied: Vec<(OverrideId, OverrideSpec)>,
+    applied: Vec<(OverrideNumber, OverrideSpec)>,
 }
 
 impl Overrides {
     /// No overrides yet.
     pub fn start(now: Moment, reading: &ClockReading, config: &OverrideConfig) -> Self {
-        let limits = config.bounds.clone();
-        let controller = if config.has_store {
-            OverrideController::with_store(now, reading, limits)
+        let limits = config.limits.clone();
+        let manager = if config.has_store {
+            OverrideManager::with_store(now, reading, limits)
         } else {
-            OverrideController::in_memory(now, reading, limits)
+            OverrideManager::in_memory(now, reading, limits)
         };
-        Overrides { controller, applied: Vec::new() }
+        Overrides { manager, applied: Vec::new() }
     }
 
     /// Gives the policy the overrides in force, where they, or the id of a replica, have changed. A replica without
     /// an id is none yet.
     pub fn apply_to_policy(&mut self, now: Moment, names: &ReplicaNames, policy: &mut Policy) {
-        self.controller.take_changed();
+        self.manager.take_changed();
         let spec = |one: &Override| {
             let replica = names.id(one.kind.replica())?;
             let spec = match one.kind {
@@ -53,7 +53,7 @@
             };
             Some((one.number, spec))
         };
-        let specs: Vec<_> = self.controller.registry().active().filter_map(spec).collect();
+        let specs: Vec<_> = self.manager.registry().active().filter_map(spec).collect();
         if specs != self.applied {
             policy.set_overrides(now, &specs);
             self.applied = specs;
@@ -69,6 +69,6 @@
 
     /// When the overrides change by the passing of time, no sooner than at the last call.
     pub fn due_at(&self) -> Option<Moment> {
-        self.controller.next_tick_at()
+        self.manager.next_tick_at()
     }
 }
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -112,23 +112,27 @@
             Event::Registry(list) => self.list_received(now, &list),
             Event::RegistryLost(error) => self.registry_watch_lost(now, &error),
             Event::OperatorConfigChanged(config, reading) => self.overrides_configured(now, config, &reading),
-            Event::ManagementRequest { ticket, request } => self.management_requested(now, ticket, request),
-            Event::StoreRead { records, stamp, reading } => self.change_overrides(now, |overrides| {
-                overrides.controller.handle_store_read(now, &reading, stamp.as_deref(), &records);
-            }),
+            Event::ManagementRequest { request_id, request } => {
+                self.management_requested(now, request_id, request);
+            }
+            Event::StoreRead { records, stamp, reading } => {
+                self.change_overrides(now, |overrides| {
+                    overrides.manager.handle_store_read(now, &reading, stamp.as_deref(), &records);
+                });
+            }
             Event::StoreNotRead(reason) => {
                 self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_store_unavailable(&reason);
+                    overrides.manager.handle_store_unavailable(&reason);
                 });
             }
             Event::Saved { serial, outcome } => {
                 self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_save_outcome(now, serial, outcome);
+                    overrides.manager.handle_save_outcome(now, serial, outcome);
                 });
             }
             Event::WallStepped(wall) => {
                 self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_wall_clock_step(now, wall);
+                    overrides.manager.handle_wall_clock_step(now, wall);
                 });
             }
             Event::InputDrained => self.input_drained(now),
--- a/crates/routing/src/reducer/endpoint_list.rs
+++ b/crates/routing/src/reducer/endpoint_list.rs
@@ -67,7 +67,7 @@
         self.policy.replicas_listed(now, scope, &listings);
         self.schedule_subsets(now, list);
         if !list.entries.is_empty() {
-            self.commands.retry_skipped();
+            self.commands.clear_skipped();
         }
         // A replica may have come, or come back under another id.
         self.change_overrides(now, |_| {});
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -9,17 +9,17 @@
 use whinwall_policy::time::Moment;
 
 impl Reducer {
-    pub(super) fn management_requested(&mut self, now: Moment, ticket: RequestId, request: Request) {
+    pub(super) fn management_requested(&mut self, now: Moment, request_id: RequestId, request: Request) {
         let reply = match (request, &self.overrides) {
             (Request::Change(ask), Some(_)) => {
                 return self.change_overrides(now, |overrides| {
-                    overrides.controller.handle_request(now, ticket, ask);
+                    overrides.manager.handle_request(now, request_id, ask);
                 });
             }
             (Request::Change(_), None) => Reply::Rejected(OverrideError::LimitReached { limit: 0 }),
             (Request::List, overrides) => {
                 let list = |overrides: &Overrides| {
-                    let listed = overrides.controller.registry().listed();
+                    let listed = overrides.manager.registry().listed();
                     listed.map(|one| overrides.shown(&self.policy, one)).collect()
                 };
                 Reply::Listed { overrides: overrides.as_ref().map_or_else(Vec::new, list), now }
@@ -28,11 +28,11 @@
             (Request::Metrics, _) => Reply::Metrics(String::new()),
             (Request::Status, _) => Reply::Status(self.status(now)),
         };
-        self.effects.push(Effect::Reply { ticket, reply });
+        self.effects.push(Effect::Reply { request_id, reply });
     }
 
     fn status(&self, now: Moment) -> Status {
-        let registry = self.overrides.as_ref().map(|overrides| overrides.controller.registry());
+        let registry = self.overrides.as_ref().map(|overrides| overrides.manager.registry());
         let failures = self.failures.iter().map(|(source, count)| (source.status_name(), count));
         Status {
             now,
--- a/crates/routing/src/reducer/overrides.rs
+++ b/crates/routing/src/reducer/overrides.rs
@@ -20,11 +20,11 @@
         self.overrides.get_or_insert_with(|| Overrides::start(now, reading, &config));
         let mut rejected = None;
         self.change_overrides(now, |overrides| {
-            let result = overrides.controller.apply_configuration(
+            let result = overrides.manager.apply_configuration(
                 now,
                 reading.wall_time,
-                config.bounds,
-                config.orders,
+                config.limits,
+                config.configured,
             );
             rejected = result.err();
         });
@@ -38,18 +38,18 @@
         let Some(mut overrides) = self.overrides.take() else { return };
         change(&mut overrides);
         overrides.apply_to_policy(now, &self.names, &mut self.policy);
-        for effect in overrides.controller.take_effects() {
+        for effect in overrides.manager.take_effects() {
             self.effects.push(match effect {
                 OverrideEffect::Save { serial, writes, removals, timeline } => {
-                    Effect::Save { serial, puts: writes, drops: removals, line: timeline }
+                    Effect::Save { serial, writes, removals, timeline }
                 }
                 OverrideEffect::Log(event) => Effect::Log(LogEvent::Override(event)),
                 OverrideEffect::Reply { request_id, reply } => {
                     let shown = |number| {
-                        let one = overrides.controller.registry().get_by_number(number)?;
+                        let one = overrides.manager.registry().get_by_number(number)?;
                         Some(overrides.shown(&self.policy, one))
                     };
-                    Effect::Reply { ticket: request_id, reply: Reply::from_change(reply, now, shown) }
+                    Effect::Reply { request_id, reply: Reply::from_change(reply, now, shown) }
                 }
             });
         }
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -35,7 +35,7 @@
     }
 
     /// The endpoint list has changed: the relay may know the replicas of skipped commands now.
-    pub fn retry_skipped(&mut self) {
+    pub fn clear_skipped(&mut self) {
         self.skipped.clear();
     }
 }
@@ -45,7 +45,7 @@
         let commands = self.commands.outbox.commands_in_flight();
         let response = response.and_then(|response| check_count(response, commands));
         let is_not_applied = matches!(response, Ok(Response::Retryable(_)) | Err(RequestError::NotSent(_)));
-        let mut is_in_doubt = !is_not_applied && self.commands.outbox.is_crossed();
+        let mut is_in_doubt = !is_not_applied && self.commands.outbox.has_reassigned_slices();
         match response {
             Ok(Response::Accepted(count)) => is_in_doubt |= self.request_accepted(now, count, commands),
             Ok(Response::Rejected(reason)) => {
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Resends what may have been carried out only where the channels to proxies have capacity for both (rule 5).
+    /// Resends a request of unknown outcome only where the rate limit allows for its being carried out twice (see *Rate
+    /// limiting* in [`whinwall_policy`]).
     fn resend_if_capacity(&mut self, now: Moment) {
         self.commands.outbox.drop_acknowledged();
         let Some(version) = self.commands.outbox.version_of_unknown_outcome() else { return };
@@ -127,7 +128,7 @@
         let changed_slices = commands.iter().filter_map(Command::slice);
         let first_granted = &self.relay.first_granted_slices;
         self.relay.slices_in_motion.extend(changed_slices.filter(|slice| !first_granted.contains(slice)));
-        self.commands.outbox.replace(&commands);
+        self.commands.outbox.enqueue(&commands);
         // Only now: a command may be the last that names a replica.
         self.forget_unneeded_replicas(now);
     }
--- a/crates/routing/src/reducer/timers.rs
+++ b/crates/routing/src/reducer/timers.rs
@@ -22,7 +22,7 @@
             self.timer_fired(now, timer);
         }
         if self.overrides.as_ref().and_then(Overrides::due_at).is_some_and(|at| at <= now) {
-            self.change_overrides(now, |overrides| overrides.controller.tick(now));
+            self.change_overrides(now, |overrides| overrides.manager.tick(now));
         }
         self.check_report_freshness(now);
         self.take_complete_tables(now);
