--- a/crates/overrides/src/manager/mod.rs
+++ b/crates/overrides/src/manager/mod.rs
@@ -20,7 +20,7 @@
 /// The most requests that wait for the store, of each kind; more are rejected, or not waited for.
 const MAX_QUEUED_REQUESTS: usize = 256;
 
-/// The store, as far as the controller knows.
+/// The store, as far as the manager knows.
 enum StoreState {
     /// Overrides are lost with the program.
     NotConfigured,
