--- a/crates/controller/benches/lateness.rs
+++ b/crates/controller/benches/override_expiry.rs
@@ -1,5 +1,5 @@
-//! How late overrides revert: 200 replicas out of service on a program of its own, over loopback; of each, the
-//! time from its end to the order that lets it in again, as the relay sees it.
+//! How late overrides expire: 200 replicas out of service in a real controller, over loopback; for each, the time
+//! from the end of its override to the command that reinstates it, as the relay receives it.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -8,17 +8,17 @@
 use std::time::{Duration, Instant};
 use support::managed_controller::{out, ManagedController};
 
-const MANY: usize = 200;
+const OVERRIDES: usize = 200;
 
 fn main() {
-    let mut managed = ManagedController::start(2 * MANY + 50, 6 * MANY);
+    let mut managed = ManagedController::start(2 * OVERRIDES + 50, 6 * OVERRIDES);
     let mut ends = Vec::new();
-    for n in 0..MANY {
-        let lasts = 4 + n % 5;
+    for n in 0..OVERRIDES {
+        let duration_seconds = 4 + n % 5;
         let before = Instant::now();
-        managed.set(&format!("o{n}"), &out(&format!("s-{n}"), &format!("{lasts}s"))).unwrap();
-        // It counts from some moment of the call: the earliest makes the lateness no less than it is.
-        ends.push(before + Duration::from_secs(lasts as u64));
+        managed.set(&format!("o{n}"), &out(&format!("s-{n}"), &format!("{duration_seconds}s"))).unwrap();
+        // The override begins somewhere within the call: counted from its start, the lateness is never understated.
+        ends.push(before + Duration::from_secs(duration_seconds as u64));
     }
     let mut late = Histogram::<u64>::new(3).unwrap();
     for (n, end) in ends.iter().enumerate() {
@@ -26,11 +26,11 @@
         late.record(back.saturating_duration_since(*end).as_micros() as u64).unwrap();
     }
     let ms = |us: u64| us as f64 / 1000.0;
-    let (half, most_of_all) = (late.value_at_quantile(0.5), late.value_at_quantile(0.99));
+    let (p50, p99) = (late.value_at_quantile(0.5), late.value_at_quantile(0.99));
     println!(
-        "{MANY} overrides reverted late by: p50 {:.1} ms, p99 {:.1} ms, most {:.1} ms",
-        ms(half),
-        ms(most_of_all),
+        "{OVERRIDES} overrides reverted late by: p50 {:.1} ms, p99 {:.1} ms, max {:.1} ms",
+        ms(p50),
+        ms(p99),
         ms(late.max())
     );
     let status = std::fs::read_to_string(format!("/proc/{}/status", managed.program().child.id())).unwrap();
--- a/crates/controller/benches/cores.rs
+++ b/crates/controller/benches/reader_pool.rs
@@ -1,6 +1,6 @@
 //! What a controller takes at 1, 2, 4 and 8 cores: collectors flood it over loopback, then send at a part of
-//! that rate, and signs of life on the same connections tell how late what came before them was applied.
-//! Bounded in lines and time; ends by itself. `WHINWALL_FORMER` names another build to measure in turn with
+//! that rate, and pings on the same connections tell how late the lines before them were applied.
+//! Bounded in lines and time; ends by itself. `WHINWALL_FORMER` names another build to measure alternately with
 //! this one, on one core.
 
 #[path = "../tests/support/mod.rs"]
@@ -18,12 +18,13 @@
 const SLICES: usize = 600;
 const ZONES: [&str; 3] = ["north", "south", "west"];
 const RUNS: usize = 3;
-/// Processors here.
-const MACHINE: usize = 4;
-const FLOOD: usize = 3_000_000;
-/// Lines a second of the steady part, and for how long.
-const STEADY: f64 = 150_000.0;
-const STEADY_FOR: Duration = Duration::from_secs(2);
+/// Processors of the machine.
+const PROCESSORS: usize = 4;
+/// Lines of the flood.
+const FLOOD_LINES: usize = 3_000_000;
+/// The rate of the steady part.
+const STEADY_LINES_PER_SECOND: f64 = 150_000.0;
+const STEADY_DURATION: Duration = Duration::from_secs(2);
 const PING: &[u8] = b"{\"@type\":\"PING\"}\n";
 
 /// Lines as one period of a collector has them, a third of them of replicas; many periods, one block each.
@@ -57,7 +58,7 @@
 }
 
 impl Collector {
-    fn join(address: SocketAddr, zone: &str) -> Self {
+    fn connect(address: SocketAddr, zone: &str) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -71,7 +72,7 @@
         collector
     }
 
-    /// Returns once all that was said before was applied.
+    /// Returns once all lines sent before are applied.
     fn ping(&mut self) {
         self.stream.write_all(PING).unwrap();
         self.reader.read_line(&mut String::new()).unwrap();
@@ -79,7 +80,7 @@
 }
 
 /// Seconds of processor time that a process has used.
-fn cpu(pid: u32) -> f64 {
+fn cpu_seconds(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<_> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
@@ -94,19 +95,19 @@
 }
 
 fn flood(collectors: &mut [Collector], lines: usize) -> (usize, Duration) {
-    let many = collectors.len();
+    let connections = collectors.len();
     let began = Instant::now();
     let sent: usize = std::thread::scope(|scope| {
         let floods: Vec<_> = collectors
             .iter_mut()
             .enumerate()
             .map(|(n, collector)| {
-                let share = lines / many;
+                let share = lines / connections;
                 scope.spawn(move || {
                     let (blocks, mut sent) = (blocks(ZONES[n % 3]), 0);
-                    for (bytes, many) in blocks.iter().cycle() {
+                    for (bytes, lines) in blocks.iter().cycle() {
                         collector.stream.write_all(bytes).unwrap();
-                        sent += many;
+                        sent += lines;
                         if sent >= share {
                             break;
                         }
@@ -132,33 +133,33 @@
             .map(|(n, collector)| {
                 scope.spawn(move || {
                     let blocks = blocks(ZONES[n % 3]);
-                    let (due, heard) = std::sync::mpsc::channel::<Instant>();
+                    let (due, received) = std::sync::mpsc::channel::<Instant>();
                     let reader = &mut collector.reader;
-                    let listens = std::thread::scope(|inner| {
-                        let listens = inner.spawn(move || {
+                    let lag = std::thread::scope(|inner| {
+                        let listener = inner.spawn(move || {
                             let mut lag = Histogram::<u64>::new(3).unwrap();
-                            for due in heard {
+                            for due in received {
                                 reader.read_line(&mut String::new()).unwrap();
                                 lag.record(due.elapsed().as_micros() as u64).unwrap();
                             }
                             lag
                         });
                         let (began, mut sent) = (Instant::now(), 0.0);
-                        for (bytes, many) in blocks.iter().cycle() {
+                        for (bytes, lines) in blocks.iter().cycle() {
                             let at = began + Duration::from_secs_f64(sent / (rate / share));
-                            if at - began > STEADY_FOR {
+                            if at - began > STEADY_DURATION {
                                 break;
                             }
                             std::thread::sleep(at.saturating_duration_since(Instant::now()));
                             collector.stream.write_all(bytes).unwrap();
                             collector.stream.write_all(PING).unwrap();
                             due.send(at).unwrap();
-                            sent += *many as f64;
+                            sent += *lines as f64;
                         }
                         drop(due);
-                        listens.join().unwrap()
+                        listener.join().unwrap()
                     });
-                    listens
+                    lag
                 })
             })
             .collect();
@@ -167,24 +168,24 @@
     all
 }
 
-/// What is measured: so many cores, another build, or all threads of a build on one processor.
+/// What is measured: a number of cores, another build, or all threads of a build on one processor.
 #[derive(Clone, Copy, PartialEq)]
-enum Way<'a> {
+enum Setup<'a> {
     Cores(usize),
     Former(&'a str),
     OnOneProcessor,
-    /// So many cores, and all that comes on one connection.
+    /// A number of cores, with all lines on one connection.
     Hot(usize),
 }
 
-fn measure(way: Way) -> Figures {
-    let (cores, former) = match way {
-        Way::Cores(cores) => (cores, None),
-        Way::Former(path) => (1, Some(path)),
-        Way::OnOneProcessor => (2, None),
-        Way::Hot(cores) => (cores, None),
+fn measure(setup: Setup) -> Figures {
+    let (cores, former) = match setup {
+        Setup::Cores(cores) => (cores, None),
+        Setup::Former(path) => (1, Some(path)),
+        Setup::OnOneProcessor => (2, None),
+        Setup::Hot(cores) => (cores, None),
     };
-    let zones = if matches!(way, Way::Hot(_)) { &ZONES[..1] } else { &ZONES[..] };
+    let zones = if matches!(setup, Setup::Hot(_)) { &ZONES[..1] } else { &ZONES[..] };
     let mut managed = ManagedController::start(REPLICAS, SLICES);
     managed.program = None;
     managed.write_operators_file(&format!("<cores most=\"{cores}\"/><overrides/>"));
@@ -195,8 +196,8 @@
     let (plain, _former_file) = managed.command();
     let program = former.map_or(plain.get_program().to_owned(), Into::into);
     // As many processors as cores, as far as the machine has them.
-    let processors = if way == Way::OnOneProcessor { 1 } else { cores };
-    let pinned = processors < MACHINE;
+    let processors = if setup == Setup::OnOneProcessor { 1 } else { cores };
+    let pinned = processors < PROCESSORS;
     let mut command = Command::new(if pinned { "taskset".into() } else { program.clone() });
     if pinned {
         command.args(["-c", &format!("0-{}", processors - 1)]).arg(program);
@@ -212,13 +213,13 @@
     managed.program = Some(ControllerProcess::spawn(command, file));
     managed.wait_for_log("relay snapshot complete");
     let (address, pid) = (managed.program().address, managed.program().child.id());
-    let mut collectors: Vec<_> = zones.iter().map(|zone| Collector::join(address, zone)).collect();
-    flood(&mut collectors, FLOOD / 10);
-    let (before, own_before) = (cpu(pid), cpu(std::process::id()));
-    let (sent, took) = flood(&mut collectors, FLOOD);
-    let used = cpu(pid) - before;
-    let own_cpu = (cpu(std::process::id()) - own_before) / took.as_secs_f64();
-    let lag = steady(&mut collectors, STEADY);
+    let mut collectors: Vec<_> = zones.iter().map(|zone| Collector::connect(address, zone)).collect();
+    flood(&mut collectors, FLOOD_LINES / 10);
+    let (before, own_before) = (cpu_seconds(pid), cpu_seconds(std::process::id()));
+    let (sent, took) = flood(&mut collectors, FLOOD_LINES);
+    let used = cpu_seconds(pid) - before;
+    let own_cpu = (cpu_seconds(std::process::id()) - own_before) / took.as_secs_f64();
+    let lag = steady(&mut collectors, STEADY_LINES_PER_SECOND);
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let resident = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("0 kB");
     let memory_mb = resident.trim().trim_end_matches(" kB").parse::<f64>().unwrap_or(0.0) / 1000.0;
@@ -228,30 +229,30 @@
 
 fn main() {
     let former = std::env::var("WHINWALL_FORMER").ok();
-    println!("| cores | lines a second | CPU a line | memory at most | lag at {STEADY} lines a second: p50, p99, p99.9 | the generator's own cores |");
+    println!("| cores | lines a second | CPU a line | memory at most | lag at {STEADY_LINES_PER_SECOND} lines a second: p50, p99, p99.9 | the generator's own cores |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    let hot = [1, 2, 4].map(Way::Hot);
-    let ways = [1, 2, 4, 8].map(Way::Cores).into_iter().chain([Way::OnOneProcessor]).chain(hot);
-    let rows: Vec<Way> = former.iter().map(|path| Way::Former(path)).chain(ways).collect();
-    // In turn, so that what else the machine does falls on all alike; the median run by its rate is shown.
+    let hot = [1, 2, 4].map(Setup::Hot);
+    let setups = [1, 2, 4, 8].map(Setup::Cores).into_iter().chain([Setup::OnOneProcessor]).chain(hot);
+    let rows: Vec<Setup> = former.iter().map(|path| Setup::Former(path)).chain(setups).collect();
+    // Alternately, so that other load on the machine affects all alike; the median run by rate is shown.
     let mut runs: Vec<Vec<Figures>> = rows.iter().map(|_| Vec::new()).collect();
     for _ in 0..RUNS {
         for (row, runs) in rows.iter().zip(&mut runs) {
             runs.push(measure(*row));
         }
     }
-    for (way, mut runs) in rows.iter().zip(runs) {
+    for (setup, mut runs) in rows.iter().zip(runs) {
         runs.sort_by(|a, b| a.rate.total_cmp(&b.rate));
         let (least, most) = (runs[0].rate, runs[RUNS - 1].rate);
         let run = &runs[RUNS / 2];
         let ms = |quantile| run.lag.value_at_quantile(quantile) as f64 / 1000.0;
         println!(
             "| {} | {:.0} ({least:.0} to {most:.0}) | {:.2} us | {:.1} MB | {:.1}, {:.1}, {:.1} ms | {:.1} |",
-            match way {
-                Way::Cores(cores) => cores.to_string(),
-                Way::Former(_) => "1, former build".into(),
-                Way::Hot(cores) => format!("{cores}, one connection"),
-                Way::OnOneProcessor => "2, all threads on one processor".into(),
+            match setup {
+                Setup::Cores(cores) => cores.to_string(),
+                Setup::Former(_) => "1, former build".into(),
+                Setup::Hot(cores) => format!("{cores}, one connection"),
+                Setup::OnOneProcessor => "2, all threads on one processor".into(),
             },
             run.rate,
             run.cpu_us,
--- a/crates/controller/benches/turn.rs
+++ b/crates/controller/benches/reducer.rs
@@ -1,5 +1,5 @@
-//! What a turn costs with overrides: a fleet of 2,000 replicas and 12,000 slices, one beat (250 ms) a turn,
-//! with the reports of a beat in it or without.
+//! What an iteration costs with overrides: a fleet of 2,000 replicas and 12,000 slices, a tick (250 ms) in each,
+//! with the reports of a tick or without.
 
 use divan::counter::ItemsCount;
 use divan::Bencher;
@@ -37,21 +37,21 @@
         let example: serde_json::Value = serde_json::from_str(example).unwrap();
         let settings = whinwall_settings::read(&example["settings"]).unwrap();
         let now = Moment::default() + Span::ms(1_800_000_000_000);
-        let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
-        let targets = Targets { discovery: here(8500), relay: here(6400) };
+        let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
+        let targets = Targets { discovery: local(8500), relay: local(6400) };
         let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
         let mut fleet = Fleet { reducer, now };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: now };
-        let wanted = OverrideConfig {
+        let config = OverrideConfig {
             limits: OverrideLimits { max_active: 10_000, ..OverrideLimits::default() },
             configured: vec![],
             has_store: false,
         };
-        fleet.tell(Event::OperatorConfigChanged(wanted, reading));
+        fleet.apply(Event::OperatorConfigChanged(config, reading));
         let entry = |n| json!({"id": format!("s-{n}"), "zone": "north", "state": "active"});
         let list =
             json!({"version": 1, "full": true, "servers": (0..replicas).map(entry).collect::<Vec<_>>()});
-        fleet.tell(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+        fleet.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..3).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for slice in 0..replicas * SLICES {
@@ -59,7 +59,7 @@
             lines.push(format!("* ROW {slice} s-{} 1", slice % replicas));
         }
         lines.push("*".into());
-        lines.iter().for_each(|line| fleet.tell(Event::Relay(decode_event(line).unwrap())));
+        lines.iter().for_each(|line| fleet.apply(Event::Relay(decode_event(line).unwrap())));
         for n in 0..overrides {
             let replica = format!("s-{}", (n * 7) % replicas);
             let kind = match n % 4 {
@@ -68,25 +68,26 @@
                 _ => OverrideKind::Pin { first: n * 11, last: n * 11 + 5, replica },
             };
             let (id, author, reason) = (format!("o{n}"), "bench".into(), "bench".into());
-            let order = NewOverride { id, kind, author, reason, duration: Span::ms(3_600_000) };
-            fleet.tell(Event::ManagementRequest {
+            let new_override = NewOverride { id, kind, author, reason, duration: Span::ms(3_600_000) };
+            fleet.apply(Event::ManagementRequest {
                 request_id: 0,
-                request: Request::Change(ChangeRequest::Set(order)),
+                request: Request::Change(ChangeRequest::Set(new_override)),
             });
         }
-        // Until all that it has to order at first is out.
-        (0..200).for_each(|_| fleet.beat());
+        // Until all first commands are sent.
+        (0..200).for_each(|_| fleet.tick());
         fleet
     }
 
-    /// Each call is taken at once, its version acked by all.
-    fn tell(&mut self, event: Event) {
+    /// The relay accepts each request at once, and all proxies acknowledge its version.
+    fn apply(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for effect in self.reducer.apply(self.now, event) {
                 let Effect::RelayRequest { line, .. } = effect else { continue };
-                for order in line.split(';') {
-                    if let Some(version) = order.strip_prefix("SYNC,").and_then(|rest| rest.split(',').next())
+                for command in line.split(';') {
+                    if let Some(version) =
+                        command.strip_prefix("SYNC,").and_then(|rest| rest.split(',').next())
                     {
                         let ack =
                             |proxy| Event::Relay(decode_event(&format!("* ACK {proxy} {version}")).unwrap());
@@ -98,9 +99,9 @@
         }
     }
 
-    fn beat(&mut self) {
+    fn tick(&mut self) {
         self.now = self.now + Span::ms(250);
-        self.tell(Event::InputDrained);
+        self.apply(Event::InputDrained);
     }
 
     fn report(&mut self) {
@@ -109,31 +110,31 @@
                 r#"{{"@type":"LOAD","az":"north","host":"s-{n}","n":9,"bad":0,"avg":41.7,"window":1000.0}}"#
             );
             let message = collector::decode(&line).unwrap();
-            self.tell(Event::Message { from: 1, message });
+            self.apply(Event::Message { from: 1, message });
         }
     }
 }
 
 #[divan::bench(args = [0, 100, 1000], sample_count = 40, sample_size = 1)]
-fn a_beat(bencher: Bencher, overrides: u32) {
+fn tick(bencher: Bencher, overrides: u32) {
     let mut fleet = Fleet::new(overrides);
-    bencher.bench_local(|| fleet.beat());
+    bencher.bench_local(|| fleet.tick());
 }
 
-/// How the cost of a beat grows with the fleet.
+/// How the cost of a tick grows with the fleet.
 #[divan::bench(args = [125, 500, 2000], sample_count = 40, sample_size = 1)]
-fn a_beat_by_replicas(bencher: Bencher, replicas: u32) {
+fn tick_by_replicas(bencher: Bencher, replicas: u32) {
     let mut fleet = Fleet::of(replicas, 0);
-    bencher.bench_local(|| fleet.beat());
+    bencher.bench_local(|| fleet.tick());
 }
 
 #[divan::bench(args = [0, 1000], sample_count = 40, sample_size = 1)]
-fn a_beat_with_reports(bencher: Bencher, overrides: u32) {
+fn tick_with_reports(bencher: Bencher, overrides: u32) {
     let mut fleet = Fleet::new(overrides);
     let source = collector::decode(r#"{"@type":"SOURCE","az":"north"}"#).unwrap();
-    fleet.tell(Event::Message { from: 1, message: source });
+    fleet.apply(Event::Message { from: 1, message: source });
     bencher.counter(ItemsCount::new(REPLICAS / 4)).bench_local(|| {
         fleet.report();
-        fleet.beat();
+        fleet.tick();
     });
 }
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -1,5 +1,5 @@
 //! One of five controllers as its fleet grows: 1, 4 and 16 times 120 replicas, 1,600 proxies and 660 slices. Each row is a
-//! process of its own, so that its memory can be read. The channel is a model: its pace and cap grow as the fleet.
+//! process of its own, so that its memory can be read. The channel is a model: its rate limit and queue grow as the fleet.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
     idle_at: Moment,
     /// Versions, by when they are acknowledged.
     acknowledgements: BTreeMap<Moment, String>,
-    turns: Vec<Duration>,
+    iterations: Vec<Duration>,
     lines: f64,
     /// Replicas that drain and that no command has withdrawn yet.
     pending_withdrawals: Vec<String>,
@@ -58,7 +58,7 @@
             proxies,
             idle_at: now,
             acknowledgements: BTreeMap::new(),
-            turns: Vec::new(),
+            iterations: Vec::new(),
             lines: 0.0,
             pending_withdrawals: Vec::new(),
             notified_at: now,
@@ -71,7 +71,7 @@
         let mut effects: Vec<_> =
             events.into_iter().flat_map(|event| self.reducer.apply(self.now, event)).collect();
         effects.extend(self.reducer.apply(self.now, Event::InputDrained));
-        self.turns.push(began.elapsed());
+        self.iterations.push(began.elapsed());
         for effect in effects {
             let Effect::RelayRequest { line, .. } = effect else { continue };
             let commands = self.send(&line);
@@ -151,18 +151,18 @@
 }
 
 /// One scenario on a fleet of one size.
-struct Play<'a> {
+struct ScenarioRun<'a> {
     rig: Rig,
     scenario: &'a str,
     replicas: usize,
     proxies: usize,
     /// Slices of the controller.
-    held: Vec<usize>,
+    own_slices: Vec<usize>,
     /// Slices of the other controllers.
-    others: Vec<usize>,
+    other_slices: Vec<usize>,
 }
 
-impl<'a> Play<'a> {
+impl<'a> ScenarioRun<'a> {
     fn new(times: usize, scenario: &'a str) -> Self {
         let (replicas, proxies, slices) = (120 * times, 1600 * times, 660 * times);
         let lines_per_second = 150_000.0 * times as f64;
@@ -172,8 +172,8 @@
         let targets = Targets { discovery: local(8500), relay: local(6400) };
         let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
         let rig = Rig::new(reducer, now, lines_per_second, proxies);
-        let (held, others) = (0..slices).partition(|slice| slice.is_multiple_of(CONTROLLERS));
-        Play { rig, scenario, replicas, proxies, held, others }
+        let (own_slices, other_slices) = (0..slices).partition(|slice| slice.is_multiple_of(CONTROLLERS));
+        ScenarioRun { rig, scenario, replicas, proxies, own_slices, other_slices }
     }
 
     /// The relay's lines that grant these slices.
@@ -193,7 +193,7 @@
         self.rig.proxies = if is_joined { self.proxies / CONTROLLERS } else { self.proxies };
         let mut snapshot = vec!["OK".to_string()];
         snapshot.extend((0..self.rig.proxies).map(proxy_joins));
-        snapshot.extend(self.grants(&self.held));
+        snapshot.extend(self.grants(&self.own_slices));
         snapshot.push("*".to_string());
         self.rig.apply(relay_events(snapshot.into_iter()));
         for (from, zone) in (0..).zip(ZONES) {
@@ -221,7 +221,7 @@
             let message = whinwall_protocol::collector::decode(&line.to_string()).unwrap();
             Event::Message { from: 0, message }
         };
-        (0..self.replicas).map(endpoint).chain(self.held.iter().map(demand)).collect()
+        (0..self.replicas).map(endpoint).chain(self.own_slices.iter().map(demand)).collect()
     }
 
     /// What the scenario is about.
@@ -244,8 +244,8 @@
             }
             "joined" => {
                 let mut lines: Vec<_> = (self.rig.proxies..self.proxies).map(proxy_joins).collect();
-                lines.extend(self.grants(&self.others));
-                self.held.extend(&self.others);
+                lines.extend(self.grants(&self.other_slices));
+                self.own_slices.extend(&self.other_slices);
                 self.rig.proxies = self.proxies;
                 relay_events(lines.into_iter())
             }
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Plays all ticks; returns when the measured part began.
+    /// Runs all ticks; returns when the measured part began.
     fn run(&mut self) -> Moment {
         let began = self.rig.now;
         let mut measured_from = began;
@@ -261,7 +261,7 @@
             self.rig.now = began + TICK.times(tick as f64);
             let mut events = if tick.is_multiple_of(TICKS_PER_REPORT) { self.reports() } else { Vec::new() };
             if tick == MEASURED_FROM_TICK {
-                (self.rig.turns, self.rig.lines, measured_from) = (Vec::new(), 0.0, self.rig.now);
+                (self.rig.iterations, self.rig.lines, measured_from) = (Vec::new(), 0.0, self.rig.now);
                 events.extend(self.disturb());
             }
             if self.scenario == "zone-lost" && tick == ZONE_BACK_TICK {
@@ -275,15 +275,16 @@
     }
 }
 
-fn play(times: usize, scenario: &str) {
-    let mut play = Play::new(times, scenario);
-    play.start();
-    let measured_from = play.run();
-    let rig = &mut play.rig;
+fn run_scenario(times: usize, scenario: &str) {
+    let mut run = ScenarioRun::new(times, scenario);
+    run.start();
+    let measured_from = run.run();
+    let rig = &mut run.rig;
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
-    rig.turns.sort();
-    let quantile = |part: f64| rig.turns[((rig.turns.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e3;
+    rig.iterations.sort();
+    let quantile =
+        |part: f64| rig.iterations[((rig.iterations.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e3;
     // A replica that no table of the controller names needs no command.
     let is_notified = rig.notified_at > measured_from;
     let notified = is_notified.then(|| format!("{:.2} s", (rig.notified_at - measured_from).seconds()));
@@ -292,7 +293,7 @@
         quantile(0.5),
         quantile(0.99),
         quantile(1.0),
-        rig.turns.iter().sum::<Duration>().as_secs_f64() * 1e3,
+        rig.iterations.iter().sum::<Duration>().as_secs_f64() * 1e3,
         rig.lines / 1e6,
         notified.unwrap_or("-".into()),
     );
@@ -302,9 +303,9 @@
 fn main() {
     let arguments: Vec<_> = std::env::args().skip(1).filter(|argument| !argument.starts_with("--")).collect();
     if let [times, scenario] = &arguments[..] {
-        return play(times.parse().unwrap(), scenario);
+        return run_scenario(times.parse().unwrap(), scenario);
     }
-    println!("| day | times | turn, median ms | 99 in 100 | longest | all turns of 20 s | memory at most | lines | last proxy told of the last drain |");
+    println!("| scenario | times | iteration, median ms | p99 | longest | all iterations of 20 s | peak memory | lines | last proxy notified of the last drain |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for scenario in SCENARIOS {
         for times in ["1", "4", "16"] {
