--- a/crates/controller/tests/cores.rs
+++ b/crates/controller/tests/cores.rs
@@ -23,7 +23,7 @@
     collector
 }
 
-/// Reports of a second in which s-1 fails all that it is asked, quickly.
+/// The reports of one second in which s-1 fails all its requests, quickly.
 fn failing() -> String {
     let met = |replica, failed| {
         format!("{{\"@type\":\"LOAD\",\"az\":\"north\",\"host\":\"s-{replica}\",\"n\":9,\"bad\":{failed},\"avg\":41.7,\"window\":100.0}}\n")
@@ -120,7 +120,7 @@
     assert!(metrics.contains("whinwall_report_lag_seconds_bucket"), "{metrics}");
 }
 
-/// What the platform lends is the most, whatever the operators' file says.
+/// The platform's limit on cores holds whatever the operators' file says.
 #[test]
 fn cores_are_limited_by_the_platform() {
     let mut managed = ManagedController::start(4, 12);
@@ -134,7 +134,7 @@
     assert!(threads(managed.program()) <= 3, "the loop, the keeper and the front");
 }
 
-/// Lines of a megabyte without an end, and more lines than can be taken: what waits is bounded.
+/// Lines of a megabyte without an end, and more lines than can be processed: the queues are bounded.
 #[test]
 fn memory_is_bounded_during_a_flood_of_reports() {
     let mut managed = with_cores(4);
--- a/crates/controller/tests/crossings.rs
+++ b/crates/controller/tests/event_races.rs
@@ -1,4 +1,4 @@
-//! Two events that cross: each test makes the bad order happen every time.
+//! Events in an unfortunate order, in the reducer: each test produces that order every time.
 
 mod support;
 
@@ -12,8 +12,8 @@
 use whinwall_routing::{Effect, Event};
 use whinwall_transport::{StreamError, Targets};
 
-/// Drains a replica under a message cap, and gives each call this answer, so long after it: no more calls than the window
-/// allows, and more than one window's.
+/// Drains a replica under a cap on messages and gives each relay request this response after a pause: there are never more
+/// requests than the window allows, and they go on after the window.
 fn keeps_the_message_cap(slices: u32, pause: Span, answer: impl Fn() -> Event) {
     let (cap, window) = (10, Span::ms(10_000));
     let mut rig = Rig::with(slices, |settings| {
@@ -23,35 +23,35 @@
     .start_serving();
     rig.advance_ms(20_000);
     rig.drain("s-2");
-    let mut made = Vec::new();
+    let mut sent_at = Vec::new();
     for _ in 0..400 {
         if rig.pending_request.take().is_some() {
-            made.push(rig.now);
+            sent_at.push(rig.now);
             rig.apply(answer());
         }
         rig.now = rig.now + pause;
         rig.drain_input();
-        let recent = made.iter().filter(|at| rig.now - **at < window).count();
-        assert!(recent <= cap, "{recent} messages within the window, of {} in all", made.len());
+        let recent = sent_at.iter().filter(|at| rig.now - **at < window).count();
+        assert!(recent <= cap, "{recent} messages within the window, of {} in all", sent_at.len());
     }
-    assert!(made.len() > cap, "it goes on once the window has passed: {made:?}");
+    assert!(sent_at.len() > cap, "it goes on once the window has passed: {sent_at:?}");
 }
 
-/// Each attempt at a call whose answer is lost may have been carried out, and then it is one more message to every
-/// proxy (rule 5): no more of them than the window allows, however long the relay is mute.
+/// Each attempt whose response is lost may have been applied, and is then one more message to every proxy (rule 5): there
+/// are no more of them than the window allows, however long the relay does not respond.
 #[test]
 fn resends_of_unknown_outcome_keep_the_message_cap() {
     keeps_the_message_cap(12, Span::ms(100), || UNKNOWN);
 }
 
-/// A relay that takes one order at a time makes each rest a message of its own.
+/// Where the relay accepts one command of each request, the remaining commands are a message of their own.
 #[test]
 fn partially_accepted_requests_keep_the_message_cap() {
     keeps_the_message_cap(60, Span::ms(50), || Event::RelayReply(Ok(Response::Accepted(1))));
 }
 
-/// A proxy whose acks are held up holds the former table, and writes by it: no new owner before it has acked that its requests
-/// are held back, however long that takes (rule 2).
+/// A proxy whose acknowledgements are delayed has the former table and writes by it: there is no new owner before it has
+/// acknowledged that its requests are held back, however long that takes (rule 2).
 #[test]
 fn single_writer_is_replaced_only_once_all_proxies_have_acknowledged() {
     let mut rig =
@@ -62,7 +62,7 @@
     rig.drain("s-2");
     rig.advance_ms(20_000);
     let moved = |rig: &Rig| {
-        rig.requests[before..].iter().any(|call| call.contains("SET,2,") || call.contains("SET,8,"))
+        rig.requests[before..].iter().any(|request| request.contains("SET,2,") || request.contains("SET,8,"))
     };
     assert!(!moved(&rig), "the fourth has acked nothing: {:?}", &rig.requests[before..]);
     rig.proxies = proxies;
@@ -70,8 +70,8 @@
     assert!(moved(&rig), "all have acked: {:?}", &rig.requests[before..]);
 }
 
-/// A proxy that we never met may have been joined to the former controller of a slice until it was given to us, and writes
-/// by its table for the tenure.
+/// A proxy that this controller never saw may have been connected to the former controller of a slice until the slice was
+/// granted here, and writes by its table for the tenure.
 #[test]
 fn granted_single_writer_slice_keeps_its_owner_for_the_tenure() {
     let tenure = 4000;
@@ -86,14 +86,15 @@
     let before = rig.requests.len();
     rig.drain("s-2");
     rig.advance_ms(tenure - 200);
-    let moved = |rig: &Rig| rig.requests[before..].iter().any(|call| call.contains("SET,2,"));
+    let moved = |rig: &Rig| rig.requests[before..].iter().any(|request| request.contains("SET,2,"));
     assert!(!moved(&rig), "within the tenure: {:?}", &rig.requests[before..]);
     rig.advance_ms(3000);
     assert!(moved(&rig), "after the tenure: {:?}", &rig.requests[before..]);
 }
 
-/// Drain after drain, each of several stages, under a cap on messages: what drains is held back within the grace, though
-/// all other orders would use the cap up (kitchen-help, herd+mass 21: one controller said nothing for 4.8 s).
+/// One drain after another, each in several stages, under a cap on messages: requests for a draining replica are held back
+/// within the grace, though all other commands would use up the cap (kitchen-help, herd+mass 21: one controller sent nothing
+/// for 4.8 s).
 #[test]
 fn consecutive_drains_get_a_message_within_the_grace() {
     let grace = Span::ms(2000);
@@ -112,15 +113,18 @@
         rig.advance_ms(1500);
         for slice in rig.store.iter().filter(|(_, table)| table.contains_key(&replica)).map(|(n, _)| *n) {
             let start = format!("LIMIT,{slice},");
-            let last =
-                rig.requests.iter().flat_map(|call| call.split([';', ' '])).rfind(|o| o.starts_with(&start));
+            let last = rig
+                .requests
+                .iter()
+                .flat_map(|request| request.split([';', ' ']))
+                .rfind(|o| o.starts_with(&start));
             assert!(last.is_some_and(|level| level.ends_with(",0,0")), "{slice} of {replica}: {last:?}");
         }
     }
 }
 
-/// Where one owner writes nothing is ever withdrawn: to let all replicas in after a restart took the channel from what
-/// had to be held back (kitchen-help, roll+mass 21: four messages of 80 lines).
+/// With single writers no replica is ever withdrawn. Reinstating all of them after a restart took the channel from commands
+/// that had to hold requests back (kitchen-help, roll+mass 21: four messages of 80 lines).
 #[test]
 fn restart_of_a_single_writer_admits_no_other() {
     let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true));
@@ -130,12 +134,12 @@
     rig.send_snapshot(&[]);
     rig.relay_event("* SUBSCRIBE 8 north 21.5 0");
     rig.advance_ms(5000);
-    assert!(!rig.requests.iter().any(|call| call.contains("IN,")), "{:?}", rig.requests);
+    assert!(!rig.requests.iter().any(|request| request.contains("IN,")), "{:?}", rig.requests);
 }
 
-/// Acks that come while the news is silent are told to nobody. The lines that they were for took the room of all further
-/// orders for ever (regina-rating, roll+silent+mass 524: a controller that had come back ordered nothing from 13.0 s to the
-/// end of the day).
+/// Acknowledgements are lost while the relay watch is silent. The lines they were for took the capacity of all further
+/// commands forever (regina-rating, roll+silent+mass 524: a restarted controller sent no command from 13.0 s to the end of
+/// the day).
 #[test]
 fn lost_acknowledgements_leave_capacity_for_drains() {
     let grace = 1500;
@@ -153,19 +157,19 @@
     rig.proxies = proxies;
     rig.apply(Event::WatchLost(StreamError::TimedOut));
     rig.advance_ms(200);
-    assert!(rig.resend_snapshot_if_requested(), "the news is asked for anew");
+    assert!(rig.resend_snapshot_if_requested(), "the relay watch is requested again");
     let before = rig.requests.len();
     rig.drain("s-4");
     rig.advance_ms(grace);
-    let withdrawn = rig.requests[before..].iter().any(|call| call.contains("OUT,s-4"));
+    let withdrawn = rig.requests[before..].iter().any(|request| request.contains("OUT,s-4"));
     assert!(withdrawn, "nothing is ordered any more: {:?}", &rig.requests[before..]);
     rig.advance_ms(10_000);
     assert_eq!(rig.owners().into_iter().collect::<Vec<_>>(), ["s-5"]);
 }
 
-/// A controller that comes back lifts what its former life withdrew. Before it has slices that reaches no proxy, and none
-/// acks it; a call for it whose outcome was unknown held up all orders for three seconds, for it did not fit twice any more
-/// once further proxies had joined (regina-rating, roll+silent+mass 524: no call from 15.8 s to 18.8 s).
+/// A restarted controller reinstates the replicas that it had withdrawn. Before it has slices that reaches no proxy, and none
+/// acknowledges it; such a request with an unknown outcome delayed all commands for three seconds, as it did not fit twice
+/// once further proxies had subscribed (regina-rating, roll+silent+mass 524: no request from 15.8 s to 18.8 s).
 #[test]
 fn reinstatements_without_slices_delay_no_drain() {
     let grace = Span::ms(1500);
@@ -185,7 +189,7 @@
             rig.now = rig.now + Span::ms(50);
             rig.drain_input();
             match &rig.pending_request {
-                Some(call) if is_mute && call.contains("IN,") => {
+                Some(request) if is_mute && request.contains("IN,") => {
                     rig.pending_request = None;
                     rig.apply(UNKNOWN);
                 }
@@ -195,7 +199,11 @@
     };
     let joined = rig.now + Span::ms(2000);
     step(&mut rig, joined, true);
-    assert!(!rig.requests.iter().any(|call| call.contains("IN,")), "it reaches nobody: {:?}", rig.requests);
+    assert!(
+        !rig.requests.iter().any(|request| request.contains("IN,")),
+        "it reaches nobody: {:?}",
+        rig.requests
+    );
     for proxy in 1..rig.proxies {
         rig.relay_event(&format!("* SUBSCRIBE {proxy} north 21.5 0"));
     }
@@ -207,12 +215,12 @@
     rig.drain("s-2");
     let due = rig.now + grace;
     step(&mut rig, due, false);
-    assert!(rig.requests.iter().any(|call| call.contains("OUT,s-2")), "{:?}", rig.requests);
+    assert!(rig.requests.iter().any(|request| request.contains("OUT,s-2")), "{:?}", rig.requests);
     let later = rig.now + Span::ms(10_000);
     step(&mut rig, later, false);
     for replica in (0..20).filter(|n| *n != 2) {
-        let lifts = |call: &String| call.contains(&format!("IN,s-{replica};"));
-        assert!(rig.requests.iter().any(lifts), "s-{replica} is let in: {:?}", rig.requests);
+        let reinstates = |request: &String| request.contains(&format!("IN,s-{replica};"));
+        assert!(rig.requests.iter().any(reinstates), "s-{replica} is reinstated: {:?}", rig.requests);
     }
 }
 
@@ -220,13 +228,13 @@
     json!({"id": id, "zone": "north", "state": state, "started_ms": started_ms})
 }
 
-fn send_list(rig: &mut Rig, version: u64, whole: bool, replicas: Vec<serde_json::Value>) {
-    let list = json!({"version": version, "full": whole, "servers": replicas});
+fn send_list(rig: &mut Rig, version: u64, is_complete: bool, replicas: Vec<serde_json::Value>) {
+    let list = json!({"version": version, "full": is_complete, "servers": replicas});
     rig.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
     rig.drain_input();
 }
 
-/// After a move the agent is behind: its whole list is from before a drain and a new replica.
+/// The discovery agent after a move lags behind: its complete list is older than a drain and a new replica.
 #[test]
 fn lagging_agent_takes_nothing_back() {
     let mut rig = Rig::serving();
@@ -250,10 +258,10 @@
     // It catches up, and from there on all is taken at its word.
     send_list(&mut rig, 44, false, vec![entry("s-2", "active", 0)]);
     rig.advance_ms(3000);
-    assert!(rig.requests.iter().any(|call| call.contains("IN,s-2")));
+    assert!(rig.requests.iter().any(|request| request.contains("IN,s-2")));
 }
 
-/// One that stays below the version held has begun its count anew: the whole list is asked for, and believed.
+/// An agent that stays below the known version has restarted its count: the complete list is requested and accepted.
 #[test]
 fn restarted_list_version_is_believed_after_the_lag_timeout() {
     let mut rig = Rig::serving();
@@ -269,10 +277,10 @@
     assert!(rig.other_effects.contains(&whole), "{:?}", rig.other_effects);
     send_list(&mut rig, 3, true, all());
     rig.advance_ms(3000);
-    assert!(rig.requests.iter().any(|call| call.contains("IN,s-2")));
+    assert!(rig.requests.iter().any(|request| request.contains("IN,s-2")));
 }
 
-/// Controllers whose ways broke at the same instant must not come again together each time.
+/// Controllers that lost their connections at the same instant must not all reconnect at the same time.
 #[test]
 fn backoff_is_drawn_from_the_seed() {
     let wakes = |seed| {
@@ -292,10 +300,10 @@
     assert_ne!(wakes(1), wakes(2));
 }
 
-/// Another customer's words for request classes, places and kinds of machine: the same happens, and the same is ordered.
+/// With other names of request classes, zones and kinds of machine, the same events lead to the same commands.
 #[test]
 fn replica_names_do_not_influence_decisions() {
-    let played = |request_classes: [&str; 2], zones: [&str; 3], machine: &str| {
+    let run = |request_classes: [&str; 2], zones: [&str; 3], machine: &str| {
         let mut rig = Rig::with(12, |settings| {
             settings["classes"][0]["name"] = json!(request_classes[0]);
             settings["classes"][1]["name"] = json!(request_classes[1]);
@@ -330,17 +338,17 @@
             }
             rig.advance_ms(1000);
         }
-        let calls = rig.requests.join("\n");
-        calls
+        let requests = rig.requests.join("\n");
+        requests
             .replace(&format!(",{},", request_classes[0]), ",first,")
             .replace(&format!(",{},", request_classes[1]), ",second,")
     };
-    let ours = played(["lookup", "post"], ["north", "south", "west"], "m2");
+    let ours = run(["lookup", "post"], ["north", "south", "west"], "m2");
     assert!(ours.contains("LIMIT,") && ours.contains("OUT,s-1"), "{ours}");
-    assert_eq!(ours, played(["zz top", "a"], ["1", "0", "zone/b"], "\u{e9}t\u{e9}"));
+    assert_eq!(ours, run(["zz top", "a"], ["1", "0", "zone/b"], "\u{e9}t\u{e9}"));
 }
 
-/// What happens, in any order: each is drawn as a number and what it is done to.
+/// Events in any order: each is drawn as a number and the item that it concerns.
 #[derive(Clone, Debug)]
 struct Events(Vec<(u8, u32)>);
 
@@ -350,81 +358,82 @@
     }
 }
 
-/// The rig, with what a bystander knows of what it was told.
-struct Played {
+/// The rig, with an observer's knowledge of the events that it was given.
+struct DrawnRun {
     rig: Rig,
-    held: BTreeSet<u32>,
+    own_slices: BTreeSet<u32>,
     seen: usize,
-    /// The orders of the last call while its outcome is not known to the controller, and whether it was carried out: then it
-    /// may be said again or not.
+    /// The commands of the last request while its outcome is not known to the controller, and whether it was applied: then it
+    /// may be resent or not.
     open: Option<(BTreeSet<String>, bool)>,
-    /// What stands withdrawn from all tables, and slices whose requests are held back: nothing is sent there.
-    shut: BTreeSet<String>,
-    halted: BTreeSet<String>,
+    /// Replicas that are withdrawn from all tables, and slices whose requests are held back: nothing is sent to them.
+    withdrawn: BTreeSet<String>,
+    held_back: BTreeSet<String>,
     version: u64,
     targets: Targets,
 }
 
-impl Played {
-    /// Of each call made since the last look: orders only for slices held, nothing new while one is open, nothing put
-    /// on a replica that leaves.
-    fn look(&mut self) {
-        let calls: Vec<String> = self.rig.requests[self.seen..].to_vec();
+impl DrawnRun {
+    /// Of each request made since the last observation: commands only for slices held, nothing new while one is open, nothing placed
+    /// on a draining replica.
+    fn observe(&mut self) {
+        let requests: Vec<String> = self.rig.requests[self.seen..].to_vec();
         self.seen = self.rig.requests.len();
-        for call in calls {
-            for order in call["APPLY ".len()..].split(';') {
-                match order.split(',').collect::<Vec<_>>()[..] {
-                    ["OUT", replica] => _ = self.shut.insert(replica.into()),
-                    ["IN", replica] => _ = self.shut.remove(replica),
-                    ["LIMIT", slice, "*", "0", _] => _ = self.halted.insert(slice.into()),
-                    ["LIMIT", slice, ..] => _ = self.halted.remove(slice),
+        for request in requests {
+            for command in request["APPLY ".len()..].split(';') {
+                match command.split(',').collect::<Vec<_>>()[..] {
+                    ["OUT", replica] => _ = self.withdrawn.insert(replica.into()),
+                    ["IN", replica] => _ = self.withdrawn.remove(replica),
+                    ["LIMIT", slice, "*", "0", _] => _ = self.held_back.insert(slice.into()),
+                    ["LIMIT", slice, ..] => _ = self.held_back.remove(slice),
                     _ => {}
                 }
             }
-            let orders: BTreeSet<String> = call["APPLY ".len()..].split(';').map(str::to_string).collect();
+            let commands: BTreeSet<String> =
+                request["APPLY ".len()..].split(';').map(str::to_string).collect();
             match self.open.take() {
-                Some((open, _)) if orders.is_subset(&open) => {}
-                Some((open, false)) => panic!("newer than what is open: {call}\nopen: {open:?}"),
-                _ => orders.iter().for_each(|order| self.is_lawful(order)),
+                Some((open, _)) if commands.is_subset(&open) => {}
+                Some((open, false)) => panic!("newer than what is open: {request}\nopen: {open:?}"),
+                _ => commands.iter().for_each(|command| self.is_allowed(command)),
             }
-            self.open = Some((orders, false));
+            self.open = Some((commands, false));
         }
     }
 
-    fn is_lawful(&self, order: &str) {
-        match order.split(',').collect::<Vec<_>>()[..] {
+    fn is_allowed(&self, command: &str) {
+        match command.split(',').collect::<Vec<_>>()[..] {
             ["SET", slice, replica, weight] => {
-                assert!(self.held.contains(&slice.parse().unwrap()), "of no slice of ours: {order}");
-                let none_goes_there = self.shut.contains(replica) || self.halted.contains(slice);
+                assert!(self.own_slices.contains(&slice.parse().unwrap()), "not an own slice: {command}");
+                let none_goes_there = self.withdrawn.contains(replica) || self.held_back.contains(slice);
                 let leaves = self.rig.replicas[replica] == "leaving" && !none_goes_there;
-                assert!(!leaves || weight.parse::<f64>().unwrap() < 1.0, "to one that leaves: {order}");
+                assert!(!leaves || weight.parse::<f64>().unwrap() < 1.0, "to a draining replica: {command}");
             }
             ["LIMIT", slice, ..] if slice != "*" => {
-                assert!(self.held.contains(&slice.parse().unwrap()), "of no slice of ours: {order}");
+                assert!(self.own_slices.contains(&slice.parse().unwrap()), "not an own slice: {command}");
             }
             _ => {}
         }
     }
 
-    /// Carries out the call that is open, or does not, and says so or something else.
+    /// Applies the request in flight, or does not, and responds truly or otherwise.
     fn answer(&mut self, is_done: bool, answer: impl FnOnce(usize) -> Event) {
-        let Some(call) = self.rig.pending_request.take() else { return };
-        let orders = if is_done { self.rig.carry_out(&call) } else { call.split(';').count() };
+        let Some(request) = self.rig.pending_request.take() else { return };
+        let commands = if is_done { self.rig.carry_out(&request) } else { request.split(';').count() };
         self.open = self.open.take().map(|(open, _)| (open, is_done));
-        self.rig.apply(answer(orders));
+        self.rig.apply(answer(commands));
     }
 
     fn is_short(&mut self, taken: usize) {
-        let Some(call) = self.rig.pending_request.take() else { return };
-        let orders: Vec<_> = call["APPLY ".len()..].split(';').collect();
-        let stand = orders[..taken.min(orders.len())].join(";");
+        let Some(request) = self.rig.pending_request.take() else { return };
+        let commands: Vec<_> = request["APPLY ".len()..].split(';').collect();
+        let stand = commands[..taken.min(commands.len())].join(";");
         if !stand.is_empty() {
             self.rig.carry_out(&format!("APPLY {stand}"));
         }
-        // At the second refusal the first order is skipped, and nothing may be left.
-        let may_be_over = taken >= orders.len() || orders.len() == 1;
-        self.open = Some((orders.iter().map(std::string::ToString::to_string).collect(), may_be_over));
-        self.rig.apply(Event::RelayReply(Ok(Response::Accepted(taken.min(orders.len())))));
+        // At the second refusal the first command is skipped, and nothing may be left.
+        let may_be_over = taken >= commands.len() || commands.len() == 1;
+        self.open = Some((commands.iter().map(std::string::ToString::to_string).collect(), may_be_over));
+        self.rig.apply(Event::RelayReply(Ok(Response::Accepted(taken.min(commands.len())))));
     }
 
     fn list(&mut self, version: u64) {
@@ -434,18 +443,18 @@
 
     fn take_slice_away_and_back(&mut self, slice: u32, is_seen_between: bool) {
         self.rig.relay_event(&format!("* GRANT {slice} 0"));
-        self.held.remove(&slice);
+        self.own_slices.remove(&slice);
         if is_seen_between {
             self.rig.drain_input();
-            self.look();
+            self.observe();
         }
         self.rig.relay_event(&format!("* GRANT {slice} 1"));
-        self.held.insert(slice);
+        self.own_slices.insert(slice);
         let rows = self.rig.store[&slice].clone();
         rows.iter().for_each(|(s, weight)| self.rig.relay_event(&format!("* ROW {slice} {s} {weight}")));
     }
 
-    fn play(&mut self, event: u8, n: u32) {
+    fn apply_drawn(&mut self, event: u8, n: u32) {
         let replica = format!("s-{}", n % 6);
         let stay = self.rig.replicas.values().filter(|state| **state == "active").count();
         match event % 18 {
@@ -471,7 +480,7 @@
             7 => self.is_short(n as usize % 3),
             8 => {
                 let settles = self.rig.pending_request.is_some();
-                self.answer(true, |orders| Event::RelayReply(Ok(Response::Accepted(orders))));
+                self.answer(true, |commands| Event::RelayReply(Ok(Response::Accepted(commands))));
                 self.open = self.open.take().filter(|_| !settles);
             }
             9 => self.rig.apply(Event::UnexpectedReply),
@@ -495,14 +504,14 @@
             }
         }
         self.rig.drain_input();
-        self.look();
+        self.observe();
         self.rig.resend_snapshot_if_requested();
-        self.look();
+        self.observe();
     }
 }
 
 #[test]
-fn requests_keep_their_order_and_slices_under_drawn_crossings() {
+fn requests_keep_their_order_and_slices_under_drawn_events() {
     for seed in 0..240 {
         let events = Events::arbitrary(&mut Gen::from_size_and_seed(160, seed));
         let rig = Rig::with(12, |settings| {
@@ -512,31 +521,31 @@
         let rig = rig.start_serving();
         let seen = rig.requests.len();
         let targets = Targets { relay: RELAY, discovery: DISCOVERY };
-        let held = (0..12).collect();
-        let mut played = Played {
+        let own_slices = (0..12).collect();
+        let mut run = DrawnRun {
             rig,
-            held,
+            own_slices,
             seen,
             open: None,
-            shut: BTreeSet::new(),
-            halted: BTreeSet::new(),
+            withdrawn: BTreeSet::new(),
+            held_back: BTreeSet::new(),
             version: 41,
             targets,
         };
         for (event, n) in &events.0 {
-            played.play(*event, *n);
+            run.apply_drawn(*event, *n);
         }
-        let known = played.rig.reducer.report_names(None).unwrap().replicas.len();
-        assert!(known <= 6, "seed {seed}: {known} servers known of 6");
-        // Once nothing fails any more, the store is as it believes, and what leaves has nothing.
+        let known = run.rig.reducer.report_names(None).unwrap().replicas.len();
+        assert!(known <= 6, "seed {seed}: {known} replicas known of 6");
+        // Once nothing fails any more, the store is as the reducer believes, and draining replicas have no slices.
         for proxy in 0..4 {
-            played.rig.relay_event(&format!("* SUBSCRIBE {proxy} north 21.5 0"));
+            run.rig.relay_event(&format!("* SUBSCRIBE {proxy} north 21.5 0"));
         }
         for _ in 0..30 {
-            played.rig.resend_snapshot_if_requested();
-            played.rig.advance_ms(1000);
+            run.rig.resend_snapshot_if_requested();
+            run.rig.advance_ms(1000);
         }
-        let rig = &mut played.rig;
+        let rig = &mut run.rig;
         let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
         assert_eq!(drained, None, "seed {seed}: {events:?}");
         rig.apply(Event::WatchLost(StreamError::Closed));
@@ -547,8 +556,8 @@
     }
 }
 
-/// A new owner takes the place of the former in the store, so it does in what we believe of it: else each break of the news
-/// made all moved slices new to us, and forgot what is held back.
+/// A new owner replaces the former in the store, and so in the controller's view of it: else each loss of the relay watch
+/// made all migrated slices look new, and forgot which requests are held back.
 #[test]
 fn single_writer_tables_are_known_again_after_a_broken_watch() {
     let mut rig =
@@ -564,7 +573,7 @@
     assert_eq!(rig.logs.last().unwrap(), stands);
 }
 
-/// A slice of ours whose table is another after a break: nobody knows its levels, so they are told anew.
+/// An own slice whose table has changed during a loss of the watch: its admission rates are unknown, so they are sent again.
 #[test]
 fn table_changed_during_a_broken_watch_gets_its_admission_resent() {
     let mut rig = Rig::serving();
@@ -579,7 +588,7 @@
     assert!(made.contains("LIMIT,3,*,1,1") && !made.contains("LIMIT,4,"), "{made}");
 }
 
-/// An order that is skipped stands with us and not in the store; but one that can't be used is not tried for ever.
+/// A skipped command is in the controller's view and not in the store; one that can't be applied is not tried forever.
 #[test]
 fn skipped_command_has_the_store_read_again_once() {
     let mut rig = Rig::serving();
@@ -600,8 +609,8 @@
     assert!(!rig.owners().contains("s-2"), "{:?}", rig.store);
 }
 
-/// A call is reset under way and said again: of the first nothing was carried out, so that its copies are never acked. What
-/// drains then must not wait until they are given up (kitchen-help, soak: 44.85 s to 49.0 s without a call).
+/// A request is reset in flight and resent: nothing of the first was applied, so that it is never acknowledged. A drain then
+/// must not wait until it is given up (kitchen-help, soak: 44.85 s to 49.0 s without a request).
 #[test]
 fn resends_that_were_never_applied_delay_no_drain() {
     let mut rig = Rig::with(60, |settings| {
@@ -613,7 +622,7 @@
     rig.store = (0..60).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 20), 1.0)]))).collect();
     let mut rig = rig.start_serving();
     rig.advance_ms(20_000);
-    // As large a call as fits twice: the drains of several replicas.
+    // As large a request as fits twice: the drains of several replicas.
     (1..8).for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
     rig.send_list();
     rig.drain_input();
@@ -630,9 +639,9 @@
     }
 }
 
-/// The slices of controllers that were killed come to us while one replica after another drains, and hardly a message is
-/// left under the cap: what is held back for them, more each time than fits twice into the channel, is so within the
-/// grace (kitchen-help, herd+mass 501: 396 slices in 1.8 s at 94 a message, the last ones after 4.2 s of 3.7).
+/// The slices of killed controllers are granted here while one replica after another drains, and hardly a message is left
+/// under the cap: their requests, more each time than fit twice into the channel, are held back within the grace
+/// (kitchen-help, herd+mass 501: 396 slices in 1.8 s at 94 a message, the last ones after 4.2 s of 3.7).
 #[test]
 fn drains_of_slices_from_killed_controllers_get_messages_within_the_grace() {
     const OWN: u32 = 200;
@@ -674,8 +683,9 @@
     }
 }
 
-/// Later stages of moves leave messages for drains: what drains is held back at once, also while these would fill each
-/// message that the cap allows (kitchen-help, herd+mass 501: three of twelve were left when the controllers were killed).
+/// Later stages of migrations leave messages for drains: requests for a draining replica are held back at once, also while
+/// these stages would fill each message that the cap allows (kitchen-help, herd+mass 501: three of twelve were left when
+/// the controllers were killed).
 #[test]
 fn deferrable_commands_leave_messages_for_drains() {
     for moving in [5000, 7000, 9000] {
@@ -704,9 +714,9 @@
     }
 }
 
-/// After a restart, slices are granted whose replicas drain, with all messages left: what is held back for them goes in
-/// one message, not in small ones that are mostly heads and wait for each other (edge-meters, roll+mass at full size: 39
-/// orders in four messages 1.3 s apart).
+/// After a restart, slices are granted whose replicas drain, with all messages left: the commands that hold their requests
+/// back go in one message, not in small ones that are mostly overhead and wait for each other (edge-meters, roll+mass at full
+/// size: 39 commands in four messages 1.3 s apart).
 #[test]
 fn drains_after_a_restart_are_not_split_into_small_messages() {
     let mut rig = Rig::with(78, |settings| {
--- a/crates/controller/tests/faults.rs
+++ b/crates/controller/tests/faults.rs
@@ -30,7 +30,7 @@
     address.recv().unwrap()
 }
 
-/// The first connection to the relay asks for news, the second makes calls; discovery's is one.
+/// The first connection to the relay is the watch, the second has the requests; discovery has one.
 const AT_RELAY: [&str; 20] = [
     "on conn 1 down line 12: cut",
     "on conn 1 down line 12: end",
@@ -64,7 +64,7 @@
     "on conn 1 start: mute",
     "on start: pieces 5",
 ];
-/// Both ways at once.
+/// In both directions at once.
 const PAIRS: [(&str, &str); 4] = [
     ("on conn 1 down line 12: silence", "on conn 1 down offset 300: silence"),
     ("on conn 1 down line 12: garble flip 6", "on conn 1 down offset 300: garble flip 5"),
@@ -72,12 +72,12 @@
     ("on conn 1 start: refuse", "on conn 1 start: refuse"),
 ];
 
-/// Silence is noticed after three seconds at the most, and the news or the list is then asked for again; the
-/// rest is for a busy machine.
+/// Silence is noticed after three seconds at most, and the watch or the list is then requested again; the rest is
+/// allowance for a busy machine.
 const RECOVERED: Duration = Duration::from_secs(9);
 
-/// How long it took from the news of a drain until the replica was left, with these faults on the ways.
-fn recovers(at_relay: &str, at_discovery: &str) -> Duration {
+/// The time from a drain in the endpoint list until the replica was unused, with these faults on the connections.
+fn recovery_time(at_relay: &str, at_discovery: &str) -> Duration {
     let fleet = FakeFleet::start(4, 24, 3);
     let mut file = example_config();
     file["distributor"]["address"] = json!(start_fault_proxy(fleet.relay, at_relay).to_string());
@@ -100,8 +100,11 @@
     cases.extend(PAIRS);
     let mut table = Vec::new();
     for some in cases.chunks(12).map(<[_]>::to_vec) {
-        let played: Vec<_> =
-            some.iter().copied().map(|(relay, list)| thread::spawn(move || recovers(relay, list))).collect();
+        let played: Vec<_> = some
+            .iter()
+            .copied()
+            .map(|(relay, list)| thread::spawn(move || recovery_time(relay, list)))
+            .collect();
         for ((relay, list), played) in some.iter().zip(played) {
             table.push((*relay, *list, played.join().unwrap_or(Duration::MAX)));
         }
--- a/crates/controller/tests/size.rs
+++ b/crates/controller/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! As large as the operators' lists may get: 1,024 controllers and 1,024 replicas, hundreds of places.
+//! The largest lists that operators may have: 1,024 controllers and 1,024 replicas in hundreds of zones.
 
 mod support;
 
@@ -26,8 +26,8 @@
     json!({"version": version, "full": version == 1, "servers": states.map(entry).collect::<Vec<_>>()})
 }
 
-/// Kilobytes resident, and threads.
-fn used(program: &ControllerProcess) -> (usize, usize) {
+/// Resident memory in kB, and the number of threads.
+fn resident_kb_and_threads(program: &ControllerProcess) -> (usize, usize) {
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
     let figure = |key: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(key)).unwrap();
@@ -36,7 +36,7 @@
     (figure("VmRSS:"), figure("Threads:"))
 }
 
-/// All of them known at the start, listed, and each place with a collector; within the smallest limits.
+/// All replicas are known at the start and listed, and each zone has a collector; within the smallest limits.
 #[test]
 fn controller_serves_a_large_fleet_within_the_smallest_memory_limit() {
     let (mut relay, mut discovery) = (FakeRelay::start(), FakeDiscovery::start());
@@ -68,12 +68,12 @@
     say(list(2, [(MANY - 1, "leaving")].into_iter()));
     relay.accept_requests_until(&format!("OUT,s-{};", MANY - 1)).accept();
     collectors.iter_mut().for_each(Peer::ping);
-    let (kilobytes, threads) = used(&program);
+    let (kilobytes, threads) = resident_kb_and_threads(&program);
     assert!(kilobytes < 32 << 10 && threads <= 2, "{kilobytes} kB, {threads} threads");
 }
 
-/// A fleet in the reducer: half of it drains at once. The longest turn that this leads to.
-fn longest_turn(replicas: usize) -> Duration {
+/// Half of a fleet drains at once, in the reducer. Returns the longest iteration that this causes.
+fn longest_iteration(replicas: usize) -> Duration {
     let mut file = example_config();
     file["settings"]["zones"] = (0..ZONES).map(zone).collect();
     file["settings"]["familyInfo"]["queueCap"] = json!(1e9);
@@ -121,11 +121,11 @@
     longest
 }
 
-/// A slice that must leave looks for another replica in their order, and not at each: four times as many of all cost
-/// about five times as much in a release build, up to ten in a debug one.
+/// A slice to be evacuated tries replicas in their order, and does not look at all of them: four times as many of everything
+/// cost about five times as much in a release build, up to ten in a debug build.
 #[test]
 fn iteration_time_grows_linearly_with_the_fleet() {
-    let turn = |replicas| (0..3).map(|_| longest_turn(replicas)).min().unwrap();
+    let turn = |replicas| (0..3).map(|_| longest_iteration(replicas)).min().unwrap();
     let (small, large) = (turn(256), turn(MANY));
     println!("half of the servers leave: {small:?} a turn with 256 servers, {large:?} with {MANY}");
     assert!(large < small * 16, "{large:?} against {small:?}");
--- a/crates/controller/tests/instants.rs
+++ b/crates/controller/tests/process_races.rs
@@ -1,5 +1,5 @@
-//! Two events that meet the program at the same instant, on sockets: it is stopped while they are brought about, or the
-//! stand-ins wait until told, so that the bad order comes every time.
+//! Two events at the same instant, on sockets: the program is paused while they are produced, or the fake servers wait for
+//! the test, so that the unfortunate order occurs every time.
 
 mod support;
 
@@ -13,11 +13,11 @@
 use std::time::Duration;
 use support::*;
 
-/// A controller that serves, with a call made and not yet answered.
-fn with_an_open_call() -> (FakeRelay, FakeDiscovery, ControllerProcess, RegistryWatch, RelayRequest) {
+/// A serving controller, with a relay request in flight.
+fn with_request_in_flight() -> (FakeRelay, FakeDiscovery, ControllerProcess, RegistryWatch, RelayRequest) {
     let (mut relay, mut discovery, program) = start_all();
     let watch = discovery.serve_snapshot();
-    let _news = relay.serve_snapshot();
+    let _watch_connection = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["active", "leaving"]);
     let open = relay.accept_requests_until("OUT,s-1;");
@@ -26,9 +26,9 @@
 
 #[test]
 fn shutdown_waits_for_the_relay_request_in_flight() {
-    let (relay, _discovery, mut program, watch, open) = with_an_open_call();
+    let (relay, _discovery, mut program, watch, open) = with_request_in_flight();
     program.pause();
-    // What would make a newer call, the answer, and the end, all at once.
+    // The cause of a newer request, the response and the signal, all at once.
     watch.list(43, false, &["leaving"]);
     open.accept();
     program.signal(Signal::TERM);
@@ -36,17 +36,17 @@
     program.wait_for_log("shutting down requests_in_flight=1 signal=SIGTERM");
     program.wait_for_log("relay request in flight has its outcome");
     assert!(program.wait_for_exit().success());
-    let newer = relay.messages.receiver.try_iter().find(|said| said.line.starts_with("APPLY"));
-    assert_eq!(newer.map(|said| said.line), None, "a call after the signal");
+    let newer = relay.messages.receiver.try_iter().find(|message| message.line.starts_with("APPLY"));
+    assert_eq!(newer.map(|message| message.line), None, "a request after the signal");
 }
 
 #[test]
 fn shutdown_does_not_wait_for_a_response_that_never_comes() {
-    let (_relay, _discovery, mut program, _watch, _open) = with_an_open_call();
+    let (_relay, _discovery, mut program, _watch, _open) = with_request_in_flight();
     program.signal(Signal::TERM);
     assert!(program.wait_for_exit().success());
-    // ... nor does it where a second signal comes at the same instant.
-    let (_relay, _discovery, mut program, _watch, _open) = with_an_open_call();
+    // Nor does it where a second signal arrives at the same instant.
+    let (_relay, _discovery, mut program, _watch, _open) = with_request_in_flight();
     program.pause();
     program.signal(Signal::TERM);
     program.signal(Signal::INT);
@@ -61,21 +61,21 @@
     program.pause();
     let mut check = program.connect();
     check.send_line(r#"{"@type":"PING"}"#);
-    let mut stranger = program.connect();
-    stranger.send_line("GET / HTTP/1.1");
+    let mut unauthenticated = program.connect();
+    unauthenticated.send_line("GET / HTTP/1.1");
     program.signal(Signal::TERM);
     program.resume();
-    let heard = |peer: &mut Peer| {
+    let received = |peer: &mut Peer| {
         let mut all = String::new();
         _ = peer.reader.read_to_string(&mut all);
         all
     };
-    assert_eq!(heard(&mut check), "{\"@type\":\"PONG\"}\n");
-    assert!(heard(&mut stranger).starts_with(r#"{"@type":"NACK""#));
+    assert_eq!(received(&mut check), "{\"@type\":\"PONG\"}\n");
+    assert!(received(&mut unauthenticated).starts_with(r#"{"@type":"NACK""#));
     assert!(program.wait_for_exit().success());
 }
 
-/// The port is another's at the start, as a former process may hold it: what comes meanwhile is obeyed.
+/// The port is taken at the start, as a former process may still have it: signals that arrive meanwhile are handled.
 #[test]
 fn signals_are_handled_while_the_listen_address_is_taken() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -101,7 +101,7 @@
     second.accept_watch();
 }
 
-/// Who writes the file is not through when the signal comes, and sends no other.
+/// The file is half written when the signal arrives, and no other signal follows.
 #[test]
 fn half_written_configuration_is_read_again_after_sighup() {
     let (relay, mut second, discovery) = (FakeRelay::start(), FakeRelay::start(), FakeDiscovery::start());
@@ -117,12 +117,12 @@
     program.connect().ping();
 }
 
-/// The watch is open and gives its signs of life, and the change is not told there.
+/// The watch is open and sends heartbeats, but not the change.
 #[test]
 fn registry_watch_that_sends_only_heartbeats_is_renewed() {
     let (mut relay, mut discovery, _program) = start_all();
     let deaf = discovery.serve_snapshot();
-    let _news = relay.serve_snapshot();
+    let _watch_connection = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     let ends = Arc::new(AtomicBool::new(false));
     let ended = ends.clone();
@@ -138,24 +138,24 @@
     alive.join().unwrap();
 }
 
-/// An answer that comes twice may have been taken for another call's: what the store holds is read anew.
+/// A duplicate response may have been taken for that of another request: the store is read again.
 #[test]
 fn duplicate_response_causes_a_new_snapshot() {
-    let (mut relay, _discovery, mut program, watch, mut open) = with_an_open_call();
+    let (mut relay, _discovery, mut program, watch, mut open) = with_request_in_flight();
     let answer = format!("OK {}\r\n", open.line.split(';').count());
     open.stream.write_all(format!("{answer}{answer}").as_bytes()).unwrap();
     program.wait_for_log("unsolicited relay response");
-    let _news = relay.serve_snapshot();
+    let _watch_connection = relay.serve_snapshot();
     watch.list(43, false, &["leaving"]);
     relay.accept_requests_until("OUT,s-0;").accept();
 }
 
-/// The relay closes what is idle at the instant at which a call is due: it is made once, on a connection of its own.
+/// The relay closes the idle connection at the instant at which a request is due: it is sent once, on a new connection.
 #[test]
 fn request_due_as_the_idle_connection_closes_uses_a_new_connection() {
     let (mut relay, mut discovery, mut program) = start_all();
     let watch = discovery.serve_snapshot();
-    let _news = relay.serve_snapshot();
+    let _watch_connection = relay.serve_snapshot();
     let idle = relay.accept_requests_until("SYNC");
     let way = idle.stream.try_clone().unwrap();
     idle.accept();
@@ -164,9 +164,9 @@
     watch.list(42, false, &["active", "leaving"]);
     way.shutdown(std::net::Shutdown::Both).unwrap();
     program.resume();
-    let mut call = relay.accept_requests_until("OUT,s-1;");
-    assert_ne!(call.stream.peer_addr().unwrap(), way.peer_addr().unwrap_or(program.address));
-    call.stream.write_all(format!("OK {}\r\n", call.line.split(';').count()).as_bytes()).unwrap();
+    let mut request = relay.accept_requests_until("OUT,s-1;");
+    assert_ne!(request.stream.peer_addr().unwrap(), way.peer_addr().unwrap_or(program.address));
+    request.stream.write_all(format!("OK {}\r\n", request.line.split(';').count()).as_bytes()).unwrap();
     watch.list(43, false, &["leaving"]);
     relay.accept_requests_until("OUT,s-0;").accept();
     program.signal(Signal::TERM);
@@ -176,10 +176,10 @@
     assert_eq!(program.log.skipped.iter().find(|line| failed(line)), None, "it was provably not sent");
 }
 
-/// The relay answers, and the signal names another, at the same instant: what it answered stands.
+/// The relay responds at the same instant at which a reload names another relay: the response counts.
 #[test]
 fn response_received_as_the_relay_moves_is_accepted() {
-    let (_relay, _discovery, program, _watch, open) = with_an_open_call();
+    let (_relay, _discovery, program, _watch, open) = with_request_in_flight();
     let mut second = FakeRelay::start();
     let line = open.line.clone();
     program.pause();
@@ -189,23 +189,23 @@
     file["distributor"]["address"] = json!(second.address.to_string());
     program.reload_with(&file.to_string());
     program.resume();
-    let _news = second.serve_snapshot();
+    let _watch_connection = second.serve_snapshot();
     program.connect().ping();
-    // The drain was carried out: what is made at the new address is another call.
-    let again = second.messages.wait("a call", |said| said.line.starts_with("APPLY"));
+    // The drain was carried out: what is made at the new address is another request.
+    let again = second.messages.wait("a request", |message| message.line.starts_with("APPLY"));
     assert_ne!(again.line, line);
 }
 
-/// More is unread when the last word is said: closing then would reset the connection, and the word might be lost.
+/// Input is unread when the close reason is sent: closing then would reset the connection, and the reason might be lost.
 #[test]
 fn close_reason_arrives_despite_unread_input() {
     let (_relay, _discovery, program) = start_all();
     program.pause();
-    let mut stranger = program.connect();
-    stranger.stream.write_all(b"GET / HTTP/1.1\r\n").unwrap();
-    stranger.stream.write_all(&vec![b'x'; 60_000]).unwrap();
+    let mut unauthenticated = program.connect();
+    unauthenticated.stream.write_all(b"GET / HTTP/1.1\r\n").unwrap();
+    unauthenticated.stream.write_all(&vec![b'x'; 60_000]).unwrap();
     program.resume();
     let mut all = String::new();
-    stranger.reader.read_to_string(&mut all).expect("an end, no reset");
+    unauthenticated.reader.read_to_string(&mut all).expect("an end, no reset");
     assert!(all.starts_with(r#"{"@type":"NACK""#), "{all}");
 }
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -24,10 +24,10 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What counted, in its order.
+/// The reports that were applied, in order.
 #[derive(Clone, Debug, PartialEq)]
 enum Counted {
-    /// So much came for a slice, by how many lines.
+    /// The requests for a slice, and the number of lines.
     DemandReport(ConnectionId, u32, f64, f64),
     EndpointReport(ConnectionId, u32, f64),
     Ping(ConnectionId),
@@ -35,7 +35,7 @@
     Ended(ConnectionId),
 }
 
-/// An owner on a thread of its own.
+/// The owner of the state, on its own thread.
 struct Owner {
     address: SocketAddr,
     counted: Arc<Mutex<Vec<Counted>>>,
@@ -154,7 +154,7 @@
         self.counted.lock().unwrap().clone()
     }
 
-    fn until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
+    fn wait_until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
         let end = Instant::now() + TEST_TIMEOUT;
         while !is_so(self) {
             assert!(Instant::now() < end, "{what} never comes; events {:?}", self.events.lock().unwrap());
@@ -190,8 +190,8 @@
         _ = self.stream.write_all(format!("{line}\n").as_bytes());
     }
 
-    fn asked(&mut self, slice: u32, came: u32) {
-        self.send_line(&asked(slice, came));
+    fn send_demand(&mut self, slice: u32, requests: u32) {
+        self.send_line(&demand_report(slice, requests));
     }
 
     /// False where the connection is no more.
@@ -202,19 +202,19 @@
     }
 }
 
-fn asked(slice: u32, came: u32) -> String {
+fn demand_report(slice: u32, requests: u32) -> String {
     format!(
-        "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"lookup\",\"n\":{came},\"bad\":0,\"window\":1000.0}}"
+        "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"lookup\",\"n\":{requests},\"bad\":0,\"window\":1000.0}}"
     )
 }
 
-/// What came for each slice of what one connection, or all of them, said.
+/// The demand of each slice as reported on one connection, or on all.
 fn sums(counted: &[Counted], of: Option<ConnectionId>) -> BTreeMap<u32, f64> {
     let mut sums = BTreeMap::new();
     for one in counted {
-        if let Counted::DemandReport(from, slice, came, _) = one {
+        if let Counted::DemandReport(from, slice, requests, _) = one {
             if of.is_none_or(|of| of == *from) {
-                *sums.entry(*slice).or_default() += came;
+                *sums.entry(*slice).or_default() += requests;
             }
         }
     }
@@ -237,7 +237,7 @@
     );
     let mut collector = Collector::join(&owner);
     // Sums are in the order of slices within a chunk: over all, the order is that of the chunks.
-    let text: String = (0..20_000).map(|n| asked(n, 1) + "\n").collect();
+    let text: String = (0..20_000).map(|n| demand_report(n, 1) + "\n").collect();
     for piece in text.as_bytes().chunks(50_000) {
         collector.stream.write_all(piece).unwrap();
     }
@@ -262,7 +262,7 @@
                 scope.spawn(move || {
                     let mut collector = Collector::join(owner);
                     let lines: Vec<_> =
-                        (0..3000).map(|n| asked((n * 7 + connection) % 50, n % 9) + "\n").collect();
+                        (0..3000).map(|n| demand_report((n * 7 + connection) % 50, n % 9) + "\n").collect();
                     collector.stream.write_all(lines.concat().as_bytes()).unwrap();
                     assert!(collector.ping());
                 });
@@ -279,8 +279,8 @@
     }
 }
 
-/// Of two readers the first stops at this stage, once. Everybody else goes on meanwhile; what it had in hand
-/// is there whole or not at all; it is replaced, and says nothing fresh when it goes on.
+/// The first of two readers stalls at this stage, once. All others go on meanwhile; its chunk is applied as a whole or not
+/// at all; it is replaced, and nothing of it is applied when it goes on.
 #[test]
 fn reader_that_stalls_at_any_stage_is_replaced_and_delays_no_other() {
     for stage in
@@ -307,8 +307,8 @@
             ReaderStage::Connected => Collector::connect(&owner),
             _ => collectors.remove(0),
         };
-        (0..40).for_each(|n| victim.asked(1000 + n, 1));
-        owner.until("the stall", |_| stalled.load(Ordering::SeqCst) == 1);
+        (0..40).for_each(|n| victim.send_demand(1000 + n, 1));
+        owner.wait_until("the stall", |_| stalled.load(Ordering::SeqCst) == 1);
         let began = Instant::now();
         // Some of the others are read by the one that stopped: they end and come back. All go on soon.
         for collector in &mut collectors {
@@ -316,22 +316,22 @@
             if !collector.ping() {
                 *collector = Collector::join(&owner);
             }
-            collector.asked(7, 3);
+            collector.send_demand(7, 3);
             assert!(collector.ping());
         }
         assert!(began.elapsed() < Duration::from_secs(4), "{stage:?}: {:?}", began.elapsed());
-        owner.until("its replacement", |owner| owner.has_event("ReaderRestarted"));
+        owner.wait_until("its replacement", |owner| owner.has_event("ReaderRestarted"));
         assert!(owner.has_event("ReaderStalled"), "{stage:?}");
         let expected = 3.0 * collectors.len() as f64;
-        owner.until("the sums", |owner| sums(&owner.counted(), None).get(&7) == Some(&expected));
+        owner.wait_until("the sums", |owner| sums(&owner.counted(), None).get(&7) == Some(&expected));
         let before = sums(&owner.counted(), None);
         stalled.store(2, Ordering::SeqCst);
         // It goes on, and what it has is nobody's; the victim comes back and is heard.
         let mut anew = Collector::join(&owner);
-        anew.asked(8, 1);
+        anew.send_demand(8, 1);
         assert!(anew.ping());
         let after = sums(&owner.counted(), None);
-        let late = |sums: &BTreeMap<u32, f64>| sums.range(1000..).map(|(_, came)| came).sum::<f64>();
+        let late = |sums: &BTreeMap<u32, f64>| sums.range(1000..).map(|(_, demand)| demand).sum::<f64>();
         assert_eq!(late(&before), late(&after), "{stage:?}: late reports passed for fresh");
         let text = owner.metrics.encode();
         assert!(
@@ -372,14 +372,14 @@
         };
         victim
             .stream
-            .write_all(((0..40).map(|n| asked(1000 + n, 1) + "\n").collect::<String>()).as_bytes())
+            .write_all(((0..40).map(|n| demand_report(1000 + n, 1) + "\n").collect::<String>()).as_bytes())
             .unwrap();
         let mut rest = Vec::new();
         _ = victim.reader.read_to_end(&mut rest);
-        let came = sums(&owner.counted(), None).range(1000..).count();
-        assert_eq!(came, 0, "{stage:?}: half of a chunk counted");
+        let requests = sums(&owner.counted(), None).range(1000..).count();
+        assert_eq!(requests, 0, "{stage:?}: half of a chunk counted");
         match stage {
-            ReaderStage::Connected => owner.until("its replacement", |owner| {
+            ReaderStage::Connected => owner.wait_until("its replacement", |owner| {
                 owner.has_event("ReaderDied") && owner.has_event("ReaderRestarted")
             }),
             _ => assert!(owner.counted().iter().any(|one| matches!(one, Counted::Lost(_)))),
@@ -408,7 +408,7 @@
                         2 => collector.send_line("no message"),
                         _ => {
                             collector.send_line("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
-                            collector.asked(5, 1);
+                            collector.send_demand(5, 1);
                             assert!(collector.ping());
                         }
                     }
@@ -416,35 +416,35 @@
             });
         }
     });
-    owner.until("an empty pool", |owner| *owner.held.lock().unwrap() == (0, 0));
+    owner.wait_until("an empty pool", |owner| *owner.held.lock().unwrap() == (0, 0));
     assert_eq!(sums(&owner.counted(), None)[&5], 800.0, "each that said something was heard once");
     let ended = owner.counted().iter().filter(|one| matches!(one, Counted::Ended(_))).count();
     assert_eq!(ended, 2000);
 }
 
-/// Half a line at the end of a chunk, and lines that come byte by byte.
+/// Half a line at the end of a chunk, and lines that arrive byte by byte.
 #[test]
 fn lines_split_at_any_byte_are_decoded_whole() {
     let owner = Owner::quiet(2);
     let mut collector = Collector::join(&owner);
-    let text: String = (0..2000).map(|n| asked(n, 1) + "\r\n").collect();
+    let text: String = (0..2000).map(|n| demand_report(n, 1) + "\r\n").collect();
     for piece in text.as_bytes().chunks(777) {
         collector.stream.write_all(piece).unwrap();
     }
-    for byte in (asked(2000, 1) + "\n").as_bytes() {
+    for byte in (demand_report(2000, 1) + "\n").as_bytes() {
         collector.stream.write_all(&[*byte]).unwrap();
     }
     assert!(collector.ping());
     assert_eq!(sums(&owner.counted(), None).len(), 2001);
     // A last line without its end is no line.
-    collector.stream.write_all(asked(3000, 1).as_bytes()).unwrap();
+    collector.stream.write_all(demand_report(3000, 1).as_bytes()).unwrap();
     collector.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    owner.until("its end", |owner| owner.counted().iter().any(|one| matches!(one, Counted::Ended(_))));
+    owner.wait_until("its end", |owner| owner.counted().iter().any(|one| matches!(one, Counted::Ended(_))));
     assert!(!sums(&owner.counted(), None).contains_key(&3000));
 }
 
-/// Every connection stops its reader for good: the threads that are given up are bounded, and once they go
-/// on, all is as before.
+/// Every connection stalls its reader permanently: the number of abandoned threads is bounded, and once they go on, the
+/// pool works as before.
 #[test]
 fn threads_of_readers_that_stop_repeatedly_are_bounded() {
     let (sticks, stuck) = (Arc::new(AtomicU32::new(1)), Arc::new(AtomicU32::new(0)));
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The program as it is started, spoken to over loopback sockets by stand-ins for all it meets.
+//! The program as it is started in service, over loopback sockets, with fake servers for all its peers.
 
 mod support;
 
@@ -279,7 +279,7 @@
     assert!(program.wait_for_exit().success());
 }
 
-/// Another customer's forms of the same settings; a list from a former life that can't be read.
+/// The same settings with other forms of numbers, and an unreadable list of a former run.
 #[test]
 fn settings_in_other_number_formats_are_accepted() {
     type Change = fn(&mut Value);
