--- a/crates/emulator/src/channel.rs
+++ b/crates/emulator/src/channel.rs
@@ -1,150 +1,121 @@
-//! The relay: a store of tables, and the channel to the proxies with its pace, heads and queue.
+//! The relay's channel from one controller to its proxies: a paced queue of messages with limits on its use.
 
-use crate::proxy::{Obeyed, Table};
-use crate::sizes::Sizes;
-use crate::{ProxyIx, ReplicaIx, SliceIx};
+use crate::command::{CommandBatch, ProxyCommand};
+use crate::config::ScenarioConfig;
+use crate::ProxyIndex;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use whinwall_policy::time::{Moment, Span};
 
-/// What one proxy is sent at once.
+/// A message to one proxy.
 #[derive(Clone, Debug)]
 pub struct Message {
-    pub proxy: ProxyIx,
-    pub orders: Arc<Vec<Obeyed>>,
+    /// The proxy that receives it.
+    pub proxy: ProxyIndex,
+    /// The commands that the proxy applies, shared by the messages of one relay request.
+    pub commands: Arc<Vec<ProxyCommand>>,
+    /// The version that the proxy acknowledges.
     pub version: Option<u16>,
+    /// Its size in lines, which takes up the channel's rate.
     lines: f64,
 }
 
-/// One controller's part of the relay.
-#[derive(Default)]
+/// A message on its way.
+struct QueuedMessage {
+    delivered_at: Moment,
+    message: Message,
+}
+
+/// One controller's channel to the proxies.
 pub struct Channel {
-    waiting: VecDeque<(Moment, Message)>,
-    lines: f64,
-    free: Moment,
-    /// The pace as a part of the usual one.
-    pub slow: f64,
-    /// When messages went to each proxy of late.
-    written: BTreeMap<ProxyIx, VecDeque<Moment>>,
+    queue: VecDeque<QueuedMessage>,
+    queued_lines: f64,
+    /// When all that is queued has been sent.
+    free_at: Moment,
+    /// The rate as a fraction of the configured one.
+    pub rate_factor: f64,
+    /// When messages were sent to each proxy within the last window.
+    recent_messages: BTreeMap<ProxyIndex, VecDeque<Moment>>,
 }
 
-impl Channel {
-    pub fn new() -> Self {
-        Channel { slow: 1.0, ..Channel::default() }
+impl Default for Channel {
+    fn default() -> Self {
+        Channel {
+            queue: VecDeque::new(),
+            queued_lines: 0.0,
+            free_at: Moment::default(),
+            rate_factor: 1.0,
+            recent_messages: BTreeMap::new(),
+        }
     }
+}
 
-    /// Puts a call's orders on their way to all; says when each arrives, and what of rule 5 it breaks.
+impl Channel {
+    /// Queues the commands for each of these proxies, and returns a description of each limit that this exceeds.
     pub fn send(
         &mut self,
         now: Moment,
-        proxies: impl Iterator<Item = ProxyIx>,
-        orders: &Arc<Vec<Obeyed>>,
-        version: Option<u16>,
-        sizes: &Sizes,
+        proxies: &[ProxyIndex],
+        batch: CommandBatch,
+        config: &ScenarioConfig,
     ) -> Vec<String> {
-        let mut broken = Vec::new();
-        let lines = sizes.head + orders.len() as f64 + f64::from(u8::from(version.is_some()));
-        for proxy in proxies {
-            self.free = self.free.max(now) + Span::ms(1000).times(lines / (sizes.pace * self.slow));
-            self.waiting.push_back((self.free, Message { proxy, orders: orders.clone(), version, lines }));
-            self.lines += lines;
-            let written = self.written.entry(proxy).or_default();
-            written.push_back(now);
-            while written.front().is_some_and(|at| now - *at > sizes.message_window) {
-                written.pop_front();
-            }
-            if sizes.message_cap > 0 && written.len() > sizes.message_cap as usize {
-                broken.push(format!("{} messages to proxy {proxy} within the window", written.len()));
+        let mut violations = Vec::new();
+        let CommandBatch { commands, version } = batch;
+        let commands = Arc::new(commands);
+        let lines = config.lines_per_message + commands.len() as f64 + f64::from(u8::from(version.is_some()));
+        for proxy in proxies.iter().copied() {
+            let rate = config.lines_per_second * self.rate_factor;
+            self.free_at = self.free_at.max(now) + Span::ms(1000).times(lines / rate);
+            let message = Message { proxy, commands: commands.clone(), version, lines };
+            self.queue.push_back(QueuedMessage { delivered_at: self.free_at, message });
+            self.queued_lines += lines;
+            let sent = self.count_message(now, proxy, config.message_window);
+            if config.max_messages_per_window > 0 && sent > config.max_messages_per_window as usize {
+                violations.push(format!("{sent} messages to proxy {proxy} within the window"));
             }
         }
-        if self.lines > sizes.queue_cap {
-            broken.push(format!("{} lines wait", self.lines));
+        if self.queued_lines > config.max_queued_lines {
+            violations.push(format!("{} lines wait", self.queued_lines));
         }
-        broken
-    }
-
-    pub fn next(&self) -> Option<Moment> {
-        self.waiting.front().map(|(at, _)| *at)
-    }
-
-    pub fn arrives(&mut self, now: Moment) -> Option<Message> {
-        let (_, message) = self.waiting.pop_front_if(|(at, _)| *at <= now)?;
-        self.lines -= message.lines;
-        Some(message)
+        violations
     }
 
-    /// What is under way to a proxy that has left goes nowhere.
-    pub fn left(&mut self, proxy: ProxyIx) {
-        self.waiting.retain(|(_, message)| message.proxy != proxy);
-        self.lines = self.waiting.iter().map(|(_, message)| message.lines).sum();
+    /// Records a message to a proxy, and returns how many it was sent within the window.
+    fn count_message(&mut self, now: Moment, proxy: ProxyIndex, window: Span) -> usize {
+        let sent = self.recent_messages.entry(proxy).or_default();
+        sent.push_back(now);
+        while sent.front().is_some_and(|at| now - *at > window) {
+            sent.pop_front();
+        }
+        sent.len()
     }
 
-    /// The controller is gone, and so is its queue.
-    pub fn lost(&mut self) {
-        (self.waiting, self.lines) = (VecDeque::new(), 0.0);
+    /// When the next message is delivered.
+    pub fn next_delivery_at(&self) -> Option<Moment> {
+        self.queue.front().map(|queued| queued.delivered_at)
     }
 
-    pub fn lines(&self) -> f64 {
-        self.lines
+    /// Takes the next message that is delivered by now.
+    pub fn pop_delivered(&mut self, now: Moment) -> Option<Message> {
+        let QueuedMessage { message, .. } = self.queue.pop_front_if(|queued| queued.delivered_at <= now)?;
+        self.queued_lines -= message.lines;
+        Some(message)
     }
-}
 
-/// The orders of a call as proxies obey them, and its version; none where it can't be read.
-pub fn read(
-    call: &str,
-    names: &BTreeMap<String, ReplicaIx>,
-    kinds: &[&str],
-) -> Option<(Vec<Obeyed>, Option<u16>)> {
-    let (mut orders, mut version) = (Vec::new(), None);
-    for order in call.strip_prefix("APPLY ")?.split(';') {
-        match order.split(',').collect::<Vec<_>>()[..] {
-            ["SET", slice, replica, weight] => orders.push(Obeyed::Line {
-                slice: slice.parse().ok()?,
-                replica: *names.get(replica)?,
-                weight: weight.parse().ok()?,
-            }),
-            ["OUT", replica] => orders.push(Obeyed::Withdraw { replica: *names.get(replica)?, out: true }),
-            ["IN", replica] => orders.push(Obeyed::Withdraw { replica: *names.get(replica)?, out: false }),
-            ["LIMIT", slice, request_classes, share, retries] => {
-                let slice = if slice == "*" { None } else { Some(slice.parse().ok()?) };
-                let meant = |kind: &&str| {
-                    request_classes == "*" || request_classes.split('+').any(|named| named == *kind)
-                };
-                let kinds =
-                    kinds.iter().enumerate().filter(|(_, kind)| meant(kind)).map(|(n, _)| n).collect();
-                orders.push(Obeyed::Level {
-                    slice,
-                    kinds,
-                    share: share.parse().ok()?,
-                    retries: retries.parse().ok()?,
-                });
-            }
-            ["SYNC", number, _] => version = Some(number.parse().ok()?),
-            _ => return None,
-        }
+    /// Drops what is on its way to a proxy that has disconnected.
+    pub fn remove_proxy(&mut self, proxy: ProxyIndex) {
+        self.queue.retain(|queued| queued.message.proxy != proxy);
+        self.queued_lines = self.queue.iter().map(|queued| queued.message.lines).sum();
     }
-    Some((orders, version))
-}
-
-/// Tables as the store has them.
-#[derive(Clone, Default)]
-pub struct Store(pub BTreeMap<SliceIx, Arc<Table>>);
 
-impl Store {
-    /// Whether an order gives a slice a whole line on a replica that has none yet.
-    pub fn is_move(&self, order: &Obeyed) -> bool {
-        let Obeyed::Line { slice, replica, weight } = order else { return false };
-        let held = self.0.get(slice).and_then(|table| table.get(replica)).copied().unwrap_or(0.0);
-        *weight >= 1.0 && held < 1.0
+    /// Drops the queue of a controller that has ended.
+    pub fn clear(&mut self) {
+        self.queue.clear();
+        self.queued_lines = 0.0;
     }
 
-    pub fn carry_out(&mut self, order: &Obeyed) {
-        if let Obeyed::Line { slice, replica, weight } = order {
-            let table = Arc::make_mut(self.0.entry(*slice).or_default());
-            match *weight > 0.0 {
-                true => _ = table.insert(*replica, *weight),
-                false => _ = table.remove(replica),
-            }
-        }
+    /// The number of lines on their way.
+    pub fn queued_lines(&self) -> f64 {
+        self.queued_lines
     }
 }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,54 +1,64 @@
-//! Who decides where an request goes: the real controllers by their tables, or one of some plain ways to compare
-//! with.
+//! How requests are routed: by the real controllers' tables, or by a plain policy to compare with.
 
-use crate::replica::{Replica, State};
-use crate::ReplicaIx;
+use crate::replica::{Replica, ReplicaState};
+use crate::ReplicaIndex;
 use whinwall_policy::random::Random;
 
+/// A routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The real reducers and decisions.
-    Governed,
-    /// Tables stay as they were at the start, nobody decides anything.
-    HandsOff,
-    /// Each slice on the replica that a hash of both puts first among those listed.
+    /// By tables that the real reducers and decisions maintain.
+    Controlled,
+    /// By tables that stay as they were at the start.
+    StaticTables,
+    /// Rendezvous hashing: each slice on the listed replica with the highest hash of both.
     Hashing,
-    /// Of two drawn among those listed, the one with less of the proxy's own work out.
+    /// Of two listed replicas drawn at random, the one with fewer requests outstanding from the proxy.
     TwoChoices,
-    /// The least loaded by its true state, which nobody knows: an upper bound, but for keys.
+    /// The least loaded by its true state, which no proxy knows: an upper bound, but for key caches.
     LeastLoaded,
 }
 
-fn hash(a: u64, b: u64) -> u64 {
-    let mut x = a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xc2b2_ae3d_27d4_eb4f);
-    x ^= x >> 29;
-    x.wrapping_mul(0x1656_67b1_9e37_79f9) ^ x >> 32
+impl Policy {
+    /// Whether proxies route by tables.
+    pub fn uses_tables(self) -> bool {
+        matches!(self, Policy::Controlled | Policy::StaticTables)
+    }
+}
+
+fn hash(slice: u64, replica: u64) -> u64 {
+    let mixed = slice.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ replica.wrapping_mul(0xc2b2_ae3d_27d4_eb4f);
+    let folded = mixed ^ (mixed >> 29);
+    folded.wrapping_mul(0x1656_67b1_9e37_79f9) ^ (folded >> 32)
 }
 
-/// Where a plain way sends an request of this slice; `out` is the proxy's own work at each replica.
+/// Picks a replica for a request of this slice by a policy without tables; none with tables, or where no listed
+/// replica qualifies. `outstanding` is the number of the proxy's own requests at each replica.
 pub fn pick(
     policy: Policy,
     slice: usize,
-    listed: &[bool],
+    is_listed: &[bool],
     replicas: &[Replica],
-    out: &dyn Fn(ReplicaIx) -> u32,
+    outstanding: &dyn Fn(ReplicaIndex) -> u32,
     random: &mut Random,
-) -> Option<ReplicaIx> {
-    let open: Vec<ReplicaIx> = (0..replicas.len()).filter(|at| listed[*at]).collect();
-    let draw = |random: &mut Random| open.get((random.draw() * open.len() as f64) as usize).copied();
+) -> Option<ReplicaIndex> {
+    let listed: Vec<ReplicaIndex> = (0..replicas.len()).filter(|replica| is_listed[*replica]).collect();
+    let draw = |random: &mut Random| listed.get((random.draw() * listed.len() as f64) as usize).copied();
     match policy {
-        Policy::Governed | Policy::HandsOff => None,
-        Policy::Hashing => open.iter().copied().max_by_key(|at| hash(slice as u64 + 1, *at as u64 + 1)),
+        Policy::Controlled | Policy::StaticTables => None,
+        Policy::Hashing => {
+            listed.iter().copied().max_by_key(|replica| hash(slice as u64 + 1, *replica as u64 + 1))
+        }
         Policy::TwoChoices => {
-            let (one, other) = (draw(random)?, draw(random)?);
-            Some(if out(one) <= out(other) { one } else { other })
+            let (first, second) = (draw(random)?, draw(random)?);
+            Some(if outstanding(first) <= outstanding(second) { first } else { second })
         }
         Policy::LeastLoaded => {
-            let up = open
-                .iter()
-                .copied()
-                .filter(|at| replicas[*at].state == State::Up && replicas[*at].failing == 0.0);
-            up.min_by_key(|at| replicas[*at].burden())
+            let is_healthy = |replica: &ReplicaIndex| {
+                replicas[*replica].state == ReplicaState::Up && replicas[*replica].error_share == 0.0
+            };
+            let healthy = listed.iter().copied().filter(is_healthy);
+            healthy.min_by_key(|replica| replicas[*replica].outstanding_work())
         }
     }
 }
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -1,122 +1,158 @@
-//! A proxy does as its tables say: lets in what the levels let in, picks by weight, avoids a replica that
-//! fails it again and again, and tries once more where it may.
+//! A proxy: it admits requests by the admission rates, picks replicas by the weights of its routing tables,
+//! avoids replicas that fail repeatedly, and retries where it may.
 
-use crate::{ReplicaIx, SliceIx};
+use crate::command::ProxyCommand;
+use crate::relay_store::set_endpoint;
+use crate::{ControllerIndex, ReplicaIndex, RequestClassIndex, SliceIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use whinwall_policy::random::Random;
 use whinwall_policy::time::{Moment, Span};
 
-/// An order as a proxy obeys it.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Obeyed {
-    Line { slice: SliceIx, replica: ReplicaIx, weight: f64 },
-    Withdraw { replica: ReplicaIx, out: bool },
-    Level { slice: Option<SliceIx>, kinds: Vec<usize>, share: f64, retries: u8 },
+/// The weights of a slice's endpoints.
+pub type RoutingTable = BTreeMap<ReplicaIndex, f64>;
+
+/// Consecutive failures after which a proxy avoids a replica.
+const FAILURES_BEFORE_AVOIDANCE: u32 = 5;
+/// How long a proxy avoids a replica after its last failure.
+const AVOIDANCE_PERIOD: Span = Span::ms(3000);
+/// How often a proxy retries a rejected attempt unless commanded otherwise.
+const DEFAULT_RETRIES: u8 = 1;
+
+/// A slice together with the controller that is responsible for it.
+#[derive(Clone, Copy, Debug)]
+pub struct ControlledSlice {
+    /// The slice.
+    pub slice: SliceIndex,
+    /// The controller whose withdrawals hold for it.
+    pub controller: ControllerIndex,
 }
 
-pub type Table = BTreeMap<ReplicaIx, f64>;
+/// How an attempt ended, as its proxy saw it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptResult {
+    /// The replica served it.
+    Success,
+    /// The replica rejected it, failed it, or did not answer in time.
+    Failure,
+}
 
-/// Failures in a row after which a replica is avoided, and for how long.
-const FAILURES: u32 = 5;
-const AVOIDED: Span = Span::ms(3000);
+/// Consecutive failures of a replica.
+#[derive(Clone, Copy)]
+struct FailureStreak {
+    failures: u32,
+    avoided_until: Moment,
+}
 
+/// One proxy.
 #[derive(Clone, Default)]
 pub struct Proxy {
-    pub joined: bool,
-    /// Controllers that it has no stream to though it is joined, and when the streams that it has came up.
-    pub away: BTreeSet<usize>,
-    pub since: BTreeMap<usize, Moment>,
-    /// Shared until it changes: thousands of proxies hold the same.
-    tables: BTreeMap<SliceIx, Arc<Table>>,
-    /// Whose slices go to whom no more: a withdrawal holds for the slices of who ordered it.
-    shut: BTreeSet<(usize, ReplicaIx)>,
-    /// By slice, or for all: by kind what is let in, and further tries.
-    levels: BTreeMap<(Option<SliceIx>, usize), f64>,
-    retries: BTreeMap<Option<SliceIx>, u8>,
-    failures: BTreeMap<ReplicaIx, (u32, Moment)>,
+    /// Whether it is connected to the relay.
+    pub is_connected: bool,
+    /// Controllers that it has no stream to though it is connected.
+    pub disconnected_from: BTreeSet<ControllerIndex>,
+    /// Since when it has had its stream to each controller.
+    pub connected_since: BTreeMap<ControllerIndex, Moment>,
+    /// Shared until changed, as thousands of proxies hold the same tables.
+    tables: BTreeMap<SliceIndex, Arc<RoutingTable>>,
+    /// Withdrawn replicas, each for the slices of the controller that withdrew it.
+    withdrawn: BTreeSet<(ControllerIndex, ReplicaIndex)>,
+    /// By slice, or for all slices, and request class.
+    admission_rates: BTreeMap<(Option<SliceIndex>, RequestClassIndex), f64>,
+    retries: BTreeMap<Option<SliceIndex>, u8>,
+    failure_streaks: BTreeMap<ReplicaIndex, FailureStreak>,
 }
 
 impl Proxy {
-    /// Reads the store, as it does when it joins.
-    pub fn reads(&mut self, tables: &BTreeMap<SliceIx, Arc<Table>>) {
+    /// Loads all tables from the relay's store, as a proxy does when it connects.
+    pub fn load_tables(&mut self, tables: &BTreeMap<SliceIndex, Arc<RoutingTable>>) {
         self.tables = tables.clone();
     }
 
-    pub fn given(&mut self, slice: SliceIx, table: &Arc<Table>) {
-        self.tables.insert(slice, table.clone());
+    /// Whether it receives the commands of a controller.
+    pub fn has_stream(&self, controller: ControllerIndex) -> bool {
+        self.is_connected && !self.disconnected_from.contains(&controller)
     }
 
-    pub fn has_stream(&self, controller: usize) -> bool {
-        self.joined && !self.away.contains(&controller)
-    }
-
-    pub fn obey(&mut self, controller: usize, order: &Obeyed) {
-        match order {
-            Obeyed::Line { slice, replica, weight } => {
-                let table = Arc::make_mut(self.tables.entry(*slice).or_default());
-                match *weight > 0.0 {
-                    true => _ = table.insert(*replica, *weight),
-                    false => _ = table.remove(replica),
-                }
+    /// Applies a command of a controller.
+    pub fn apply(&mut self, controller: ControllerIndex, command: &ProxyCommand) {
+        match command {
+            ProxyCommand::SetEndpoint { slice, replica, weight } => {
+                set_endpoint(self.tables.entry(*slice).or_default(), *replica, *weight);
             }
-            Obeyed::Withdraw { replica, out: true } => _ = self.shut.insert((controller, *replica)),
-            Obeyed::Withdraw { replica, out: false } => _ = self.shut.remove(&(controller, *replica)),
-            Obeyed::Level { slice, kinds, share, retries } => {
-                kinds.iter().for_each(|kind| _ = self.levels.insert((*slice, *kind), *share));
+            ProxyCommand::Withdraw { replica } => _ = self.withdrawn.insert((controller, *replica)),
+            ProxyCommand::Reinstate { replica } => _ = self.withdrawn.remove(&(controller, *replica)),
+            ProxyCommand::SetAdmissionRate { slice, request_classes, admission_rate, retries } => {
+                for class in request_classes {
+                    self.admission_rates.insert((*slice, *class), *admission_rate);
+                }
                 self.retries.insert(*slice, *retries);
             }
         }
     }
 
-    /// What of a table can be picked, by the withdrawals of the controller whose slice it is.
-    pub fn open(&self, slice: SliceIx, of: usize) -> impl Iterator<Item = (ReplicaIx, f64)> + '_ {
-        let lines = self.tables.get(&slice).into_iter().flat_map(|table| table.iter());
-        lines
-            .filter(move |(replica, _)| !self.shut.contains(&(of, **replica)))
+    /// The endpoints of a slice that its controller has not withdrawn, with their weights.
+    pub fn endpoints(&self, target: ControlledSlice) -> impl Iterator<Item = (ReplicaIndex, f64)> + '_ {
+        let endpoints = self.tables.get(&target.slice).into_iter().flat_map(|table| table.iter());
+        endpoints
+            .filter(move |(replica, _)| !self.withdrawn.contains(&(target.controller, **replica)))
             .map(|(replica, weight)| (*replica, *weight))
     }
 
-    pub fn is_bare(&self, slice: SliceIx, of: usize) -> bool {
-        self.open(slice, of).next().is_none()
+    /// Whether there is no endpoint to pick for a slice.
+    pub fn has_no_endpoint(&self, target: ControlledSlice) -> bool {
+        self.endpoints(target).next().is_none()
     }
 
-    pub fn lets_in(&self, slice: SliceIx, kind: usize, random: &mut Random) -> bool {
-        let level = |at| self.levels.get(&(at, kind)).copied().unwrap_or(1.0);
-        random.draw() < level(Some(slice)).min(level(None))
+    /// Decides at random, by the admission rates, whether a request is admitted.
+    pub fn admits(&self, slice: SliceIndex, class: RequestClassIndex, random: &mut Random) -> bool {
+        let rate = |slice| self.admission_rates.get(&(slice, class)).copied().unwrap_or(1.0);
+        random.draw() < rate(Some(slice)).min(rate(None))
     }
 
-    /// How often it tries again after proof that the first did not run.
-    pub fn retries(&self, slice: SliceIx) -> u8 {
-        let said = [self.retries.get(&Some(slice)), self.retries.get(&None)];
-        said.into_iter().flatten().min().copied().unwrap_or(1)
+    /// How often it retries an attempt that provably did not run.
+    pub fn retries(&self, slice: SliceIndex) -> u8 {
+        let configured = [self.retries.get(&Some(slice)), self.retries.get(&None)];
+        configured.into_iter().flatten().min().copied().unwrap_or(DEFAULT_RETRIES)
     }
 
-    /// By weight; one that fails it only where there is no other, and one that it tried already never.
+    /// Picks an endpoint by weight: never the one already tried, and avoided ones only where there is no other.
     pub fn pick(
         &self,
         now: Moment,
-        (slice, of): (SliceIx, usize),
-        tried: Option<ReplicaIx>,
+        target: ControlledSlice,
+        tried: Option<ReplicaIndex>,
         random: &mut Random,
-    ) -> Option<ReplicaIx> {
-        let avoided = |replica: &ReplicaIx| {
-            self.failures.get(replica).is_some_and(|(many, until)| *many >= FAILURES && *until > now)
-        };
-        let open: Vec<_> = self.open(slice, of).filter(|(replica, _)| Some(*replica) != tried).collect();
-        let good: Vec<_> = open.iter().copied().filter(|(replica, _)| !avoided(replica)).collect();
-        let from = if good.is_empty() { open } else { good };
-        let whole: f64 = from.iter().map(|(_, weight)| weight).sum();
-        let mut left = random.draw() * whole;
-        let hit = from.iter().find(|(_, weight)| {
-            left -= weight;
-            left < 0.0
+    ) -> Option<ReplicaIndex> {
+        let endpoints: Vec<_> =
+            self.endpoints(target).filter(|(replica, _)| Some(*replica) != tried).collect();
+        let healthy: Vec<_> =
+            endpoints.iter().copied().filter(|(replica, _)| !self.is_avoided(*replica, now)).collect();
+        let candidates = if healthy.is_empty() { endpoints } else { healthy };
+        let total_weight: f64 = candidates.iter().map(|(_, weight)| weight).sum();
+        let mut remaining = random.draw() * total_weight;
+        let hit = candidates.iter().find(|(_, weight)| {
+            remaining -= weight;
+            remaining < 0.0
         });
-        hit.or(from.last()).map(|(replica, _)| *replica)
+        hit.or(candidates.last()).map(|(replica, _)| *replica)
+    }
+
+    fn is_avoided(&self, replica: ReplicaIndex, now: Moment) -> bool {
+        let streak = self.failure_streaks.get(&replica);
+        streak
+            .is_some_and(|streak| streak.failures >= FAILURES_BEFORE_AVOIDANCE && streak.avoided_until > now)
     }
 
-    pub fn met(&mut self, now: Moment, replica: ReplicaIx, well: bool) {
-        let (many, until) = self.failures.entry(replica).or_insert((0, now));
-        (*many, *until) = if well { (0, now) } else { (*many + 1, now + AVOIDED) };
+    /// Records how an attempt at a replica ended.
+    pub fn record_result(&mut self, now: Moment, replica: ReplicaIndex, result: AttemptResult) {
+        let unbroken = FailureStreak { failures: 0, avoided_until: now };
+        let streak = self.failure_streaks.entry(replica).or_insert(unbroken);
+        *streak = match result {
+            AttemptResult::Success => unbroken,
+            AttemptResult::Failure => {
+                FailureStreak { failures: streak.failures + 1, avoided_until: now + AVOIDANCE_PERIOD }
+            }
+        };
     }
 }
--- /dev/null
+++ b/crates/emulator/src/real_time/mod.rs
@@ -0,0 +1,95 @@
+//! A scenario on loopback sockets and in real time, for controllers that run as programs: a relay and a discovery
+//! service for each controller, and a collector for each zone.
+
+mod connection;
+mod stand_in;
+
+pub use stand_in::{StandIn, StandInAddresses};
+
+use crate::config::ScenarioConfig;
+use crate::fault::Fault;
+use crate::policy::Policy;
+use crate::scenario::{Outcome, Scenario};
+use connection::SocketConnection;
+use stand_in::ReceivedInput;
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
+use std::time::{Duration, Instant};
+use whinwall_policy::time::Span;
+
+/// How long a peer may leave unread what it is sent.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest wait for input while nothing is scheduled.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+
+/// The stand-ins of all controllers' surroundings, and what they receive.
+pub struct StandIns {
+    /// By controller.
+    pub stand_ins: Vec<StandIn>,
+    inputs: Receiver<ReceivedInput>,
+}
+
+impl StandIns {
+    /// Opens the listeners for so many controllers.
+    ///
+    /// # Errors
+    /// Where a listener can't be opened.
+    pub fn open(controllers: usize) -> std::io::Result<Self> {
+        let (sender, inputs) = channel();
+        let stand_ins = (0..controllers).map(|controller| StandIn::open(controller, &sender));
+        Ok(StandIns { stand_ins: stand_ins.collect::<Result<_, _>>()?, inputs })
+    }
+
+    /// Plays the scenario with controllers whose collectors' ports are at these addresses.
+    ///
+    /// # Errors
+    /// Where a controller's collector port can't be connected to.
+    pub fn play(
+        self,
+        config: &ScenarioConfig,
+        faults: &[Fault],
+        seed: u64,
+        controllers: &[SocketAddr],
+    ) -> std::io::Result<Outcome> {
+        let mut scenario = Scenario::new(config.clone(), Policy::Controlled, faults.to_vec(), seed);
+        for (controller, (stand_in, address)) in self.stand_ins.into_iter().zip(controllers).enumerate() {
+            let collectors = connect_collectors(*address, config)?;
+            let connection = SocketConnection { stand_in, collectors };
+            scenario.connect_controller(controller, Box::new(connection));
+        }
+        run(&mut scenario, &self.inputs, config.duration);
+        Ok(scenario.into_outcome())
+    }
+}
+
+/// Connects a collector for each zone.
+fn connect_collectors(address: SocketAddr, config: &ScenarioConfig) -> std::io::Result<Vec<TcpStream>> {
+    let mut collectors = Vec::new();
+    for zone in 0..config.zones {
+        let mut collector = TcpStream::connect(address)?;
+        collector.set_write_timeout(Some(WRITE_TIMEOUT))?;
+        writeln!(collector, "{{\"@type\":\"SOURCE\",\"az\":\"{}\"}}", config.zone(zone))?;
+        collectors.push(collector);
+    }
+    Ok(collectors)
+}
+
+/// Processes scheduled events and the controllers' input as they come, until the scenario's time is over.
+fn run(scenario: &mut Scenario, inputs: &Receiver<ReceivedInput>, duration: Span) {
+    let epoch = scenario.start_now() - duration;
+    let started = Instant::now();
+    let mut wait = Duration::ZERO;
+    while started.elapsed().as_nanos() < u128::from(duration.as_ns()) {
+        let input = inputs.recv_timeout(wait);
+        let now = || epoch + Span::ns(started.elapsed().as_nanos() as u64);
+        scenario.run_until(now());
+        match input {
+            Ok(ReceivedInput { controller, input }) => scenario.receive(controller, &input),
+            Err(RecvTimeoutError::Timeout) => {}
+            Err(RecvTimeoutError::Disconnected) => break,
+        }
+        let next = scenario.run_until(now());
+        wait = next.map_or(MAX_WAIT, |at| Duration::from_nanos((at - now()).as_ns()).min(MAX_WAIT));
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/real_time/stand_in.rs
@@ -0,0 +1,133 @@
+//! The relay and the discovery service of one controller, as listeners on loopback.
+
+use super::connection::{write_chunk, SharedStream};
+use super::WRITE_TIMEOUT;
+use crate::scenario::ControllerInput;
+use crate::ControllerIndex;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::Sender;
+use std::thread;
+use std::time::Duration;
+
+/// The interval of discovery's keepalives.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+
+/// An input together with the controller that sent it.
+pub(super) struct ReceivedInput {
+    pub(super) controller: ControllerIndex,
+    pub(super) input: ControllerInput,
+}
+
+/// Where a controller finds its relay and its discovery service.
+#[derive(Clone, Copy, Debug)]
+pub struct StandInAddresses {
+    /// The relay.
+    pub relay: SocketAddr,
+    /// Discovery.
+    pub discovery: SocketAddr,
+}
+
+/// The stand-ins for one controller's relay and discovery service. Their threads end with the process.
+pub struct StandIn {
+    /// Where they listen.
+    pub addresses: StandInAddresses,
+    pub(super) relay_watch: SharedStream,
+    pub(super) registry_watch: SharedStream,
+    pub(super) relay_requests: SharedStream,
+}
+
+/// What the thread of a connection works with.
+#[derive(Clone)]
+struct ConnectionContext {
+    controller: ControllerIndex,
+    inputs: Sender<ReceivedInput>,
+    relay_watch: SharedStream,
+    registry_watch: SharedStream,
+    relay_requests: SharedStream,
+}
+
+impl ConnectionContext {
+    /// Passes an input on; whether the scenario is still played.
+    fn send(&self, input: ControllerInput) -> bool {
+        self.inputs.send(ReceivedInput { controller: self.controller, input }).is_ok()
+    }
+}
+
+impl StandIn {
+    pub(super) fn open(controller: ControllerIndex, inputs: &Sender<ReceivedInput>) -> std::io::Result<Self> {
+        let (relay, discovery) = (TcpListener::bind("127.0.0.1:0")?, TcpListener::bind("127.0.0.1:0")?);
+        let addresses = StandInAddresses { relay: relay.local_addr()?, discovery: discovery.local_addr()? };
+        let context = ConnectionContext {
+            controller,
+            inputs: inputs.clone(),
+            relay_watch: SharedStream::default(),
+            registry_watch: SharedStream::default(),
+            relay_requests: SharedStream::default(),
+        };
+        accept_connections(relay, context.clone(), serve_relay);
+        accept_connections(discovery, context.clone(), serve_discovery);
+        let ConnectionContext { relay_watch, registry_watch, relay_requests, .. } = context;
+        Ok(StandIn { addresses, relay_watch, registry_watch, relay_requests })
+    }
+}
+
+/// Serves each connection of a listener in a thread of its own.
+fn accept_connections(
+    listener: TcpListener,
+    context: ConnectionContext,
+    serve: fn(TcpStream, &ConnectionContext),
+) {
+    thread::spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let context = context.clone();
+            thread::spawn(move || serve(stream, &context));
+        }
+    });
+}
+
+fn serve_relay(stream: TcpStream, context: &ConnectionContext) {
+    _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
+    _ = stream.set_nodelay(true);
+    let Ok(reader) = stream.try_clone() else { return };
+    for line in BufReader::new(reader).lines().map_while(Result::ok) {
+        let line = line.trim_end().to_string();
+        let (shared, input) = match line.as_str() {
+            "WATCH" => (&context.relay_watch, ControllerInput::WatchRelay),
+            _ => (&context.relay_requests, ControllerInput::RelayRequest(line)),
+        };
+        shared.lock().into_iter().for_each(|mut open| *open = stream.try_clone().ok());
+        if !context.send(input) {
+            return;
+        }
+    }
+}
+
+fn serve_discovery(mut stream: TcpStream, context: &ConnectionContext) {
+    _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
+    let Ok(reader) = stream.try_clone() else { return };
+    // The request has no body: it ends with its head.
+    let head =
+        BufReader::new(reader).lines().map_while(Result::ok).take_while(|line| !line.trim().is_empty());
+    if head.count() == 0 || stream.write_all(RESPONSE_HEAD).is_err() {
+        return;
+    }
+    let shared = &context.registry_watch;
+    shared.lock().into_iter().for_each(|mut open| *open = stream.try_clone().ok());
+    if context.send(ControllerInput::WatchRegistry) {
+        send_keepalives(&stream, shared);
+    }
+}
+
+/// Sends keepalives for as long as this is the stream that lists are sent on.
+fn send_keepalives(stream: &TcpStream, shared: &SharedStream) {
+    loop {
+        thread::sleep(KEEPALIVE_INTERVAL);
+        let Ok(mut open) = shared.lock() else { return };
+        let is_current = open.as_ref().and_then(|open| open.peer_addr().ok()) == stream.peer_addr().ok();
+        if !is_current || open.as_mut().is_some_and(|open| write_chunk(open, "\n").is_err()) {
+            return;
+        }
+    }
+}
--- a/crates/emulator/src/replica.rs
+++ b/crates/emulator/src/replica.rs
@@ -1,144 +1,177 @@
-//! A replica: cores, a queue, keys that it remembers, a cold start in which it falls over when it is pushed.
+//! A replica: cores, a queue, a cache of keys, limited connections, and a slow start in which overload crashes it.
 
-use crate::sizes::Sizes;
-use crate::ProxyIx;
+use crate::config::ScenarioConfig;
+use crate::ProxyIndex;
 use std::collections::{BTreeMap, VecDeque};
 use whinwall_policy::random::Random;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_policy::windowed_counter::WindowedCounter;
 
-/// An request at a replica.
+/// The interval and the number of the slots in which arrivals are counted.
+const ARRIVAL_SLOT: Span = Span::ms(100);
+const ARRIVAL_SLOTS: usize = 12;
+/// The window over which a replica's load is measured.
+const LOAD_WINDOW: Span = Span::ms(1000);
+
+/// An attempt of a request at a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
+    /// The request's number.
     pub request: u64,
-    /// Which of the request's tries.
+    /// Which of the request's attempts it is.
     pub attempt: u32,
+    /// The key that the request reads or writes.
     pub key: u32,
-    /// Which proxy it came from.
-    pub from: ProxyIx,
+    /// The proxy that sent it.
+    pub from: ProxyIndex,
+}
+
+/// A job that a core has begun to run.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StartedJob {
+    /// The job.
+    pub job: Job,
+    /// How long it runs.
+    pub service_time: Span,
 }
 
+/// What a replica does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum State {
+pub enum ReplicaState {
+    /// It serves.
     Up,
-    /// Takes all, does nothing.
+    /// It accepts jobs and runs none.
     Hung,
-    /// Nothing comes back from it, though it works.
+    /// It runs jobs, but its responses are lost.
     Silent,
-    /// Nobody is there: connections fail at once.
+    /// Its process has ended: connections fail at once.
     Down,
 }
 
-/// What becomes of a job that comes.
+/// What becomes of a job that arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Offer {
-    /// Proof that it did not run.
-    Refused,
-    /// An error, quickly; it may have run.
+pub enum Admission {
+    /// Rejected, which proves that it did not run.
+    Rejected,
+    /// Failed quickly with an error; it may have run.
     Failed,
-    Waits,
-    /// It runs, for so long.
-    Runs(Span),
-    /// Pushed over while cold: it falls, with all that it had.
-    Falls,
+    /// Queued.
+    Queued,
+    /// Running; it takes this long.
+    Running(Span),
+    /// The replica was overloaded while warming up and crashes, with all its jobs.
+    Crashed,
 }
 
+/// One replica.
 pub struct Replica {
-    pub state: State,
-    /// Since when its process runs; grows with each restart, and what an earlier one had is gone.
-    pub started: Option<Moment>,
+    /// What it does.
+    pub state: ReplicaState,
+    /// When its process was started; none for those that have been up since before the scenario.
+    pub started_at: Option<Moment>,
+    /// Grows with each start and each crash; the jobs of an earlier incarnation are lost.
     pub incarnation: u64,
-    pub slow: f64,
-    /// The share of requests that fail quickly.
-    pub failing: f64,
-    pub draining: bool,
+    /// The factor by which it is slower than others.
+    pub slowdown: f64,
+    /// The share of jobs that it fails quickly, 0 to 1.
+    pub error_share: f64,
     running: usize,
     queue: VecDeque<Job>,
-    /// By key, when it was last met.
+    /// By key, when it was last used.
     keys: BTreeMap<u32, Moment>,
     /// Proxies that hold a connection, and when each last used it.
-    connections: BTreeMap<ProxyIx, Moment>,
-    came: WindowedCounter,
+    connections: BTreeMap<ProxyIndex, Moment>,
+    arrivals: WindowedCounter,
 }
 
-impl Replica {
-    pub fn new() -> Self {
+impl Default for Replica {
+    fn default() -> Self {
         Replica {
-            state: State::Up,
-            started: None,
+            state: ReplicaState::Up,
+            started_at: None,
             incarnation: 0,
-            slow: 1.0,
-            failing: 0.0,
-            draining: false,
+            slowdown: 1.0,
+            error_share: 0.0,
             running: 0,
             queue: VecDeque::new(),
             keys: BTreeMap::new(),
             connections: BTreeMap::new(),
-            came: WindowedCounter::new(Span::ms(100), 12),
+            arrivals: WindowedCounter::new(ARRIVAL_SLOT, ARRIVAL_SLOTS),
         }
     }
+}
 
-    /// A new process: cold, and empty.
+impl Replica {
+    /// Starts a new process: cold, and without jobs.
     pub fn restart(&mut self, now: Moment) {
-        let (incarnation, came) = (self.incarnation + 1, WindowedCounter::new(Span::ms(100), 12));
-        *self = Replica { started: Some(now), incarnation, came, ..Replica::new() };
+        let incarnation = self.incarnation + 1;
+        *self = Replica { started_at: Some(now), incarnation, ..Replica::default() };
     }
 
-    pub fn falls(&mut self) {
-        (self.state, self.running, self.incarnation) = (State::Down, 0, self.incarnation + 1);
+    /// Ends the process, with all its jobs.
+    pub fn crash(&mut self) {
+        self.state = ReplicaState::Down;
+        self.running = 0;
+        self.incarnation += 1;
         self.queue.clear();
         self.connections.clear();
     }
 
-    /// The part of its full speed that it has.
-    pub fn warmth(&self, now: Moment, sizes: &Sizes) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
-        let part = (now - started).seconds() / sizes.warm_after.seconds();
-        (sizes.cold_share + (1.0 - sizes.cold_share) * part).min(1.0)
+    /// The fraction of its full speed that it has while it warms up.
+    pub fn warmth(&self, now: Moment, config: &ScenarioConfig) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let progress = (now - started_at).seconds() / config.warm_up.seconds();
+        (config.initial_warmth + (1.0 - config.initial_warmth) * progress).min(1.0)
     }
 
-    pub fn is_cold(&self, now: Moment, sizes: &Sizes) -> bool {
-        self.started.is_some_and(|at| now - at < sizes.warm_after)
+    /// Whether it is still warming up.
+    pub fn is_cold(&self, now: Moment, config: &ScenarioConfig) -> bool {
+        self.started_at.is_some_and(|started_at| now - started_at < config.warm_up)
     }
 
-    /// What came in the last second, as a multiple of what it could do.
-    pub fn push(&self, now: Moment, sizes: &Sizes) -> f64 {
-        self.came.sum(now, Span::ms(1000)) / (sizes.capacity() * self.warmth(now, sizes))
+    /// The arrivals of the last second, as a multiple of what it could serve in that time.
+    pub fn load_factor(&self, now: Moment, config: &ScenarioConfig) -> f64 {
+        self.arrivals.sum(now, LOAD_WINDOW) / (config.capacity() * self.warmth(now, config))
     }
 
-    pub fn offer(&mut self, now: Moment, job: Job, sizes: &Sizes, random: &mut Random) -> Offer {
-        if self.state == State::Down {
-            return Offer::Refused;
-        }
-        if !self.connects(now, job.from, sizes) {
-            return Offer::Refused;
+    /// Admits a job that arrives, or not.
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        job: Job,
+        config: &ScenarioConfig,
+        random: &mut Random,
+    ) -> Admission {
+        if self.state == ReplicaState::Down || !self.acquire_connection(now, job.from, config) {
+            return Admission::Rejected;
         }
-        self.came.add(now, 1.0);
-        if self.is_cold(now, sizes) && self.push(now, sizes) > sizes.fall_multiple {
-            self.falls();
-            return Offer::Falls;
+        self.arrivals.add(now, 1.0);
+        if self.is_cold(now, config) && self.load_factor(now, config) > config.cold_overload_factor {
+            self.crash();
+            return Admission::Crashed;
         }
-        if random.draw() < self.failing {
-            return Offer::Failed;
+        if random.draw() < self.error_share {
+            return Admission::Failed;
         }
-        if self.queue.len() >= sizes.queue {
-            return Offer::Refused;
+        if self.queue.len() >= config.queue_capacity {
+            return Admission::Rejected;
         }
-        if self.state == State::Hung || self.running >= sizes.cores {
+        if self.state == ReplicaState::Hung || self.running >= config.cores {
             self.queue.push_back(job);
-            return Offer::Waits;
+            return Admission::Queued;
         }
         self.running += 1;
-        Offer::Runs(self.takes(now, job.key, sizes, random))
+        Admission::Running(self.draw_service_time(now, job.key, config, random))
     }
 
-    /// One that is there already is used again; an idle one gives way to a new one, where all are used nobody
-    /// does.
-    fn connects(&mut self, now: Moment, from: ProxyIx, sizes: &Sizes) -> bool {
-        let full = self.connections.len() >= sizes.connections && !self.connections.contains_key(&from);
-        if full {
-            self.connections.retain(|_, used| now - *used < sizes.idle);
-            if self.connections.len() >= sizes.connections {
+    /// Reuses the proxy's connection or opens one, for which idle ones are closed where all are taken; whether
+    /// there is one.
+    fn acquire_connection(&mut self, now: Moment, from: ProxyIndex, config: &ScenarioConfig) -> bool {
+        let is_full =
+            self.connections.len() >= config.max_connections && !self.connections.contains_key(&from);
+        if is_full {
+            self.connections.retain(|_, used_at| now - *used_at < config.idle_connection_timeout);
+            if self.connections.len() >= config.max_connections {
                 return false;
             }
         }
@@ -146,41 +179,49 @@
         true
     }
 
-    fn takes(&mut self, now: Moment, key: u32, sizes: &Sizes, random: &mut Random) -> Span {
-        let known = self.keys.insert(key, now).is_some_and(|met| now - met < sizes.remembered);
-        let factor = if known { 1.0 } else { sizes.cold_factor };
+    fn draw_service_time(
+        &mut self,
+        now: Moment,
+        key: u32,
+        config: &ScenarioConfig,
+        random: &mut Random,
+    ) -> Span {
+        let is_cached =
+            self.keys.insert(key, now).is_some_and(|used_at| now - used_at < config.key_cache_ttl);
+        let cache_factor = if is_cached { 1.0 } else { config.uncached_factor };
         let spread = 0.5 + random.draw();
-        sizes.service.times(factor * spread * self.slow / self.warmth(now, sizes))
+        config.service_time.times(cache_factor * spread * self.slowdown / self.warmth(now, config))
     }
 
-    /// What it has in hand, the slower it is the more that counts.
-    pub fn burden(&self) -> usize {
-        ((self.running + self.queue.len()) as f64 * self.slow) as usize
+    /// The number of its jobs, times its slowdown.
+    pub fn outstanding_work(&self) -> usize {
+        ((self.running + self.queue.len()) as f64 * self.slowdown) as usize
     }
 
-    /// One is through; the next that waits runs for so long.
-    pub fn done(&mut self, now: Moment, sizes: &Sizes, random: &mut Random) -> Option<(Job, Span)> {
+    /// Finishes a job, and starts the next in the queue.
+    pub fn finish_job(
+        &mut self,
+        now: Moment,
+        config: &ScenarioConfig,
+        random: &mut Random,
+    ) -> Option<StartedJob> {
         self.running = self.running.saturating_sub(1);
-        if matches!(self.state, State::Hung | State::Down) {
+        if matches!(self.state, ReplicaState::Hung | ReplicaState::Down) {
             return None;
         }
-        let next = self.queue.pop_front()?;
+        let job = self.queue.pop_front()?;
         self.running += 1;
-        Some((next, self.takes(now, next.key, sizes, random)))
+        Some(StartedJob { job, service_time: self.draw_service_time(now, job.key, config, random) })
     }
 
-    /// It goes on after a hang: as many as it has cores for run.
-    pub fn wakes(&mut self, now: Moment, sizes: &Sizes, random: &mut Random) -> Vec<(Job, Span)> {
-        self.state = State::Up;
-        let free = sizes.cores.saturating_sub(self.running);
-        let next: Vec<_> = (0..free).filter_map(|_| self.queue.pop_front()).collect();
-        self.running += next.len();
-        next.into_iter().map(|job| (job, self.takes(now, job.key, sizes, random))).collect()
-    }
-}
-
-impl Default for Replica {
-    fn default() -> Self {
-        Replica::new()
+    /// Resumes after a hang: starts as many queued jobs as cores are free.
+    pub fn resume(&mut self, now: Moment, config: &ScenarioConfig, random: &mut Random) -> Vec<StartedJob> {
+        self.state = ReplicaState::Up;
+        let free_cores = config.cores.saturating_sub(self.running);
+        let jobs: Vec<_> = (0..free_cores).filter_map(|_| self.queue.pop_front()).collect();
+        self.running += jobs.len();
+        let start =
+            |job: Job| StartedJob { job, service_time: self.draw_service_time(now, job.key, config, random) };
+        jobs.into_iter().map(start).collect()
     }
 }
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,88 +1,114 @@
 //! The five rules, checked on what proxies and replicas really did. A violation says when, what, and which
-//! orders led to it.
+//! commands preceded it.
 
+use crate::{ProxyIndex, SliceIndex};
 use std::collections::{BTreeMap, VecDeque};
 use whinwall_policy::time::{Moment, Span};
 
+/// Rule 1: a connected proxy has an endpoint to pick while a healthy replica exists.
+pub const NO_EMPTY_TABLE: u8 = 1;
+/// Rule 2: a request that is not idempotent runs at most once.
+pub const AT_MOST_ONCE: u8 = 2;
+/// Rule 3: a draining replica gets no requests once its grace period is over.
+pub const DRAIN: u8 = 3;
+/// Rule 4: a replica that is warming up is not overloaded until it crashes.
+pub const NO_COLD_OVERLOAD: u8 = 4;
+/// Rule 5: the relay's limits on messages and on the channel's queue are kept.
+pub const CHANNEL_LIMITS: u8 = 5;
+
+/// Commands remembered for the violations they may lead to.
+const MAX_RECORDED_COMMANDS: usize = 4000;
+/// Commands shown with a violation.
+const MAX_COMMANDS_PER_VIOLATION: usize = 6;
+/// Violations of one rule that are described; more are only counted.
+const MAX_VIOLATIONS_PER_RULE: usize = 20;
+
+/// A violated rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
+    /// The rule's number, 1 to 5.
     pub rule: u8,
+    /// When it was noticed.
     pub at: Moment,
-    pub what: String,
-    /// The latest orders that name what it is about.
-    pub orders: Vec<String>,
+    /// What happened.
+    pub description: String,
+    /// The latest commands that name what it is about.
+    pub commands: Vec<String>,
 }
 
-/// Orders remembered, and shown with a violation.
-const REMEMBERED: usize = 4000;
-const SHOWN: usize = 6;
-/// Violations of one rule that are kept; more are counted.
-const KEPT: usize = 20;
+/// What is checked for rule 1: a slice's table at a proxy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TableId {
+    /// The proxy that holds it.
+    pub proxy: ProxyIndex,
+    /// The slice that it routes.
+    pub slice: SliceIndex,
+}
 
+/// The checkers of the rules, and what they have found.
 #[derive(Default)]
 pub struct Rules {
+    /// The described violations, in the order in which they were noticed.
     pub violations: Vec<Violation>,
+    /// By rule number, how often it was violated.
     pub counts: BTreeMap<u8, usize>,
-    orders: VecDeque<(Moment, String)>,
-    /// Of once-only requests, how often each took effect.
-    effects: BTreeMap<u64, u32>,
-    /// Since when a proxy has nothing to pick for a slice.
-    bare: BTreeMap<(usize, usize), Moment>,
+    commands: VecDeque<String>,
+    /// By request that may run once, how often it ran.
+    executions: BTreeMap<u64, u32>,
+    /// Since when a table has had no endpoint to pick.
+    empty_since: BTreeMap<TableId, Moment>,
 }
 
 impl Rules {
-    pub fn ordered(&mut self, now: Moment, orders: impl Iterator<Item = String>) {
-        self.orders.extend(orders.map(|order| (now, order)));
-        while self.orders.len() > REMEMBERED {
-            self.orders.pop_front();
+    /// Remembers commands, to be shown with violations that they lead to.
+    pub fn record_commands<'a>(&mut self, commands: impl Iterator<Item = &'a str>) {
+        self.commands.extend(commands.map(String::from));
+        while self.commands.len() > MAX_RECORDED_COMMANDS {
+            self.commands.pop_front();
         }
     }
 
-    pub fn broken(&mut self, rule: u8, at: Moment, what: String, about: &str) {
+    /// Records a violation; `subject` is the slice or replica that the commands to show have to name.
+    pub fn record_violation(&mut self, rule: u8, at: Moment, description: String, subject: &str) {
         *self.counts.entry(rule).or_default() += 1;
-        if self.counts[&rule] > KEPT {
+        if self.counts[&rule] > MAX_VIOLATIONS_PER_RULE {
             return;
         }
-        let named = self.orders.iter().rev().filter(|(_, order)| order.split(',').any(|part| part == about));
-        let mut orders: Vec<_> = named.take(SHOWN).map(|(_, order)| order.clone()).collect();
-        orders.reverse();
-        self.violations.push(Violation { rule, at, what, orders });
+        let latest_first = self.commands.iter().rev();
+        let naming = latest_first.filter(|command| command.split(',').any(|part| part == subject));
+        let mut commands: Vec<_> = naming.take(MAX_COMMANDS_PER_VIOLATION).cloned().collect();
+        commands.reverse();
+        self.violations.push(Violation { rule, at, description, commands });
     }
 
-    /// Rule 2: an request that may run once has run.
-    pub fn ran(&mut self, now: Moment, request: u64) {
-        let times = self.effects.entry(request).or_default();
-        *times += 1;
-        if *times == 2 {
-            self.broken(2, now, format!("op {request} ran twice"), "");
+    /// Rule 2: records that a request that may run once has run.
+    pub fn record_execution(&mut self, now: Moment, request: u64) {
+        let executions = self.executions.entry(request).or_default();
+        *executions += 1;
+        if *executions == 2 {
+            self.record_violation(AT_MOST_ONCE, now, format!("op {request} ran twice"), "");
         }
     }
 
-    /// An request is over for good.
-    pub fn over(&mut self, request: u64) {
-        self.effects.remove(&request);
+    /// Rule 1: records that a table has endpoints.
+    pub fn record_endpoints(&mut self, table: TableId) {
+        self.empty_since.remove(&table);
     }
 
-    /// Rule 1: a joined proxy has nothing to pick though there is a good replica.
-    pub fn bare(&mut self, now: Moment, proxy: usize, slice: usize, is_bare: bool, patience: Span) {
-        if !is_bare {
-            self.bare.remove(&(proxy, slice));
-            return;
+    /// Rule 1: records that a table is empty, which violates the rule once it has been so for longer than `grace`.
+    pub fn record_empty_table(&mut self, now: Moment, table: TableId, grace: Span) {
+        let since = *self.empty_since.entry(table).or_insert(now);
+        if now - since > grace {
+            self.empty_since.insert(table, now);
+            let TableId { proxy, slice } = table;
+            let seconds = (now - since).seconds();
+            let description = format!("proxy {proxy} has nothing for slice {slice} since {seconds:.1} s");
+            self.record_violation(NO_EMPTY_TABLE, now, description, &slice.to_string());
         }
-        let since = *self.bare.entry((proxy, slice)).or_insert(now);
-        if now - since > patience {
-            self.bare.insert((proxy, slice), now);
-            let what =
-                format!("proxy {proxy} has nothing for slice {slice} since {:.1} s", (now - since).seconds());
-            self.broken(1, now, what, &slice.to_string());
-        }
-    }
-
-    pub fn nobody_bare(&mut self) {
-        self.bare.clear();
     }
 
-    pub fn total(&self) -> usize {
-        self.counts.values().sum()
+    /// Rule 1: forgets which tables are empty, as while there is no healthy replica.
+    pub fn clear_empty_tables(&mut self) {
+        self.empty_since.clear();
     }
 }
--- /dev/null
+++ b/crates/emulator/src/scenario/attempts.rs
@@ -0,0 +1,130 @@
+//! Attempts of requests: routed by a proxy, run by a replica.
+
+use super::event::{RequestOutcome, ScheduledEvent};
+use super::state::{replica_name, ListedState, Scenario, NETWORK_DELAY};
+use crate::config::RetrySafety;
+use crate::policy::{self, Policy};
+use crate::replica::{Admission, Job, ReplicaState, StartedJob};
+use crate::rules::NO_COLD_OVERLOAD;
+use crate::{ProxyIndex, ReplicaIndex, SliceIndex};
+use whinwall_policy::time::Span;
+
+/// The network's delay between zones.
+const CROSS_ZONE_DELAY: Span = Span::ms(4);
+/// The share of failing jobs that run before they fail.
+const FAILED_AFTER_RUNNING_SHARE: f64 = 0.5;
+
+impl Scenario {
+    /// Sends an attempt of a request; `tried` is the replica that the proxy retries after.
+    pub(super) fn send_attempt(&mut self, id: u64, tried: Option<ReplicaIndex>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.attempt += 1;
+        request.replica = None;
+        let (slice, class, proxy) = (request.slice, request.class, request.proxy);
+        let job = Job { request: id, attempt: request.attempt, key: request.key, from: proxy };
+        if tried.is_none() {
+            self.demand_counts.entry((slice, class)).or_default().requests += 1.0;
+        }
+        let is_admitted = tried.is_some()
+            || !self.policy.uses_tables()
+            || self.proxies[proxy].admits(slice, class, &mut self.random);
+        let picked = self.pick_replica(proxy, slice, tried);
+        let Some(replica) = picked.filter(|_| is_admitted) else {
+            return self.finish_request(id, RequestOutcome::Rejected);
+        };
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.replica = Some(replica);
+        }
+        *self.outstanding.entry((proxy, replica)).or_default() += 1;
+        let is_same_zone = proxy % self.config.zones == replica % self.config.zones;
+        let delay = if is_same_zone { NETWORK_DELAY } else { CROSS_ZONE_DELAY };
+        self.after(delay, ScheduledEvent::JobReachesReplica { replica, job });
+        let timeout = ScheduledEvent::RequestTimesOut { request: id, attempt: job.attempt };
+        self.after(self.config.request_timeout, timeout);
+    }
+
+    fn pick_replica(
+        &mut self,
+        proxy: ProxyIndex,
+        slice: SliceIndex,
+        tried: Option<ReplicaIndex>,
+    ) -> Option<ReplicaIndex> {
+        if self.policy.uses_tables() {
+            let target = self.controlled_slice(slice);
+            return self.proxies[proxy].pick(self.now, target, tried, &mut self.random);
+        }
+        let is_listed: Vec<_> = self.listed.iter().map(|state| *state == ListedState::Active).collect();
+        let outstanding = |replica| self.outstanding.get(&(proxy, replica)).copied().unwrap_or(0);
+        policy::pick(self.policy, slice, &is_listed, &self.replicas, &outstanding, &mut self.random)
+    }
+
+    /// An attempt reaches its replica.
+    pub(super) fn handle_job(&mut self, replica: ReplicaIndex, job: Job) {
+        self.check_drain(replica, job.request);
+        let was_cold = self.replicas[replica].is_cold(self.now, &self.config);
+        let load_factor = self.replicas[replica].load_factor(self.now, &self.config);
+        match self.replicas[replica].admit(self.now, job, &self.config, &mut self.random) {
+            Admission::Queued => {}
+            Admission::Running(service_time) => {
+                self.schedule_finish(replica, StartedJob { job, service_time });
+            }
+            Admission::Rejected => self.send_response(replica, job, RequestOutcome::Rejected),
+            Admission::Failed => {
+                if self.random.draw() < FAILED_AFTER_RUNNING_SHARE {
+                    self.record_execution(job);
+                }
+                self.send_response(replica, job, RequestOutcome::Failed);
+            }
+            Admission::Crashed => {
+                if was_cold {
+                    self.record_cold_overload(replica, load_factor);
+                }
+                self.send_response(replica, job, RequestOutcome::Failed);
+                self.schedule_restart(replica);
+            }
+        }
+    }
+
+    /// Rule 4: records that a replica that was warming up has crashed under its load.
+    fn record_cold_overload(&mut self, replica: ReplicaIndex, load_factor: f64) {
+        if self.policy == Policy::Controlled && self.now > self.exempt_until {
+            let name = replica_name(replica);
+            let description = format!("{name} is pushed over at {load_factor:.1} times what it can do");
+            self.rules.record_violation(NO_COLD_OVERLOAD, self.now, description, &name);
+        }
+    }
+
+    pub(super) fn schedule_finish(&mut self, replica: ReplicaIndex, started: StartedJob) {
+        let incarnation = self.replicas[replica].incarnation;
+        let event = ScheduledEvent::JobFinished { replica, incarnation, job: started.job };
+        self.after(started.service_time, event);
+    }
+
+    fn send_response(&mut self, replica: ReplicaIndex, job: Job, outcome: RequestOutcome) {
+        if self.replicas[replica].state != ReplicaState::Silent {
+            self.after(NETWORK_DELAY, ScheduledEvent::ResponseArrives { replica, job, outcome });
+        }
+    }
+
+    /// Rule 2: records that a request has run, also after its proxy timed out: a
+    /// client that retried it would have it run twice.
+    fn record_execution(&mut self, job: Job) {
+        let Some(request) = self.requests.get(&job.request) else { return };
+        if self.config.request_classes[request.class].retry_safety == RetrySafety::AtMostOnce {
+            self.rules.record_execution(self.now, job.request);
+        }
+    }
+
+    /// A replica has run a job, unless its process has ended or hangs by then.
+    pub(super) fn finish_job(&mut self, replica: ReplicaIndex, incarnation: u64, job: Job) {
+        let is_outdated = self.replicas[replica].incarnation != incarnation;
+        if is_outdated || self.replicas[replica].state == ReplicaState::Hung {
+            return;
+        }
+        self.record_execution(job);
+        self.send_response(replica, job, RequestOutcome::Succeeded);
+        if let Some(next) = self.replicas[replica].finish_job(self.now, &self.config, &mut self.random) {
+            self.schedule_finish(replica, next);
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/scenario/rule_checks.rs
@@ -0,0 +1,84 @@
+//! The periodic check for empty tables, and the check of requests to draining replicas.
+
+use super::event::ScheduledEvent;
+use super::run::TABLE_CHECK_INTERVAL;
+use super::state::{replica_name, ListedState, Scenario};
+use crate::policy::Policy;
+use crate::replica::{Replica, ReplicaState};
+use crate::rules::{TableId, DRAIN};
+use crate::{ControllerIndex, ReplicaIndex, SliceIndex};
+use whinwall_policy::time::{Moment, Span};
+
+/// The rules do not bind a controller for this long after its start.
+const CONTROLLER_STARTUP_GRACE: Span = Span::ms(1000);
+/// A replica with a smaller slowdown counts as healthy.
+const HEALTHY_SLOWDOWN: f64 = 2.0;
+
+impl Scenario {
+    /// Rule 1: looks for connected proxies without an endpoint for a slice.
+    pub(super) fn check_empty_tables(&mut self) {
+        self.after(TABLE_CHECK_INTERVAL, ScheduledEvent::CheckEmptyTables);
+        let is_binding = self.policy == Policy::Controlled && self.now >= self.exempt_until;
+        if !is_binding || !self.has_healthy_replica() {
+            return self.rules.clear_empty_tables();
+        }
+        for (index, proxy) in self.proxies.iter().enumerate() {
+            for slice in 0..self.config.slices {
+                let target = self.controlled_slice(slice);
+                let is_running = self.controllers[target.controller].reducer.is_some();
+                let table = TableId { proxy: index, slice };
+                if is_running && proxy.has_stream(target.controller) && proxy.has_no_endpoint(target) {
+                    self.rules.record_empty_table(self.now, table, self.config.empty_table_grace);
+                } else {
+                    self.rules.record_endpoints(table);
+                }
+            }
+        }
+    }
+
+    fn has_healthy_replica(&self) -> bool {
+        let is_healthy = |replica: &Replica| {
+            replica.state == ReplicaState::Up
+                && !replica.is_cold(self.now, &self.config)
+                && replica.error_share == 0.0
+                && replica.slowdown < HEALTHY_SLOWDOWN
+        };
+        let mut replicas = self.replicas.iter().zip(&self.listed);
+        replicas.any(|(replica, listed)| is_healthy(replica) && *listed == ListedState::Active)
+    }
+
+    /// Rule 3: checks a request that reaches a replica.
+    pub(super) fn check_drain(&mut self, replica: ReplicaIndex, request: u64) {
+        let Some(request) = self.requests.get(&request) else { return };
+        let (slice, proxy) = (request.slice, request.proxy);
+        let controller = self.slice_controllers[slice];
+        let Some(since) = self.drain_binds_since(replica, slice, controller, proxy) else { return };
+        let late = self.now - since;
+        let grace = self.config.drain_grace;
+        let is_binding = self.policy == Policy::Controlled && self.now > self.exempt_until + grace;
+        if is_binding && late > grace && self.proxies[proxy].has_stream(controller) {
+            let (name, seconds) = (replica_name(replica), late.seconds());
+            let description = format!(
+                "proxy {proxy} sends to {name} that drains for {seconds:.1} s, slice {slice} of {controller}"
+            );
+            self.rules.record_violation(DRAIN, self.now, description, &name);
+        }
+    }
+
+    /// Since when the slice's controller has known of the drain, run, and had the slice and the proxy; none where
+    /// it knows of no drain.
+    fn drain_binds_since(
+        &self,
+        replica: ReplicaIndex,
+        slice: SliceIndex,
+        controller_index: ControllerIndex,
+        proxy: usize,
+    ) -> Option<Moment> {
+        let controller = &self.controllers[controller_index];
+        let draining_since = *controller.draining_since.get(&replica)?;
+        let connected_since = self.proxies[proxy].connected_since.get(&controller_index).copied();
+        let running_since = controller.started_at + CONTROLLER_STARTUP_GRACE;
+        let since = draining_since.max(running_since).max(self.reassigned_at[slice]);
+        Some(since.max(connected_since.unwrap_or_default()))
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/scenario/start_faults.rs
@@ -0,0 +1,172 @@
+//! Faults start: replicas, zones, controllers, relay, discovery and proxies are changed accordingly.
+
+use super::event::{ReleaseStage, ScheduledEvent};
+use super::state::{replica_name, ListedState, Scenario};
+use crate::fault::{Fault, FaultKind};
+use crate::replica::ReplicaState;
+use crate::{ControllerIndex, ReplicaIndex, ZoneIndex};
+use whinwall_management_api::messages::Request;
+use whinwall_overrides::{ChangeRequest, NewOverride, OverrideKind};
+use whinwall_policy::time::Span;
+use whinwall_routing::Event;
+use whinwall_transport::StreamError;
+
+/// How long after a fault that cuts off a controller, the relay or discovery rules do not bind yet.
+const RECOVERY_PERIOD: Span = Span::ms(8000);
+/// Of replicas that are replaced, half drain this much after the others.
+const SECOND_BATCH_DELAY: Span = Span::ms(3000);
+/// From the end of a controller until another one is responsible for its slices.
+const SLICE_TAKEOVER_DELAY: Span = Span::ms(1500);
+
+/// Whether the rules can't be expected to hold while a fault lasts.
+fn is_exempt(kind: &FaultKind) -> bool {
+    matches!(
+        kind,
+        FaultKind::WrongList { .. }
+            | FaultKind::ZonePartitioned { .. }
+            | FaultKind::RelayUnreachable
+            | FaultKind::RelayUnresponsive
+            | FaultKind::DiscoveryUnreachable
+            | FaultKind::SlowChannel { .. }
+    )
+}
+
+impl Scenario {
+    /// Rules do not bind before so long a time has passed.
+    fn extend_exemption(&mut self, duration: Span) {
+        self.exempt_until = self.exempt_until.max(self.now + duration);
+    }
+
+    /// Starts the fault at this position.
+    pub(super) fn start_fault(&mut self, position: usize) {
+        let Fault { duration, kind, .. } = self.faults[position].clone();
+        let subject = self.timeline_subject.clone().unwrap_or_default();
+        self.record_in_timeline(&subject, || format!("trouble begins: {kind:?}"));
+        if is_exempt(&kind) {
+            self.extend_exemption(duration + RECOVERY_PERIOD);
+        }
+        match kind {
+            FaultKind::ZoneLost { zone } => self.lose_zone(zone),
+            FaultKind::ListAnomaly { anomaly } => self.list_anomaly = Some(anomaly),
+            FaultKind::WrongList { from, to } => self.set_listed_states(from..to, ListedState::Removed),
+            FaultKind::HotSlice { slice, factor } => self.demand_weights[slice] *= factor,
+            FaultKind::Burst { factor } => self.demand_factor = factor,
+            FaultKind::ZonePartitioned { zone } => self.partition_zone(zone),
+            FaultKind::RelayUnreachable => self.cut_off_relay(),
+            FaultKind::RelayUnresponsive => self.is_relay_unresponsive = true,
+            FaultKind::DiscoveryUnreachable => self.cut_off_discovery(),
+            FaultKind::ControllerKilled { controller } => self.kill_one_controller(controller, duration),
+            FaultKind::ControllersKilled { controllers } => self.kill_controllers(controllers),
+            FaultKind::SlowChannel { rate_factor } => self.set_channel_rate_factor(rate_factor),
+            FaultKind::ProxiesDisconnected { proxies } => {
+                (0..proxies).for_each(|proxy| self.disconnect_proxy(proxy));
+            }
+            FaultKind::SlicesReassigned { from, to } => {
+                for slice in from..to {
+                    let next = (self.slice_controllers[slice] + 1) % self.controllers.len();
+                    self.reassign_slice(slice, next);
+                }
+            }
+            FaultKind::GarbledRelay { share } => self.garbled_share = share,
+            FaultKind::OutOfService { replica } => self.take_out_of_service(replica, position, duration),
+            replica_fault => self.start_replica_fault(&replica_fault),
+        }
+    }
+
+    fn start_replica_fault(&mut self, kind: &FaultKind) {
+        match *kind {
+            FaultKind::Crash { replica } => {
+                self.replicas[replica].crash();
+                self.set_listed_state(replica, ListedState::Removed);
+            }
+            FaultKind::Hang { replica } => self.replicas[replica].state = ReplicaState::Hung,
+            FaultKind::Silence { replica } => self.replicas[replica].state = ReplicaState::Silent,
+            FaultKind::Slow { replica, factor } => self.replicas[replica].slowdown = factor,
+            FaultKind::FastErrors { replica, share } => self.replicas[replica].error_share = share,
+            FaultKind::Drain { replica } => self.set_listed_state(replica, ListedState::Draining),
+            FaultKind::RollingRelease { from, to } => self.advance_release(from, to, ReleaseStage::Drain),
+            FaultKind::BatchReplacement { from, to } => {
+                for replica in from..to {
+                    let delay = SECOND_BATCH_DELAY.times(((replica - from) % 2) as f64);
+                    let (to, stage) = (replica + 1, ReleaseStage::Drain);
+                    self.after(delay, ScheduledEvent::ReleaseReplica { replica, to, stage });
+                }
+            }
+            _ => {}
+        }
+    }
+
+    pub(super) fn zone_replicas(&self, zone: ZoneIndex) -> impl Iterator<Item = ReplicaIndex> + use<> {
+        (zone..self.replicas.len()).step_by(self.config.zones)
+    }
+
+    fn lose_zone(&mut self, zone: ZoneIndex) {
+        for replica in self.zone_replicas(zone) {
+            self.replicas[replica].crash();
+        }
+        self.set_listed_states(self.zone_replicas(zone), ListedState::Removed);
+    }
+
+    fn partition_zone(&mut self, zone: ZoneIndex) {
+        for replica in self.zone_replicas(zone) {
+            self.replicas[replica].state = ReplicaState::Silent;
+        }
+        for proxy in (zone..self.proxies.len()).step_by(self.config.zones) {
+            self.disconnect_proxy(proxy);
+        }
+    }
+
+    fn cut_off_relay(&mut self) {
+        self.is_relay_unreachable = true;
+        for controller in 0..self.controllers.len() {
+            self.controllers[controller].is_watching = false;
+            self.deliver_event(controller, Event::WatchLost(StreamError::TimedOut));
+        }
+    }
+
+    fn cut_off_discovery(&mut self) {
+        self.is_discovery_unreachable = true;
+        for controller in 0..self.controllers.len() {
+            self.deliver_event(controller, Event::RegistryLost(StreamError::TimedOut));
+        }
+    }
+
+    /// A controller that is a program of its own is not killed.
+    fn kill_one_controller(&mut self, controller: ControllerIndex, duration: Span) {
+        if self.controllers[controller].connection.is_none() {
+            self.extend_exemption(duration + RECOVERY_PERIOD);
+            self.kill_controller(controller);
+        }
+    }
+
+    fn kill_controllers(&mut self, count: usize) {
+        for controller in self.restartable_controllers(count) {
+            self.kill_controller(controller);
+            for proxy in &mut self.proxies {
+                proxy.disconnected_from.insert(controller);
+            }
+            self.after(SLICE_TAKEOVER_DELAY, ScheduledEvent::TakeOverSlices(controller));
+        }
+    }
+
+    pub(super) fn set_channel_rate_factor(&mut self, rate_factor: f64) {
+        for controller in &mut self.controllers {
+            controller.channel.rate_factor = rate_factor;
+        }
+    }
+
+    /// Sets an operator's override at each controller.
+    fn take_out_of_service(&mut self, replica: ReplicaIndex, fault: usize, duration: Span) {
+        let new_override = NewOverride {
+            id: format!("t{fault}"),
+            kind: OverrideKind::Out { replica: replica_name(replica) },
+            author: "day".to_string(),
+            reason: "trouble".to_string(),
+            duration,
+        };
+        for controller in 0..self.controllers.len() {
+            let request = Request::Change(ChangeRequest::Set(new_override.clone()));
+            self.deliver_event(controller, Event::ManagementRequest { ticket: 0, request });
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/tests/scenarios.rs
@@ -0,0 +1,370 @@
+//! Scenarios of the emulator: deterministic for a seed, without violations whatever faults the real controllers
+//! meet, and each checker notices where its rule is violated on purpose.
+
+use whinwall_emulator::config::ScenarioConfig;
+use whinwall_emulator::fault::{Fault, FaultKind, ListAnomaly};
+use whinwall_emulator::policy::Policy;
+use whinwall_emulator::random_faults::random_faults;
+use whinwall_emulator::scenario::{play, play_with_interceptor, Outcome};
+use whinwall_policy::time::Span;
+
+fn short() -> ScenarioConfig {
+    ScenarioConfig { duration: Span::ms(40_000), ..ScenarioConfig::small() }
+}
+
+fn play_controlled(faults: &[Fault], seed: u64) -> Outcome {
+    let outcome = play(&short(), Policy::Controlled, faults, seed);
+    assert!(outcome.violation_counts.is_empty(), "{faults:?} seed {seed}: {:?}", outcome.violations);
+    outcome
+}
+
+#[test]
+fn every_policy_serves_a_scenario_without_faults() {
+    assert!(play_controlled(&[], 1).service_level > 0.99);
+    for policy in [Policy::StaticTables, Policy::Hashing, Policy::TwoChoices, Policy::LeastLoaded] {
+        assert!(play(&short(), policy, &[], 1).service_level > 0.9, "{policy:?}");
+    }
+}
+
+#[test]
+fn same_seed_gives_same_outcome() {
+    let faults = random_faults(5, 3, &short());
+    let (first, repeated) = (play_controlled(&faults, 5), play_controlled(&faults, 5));
+    assert_eq!(first, repeated);
+    assert_ne!(first, play_controlled(&faults, 6));
+}
+
+/// Each fault alone, in the middle of a scenario. Faults of replicas and zones cost less than with static tables,
+/// and those of controllers next to nothing.
+#[test]
+fn each_fault_alone_violates_no_rule_and_is_mitigated() {
+    let replica = 3;
+    let replica_faults = [
+        FaultKind::Crash { replica },
+        FaultKind::Hang { replica },
+        FaultKind::Silence { replica },
+        FaultKind::Slow { replica, factor: 6.0 },
+        FaultKind::FastErrors { replica, share: 0.8 },
+        FaultKind::Drain { replica },
+        FaultKind::RollingRelease { from: 0, to: 4 },
+        FaultKind::HotSlice { slice: 7, factor: 20.0 },
+        FaultKind::ZonePartitioned { zone: 1 },
+    ];
+    for kind in replica_faults {
+        let faults = [Fault::new(12_000, 12_000, kind.clone())];
+        let (outcome, static_tables) =
+            (play_controlled(&faults, 3), play(&short(), Policy::StaticTables, &faults, 3));
+        assert!(
+            outcome.service_level > static_tables.service_level - 0.01,
+            "{kind:?}: {} against {}",
+            outcome.service_level,
+            static_tables.service_level
+        );
+        assert!(outcome.service_level > 0.9, "{kind:?}: {}", outcome.service_level);
+    }
+    let other_faults = [
+        FaultKind::WrongList { from: 0, to: 4 },
+        FaultKind::RelayUnreachable,
+        FaultKind::RelayUnresponsive,
+        FaultKind::DiscoveryUnreachable,
+        FaultKind::ControllerKilled { controller: 0 },
+        FaultKind::SlowChannel { rate_factor: 0.05 },
+        FaultKind::ProxiesDisconnected { proxies: 10 },
+        FaultKind::OutOfService { replica },
+        FaultKind::Burst { factor: 1.5 },
+        FaultKind::GarbledRelay { share: 0.4 },
+    ];
+    for kind in other_faults {
+        let outcome = play_controlled(&[Fault::new(12_000, 12_000, kind.clone())], 3);
+        assert!(outcome.service_level > 0.97, "{kind:?}: {}", outcome.service_level);
+    }
+}
+
+/// Slices are reassigned between controllers, while replicas drain and responses are garbled.
+#[test]
+fn reassigned_slices_lose_no_requests() {
+    let config = ScenarioConfig { controllers: 3, ..short() };
+    let faults = [
+        Fault::new(8000, 6000, FaultKind::SlicesReassigned { from: 0, to: 30 }),
+        Fault::new(9000, 15_000, FaultKind::Drain { replica: 3 }),
+        Fault::new(10_000, 10_000, FaultKind::GarbledRelay { share: 0.3 }),
+        Fault::new(18_000, 3000, FaultKind::SlicesReassigned { from: 20, to: 60 }),
+    ];
+    let outcome = play(&config, Policy::Controlled, &faults, 4);
+    assert!(
+        outcome.violation_counts.is_empty() && outcome.service_level > 0.98,
+        "{} {:?}",
+        outcome.service_level,
+        outcome.violations
+    );
+}
+
+/// The shape of the operators' fleet scenarios: most controllers are killed at once during a rolling release, and
+/// proxies reconnect before slices are returned.
+fn controllers_killed_during_release(seed: u64) -> (ScenarioConfig, Vec<Fault>) {
+    let config = ScenarioConfig {
+        controllers: 5,
+        replicas: 60,
+        slices: 300,
+        proxies: 90,
+        duration: Span::ms(40_000),
+        load: 0.25,
+        lines_per_second: 9000.0,
+        max_queued_lines: 13_500.0,
+        drain_grace: Span::ms(2400),
+        ..ScenarioConfig::small()
+    };
+    let release = |first: usize, begins: u64| {
+        (first..first + 9).map(move |replica| Fault::new(begins, 12_000, FaultKind::Drain { replica }))
+    };
+    let mut faults =
+        vec![Fault::new(12_000 + seed * 300, 3000, FaultKind::ControllersKilled { controllers: 4 })];
+    faults.extend(release(0, 11_000).chain(release(10, 14_000)).chain(release(25, 17_500)));
+    faults.extend(release(50, 18_800));
+    // They reconnect one by one, from 17 s on.
+    faults.extend((1..40).map(|n| {
+        Fault::new(14_000, 3000 + n as u64 * 100, FaultKind::ProxiesDisconnected { proxies: n * 2 })
+    }));
+    faults.push(Fault::new(16_000, 8000, FaultKind::GarbledRelay { share: 0.1 }));
+    (config, faults)
+}
+
+#[test]
+fn killing_most_controllers_during_a_release_violates_no_rule() {
+    for seed in [1, 5, 7] {
+        let (config, faults) = controllers_killed_during_release(seed);
+        let outcome = play(&config, Policy::Controlled, &faults, seed);
+        assert!(
+            outcome.violation_counts.is_empty(),
+            "seed {seed}: {:?} {:?}",
+            outcome.violation_counts,
+            outcome.violations.first()
+        );
+        assert!(outcome.requests > 0 && outcome.service_level > 0.5, "{}", outcome.service_level);
+    }
+}
+
+/// The shapes of the operators' large scenarios, for controllers that know nothing of each other: a release while
+/// discovery delivers its list anomalously; a zone that is lost and restarted cold; six replicas in ten replaced
+/// within seconds, some of them outliers.
+#[test]
+fn large_scenarios_of_several_controllers_violate_no_rule() {
+    let config =
+        ScenarioConfig { controllers: 5, replicas: 40, slices: 200, proxies: 60, load: 0.25, ..short() };
+    let release = Fault::new(12_000, 12_000, FaultKind::RollingRelease { from: 0, to: 20 });
+    let list_anomaly =
+        |anomaly| vec![release.clone(), Fault::new(10_000, 16_000, FaultKind::ListAnomaly { anomaly })];
+    let zone = Fault::new(12_000, 5000, FaultKind::ZoneLost { zone: 1 });
+    let bad = Fault::new(11_000, 15_000, FaultKind::FastErrors { replica: 30, share: 0.8 });
+    let slow = Fault::new(11_000, 15_000, FaultKind::Slow { replica: 31, factor: 6.0 });
+    let scenarios = [
+        list_anomaly(ListAnomaly::Delayed(Span::ms(1500))),
+        list_anomaly(ListAnomaly::Repeated),
+        list_anomaly(ListAnomaly::Reverted),
+        list_anomaly(ListAnomaly::Partial(3)),
+        vec![zone, slow.clone()],
+        vec![Fault::new(12_000, 10_000, FaultKind::BatchReplacement { from: 0, to: 24 }), bad, slow],
+    ];
+    for (seed, faults) in (1..).zip(&scenarios) {
+        let outcome = play(&config, Policy::Controlled, faults, seed);
+        assert!(
+            outcome.violation_counts.is_empty(),
+            "{faults:?}: {:?} {:?}",
+            outcome.violation_counts,
+            outcome.violations.first()
+        );
+        assert!(outcome.service_level > 0.85, "{faults:?}: {}", outcome.service_level);
+    }
+}
+
+/// Found by a search over 1,000 random scenarios: the controller that is killed had withdrawn what the list dropped,
+/// and is notified of those replicas again only after the proxies have reconnected.
+#[test]
+fn replicas_withdrawn_by_a_former_incarnation_for_a_wrong_list_are_reinstated() {
+    let config =
+        ScenarioConfig { controllers: 5, replicas: 40, slices: 200, proxies: 60, load: 0.3, ..short() };
+    let faults = [
+        Fault::new(14_003, 6251, FaultKind::ControllerKilled { controller: 1 }),
+        Fault::new(13_835, 1650, FaultKind::WrongList { from: 21, to: 40 }),
+    ];
+    let outcome = play(&config, Policy::Controlled, &faults, 443);
+    assert!(
+        outcome.violation_counts.is_empty(),
+        "{:?} {:?}",
+        outcome.violation_counts,
+        outcome.violations.first()
+    );
+}
+
+/// Replicas that accept connections of a third of the proxies at a time: rejected attempts are retried elsewhere.
+#[test]
+fn requests_are_retried_where_connections_are_limited() {
+    let limited =
+        ScenarioConfig { max_connections: 10, idle_connection_timeout: Span::ms(200), load: 0.2, ..short() };
+    let outcome =
+        play(&limited, Policy::Controlled, &[Fault::new(12_000, 12_000, FaultKind::Drain { replica: 3 })], 4);
+    let plenty = play(&ScenarioConfig { max_connections: 1000, ..limited }, Policy::Controlled, &[], 4);
+    assert!(outcome.violation_counts.is_empty(), "{:?}", outcome.violations);
+    assert!(
+        outcome.service_level > 0.5 && outcome.service_level < plenty.service_level,
+        "{} against {}",
+        outcome.service_level,
+        plenty.service_level
+    );
+}
+
+#[test]
+fn random_faults_together_violate_no_rule() {
+    for seed in 0..8u64 {
+        let config = ScenarioConfig {
+            controllers: 1 + (seed % 3) as usize,
+            load: 0.3 + 0.1 * (seed % 4) as f64,
+            ..short()
+        };
+        let faults = random_faults(seed, 3, &config);
+        let outcome = play(&config, Policy::Controlled, &faults, seed);
+        assert!(outcome.violation_counts.is_empty(), "seed {seed}, {faults:?}: {:?}", outcome.violations);
+    }
+}
+
+#[test]
+fn replica_out_of_service_is_withdrawn_and_reinstated() {
+    let outs = [Fault::new(10_000, 10_000, FaultKind::OutOfService { replica: 3 })];
+    let (outcome, calm) = (play_controlled(&outs, 2), play_controlled(&[], 2));
+    assert!(outcome.commands > calm.commands + 8, "{} against {}", outcome.commands, calm.commands);
+    assert!(outcome.service_level > 0.98);
+}
+
+fn assert_violation(
+    rule: u8,
+    config: &ScenarioConfig,
+    faults: &[Fault],
+    interceptor: fn(&str) -> Vec<String>,
+) {
+    let outcome = play_with_interceptor(config, faults, 3, interceptor);
+    assert!(
+        outcome.violation_counts.contains_key(&rule),
+        "rule {rule} is violated and its checker does not notice: {:?}",
+        outcome.violation_counts
+    );
+    let violation_found = outcome.violations.iter().find(|violation| violation.rule == rule).unwrap();
+    assert!(!violation_found.description.is_empty() && violation_found.at > Default::default());
+}
+
+/// New endpoints do not arrive, former ones are removed: proxies have nothing to pick.
+#[test]
+fn empty_tables_are_noticed() {
+    let faults = [Fault::new(12_000, 20_000, FaultKind::Drain { replica: 3 })];
+    assert_violation(1, &short(), &faults, |command| match command.split(',').collect::<Vec<_>>()[..] {
+        ["SET", _, _, weight] if weight != "0" => vec![],
+        _ => vec![command.into()],
+    });
+}
+
+/// All proxies are commanded to retry without proof that the first attempt did not run.
+#[test]
+fn requests_that_run_twice_are_noticed() {
+    let faults = [Fault::new(12_000, 20_000, FaultKind::FastErrors { replica: 3, share: 0.5 })];
+    assert_violation(2, &short(), &faults, |command| match command.split(',').collect::<Vec<_>>()[..] {
+        ["LIMIT", slice, kinds, share, _] => vec![format!("LIMIT,{slice},{kinds},{share},3")],
+        _ => vec![command.into()],
+    });
+}
+
+/// No replica is withdrawn and no endpoint removed.
+#[test]
+fn requests_to_draining_replicas_are_noticed() {
+    let faults = [Fault::new(12_000, 20_000, FaultKind::Drain { replica: 3 })];
+    assert_violation(3, &short(), &faults, |command| match command.split(',').collect::<Vec<_>>()[..] {
+        ["SET", _, _, "0"] | ["OUT", _] => vec![],
+        _ => vec![command.into()],
+    });
+}
+
+/// All commands name one replica, which is cold.
+#[test]
+fn overloaded_cold_replicas_are_noticed() {
+    let faults = [
+        Fault::new(10_000, 3000, FaultKind::Crash { replica: 3 }),
+        Fault::new(14_000, 20_000, FaultKind::RollingRelease { from: 4, to: 9 }),
+    ];
+    let config = ScenarioConfig { load: 0.9, ..short() };
+    assert_violation(4, &config, &faults, |command| match command.split(',').collect::<Vec<_>>()[..] {
+        ["SET", slice, replica, "0"] if replica != "s-3" => {
+            vec![format!("SET,{slice},s-3,1"), command.into()]
+        }
+        ["SET", slice, _, "1"] => vec![format!("SET,{slice},s-3,1")],
+        ["SET", _, "s-3", "0"] | ["OUT", "s-3"] => vec![],
+        _ => vec![command.into()],
+    });
+}
+
+/// Each command is sent a thousand times.
+#[test]
+fn overlong_channel_queues_are_noticed() {
+    let faults = [Fault::new(12_000, 20_000, FaultKind::Drain { replica: 3 })];
+    assert_violation(5, &short(), &faults, |command| {
+        vec![command.to_string(); if command.starts_with("SYNC") { 1 } else { 1000 }]
+    });
+}
+
+/// A replica with one core, its service time uniform between half and one and a half times its mean: Pollaczek and
+/// Khinchine say how long a request waits. With two cores, how much of the time they are busy.
+#[test]
+fn queueing_agrees_with_closed_forms() {
+    use std::collections::BTreeMap;
+    use whinwall_emulator::replica::{Admission, Job, Replica, StartedJob};
+    use whinwall_policy::random::Random;
+    use whinwall_policy::time::Moment;
+    let run = |cores: usize, load: f64| {
+        let config = ScenarioConfig {
+            cores,
+            queue_capacity: usize::MAX,
+            uncached_factor: 1.0,
+            ..ScenarioConfig::small()
+        };
+        let (mut replica, mut random) = (Replica::default(), Random::from_seed(11));
+        let (mut now, mut next) = (Moment::at_ns(1 << 60), Moment::at_ns(1 << 60));
+        let started = now;
+        let mut finishes: BTreeMap<(Moment, u64), ()> = BTreeMap::new();
+        let mut queued_at: BTreeMap<u64, Moment> = BTreeMap::new();
+        let (mut waited, mut served, mut busy) = (0.0, 0u64, 0.0);
+        for request in 0..200_000u64 {
+            let pause = -(1.0 - random.draw()).ln() / (config.capacity() * load);
+            next = next + Span::ns((pause * 1e9) as u64);
+            while let Some(((at, _), ())) =
+                finishes.first_key_value().filter(|((at, _), ())| *at <= next).map(|(k, ())| (*k, ()))
+            {
+                finishes.pop_first();
+                now = at;
+                if let Some(StartedJob { job, service_time }) = replica.finish_job(now, &config, &mut random)
+                {
+                    waited += (now - queued_at.remove(&job.request).unwrap()).seconds();
+                    (served, busy) = (served + 1, busy + service_time.seconds());
+                    finishes.insert((now + service_time, job.request), ());
+                }
+            }
+            now = next;
+            let job = Job { request, attempt: 1, key: 1, from: 0 };
+            match replica.admit(now, job, &config, &mut random) {
+                Admission::Running(service_time) => {
+                    (served, busy) = (served + 1, busy + service_time.seconds());
+                    finishes.insert((now + service_time, request), ());
+                }
+                Admission::Queued => _ = queued_at.insert(request, now),
+                other => panic!("{other:?}"),
+            }
+        }
+        (waited / served as f64, busy / (now - started).seconds() / cores as f64)
+    };
+    for load in [0.3, 0.6, 0.8] {
+        let (waits, used) = run(1, load);
+        let service = ScenarioConfig::small().service_time.seconds();
+        let square = service * service * (1.0 + 1.0 / 12.0);
+        let expected = load / service * square / (2.0 * (1.0 - load));
+        assert!((waits / expected - 1.0).abs() < 0.05, "at {load}: {waits} against {expected}");
+        assert!((used - load).abs() < 0.01, "{used} of the time at {load}");
+        let (less, used) = run(2, load);
+        assert!(less < waits && (used - load).abs() < 0.01, "two cores: {less}, {used}");
+    }
+}
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -2,9 +2,10 @@
 //! XML by the same elements that know their place as the operators' file; written again by `search`.
 
 use std::fmt::Write;
+use whinwall_emulator::config::ScenarioConfig;
+use whinwall_emulator::fault::{Fault, FaultKind, ListAnomaly};
 use whinwall_emulator::policy::Policy;
-use whinwall_emulator::sizes::Sizes;
-use whinwall_emulator::trouble::{drawn, Odd, Trouble, What};
+use whinwall_emulator::random_faults::random_faults;
 use whinwall_operator_config::xml::{self, Element};
 use whinwall_operator_config::ConfigError;
 use whinwall_overrides::text;
@@ -17,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Experiment {
     pub name: String,
-    pub sizes: Sizes,
+    pub sizes: ScenarioConfig,
     pub large: bool,
     pub seeds: Vec<u64>,
     pub ways: Vec<Policy>,
@@ -35,7 +36,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Troubles {
-    Given(Vec<Trouble>),
+    Given(Vec<Fault>),
     /// So many, drawn anew for each seed.
     Drawn(usize),
 }
@@ -55,13 +56,13 @@
     pub value: f64,
     pub way: Policy,
     pub seed: u64,
-    pub sizes: Sizes,
-    pub troubles: Vec<Trouble>,
+    pub sizes: ScenarioConfig,
+    pub troubles: Vec<Fault>,
 }
 
 pub const WAYS: [(&str, Policy); 5] = [
-    ("governed", Policy::Governed),
-    ("hands-off", Policy::HandsOff),
+    ("governed", Policy::Controlled),
+    ("hands-off", Policy::StaticTables),
     ("hashing", Policy::Hashing),
     ("two-choices", Policy::TwoChoices),
     ("least-loaded", Policy::LeastLoaded),
@@ -106,7 +107,7 @@
         (!text.is_empty() && letters(text)).then(|| text.to_string()).ok_or("letters, digits and dashes only")
     })?;
     let (sizes, large) =
-        root.optional_child("world")?.map(world).transpose()?.unwrap_or((Sizes::small(), false));
+        root.optional_child("world")?.map(world).transpose()?.unwrap_or((ScenarioConfig::small(), false));
     let seeds = root.optional_child("seeds")?.map(seeds).transpose()?.unwrap_or_else(|| (1..=5).collect());
     let (varied, values) = match root.optional_child("vary")? {
         None => (None, vec![0.0]),
@@ -127,7 +128,7 @@
         ways.push(way.required("policy", |text| named(text, &WAYS))?);
     }
     if ways.is_empty() {
-        ways.push(Policy::Governed);
+        ways.push(Policy::Controlled);
     }
     let mut cases = Vec::new();
     for element in of("case") {
@@ -147,13 +148,13 @@
     Ok(Experiment { name, sizes, large, seeds, ways, cases, varied, values })
 }
 
-fn world(world: &Element) -> Result<(Sizes, bool), ConfigError> {
+fn world(world: &Element) -> Result<(ScenarioConfig, bool), ConfigError> {
     world.allow_only(&["size", "governors", "load", "lasts", "servers", "slices", "proxies"], &[])?;
     let large = world.required("size", |text| named(text, &[("small", false), ("large", true)]))?;
-    let mut sizes = if large { Sizes::large() } else { Sizes::small() };
+    let mut sizes = if large { ScenarioConfig::large() } else { ScenarioConfig::small() };
     sizes.controllers = world.optional("governors", number)?.unwrap_or(sizes.controllers);
     sizes.load = world.optional("load", share)?.unwrap_or(sizes.load);
-    sizes.lasts = world.optional("lasts", text::parse_duration)?.unwrap_or(sizes.lasts);
+    sizes.duration = world.optional("lasts", text::parse_duration)?.unwrap_or(sizes.duration);
     sizes.replicas = world.optional("servers", number)?.unwrap_or(sizes.replicas);
     sizes.slices = world.optional("slices", number)?.unwrap_or(sizes.slices);
     sizes.proxies = world.optional("proxies", number)?.unwrap_or(sizes.proxies);
@@ -173,7 +174,7 @@
     Ok((from..=to).collect())
 }
 
-fn case(case: &Element, sizes: &Sizes) -> Result<Case, ConfigError> {
+fn case(case: &Element, sizes: &ScenarioConfig) -> Result<Case, ConfigError> {
     case.allow_only(&["name", "drawn"], &["trouble"])?;
     let name = case.required("name", |text| Ok::<_, std::convert::Infallible>(text.to_string()))?;
     if let Some(many) = case.optional("drawn", number)? {
@@ -217,7 +218,7 @@
     ("out-of-service", &["server"]),
 ];
 
-fn trouble(one: &Element, sizes: &Sizes) -> Result<Trouble, ConfigError> {
+fn trouble(one: &Element, sizes: &ScenarioConfig) -> Result<Fault, ConfigError> {
     let own = one.required("kind", |text| named(text, &KINDS))?;
     one.allow_only(&[&["kind", "begins", "lasts"], own].concat(), &[])?;
     let below = |name, most: usize| {
@@ -235,54 +236,59 @@
         Ok((from, to))
     };
     let figure = |name| one.required(name, share);
-    let what = match one.attribute("kind").unwrap_or_default() {
-        "crash" => What::Crash { replica: replica()? },
-        "hang" => What::Hang { replica: replica()? },
-        "silence" => What::Silence { replica: replica()? },
-        "slow" => What::Slow { replica: replica()?, factor: figure("factor")? },
-        "fast-errors" => What::FastErrors { replica: replica()?, share: figure("share")? },
-        "drain" => What::Drain { replica: replica()? },
+    let kind = match one.attribute("kind").unwrap_or_default() {
+        "crash" => FaultKind::Crash { replica: replica()? },
+        "hang" => FaultKind::Hang { replica: replica()? },
+        "silence" => FaultKind::Silence { replica: replica()? },
+        "slow" => FaultKind::Slow { replica: replica()?, factor: figure("factor")? },
+        "fast-errors" => FaultKind::FastErrors { replica: replica()?, share: figure("share")? },
+        "drain" => FaultKind::Drain { replica: replica()? },
         "release" => {
             let (from, to) = range(sizes.replicas)?;
-            What::Release { from, to }
+            FaultKind::RollingRelease { from, to }
         }
         "replaced" => {
             let (from, to) = range(sizes.replicas)?;
-            What::Replaced { from, to }
+            FaultKind::BatchReplacement { from, to }
         }
-        "place-lost" => What::ZoneLost { zone: below("place", sizes.zones)? },
-        "list-late" => What::OddList { how: Odd::Late(one.required("by", millis)?) },
-        "list-again" => What::OddList { how: Odd::Again },
-        "list-back" => What::OddList { how: Odd::Back },
+        "place-lost" => FaultKind::ZoneLost { zone: below("place", sizes.zones)? },
+        "list-late" => FaultKind::ListAnomaly { anomaly: ListAnomaly::Delayed(one.required("by", millis)?) },
+        "list-again" => FaultKind::ListAnomaly { anomaly: ListAnomaly::Repeated },
+        "list-back" => FaultKind::ListAnomaly { anomaly: ListAnomaly::Reverted },
         "list-lossy" => {
             let each = below("each", sizes.replicas)?;
             if each < 2 {
                 return Err(one.error("each: a list without any server tells nothing; 2 or more"));
             }
-            What::OddList { how: Odd::Lossy(each) }
+            FaultKind::ListAnomaly { anomaly: ListAnomaly::Partial(each) }
         }
         "wrong-list" => {
             let (from, to) = range(sizes.replicas)?;
-            What::WrongList { from, to }
+            FaultKind::WrongList { from, to }
         }
         "hand-over" => {
             let (from, to) = range(sizes.slices)?;
-            What::HandOver { from, to }
+            FaultKind::SlicesReassigned { from, to }
         }
-        "garbled" => What::Garbled { share: figure("share")? },
-        "hot-slice" => What::HotSlice { slice: below("slice", sizes.slices)?, factor: figure("factor")? },
-        "burst" => What::Burst { factor: figure("factor")? },
-        "place-cut" => What::ZoneCut { zone: below("place", sizes.zones)? },
-        "relay-away" => What::RelayAway,
-        "relay-mute" => What::RelayMute,
-        "discovery-away" => What::DiscoveryAway,
-        "governor-killed" => What::ControllerKilled { controller: below("governor", sizes.controllers)? },
-        "herd" => What::Herd { controllers: below("governors", sizes.controllers)? },
-        "slow-channel" => What::SlowChannel { part: figure("share")? },
-        "proxies-leave" => What::ProxiesLeave { many: below("many", sizes.proxies + 1)? },
-        _ => What::OutOfService { replica: replica()? },
+        "garbled" => FaultKind::GarbledRelay { share: figure("share")? },
+        "hot-slice" => {
+            FaultKind::HotSlice { slice: below("slice", sizes.slices)?, factor: figure("factor")? }
+        }
+        "burst" => FaultKind::Burst { factor: figure("factor")? },
+        "place-cut" => FaultKind::ZonePartitioned { zone: below("place", sizes.zones)? },
+        "relay-away" => FaultKind::RelayUnreachable,
+        "relay-mute" => FaultKind::RelayUnresponsive,
+        "discovery-away" => FaultKind::DiscoveryUnreachable,
+        "governor-killed" => {
+            FaultKind::ControllerKilled { controller: below("governor", sizes.controllers)? }
+        }
+        "herd" => FaultKind::ControllersKilled { controllers: below("governors", sizes.controllers)? },
+        "slow-channel" => FaultKind::SlowChannel { rate_factor: figure("share")? },
+        "proxies-leave" => FaultKind::ProxiesDisconnected { proxies: below("many", sizes.proxies + 1)? },
+        _ => FaultKind::OutOfService { replica: replica()? },
     };
-    Ok(Trouble { begins: one.required("begins", millis)?, lasts: one.required("lasts", millis)?, what })
+    let starts_after = one.required("begins", millis)?;
+    Ok(Fault { starts_after, duration: one.required("lasts", millis)?, kind })
 }
 
 /// A span in seconds with a fraction, as days need: `12.5s`, or as people write spans.
@@ -294,45 +300,47 @@
     }
 }
 
-fn write_trouble(text: &mut String, Trouble { begins, lasts, what }: &Trouble) {
-    let attributes = match what {
-        What::Crash { replica } => format!("kind=\"crash\" server=\"{replica}\""),
-        What::Hang { replica } => format!("kind=\"hang\" server=\"{replica}\""),
-        What::Silence { replica } => format!("kind=\"silence\" server=\"{replica}\""),
-        What::Slow { replica, factor } => format!("kind=\"slow\" server=\"{replica}\" factor=\"{factor}\""),
-        What::FastErrors { replica, share } => {
+fn write_trouble(text: &mut String, Fault { starts_after, duration, kind }: &Fault) {
+    let attributes = match kind {
+        FaultKind::Crash { replica } => format!("kind=\"crash\" server=\"{replica}\""),
+        FaultKind::Hang { replica } => format!("kind=\"hang\" server=\"{replica}\""),
+        FaultKind::Silence { replica } => format!("kind=\"silence\" server=\"{replica}\""),
+        FaultKind::Slow { replica, factor } => {
+            format!("kind=\"slow\" server=\"{replica}\" factor=\"{factor}\"")
+        }
+        FaultKind::FastErrors { replica, share } => {
             format!("kind=\"fast-errors\" server=\"{replica}\" share=\"{share}\"")
         }
-        What::Drain { replica } => format!("kind=\"drain\" server=\"{replica}\""),
-        What::Release { from, to } => format!("kind=\"release\" from=\"{from}\" to=\"{to}\""),
-        What::Replaced { from, to } => format!("kind=\"replaced\" from=\"{from}\" to=\"{to}\""),
-        What::ZoneLost { zone } => format!("kind=\"place-lost\" place=\"{zone}\""),
-        What::OddList { how } => match how {
-            Odd::Late(by) => format!("kind=\"list-late\" by=\"{}s\"", by.seconds()),
-            Odd::Again => "kind=\"list-again\"".into(),
-            Odd::Back => "kind=\"list-back\"".into(),
-            Odd::Lossy(each) => format!("kind=\"list-lossy\" each=\"{each}\""),
+        FaultKind::Drain { replica } => format!("kind=\"drain\" server=\"{replica}\""),
+        FaultKind::RollingRelease { from, to } => format!("kind=\"release\" from=\"{from}\" to=\"{to}\""),
+        FaultKind::BatchReplacement { from, to } => format!("kind=\"replaced\" from=\"{from}\" to=\"{to}\""),
+        FaultKind::ZoneLost { zone } => format!("kind=\"place-lost\" place=\"{zone}\""),
+        FaultKind::ListAnomaly { anomaly } => match anomaly {
+            ListAnomaly::Delayed(by) => format!("kind=\"list-late\" by=\"{}s\"", by.seconds()),
+            ListAnomaly::Repeated => "kind=\"list-again\"".into(),
+            ListAnomaly::Reverted => "kind=\"list-back\"".into(),
+            ListAnomaly::Partial(each) => format!("kind=\"list-lossy\" each=\"{each}\""),
         },
-        What::WrongList { from, to } => format!("kind=\"wrong-list\" from=\"{from}\" to=\"{to}\""),
-        What::HotSlice { slice, factor } => {
+        FaultKind::WrongList { from, to } => format!("kind=\"wrong-list\" from=\"{from}\" to=\"{to}\""),
+        FaultKind::HotSlice { slice, factor } => {
             format!("kind=\"hot-slice\" slice=\"{slice}\" factor=\"{factor}\"")
         }
-        What::Burst { factor } => format!("kind=\"burst\" factor=\"{factor}\""),
-        What::ZoneCut { zone } => format!("kind=\"place-cut\" place=\"{zone}\""),
-        What::RelayAway => "kind=\"relay-away\"".into(),
-        What::RelayMute => "kind=\"relay-mute\"".into(),
-        What::DiscoveryAway => "kind=\"discovery-away\"".into(),
-        What::ControllerKilled { controller } => {
+        FaultKind::Burst { factor } => format!("kind=\"burst\" factor=\"{factor}\""),
+        FaultKind::ZonePartitioned { zone } => format!("kind=\"place-cut\" place=\"{zone}\""),
+        FaultKind::RelayUnreachable => "kind=\"relay-away\"".into(),
+        FaultKind::RelayUnresponsive => "kind=\"relay-mute\"".into(),
+        FaultKind::DiscoveryUnreachable => "kind=\"discovery-away\"".into(),
+        FaultKind::ControllerKilled { controller } => {
             format!("kind=\"governor-killed\" governor=\"{controller}\"")
         }
-        What::Herd { controllers } => format!("kind=\"herd\" governors=\"{controllers}\""),
-        What::SlowChannel { part } => format!("kind=\"slow-channel\" share=\"{part}\""),
-        What::ProxiesLeave { many } => format!("kind=\"proxies-leave\" many=\"{many}\""),
-        What::HandOver { from, to } => format!("kind=\"hand-over\" from=\"{from}\" to=\"{to}\""),
-        What::Garbled { share } => format!("kind=\"garbled\" share=\"{share}\""),
-        What::OutOfService { replica } => format!("kind=\"out-of-service\" server=\"{replica}\""),
+        FaultKind::ControllersKilled { controllers } => format!("kind=\"herd\" governors=\"{controllers}\""),
+        FaultKind::SlowChannel { rate_factor } => format!("kind=\"slow-channel\" share=\"{rate_factor}\""),
+        FaultKind::ProxiesDisconnected { proxies } => format!("kind=\"proxies-leave\" many=\"{proxies}\""),
+        FaultKind::SlicesReassigned { from, to } => format!("kind=\"hand-over\" from=\"{from}\" to=\"{to}\""),
+        FaultKind::GarbledRelay { share } => format!("kind=\"garbled\" share=\"{share}\""),
+        FaultKind::OutOfService { replica } => format!("kind=\"out-of-service\" server=\"{replica}\""),
     };
-    let (begins, lasts) = (begins.seconds(), lasts.seconds());
+    let (begins, lasts) = (starts_after.seconds(), duration.seconds());
     _ = writeln!(text, "    <trouble {attributes} begins=\"{begins}s\" lasts=\"{lasts}s\"/>");
 }
 
@@ -346,7 +354,7 @@
                 for seed in &self.seeds {
                     let troubles = match &case.troubles {
                         Troubles::Given(troubles) => troubles.clone(),
-                        Troubles::Drawn(many) => drawn(*seed, *many, &sizes),
+                        Troubles::Drawn(many) => random_faults(*seed, *many, &sizes),
                     };
                     plays.extend(self.ways.iter().map(|way| Play {
                         case: case.name.clone(),
@@ -362,13 +370,13 @@
         plays
     }
 
-    fn with(&self, value: f64) -> Sizes {
+    fn with(&self, value: f64) -> ScenarioConfig {
         let mut sizes = self.sizes.clone();
         match self.varied {
             None => {}
             Some(Vary::Load) => sizes.load = value,
             Some(Vary::Proxies) => sizes.proxies = (value as usize).max(1),
-            Some(Vary::Pace) => sizes.pace = value,
+            Some(Vary::Pace) => sizes.lines_per_second = value,
             Some(Vary::Controllers) => sizes.controllers = (value as usize).max(1),
         }
         sizes
@@ -381,8 +389,8 @@
     /// The file again, in one form: its hash names the experiment whatever its spaces.
     pub fn write(&self) -> String {
         let mut text = format!("<experiment name=\"{}\" version=\"{VERSION}\">\n", self.name);
-        let Sizes { controllers, load, lasts, replicas, slices, proxies, .. } = &self.sizes;
-        let (size, lasts) = (if self.large { "large" } else { "small" }, text::format_duration(*lasts));
+        let ScenarioConfig { controllers, load, duration, replicas, slices, proxies, .. } = &self.sizes;
+        let (size, lasts) = (if self.large { "large" } else { "small" }, text::format_duration(*duration));
         _ = writeln!(text, "  <world size=\"{size}\" governors=\"{controllers}\" load=\"{load}\" lasts=\"{lasts}\" servers=\"{replicas}\" slices=\"{slices}\" proxies=\"{proxies}\"/>");
         let (from, to) = (self.seeds.first().unwrap_or(&0), self.seeds.last().unwrap_or(&0));
         _ = writeln!(text, "  <seeds from=\"{from}\" to=\"{to}\"/>");
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use whinwall_emulator::day::play;
 use whinwall_emulator::policy::Policy;
+use whinwall_emulator::scenario::play;
 use whinwall_experiments::experiment::{self, Case, Experiment, Troubles};
 use whinwall_experiments::results::{self, Row};
 use whinwall_experiments::{figures, report, search};
@@ -215,43 +215,44 @@
     bar.finish_and_clear();
     println!(
         "worst of {days}: seed {}, service {:.3}, rules broken {:?}",
-        found.seed, found.day.service, found.day.broken
+        found.seed, found.day.service_level, found.day.violation_counts
     );
     let least = search::shrink(&experiment.sizes, &found, 0.8);
     println!(
         "the least that shows it: {} of {} troubles, service {:.3}",
         least.troubles.len(),
         found.troubles.len(),
-        least.day.service
+        least.day.service_level
     );
     let shown = Experiment {
         name: format!("{}-worst", experiment.name),
         seeds: vec![least.seed],
-        ways: vec![Policy::Governed, Policy::HandsOff],
+        ways: vec![Policy::Controlled, Policy::StaticTables],
         cases: vec![Case { name: format!("seed-{}", least.seed), troubles: Troubles::Given(least.troubles) }],
         varied: None,
         values: vec![0.0],
         ..experiment
     };
     std::fs::write(out, shown.write()).map_err(|why| format!("{}: {why}", out.display()))?;
-    Ok(least.day.broken.is_empty())
+    Ok(least.day.violation_counts.is_empty())
 }
 
 fn explain(path: &Path, case: Option<&str>, seed: Option<u64>, about: &str) -> Result<bool, String> {
     let plays = read(path)?.plays();
     let fits = |play: &&experiment::Play| {
-        play.way == Policy::Governed
+        play.way == Policy::Controlled
             && case.is_none_or(|case| play.case == case)
             && seed.is_none_or(|seed| play.seed == seed)
     };
     let one = plays.iter().find(fits).ok_or("no governed day of the experiment fits")?;
-    let (day, line) = whinwall_emulator::day::play_told(&one.sizes, &one.troubles, one.seed, about);
+    let (day, line) =
+        whinwall_emulator::scenario::play_with_timeline(&one.sizes, &one.troubles, one.seed, about);
     println!(
         "case {}, seed {}: service {:.3}, rules broken {:?}",
-        one.case, one.seed, day.service, day.broken
+        one.case, one.seed, day.service_level, day.violation_counts
     );
-    for (at, text) in line {
+    for whinwall_emulator::scenario::TimelineEntry { at, text } in line {
         println!("{:8.2} s  {text}", at.seconds());
     }
-    Ok(day.broken.is_empty())
+    Ok(day.violation_counts.is_empty())
 }
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -6,7 +6,7 @@
 use parquet::record::RowAccessor;
 use std::fs::File;
 use std::path::{Path, PathBuf};
-use whinwall_emulator::day::Outcome;
+use whinwall_emulator::scenario::Outcome;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
@@ -62,16 +62,16 @@
             way: crate::experiment::way_name(play.way).into(),
             value: play.value,
             seed: play.seed as i64,
-            service: day.service,
+            service: day.service_level,
             requests: day.requests as i64,
-            acked: day.acked as i64,
+            acked: day.succeeded as i64,
             late: day.late as i64,
             rejected: day.rejected as i64,
             failed: day.failed as i64,
-            orders: day.orders as i64,
-            verdicts: day.verdicts as i64,
-            most_lines: day.most_lines,
-            broken: day.broken.values().sum::<usize>() as i64,
+            orders: day.commands as i64,
+            verdicts: day.ejections as i64,
+            most_lines: day.peak_queued_lines,
+            broken: day.violation_counts.values().sum::<usize>() as i64,
         }
     }
 
--- a/crates/experiments/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -56,7 +56,7 @@
     let again = experiment::read(&experiment.write()).unwrap();
     assert_eq!((again.write(), again.hash()), (experiment.write(), experiment.hash()));
     assert_eq!(again.cases, experiment.cases);
-    let drawn = whinwall_emulator::trouble::drawn(9, 40, &experiment.sizes);
+    let drawn = whinwall_emulator::random_faults::random_faults(9, 40, &experiment.sizes);
     let all = experiment::Experiment {
         cases: vec![experiment::Case { name: "all".into(), troubles: experiment::Troubles::Given(drawn) }],
         ..experiment.clone()
--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -11,8 +11,8 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 use thiserror::Error;
-use whinwall_emulator::day::play;
 use whinwall_emulator::policy::Policy;
+use whinwall_emulator::scenario::play;
 use whinwall_experiments::results::{self, Row};
 
 /// Why a sweep could not be played.
@@ -85,7 +85,7 @@
     let progress = Mutex::new(0);
     let all = plan.days();
     let play_one = |day: &PlannedDay| {
-        let outcome = play(&day.sizes, Policy::Governed, &day.troubles, day.seed);
+        let outcome = play(&day.sizes, Policy::Controlled, &day.troubles, day.seed);
         if let Ok(mut done) = progress.lock() {
             *done += 1;
             eprintln!("{}", table::progress_line(*done, all.len(), day, &outcome));
--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -3,8 +3,8 @@
 use super::{Args, SweepError};
 use clap::ValueEnum;
 use std::fmt;
-use whinwall_emulator::sizes::Sizes;
-use whinwall_emulator::trouble::{at, Trouble, What};
+use whinwall_emulator::config::ScenarioConfig;
+use whinwall_emulator::fault::{Fault, FaultKind};
 use whinwall_policy::time::Span;
 
 /// What happens on a day.
@@ -36,16 +36,18 @@
         [DayKind::Calm, DayKind::Replaced, DayKind::Hot, DayKind::Burst, DayKind::Zone];
 
     /// What happens on such a day in a fleet of this size, from this time on.
-    pub fn troubles(self, sizes: &Sizes, begins_ms: u64) -> Vec<Trouble> {
+    pub fn troubles(self, sizes: &ScenarioConfig, begins_ms: u64) -> Vec<Fault> {
         let what = match self {
             DayKind::Calm => return Vec::new(),
-            DayKind::Replaced => What::Replaced { from: 0, to: sizes.replicas * REPLACED_OF_TEN / 10 },
-            DayKind::Hot => What::HotSlice { slice: sizes.slices / 3, factor: HOT_FACTOR },
-            DayKind::Burst => What::Burst { factor: BURST_FACTOR },
-            DayKind::Zone => What::ZoneLost { zone: 1 % sizes.zones },
+            DayKind::Replaced => {
+                FaultKind::BatchReplacement { from: 0, to: sizes.replicas * REPLACED_OF_TEN / 10 }
+            }
+            DayKind::Hot => FaultKind::HotSlice { slice: sizes.slices / 3, factor: HOT_FACTOR },
+            DayKind::Burst => FaultKind::Burst { factor: BURST_FACTOR },
+            DayKind::Zone => FaultKind::ZoneLost { zone: 1 % sizes.zones },
         };
         let lasts = if self == DayKind::Zone { ZONE_LASTS_MS } else { LASTS_MS };
-        vec![at(begins_ms, lasts, what)]
+        vec![Fault::new(begins_ms, lasts, what)]
     }
 }
 
@@ -66,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The fleet, whose number of governors and subsets are replaced by those of the plan.
-    pub sizes: Sizes,
+    pub sizes: ScenarioConfig,
     /// Numbers of governors.
     pub controllers: Vec<usize>,
     /// Sizes of subsets; 0 plays without subsets.
@@ -89,9 +91,9 @@
     /// The seed.
     pub seed: u64,
     /// The fleet.
-    pub sizes: Sizes,
+    pub sizes: ScenarioConfig,
     /// What happens.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 impl Plan {
@@ -108,14 +110,14 @@
         if let Some((name, _)) = counts.iter().find(|(_, count)| *count == 0) {
             return Err(SweepError::Zero(name));
         }
-        let sizes = Sizes {
+        let sizes = ScenarioConfig {
             replicas: args.replicas,
             slices: args.slices,
             proxies: args.proxies,
             load: args.load,
-            load_window: args.load_window,
-            lasts: Span::ms(args.seconds * 1000),
-            ..Sizes::large()
+            report_window_seconds: args.load_window,
+            duration: Span::ms(args.seconds * 1000),
+            ..ScenarioConfig::large()
         };
         Ok(Plan {
             sizes,
@@ -133,7 +135,11 @@
         for kind in &self.kinds {
             for subset in &self.subsets {
                 for controllers in &self.controllers {
-                    let sizes = Sizes { controllers: *controllers, subset: *subset, ..self.sizes.clone() };
+                    let sizes = ScenarioConfig {
+                        controllers: *controllers,
+                        subset_size: *subset,
+                        ..self.sizes.clone()
+                    };
                     days.extend(self.seeds.iter().map(|seed| PlannedDay {
                         kind: *kind,
                         subset: *subset,
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -3,7 +3,7 @@
 use super::{DayKind, PlannedDay};
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use whinwall_emulator::day::Outcome;
+use whinwall_emulator::scenario::Outcome;
 use whinwall_experiments::figures::mean;
 use whinwall_experiments::results::Row;
 
@@ -26,7 +26,7 @@
 
     /// The lab's row of it; the value varied is the number of controllers.
     pub fn row(&self, commit: &str) -> Row {
-        let Outcome { requests, acked, late, rejected, failed, orders, verdicts, .. } = self.outcome;
+        let Outcome { requests, succeeded, late, rejected, failed, commands, ejections, .. } = self.outcome;
         Row {
             experiment: format!("decisions-{}-replicas", self.day.sizes.replicas),
             commit: commit.to_string(),
@@ -34,15 +34,15 @@
             way: way(self.day.subset),
             value: self.day.sizes.controllers as f64,
             seed: self.day.seed as i64,
-            service: self.outcome.service,
+            service: self.outcome.service_level,
             requests: requests as i64,
-            acked: acked as i64,
+            acked: succeeded as i64,
             late: late as i64,
             rejected: rejected as i64,
             failed: failed as i64,
-            orders: orders as i64,
-            verdicts: verdicts as i64,
-            most_lines: self.outcome.most_lines,
+            orders: commands as i64,
+            verdicts: ejections as i64,
+            most_lines: self.outcome.peak_queued_lines,
             broken: broken(&self.outcome) as i64,
         }
     }
@@ -56,12 +56,12 @@
 }
 
 fn broken(outcome: &Outcome) -> usize {
-    outcome.broken.values().sum()
+    outcome.violation_counts.values().sum()
 }
 
 fn rules_text(all: &[&Outcome]) -> String {
     let mut sums: BTreeMap<u8, usize> = BTreeMap::new();
-    for (rule, count) in all.iter().flat_map(|outcome| &outcome.broken) {
+    for (rule, count) in all.iter().flat_map(|outcome| &outcome.violation_counts) {
         *sums.entry(*rule).or_default() += count;
     }
     match sums.is_empty() {
@@ -77,7 +77,7 @@
 pub(super) fn progress_line(done: usize, of: usize, day: &PlannedDay, outcome: &Outcome) -> String {
     let PlannedDay { kind, subset, seed, sizes, .. } = day;
     let (way, rules) = (way(*subset), rules_text(&[outcome]));
-    let Outcome { service, moves, orders, .. } = outcome;
+    let Outcome { service_level: service, migrations: moves, commands: orders, .. } = outcome;
     let controllers = sizes.controllers;
     format!("{done}/{of} {kind}, {controllers} governors, {way}, seed {seed}: service {service:.3}, {moves} moves, {orders} orders, broken {rules}")
 }
@@ -101,12 +101,12 @@
         let average = |figure: fn(&Outcome) -> f64| {
             outcomes.iter().map(|outcome| figure(outcome)).sum::<f64>() / outcomes.len() as f64
         };
-        let least = outcomes.iter().map(|outcome| outcome.service).fold(f64::INFINITY, f64::min);
+        let least = outcomes.iter().map(|outcome| outcome.service_level).fold(f64::INFINITY, f64::min);
         let (way, many, rules) = (way(subset), all.len(), rules_text(&outcomes));
-        let service = average(|outcome| outcome.service);
-        let moves = average(|outcome| outcome.moves as f64);
-        let orders = average(|outcome| outcome.orders as f64);
-        let verdicts = average(|outcome| outcome.verdicts as f64);
+        let service = average(|outcome| outcome.service_level);
+        let moves = average(|outcome| outcome.migrations as f64);
+        let orders = average(|outcome| outcome.commands as f64);
+        let verdicts = average(|outcome| outcome.ejections as f64);
         _ = writeln!(
             text,
             "| {kind} | {way} | {controllers} | {many} | {service:.3} | {least:.3} | {moves:.0} | {orders:.0} | {verdicts:.1} | {rules} |"
@@ -127,8 +127,9 @@
         let others = [0, *subset].iter().find_map(|other| groups.get(&(*kind, *other, reference)));
         let Some(others) = others.filter(|_| (*subset, *controllers) != (0, reference)) else { continue };
         let service: BTreeMap<_, _> =
-            others.iter().map(|other| (other.day.seed, other.outcome.service)).collect();
-        let paired = all.iter().filter_map(|one| Some(one.outcome.service - service.get(&one.day.seed)?));
+            others.iter().map(|other| (other.day.seed, other.outcome.service_level)).collect();
+        let paired =
+            all.iter().filter_map(|one| Some(one.outcome.service_level - service.get(&one.day.seed)?));
         let differences: Vec<f64> = paired.collect();
         let Some(figure) = mean(&differences) else { continue };
         let greatest = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
--- a/crates/scale-tests/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -1,12 +1,18 @@
 //! The sweep of the number of controllers, at small size.
 
-use whinwall_emulator::sizes::Sizes;
+use whinwall_emulator::config::ScenarioConfig;
 use whinwall_policy::time::Span;
 use whinwall_scale_tests::decisions::{paired_differences, play_all, table, DayKind, Plan};
 
 fn plan(kinds: Vec<DayKind>) -> Plan {
-    let sizes =
-        Sizes { replicas: 12, slices: 60, proxies: 20, load: 0.4, lasts: Span::ms(16_000), ..Sizes::small() };
+    let sizes = ScenarioConfig {
+        replicas: 12,
+        slices: 60,
+        proxies: 20,
+        load: 0.4,
+        duration: Span::ms(16_000),
+        ..ScenarioConfig::small()
+    };
     Plan { sizes, controllers: vec![2, 12], subsets: vec![0, 6], kinds, begins_ms: 8000, seeds: vec![1, 2] }
 }
 
@@ -29,8 +35,13 @@
     };
     assert!(outcomes(&first) == outcomes(&again), "two plays of one plan differ");
     for one in &first {
-        assert!(one.outcome.broken.is_empty(), "{:?}: {:?}", one.day, one.outcome.violations.first());
-        assert!(one.outcome.requests > 0 && one.outcome.moves > 0);
+        assert!(
+            one.outcome.violation_counts.is_empty(),
+            "{:?}: {:?}",
+            one.day,
+            one.outcome.violations.first()
+        );
+        assert!(one.outcome.requests > 0 && one.outcome.migrations > 0);
     }
     let text = table(&first);
     assert_eq!(text.lines().count(), 2 + 2 * 2 * 2, "{text}");
