--- a/crates/emulator/src/scenario/timeline.rs
+++ b/crates/emulator/src/scenario/timeline.rs
@@ -18,7 +18,7 @@
     /// Adds an entry if the time-line's subject is one of the words of `names`.
     pub(super) fn record_in_timeline(&mut self, names: &str, text: impl FnOnce() -> String) {
         let Some(subject) = &self.timeline_subject else { return };
-        let mut words = names.split(|letter: char| letter.is_whitespace() || ",:".contains(letter));
+        let mut words = names.split(|letter: char| letter.is_whitespace() || ",:=".contains(letter));
         if words.any(|word| word == subject) {
             self.timeline.push(TimelineEntry { at: Scenario::since_begin(self.now), text: text() });
         }
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use whinwall_emulator::fault::{Fault, FaultKind, ListAnomaly};
 use whinwall_emulator::policy::Policy;
 use whinwall_emulator::random_faults::random_faults;
-use whinwall_emulator::scenario::{play, play_with_interceptor, Outcome};
+use whinwall_emulator::scenario::{play, play_with_interceptor, play_with_timeline, Outcome};
 use whinwall_policy::time::Span;
 
 fn short() -> ScenarioConfig {
@@ -235,6 +235,14 @@
     assert!(outcome.service_level > 0.98);
 }
 
+#[test]
+fn timeline_of_an_ejected_replica_names_its_ejection() {
+    let faults = [Fault::new(12_000, 12_000, FaultKind::FastErrors { replica: 3, share: 0.9 })];
+    let (outcome, timeline) = play_with_timeline(&short(), &faults, 3, "s-3");
+    let ejections = timeline.iter().filter(|entry| entry.text.contains("ejected")).count();
+    assert!(outcome.ejections > 0 && ejections as u64 == outcome.ejections, "{timeline:?}");
+}
+
 fn assert_violation(
     rule: u8,
     config: &ScenarioConfig,
