--- a/crates/controller/tests/fleet.rs
+++ b/crates/controller/tests/fleet.rs
@@ -1,53 +1,55 @@
-//! The program in the emulator's world, on loopback sockets and in real time: the checkers look on.
+//! The program against the emulator's fleet, on loopback sockets and in real time: the checkers observe it.
 
 mod support;
 
 use serde_json::json;
 use support::{command, example_config, ConfigFile, ControllerProcess};
-use whinwall_emulator::day::Outcome;
-use whinwall_emulator::live::Stages;
-use whinwall_emulator::sizes::Sizes;
-use whinwall_emulator::trouble::{at, Trouble, What};
+use whinwall_emulator::config::ScenarioConfig;
+use whinwall_emulator::fault::{Fault, FaultKind};
+use whinwall_emulator::real_time::StandIns;
+use whinwall_emulator::scenario::Outcome;
 use whinwall_policy::time::Span;
 
-fn played(sizes: &Sizes, troubles: &[Trouble]) -> Outcome {
-    let stages = Stages::open(sizes.controllers).unwrap();
-    let programs: Vec<_> = stages
-        .stages
+fn run_scenario(config: &ScenarioConfig, faults: &[Fault]) -> Outcome {
+    let emulated = StandIns::open(config.controllers).unwrap();
+    let programs: Vec<_> = emulated
+        .stand_ins
         .iter()
         .enumerate()
-        .map(|(number, stage)| {
+        .map(|(number, stand_in)| {
             let mut file = example_config();
-            file["distributor"]["address"] = json!(stage.found.relay.to_string());
-            file["discovery"] = json!(stage.found.discovery.to_string());
-            file["settings"] = sizes.settings(number);
+            file["distributor"]["address"] = json!(stand_in.addresses.relay.to_string());
+            file["discovery"] = json!(stand_in.addresses.discovery.to_string());
+            file["settings"] = config.settings(number);
             let file = ConfigFile::write(&file.to_string());
             ControllerProcess::spawn(command(&file), file)
         })
         .collect();
     let addresses: Vec<_> = programs.iter().map(|program| program.address).collect();
-    stages.play(sizes, troubles, 7, &addresses).unwrap()
+    emulated.play(config, faults, 7, &addresses).unwrap()
 }
 
 #[test]
 fn rules_hold_with_drains_errors_and_a_silent_relay() {
-    let sizes = Sizes { lasts: Span::ms(16_000), ..Sizes::small() };
-    let troubles = [
-        at(6000, 9000, What::Drain { replica: 3 }),
-        at(7000, 6000, What::FastErrors { replica: 5, share: 0.9 }),
-        at(9000, 1500, What::RelayMute),
+    let config = ScenarioConfig { duration: Span::ms(16_000), ..ScenarioConfig::small() };
+    let faults = [
+        Fault::new(6000, 9000, FaultKind::Drain { replica: 3 }),
+        Fault::new(7000, 6000, FaultKind::FastErrors { replica: 5, share: 0.9 }),
+        Fault::new(9000, 1500, FaultKind::RelayUnresponsive),
     ];
-    let day = played(&sizes, &troubles);
-    assert!(day.broken.is_empty(), "{:?}", day.violations);
-    assert!(day.orders > 60 && day.verdicts == 0 && day.service > 0.9, "{day:?}");
+    let outcome = run_scenario(&config, &faults);
+    assert!(outcome.violation_counts.is_empty(), "{:?}", outcome.violations);
+    assert!(outcome.commands > 60 && outcome.ejections == 0 && outcome.service_level > 0.9, "{outcome:?}");
 }
 
 #[test]
 fn two_controllers_share_a_fleet_and_migrate_slices() {
-    let sizes = Sizes { lasts: Span::ms(14_000), controllers: 2, ..Sizes::small() };
-    let troubles =
-        [at(6000, 4000, What::HandOver { from: 0, to: 20 }), at(7000, 6000, What::Crash { replica: 2 })];
-    let day = played(&sizes, &troubles);
-    assert!(day.broken.is_empty(), "{:?}", day.violations);
-    assert!(day.orders > 60 && day.service > 0.9, "{day:?}");
+    let config = ScenarioConfig { duration: Span::ms(14_000), controllers: 2, ..ScenarioConfig::small() };
+    let faults = [
+        Fault::new(6000, 4000, FaultKind::SlicesReassigned { from: 0, to: 20 }),
+        Fault::new(7000, 6000, FaultKind::Crash { replica: 2 }),
+    ];
+    let outcome = run_scenario(&config, &faults);
+    assert!(outcome.violation_counts.is_empty(), "{:?}", outcome.violations);
+    assert!(outcome.commands > 60 && outcome.service_level > 0.9, "{outcome:?}");
 }
