--- a/crates/scale-tests/src/fit.rs
+++ b/crates/scale-tests/src/fit.rs
@@ -50,16 +50,16 @@
 impl LinearFit {
     /// Fits the model to the points.
     pub fn of(points: &[Point]) -> Result<LinearFit, FitError> {
-        let many = points.first().map_or(0, |point| point.regressors.len());
-        if points.iter().any(|point| point.regressors.len() != many) {
+        let regressor_count = points.first().map_or(0, |point| point.regressors.len());
+        if points.iter().any(|point| point.regressors.len() != regressor_count) {
             return Err(FitError::Ragged);
         }
-        let coefficients = many + 1;
+        let coefficients = regressor_count + 1;
         if points.len() < coefficients {
             return Err(FitError::TooFewPoints { points: points.len(), coefficients });
         }
         // Each regressor is scaled to its greatest value, so that the equations are well conditioned.
-        let scales = scales(points, many);
+        let scales = scales(points, regressor_count);
         let solution = solve(normal_equations(points, &scales)).ok_or(FitError::Dependent)?;
         let slopes: Vec<f64> =
             solution[1..].iter().zip(&scales).map(|(slope, scale)| slope / scale).collect();
@@ -67,7 +67,7 @@
             LinearFit { intercept: solution[0], slopes, residuals: vec![], r_squared: 1.0, range: vec![] };
         fit.residuals = points.iter().map(|point| point.measured - fit.predict(&point.regressors)).collect();
         fit.r_squared = r_squared(points, &fit.residuals);
-        fit.range = (0..many).map(|at| range(points, at)).collect();
+        fit.range = (0..regressor_count).map(|at| range(points, at)).collect();
         Ok(fit)
     }
 
@@ -89,9 +89,9 @@
     }
 }
 
-fn scales(points: &[Point], many: usize) -> Vec<f64> {
+fn scales(points: &[Point], regressor_count: usize) -> Vec<f64> {
     let greatest = |at: usize| points.iter().map(|point| point.regressors[at].abs()).fold(0.0, f64::max);
-    (0..many).map(|at| if greatest(at) > 0.0 { greatest(at) } else { 1.0 }).collect()
+    (0..regressor_count).map(|at| if greatest(at) > 0.0 { greatest(at) } else { 1.0 }).collect()
 }
 
 fn range(points: &[Point], at: usize) -> (f64, f64) {
--- a/crates/scale-tests/src/lib.rs
+++ b/crates/scale-tests/src/lib.rs
@@ -1,5 +1,5 @@
 //! Harness of the scale tests behind `docs/CAPACITY.md`: `one` measures one real controller process against paced
-//! stand-ins, `many` runs real processes beside in-process controllers, `decisions` sweeps the number of controllers
+//! stand-ins, `many` runs real processes beside simulated controllers, `decisions` sweeps the number of controllers
 //! in the emulator. `process` starts and observes a controller, `stand_ins` plays what it connects to, `fit` and
 //! `results` turn measurements into figures, tables and charts.
 #![forbid(unsafe_code)]
--- a/crates/scale-tests/src/many/catalog.rs
+++ b/crates/scale-tests/src/many/catalog.rs
@@ -13,7 +13,7 @@
 
 /// One answer of discovery.
 #[derive(Debug)]
-pub struct Told {
+pub struct ListUpdate {
     /// The version that the list has with it.
     pub version: u64,
     /// The line as it is written on the watch.
@@ -32,7 +32,7 @@
     version: u64,
     replicas: Vec<Replica>,
     /// Answers at this version, by the version that they start from.
-    answers: BTreeMap<u64, Arc<Told>>,
+    cached_updates: BTreeMap<u64, Arc<ListUpdate>>,
 }
 
 struct Replica {
@@ -62,7 +62,7 @@
             changed_at: 1,
         };
         let replicas = (0..plan.replicas).map(replica).collect();
-        let state = State { version: 1, replicas, answers: BTreeMap::new() };
+        let state = State { version: 1, replicas, cached_updates: BTreeMap::new() };
         Catalog { state: Mutex::new(state), version: watch::Sender::new(1) }
     }
 
@@ -80,12 +80,12 @@
         *self.version.borrow()
     }
 
-    /// Drains one replica and lists others as started anew, in one new version, which is returned.
+    /// Drains one replica and lists others as started again, in one new version, which is returned.
     pub fn change(&self, drained: usize, restarted: std::ops::Range<usize>, started_ms: u64) -> u64 {
         let mut state = self.state();
         state.version += 1;
         let version = state.version;
-        state.answers.clear();
+        state.cached_updates.clear();
         for (number, replica) in state.replicas.iter_mut().enumerate() {
             if number == drained {
                 (replica.state, replica.changed_at) = (LEAVING, version);
@@ -98,20 +98,20 @@
         version
     }
 
-    /// What has changed after this version, or the whole list for 0.
-    pub fn since(&self, since: u64) -> Arc<Told> {
+    /// What has changed after this version, or the complete list for 0.
+    pub fn since(&self, since: u64) -> Arc<ListUpdate> {
         let mut state = self.state();
-        if let Some(told) = state.answers.get(&since) {
-            return told.clone();
+        if let Some(update) = state.cached_updates.get(&since) {
+            return update.clone();
         }
-        let (version, whole) = (state.version, since == 0 || since > state.version);
+        let (version, is_complete) = (state.version, since == 0 || since > state.version);
         let replicas = state.replicas.iter().enumerate();
-        let named = replicas.filter(|(_, replica)| whole || replica.changed_at > since);
-        let replicas: Vec<_> = named.map(|(number, replica)| replica.entry(number)).collect();
-        let line = format!("{}\n", json!({"version": version, "full": whole, "servers": replicas}));
+        let included = replicas.filter(|(_, replica)| is_complete || replica.changed_at > since);
+        let replicas: Vec<_> = included.map(|(number, replica)| replica.entry(number)).collect();
+        let line = format!("{}\n", json!({"version": version, "full": is_complete, "servers": replicas}));
         let list = discovery::decode(&line).ok().flatten().unwrap_or_default();
-        let told = Arc::new(Told { version, line, list });
-        state.answers.insert(since, told.clone());
-        told
+        let update = Arc::new(ListUpdate { version, line, list });
+        state.cached_updates.insert(since, update.clone());
+        update
     }
 }
--- a/crates/scale-tests/src/many/cost.rs
+++ b/crates/scale-tests/src/many/cost.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of processes, as the kernel counts them.
+//! CPU time and memory of processes, as the kernel counts them.
 
 use rustix::param::clock_ticks_per_second;
 use rustix::time::{clock_gettime, ClockId};
@@ -8,8 +8,8 @@
 /// What a process, or several, have cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Processor time since the start.
-    pub processor: Duration,
+    /// CPU time since the start.
+    pub processor_time: Duration,
     /// Resident memory.
     pub memory_kb: u64,
     /// Threads.
@@ -18,17 +18,17 @@
 
 impl AddAssign for Cost {
     fn add_assign(&mut self, more: Cost) {
-        self.processor += more.processor;
+        self.processor_time += more.processor_time;
         self.memory_kb += more.memory_kb;
         self.threads += more.threads;
     }
 }
 
-/// Processor time spent since an earlier reading; memory and threads as they are now.
+/// CPU time spent since an earlier reading; memory and threads as they are now.
 impl Sub for Cost {
     type Output = Cost;
     fn sub(self, earlier: Cost) -> Cost {
-        Cost { processor: self.processor.saturating_sub(earlier.processor), ..self }
+        Cost { processor_time: self.processor_time.saturating_sub(earlier.processor_time), ..self }
     }
 }
 
@@ -50,14 +50,14 @@
     };
     // A process that has ended and was not waited for yet holds no memory.
     Some(Cost {
-        processor: Duration::from_secs_f64(ticks as f64 / clock_ticks_per_second() as f64),
+        processor_time: Duration::from_secs_f64(ticks as f64 / clock_ticks_per_second() as f64),
         memory_kb: figure("VmRSS:").unwrap_or(0),
         threads: figure("Threads:").unwrap_or(0),
     })
 }
 
-/// Processor time of the calling thread.
-pub fn of_thread() -> Duration {
+/// CPU time of the calling thread.
+pub fn of_current_thread() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.max(0) as u64, time.tv_nsec.max(0) as u32)
 }
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -2,11 +2,11 @@
 
 use super::catalog::Catalog;
 use super::cost::{self, Cost};
-use super::hollow::Surroundings;
-use super::plan::{ControllerId, Plan, CUT_REGION, DRAINED_AT_REST, DRAINED_DURING_CUT};
+use super::plan::{ControllerId, Plan, DRAINED_DURING_PARTITION, DRAINED_WHILE_IDLE, PARTITIONED_REGION};
 use super::process::Process;
-use super::stand_ins::{self, Addresses, Link, Seat};
-use super::tracker::{Condition, Reached, Site, Tracker};
+use super::simulated::Environment;
+use super::stand_ins::{self, Addresses, Link, StandInState};
+use super::tracker::{Condition, EventProgress, Site, Tracker};
 use super::workers::Workers;
 use super::ManyError;
 use rustix::process::Signal;
@@ -22,8 +22,8 @@
 /// Threads for the stand-ins' sockets.
 const SOCKET_THREADS: usize = 2;
 /// Memory is looked at so often.
-const MEMORY_LOOK: Duration = Duration::from_millis(200);
-/// Replicas that start again while a region is cut off: one in so many.
+const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Replicas that start again while a region is partitioned from the network: one in so many.
 const RESTARTED_REPLICAS: usize = 100;
 
 /// What controllers and harness have cost in a period.
@@ -33,10 +33,10 @@
     pub elapsed: Duration,
     /// All real controllers together.
     pub real: Cost,
-    /// This process: stand-ins, and the reducers of the in-process controllers.
+    /// This process: stand-ins, and the reducers of the simulated controllers.
     pub harness: Cost,
-    /// Processor time of these reducers.
-    pub hollow: Duration,
+    /// CPU time of these reducers.
+    pub simulated: Duration,
 }
 
 /// One event.
@@ -45,9 +45,9 @@
     /// Its name.
     pub event: &'static str,
     /// How long whoever caused it took to do so: to write files and signal, or to end processes.
-    pub caused_in: Duration,
+    pub trigger_time: Duration,
     /// When controllers had come to its end, and what was sent.
-    pub reached: Reached,
+    pub progress: EventProgress,
     /// What it has cost.
     pub costs: Costs,
 }
@@ -55,15 +55,15 @@
 /// All events of a run.
 #[derive(Debug)]
 pub struct Results {
-    /// In their order.
+    /// In the order in which they were played.
     pub outcomes: Vec<Outcome>,
     /// What the controllers cost while nothing happened.
-    pub rest: Costs,
-    /// Memory of this process before the in-process controllers were started.
+    pub idle: Costs,
+    /// Memory of this process before the simulated controllers were started.
     pub bare_harness: Cost,
-    /// Bytes of the whole list.
+    /// Bytes of the complete list.
     pub list_bytes: usize,
-    /// Real controllers that had a slice on the replica that was drained at rest, just before that.
+    /// Real controllers that had a slice on the replica that was drained while idle, just before that.
     pub holders: usize,
     /// The machine's load over a minute, before the run and after it.
     pub machine_load: [f64; 2],
@@ -96,7 +96,7 @@
         if taken > limit_kb {
             return taken;
         }
-        sleep(MEMORY_LOOK).await;
+        sleep(MEMORY_POLL_INTERVAL).await;
     }
 }
 
@@ -112,11 +112,11 @@
     plan: Arc<Plan>,
     catalog: Arc<Catalog>,
     tracker: Arc<Tracker>,
-    /// The link to the region that is cut off.
+    /// The link to the region that is partitioned from the network.
     region: watch::Sender<Link>,
     /// The link to all others.
     elsewhere: watch::Sender<Link>,
-    seats: Vec<Arc<Seat>>,
+    stand_in_states: Vec<Arc<StandInState>>,
     sites: Vec<BTreeMap<Site, Addresses>>,
     processes: Vec<Process>,
     workers: Workers,
@@ -134,7 +134,7 @@
             tracker,
             region: watch::Sender::new(Link::Up),
             elsewhere: watch::Sender::new(Link::Up),
-            seats: Vec::new(),
+            stand_in_states: Vec::new(),
             sites: Vec::new(),
             processes: Vec::new(),
             workers: Workers::default(),
@@ -142,21 +142,26 @@
         };
         let load = stand_ins::load_reports(plan);
         for controller in 0..plan.real {
-            let cut = plan.region(controller) == CUT_REGION;
-            let link = if cut { &fleet.region } else { &fleet.elsewhere };
-            let seat =
-                Seat::new(plan, controller, link.subscribe(), fleet.catalog.clone(), fleet.tracker.clone());
-            let seat = Arc::new(seat);
+            let partition = plan.region(controller) == PARTITIONED_REGION;
+            let link = if partition { &fleet.region } else { &fleet.elsewhere };
+            let state = StandInState::new(
+                plan,
+                controller,
+                link.subscribe(),
+                fleet.catalog.clone(),
+                fleet.tracker.clone(),
+            );
+            let state = Arc::new(state);
             let mut sites = BTreeMap::new();
             for site in [Site::First, Site::Second] {
-                sites.insert(site, stand_ins::open(&seat, site).await.map_err(ManyError::io("listen"))?);
+                sites.insert(site, stand_ins::open(&state, site).await.map_err(ManyError::io("listen"))?);
             }
             let process = Process::new(controller, fleet.folder.path());
             for (zone, load) in load.iter().enumerate() {
-                let (plan, seat) = (fleet.plan.clone(), seat.clone());
-                tokio::spawn(stand_ins::collect(plan, seat, zone, load.clone(), process.address()));
+                let (plan, state) = (fleet.plan.clone(), state.clone());
+                tokio::spawn(stand_ins::collect(plan, state, zone, load.clone(), process.address()));
             }
-            fleet.seats.push(seat);
+            fleet.stand_in_states.push(state);
             fleet.sites.push(sites);
             fleet.processes.push(process);
         }
@@ -168,16 +173,16 @@
         let (bare_harness, load_before) = (cost::of_self(), cost::machine_load());
         let mut outcomes = vec![self.start().await?];
         let before = self.costs();
-        sleep(self.plan.rest).await;
-        let rest = self.costs_since(&before);
+        sleep(self.plan.idle).await;
+        let idle = self.costs_since(&before);
         outcomes.push(self.configure().await?);
         let holders = self.holders();
         outcomes.push(self.drain().await?);
         outcomes.push(self.restart().await?);
-        outcomes.extend(self.cut_region().await?);
-        self.all_run()?;
+        outcomes.extend(self.play_partition_events().await?);
+        self.check_all_running()?;
         let machine_load = [load_before, cost::machine_load()];
-        Ok(Results { outcomes, rest, bare_harness, list_bytes, holders, machine_load })
+        Ok(Results { outcomes, idle, bare_harness, list_bytes, holders, machine_load })
     }
 
     /// All controllers start together, and know nothing.
@@ -186,14 +191,15 @@
         for (process, sites) in self.processes.iter().zip(&self.sites) {
             write_configuration(process, &self.plan, sites, Site::First)?;
         }
-        let ready = [Condition::Ponged, Condition::NewsFrom(Site::First), Condition::ListVersion(1)];
+        let ready =
+            [Condition::PingAnswered, Condition::RelaySnapshotFrom(Site::First), Condition::ListVersion(1)];
         self.tracker.begin(0..self.plan.controllers(), &ready);
         let began = Instant::now();
-        let around = Surroundings::new(self.plan.clone(), self.catalog.clone(), self.tracker.clone());
-        self.workers = Workers::start(&Arc::new(around))?;
+        let environment = Environment::new(self.plan.clone(), self.catalog.clone(), self.tracker.clone());
+        self.workers = Workers::start(&Arc::new(environment))?;
         self.start_processes(|_| true).await?;
-        let caused_in = began.elapsed();
-        self.outcome("all start together", caused_in, &before).await
+        let trigger_time = began.elapsed();
+        self.outcome("all start together", trigger_time, &before).await
     }
 
     /// Starts these processes at once and waits until they serve.
@@ -205,10 +211,11 @@
         }
         let mut serving = JoinSet::new();
         for (controller, mut process) in std::mem::take(&mut self.processes).into_iter().enumerate() {
-            let (tracker, starts, patience) = (self.tracker.clone(), which(controller), self.plan.patience);
+            let (tracker, is_started, event_timeout) =
+                (self.tracker.clone(), which(controller), self.plan.event_timeout);
             serving.spawn(async move {
-                let served = match starts {
-                    true => timeout(patience, process.serves(&tracker)).await,
+                let served = match is_started {
+                    true => timeout(event_timeout, process.wait_until_ready(&tracker)).await,
                     false => Ok(Ok(())),
                 };
                 let served = served.unwrap_or(Err(ManyError::NotServing { controller }));
@@ -228,7 +235,7 @@
     /// A change of the configuration that reaches all: relay and discovery are elsewhere from now on.
     async fn configure(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
-        let moved = [Condition::NewsFrom(Site::Second), Condition::ListFrom(Site::Second)];
+        let moved = [Condition::RelaySnapshotFrom(Site::Second), Condition::ListFrom(Site::Second)];
         self.tracker.begin(0..self.plan.controllers(), &moved);
         let began = Instant::now();
         self.workers.configure(Site::Second);
@@ -236,22 +243,22 @@
             write_configuration(process, &self.plan, sites, Site::Second)?;
             process.signal(Signal::HUP);
         }
-        let caused_in = began.elapsed();
-        self.outcome("configuration change", caused_in, &before).await
+        let trigger_time = began.elapsed();
+        self.outcome("configuration change", trigger_time, &before).await
     }
 
-    /// Real controllers with a slice on the replica that is drained at rest.
+    /// Real controllers with a slice on the replica that is drained while idle.
     fn holders(&self) -> usize {
-        let replica = self.plan.replica(DRAINED_AT_REST);
-        self.seats.iter().filter(|seat| seat.store().names(&replica)).count()
+        let replica = self.plan.replica(DRAINED_WHILE_IDLE);
+        self.stand_in_states.iter().filter(|state| state.store().has_replica(&replica)).count()
     }
 
     /// A replica is drained, and the list told to all.
     async fn drain(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
-        self.tracker.drain(self.plan.replica(DRAINED_AT_REST));
+        self.tracker.drain(self.plan.replica(DRAINED_WHILE_IDLE));
         self.tracker.begin(0..self.plan.controllers(), &[Condition::Withdrawn]);
-        self.catalog.change(DRAINED_AT_REST, 0..0, 0);
+        self.catalog.change(DRAINED_WHILE_IDLE, 0..0, 0);
         self.outcome("replica drained", Duration::ZERO, &before).await
     }
 
@@ -264,78 +271,82 @@
         ending().for_each(|(_, process)| process.signal(Signal::TERM));
         for (controller, process) in self.processes.iter_mut().enumerate() {
             if restarted(controller) {
-                process.ended().await;
+                process.wait_for_exit().await;
             }
         }
-        let caused_in = began.elapsed();
+        let trigger_time = began.elapsed();
         let version = self.catalog.version();
-        let ready = [Condition::Ponged, Condition::NewsFrom(Site::Second), Condition::ListVersion(version)];
+        let ready = [
+            Condition::PingAnswered,
+            Condition::RelaySnapshotFrom(Site::Second),
+            Condition::ListVersion(version),
+        ];
         self.tracker.begin((0..plan.controllers()).filter(|controller| restarted(*controller)), &ready);
         self.workers.restart();
         self.start_processes(restarted).await?;
-        self.outcome("nine in ten restarted", caused_in, &before).await
+        self.outcome("nine in ten restarted", trigger_time, &before).await
     }
 
-    /// A region is cut off; meanwhile a replica is drained and others start again; then the region is back.
-    async fn cut_region(&mut self) -> Result<Vec<Outcome>, ManyError> {
+    /// A region is partitioned from the network; meanwhile a replica is drained and others start again; then the region is back.
+    async fn play_partition_events(&mut self) -> Result<Vec<Outcome>, ManyError> {
         let plan = self.plan.clone();
-        let is_cut = |controller: &ControllerId| plan.region(*controller) == CUT_REGION;
-        let inside = || (0..plan.controllers()).filter(is_cut);
-        let outside = || (0..plan.controllers()).filter(|controller| !is_cut(controller));
+        let is_partitioned = |controller: &ControllerId| plan.region(*controller) == PARTITIONED_REGION;
+        let inside = || (0..plan.controllers()).filter(is_partitioned);
+        let outside = || (0..plan.controllers()).filter(|controller| !is_partitioned(controller));
         let before = self.costs();
         let began = Instant::now();
-        self.tracker.begin(inside(), &[Condition::CutNoticed]);
-        self.region.send_replace(Link::Cut);
-        self.workers.cut();
-        let cut = self.outcome("region cut off: noticed", Duration::ZERO, &before).await?;
+        self.tracker.begin(inside(), &[Condition::PartitionDetected]);
+        self.region.send_replace(Link::Partitioned);
+        self.workers.partition();
+        let partition = self.outcome("region cut off: noticed", Duration::ZERO, &before).await?;
 
         let before = self.costs();
         let version = self.catalog.version() + 1;
         let agreed = [Condition::ListVersion(version), Condition::Withdrawn];
-        self.tracker.drain(plan.replica(DRAINED_DURING_CUT));
+        self.tracker.drain(plan.replica(DRAINED_DURING_PARTITION));
         self.tracker.begin(outside(), &agreed);
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let restarted = 2..2 + plan.replicas / RESTARTED_REPLICAS;
-        self.catalog.change(DRAINED_DURING_CUT, restarted, wall);
+        self.catalog.change(DRAINED_DURING_PARTITION, restarted, wall);
         let others =
             self.outcome("replica drained meanwhile: other regions", Duration::ZERO, &before).await?;
 
-        sleep(plan.cut.saturating_sub(began.elapsed())).await;
+        sleep(plan.partition_duration.saturating_sub(began.elapsed())).await;
         let before = self.costs();
-        let news = Condition::NewsFrom(Site::Second);
-        self.tracker.begin(inside(), &[news, agreed[0], agreed[1]]);
+        let snapshot = Condition::RelaySnapshotFrom(Site::Second);
+        self.tracker.begin(inside(), &[snapshot, agreed[0], agreed[1]]);
         self.region.send_replace(Link::Up);
         self.workers.reconnect();
         let back = self.outcome("region back: all agree", Duration::ZERO, &before).await?;
-        Ok(vec![cut, others, back])
+        Ok(vec![partition, others, back])
     }
 
     async fn outcome(
         &mut self,
         event: &'static str,
-        caused_in: Duration,
+        trigger_time: Duration,
         before: &Costs,
     ) -> Result<Outcome, ManyError> {
-        let reached = self.tracker.wait(self.plan.patience).await;
+        let progress = self.tracker.wait(self.plan.event_timeout).await;
         let costs = self.costs_since(before);
         let (taken_kb, limit_kb) =
             (costs.real.memory_kb + costs.harness.memory_kb, self.plan.memory_limit_kb);
         if taken_kb > limit_kb {
             return Err(ManyError::Memory { taken_kb, limit_kb });
         }
-        let (came, missing) = (reached.times.len(), reached.missing.len());
+        let (came, missing) = (progress.times.len(), progress.missing.len());
         eprintln!(
             "{event}: {came} governors, {missing} missing, after {:.1} s",
             self.tracker.age().as_secs_f64()
         );
-        Ok(Outcome { event, caused_in, reached, costs })
+        Ok(Outcome { event, trigger_time, progress, costs })
     }
 
     /// All that was spent so far.
     fn costs(&self) -> Costs {
         let mut real = Cost::default();
         self.processes.iter().for_each(|process| real += process.cost());
-        Costs { elapsed: self.tracker.age(), real, harness: cost::of_self(), hollow: self.workers.cost() }
+        Costs { elapsed: self.tracker.age(), real, harness: cost::of_self(), simulated: self.workers.cost() }
     }
 
     fn costs_since(&self, before: &Costs) -> Costs {
@@ -344,12 +355,12 @@
             elapsed: now.elapsed.saturating_sub(before.elapsed),
             real: now.real - before.real,
             harness: now.harness - before.harness,
-            hollow: now.hollow.saturating_sub(before.hollow),
+            simulated: now.simulated.saturating_sub(before.simulated),
         }
     }
 
-    fn all_run(&mut self) -> Result<(), ManyError> {
-        match self.processes.iter_mut().position(|process| !process.runs()) {
+    fn check_all_running(&mut self) -> Result<(), ManyError> {
+        match self.processes.iter_mut().position(|process| !process.is_running()) {
             Some(controller) => Err(ManyError::Ended { controller }),
             None => Ok(()),
         }
@@ -359,7 +370,7 @@
     async fn end(mut self) {
         self.processes.iter().for_each(|process| process.signal(Signal::TERM));
         for process in &mut self.processes {
-            process.ended().await;
+            process.wait_for_exit().await;
         }
         self.workers.end();
     }
--- a/crates/scale-tests/src/many/mod.rs
+++ b/crates/scale-tests/src/many/mod.rs
@@ -5,10 +5,10 @@
 mod catalog;
 mod cost;
 mod events;
-mod hollow;
 mod plan;
 mod process;
 mod report;
+mod simulated;
 mod stand_ins;
 mod store;
 mod tracker;
@@ -19,16 +19,16 @@
 pub use plan::Plan;
 pub use process::find_program;
 pub use report::table;
-pub use tracker::{Condition, Demand, Reached, Site, Traffic};
+pub use tracker::{Condition, EventProgress, SentBytes, Site, Traffic};
 
 use std::path::PathBuf;
 use std::time::Duration;
 use thiserror::Error;
 
 /// More processes than this are not started.
-const MOST_REAL: usize = 290;
+const MAX_PROCESSES: usize = 290;
 /// The report's file.
-const REPORT: &str = "many.md";
+const REPORT_FILE: &str = "many.md";
 
 /// Sizes of a run, from the command line.
 #[derive(Clone, Debug, clap::Args)]
@@ -64,20 +64,20 @@
     #[arg(long, default_value_t = 1.0)]
     report_seconds: f64,
     /// Seconds between the reports about a replica to an in-process governor
-    #[arg(long, default_value_t = 10.0)]
-    hollow_report_seconds: f64,
+    #[arg(long = "hollow-report-seconds", value_name = "HOLLOW_REPORT_SECONDS", default_value_t = 10.0)]
+    simulated_report_seconds: f64,
     /// Seconds for which the costs at rest are measured
-    #[arg(long, default_value_t = 15.0)]
-    rest_seconds: f64,
+    #[arg(long = "rest-seconds", value_name = "REST_SECONDS", default_value_t = 15.0)]
+    idle_seconds: f64,
     /// Seconds for which a region is cut off from its real governors
-    #[arg(long, default_value_t = 10.0)]
-    cut_seconds: f64,
+    #[arg(long = "cut-seconds", value_name = "CUT_SECONDS", default_value_t = 10.0)]
+    partition_seconds: f64,
     /// Seconds for which it is cut off from its in-process governors, by their own clocks
-    #[arg(long, default_value_t = 3600.0)]
-    virtual_cut_seconds: f64,
+    #[arg(long = "virtual-cut-seconds", value_name = "VIRTUAL_CUT_SECONDS", default_value_t = 3600.0)]
+    virtual_partition_seconds: f64,
     /// Seconds after which an event has failed
-    #[arg(long, default_value_t = 90.0)]
-    patience_seconds: f64,
+    #[arg(long = "patience-seconds", value_name = "PATIENCE_SECONDS", default_value_t = 90.0)]
+    event_timeout_seconds: f64,
     /// The governor program, where it is not beside this one
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
@@ -158,7 +158,7 @@
 
     fn try_from(args: &Args) -> Result<Plan, ManyError> {
         let wrong = |what: &str| Err(ManyError::Sizes(what.into()));
-        if args.real == 0 || args.real > MOST_REAL {
+        if args.real == 0 || args.real > MAX_PROCESSES {
             return wrong("--real: from 1 to 290");
         }
         if args.controllers < args.real {
@@ -174,7 +174,7 @@
         let program = args.program.clone().map_or_else(find_program, Ok)?;
         Ok(Plan {
             real: args.real,
-            hollow: args.controllers - args.real,
+            simulated: args.controllers - args.real,
             replicas: args.replicas,
             zones: args.zones,
             regions: args.regions,
@@ -182,11 +182,11 @@
             proxies: args.proxies,
             workers: args.workers,
             report_period: time(args.report_seconds)?,
-            hollow_report_period: time(args.hollow_report_seconds)?,
-            rest: time(args.rest_seconds)?,
-            cut: time(args.cut_seconds)?,
-            virtual_cut: time(args.virtual_cut_seconds)?,
-            patience: time(args.patience_seconds)?,
+            simulated_report_period: time(args.simulated_report_seconds)?,
+            idle: time(args.idle_seconds)?,
+            partition_duration: time(args.partition_seconds)?,
+            virtual_partition_duration: time(args.virtual_partition_seconds)?,
+            event_timeout: time(args.event_timeout_seconds)?,
             memory_limit_kb: cost::half_of_memory_kb(),
             program,
         })
@@ -196,15 +196,15 @@
 /// Plays all events and writes the report; an event that some governor did not come to the end of is an error.
 pub fn run(args: Args) -> Result<(), ManyError> {
     let plan = Plan::try_from(&args)?;
-    let file = args.out.join(REPORT);
+    let file = args.out.join(REPORT_FILE);
     std::fs::create_dir_all(&args.out).map_err(ManyError::io(args.out.display().to_string()))?;
     let results = play(&plan)?;
     let text = table(&plan, &results);
     std::fs::write(&file, &text).map_err(ManyError::io(file.display().to_string()))?;
     println!("{text}");
-    match results.outcomes.iter().find(|outcome| !outcome.reached.missing.is_empty()) {
+    match results.outcomes.iter().find(|outcome| !outcome.progress.missing.is_empty()) {
         Some(outcome) => {
-            Err(ManyError::Missing { event: outcome.event, missing: outcome.reached.missing.len() })
+            Err(ManyError::Missing { event: outcome.event, missing: outcome.progress.missing.len() })
         }
         None => Ok(()),
     }
--- a/crates/scale-tests/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -9,11 +9,11 @@
 pub type ControllerId = usize;
 
 /// The replica that is drained in the event of that name; every controller has a slice on it.
-pub const DRAINED_AT_REST: usize = 0;
-/// The replica that is drained while a region is cut off; every controller has a slice on it.
-pub const DRAINED_DURING_CUT: usize = 1;
-/// The region that is cut off.
-pub const CUT_REGION: usize = 0;
+pub const DRAINED_WHILE_IDLE: usize = 0;
+/// The replica that is drained while a region is partitioned from the network; every controller has a slice on it.
+pub const DRAINED_DURING_PARTITION: usize = 1;
+/// The region that is partitioned from the network.
+pub const PARTITIONED_REGION: usize = 0;
 /// The request class that all load is reported for.
 pub const REQUEST_CLASS: &str = "lookup";
 /// One controller in so many keeps running when the others are restarted.
@@ -25,31 +25,31 @@
     /// Controllers that run as processes.
     pub real: usize,
     /// Controllers that run inside this process, without sockets.
-    pub hollow: usize,
+    pub simulated: usize,
     /// Replicas in the list.
     pub replicas: usize,
     /// Zones, each with a collector.
     pub zones: usize,
     /// Regions that the controllers are spread over.
     pub regions: usize,
-    /// Slices in the charge of each controller.
+    /// Slices owned by each controller.
     pub slices: usize,
     /// Proxies that keep their streams to each controller.
     pub proxies: usize,
-    /// Threads that the in-process controllers share.
+    /// Threads that the simulated controllers share.
     pub workers: usize,
     /// Time between the reports about one replica to a process.
     pub report_period: Duration,
-    /// Time between the reports about one replica to an in-process controller.
-    pub hollow_report_period: Duration,
+    /// Time between the reports about one replica to a simulated controller.
+    pub simulated_report_period: Duration,
     /// How long resting costs are measured.
-    pub rest: Duration,
-    /// How long the region is cut off, at least, for the real processes.
-    pub cut: Duration,
-    /// How long the region is cut off for the in-process controllers, in their own time.
-    pub virtual_cut: Duration,
+    pub idle: Duration,
+    /// How long the region is partitioned from the network, at least, for the real processes.
+    pub partition_duration: Duration,
+    /// How long the region is partitioned from the network for the simulated controllers, in their own time.
+    pub virtual_partition_duration: Duration,
     /// An event that takes longer than this has failed.
-    pub patience: Duration,
+    pub event_timeout: Duration,
     /// Memory that controllers and harness may take together.
     pub memory_limit_kb: u64,
     /// The controller program.
@@ -59,7 +59,7 @@
 impl Plan {
     /// All controllers.
     pub fn controllers(&self) -> usize {
-        self.real + self.hollow
+        self.real + self.simulated
     }
 
     /// Whether this controller runs as a process.
@@ -97,12 +97,12 @@
     pub fn tables(&self, controller: ControllerId) -> BTreeMap<u32, BTreeMap<String, f64>> {
         let first = controller * self.slices;
         let spread = self.replicas.saturating_sub(2).max(1);
-        let zone = |at: usize| match at {
-            DRAINED_AT_REST | DRAINED_DURING_CUT => at,
+        let replica_number = |at: usize| match at {
+            DRAINED_WHILE_IDLE | DRAINED_DURING_PARTITION => at,
             _ => 2 + (first + at) % spread,
         };
-        let row = |at: usize| BTreeMap::from([(self.replica(zone(at)), 1.0)]);
-        (0..self.slices).map(|at| ((first + at) as u32, row(at))).collect()
+        let table = |at: usize| BTreeMap::from([(self.replica(replica_number(at)), 1.0)]);
+        (0..self.slices).map(|at| ((first + at) as u32, table(at))).collect()
     }
 
     /// The configuration file of a controller, but for its addresses.
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -22,26 +22,27 @@
 /// The name of the controller program.
 const PROGRAM: &str = "whinwall-controller";
 /// A controller that has not ended so long after SIGTERM gets SIGKILL.
-const GRACE: Duration = Duration::from_secs(5);
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(5);
 /// Before a controller that does not answer yet is asked again.
-const PING_AGAIN: Duration = Duration::from_millis(2);
+const PING_RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// One controller's process, or its place while none runs.
 pub struct Process {
     controller: ControllerId,
-    file: PathBuf,
+    configuration_file: PathBuf,
     child: Option<Child>,
     /// Where collectors find it.
     address: watch::Sender<Option<SocketAddr>>,
     /// What earlier processes of this controller have cost.
-    former: Cost,
+    exited_cost: Cost,
 }
 
 impl Process {
     /// A controller whose configuration file is in this folder; it is not started yet.
     pub fn new(controller: ControllerId, folder: &Path) -> Self {
-        let (file, address) = (folder.join(format!("n{controller}.json")), watch::Sender::new(None));
-        Process { controller, file, child: None, address, former: Cost::default() }
+        let (configuration_file, address) =
+            (folder.join(format!("n{controller}.json")), watch::Sender::new(None));
+        Process { controller, configuration_file, child: None, address, exited_cost: Cost::default() }
     }
 
     /// Where collectors find it, and when that changes.
@@ -51,16 +52,16 @@
 
     /// Writes its configuration.
     pub fn configure(&self, plan: &Plan, at: Addresses) -> std::io::Result<()> {
-        let mut file = plan.configuration(self.controller);
-        file["distributor"]["address"] = json!(at.relay.to_string());
-        file["discovery"] = json!(at.discovery.to_string());
-        std::fs::write(&self.file, file.to_string())
+        let mut configuration = plan.configuration(self.controller);
+        configuration["distributor"]["address"] = json!(at.relay.to_string());
+        configuration["discovery"] = json!(at.discovery.to_string());
+        std::fs::write(&self.configuration_file, configuration.to_string())
     }
 
     /// Starts the program.
     pub fn start(&mut self, plan: &Plan) -> Result<(), ManyError> {
         let mut command = Command::new(&plan.program);
-        command.env_clear().env("PROXY_CONFIG", &self.file).kill_on_drop(true);
+        command.env_clear().env("PROXY_CONFIG", &self.configuration_file).kill_on_drop(true);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let child = command.spawn().map_err(|why| ManyError::Start { program: plan.program.clone(), why })?;
         self.child = Some(child);
@@ -68,7 +69,7 @@
     }
 
     /// Waits until it has answered a ping, and gives its address to the collectors.
-    pub async fn serves(&mut self, tracker: &Arc<Tracker>) -> Result<(), ManyError> {
+    pub async fn wait_until_ready(&mut self, tracker: &Arc<Tracker>) -> Result<(), ManyError> {
         let silent = ManyError::NotServing { controller: self.controller };
         let stderr = self.child.as_mut().and_then(|child| child.stderr.take());
         let Some(stderr) = stderr else { return Err(silent) };
@@ -85,9 +86,9 @@
         };
         tokio::spawn(drain(lines));
         while ping(address).await.is_err() {
-            sleep(PING_AGAIN).await;
+            sleep(PING_RETRY_DELAY).await;
         }
-        _ = tracker.reached(self.controller, Condition::Ponged);
+        _ = tracker.record_condition(self.controller, Condition::PingAnswered);
         self.address.send_replace(Some(address));
         Ok(())
     }
@@ -102,11 +103,11 @@
     }
 
     /// Waits for its end after SIGTERM; one that does not end is killed.
-    pub async fn ended(&mut self) {
-        self.former += Cost { memory_kb: 0, threads: 0, ..self.running() };
+    pub async fn wait_for_exit(&mut self) {
+        self.exited_cost += Cost { memory_kb: 0, threads: 0, ..self.running() };
         self.address.send_replace(None);
         let Some(mut child) = self.child.take() else { return };
-        if timeout(GRACE, child.wait()).await.is_err() {
+        if timeout(SHUTDOWN_GRACE, child.wait()).await.is_err() {
             _ = child.kill().await;
         }
     }
@@ -119,11 +120,11 @@
     /// What this controller has cost since its first start.
     pub fn cost(&self) -> Cost {
         let running = self.running();
-        Cost { processor: self.former.processor + running.processor, ..running }
+        Cost { processor_time: self.exited_cost.processor_time + running.processor_time, ..running }
     }
 
     /// Whether its process still runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 }
@@ -148,9 +149,9 @@
 pub fn find_program() -> Result<PathBuf, ManyError> {
     let this = std::env::current_exe().map_err(|_| ManyError::NoProgram)?;
     let folders = this.ancestors().skip(1).take(3);
-    let zones =
+    let candidates =
         folders.flat_map(|folder| ["", "debug", "release"].map(|profile| folder.join(profile).join(PROGRAM)));
-    let built = zones.filter_map(|path| {
+    let built = candidates.filter_map(|path| {
         let time = std::fs::metadata(&path).ok().filter(|file| file.is_file())?.modified().ok()?;
         Some((time, path))
     });
--- a/crates/scale-tests/src/many/report.rs
+++ b/crates/scale-tests/src/many/report.rs
@@ -2,13 +2,13 @@
 
 use super::events::{Costs, Outcome, Results};
 use super::plan::{ControllerId, Plan};
-use super::tracker::{Demand, Traffic};
+use super::tracker::{SentBytes, Traffic};
 use hdrhistogram::Histogram;
 use std::fmt::Write;
 use std::time::Duration;
 
 /// Times are kept in microseconds, to three digits.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The whole report.
 pub fn table(plan: &Plan, results: &Results) -> String {
@@ -27,17 +27,17 @@
          drained at rest. The machine's load over a minute, of all that ran on it: {:.1} before, {:.1} after.\n",
         plan.controllers(),
         plan.real,
-        plan.hollow,
+        plan.simulated,
         plan.replicas,
         plan.zones,
         plan.regions,
         plan.slices,
         plan.proxies,
         plan.report_period.as_secs_f64(),
-        plan.hollow_report_period.as_secs_f64(),
+        plan.simulated_report_period.as_secs_f64(),
         results.list_bytes,
-        plan.cut.as_secs_f64(),
-        plan.virtual_cut.as_secs_f64(),
+        plan.partition_duration.as_secs_f64(),
+        plan.virtual_partition_duration.as_secs_f64(),
         results.holders,
         plan.real,
         results.machine_load[0],
@@ -56,22 +56,22 @@
     )?;
     writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")?;
     for outcome in outcomes {
-        let reached = &outcome.reached;
+        let progress = &outcome.progress;
         let is_real = |controller: &ControllerId| plan.is_real(*controller);
         let of_kind = |real: bool| {
-            let times = reached.times.iter().filter(move |(controller, _)| is_real(controller) == real);
+            let times = progress.times.iter().filter(move |(controller, _)| is_real(controller) == real);
             let missing =
-                reached.missing.keys().filter(move |controller| is_real(controller) == real).count();
+                progress.missing.keys().filter(move |controller| is_real(controller) == real).count();
             (times.map(|(_, time)| *time).collect::<Vec<_>>(), missing)
         };
-        let (event, caused) = (outcome.event, milliseconds(outcome.caused_in));
+        let (event, caused) = (outcome.event, milliseconds(outcome.trigger_time));
         let (times, missing) = of_kind(true);
         let row = times_row(&times, missing);
         writeln!(text, "| {event} | processes | {row} | {caused:.1} | - | - | - |")?;
         let (times, missing) = of_kind(false);
         let row = times_row(&times, missing);
-        let processor: Vec<_> = reached.processor.values().copied().collect();
-        let [median, high, last] = percentiles(&processor).map(milliseconds);
+        let processor_time: Vec<_> = progress.processor_time.values().copied().collect();
+        let [median, high, last] = percentiles(&processor_time).map(milliseconds);
         writeln!(text, "| {event} | in-process | {row} | - | {median:.1} | {high:.1} | {last:.1} |")?;
     }
     writeln!(text)
@@ -85,7 +85,7 @@
 
 /// The median, the 99th percentile and the last.
 fn percentiles(times: &[Duration]) -> [Duration; 3] {
-    let Ok(mut histogram) = Histogram::<u64>::new(DIGITS) else { return [Duration::ZERO; 3] };
+    let Ok(mut histogram) = Histogram::<u64>::new(SIGNIFICANT_DIGITS) else { return [Duration::ZERO; 3] };
     times.iter().for_each(|time| _ = histogram.record(time.as_micros() as u64));
     [histogram.value_at_quantile(0.5), histogram.value_at_quantile(0.99), histogram.max()]
         .map(Duration::from_micros)
@@ -99,14 +99,15 @@
     writeln!(text, "| event | governors | lists KB | peak KB/s | news KB | peak KB/s |")?;
     writeln!(text, "| --- | --- | --- | --- | --- | --- |")?;
     for outcome in outcomes {
-        for (name, demand) in [("processes", &outcome.reached.real), ("in-process", &outcome.reached.hollow)]
+        for (name, sent_bytes) in
+            [("processes", &outcome.progress.real), ("in-process", &outcome.progress.simulated)]
         {
-            let [lists, list_peak] = kilobytes(demand, Traffic::List);
-            let [news, news_peak] = kilobytes(demand, Traffic::RelayEvent);
+            let [lists, list_peak] = kilobytes(sent_bytes, Traffic::List);
+            let [relay_events, news_peak] = kilobytes(sent_bytes, Traffic::RelayEvent);
             let event = outcome.event;
             writeln!(
                 text,
-                "| {event} | {name} | {lists:.1} | {list_peak:.0} | {news:.1} | {news_peak:.0} |"
+                "| {event} | {name} | {lists:.1} | {list_peak:.0} | {relay_events:.1} | {news_peak:.0} |"
             )?;
         }
     }
@@ -114,8 +115,8 @@
 }
 
 /// Kilobytes in all, and a second at the peak.
-fn kilobytes(demand: &Demand, traffic: Traffic) -> [f64; 2] {
-    [demand.bytes(traffic) as f64 / 1e3, demand.peak(traffic) / 1e3]
+fn kilobytes(sent_bytes: &SentBytes, traffic: Traffic) -> [f64; 2] {
+    [sent_bytes.bytes(traffic) as f64 / 1e3, sent_bytes.peak(traffic) / 1e3]
 }
 
 fn write_costs(text: &mut String, plan: &Plan, results: &Results) -> std::fmt::Result {
@@ -127,12 +128,12 @@
     writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")?;
     let events = results.outcomes.iter().map(|outcome| (outcome.event, &outcome.costs));
     let mut rows: Vec<_> = events.collect();
-    rows.insert(1, ("at rest", &results.rest));
+    rows.insert(1, ("at rest", &results.idle));
     for (name, costs) in rows {
         write_cost(text, plan, name, costs)?;
     }
     let bare = results.bare_harness.memory_kb;
-    let each = results.rest.harness.memory_kb.saturating_sub(bare) as f64 / plan.hollow.max(1) as f64;
+    let each = results.idle.harness.memory_kb.saturating_sub(bare) as f64 / plan.simulated.max(1) as f64;
     writeln!(
         text,
         "\nThe harness without in-process governors holds {:.1} MB; each of them adds {:.2} MB at rest.",
@@ -144,16 +145,17 @@
 fn write_cost(text: &mut String, plan: &Plan, name: &str, costs: &Costs) -> std::fmt::Result {
     let seconds = costs.elapsed.as_secs_f64().max(1e-9);
     let each = |time: Duration, many: usize| milliseconds(time) / many.max(1) as f64;
-    let (real, hollow) = (each(costs.real.processor, plan.real), each(costs.hollow, plan.hollow));
+    let (real, simulated) =
+        (each(costs.real.processor_time, plan.real), each(costs.simulated, plan.simulated));
     // Milliseconds in a period of so many seconds, as a part of a core in hundredths.
     let percent = |each: f64| each / seconds / 10.0;
-    let own = costs.harness.processor.saturating_sub(costs.hollow);
+    let own = costs.harness.processor_time.saturating_sub(costs.simulated);
     writeln!(
         text,
-        "| {name} | {seconds:.2} | {real:.1} | {:.2} | {:.1} | {hollow:.1} | {:.2} | {:.2} | {:.0} | {} |",
+        "| {name} | {seconds:.2} | {real:.1} | {:.2} | {:.1} | {simulated:.1} | {:.2} | {:.2} | {:.0} | {} |",
         percent(real),
         costs.real.memory_kb as f64 / plan.real.max(1) as f64 / 1e3,
-        percent(hollow),
+        percent(simulated),
         own.as_secs_f64() / seconds,
         costs.harness.memory_kb as f64 / 1e3,
         costs.harness.threads,
--- a/crates/scale-tests/src/many/stand_ins.rs
+++ b/crates/scale-tests/src/many/stand_ins.rs
@@ -15,22 +15,22 @@
 use tokio::sync::{broadcast, watch};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-/// The relay's sign of life.
-const RELAY_ALIVE: Duration = Duration::from_secs(1);
-/// Discovery's sign of life.
-const DISCOVERY_ALIVE: Duration = Duration::from_secs(2);
-/// Acks that wait for a relay's news connection.
-const ACKS: usize = 4096;
-/// Before a collector connects anew.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The relay's keep-alives.
+const RELAY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Discovery's keep-alives.
+const DISCOVERY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Acknowledgements queued for a watcher of the relay, in messages.
+const ACK_QUEUE_CAPACITY: usize = 4096;
+/// Before a collector connects again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether a region is cut off.
+/// Whether a region is partitioned from the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     /// Bytes pass.
     Up,
     /// Nothing is said, and connections stay open.
-    Cut,
+    Partitioned,
 }
 
 /// Where one controller finds its relay and its discovery.
@@ -43,7 +43,7 @@
 }
 
 /// What the stand-ins of one controller share.
-pub struct Seat {
+pub struct StandInState {
     controller: ControllerId,
     store: Mutex<Store>,
     acks: broadcast::Sender<String>,
@@ -52,7 +52,7 @@
     tracker: Arc<Tracker>,
 }
 
-impl Seat {
+impl StandInState {
     /// The stand-ins of a controller before anybody has come to them.
     pub fn new(
         plan: &Plan,
@@ -62,7 +62,14 @@
         tracker: Arc<Tracker>,
     ) -> Self {
         let store = Mutex::new(Store::new(plan, controller));
-        Seat { controller, store, acks: broadcast::Sender::new(ACKS), link, catalog, tracker }
+        StandInState {
+            controller,
+            store,
+            acks: broadcast::Sender::new(ACK_QUEUE_CAPACITY),
+            link,
+            catalog,
+            tracker,
+        }
     }
 
     /// The store of its relay.
@@ -70,26 +77,26 @@
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn reached(&self, condition: Condition) {
-        _ = self.tracker.reached(self.controller, condition);
+    fn record_condition(&self, condition: Condition) {
+        _ = self.tracker.record_condition(self.controller, condition);
     }
 
-    fn sent(&self, traffic: Traffic, bytes: usize) {
-        self.tracker.sent(self.controller, traffic, bytes);
+    fn add_sent_bytes(&self, traffic: Traffic, bytes: usize) {
+        self.tracker.add_sent_bytes(self.controller, traffic, bytes);
     }
 
-    fn is_cut(&self) -> bool {
-        *self.link.borrow() == Link::Cut
+    fn is_partitioned(&self) -> bool {
+        *self.link.borrow() == Link::Partitioned
     }
 }
 
 /// Opens relay and discovery of one site; they serve as long as the runtime does.
-pub async fn open(seat: &Arc<Seat>, site: Site) -> io::Result<Addresses> {
+pub async fn open(state: &Arc<StandInState>, site: Site) -> io::Result<Addresses> {
     let relay = TcpListener::bind("127.0.0.1:0").await?;
     let discovery = TcpListener::bind("127.0.0.1:0").await?;
     let addresses = Addresses { relay: relay.local_addr()?, discovery: discovery.local_addr()? };
-    tokio::spawn(accept(relay, seat.clone(), Service::Relay, site));
-    tokio::spawn(accept(discovery, seat.clone(), Service::Discovery, site));
+    tokio::spawn(accept(relay, state.clone(), Service::Relay, site));
+    tokio::spawn(accept(discovery, state.clone(), Service::Discovery, site));
     Ok(addresses)
 }
 
@@ -100,112 +107,112 @@
     Discovery,
 }
 
-async fn accept(listener: TcpListener, seat: Arc<Seat>, service: Service, site: Site) {
+async fn accept(listener: TcpListener, state: Arc<StandInState>, service: Service, site: Site) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => _ = tokio::spawn(connection(seat.clone(), service, site, stream)),
+            Ok((stream, _)) => _ = tokio::spawn(connection(state.clone(), service, site, stream)),
             // No descriptor is free, for instance.
-            Err(_) => sleep(PAUSE).await,
+            Err(_) => sleep(RECONNECT_DELAY).await,
         }
     }
 }
 
-/// Serves a connection until it ends or its region is cut off. One that was open or came during the cut says nothing,
+/// Serves a connection until it ends or its region is partitioned from the network. One that was open or came during the partition says nothing,
 /// and is closed once the region is back.
-async fn connection(seat: Arc<Seat>, service: Service, site: Site, mut stream: TcpStream) {
-    let mut link = seat.link.clone();
+async fn connection(state: Arc<StandInState>, service: Service, site: Site, mut stream: TcpStream) {
+    let mut link = state.link.clone();
     // Discovery is also asked now and then by whoever misses nothing.
-    if matches!(service, Service::Relay) && *link.borrow() == Link::Cut {
-        seat.reached(Condition::CutNoticed);
+    if matches!(service, Service::Relay) && *link.borrow() == Link::Partitioned {
+        state.record_condition(Condition::PartitionDetected);
     }
     _ = stream.set_nodelay(true);
     tokio::select! {
         biased;
-        _ = link.wait_for(|link| *link == Link::Cut) => {}
-        _ = serve(&seat, service, site, &mut stream) => return,
+        _ = link.wait_for(|link| *link == Link::Partitioned) => {}
+        _ = serve(&state, service, site, &mut stream) => return,
     }
     _ = link.wait_for(|link| *link == Link::Up).await;
 }
 
-async fn serve(seat: &Seat, service: Service, site: Site, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve(state: &StandInState, service: Service, site: Site, stream: &mut TcpStream) -> io::Result<()> {
     match service {
-        Service::Relay => serve_relay(seat, site, stream).await,
-        Service::Discovery => serve_discovery(seat, site, stream).await,
+        Service::Relay => serve_relay(state, site, stream).await,
+        Service::Discovery => serve_discovery(state, site, stream).await,
     }
 }
 
-async fn serve_relay(seat: &Seat, site: Site, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve_relay(state: &StandInState, site: Site, stream: &mut TcpStream) -> io::Result<()> {
     let (read, mut write) = stream.split();
     let mut lines = BufReader::new(read).lines();
     while let Some(line) = lines.next_line().await? {
         if line == "WATCH" {
-            return tell_news(seat, site, &mut lines, &mut write).await;
+            return serve_watch(state, site, &mut lines, &mut write).await;
         }
-        let applied = seat.store().apply(&line);
+        let applied = state.store().apply(&line);
         let Some(applied) = applied else {
             write.write_all(b"ERR bad_request\r\n").await?;
             continue;
         };
-        write.write_all(format!("OK {}\r\n", applied.orders).as_bytes()).await?;
+        write.write_all(format!("OK {}\r\n", applied.commands).as_bytes()).await?;
         if !applied.acks.is_empty() {
-            // Nobody may be listening.
-            _ = seat.acks.send(format!("{}\r\n", applied.acks.join("\r\n")));
+            // No receiver may be listening.
+            _ = state.acks.send(format!("{}\r\n", applied.acks.join("\r\n")));
         }
-        if seat.tracker.drained().is_some_and(|replica| seat.store().has_left(&replica)) {
-            seat.reached(Condition::Withdrawn);
+        if state.tracker.drained().is_some_and(|replica| state.store().is_drained(&replica)) {
+            state.record_condition(Condition::Withdrawn);
         }
     }
     Ok(())
 }
 
-async fn tell_news<R: AsyncBufRead + Unpin, W: AsyncWrite + Unpin>(
-    seat: &Seat,
+async fn serve_watch<R: AsyncBufRead + Unpin, W: AsyncWrite + Unpin>(
+    state: &StandInState,
     site: Site,
     lines: &mut Lines<R>,
     write: &mut W,
 ) -> io::Result<()> {
-    let mut acks = seat.acks.subscribe();
-    let snapshot = format!("{}\r\n", seat.store().snapshot().join("\r\n"));
+    let mut acks = state.acks.subscribe();
+    let snapshot = format!("{}\r\n", state.store().snapshot().join("\r\n"));
     write.write_all(snapshot.as_bytes()).await?;
-    seat.sent(Traffic::RelayEvent, snapshot.len());
-    seat.reached(Condition::NewsFrom(site));
-    let mut alive = interval(RELAY_ALIVE);
+    state.add_sent_bytes(Traffic::RelayEvent, snapshot.len());
+    state.record_condition(Condition::RelaySnapshotFrom(site));
+    let mut keep_alive = interval(RELAY_KEEP_ALIVE_INTERVAL);
     loop {
         let text = tokio::select! {
             line = lines.next_line() => match line? {
                 Some(_) => continue,
                 None => return Ok(()),
             },
-            said = acks.recv() => match said {
-                Ok(said) => said,
+            message = acks.recv() => match message {
+                Ok(message) => message,
                 Err(broadcast::error::RecvError::Lagged(_)) => continue,
                 Err(broadcast::error::RecvError::Closed) => return Ok(()),
             },
-            _ = alive.tick() => "*\r\n".to_string(),
+            _ = keep_alive.tick() => "*\r\n".to_string(),
         };
         write.write_all(text.as_bytes()).await?;
-        seat.sent(Traffic::RelayEvent, text.len());
+        state.add_sent_bytes(Traffic::RelayEvent, text.len());
     }
 }
 
-async fn serve_discovery(seat: &Seat, site: Site, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve_discovery(state: &StandInState, site: Site, stream: &mut TcpStream) -> io::Result<()> {
     let (read, mut write) = stream.split();
     let mut lines = BufReader::new(read).lines();
     let request = lines.next_line().await?.unwrap_or_default();
     while lines.next_line().await?.is_some_and(|line| !line.is_empty()) {}
     let mut since = request_version(&request);
-    let mut versions = seat.catalog.versions();
+    let mut versions = state.catalog.versions();
     write.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
     loop {
         versions.mark_unchanged();
-        let told = seat.catalog.since(since);
-        write.write_all(chunk(&told.line).as_bytes()).await?;
-        since = told.version;
-        seat.sent(Traffic::List, told.line.len());
-        seat.reached(Condition::ListFrom(site));
-        seat.reached(Condition::ListVersion(told.version));
-        let mut alive = interval(DISCOVERY_ALIVE);
-        alive.reset();
+        let update = state.catalog.since(since);
+        write.write_all(chunk(&update.line).as_bytes()).await?;
+        since = update.version;
+        state.add_sent_bytes(Traffic::List, update.line.len());
+        state.record_condition(Condition::ListFrom(site));
+        state.record_condition(Condition::ListVersion(update.version));
+        let mut keep_alive = interval(DISCOVERY_KEEP_ALIVE_INTERVAL);
+        keep_alive.reset();
         loop {
             tokio::select! {
                 line = lines.next_line() => match line? {
@@ -216,7 +223,7 @@
                     Ok(()) => break,
                     Err(_) => return Ok(()),
                 },
-                _ = alive.tick() => write.write_all(chunk("\n").as_bytes()).await?,
+                _ = keep_alive.tick() => write.write_all(chunk("\n").as_bytes()).await?,
             }
         }
     }
@@ -247,52 +254,58 @@
     (0..plan.zones).map(|zone| of_zone(zone).into()).collect()
 }
 
-fn slice_reports(plan: &Plan, seat: &Seat) -> String {
+fn slice_reports(plan: &Plan, state: &StandInState) -> String {
     let window = plan.report_period.as_secs_f64() * 1e3;
     let line = |slice: u32| {
         let line = json!({"@type": "SHARD", "partition": slice, "kind": REQUEST_CLASS, "n": 4, "bad": 0,
             "window": window});
         format!("{line}\n")
     };
-    seat.store().slices().map(line).collect()
+    state.store().slices().map(line).collect()
 }
 
-/// The collector of one zone: it reports as long as the controller has an address, and connects anew when it must. The
+/// The collector of one zone: it reports as long as the controller has an address, and connects again when it must. The
 /// first zone's also reports on the controller's slices.
 pub async fn collect(
     plan: Arc<Plan>,
-    seat: Arc<Seat>,
+    state: Arc<StandInState>,
     zone: usize,
     load: Arc<str>,
     mut address: watch::Receiver<Option<SocketAddr>>,
 ) {
     loop {
         let Ok(at) = address.wait_for(Option::is_some).await.map(|at| *at) else { return };
-        if let Some(at) = at.filter(|_| !seat.is_cut()) {
+        if let Some(at) = at.filter(|_| !state.is_partitioned()) {
             // The connection's end says no more than that it is over.
-            _ = report(&plan, &seat, zone, &load, at).await;
+            _ = send_reports(&plan, &state, zone, &load, at).await;
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn report(plan: &Plan, seat: &Seat, zone: usize, load: &str, at: SocketAddr) -> io::Result<()> {
+async fn send_reports(
+    plan: &Plan,
+    state: &StandInState,
+    zone: usize,
+    load: &str,
+    at: SocketAddr,
+) -> io::Result<()> {
     let mut stream = TcpStream::connect(at).await?;
     let source = json!({"@type": "SOURCE", "az": plan.zone(zone)});
     stream.write_all(format!("{source}\n").as_bytes()).await?;
-    let slices = if zone == 0 { slice_reports(plan, seat) } else { String::new() };
-    let mut link = seat.link.clone();
+    let slices = if zone == 0 { slice_reports(plan, state) } else { String::new() };
+    let mut link = state.link.clone();
     let mut due = interval(plan.report_period);
     due.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         due.tick().await;
-        if *link.borrow() == Link::Cut {
-            // Silent for as long as the cut lasts, and then gone.
+        if *link.borrow() == Link::Partitioned {
+            // Silent for as long as the partition lasts, and then gone.
             _ = link.wait_for(|link| *link == Link::Up).await;
             return Ok(());
         }
         stream.write_all(load.as_bytes()).await?;
         stream.write_all(slices.as_bytes()).await?;
-        seat.sent(Traffic::Reports, load.len() + slices.len());
+        state.add_sent_bytes(Traffic::Reports, load.len() + slices.len());
     }
 }
--- a/crates/scale-tests/src/many/store.rs
+++ b/crates/scale-tests/src/many/store.rs
@@ -1,4 +1,4 @@
-//! The store of one controller's relay: its tables, the proxies that are joined, and the replicas that are shut out.
+//! The store of one controller's relay: its tables, the proxies that are subscribed, and the replicas that are withdrawn.
 
 use super::plan::{ControllerId, Plan};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,25 +7,25 @@
 pub struct Store {
     tables: BTreeMap<u32, BTreeMap<String, f64>>,
     proxies: usize,
-    shut_out: BTreeSet<String>,
+    withdrawn: BTreeSet<String>,
 }
 
-/// What became of a call.
+/// What became of a request.
 #[derive(Debug, PartialEq)]
 pub struct Applied {
     /// Orders that were taken.
-    pub orders: usize,
-    /// Lines of news about proxies that have applied the call.
+    pub commands: usize,
+    /// Lines of relay events about proxies that have applied the call.
     pub acks: Vec<String>,
 }
 
 impl Store {
     /// The store before the run.
     pub fn new(plan: &Plan, controller: ControllerId) -> Self {
-        Store { tables: plan.tables(controller), proxies: plan.proxies, shut_out: BTreeSet::new() }
+        Store { tables: plan.tables(controller), proxies: plan.proxies, withdrawn: BTreeSet::new() }
     }
 
-    /// The news that is told to whoever asks for it: all that stands.
+    /// The lines that open a watch: all proxies and tables as they are.
     pub fn snapshot(&self) -> Vec<String> {
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..self.proxies).map(|proxy| format!("* SUBSCRIBE {proxy} zone-0 21.5 1")));
@@ -37,18 +37,18 @@
         lines
     }
 
-    /// Carries out a call; all proxies ack its version at once. None where the line is no call.
+    /// Carries out a request; all proxies acknowledge its version at once. None where the line is no call.
     pub fn apply(&mut self, line: &str) -> Option<Applied> {
-        let orders: Vec<_> = line.strip_prefix("APPLY ")?.split(';').collect();
+        let commands: Vec<_> = line.strip_prefix("APPLY ")?.split(';').collect();
         let mut acks = Vec::new();
-        for order in &orders {
-            match order.split(',').collect::<Vec<_>>()[..] {
+        for command in &commands {
+            match command.split(',').collect::<Vec<_>>()[..] {
                 ["SET", slice, replica, weight] => {
                     self.set(slice.parse().ok()?, replica, weight.parse().ok()?)
                 }
                 ["DEL", slice] => _ = self.tables.remove(&slice.parse().ok()?),
-                ["OUT", replica] => _ = self.shut_out.insert(replica.to_string()),
-                ["IN", replica] => _ = self.shut_out.remove(replica),
+                ["OUT", replica] => _ = self.withdrawn.insert(replica.to_string()),
+                ["IN", replica] => _ = self.withdrawn.remove(replica),
                 ["SYNC", version, _] => {
                     acks.extend((0..self.proxies).map(|proxy| format!("* ACK {proxy} {version} 1")));
                 }
@@ -56,7 +56,7 @@
                 _ => return None,
             }
         }
-        Some(Applied { orders: orders.len(), acks })
+        Some(Applied { commands: commands.len(), acks })
     }
 
     fn set(&mut self, slice: u32, replica: &str, weight: f64) {
@@ -68,17 +68,17 @@
         }
     }
 
-    /// Whether no table names this replica any more, or it is shut out.
-    pub fn has_left(&self, replica: &str) -> bool {
-        self.shut_out.contains(replica) || !self.names(replica)
+    /// Whether no table names this replica any more, or it is withdrawn.
+    pub fn is_drained(&self, replica: &str) -> bool {
+        self.withdrawn.contains(replica) || !self.has_replica(replica)
     }
 
     /// Whether a table names this replica.
-    pub fn names(&self, replica: &str) -> bool {
+    pub fn has_replica(&self, replica: &str) -> bool {
         self.tables.values().any(|table| table.contains_key(replica))
     }
 
-    /// The slices in the controller's charge.
+    /// The slices owned by the controller.
     pub fn slices(&self) -> impl Iterator<Item = u32> + '_ {
         self.tables.keys().copied()
     }
--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -7,23 +7,23 @@
 use tokio::sync::Notify;
 
 /// Demand is summed over periods of this length; the highest sum is the peak.
-const BIN: Duration = Duration::from_millis(100);
+const BIN_LENGTH: Duration = Duration::from_millis(100);
 
 /// Something that a controller has come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
     /// It has answered a ping since its start.
-    Ponged,
-    /// The news that stands was told to it by the relay of this site.
-    NewsFrom(Site),
-    /// The list was told to it by the discovery of this site.
+    PingAnswered,
+    /// The relay events that stands received to it by the relay of this site.
+    RelaySnapshotFrom(Site),
+    /// The list received to it by the discovery of this site.
     ListFrom(Site),
-    /// It was told this version of the list, or a newer one.
+    /// It received this version of the list, or a newer one.
     ListVersion(u64),
     /// It has ordered that its proxies leave the drained replica.
     Withdrawn,
-    /// It has noticed that it is cut off, and tries again.
-    CutNoticed,
+    /// It has noticed that it is partitioned from the network, and tries again.
+    PartitionDetected,
 }
 
 /// Where relay and discovery of a controller are: before and after a change of the configuration.
@@ -40,7 +40,7 @@
 pub enum Traffic {
     /// Discovery's lists.
     List,
-    /// The relay's news.
+    /// The relay's relay events.
     RelayEvent,
     /// The collectors' reports.
     Reports,
@@ -48,11 +48,11 @@
 
 /// What was sent during an event.
 #[derive(Clone, Debug, Default)]
-pub struct Demand {
+pub struct SentBytes {
     bins: BTreeMap<(Traffic, u128), u64>,
 }
 
-impl Demand {
+impl SentBytes {
     /// All bytes of this kind.
     pub fn bytes(&self, traffic: Traffic) -> u64 {
         self.of(traffic).sum()
@@ -60,7 +60,7 @@
 
     /// The highest rate of this kind, in bytes a second.
     pub fn peak(&self, traffic: Traffic) -> f64 {
-        self.of(traffic).max().unwrap_or(0) as f64 / BIN.as_secs_f64()
+        self.of(traffic).max().unwrap_or(0) as f64 / BIN_LENGTH.as_secs_f64()
     }
 
     fn of(&self, traffic: Traffic) -> impl Iterator<Item = u64> + '_ {
@@ -70,23 +70,23 @@
 
 /// What came of an event.
 #[derive(Clone, Debug, Default)]
-pub struct Reached {
+pub struct EventProgress {
     /// From the event's beginning until a controller had come to all that was waited for.
     pub times: BTreeMap<ControllerId, Duration>,
-    /// Processor time that it took an in-process controller, from when the event came to it.
-    pub processor: BTreeMap<ControllerId, Duration>,
+    /// CPU time that it took a simulated controller, from when the event came to it.
+    pub processor_time: BTreeMap<ControllerId, Duration>,
     /// Who had not by the end.
     pub missing: BTreeMap<ControllerId, BTreeSet<Condition>>,
     /// What was sent meanwhile, to the real processes and to the others.
-    pub real: Demand,
-    /// The same for the in-process controllers.
-    pub hollow: Demand,
+    pub real: SentBytes,
+    /// The same for the simulated controllers.
+    pub simulated: SentBytes,
 }
 
 struct Phase {
     began: Instant,
     drained: Option<String>,
-    reached: Reached,
+    progress: EventProgress,
 }
 
 /// Shared by all stand-ins: they say what was reached, and whoever runs the event waits for it.
@@ -100,7 +100,7 @@
 impl Tracker {
     /// The first `real` controllers are processes.
     pub fn new(real: usize) -> Self {
-        let phase = Phase { began: Instant::now(), drained: None, reached: Reached::default() };
+        let phase = Phase { began: Instant::now(), drained: None, progress: EventProgress::default() };
         Tracker { real, made: Instant::now(), phase: Mutex::new(phase), done: Notify::new() }
     }
 
@@ -115,10 +115,10 @@
 
     /// An event begins now; each of these controllers is to come to all of these conditions.
     pub fn begin(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
-        let waited: BTreeSet<_> = conditions.iter().copied().collect();
-        let missing = controllers.into_iter().map(|controller| (controller, waited.clone())).collect();
+        let awaited: BTreeSet<_> = conditions.iter().copied().collect();
+        let missing = controllers.into_iter().map(|controller| (controller, awaited.clone())).collect();
         let mut phase = self.phase();
-        phase.reached = Reached { missing, ..Reached::default() };
+        phase.progress = EventProgress { missing, ..EventProgress::default() };
         phase.began = Instant::now();
     }
 
@@ -133,55 +133,55 @@
     }
 
     /// A controller has come to this; true where the event waits for it no longer.
-    pub fn reached(&self, controller: ControllerId, condition: Condition) -> bool {
+    pub fn record_condition(&self, controller: ControllerId, condition: Condition) -> bool {
         let mut phase = self.phase();
         let took = phase.began.elapsed();
-        let Some(waited) = phase.reached.missing.get_mut(&controller) else { return false };
-        waited.retain(|waited| match (*waited, condition) {
-            (Condition::ListVersion(waited), Condition::ListVersion(told)) => told < waited,
-            (waited, condition) => waited != condition,
+        let Some(awaited) = phase.progress.missing.get_mut(&controller) else { return false };
+        awaited.retain(|awaited| match (*awaited, condition) {
+            (Condition::ListVersion(awaited), Condition::ListVersion(version)) => version < awaited,
+            (awaited, condition) => awaited != condition,
         });
-        if waited.is_empty() {
-            phase.reached.missing.remove(&controller);
-            phase.reached.times.insert(controller, took);
+        if awaited.is_empty() {
+            phase.progress.missing.remove(&controller);
+            phase.progress.times.insert(controller, took);
             self.done.notify_one();
             return true;
         }
         false
     }
 
-    /// The event has cost an in-process controller so much processor time.
-    pub fn spent(&self, controller: ControllerId, processor: Duration) {
-        self.phase().reached.processor.insert(controller, processor);
+    /// The event has cost a simulated controller so much CPU time.
+    pub fn record_processor_time(&self, controller: ControllerId, processor_time: Duration) {
+        self.phase().progress.processor_time.insert(controller, processor_time);
     }
 
     /// Whether the event waits for this controller yet.
-    pub fn waits_for(&self, controller: ControllerId) -> bool {
-        self.phase().reached.missing.contains_key(&controller)
+    pub fn is_waiting_for(&self, controller: ControllerId) -> bool {
+        self.phase().progress.missing.contains_key(&controller)
     }
 
     /// Whether an event goes on: some controller has not come to its end.
     pub fn in_event(&self) -> bool {
-        !self.phase().reached.missing.is_empty()
+        !self.phase().progress.missing.is_empty()
     }
 
     /// A controller was sent so much.
-    pub fn sent(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
+    pub fn add_sent_bytes(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
         let mut phase = self.phase();
-        let bin = phase.began.elapsed().as_nanos() / BIN.as_nanos();
-        let reached = &mut phase.reached;
-        let demand = if controller < self.real { &mut reached.real } else { &mut reached.hollow };
-        *demand.bins.entry((traffic, bin)).or_default() += bytes as u64;
+        let bin = phase.began.elapsed().as_nanos() / BIN_LENGTH.as_nanos();
+        let progress = &mut phase.progress;
+        let sent_bytes = if controller < self.real { &mut progress.real } else { &mut progress.simulated };
+        *sent_bytes.bins.entry((traffic, bin)).or_default() += bytes as u64;
     }
 
-    /// Waits until all have come to all, no longer than `patience`, and says how it went.
-    pub async fn wait(&self, patience: Duration) -> Reached {
-        let end = tokio::time::Instant::now() + patience;
-        while !self.phase().reached.missing.is_empty() {
+    /// Waits until all have come to all, no longer than `event_timeout`, and says how it went.
+    pub async fn wait(&self, event_timeout: Duration) -> EventProgress {
+        let end = tokio::time::Instant::now() + event_timeout;
+        while !self.phase().progress.missing.is_empty() {
             if tokio::time::timeout_at(end, self.done.notified()).await.is_err() {
                 break;
             }
         }
-        self.phase().reached.clone()
+        self.phase().progress.clone()
     }
 }
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -1,7 +1,7 @@
-//! Threads that share the in-process controllers between them.
+//! Threads that share the simulated controllers between them.
 
-use super::hollow::{Hollow, Surroundings};
-use super::plan::{ControllerId, CUT_REGION};
+use super::plan::{ControllerId, PARTITIONED_REGION};
+use super::simulated::{Environment, SimulatedController};
 use super::tracker::Site;
 use super::ManyError;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,16 +11,16 @@
 use std::time::Duration;
 
 /// A change of the list is looked for so often.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What all in-process controllers of a thread are told.
+/// What all simulated controllers of a thread receive.
 #[derive(Clone)]
 enum Command {
     Configure(Site),
     /// Nine in ten of them start again.
     Restart,
-    /// The region is cut off.
-    Cut,
+    /// The region is partitioned from the network.
+    Partitioned,
     /// It is back.
     Reconnect,
 }
@@ -30,58 +30,60 @@
     thread: JoinHandle<()>,
 }
 
-/// All in-process controllers.
+/// All simulated controllers.
 #[derive(Default)]
 pub struct Workers {
     workers: Vec<Worker>,
-    processor: Arc<AtomicU64>,
+    total_processor_time: Arc<AtomicU64>,
 }
 
 impl Workers {
     /// Starts the threads; each starts its controllers at once.
-    pub fn start(around: &Arc<Surroundings>) -> Result<Self, ManyError> {
-        let (plan, mut workers, processor) = (&around.plan, Vec::new(), Arc::new(AtomicU64::new(0)));
+    pub fn start(environment: &Arc<Environment>) -> Result<Self, ManyError> {
+        let (plan, mut workers, total_processor_time) =
+            (&environment.plan, Vec::new(), Arc::new(AtomicU64::new(0)));
         for worker in 0..plan.workers {
             let all = plan.real..plan.controllers();
             let own: Vec<ControllerId> = all.skip(worker).step_by(plan.workers).collect();
-            let (commands, told) = channel();
-            let (around, processor) = (around.clone(), processor.clone());
+            let (commands, received) = channel();
+            let (environment, total_processor_time) = (environment.clone(), total_processor_time.clone());
             let thread = std::thread::Builder::new().name(format!("hollow-{worker}"));
-            let thread =
-                thread.spawn(move || run(&own, &around, &processor, &told)).map_err(ManyError::Thread)?;
+            let thread = thread
+                .spawn(move || run(&own, &environment, &total_processor_time, &received))
+                .map_err(ManyError::Thread)?;
             workers.push(Worker { commands, thread });
         }
-        Ok(Workers { workers, processor })
+        Ok(Workers { workers, total_processor_time })
     }
 
-    fn tell(&self, command: &Command) {
+    fn broadcast(&self, command: &Command) {
         // One that has ended is missed by whoever waits for its controllers.
         self.workers.iter().for_each(|worker| _ = worker.commands.send(command.clone()));
     }
 
     /// The configuration of all names another site.
     pub fn configure(&self, site: Site) {
-        self.tell(&Command::Configure(site));
+        self.broadcast(&Command::Configure(site));
     }
 
     /// Nine in ten start again.
     pub fn restart(&self) {
-        self.tell(&Command::Restart);
+        self.broadcast(&Command::Restart);
     }
 
-    /// The region that is to be cut off is.
-    pub fn cut(&self) {
-        self.tell(&Command::Cut);
+    /// The region that is to be partitioned from the network is.
+    pub fn partition(&self) {
+        self.broadcast(&Command::Partitioned);
     }
 
     /// It is back.
     pub fn reconnect(&self) {
-        self.tell(&Command::Reconnect);
+        self.broadcast(&Command::Reconnect);
     }
 
-    /// Processor time of all reducers so far.
+    /// CPU time of all reducers so far.
     pub fn cost(&self) -> Duration {
-        Duration::from_nanos(self.processor.load(Ordering::Relaxed))
+        Duration::from_nanos(self.total_processor_time.load(Ordering::Relaxed))
     }
 
     /// Ends the threads.
@@ -96,41 +98,48 @@
 
 fn run(
     own: &[ControllerId],
-    around: &Arc<Surroundings>,
-    processor: &Arc<AtomicU64>,
+    environment: &Arc<Environment>,
+    total_processor_time: &Arc<AtomicU64>,
     commands: &Receiver<Command>,
 ) {
-    let start = |controller: &ControllerId| Hollow::start(*controller, around.clone(), processor.clone());
+    let start = |controller: &ControllerId| {
+        SimulatedController::start(*controller, environment.clone(), total_processor_time.clone())
+    };
     let Ok(mut controllers) = own.iter().map(start).collect::<Result<Vec<_>, _>>() else { return };
     loop {
-        let busy = controllers.iter_mut().fold(false, |busy, controller| controller.step() | busy);
-        let due = controllers.iter().map(Hollow::due_in).min().unwrap_or(LOOK);
-        let wait = if busy { Duration::ZERO } else { due.min(LOOK) };
+        let has_more_work = controllers
+            .iter_mut()
+            .fold(false, |has_more_work, controller| controller.run_due_work() | has_more_work);
+        let due = controllers.iter().map(SimulatedController::next_work_in).min().unwrap_or(POLL_INTERVAL);
+        let wait = if has_more_work { Duration::ZERO } else { due.min(POLL_INTERVAL) };
         match commands.recv_timeout(wait) {
-            Ok(command) => carry_out(&mut controllers, around, command),
+            Ok(command) => execute_command(&mut controllers, environment, command),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
     }
 }
 
-fn carry_out(controllers: &mut [Hollow], around: &Surroundings, command: Command) {
-    let plan = &around.plan;
+fn execute_command(controllers: &mut [SimulatedController], environment: &Environment, command: Command) {
+    let plan = &environment.plan;
     match command {
         Command::Configure(site) => controllers.iter_mut().for_each(|controller| controller.configure(site)),
         Command::Restart => {
             let restarted =
                 controllers.iter_mut().filter(|controller| plan.is_restarted(controller.controller()));
-            restarted.for_each(Hollow::restart);
+            restarted.for_each(SimulatedController::restart);
         }
-        Command::Cut => {
-            let cut = controllers
+        Command::Partitioned => {
+            let partition = controllers
                 .iter_mut()
-                .filter(|controller| plan.region(controller.controller()) == CUT_REGION);
-            cut.for_each(Hollow::cut);
+                .filter(|controller| plan.region(controller.controller()) == PARTITIONED_REGION);
+            partition.for_each(SimulatedController::partition);
         }
         Command::Reconnect => {
-            controllers.iter_mut().filter(|controller| controller.is_cut()).for_each(Hollow::reconnect);
+            controllers
+                .iter_mut()
+                .filter(|controller| controller.is_partitioned())
+                .for_each(SimulatedController::reconnect);
         }
     }
 }
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -1,14 +1,14 @@
 //! One real controller told by real aggregators: collectors of all zones tell each aggregator of the whole fleet, the
-//! aggregators tell the controller of its subset, and a tap between them counts what it is told.
+//! aggregators tell the controller of its subset, and a counting proxy between them counts what it receives.
 
-use super::rig::Setup;
 use super::steady::{machine_load, Times};
+use super::test_bed::Setup;
 use super::MeasureError;
-use crate::process::{Controller, Launch, ProcessError, Running, Usage};
+use crate::process::{Controller, Launch, ProcessError, RunningProgram, Usage};
 use crate::stand_ins::collectors::Collectors;
+use crate::stand_ins::counting_proxy::CountingProxy;
 use crate::stand_ins::discovery::Discovery;
 use crate::stand_ins::relay::Relay;
-use crate::stand_ins::tap::Tap;
 use crate::stand_ins::Traffic;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 /// Aggregators that have told nothing by then are not going to.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 /// How often it is looked at whether reports have come.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The fleet's part of the operators' file.
 #[derive(Clone, Debug)]
@@ -52,14 +52,14 @@
     pub bytes_in: u64,
     /// Bytes that the controller sent in all.
     pub bytes_out: u64,
-    /// Its processor time.
-    pub processor: Duration,
+    /// Its CPU time.
+    pub processor_time: Duration,
     /// Its memory.
     pub usage: Usage,
-    /// Of each aggregator, its processor time and memory.
+    /// Of each aggregator, its CPU time and memory.
     pub aggregators: Vec<(Duration, Usage)>,
     /// Bytes that all collectors told all aggregators.
-    pub told: u64,
+    pub sent_to_aggregators: u64,
     /// The last lines of the controller's log.
     pub log: Vec<String>,
     /// Average number of runnable processes on the machine in the last minute.
@@ -74,12 +74,13 @@
 
     /// The part of one core that the controller used.
     pub fn processor_share(&self) -> f64 {
-        self.processor.as_secs_f64() / self.lasted.as_secs_f64()
+        self.processor_time.as_secs_f64() / self.lasted.as_secs_f64()
     }
 
     /// The part of one core that an aggregator used, on average.
     pub fn aggregator_share(&self) -> f64 {
-        let total: f64 = self.aggregators.iter().map(|(processor, _)| processor.as_secs_f64()).sum();
+        let total: f64 =
+            self.aggregators.iter().map(|(processor_time, _)| processor_time.as_secs_f64()).sum();
         total / self.lasted.as_secs_f64() / self.aggregators.len().max(1) as f64
     }
 
@@ -91,31 +92,37 @@
 
 /// The operators' file of a fleet in which one controller is served: `n0`, behind the tap. The others are members
 /// without an address.
-fn operators(setup: &Setup, subsetting: &Subsetting, tap: SocketAddr, aggregators: &[SocketAddr]) -> String {
+fn operators(
+    setup: &Setup,
+    subsetting: &Subsetting,
+    counting_proxy: SocketAddr,
+    aggregators: &[SocketAddr],
+) -> String {
     let last = setup.size.slices.saturating_sub(1);
-    let served = format!("<governor name=\"n0\" address=\"{tap}\" slices=\"0-{last}\"/>");
-    let others: String = (1..setup.size.controllers).map(|n| format!("<governor name=\"n{n}\"/>")).collect();
+    let served = format!("<governor name=\"n0\" address=\"{counting_proxy}\" slices=\"0-{last}\"/>");
+    let aggregators_before: String =
+        (1..setup.size.controllers).map(|index| format!("<governor name=\"n{index}\"/>")).collect();
     let aggregators: String = aggregators
         .iter()
         .enumerate()
-        .map(|(n, address)| format!("<aggregator name=\"m{n}\" address=\"{address}\"/>"))
+        .map(|(index, address)| format!("<aggregator name=\"m{index}\" address=\"{address}\"/>"))
         .collect();
     let Subsetting { subset, bytes_per_second, .. } = subsetting;
     format!(
         "<operators version=\"1\"><subsetting subset=\"{subset}\" bytes-per-second=\"{bytes_per_second}\">\
-         {served}{others}{aggregators}</subsetting></operators>"
+         {served}{aggregators_before}{aggregators}</subsetting></operators>"
     )
 }
 
 /// Free addresses on loopback; each is given up at once, for a program to listen at.
-fn free_addresses(many: usize) -> std::io::Result<Vec<SocketAddr>> {
+fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     let listeners: Vec<_> =
-        (0..many).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<std::io::Result<_>>()?;
+        (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<std::io::Result<_>>()?;
     listeners.iter().map(TcpListener::local_addr).collect()
 }
 
 struct Aggregators {
-    running: Vec<Running>,
+    running: Vec<RunningProgram>,
     addresses: Vec<SocketAddr>,
     _folder: tempfile::TempDir,
 }
@@ -130,11 +137,11 @@
         let folder = tempfile::tempdir()?;
         let file: PathBuf = folder.path().join("operators.xml");
         std::fs::write(&file, operators)?;
-        let start = |(n, address): (usize, &SocketAddr)| {
+        let start = |(index, address): (usize, &SocketAddr)| {
             let mut command = Command::new(program);
-            command.env_clear().arg("--operators").arg(&file).args(["--name", &format!("m{n}")]);
+            command.env_clear().arg("--operators").arg(&file).args(["--name", &format!("m{index}")]);
             command.args(["--listen", &address.to_string(), "--discovery", &discovery.to_string()]);
-            let running = Running::start(command)?;
+            let running = RunningProgram::start(command)?;
             running.address()?;
             Ok(running)
         };
@@ -143,22 +150,22 @@
     }
 
     fn usages(&self) -> Result<Vec<Usage>, ProcessError> {
-        self.running.iter().map(Running::usage).collect()
+        self.running.iter().map(RunningProgram::usage).collect()
     }
 }
 
 /// Waits until more than the first line of a connection has gone to the controller.
-fn wait_for_reports(tap: &Tap, since: Instant) -> Option<Duration> {
+fn wait_for_reports(counting_proxy: &CountingProxy, since: Instant) -> Option<Duration> {
     while since.elapsed() < FIRST_REPORT_TIMEOUT {
-        if tap.through.inward.read().lines > 2 {
+        if counting_proxy.traffic.to_controller.read().lines > 2 {
             return Some(since.elapsed());
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     None
 }
 
-/// Measures the controller at rest behind its aggregators.
+/// Measures the controller while idle behind its aggregators.
 pub fn measure(
     controller: &Path,
     aggregator: &Path,
@@ -166,12 +173,12 @@
     subsetting: &Subsetting,
     times: Times,
 ) -> Result<Aggregated, MeasureError> {
-    let (traffic, told) = (Arc::new(Traffic::default()), Arc::new(Traffic::default()));
+    let (traffic, sent_to_aggregators) = (Arc::new(Traffic::default()), Arc::new(Traffic::default()));
     let (relay, discovery) = (Relay::start(&setup.size, &traffic)?, Discovery::start(&setup.size, &traffic)?);
-    let aggregators_discovery = Discovery::start(&setup.size, &told)?;
-    let tap = Tap::start()?;
+    let aggregators_discovery = Discovery::start(&setup.size, &sent_to_aggregators)?;
+    let counting_proxy = CountingProxy::start()?;
     let addresses = free_addresses(subsetting.aggregators)?;
-    let operators = operators(setup, subsetting, tap.address(), &addresses);
+    let operators = operators(setup, subsetting, counting_proxy.address(), &addresses);
     let controller = Controller::start(&Launch {
         program: controller.into(),
         configuration: setup.size.configuration(relay.address()),
@@ -180,41 +187,45 @@
     })?;
     controller.ping()?;
     let time_to_ready = controller.started().elapsed();
-    tap.lead_to(controller.address());
+    counting_proxy.set_target(controller.address());
     let asked = Instant::now();
     let aggregators = Aggregators::start(aggregator, addresses, &operators, aggregators_discovery.address())?;
     let collectors: Vec<Collectors> = aggregators
         .addresses
         .iter()
-        .map(|address| Collectors::start(*address, setup.schedules(), &told))
+        .map(|address| Collectors::start(*address, setup.schedules(), &sent_to_aggregators))
         .collect::<std::io::Result<_>>()?;
-    let first_report = wait_for_reports(&tap, asked);
+    let first_report = wait_for_reports(&counting_proxy, asked);
     thread::sleep(times.warm_up);
 
-    let (usage, others, began) = (controller.usage()?, aggregators.usages()?, Instant::now());
-    let (seen, inward, all_told) = (traffic.read(), tap.through.inward.read(), told.read());
-    let outward = tap.through.outward.read();
+    let (usage, aggregators_before, began) = (controller.usage()?, aggregators.usages()?, Instant::now());
+    let (stand_in_traffic, to_controller, all_sent_to_aggregators) =
+        (traffic.read(), counting_proxy.traffic.to_controller.read(), sent_to_aggregators.read());
+    let from_controller = counting_proxy.traffic.from_controller.read();
     thread::sleep(times.measured);
     let lasted = began.elapsed();
-    let (usage_after, others_after) = (controller.usage()?, aggregators.usages()?);
-    let (seen, inward) = (traffic.read().since(seen), tap.through.inward.read().since(inward));
-    let outward = tap.through.outward.read().since(outward);
+    let (usage_after, aggregators_after) = (controller.usage()?, aggregators.usages()?);
+    let (stand_in_traffic, to_controller) = (
+        traffic.read().since(stand_in_traffic),
+        counting_proxy.traffic.to_controller.read().since(to_controller),
+    );
+    let from_controller = counting_proxy.traffic.from_controller.read().since(from_controller);
     drop(collectors);
-    let used = |(after, before): (Usage, Usage)| (after.processor - before.processor, after);
+    let used = |(after, before): (Usage, Usage)| (after.processor_time - before.processor_time, after);
     Ok(Aggregated {
         subsetting: subsetting.clone(),
         time_to_ready,
         first_report,
         lasted,
-        reports: inward.bytes,
-        lines: inward.lines,
-        bytes_in: inward.bytes + seen.bytes_in(),
-        bytes_out: outward.bytes + seen.bytes_out(),
-        processor: usage_after.processor - usage.processor,
+        reports: to_controller.bytes,
+        lines: to_controller.lines,
+        bytes_in: to_controller.bytes + stand_in_traffic.bytes_in(),
+        bytes_out: from_controller.bytes + stand_in_traffic.bytes_out(),
+        processor_time: usage_after.processor_time - usage.processor_time,
         usage: usage_after,
-        aggregators: others_after.into_iter().zip(others).map(used).collect(),
-        told: told.read().since(all_told).reports.bytes,
-        log: controller.logged(),
+        aggregators: aggregators_after.into_iter().zip(aggregators_before).map(used).collect(),
+        sent_to_aggregators: sent_to_aggregators.read().since(all_sent_to_aggregators).reports.bytes,
+        log: controller.take_log_lines(),
         machine_load: machine_load(),
     })
 }
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -1,36 +1,36 @@
-//! One controller in events: what it uses, how much is told, and how soon it acts, when some entries of the list change
-//! at once, when the whole list is told again, and when it starts.
+//! One controller in events: what it uses, how much it receives, and how soon it acts, when some entries of the list
+//! change at once, when the complete list is sent again, and when it starts.
 
-use super::rig::{Rig, Setup};
 use super::steady::{machine_load, Times};
+use super::test_bed::{Setup, TestBed};
 use super::MeasureError;
 use crate::process::Usage;
-use crate::stand_ins::discovery::Listed;
-use crate::stand_ins::relay::Call;
+use crate::stand_ins::discovery::EntryState;
+use crate::stand_ins::relay::RelayRequest;
 use crate::stand_ins::TrafficCount;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A controller that has not acted by then is not going to.
-const LONGEST: Duration = Duration::from_secs(20);
+const ACTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the controller logs when it has read its files anew.
+/// What the controller logs when it has read its files again.
 const RELOADED: &str = "configuration reloaded";
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Nothing: what the same time costs at rest.
+    /// Nothing: what the same time costs while idle.
     Nothing,
-    /// The configuration file is read anew, on SIGHUP.
-    Configured,
+    /// The configuration file is read again, on SIGHUP.
+    ConfigurationReload,
     /// So many replicas begin to drain at once, the first owners of slices among them.
     Drain(usize),
     /// So many replicas are back at once, cold.
-    Back(usize),
-    /// The whole list is told again, with one owner of a slice that drains.
-    WholeList,
+    Return(usize),
+    /// The complete list is sent again, with one owner of a slice that drains.
+    FullList,
 }
 
 impl Event {
@@ -38,10 +38,10 @@
     pub fn name(&self) -> String {
         match self {
             Event::Nothing => "nothing".into(),
-            Event::Configured => "SIGHUP, until it is logged as read".into(),
-            Event::Drain(many) => format!("{many} replicas drain"),
-            Event::Back(many) => format!("{many} replicas are back, cold"),
-            Event::WholeList => "the whole list again, one owner drains".into(),
+            Event::ConfigurationReload => "SIGHUP, until it is logged as read".into(),
+            Event::Drain(count) => format!("{count} replicas drain"),
+            Event::Return(count) => format!("{count} replicas are back, cold"),
+            Event::FullList => "the whole list again, one owner drains".into(),
         }
     }
 }
@@ -51,91 +51,101 @@
 pub struct Outcome {
     /// What happened.
     pub name: String,
-    /// Until the first call that withdraws a replica, where one must come, or until files were read anew.
-    pub first_order: Option<Duration>,
+    /// Until the first call that withdraws a replica, where one must come, or until files were read again.
+    pub first_command: Option<Duration>,
     /// Until no slice is owned by a replica that drains, where one was.
-    pub last_order: Option<Duration>,
+    pub last_command: Option<Duration>,
     /// What went over its connections until it had settled.
     pub traffic: TrafficCount,
-    /// Processor time until it had settled.
-    pub processor: Duration,
+    /// CPU time until it had settled.
+    pub processor_time: Duration,
     /// For how long that was taken.
     pub lasted: Duration,
     /// The most memory resident so far.
     pub resident_peak: u64,
     /// Orders made meanwhile.
-    pub orders: usize,
+    pub commands: usize,
     /// Average number of runnable processes on the machine in the last minute.
     pub machine_load: f64,
 }
 
-/// A start: from the process's creation until the first order that sets a line, which needs list and news.
+/// A start: from the process's creation until the first command that sets a line, which needs list and relay events.
 pub fn start(program: &Path, setup: &Setup) -> Result<Outcome, MeasureError> {
-    let rig = Rig::start(program, setup)?;
-    let (first_order, orders) = rig.wait_for_first_order(LONGEST);
-    let usage = rig.controller.usage()?;
+    let test_bed = TestBed::start(program, setup)?;
+    let (first_command, commands) = test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
+    let usage = test_bed.controller.usage()?;
     Ok(Outcome {
-        name: format!("a start, ready after {:.1} ms", rig.time_to_ready.as_secs_f64() * 1e3),
-        first_order,
-        last_order: None,
-        traffic: rig.traffic.read(),
-        processor: usage.processor,
-        lasted: rig.controller.started().elapsed(),
+        name: format!("a start, ready after {:.1} ms", test_bed.time_to_ready.as_secs_f64() * 1e3),
+        first_command,
+        last_command: None,
+        traffic: test_bed.traffic.read(),
+        processor_time: usage.processor_time,
+        lasted: test_bed.controller.started().elapsed(),
         resident_peak: usage.resident_peak,
-        orders,
+        commands,
         machine_load: machine_load(),
     })
 }
 
-/// Plays the events in turn at one controller that is told reports all along.
+/// Plays the events in turn at one controller that receives reports all along.
 pub fn play(
     program: &Path,
     setup: &Setup,
     events: &[Event],
     times: Times,
 ) -> Result<Vec<Outcome>, MeasureError> {
-    let mut rig = Rig::start(program, setup)?;
-    rig.report(setup)?;
+    let mut test_bed = TestBed::start(program, setup)?;
+    test_bed.report(setup)?;
     thread::sleep(times.warm_up);
-    events.iter().map(|event| play_one(&rig, setup, *event, times.measured)).collect()
+    events.iter().map(|event| play_one(&test_bed, setup, *event, times.measured)).collect()
 }
 
-fn play_one(rig: &Rig, setup: &Setup, event: Event, settling: Duration) -> Result<Outcome, MeasureError> {
-    rig.relay.calls();
-    rig.controller.logged();
-    let change = concerned(rig, setup, event);
-    let (usage, traffic, began) = (rig.controller.usage()?, rig.traffic.read(), Instant::now());
-    let mut first_order = None;
+fn play_one(
+    test_bed: &TestBed,
+    setup: &Setup,
+    event: Event,
+    settling: Duration,
+) -> Result<Outcome, MeasureError> {
+    test_bed.relay.take_requests();
+    test_bed.controller.take_log_lines();
+    let change = select_change(test_bed, setup, event);
+    let (usage, traffic, began) = (test_bed.controller.usage()?, test_bed.traffic.read(), Instant::now());
+    let mut first_command = None;
     match event {
         Event::Nothing => {}
-        Event::Configured => {
-            rig.controller.process.reload()?;
-            first_order = rig.controller.process.logs(RELOADED, LONGEST).then(|| began.elapsed());
+        Event::ConfigurationReload => {
+            test_bed.controller.process.reload()?;
+            first_command = test_bed
+                .controller
+                .process
+                .wait_for_log_line(RELOADED, ACTION_TIMEOUT)
+                .then(|| began.elapsed());
         }
-        Event::WholeList => rig.discovery.change_and_tell_all(change.entries()),
-        Event::Drain(_) | Event::Back(_) => rig.discovery.change(change.entries()),
+        Event::FullList => test_bed.discovery.change_and_send_full_list(change.entries()),
+        Event::Drain(_) | Event::Return(_) => test_bed.discovery.change(change.entries()),
     }
     let names: Vec<String> = change.replicas.iter().map(|replica| setup.size.replica(*replica)).collect();
-    let drains = !names.is_empty() && change.listed.state == "leaving";
-    let (mut calls, mut last_order) = (Vec::new(), None);
-    while began.elapsed() < settling || (drains && last_order.is_none() && began.elapsed() < LONGEST) {
-        calls.extend(rig.relay.next_call(Duration::from_millis(20)));
-        let is_left = drains && !rig.relay.owners().values().any(|owner| names.contains(owner));
-        last_order = last_order.or(is_left.then(|| began.elapsed()));
+    let drains = !names.is_empty() && change.entry_state.state == "leaving";
+    let (mut relay_requests, mut last_command) = (Vec::new(), None);
+    while began.elapsed() < settling || (drains && last_command.is_none() && began.elapsed() < ACTION_TIMEOUT)
+    {
+        relay_requests.extend(test_bed.relay.next_request(Duration::from_millis(20)));
+        let is_left = drains && !test_bed.relay.owners().values().any(|owner| names.contains(owner));
+        last_command = last_command.or(is_left.then(|| began.elapsed()));
     }
     if drains {
-        first_order = first_withdrawal(&calls, &names).map(|call| call.at - began);
+        first_command = first_withdrawal(&relay_requests, &names).map(|request| request.at - began);
     }
-    let after = rig.controller.usage()?;
+    let after = test_bed.controller.usage()?;
     Ok(Outcome {
         name: event.name(),
-        first_order,
-        last_order,
-        traffic: rig.traffic.read().since(traffic),
-        processor: after.processor - usage.processor,
+        first_command,
+        last_command,
+        traffic: test_bed.traffic.read().since(traffic),
+        processor_time: after.processor_time - usage.processor_time,
         lasted: began.elapsed(),
         resident_peak: after.resident_peak,
-        orders: calls.iter().map(|call| call.orders.len()).sum(),
+        commands: relay_requests.iter().map(|request| request.commands.len()).sum(),
         machine_load: machine_load(),
     })
 }
@@ -143,56 +153,60 @@
 /// Replicas that change, and to what.
 struct Change {
     replicas: Vec<usize>,
-    listed: Listed,
+    entry_state: EntryState,
 }
 
 impl Change {
-    fn entries(&self) -> impl Iterator<Item = (usize, Listed)> + '_ {
-        self.replicas.iter().map(|replica| (*replica, self.listed))
+    fn entries(&self) -> impl Iterator<Item = (usize, EntryState)> + '_ {
+        self.replicas.iter().map(|replica| (*replica, self.entry_state))
     }
 }
 
 /// Which replicas change, and to what.
-fn concerned(rig: &Rig, setup: &Setup, event: Event) -> Change {
+fn select_change(test_bed: &TestBed, setup: &Setup, event: Event) -> Change {
     let cold = || SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-    let leaving = Listed { state: "leaving", started_ms: 0 };
-    let (many, listed) = match event {
-        Event::Nothing | Event::Configured => (0, leaving),
-        Event::Drain(many) => (many, leaving),
-        Event::WholeList => (1, leaving),
-        Event::Back(many) => (many, Listed { state: "active", started_ms: cold() }),
+    let leaving = EntryState { state: "leaving", started_ms: 0 };
+    let (count, entry_state) = match event {
+        Event::Nothing | Event::ConfigurationReload => (0, leaving),
+        Event::Drain(count) => (count, leaving),
+        Event::FullList => (1, leaving),
+        Event::Return(count) => (count, EntryState { state: "active", started_ms: cold() }),
     };
-    Change { replicas: owners_first(rig, setup, many, listed.state == "leaving"), listed }
+    Change { replicas: owners_first(test_bed, setup, count, entry_state.state == "leaving"), entry_state }
 }
 
 /// Replicas that own slices now come first, so that a drain asks for action; those that are back are the same
 /// positions of the list whoever owns what.
-fn owners_first(rig: &Rig, setup: &Setup, many: usize, owners: bool) -> Vec<usize> {
-    let owned = rig.relay.owners();
+fn owners_first(test_bed: &TestBed, setup: &Setup, count: usize, owners: bool) -> Vec<usize> {
+    let owned = test_bed.relay.owners();
     let owned = |at: &usize| owned.values().any(|owner| *owner == setup.size.replica(*at));
     let first = (0..setup.size.replicas).find(|at| owners && owned(at));
     let rest = (0..setup.size.replicas).filter(|at| Some(*at) != first);
-    first.into_iter().chain(rest).take(many).collect()
+    first.into_iter().chain(rest).take(count).collect()
 }
 
-fn first_withdrawal<'a>(calls: &'a [Call], names: &[String]) -> Option<&'a Call> {
+fn first_withdrawal<'a>(relay_requests: &'a [RelayRequest], names: &[String]) -> Option<&'a RelayRequest> {
     let withdraws =
-        |order: &String| order.strip_prefix("OUT,").is_some_and(|name| names.iter().any(|n| n == name));
-    calls.iter().find(|call| call.orders.iter().any(withdraws))
+        |command: &String| command.strip_prefix("OUT,").is_some_and(|name| names.iter().any(|n| n == name));
+    relay_requests.iter().find(|request| request.commands.iter().any(withdraws))
 }
 
-/// Floods the controller with lines and returns lines a second and processor time a line in seconds.
+/// Floods the controller with lines and returns lines a second and CPU time a line in seconds.
 pub fn flood(program: &Path, setup: &Setup, times: usize) -> Result<(f64, f64, Usage), MeasureError> {
-    let rig = Rig::start(program, setup)?;
+    let test_bed = TestBed::start(program, setup)?;
     // Reports on what is not listed yet would be passed over.
-    rig.wait_for_first_order(LONGEST);
+    test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
     let schedules = setup.schedules();
     // Once without being measured: names, windows and buffers are there then.
-    crate::stand_ins::collectors::flood(rig.controller.address(), &schedules, 1, &rig.traffic)?;
-    let before = rig.controller.usage()?;
-    let (lines, took) =
-        crate::stand_ins::collectors::flood(rig.controller.address(), &schedules, times, &rig.traffic)?;
-    let after = rig.controller.usage()?;
-    let processor = (after.processor - before.processor).as_secs_f64();
-    Ok((lines as f64 / took.as_secs_f64(), processor / lines as f64, after))
+    crate::stand_ins::collectors::flood(test_bed.controller.address(), &schedules, 1, &test_bed.traffic)?;
+    let before = test_bed.controller.usage()?;
+    let (lines, took) = crate::stand_ins::collectors::flood(
+        test_bed.controller.address(),
+        &schedules,
+        times,
+        &test_bed.traffic,
+    )?;
+    let after = test_bed.controller.usage()?;
+    let processor_time = (after.processor_time - before.processor_time).as_secs_f64();
+    Ok((lines as f64 / took.as_secs_f64(), processor_time / lines as f64, after))
 }
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -1,21 +1,21 @@
-//! One real governor process at size, against paced stand-ins on loopback: `rig` sets it up, `steady` measures it at
+//! One real governor process at size, against paced stand-ins on loopback: `test_bed` sets it up, `steady` measures it at
 //! rest, `events` in events, `aggregated` behind real aggregators, `sweep` says which cases are played, `report` turns them into fits, tables and charts.
 
 pub mod aggregated;
 pub mod events;
 pub mod report;
-pub mod rig;
 pub mod steady;
 pub mod sweep;
+pub mod test_bed;
 
 use crate::process::{controller_program, ProcessError};
 use crate::results::{Folder, ResultsError};
 use crate::stand_ins::fleet::FleetSize;
 use aggregated::Subsetting;
-use rig::Setup;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use steady::Times;
+use test_bed::Setup;
 
 /// Arguments of the subcommand.
 #[derive(Clone, Debug, clap::Args)]
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -47,11 +47,11 @@
         real("churn_a_second", |p| p.case.churn),
         real("lines_a_second", |p| p.rate(p.traffic.reports.lines)),
         real("reports_kb_a_second", |p| p.rate(p.traffic.reports.bytes) / KILOBYTE),
-        real("list_kb_a_second", |p| p.rate(p.traffic.list.bytes) / KILOBYTE),
-        real("news_kb_a_second", |p| p.rate(p.traffic.news.bytes) / KILOBYTE),
+        real("list_kb_a_second", |p| p.rate(p.traffic.endpoint_list.bytes) / KILOBYTE),
+        real("news_kb_a_second", |p| p.rate(p.traffic.relay_events.bytes) / KILOBYTE),
         real("in_kb_a_second", |p| p.rate(p.traffic.bytes_in()) / KILOBYTE),
         real("out_kb_a_second", |p| p.rate(p.traffic.bytes_out()) / KILOBYTE),
-        real("orders_a_second", |p| p.rate(p.orders as u64)),
+        real("orders_a_second", |p| p.rate(p.commands as u64)),
         real("cores", Steady::processor_share),
         real("resident_mb", |p| p.usage.resident as f64 / MEGABYTE),
         real("peak_mb", |p| p.usage.resident_peak as f64 / MEGABYTE),
@@ -131,7 +131,7 @@
         name: "list by churn, bytes/s",
         sweeps: &["churn"],
         regressors: &[CHURN],
-        measured: |p| p.rate(p.traffic.list.bytes),
+        measured: |p| p.rate(p.traffic.endpoint_list.bytes),
     },
     Quantity {
         name: "memory resident, bytes",
@@ -188,7 +188,7 @@
     text
 }
 
-/// Writes rows, table, fits and charts of the cases at rest.
+/// Writes rows, table, fits and charts of the cases while idle.
 pub fn write_steady(folder: &Folder, points: &[Steady]) -> Result<(), ResultsError> {
     let columns = columns(points);
     folder.rows("steady", &columns)?;
@@ -209,7 +209,13 @@
 }
 
 /// The sizes measured, a series for each number of zones.
-fn chart(points: &[Steady], title: &str, up: &str, budget: f64, measured: impl Fn(&Steady) -> f64) -> Chart {
+fn chart(
+    points: &[Steady],
+    title: &str,
+    y_label: &str,
+    budget: f64,
+    measured: impl Fn(&Steady) -> f64,
+) -> Chart {
     let mut zones: Vec<_> = points_of(points, &["size"]).map(|p| p.case.setup.size.zones).collect();
     zones.sort_unstable();
     zones.dedup();
@@ -225,8 +231,8 @@
     });
     Chart {
         title: title.into(),
-        across: "replicas".into(),
-        up: up.into(),
+        x_label: "replicas".into(),
+        y_label: y_label.into(),
         series: series.collect(),
         budget: Some(budget),
     }
@@ -242,14 +248,14 @@
     };
     let columns = [
         Column::text("event", outcomes.iter().map(|outcome| outcome.name.clone())),
-        ms("first_order_ms", |o| o.first_order),
-        ms("last_order_ms", |o| o.last_order),
-        real("list_kb", |o| o.traffic.list.bytes as f64 / KILOBYTE),
-        real("news_kb", |o| o.traffic.news.bytes as f64 / KILOBYTE),
+        ms("first_order_ms", |o| o.first_command),
+        ms("last_order_ms", |o| o.last_command),
+        real("list_kb", |o| o.traffic.endpoint_list.bytes as f64 / KILOBYTE),
+        real("news_kb", |o| o.traffic.relay_events.bytes as f64 / KILOBYTE),
         real("reports_kb", |o| o.traffic.reports.bytes as f64 / KILOBYTE),
-        real("calls_kb", |o| o.traffic.calls.bytes as f64 / KILOBYTE),
-        Column::whole("orders", outcomes.iter().map(|outcome| outcome.orders as i64)),
-        real("processor_ms", |o| o.processor.as_secs_f64() * 1e3),
+        real("calls_kb", |o| o.traffic.relay_requests.bytes as f64 / KILOBYTE),
+        Column::whole("orders", outcomes.iter().map(|outcome| outcome.commands as i64)),
+        real("processor_ms", |o| o.processor_time.as_secs_f64() * 1e3),
         real("over_s", |o| o.lasted.as_secs_f64()),
         real("peak_mb", |o| o.resident_peak as f64 / MEGABYTE),
         real("machine_load", |o| o.machine_load),
@@ -264,8 +270,8 @@
     let columns = [
         Column::text("flood", floods.iter().map(|flood| flood.name.clone())),
         real("lines_a_second", |f| f.lines),
-        real("processor_us_a_line", |f| f.processor * 1e6),
-        real("cores", |f| f.lines * f.processor),
+        real("processor_us_a_line", |f| f.processor_time * 1e6),
+        real("cores", |f| f.lines * f.processor_time),
         real("peak_mb", |f| f.resident_peak as f64 / MEGABYTE),
     ];
     folder.rows("floods", &columns)?;
@@ -291,7 +297,7 @@
         real("first_report_s", |m| m.first_report.map_or(f64::NAN, |took| took.as_secs_f64())),
         real("aggregator_cores", Aggregated::aggregator_share),
         real("aggregator_peak_mb", |m| m.aggregator_peak() as f64 / MEGABYTE),
-        real("told_to_aggregators_kb_a_second", |m| m.rate(m.told) / KILOBYTE),
+        real("told_to_aggregators_kb_a_second", |m| m.rate(m.sent_to_aggregators) / KILOBYTE),
         real("measured_s", |m| m.lasted.as_secs_f64()),
         real("machine_load", |m| m.machine_load),
     ];
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -1,10 +1,10 @@
-//! One controller at rest: what it uses while the stand-ins go on at their pace.
+//! One controller while idle: what it uses while the stand-ins go on at their pace.
 
-use super::rig::{Rig, Setup};
+use super::test_bed::{Setup, TestBed};
 use super::MeasureError;
-use crate::process::{thread_time, Usage};
-use crate::stand_ins::discovery::Listed;
-use crate::stand_ins::fleet::{Draw, FleetSize, ReportShape};
+use crate::process::{current_thread_processor_time, Usage};
+use crate::stand_ins::discovery::EntryState;
+use crate::stand_ins::fleet::{FleetSize, Random, ReportShape};
 use crate::stand_ins::TrafficCount;
 use std::path::Path;
 use std::thread;
@@ -42,24 +42,24 @@
     pub lasted: Duration,
     /// What went over its connections meanwhile.
     pub traffic: TrafficCount,
-    /// Its processor time meanwhile.
-    pub processor: Duration,
+    /// Its CPU time meanwhile.
+    pub processor_time: Duration,
     /// Its memory at the end, and the most so far.
     pub usage: Usage,
-    /// Processor time of the harness meanwhile.
+    /// CPU time of the harness meanwhile.
     pub harness: Duration,
     /// Orders that the controller made meanwhile.
-    pub orders: usize,
+    pub commands: usize,
     /// Average number of runnable processes on the machine in the last minute.
     pub machine_load: f64,
-    /// Processor time of decoding one report line, measured in the harness right after: how fast the machine was then.
+    /// CPU time of decoding one report line, measured in the harness right after: how fast the machine was then.
     pub decoding: Option<Duration>,
 }
 
 impl Steady {
     /// The part of one core that the controller used.
     pub fn processor_share(&self) -> f64 {
-        self.processor.as_secs_f64() / self.lasted.as_secs_f64()
+        self.processor_time.as_secs_f64() / self.lasted.as_secs_f64()
     }
 
     /// The part of one core that the harness used.
@@ -75,32 +75,32 @@
 
 /// Plays a case.
 pub fn measure(program: &Path, case: &Case, times: Times) -> Result<Steady, MeasureError> {
-    let mut rig = Rig::start(program, &case.setup)?;
-    rig.report(&case.setup)?;
+    let mut test_bed = TestBed::start(program, &case.setup)?;
+    test_bed.report(&case.setup)?;
     thread::sleep(times.warm_up);
-    rig.relay.calls();
-    let (usage, harness) = (rig.controller.usage()?, Usage::of_self()?);
-    let (traffic, began) = (rig.traffic.read(), Instant::now());
-    churn(&rig, case, began + times.measured);
+    test_bed.relay.take_requests();
+    let (usage, harness) = (test_bed.controller.usage()?, Usage::of_self()?);
+    let (traffic, began) = (test_bed.traffic.read(), Instant::now());
+    churn(&test_bed, case, began + times.measured);
     let lasted = began.elapsed();
-    let (usage_after, harness_after) = (rig.controller.usage()?, Usage::of_self()?);
+    let (usage_after, harness_after) = (test_bed.controller.usage()?, Usage::of_self()?);
     Ok(Steady {
         case: case.clone(),
-        time_to_ready: rig.time_to_ready,
+        time_to_ready: test_bed.time_to_ready,
         lasted,
-        traffic: rig.traffic.read().since(traffic),
-        processor: usage_after.processor - usage.processor,
+        traffic: test_bed.traffic.read().since(traffic),
+        processor_time: usage_after.processor_time - usage.processor_time,
         usage: usage_after,
         // Threads of the harness that ended meanwhile took their time with them.
-        harness: harness_after.processor.saturating_sub(harness.processor),
-        orders: rig.relay.calls().iter().map(|call| call.orders.len()).sum(),
+        harness: harness_after.processor_time.saturating_sub(harness.processor_time),
+        commands: test_bed.relay.take_requests().iter().map(|request| request.commands.len()).sum(),
         machine_load: machine_load(),
         decoding: decoding_time(),
     })
 }
 
 /// Changes entries at the case's pace until the end: replicas that own no slice leave and come back in turn.
-fn churn(rig: &Rig, case: &Case, end: Instant) {
+fn churn(test_bed: &TestBed, case: &Case, end: Instant) {
     let pause = if case.churn > 0.0 { Duration::from_secs_f64(1.0 / case.churn) } else { Duration::MAX };
     let mut next = Instant::now();
     for step in 0.. {
@@ -110,20 +110,20 @@
         thread::sleep(next.saturating_duration_since(Instant::now()));
         let replica = step / 2 % case.setup.size.replicas;
         let state = if step % 2 == 0 { "leaving" } else { "active" };
-        rig.discovery.change([(replica, Listed { state, started_ms: 0 })]);
+        test_bed.discovery.change([(replica, EntryState { state, started_ms: 0 })]);
         next += pause;
     }
     thread::sleep(end.saturating_duration_since(Instant::now()));
 }
 
-/// Processor time of decoding one report line, on average over as many as the target's collectors tell in a second.
+/// CPU time of decoding one report line, on average over as many as the target's collectors tell in a second.
 fn decoding_time() -> Option<Duration> {
     let size = FleetSize::target();
-    let lines = ReportShape::whole(&size).lines(&size, 0, &mut Draw::new(1));
-    let before = thread_time()?;
+    let lines = ReportShape::full(&size).lines(&size, 0, &mut Random::new(1));
+    let before = current_thread_processor_time()?;
     let decode_all = || lines.iter().filter(|line| collector::decode_report(line).is_some()).count();
     let decoded: usize = (0..size.zones).map(|_| decode_all()).sum();
-    let took = thread_time()? - before;
+    let took = current_thread_processor_time()? - before;
     Some(took / decoded.max(1) as u32)
 }
 
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -1,8 +1,8 @@
 //! Which cases are played in full.
 
 use super::events::{self, Event, Outcome};
-use super::rig::Setup;
 use super::steady::{Case, Times};
+use super::test_bed::Setup;
 use super::MeasureError;
 use crate::stand_ins::fleet::{FleetSize, ReportShape};
 use std::path::Path;
@@ -14,7 +14,7 @@
 const CHURN: [f64; 3] = [1.0, 10.0, 100.0];
 const WRITES: [usize; 2] = [20, 200];
 /// Replicas that summed reports tell of, and the window of a line in milliseconds: shapes of aggregated reports.
-const SUMMED: [(usize, f64); 6] =
+const SUMMED_SHAPES: [(usize, f64); 6] =
     [(44, 1000.0), (88, 1000.0), (176, 1000.0), (352, 2000.0), (704, 4000.0), (2200, 12_000.0)];
 /// Periods of each collector in a flood: nine collectors, 19,800 lines a period.
 const FLOOD_PERIODS: usize = 100;
@@ -23,7 +23,7 @@
     Case { sweep, setup: Setup::reported(size), churn: 0.0 }
 }
 
-/// The cases at rest: the target's size and an eighth of it, replicas by zones, then from the target's size each other dimension by itself.
+/// The cases while idle: the target's size and an eighth of it, replicas by zones, then from the target's size each other dimension by itself.
 pub fn steady_cases() -> Vec<Case> {
     let target = FleetSize::target();
     let sizes = ZONES.iter().flat_map(|zones| REPLICAS.iter().map(move |replicas| (*zones, *replicas)));
@@ -40,7 +40,7 @@
         spread.setup.writes = writes;
         cases.push(spread);
     }
-    cases.extend(SUMMED.map(|(told, window_ms)| summed(&target, told, window_ms)));
+    cases.extend(SUMMED_SHAPES.map(|(replica_count, window_ms)| summed(&target, replica_count, window_ms)));
     cases.extend(REPLICAS.map(|replicas| {
         let mut silent = case("silent", FleetSize { replicas, ..target.clone() });
         silent.setup.reports = None;
@@ -50,9 +50,9 @@
 }
 
 /// One connection that tells of some replicas, summed over all zones.
-fn summed(size: &FleetSize, told: usize, window_ms: f64) -> Case {
+fn summed(size: &FleetSize, replica_count: usize, window_ms: f64) -> Case {
     let mut summed = case("summed", size.clone());
-    let shape = ReportShape { replicas: 0..told, window_ms, zones_summed: size.zones, slices: true };
+    let shape = ReportShape { replicas: 0..replica_count, window_ms, zones_summed: size.zones, slices: true };
     summed.setup.reports = Some(shape);
     summed.setup.collectors = 1;
     summed
@@ -68,26 +68,26 @@
     }
     let target = FleetSize::target();
     let (rack, zone) = (40, target.replicas / target.zones);
-    let several = [
+    let target_events = [
         Event::Nothing,
-        Event::Configured,
+        Event::ConfigurationReload,
         Event::Drain(1),
-        Event::Back(1),
+        Event::Return(1),
         Event::Drain(rack),
-        Event::Back(rack),
+        Event::Return(rack),
         Event::Drain(zone),
-        Event::Back(zone),
+        Event::Return(zone),
     ];
     let reported = Setup::reported(target.clone());
-    // What an event costs shows best where nothing else is told.
+    // What an event costs shows best where nothing else is sent.
     let silent = Setup { reports: None, ..reported.clone() };
     for (reports, setup) in [("reports", &reported), ("no reports", &silent)] {
         let named = |outcome: Outcome| Outcome { name: format!("{}, {reports}", outcome.name), ..outcome };
-        outcomes.extend(events::play(program, setup, &several, times)?.into_iter().map(named));
+        outcomes.extend(events::play(program, setup, &target_events, times)?.into_iter().map(named));
     }
     for replicas in REPLICAS {
         let setup = Setup::reported(FleetSize { replicas, ..target.clone() });
-        let played = events::play(program, &setup, &[Event::WholeList], times)?;
+        let played = events::play(program, &setup, &[Event::FullList], times)?;
         let named =
             |outcome: Outcome| Outcome { name: format!("{}, {replicas} replicas", outcome.name), ..outcome };
         outcomes.extend(played.into_iter().map(named));
@@ -102,8 +102,8 @@
     pub name: String,
     /// Lines a second.
     pub lines: f64,
-    /// Processor time a line, in seconds.
-    pub processor: f64,
+    /// CPU time a line, in seconds.
+    pub processor_time: f64,
     /// The most memory resident.
     pub resident_peak: u64,
 }
@@ -115,9 +115,9 @@
         let size = FleetSize { zones: 4, ..FleetSize::target() };
         let operators = format!("<operators version=\"1\"><cores most=\"{cores}\"/></operators>");
         let setup = Setup { operators: (cores > 1).then_some(operators), ..Setup::reported(size) };
-        let (lines, processor, usage) = events::flood(program, &setup, FLOOD_PERIODS)?;
+        let (lines, processor_time, usage) = events::flood(program, &setup, FLOOD_PERIODS)?;
         let name = format!("four collectors, <cores most=\"{cores}\"/>");
-        floods.push(Flood { name, lines, processor, resident_peak: usage.resident_peak });
+        floods.push(Flood { name, lines, processor_time, resident_peak: usage.resident_peak });
     }
     Ok(floods)
 }
--- a/crates/scale-tests/src/one/rig.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -2,7 +2,7 @@
 
 use super::MeasureError;
 use crate::process::{Controller, Launch};
-use crate::stand_ins::collectors::{Collectors, Schedule};
+use crate::stand_ins::collectors::{Collectors, ReportSchedule};
 use crate::stand_ins::discovery::Discovery;
 use crate::stand_ins::fleet::{FleetSize, ReportShape};
 use crate::stand_ins::relay::Relay;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 /// How soon the end of a wait is noticed.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a controller is set up and what it is told.
+/// How a controller is set up and what it receives.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The fleet.
     pub size: FleetSize,
-    /// What each zone's collector tells; none for silence.
+    /// What each zone's collector sends; none for silence.
     pub reports: Option<ReportShape>,
     /// Collectors, one for each of the first zones.
     pub collectors: usize,
@@ -30,22 +30,22 @@
 }
 
 impl Setup {
-    /// Every zone's collector tells of every replica and slice each second, in one write.
+    /// Every zone's collector reports on every replica and slice each second, in one write.
     pub fn reported(size: FleetSize) -> Self {
-        let reports = Some(ReportShape::whole(&size));
+        let reports = Some(ReportShape::full(&size));
         Setup { collectors: size.zones, size, reports, writes: 1, operators: None }
     }
 
     /// The schedules of all its collectors.
-    pub fn schedules(&self) -> Vec<Schedule> {
-        let schedule = |shape, zone| Schedule::of(&self.size, shape, zone, self.writes);
+    pub fn schedules(&self) -> Vec<ReportSchedule> {
+        let schedule = |shape, zone| ReportSchedule::for_zone(&self.size, shape, zone, self.writes);
         let schedules = |shape| (0..self.collectors).map(|zone| schedule(shape, zone)).collect();
         self.reports.as_ref().map(schedules).unwrap_or_default()
     }
 }
 
 /// A running controller with its stand-ins; all end when it is dropped.
-pub struct Rig {
+pub struct TestBed {
     /// What the collectors say; declared first, so that they end before the controller does.
     pub collectors: Option<Collectors>,
     /// The controller.
@@ -60,9 +60,9 @@
     pub time_to_ready: Duration,
 }
 
-impl Rig {
+impl TestBed {
     /// Starts the stand-ins, then the controller, and pings it; collectors are not there yet.
-    pub fn start(program: &Path, setup: &Setup) -> Result<Rig, MeasureError> {
+    pub fn start(program: &Path, setup: &Setup) -> Result<TestBed, MeasureError> {
         let traffic = Arc::new(Traffic::default());
         let relay = Relay::start(&setup.size, &traffic)?;
         let discovery = Discovery::start(&setup.size, &traffic)?;
@@ -74,22 +74,22 @@
         })?;
         controller.ping()?;
         let time_to_ready = controller.started().elapsed();
-        Ok(Rig { collectors: None, controller, relay, discovery, traffic, time_to_ready })
+        Ok(TestBed { collectors: None, controller, relay, discovery, traffic, time_to_ready })
     }
 
-    /// Waits for the first order that sets a line of a table, which a controller makes once it knows the list and what
-    /// stands in the store. Returns the time since its start and the orders made so far; no time where none came.
-    pub fn wait_for_first_order(&self, longest: Duration) -> (Option<Duration>, usize) {
+    /// Waits for the first command that sets a line of a table, which a controller makes once it knows the list and what
+    /// stands in the store. Returns the time since its start and the commands made so far; no time where none came.
+    pub fn wait_for_first_table_command(&self, longest: Duration) -> (Option<Duration>, usize) {
         let started = self.controller.started();
-        let mut orders = 0;
+        let mut commands = 0;
         while started.elapsed() < longest {
-            let Some(call) = self.relay.next_call(LOOK) else { continue };
-            orders += call.orders.len();
-            if call.orders.iter().any(|order| order.starts_with("SET,")) {
-                return (Some(call.at - started), orders);
+            let Some(request) = self.relay.next_request(POLL_INTERVAL) else { continue };
+            commands += request.commands.len();
+            if request.commands.iter().any(|command| command.starts_with("SET,")) {
+                return (Some(request.at - started), commands);
             }
         }
-        (None, orders)
+        (None, commands)
     }
 
     /// Has the collectors of the setup begin.
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -48,7 +48,7 @@
     NoPong(String),
 }
 
-fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ProcessError {
+fn io_error(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ProcessError {
     let what = what.into();
     |source| ProcessError::Io { what, source }
 }
@@ -60,7 +60,7 @@
 
 /// A program of the workspace beside the running executable. Under cargo it is built first, so that it is never stale.
 pub fn program(package: &str, name: &str) -> Result<PathBuf, ProcessError> {
-    let own = std::env::current_exe().map_err(io("own executable"))?;
+    let own = std::env::current_exe().map_err(io_error("own executable"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
     // Executables of tests are one folder further down.
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
@@ -78,15 +78,15 @@
         command.arg("--release");
     }
     command.current_dir(env!("CARGO_MANIFEST_DIR"));
-    let status = command.status().map_err(io("cargo build"))?;
+    let status = command.status().map_err(io_error("cargo build"))?;
     status.success().then_some(()).ok_or_else(|| ProcessError::NotBuilt(folder.join(name)))
 }
 
 /// What a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time of all its threads.
-    pub processor: Duration,
+    /// CPU time of all its threads.
+    pub processor_time: Duration,
     /// Memory resident now, in bytes (VmRSS).
     pub resident: u64,
     /// The most memory that was ever resident, in bytes (VmHWM).
@@ -96,22 +96,22 @@
 }
 
 impl Usage {
-    /// Reads the usage of the process with this id. Its processor time comes in nanoseconds from `schedstat` where the
+    /// Reads the usage of the process with this id. Its CPU time comes in nanoseconds from `schedstat` where the
     /// kernel offers it, otherwise in ticks of 10 ms from `stat`.
     pub fn of(id: u32) -> Result<Usage, ProcessError> {
         let path = format!("/proc/{id}/status");
-        let status = std::fs::read_to_string(&path).map_err(io(&path))?;
+        let status = std::fs::read_to_string(&path).map_err(io_error(&path))?;
         let figure = |key: &'static str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key));
             let number = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
             number.ok_or(ProcessError::Unreadable(path.clone(), key))
         };
-        let processor = match scheduled(id) {
+        let processor_time = match processor_time_from_scheduler(id) {
             Some(time) => time,
-            None => ticks(id)?,
+            None => processor_time_from_ticks(id)?,
         };
         Ok(Usage {
-            processor,
+            processor_time,
             resident: figure("VmRSS:")? << 10,
             resident_peak: figure("VmHWM:")? << 10,
             threads: figure("Threads:")?,
@@ -125,7 +125,7 @@
 }
 
 /// The time on a processor of all threads that are alive.
-fn scheduled(id: u32) -> Option<Duration> {
+fn processor_time_from_scheduler(id: u32) -> Option<Duration> {
     let threads = std::fs::read_dir(format!("/proc/{id}/task")).ok()?;
     let mut total = Duration::ZERO;
     for thread in threads {
@@ -137,17 +137,17 @@
 }
 
 /// The time on a processor of the calling thread so far, where the kernel tells it in nanoseconds.
-pub fn thread_time() -> Option<Duration> {
+pub fn current_thread_processor_time() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     Some(Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?))
 }
 
-/// Processor time in user and system mode, in ticks.
-fn ticks(id: u32) -> Result<Duration, ProcessError> {
+/// CPU time in user and system mode, in ticks.
+fn processor_time_from_ticks(id: u32) -> Result<Duration, ProcessError> {
     const USER: usize = 11;
     const SYSTEM: usize = 12;
     let path = format!("/proc/{id}/stat");
-    let stat = std::fs::read_to_string(&path).map_err(io(&path))?;
+    let stat = std::fs::read_to_string(&path).map_err(io_error(&path))?;
     // The name in brackets may hold spaces; the fields are counted behind it.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let field = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok());
@@ -170,24 +170,24 @@
 }
 
 /// A running program that logs lines; it is killed by its id and waited for when dropped.
-pub struct Running {
+pub struct RunningProgram {
     child: Child,
     log: Receiver<String>,
     started: Instant,
 }
 
-impl Running {
+impl RunningProgram {
     /// Starts the program.
-    pub fn start(mut command: Command) -> Result<Running, ProcessError> {
+    pub fn start(mut command: Command) -> Result<RunningProgram, ProcessError> {
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let started = Instant::now();
-        let mut child = command.spawn().map_err(io(command.get_program().display().to_string()))?;
-        let (say, log) = channel();
+        let mut child = command.spawn().map_err(io_error(command.get_program().display().to_string()))?;
+        let (sender, log) = channel();
         if let Some(errors) = child.stderr.take() {
             let lines = BufReader::new(errors).lines();
-            thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| say.send(line)));
+            thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         }
-        Ok(Running { child, log, started })
+        Ok(RunningProgram { child, log, started })
     }
 
     /// Waits until it logs the address at which it listens.
@@ -218,26 +218,26 @@
         Usage::of(self.id())
     }
 
-    /// All that it has logged since the last look.
-    pub fn logged(&self) -> Vec<String> {
+    /// All that it has logged since the previous call.
+    pub fn take_log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
     /// Waits until it logs a line with this text; false where none comes in time.
-    pub fn logs(&self, text: &str, within: Duration) -> bool {
+    pub fn wait_for_log_line(&self, text: &str, within: Duration) -> bool {
         let end = Instant::now() + within;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
         std::iter::from_fn(next).any(|line| line.contains(text))
     }
 
-    /// Has it read its files anew (SIGHUP).
+    /// Has it read its files again (SIGHUP).
     pub fn reload(&self) -> Result<(), ProcessError> {
         let sent = kill_process(Pid::from_child(&self.child), Signal::HUP);
-        sent.map_err(|why| io("SIGHUP")(why.into()))
+        sent.map_err(|why| io_error("SIGHUP")(why.into()))
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
@@ -247,7 +247,7 @@
 /// A running controller; it is killed when dropped.
 pub struct Controller {
     /// Its process.
-    pub process: Running,
+    pub process: RunningProgram,
     address: SocketAddr,
     _folder: tempfile::TempDir,
 }
@@ -255,19 +255,19 @@
 impl Controller {
     /// Starts it, and waits until it listens.
     pub fn start(launch: &Launch) -> Result<Controller, ProcessError> {
-        let folder = tempfile::tempdir().map_err(io("temporary folder"))?;
+        let folder = tempfile::tempdir().map_err(io_error("temporary folder"))?;
         let mut configuration = launch.configuration.clone();
         configuration["listen"] = "127.0.0.1:0".into();
         let path = folder.path().join("configuration.json");
-        std::fs::write(&path, configuration.to_string()).map_err(io("configuration"))?;
+        std::fs::write(&path, configuration.to_string()).map_err(io_error("configuration"))?;
         let mut command = Command::new(&launch.program);
         command.env_clear().env("PROXY_CONFIG", &path).env("PROXY_DISCOVERY", launch.discovery.to_string());
         if let Some(text) = &launch.operators {
             let path = folder.path().join("operators.xml");
-            std::fs::write(&path, text).map_err(io("operators' file"))?;
+            std::fs::write(&path, text).map_err(io_error("operators' file"))?;
             command.arg("--operators").arg(path);
         }
-        let process = Running::start(command)?;
+        let process = RunningProgram::start(command)?;
         let address = process.address()?;
         Ok(Controller { process, address, _folder: folder })
     }
@@ -287,23 +287,23 @@
         self.process.usage()
     }
 
-    /// All that it has logged since the last look.
-    pub fn logged(&self) -> Vec<String> {
-        self.process.logged()
+    /// All that it has logged since the previous call.
+    pub fn take_log_lines(&self) -> Vec<String> {
+        self.process.take_log_lines()
     }
 
     /// Opens a connection, sends a PING and waits for the PONG.
     pub fn ping(&self) -> Result<(), ProcessError> {
-        let stream = TcpStream::connect(self.address).map_err(io("connect"))?;
+        let stream = TcpStream::connect(self.address).map_err(io_error("connect"))?;
         ping(&stream)
     }
 }
 
 /// Sends a PING on an open connection and waits for the PONG: all lines sent there before it have been read.
 pub fn ping(mut stream: &TcpStream) -> Result<(), ProcessError> {
-    stream.set_read_timeout(Some(PING_TIMEOUT)).map_err(io("PING"))?;
-    stream.write_all(b"{\"@type\":\"PING\"}\n").map_err(io("PING"))?;
+    stream.set_read_timeout(Some(PING_TIMEOUT)).map_err(io_error("PING"))?;
+    stream.write_all(b"{\"@type\":\"PING\"}\n").map_err(io_error("PING"))?;
     let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).map_err(io("PONG"))?;
+    BufReader::new(stream).read_line(&mut answer).map_err(io_error("PONG"))?;
     answer.contains("PONG").then_some(()).ok_or(ProcessError::NoPong(answer))
 }
--- a/crates/scale-tests/src/results.rs
+++ b/crates/scale-tests/src/results.rs
@@ -83,9 +83,9 @@
     /// Its title.
     pub title: String,
     /// What the horizontal axis shows.
-    pub across: String,
+    pub x_label: String,
     /// What the vertical axis shows.
-    pub up: String,
+    pub y_label: String,
     /// What is drawn.
     pub series: Vec<Series>,
     /// A horizontal line, where there is a budget.
@@ -109,7 +109,7 @@
             .x_label_area_size(46)
             .y_label_area_size(70)
             .build_cartesian_2d(0.0..right, 0.0..top)?;
-        chart.configure_mesh().x_desc(&self.across).y_desc(&self.up).draw()?;
+        chart.configure_mesh().x_desc(&self.x_label).y_desc(&self.y_label).draw()?;
         for (series, colour) in self.series.iter().zip(COLOURS.iter().cycle()) {
             let colour = *colour;
             let points = series.points.iter().map(|point| Circle::new(*point, 4, colour.filled()));
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -1,7 +1,7 @@
 //! Collectors: connections to the controller's address that say SOURCE and then lines at a pace, or as fast as they are
 //! taken.
 
-use super::fleet::{Draw, FleetSize, ReportShape};
+use super::fleet::{FleetSize, Random, ReportShape};
 use super::Traffic;
 use crate::process::{ping, ProcessError};
 use std::io::Write;
@@ -11,65 +11,65 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Periods drawn in advance; a collector tells them by turns, so that telling costs the harness little.
-const PERIODS_DRAWN: u64 = 4;
+/// Periods drawn in advance; a collector sends them in rotation, so that telling costs the harness little.
+const GENERATED_PERIODS: u64 = 4;
 
 /// A block of lines, ready to be written.
 #[derive(Clone, Debug, Default)]
-pub struct Block {
+pub struct ReportBlock {
     /// The lines, each with its LF.
     pub bytes: Vec<u8>,
     /// How many.
     pub lines: usize,
 }
 
-impl Block {
+impl ReportBlock {
     /// Joins lines.
-    pub fn of(lines: &[String]) -> Self {
+    pub fn from_lines(lines: &[String]) -> Self {
         let mut bytes = Vec::with_capacity(lines.iter().map(|line| line.len() + 1).sum());
         for line in lines {
             bytes.extend_from_slice(line.as_bytes());
             bytes.push(b'\n');
         }
-        Block { bytes, lines: lines.len() }
+        ReportBlock { bytes, lines: lines.len() }
     }
 }
 
 /// What one connection says, and when.
 #[derive(Clone, Debug)]
-pub struct Schedule {
+pub struct ReportSchedule {
     /// The zone of its SOURCE line.
     pub zone: String,
     /// Between the beginnings of two periods.
     pub period: Duration,
     /// From the start to the first period.
     pub offset: Duration,
-    /// Periods by turns; each consists of blocks that are spread evenly over it.
-    pub periods: Vec<Vec<Block>>,
+    /// Periods in rotation; each consists of blocks that are spread evenly over it.
+    pub periods: Vec<Vec<ReportBlock>>,
 }
 
-impl Schedule {
+impl ReportSchedule {
     /// A zone's collector that tells the shape once each period, in so many writes.
-    pub fn of(size: &FleetSize, shape: &ReportShape, zone: usize, writes: usize) -> Self {
+    pub fn for_zone(size: &FleetSize, shape: &ReportShape, zone: usize, writes: usize) -> Self {
         let period = Duration::from_secs_f64(shape.window_ms / 1000.0);
-        let drawn = |turn: u64| {
-            let mut draw = Draw::new(zone as u64 * PERIODS_DRAWN + turn);
-            let lines = shape.lines(size, zone, &mut draw);
+        let generate = |period_index: u64| {
+            let mut random = Random::new(zone as u64 * GENERATED_PERIODS + period_index);
+            let lines = shape.lines(size, zone, &mut random);
             let part = lines.len().div_ceil(writes).max(1);
-            lines.chunks(part).map(Block::of).collect()
+            lines.chunks(part).map(ReportBlock::from_lines).collect()
         };
-        Schedule {
+        ReportSchedule {
             zone: size.zone(zone),
             period,
             offset: period.mul_f64(zone as f64 / size.zones as f64),
-            periods: (0..PERIODS_DRAWN).map(drawn).collect(),
+            periods: (0..GENERATED_PERIODS).map(generate).collect(),
         }
     }
 }
 
 /// Running collectors; they end when dropped.
 pub struct Collectors {
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -77,24 +77,24 @@
     /// Connects each, and has them begin together.
     pub fn start(
         controller: SocketAddr,
-        schedules: Vec<Schedule>,
+        schedules: Vec<ReportSchedule>,
         traffic: &Arc<Traffic>,
     ) -> std::io::Result<Collectors> {
-        let ends = Arc::new(AtomicBool::new(false));
-        let begin = Instant::now();
+        let stop = Arc::new(AtomicBool::new(false));
+        let start = Instant::now();
         let mut threads = Vec::new();
         for schedule in schedules {
-            let stream = join(controller, &schedule.zone, traffic)?;
-            let (ends, traffic) = (ends.clone(), traffic.clone());
-            threads.push(thread::spawn(move || tell(&stream, &schedule, begin, &ends, &traffic)));
+            let stream = connect_collector(controller, &schedule.zone, traffic)?;
+            let (stop, traffic) = (stop.clone(), traffic.clone());
+            threads.push(thread::spawn(move || send_reports(&stream, &schedule, start, &stop, &traffic)));
         }
-        Ok(Collectors { ends, threads })
+        Ok(Collectors { stop, threads })
     }
 }
 
 impl Drop for Collectors {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             _ = thread.join();
         }
@@ -102,7 +102,11 @@
 }
 
 /// A connection that has named its zone.
-pub fn join(controller: SocketAddr, zone: &str, traffic: &Traffic) -> std::io::Result<TcpStream> {
+pub fn connect_collector(
+    controller: SocketAddr,
+    zone: &str,
+    traffic: &Traffic,
+) -> std::io::Result<TcpStream> {
     let mut stream = TcpStream::connect(controller)?;
     stream.set_nodelay(true)?;
     let line = format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}\n");
@@ -111,12 +115,18 @@
     Ok(stream)
 }
 
-fn tell(mut stream: &TcpStream, schedule: &Schedule, begin: Instant, ends: &AtomicBool, traffic: &Traffic) {
-    let mut due = begin + schedule.offset;
+fn send_reports(
+    mut stream: &TcpStream,
+    schedule: &ReportSchedule,
+    start: Instant,
+    stop: &AtomicBool,
+    traffic: &Traffic,
+) {
+    let mut due = start + schedule.offset;
     for blocks in schedule.periods.iter().cycle() {
         let gap = schedule.period / blocks.len().max(1) as u32;
         for block in blocks {
-            if !wait_until(due, ends) || stream.write_all(&block.bytes).is_err() {
+            if !wait_until(due, stop) || stream.write_all(&block.bytes).is_err() {
                 return;
             }
             traffic.reports.add(block.bytes.len(), block.lines);
@@ -124,7 +134,7 @@
         }
         if blocks.is_empty() {
             due += schedule.period;
-            if !wait_until(due, ends) {
+            if !wait_until(due, stop) {
                 return;
             }
         }
@@ -132,18 +142,18 @@
 }
 
 /// Whether the moment came before the end.
-fn wait_until(due: Instant, ends: &AtomicBool) -> bool {
+fn wait_until(due: Instant, stop: &AtomicBool) -> bool {
     /// How soon an end is noticed.
-    const LOOK: Duration = Duration::from_millis(100);
+    const POLL_INTERVAL: Duration = Duration::from_millis(100);
     loop {
-        if ends.load(Ordering::Relaxed) {
+        if stop.load(Ordering::Relaxed) {
             return false;
         }
         let left = due.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return true;
         }
-        thread::sleep(left.min(LOOK));
+        thread::sleep(left.min(POLL_INTERVAL));
     }
 }
 
@@ -151,19 +161,19 @@
 /// waits until all lines have been read. Returns the lines written and the time that it took.
 pub fn flood(
     controller: SocketAddr,
-    schedules: &[Schedule],
+    schedules: &[ReportSchedule],
     times: usize,
     traffic: &Arc<Traffic>,
 ) -> Result<(u64, Duration), ProcessError> {
     let failed = |source| ProcessError::Io { what: "flood".into(), source };
     let streams: Vec<_> = schedules
         .iter()
-        .map(|schedule| join(controller, &schedule.zone, traffic))
+        .map(|schedule| connect_collector(controller, &schedule.zone, traffic))
         .collect::<Result<_, _>>()
         .map_err(failed)?;
-    let (before, begin) = (traffic.reports.read(), Instant::now());
+    let (before, start) = (traffic.reports.read(), Instant::now());
     let outcome: Result<(), ProcessError> = thread::scope(|scope| {
-        let write = |stream: &TcpStream, schedule: &Schedule| -> Result<(), ProcessError> {
+        let write = |stream: &TcpStream, schedule: &ReportSchedule| -> Result<(), ProcessError> {
             for blocks in schedule.periods.iter().cycle().take(times) {
                 for block in blocks {
                     (&mut &*stream).write_all(&block.bytes).map_err(failed)?;
@@ -180,5 +190,5 @@
         let mut ended = writers.into_iter().map(|writer| writer.join());
         ended.try_for_each(|outcome| outcome.unwrap_or(Err(ProcessError::NoPong("a panic".into()))))
     });
-    outcome.map(|()| (traffic.reports.read().since(before).lines, begin.elapsed()))
+    outcome.map(|()| (traffic.reports.read().since(before).lines, start.elapsed()))
 }
--- a/crates/scale-tests/src/stand_ins/discovery.rs
+++ b/crates/scale-tests/src/stand_ins/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's agent: the registry's list over HTTP, whole or as a watch with chunks.
 
 use super::fleet::FleetSize;
-use super::{Replica, Traffic};
+use super::{LoopbackServer, Traffic};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -9,12 +9,12 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A watch gives a sign of life this often while nothing changes.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+/// A watch gives a keep-alives this often while nothing changes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The state of one replica in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct EntryState {
     /// `active`, `leaving` or `left`.
     pub state: &'static str,
     /// When it was started last, in Unix milliseconds; 0 for long ago.
@@ -25,21 +25,21 @@
     size: FleetSize,
     version: u64,
     /// Of each replica, its state and the version in which it changed last.
-    entries: BTreeMap<usize, (Listed, u64)>,
-    /// Watches that were told no later version than before this one are told the whole list.
-    whole_from: u64,
+    entries: BTreeMap<usize, (EntryState, u64)>,
+    /// Watches whose last version is below this one receive the complete list.
+    full_list_since: u64,
     ended: bool,
 }
 
 impl Registry {
     /// The entries that changed after a version, or all of them.
     fn list(&self, since: Option<u64>) -> Value {
-        let wanted = |(listed, changed): &(Listed, u64)| match since {
+        let wanted = |(entry_state, changed): &(EntryState, u64)| match since {
             Some(since) => *changed > since,
-            None => listed.state != "left",
+            None => entry_state.state != "left",
         };
-        let entry = |(at, (listed, _)): (&usize, &(Listed, u64))| {
-            self.size.entry(*at, listed.state, listed.started_ms)
+        let entry = |(at, (entry_state, _)): (&usize, &(EntryState, u64))| {
+            self.size.entry(*at, entry_state.state, entry_state.started_ms)
         };
         let replicas: Vec<Value> =
             self.entries.iter().filter(|(_, entry)| wanted(entry)).map(entry).collect();
@@ -58,53 +58,53 @@
 
 /// The agent; its watches end when it is dropped.
 pub struct Discovery {
-    replica: Replica,
+    server: LoopbackServer,
     shared: Shared,
 }
 
 impl Discovery {
     /// Lists all replicas of a fleet as active.
     pub fn start(size: &FleetSize, traffic: &Arc<Traffic>) -> std::io::Result<Discovery> {
-        let listed = Listed { state: "active", started_ms: 0 };
-        let entries = (0..size.replicas).map(|at| (at, (listed, 1))).collect();
-        let registry = Registry { size: size.clone(), version: 1, entries, whole_from: 1, ended: false };
+        let entry_state = EntryState { state: "active", started_ms: 0 };
+        let entries = (0..size.replicas).map(|at| (at, (entry_state, 1))).collect();
+        let registry = Registry { size: size.clone(), version: 1, entries, full_list_since: 1, ended: false };
         let shared = Shared(Arc::new((Mutex::new(registry), Condvar::new())));
         let (serving, traffic) = (shared.clone(), traffic.clone());
-        let replica = Replica::start(move |stream| {
+        let server = LoopbackServer::start(move |stream| {
             _ = serve(stream, &serving, &traffic);
         })?;
-        Ok(Discovery { replica, shared })
+        Ok(Discovery { server, shared })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.replica.address
+        self.server.address
     }
 
-    /// Changes the entries of some replicas in one version; watches are told the change at once.
-    pub fn change(&self, changes: impl IntoIterator<Item = (usize, Listed)>) {
+    /// Changes the entries of some replicas in one version; watches receive the change at once.
+    pub fn change(&self, changes: impl IntoIterator<Item = (usize, EntryState)>) {
         self.next_version(changes, false);
     }
 
-    /// The same, but watches are told the whole list, as after a time out of reach.
-    pub fn change_and_tell_all(&self, changes: impl IntoIterator<Item = (usize, Listed)>) {
+    /// The same, but watches receive the complete list, as after an outage.
+    pub fn change_and_send_full_list(&self, changes: impl IntoIterator<Item = (usize, EntryState)>) {
         self.next_version(changes, true);
     }
 
-    fn next_version(&self, changes: impl IntoIterator<Item = (usize, Listed)>, whole: bool) {
+    fn next_version(&self, changes: impl IntoIterator<Item = (usize, EntryState)>, whole: bool) {
         let mut registry = self.shared.lock();
         registry.version += 1;
         let version = registry.version;
         if whole {
-            registry.whole_from = version;
+            registry.full_list_since = version;
         }
-        registry.entries.extend(changes.into_iter().map(|(at, listed)| (at, (listed, version))));
+        registry.entries.extend(changes.into_iter().map(|(at, entry_state)| (at, (entry_state, version))));
         drop(registry);
         self.shared.0 .1.notify_all();
     }
 
-    /// Bytes of the whole list as one object.
-    pub fn whole_list_bytes(&self) -> usize {
+    /// Bytes of the complete list as one object.
+    pub fn full_list_bytes(&self) -> usize {
         self.shared.lock().list(None).to_string().len()
     }
 }
@@ -125,12 +125,12 @@
                 return Ok(());
             }
         }
-        traffic.requests.add(head.len(), head.iter().filter(|byte| **byte == b'\n').count());
+        traffic.discovery_requests.add(head.len(), head.iter().filter(|byte| **byte == b'\n').count());
         let head = String::from_utf8_lossy(&head);
         let path = head.split_whitespace().nth(1).unwrap_or_default().to_string();
         match since(&path) {
-            Some(since) => return follow(&stream, since, shared, traffic),
-            None => answer(&stream, &path, shared, traffic)?,
+            Some(since) => return serve_watch(&stream, since, shared, traffic),
+            None => serve_list(&stream, &path, shared, traffic)?,
         }
     }
 }
@@ -142,7 +142,7 @@
     (value("follow") == Some("1")).then(|| value("since").and_then(|since| since.parse().ok()).unwrap_or(0))
 }
 
-fn answer(mut stream: &TcpStream, path: &str, shared: &Shared, traffic: &Traffic) -> std::io::Result<()> {
+fn serve_list(mut stream: &TcpStream, path: &str, shared: &Shared, traffic: &Traffic) -> std::io::Result<()> {
     let (status, body) = match path {
         "/registry/instances" => ("200 OK", format!("{}\n", shared.lock().list(None))),
         _ => ("404 Not Found", String::new()),
@@ -150,7 +150,7 @@
     let head = format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes())?;
     stream.write_all(body.as_bytes())?;
-    traffic.list.add(head.len() + body.len(), body.lines().count());
+    traffic.endpoint_list.add(head.len() + body.len(), body.lines().count());
     Ok(())
 }
 
@@ -164,35 +164,35 @@
     ended || stream.set_nonblocking(false).is_err()
 }
 
-fn follow(stream: &TcpStream, since: u64, shared: &Shared, traffic: &Traffic) -> std::io::Result<()> {
-    let say = |text: &str, lines: usize| {
-        traffic.list.add(text.len(), lines);
+fn serve_watch(stream: &TcpStream, since: u64, shared: &Shared, traffic: &Traffic) -> std::io::Result<()> {
+    let send = |text: &str, lines: usize| {
+        traffic.endpoint_list.add(text.len(), lines);
         (&mut &*stream).write_all(text.as_bytes())
     };
-    say("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", 0)?;
-    let mut told = (since > 0).then_some(since);
+    send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", 0)?;
+    let mut sent_version = (since > 0).then_some(since);
     loop {
         let mut registry = shared.lock();
-        if told.is_some_and(|told| told >= registry.version) && !registry.ended {
-            let waited = shared.0 .1.wait_timeout(registry, KEEP_ALIVE);
+        if sent_version.is_some_and(|sent_version| sent_version >= registry.version) && !registry.ended {
+            let waited = shared.0 .1.wait_timeout(registry, KEEP_ALIVE_INTERVAL);
             registry = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         if registry.ended {
             return Ok(());
         }
-        let line = match told {
+        let line = match sent_version {
             Some(version) if version >= registry.version => "\n".to_string(),
             version => {
-                let changed_after = version.filter(|version| *version >= registry.whole_from);
+                let changed_after = version.filter(|version| *version >= registry.full_list_since);
                 format!("{}\n", registry.list(changed_after))
             }
         };
-        told = Some(registry.version);
+        sent_version = Some(registry.version);
         drop(registry);
         // What is written to a watch that was given up would be counted and never arrive.
         if is_closed(stream) {
             return Ok(());
         }
-        say(&format!("{:x}\r\n{line}\r\n", line.len()), 1)?;
+        send(&format!("{:x}\r\n{line}\r\n", line.len()), 1)?;
     }
 }
--- a/crates/scale-tests/src/stand_ins/fleet.rs
+++ b/crates/scale-tests/src/stand_ins/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that the stand-ins speak of: names of replicas and zones, the registry's entries, and the report lines
+//! The fleet that the stand-ins emulate: names of replicas and zones, the registry's entries, and the report lines
 //! about them, all drawn from a seed.
 
 use serde_json::{json, Value};
@@ -8,16 +8,16 @@
 /// Mean latency of an answer in milliseconds: the least, and by how much it varies.
 const LATENCY_MS: (f64, f64) = (20.0, 40.0);
 
-/// How large the fleet is that one controller is told of.
+/// How large the fleet of one controller is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSize {
     /// Replicas in the list.
     pub replicas: usize,
     /// Zones, each with a collector.
     pub zones: usize,
-    /// Slices in the controller's charge.
+    /// Slices owned by the controller.
     pub slices: usize,
-    /// Proxies that are joined.
+    /// Proxies that are subscribed.
     pub proxies: usize,
     /// Request classes, 1 to 4.
     pub classes: usize,
@@ -101,12 +101,12 @@
 
 /// A small generator of uniform numbers (xorshift64*), the same in each run.
 #[derive(Clone, Debug)]
-pub struct Draw(u64);
+pub struct Random(u64);
 
-impl Draw {
+impl Random {
     /// Begins with a seed.
     pub fn new(seed: u64) -> Self {
-        Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+        Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
     /// Uniform from 0 up to 1.
@@ -118,12 +118,12 @@
     }
 
     /// A whole number near the mean, between nothing and twice of it.
-    fn near(&mut self, mean: f64) -> u64 {
+    fn integer_near(&mut self, mean: f64) -> u64 {
         (mean * 2.0 * self.uniform()).round() as u64
     }
 }
 
-/// What one collector tells in one period.
+/// What one collector sends in one period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportShape {
     /// Replicas that it reports on: those with these positions, step by step.
@@ -137,32 +137,32 @@
 }
 
 impl ReportShape {
-    /// What a zone's collector tells of a whole fleet each second.
-    pub fn whole(size: &FleetSize) -> Self {
+    /// Reports of a zone's collector on the complete fleet, once a second.
+    pub fn full(size: &FleetSize) -> Self {
         ReportShape { replicas: 0..size.replicas, window_ms: 1000.0, zones_summed: 1, slices: true }
     }
 
     /// Lines of one period.
-    pub fn lines(&self, size: &FleetSize, zone: usize, draw: &mut Draw) -> Vec<String> {
+    pub fn lines(&self, size: &FleetSize, zone: usize, random: &mut Random) -> Vec<String> {
         let mut lines: Vec<String> =
-            self.replicas.clone().map(|at| self.load_line(size, zone, at, draw)).collect();
+            self.replicas.clone().map(|at| self.load_line(size, zone, at, random)).collect();
         if self.slices {
             let slice_classes =
                 (0..size.slices).flat_map(|slice| (0..size.classes).map(move |class| (slice, class)));
-            lines.extend(slice_classes.map(|(slice, class)| self.shard_line(size, slice, class, draw)));
+            lines.extend(slice_classes.map(|(slice, class)| self.shard_line(size, slice, class, random)));
         }
         lines
     }
 
-    /// A line's part of what comes to the whole fleet.
-    fn part(&self, size: &FleetSize) -> f64 {
+    /// Requests to the whole fleet that fall to one report line, on average.
+    fn expected_requests(&self, size: &FleetSize) -> f64 {
         size.requests * self.window_ms / 1000.0 * self.zones_summed as f64 / size.zones as f64
     }
 
-    fn load_line(&self, size: &FleetSize, zone: usize, at: usize, draw: &mut Draw) -> String {
-        let attempts = draw.near(self.part(size) / size.replicas as f64);
-        let latency = LATENCY_MS.0 + LATENCY_MS.1 * draw.uniform();
-        let (in_flight, utilisation) = (draw.near(4.0), draw.uniform());
+    fn load_line(&self, size: &FleetSize, zone: usize, at: usize, random: &mut Random) -> String {
+        let attempts = random.integer_near(self.expected_requests(size) / size.replicas as f64);
+        let latency = LATENCY_MS.0 + LATENCY_MS.1 * random.uniform();
+        let (in_flight, utilisation) = (random.integer_near(4.0), random.uniform());
         format!(
             "{{\"@type\":\"LOAD\",\"az\":\"{}\",\"host\":\"{}\",\"n\":{attempts},\"bad\":0,\"avg\":{latency:.1},\
              \"window\":{:.1},\"report\":{{\"inflight\":{in_flight},\"util\":{utilisation:.2}}}}}",
@@ -172,11 +172,11 @@
         )
     }
 
-    fn shard_line(&self, size: &FleetSize, slice: usize, class: usize, draw: &mut Draw) -> String {
+    fn shard_line(&self, size: &FleetSize, slice: usize, class: usize, random: &mut Random) -> String {
         let all = (size.slices * size.controllers * size.classes) as f64;
-        let came = draw.near(self.part(size) / all);
+        let requests = random.integer_near(self.expected_requests(size) / all);
         format!(
-            "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"{}\",\"n\":{came},\"bad\":0,\"window\":{:.1}}}",
+            "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"{}\",\"n\":{requests},\"bad\":0,\"window\":{:.1}}}",
             CLASSES[class], self.window_ms
         )
     }
--- a/crates/scale-tests/src/stand_ins/mod.rs
+++ b/crates/scale-tests/src/stand_ins/mod.rs
@@ -2,10 +2,10 @@
 //! bytes and lines in each direction; each ends when it is dropped.
 
 pub mod collectors;
+pub mod counting_proxy;
 pub mod discovery;
 pub mod fleet;
 pub mod relay;
-pub mod tap;
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a reader may leave unread what it is told before it is given up.
+/// How long a reader may leave unread what it receives before it is given up.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Bytes and lines of one kind in one direction.
@@ -57,16 +57,16 @@
 pub struct Traffic {
     /// From collectors: reports on replicas and slices.
     pub reports: Counter,
-    /// From the relay: news.
-    pub news: Counter,
-    /// From the relay: answers to calls.
-    pub answers: Counter,
+    /// From the relay: relay events.
+    pub relay_events: Counter,
+    /// From the relay: answers to relay requests.
+    pub relay_responses: Counter,
     /// From discovery: the list and its changes.
-    pub list: Counter,
-    /// To the relay: calls.
-    pub calls: Counter,
+    pub endpoint_list: Counter,
+    /// To the relay: relay requests.
+    pub relay_requests: Counter,
     /// To discovery: requests.
-    pub requests: Counter,
+    pub discovery_requests: Counter,
 }
 
 /// All counters at one moment.
@@ -75,15 +75,15 @@
     /// From collectors.
     pub reports: Count,
     /// News.
-    pub news: Count,
-    /// Answers to calls.
-    pub answers: Count,
+    pub relay_events: Count,
+    /// Answers to relay requests.
+    pub relay_responses: Count,
     /// The list and its changes.
-    pub list: Count,
+    pub endpoint_list: Count,
     /// Calls.
-    pub calls: Count,
+    pub relay_requests: Count,
     /// Requests to discovery.
-    pub requests: Count,
+    pub discovery_requests: Count,
 }
 
 impl Traffic {
@@ -91,11 +91,11 @@
     pub fn read(&self) -> TrafficCount {
         TrafficCount {
             reports: self.reports.read(),
-            news: self.news.read(),
-            answers: self.answers.read(),
-            list: self.list.read(),
-            calls: self.calls.read(),
-            requests: self.requests.read(),
+            relay_events: self.relay_events.read(),
+            relay_responses: self.relay_responses.read(),
+            endpoint_list: self.endpoint_list.read(),
+            relay_requests: self.relay_requests.read(),
+            discovery_requests: self.discovery_requests.read(),
         }
     }
 }
@@ -105,39 +105,39 @@
     pub fn since(self, earlier: TrafficCount) -> TrafficCount {
         TrafficCount {
             reports: self.reports.since(earlier.reports),
-            news: self.news.since(earlier.news),
-            answers: self.answers.since(earlier.answers),
-            list: self.list.since(earlier.list),
-            calls: self.calls.since(earlier.calls),
-            requests: self.requests.since(earlier.requests),
+            relay_events: self.relay_events.since(earlier.relay_events),
+            relay_responses: self.relay_responses.since(earlier.relay_responses),
+            endpoint_list: self.endpoint_list.since(earlier.endpoint_list),
+            relay_requests: self.relay_requests.since(earlier.relay_requests),
+            discovery_requests: self.discovery_requests.since(earlier.discovery_requests),
         }
     }
 
     /// All that came to the controller.
     pub fn bytes_in(&self) -> u64 {
-        self.reports.bytes + self.news.bytes + self.answers.bytes + self.list.bytes
+        self.reports.bytes + self.relay_events.bytes + self.relay_responses.bytes + self.endpoint_list.bytes
     }
 
     /// All that the controller sent.
     pub fn bytes_out(&self) -> u64 {
-        self.calls.bytes + self.requests.bytes
+        self.relay_requests.bytes + self.discovery_requests.bytes
     }
 }
 
 /// A listener on a free port of loopback with a thread for each connection; it ends when dropped.
-struct Replica {
+struct LoopbackServer {
     address: SocketAddr,
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 }
 
-impl Replica {
-    fn start(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> std::io::Result<Replica> {
+impl LoopbackServer {
+    fn start(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> std::io::Result<LoopbackServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let replica = Replica { address: listener.local_addr()?, ends: Arc::default() };
-        let ends = replica.ends.clone();
+        let server = LoopbackServer { address: listener.local_addr()?, stop: Arc::default() };
+        let stop = server.stop.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if ends.load(Ordering::Relaxed) {
+                if stop.load(Ordering::Relaxed) {
                     return;
                 }
                 _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
@@ -146,13 +146,13 @@
                 thread::spawn(move || serve(stream));
             }
         });
-        Ok(replica)
+        Ok(server)
     }
 }
 
-impl Drop for Replica {
+impl Drop for LoopbackServer {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         // The listener's thread looks once somebody comes.
         _ = TcpStream::connect(self.address).map(|stream| stream.shutdown(Shutdown::Both));
     }
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -1,8 +1,8 @@
-//! The relay: the store of tables and the way to the proxies. It tells what stands and signs of life to whoever
-//! watches, carries out calls, and has all proxies ack versions at once.
+//! The relay: the store of tables and the way to the proxies. It tells what stands and keep-alives to whoever
+//! watches, carries out relay requests, and has all proxies acknowledge versions at once.
 
 use super::fleet::FleetSize;
-use super::{Replica, Traffic};
+use super::{LoopbackServer, Traffic};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,29 +12,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two signs of life.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// The lag that proxies tell with an ack.
+/// Between two keep-alives.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// The lag that proxies tell with an acknowledgement.
 const ACK_LAG_MS: f64 = 90.5;
 
-/// A call that came, with its moment.
+/// A request that came, with its moment.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct RelayRequest {
     /// When it was read.
     pub at: Instant,
-    /// Its orders.
-    pub orders: Vec<String>,
+    /// Its commands.
+    pub commands: Vec<String>,
 }
 
-struct Store {
+struct RelayState {
     size: FleetSize,
     /// Of each slice, the weights by replica.
     tables: BTreeMap<usize, BTreeMap<String, f64>>,
     watchers: Vec<TcpStream>,
 }
 
-impl Store {
-    /// What a new watcher is told.
+impl RelayState {
+    /// What a new watcher receives.
     fn snapshot(&self) -> String {
         let mut text = String::from("OK\r\n");
         for proxy in 0..self.size.proxies {
@@ -51,9 +51,9 @@
         text
     }
 
-    /// Carries out one order; false where it can't be read.
-    fn carry_out(&mut self, order: &str) -> bool {
-        match order.split(',').collect::<Vec<_>>()[..] {
+    /// Carries out one command; false where it can't be read.
+    fn apply_command(&mut self, command: &str) -> bool {
+        match command.split(',').collect::<Vec<_>>()[..] {
             ["SET", slice, replica, weight] => {
                 let (Ok(slice), Ok(weight)) = (slice.parse::<usize>(), weight.parse::<f64>()) else {
                     return false;
@@ -75,55 +75,58 @@
         }
     }
 
-    fn tell(&mut self, text: &str, lines: usize, traffic: &Traffic) {
+    fn broadcast(&mut self, text: &str, lines: usize, traffic: &Traffic) {
         self.watchers.retain_mut(|watcher| watcher.write_all(text.as_bytes()).is_ok());
-        let told = self.watchers.len();
-        traffic.news.add(text.len() * told, lines * told);
+        let watcher_count = self.watchers.len();
+        traffic.relay_events.add(text.len() * watcher_count, lines * watcher_count);
     }
 
-    fn acks(&self, version: &str) -> String {
+    fn acknowledgements(&self, version: &str) -> String {
         (0..self.size.proxies).map(|proxy| format!("* ACK {proxy} {version} {ACK_LAG_MS}\r\n")).collect()
     }
 }
 
 #[derive(Clone)]
-struct Shared(Arc<Mutex<Store>>);
+struct Shared(Arc<Mutex<RelayState>>);
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Store> {
+    fn lock(&self) -> MutexGuard<'_, RelayState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// The relay of one controller; it ends when dropped.
 pub struct Relay {
-    replica: Replica,
+    replica: LoopbackServer,
     shared: Shared,
-    calls: Receiver<Call>,
-    ends: Arc<AtomicBool>,
+    relay_requests: Receiver<RelayRequest>,
+    stop: Arc<AtomicBool>,
 }
 
 impl Relay {
     /// Starts with one replica for each slice of the fleet.
     pub fn start(size: &FleetSize, traffic: &Arc<Traffic>) -> std::io::Result<Relay> {
         let table = |slice: usize| (slice, BTreeMap::from([(size.replica(size.owner(slice)), 1.0)]));
-        let store =
-            Store { size: size.clone(), tables: (0..size.slices).map(table).collect(), watchers: vec![] };
-        let shared = Shared(Arc::new(Mutex::new(store)));
-        let (say, calls) = channel();
+        let state = RelayState {
+            size: size.clone(),
+            tables: (0..size.slices).map(table).collect(),
+            watchers: vec![],
+        };
+        let shared = Shared(Arc::new(Mutex::new(state)));
+        let (sender, relay_requests) = channel();
         let (serving, counting) = (shared.clone(), traffic.clone());
-        let replica = Replica::start(move |stream| {
-            _ = serve(stream, &serving, &counting, &say);
+        let replica = LoopbackServer::start(move |stream| {
+            _ = serve(stream, &serving, &counting, &sender);
         })?;
-        let ends = Arc::new(AtomicBool::new(false));
-        let (alive, counting, ended) = (shared.clone(), traffic.clone(), ends.clone());
+        let stop = Arc::new(AtomicBool::new(false));
+        let (keep_alive, counting, ended) = (shared.clone(), traffic.clone(), stop.clone());
         thread::spawn(move || {
             while !ended.load(Ordering::Relaxed) {
-                thread::sleep(KEEP_ALIVE);
-                alive.lock().tell("*\r\n", 1, &counting);
+                thread::sleep(KEEP_ALIVE_INTERVAL);
+                keep_alive.lock().broadcast("*\r\n", 1, &counting);
             }
         });
-        Ok(Relay { replica, shared, calls, ends })
+        Ok(Relay { replica, shared, relay_requests, stop })
     }
 
     /// Where it listens.
@@ -132,33 +135,38 @@
     }
 
     /// The next call, if one comes in this time.
-    pub fn next_call(&self, within: Duration) -> Option<Call> {
-        self.calls.recv_timeout(within).ok()
+    pub fn next_request(&self, within: Duration) -> Option<RelayRequest> {
+        self.relay_requests.recv_timeout(within).ok()
     }
 
-    /// All calls that have come since the last look.
-    pub fn calls(&self) -> Vec<Call> {
-        self.calls.try_iter().collect()
+    /// All relay requests that have come since the previous call.
+    pub fn take_requests(&self) -> Vec<RelayRequest> {
+        self.relay_requests.try_iter().collect()
     }
 
     /// Of each slice, the replica of the greatest weight.
     pub fn owners(&self) -> BTreeMap<usize, String> {
-        let store = self.shared.lock();
+        let state = self.shared.lock();
         let owner = |(slice, table): (&usize, &BTreeMap<String, f64>)| {
             let (replica, _) = table.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
             Some((*slice, replica.clone()))
         };
-        store.tables.iter().filter_map(owner).collect()
+        state.tables.iter().filter_map(owner).collect()
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
     }
 }
 
-fn serve(stream: TcpStream, shared: &Shared, traffic: &Traffic, say: &Sender<Call>) -> std::io::Result<()> {
+fn serve(
+    stream: TcpStream,
+    shared: &Shared,
+    traffic: &Traffic,
+    sender: &Sender<RelayRequest>,
+) -> std::io::Result<()> {
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
@@ -167,37 +175,38 @@
         if reader.read_line(&mut line)? == 0 {
             return Ok(());
         }
-        traffic.calls.add(line.len(), 1);
+        traffic.relay_requests.add(line.len(), 1);
         let text = line.trim_end();
         if text == "WATCH" {
-            let mut store = shared.lock();
-            let snapshot = store.snapshot();
+            let mut state = shared.lock();
+            let snapshot = state.snapshot();
             writer.write_all(snapshot.as_bytes())?;
-            traffic.news.add(snapshot.len(), snapshot.lines().count());
-            store.watchers.push(writer.try_clone()?);
+            traffic.relay_events.add(snapshot.len(), snapshot.lines().count());
+            state.watchers.push(writer.try_clone()?);
             continue;
         }
-        let answer = match text.strip_prefix("APPLY ") {
-            Some(orders) => apply(orders, shared, traffic, say),
+        let response = match text.strip_prefix("APPLY ") {
+            Some(commands) => apply(commands, shared, traffic, sender),
             None => "ERR bad_request\r\n".to_string(),
         };
-        traffic.answers.add(answer.len(), 1);
-        writer.write_all(answer.as_bytes())?;
+        traffic.relay_responses.add(response.len(), 1);
+        writer.write_all(response.as_bytes())?;
     }
 }
 
-/// Carries out orders up to the first that can't be read; the answer says how many.
-fn apply(orders: &str, shared: &Shared, traffic: &Traffic, say: &Sender<Call>) -> String {
-    let orders: Vec<String> = orders.split(';').map(String::from).collect();
-    let mut store = shared.lock();
-    let taken = orders.iter().take_while(|order| store.carry_out(order)).count();
-    let versions = orders[..taken].iter().filter_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
+/// Carries out commands up to the first that can't be read; the answer says how many.
+fn apply(commands: &str, shared: &Shared, traffic: &Traffic, sender: &Sender<RelayRequest>) -> String {
+    let commands: Vec<String> = commands.split(';').map(String::from).collect();
+    let mut state = shared.lock();
+    let accepted = commands.iter().take_while(|command| state.apply_command(command)).count();
+    let versions =
+        commands[..accepted].iter().filter_map(|command| command.strip_prefix("SYNC,")?.split(',').next());
     for version in versions {
-        let acks = store.acks(version);
-        let lines = store.size.proxies;
-        store.tell(&acks, lines, traffic);
+        let acks = state.acknowledgements(version);
+        let lines = state.size.proxies;
+        state.broadcast(&acks, lines, traffic);
     }
-    // Nobody may listen any more.
-    _ = say.send(Call { at: Instant::now(), orders });
-    format!("OK {taken}\r\n")
+    // No receiver may listen any more.
+    _ = sender.send(RelayRequest { at: Instant::now(), commands });
+    format!("OK {accepted}\r\n")
 }
--- a/crates/scale-tests/tests/aggregated.rs
+++ b/crates/scale-tests/tests/aggregated.rs
@@ -1,10 +1,10 @@
-//! One real controller behind two real aggregators at small size: it is told of its subset only, each replica and slice
+//! One real controller behind two real aggregators at small size: it receives reports on its subset only, each replica and slice
 //! in lines that it reads, and by both programs as their file says. Nothing here depends on how fast the machine is.
 
 use std::time::Duration;
 use whinwall_scale_tests::one::aggregated::{measure, Subsetting};
-use whinwall_scale_tests::one::rig::Setup;
 use whinwall_scale_tests::one::steady::Times;
+use whinwall_scale_tests::one::test_bed::Setup;
 use whinwall_scale_tests::process::{controller_program, program};
 use whinwall_scale_tests::stand_ins::fleet::FleetSize;
 
@@ -21,7 +21,7 @@
     let measured = measure(&controller_program().unwrap(), &aggregator, &setup, &subsetting, TIMES).unwrap();
     assert!(measured.first_report.is_some(), "{measured:?}");
     // 3 zones and 60 replicas become one line each for about 8 replicas: a small part, whatever came late.
-    assert!(measured.reports * 2 * 2 < measured.told, "{measured:?}");
+    assert!(measured.reports * 2 * 2 < measured.sent_to_aggregators, "{measured:?}");
     assert!(measured.rate(measured.reports) < 27_000.0, "{measured:?}");
     assert!(measured.usage.resident_peak < MEMORY_BOUND, "{measured:?}");
     assert_eq!(measured.aggregators.len(), 2);
--- a/crates/scale-tests/tests/many.rs
+++ b/crates/scale-tests/tests/many.rs
@@ -7,7 +7,7 @@
 fn plan() -> Plan {
     Plan {
         real: 3,
-        hollow: 27,
+        simulated: 27,
         replicas: 60,
         zones: 3,
         regions: 3,
@@ -15,11 +15,11 @@
         proxies: 3,
         workers: 2,
         report_period: Duration::from_secs(1),
-        hollow_report_period: Duration::from_secs(1),
-        rest: Duration::ZERO,
-        cut: Duration::ZERO,
-        virtual_cut: Duration::from_secs(3600),
-        patience: Duration::from_secs(120),
+        simulated_report_period: Duration::from_secs(1),
+        idle: Duration::ZERO,
+        partition_duration: Duration::ZERO,
+        virtual_partition_duration: Duration::from_secs(3600),
+        event_timeout: Duration::from_secs(120),
         memory_limit_kb: 4 << 20,
         program: find_program().unwrap(),
     }
@@ -27,7 +27,7 @@
 
 fn came(results: &Results, event: &str) -> usize {
     let outcome = results.outcomes.iter().find(|outcome| outcome.event == event);
-    outcome.unwrap_or_else(|| panic!("no event {event:?}")).reached.times.len()
+    outcome.unwrap_or_else(|| panic!("no event {event:?}")).progress.times.len()
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let results = play(&plan).unwrap();
     println!("{}", table(&plan, &results));
     for outcome in &results.outcomes {
-        assert!(outcome.reached.missing.is_empty(), "{}: {:?}", outcome.event, outcome.reached.missing);
+        assert!(outcome.progress.missing.is_empty(), "{}: {:?}", outcome.event, outcome.progress.missing);
     }
     assert_eq!(came(&results, "all start together"), 30);
     assert_eq!(came(&results, "configuration change"), 30);
@@ -46,9 +46,13 @@
     assert_eq!(came(&results, "region cut off: noticed"), 10);
     assert_eq!(came(&results, "replica drained meanwhile: other regions"), 20);
     assert_eq!(came(&results, "region back: all agree"), 10);
-    let started = &results.outcomes[0].reached;
-    let [real, hollow] = [&started.real, &started.hollow].map(|demand| demand.bytes(Traffic::List) as usize);
-    assert!(real >= 3 * results.list_bytes && hollow >= 27 * results.list_bytes, "{real} and {hollow} bytes");
+    let started = &results.outcomes[0].progress;
+    let [real, simulated] =
+        [&started.real, &started.simulated].map(|sent_bytes| sent_bytes.bytes(Traffic::List) as usize);
+    assert!(
+        real >= 3 * results.list_bytes && simulated >= 27 * results.list_bytes,
+        "{real} and {simulated} bytes"
+    );
 }
 
 #[test]
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -8,19 +8,19 @@
 use whinwall_scale_tests::fit::{LinearFit, Point};
 use whinwall_scale_tests::one::events::{self, Event};
 use whinwall_scale_tests::one::report;
-use whinwall_scale_tests::one::rig::{Rig, Setup};
 use whinwall_scale_tests::one::steady::{self, Case, Times};
+use whinwall_scale_tests::one::test_bed::{Setup, TestBed};
 use whinwall_scale_tests::process::{controller_program, Usage};
 use whinwall_scale_tests::results::Folder;
-use whinwall_scale_tests::stand_ins::collectors::{flood, join};
-use whinwall_scale_tests::stand_ins::fleet::{Draw, FleetSize, ReportShape};
+use whinwall_scale_tests::stand_ins::collectors::{connect_collector, flood};
+use whinwall_scale_tests::stand_ins::fleet::{FleetSize, Random, ReportShape};
 
 /// What a small controller never needs, in a debug build with much room.
 const MEMORY_BOUND: u64 = 64 << 20;
 /// Far longer than anything takes: a test that waits so long has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// What the controller logs of a report that can't be used.
-const PASSED_OVER: &str = "report ignored";
+const IGNORED_REPORT: &str = "report ignored";
 const SHORT: Times = Times { warm_up: Duration::from_millis(100), measured: Duration::from_millis(500) };
 
 fn program() -> &'static PathBuf {
@@ -38,36 +38,37 @@
     let mut points = Vec::new();
     for (replicas, zones) in [(20, 1), (20, 3), (60, 1), (60, 3), (180, 3)] {
         let setup = setup(replicas, zones);
-        let rig = Rig::start(program(), &setup).unwrap();
+        let test_bed = TestBed::start(program(), &setup).unwrap();
         // Reports on what is not listed yet would be passed over.
-        assert!(rig.wait_for_first_order(PATIENCE).0.is_some());
+        assert!(test_bed.wait_for_first_table_command(TIMEOUT).0.is_some());
         let schedules = setup.schedules();
-        let before = rig.traffic.read().reports;
-        let (lines, _) = flood(rig.controller.address(), &schedules, PERIODS, &rig.traffic).unwrap();
-        let told = rig.traffic.read().reports.since(before);
+        let before = test_bed.traffic.read().reports;
+        let (lines, _) =
+            flood(test_bed.controller.address(), &schedules, PERIODS, &test_bed.traffic).unwrap();
+        let received = test_bed.traffic.read().reports.since(before);
         let written =
             schedules.iter().flat_map(|schedule| schedule.periods.iter().cycle().take(PERIODS).flatten());
         let source_lines: usize = schedules
             .iter()
             .map(|schedule| format!("{{\"@type\":\"SOURCE\",\"az\":\"{}\"}}\n", schedule.zone).len())
             .sum();
-        let (bytes, many) =
-            written.fold((0, 0), |(bytes, many), block| (bytes + block.bytes.len(), many + block.lines));
-        assert_eq!(told.bytes as usize, bytes + source_lines);
-        assert_eq!(lines as usize, many);
-        assert_eq!(many, PERIODS * zones * (replicas + 6 * 2));
+        let (bytes, line_count) = written
+            .fold((0, 0), |(bytes, line_count), block| (bytes + block.bytes.len(), line_count + block.lines));
+        assert_eq!(received.bytes as usize, bytes + source_lines);
+        assert_eq!(lines as usize, line_count);
+        assert_eq!(line_count, PERIODS * zones * (replicas + 6 * 2));
         // A line that could not be read would be logged, or have cost the connection before its PONG.
-        let complaints: Vec<String> = rig
+        let complaints: Vec<String> = test_bed
             .controller
-            .logged()
+            .take_log_lines()
             .into_iter()
-            .filter(|line| [PASSED_OVER, " warn ", " error "].iter().any(|sign| line.contains(sign)))
+            .filter(|line| [IGNORED_REPORT, " warn ", " error "].iter().any(|sign| line.contains(sign)))
             .collect();
         assert!(complaints.is_empty(), "{complaints:?}");
-        let usage = rig.controller.usage().unwrap();
+        let usage = test_bed.controller.usage().unwrap();
         assert!(usage.resident_peak < MEMORY_BOUND && usage.resident <= usage.resident_peak, "{usage:?}");
-        assert!(!usage.processor.is_zero() && usage.threads >= 1, "{usage:?}");
-        points.push(Point { regressors: vec![many as f64], measured: told.bytes as f64 });
+        assert!(!usage.processor_time.is_zero() && usage.threads >= 1, "{usage:?}");
+        points.push(Point { regressors: vec![line_count as f64], measured: received.bytes as f64 });
     }
     let fit = LinearFit::of(&points).unwrap();
     assert!(fit.r_squared > 0.99 && (80.0..150.0).contains(&fit.slopes[0]), "{fit:?}");
@@ -77,56 +78,56 @@
 #[test]
 fn a_spoilt_line_is_logged() {
     let setup = setup(20, 1);
-    let rig = Rig::start(program(), &setup).unwrap();
-    let mut collector = join(rig.controller.address(), "z0", &rig.traffic).unwrap();
-    let spoilt = setup.reports.unwrap().lines(&setup.size, 0, &mut Draw::new(1)).remove(0);
+    let test_bed = TestBed::start(program(), &setup).unwrap();
+    let mut collector = connect_collector(test_bed.controller.address(), "z0", &test_bed.traffic).unwrap();
+    let spoilt = setup.reports.unwrap().lines(&setup.size, 0, &mut Random::new(1)).remove(0);
     writeln!(collector, "{}", spoilt.replace("\"bad\":0", "\"bad\":-1")).unwrap();
-    assert!(rig.controller.process.logs(PASSED_OVER, PATIENCE));
+    assert!(test_bed.controller.process.wait_for_log_line(IGNORED_REPORT, TIMEOUT));
 }
 
 #[test]
 fn readers_beside_the_loop_take_the_same_lines() {
     let mut setup = setup(60, 3);
     setup.operators = Some("<operators version=\"1\"><cores most=\"2\"/></operators>".into());
-    let rig = Rig::start(program(), &setup).unwrap();
-    let (lines, _) = flood(rig.controller.address(), &setup.schedules(), 5, &rig.traffic).unwrap();
+    let test_bed = TestBed::start(program(), &setup).unwrap();
+    let (lines, _) = flood(test_bed.controller.address(), &setup.schedules(), 5, &test_bed.traffic).unwrap();
     assert_eq!(lines, 5 * 3 * (60 + 12));
-    assert!(rig.controller.usage().unwrap().threads >= 3);
+    assert!(test_bed.controller.usage().unwrap().threads >= 3);
 }
 
 #[test]
 fn a_drain_and_a_whole_list_lead_to_a_withdrawal_and_to_tables_without_what_drains() {
-    let played = events::play(program(), &setup(40, 2), &[Event::Drain(1), Event::WholeList], SHORT).unwrap();
+    let played = events::play(program(), &setup(40, 2), &[Event::Drain(1), Event::FullList], SHORT).unwrap();
     for outcome in &played {
-        let (first, last) = (outcome.first_order.unwrap(), outcome.last_order.unwrap());
+        let (first, last) = (outcome.first_command.unwrap(), outcome.last_command.unwrap());
         assert!(first <= outcome.lasted && last <= outcome.lasted, "{outcome:?}");
-        assert!(outcome.orders > 0 && outcome.traffic.list.bytes > 0, "{outcome:?}");
+        assert!(outcome.commands > 0 && outcome.traffic.endpoint_list.bytes > 0, "{outcome:?}");
     }
-    // The second was told all entries, the first one of them.
-    assert!(played[1].traffic.list.bytes > 10 * played[0].traffic.list.bytes, "{played:?}");
+    // The second received all entries, the first one of them.
+    assert!(played[1].traffic.endpoint_list.bytes > 10 * played[0].traffic.endpoint_list.bytes, "{played:?}");
 }
 
 #[test]
 fn a_configuration_is_read_anew_and_costs_no_order() {
-    let played = events::play(program(), &setup(40, 2), &[Event::Configured], SHORT).unwrap();
-    assert!(played[0].first_order.is_some() && played[0].last_order.is_none(), "{played:?}");
+    let played = events::play(program(), &setup(40, 2), &[Event::ConfigurationReload], SHORT).unwrap();
+    assert!(played[0].first_command.is_some() && played[0].last_command.is_none(), "{played:?}");
 }
 
 #[test]
 fn a_start_leads_to_orders() {
     let started = events::start(program(), &setup(40, 2)).unwrap();
-    assert!(started.first_order.is_some() && started.traffic.list.bytes > 0, "{started:?}");
+    assert!(started.first_command.is_some() && started.traffic.endpoint_list.bytes > 0, "{started:?}");
 }
 
 #[test]
 fn results_are_written_as_rows_table_and_chart() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut few, mut many) = (setup(20, 1), setup(40, 1));
+    let (mut few, mut more) = (setup(20, 1), setup(40, 1));
     // Sums over zones in long windows: the shape that aggregated reports have.
-    few.reports = Some(ReportShape { window_ms: 200.0, zones_summed: 9, ..ReportShape::whole(&few.size) });
-    many.reports = Some(ReportShape { replicas: 0..10, ..ReportShape::whole(&many.size) });
+    few.reports = Some(ReportShape { window_ms: 200.0, zones_summed: 9, ..ReportShape::full(&few.size) });
+    more.reports = Some(ReportShape { replicas: 0..10, ..ReportShape::full(&more.size) });
     let case = |setup| Case { sweep: "size", setup, churn: 4.0 };
-    let points: Vec<_> = [few, many]
+    let points: Vec<_> = [few, more]
         .into_iter()
         .map(|setup| steady::measure(program(), &case(setup), SHORT).unwrap())
         .collect();
@@ -145,7 +146,7 @@
 fn the_harness_sees_its_own_usage() {
     let before = Usage::of_self().unwrap();
     let mut sum = 0u64;
-    while Usage::of_self().unwrap().processor <= before.processor {
+    while Usage::of_self().unwrap().processor_time <= before.processor_time {
         sum = (0..100_000u64).fold(sum, |sum, n| sum.wrapping_mul(31).wrapping_add(n));
     }
     assert!(before.resident > 0 && sum != 1);
