--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -4,15 +4,15 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
-use whinwall_protocol::{collector, discovery as list, relay as news};
-use whinwall_scale_tests::stand_ins::collectors::Schedule;
-use whinwall_scale_tests::stand_ins::discovery::{Discovery, Listed};
-use whinwall_scale_tests::stand_ins::fleet::{Draw, FleetSize, ReportShape};
+use whinwall_protocol::{collector, discovery as discovery_protocol, relay as relay_protocol};
+use whinwall_scale_tests::stand_ins::collectors::ReportSchedule;
+use whinwall_scale_tests::stand_ins::counting_proxy::CountingProxy;
+use whinwall_scale_tests::stand_ins::discovery::{Discovery, EntryState};
+use whinwall_scale_tests::stand_ins::fleet::{FleetSize, Random, ReportShape};
 use whinwall_scale_tests::stand_ins::relay::Relay;
-use whinwall_scale_tests::stand_ins::tap::Tap;
 use whinwall_scale_tests::stand_ins::{Counter, Traffic};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn small() -> FleetSize {
     FleetSize { replicas: 30, zones: 3, slices: 4, proxies: 5, ..FleetSize::target() }
@@ -24,9 +24,9 @@
 }
 
 impl Peer {
-    fn asks(address: SocketAddr, text: &str) -> Peer {
+    fn connect(address: SocketAddr, text: &str) -> Peer {
         let mut stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
         Peer { reader: BufReader::new(stream), read: 0 }
     }
@@ -41,29 +41,33 @@
 #[test]
 fn each_report_line_is_one_that_the_controller_reads() {
     let size = small();
-    let lines = ReportShape::whole(&size).lines(&size, 1, &mut Draw::new(7));
+    let lines = ReportShape::full(&size).lines(&size, 1, &mut Random::new(7));
     assert_eq!(lines.len(), size.replicas + size.slices * size.classes);
     for line in &lines {
         collector::decode_report(line).unwrap_or_else(|| panic!("{line} is no report"));
     }
     // What all zones tell of in a second is what comes to the fleet, within the spread of the draw.
-    let told: f64 = (0..size.zones)
-        .flat_map(|zone| ReportShape::whole(&size).lines(&size, zone, &mut Draw::new(zone as u64)))
+    let total_attempts: f64 = (0..size.zones)
+        .flat_map(|zone| ReportShape::full(&size).lines(&size, zone, &mut Random::new(zone as u64)))
         .filter_map(|line| match collector::decode(&line) {
-            Ok(collector::Message::EndpointReport(met)) => Some(met.attempts),
+            Ok(collector::Message::EndpointReport(report)) => Some(report.attempts),
             _ => None,
         })
         .sum();
-    assert!((0.7..1.3).contains(&(told / size.requests)), "{told} tries of {}", size.requests);
+    assert!(
+        (0.7..1.3).contains(&(total_attempts / size.requests)),
+        "{total_attempts} tries of {}",
+        size.requests
+    );
 }
 
 #[test]
 fn a_schedule_holds_each_line_once_however_many_writes_it_has() {
     let size = small();
     let lines = |writes| {
-        let schedule = Schedule::of(&size, &ReportShape::whole(&size), 0, writes);
+        let schedule = ReportSchedule::for_zone(&size, &ReportShape::full(&size), 0, writes);
         let blocks = |period: &Vec<_>| {
-            period.iter().map(|b: &whinwall_scale_tests::stand_ins::collectors::Block| b.lines).sum()
+            period.iter().map(|b: &whinwall_scale_tests::stand_ins::collectors::ReportBlock| b.lines).sum()
         };
         schedule.periods.iter().map(blocks).collect::<Vec<usize>>()
     };
@@ -75,24 +79,25 @@
 fn the_relay_tells_what_stands_and_carries_out_up_to_the_first_order_that_it_cannot_read() {
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let relay = Relay::start(&size, &traffic).unwrap();
-    let mut watcher = Peer::asks(relay.address(), "WATCH\r\n");
+    let mut watcher = Peer::connect(relay.address(), "WATCH\r\n");
     let stands: Vec<String> = (0..1 + size.proxies + 2 * size.slices + 1).map(|_| watcher.line()).collect();
-    assert!(stands.iter().all(|line| news::decode_event(line).is_ok()), "{stands:?}");
+    assert!(stands.iter().all(|line| relay_protocol::decode_event(line).is_ok()), "{stands:?}");
     assert_eq!(stands.iter().filter(|line| line.starts_with("* ROW")).count(), size.slices);
 
-    let mut caller = Peer::asks(relay.address(), "APPLY SET,1,s-new,2;SYNC,9,1;NONSENSE;SET,2,s-new,2\r\n");
-    assert_eq!(caller.line(), "OK 2");
-    let call = relay.next_call(PATIENCE).unwrap();
-    assert_eq!(call.orders.len(), 4);
+    let mut client =
+        Peer::connect(relay.address(), "APPLY SET,1,s-new,2;SYNC,9,1;NONSENSE;SET,2,s-new,2\r\n");
+    assert_eq!(client.line(), "OK 2");
+    let request = relay.next_request(TIMEOUT).unwrap();
+    assert_eq!(request.commands.len(), 4);
     assert_eq!(relay.owners()[&1], "s-new");
     assert_ne!(relay.owners()[&2], "s-new");
     let mut acks = 0;
     while acks < size.proxies {
         acks += usize::from(watcher.line().starts_with("* ACK "));
     }
-    assert_eq!(traffic.read().answers.bytes, caller.read as u64);
+    assert_eq!(traffic.read().relay_responses.bytes, client.read as u64);
     // Signs of life may follow what was read here.
-    assert!(traffic.read().news.bytes >= watcher.read as u64);
+    assert!(traffic.read().relay_events.bytes >= watcher.read as u64);
 }
 
 #[test]
@@ -100,40 +105,40 @@
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let discovery = Discovery::start(&size, &traffic).unwrap();
     let request = "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nhost: x\r\n\r\n";
-    let mut watch = Peer::asks(discovery.address(), request);
+    let mut watch = Peer::connect(discovery.address(), request);
     while !watch.line().is_empty() {}
-    // A chunk is its length, its line, and an empty line; signs of life may come between.
+    // A chunk is its length, its line, and an empty line; keep-alives may come between.
     let mut next = || loop {
         let length = usize::from_str_radix(&watch.line(), 16).unwrap();
         let line = watch.line();
         assert_eq!(length, line.len() + 1);
         watch.line();
-        if let Some(list) = list::decode(&line).unwrap() {
+        if let Some(list) = discovery_protocol::decode(&line).unwrap() {
             return (list, length);
         }
     };
     let (whole, length) = next();
     assert!(whole.is_complete && whole.entries.len() == size.replicas);
-    assert_eq!(length, discovery.whole_list_bytes() + 1);
-    let leaving = Listed { state: "leaving", started_ms: 0 };
+    assert_eq!(length, discovery.full_list_bytes() + 1);
+    let leaving = EntryState { state: "leaving", started_ms: 0 };
     discovery.change([(3, leaving), (4, leaving)]);
     let (changes, _) = next();
     assert!(!changes.is_complete && changes.entries.len() == 2 && changes.version == 2);
-    discovery.change_and_tell_all([(5, leaving)]);
+    discovery.change_and_send_full_list([(5, leaving)]);
     let (again, _) = next();
     assert!(again.is_complete && again.entries.len() == size.replicas && again.version == 3);
-    assert_eq!(traffic.read().requests.bytes, request.len() as u64);
+    assert_eq!(traffic.read().discovery_requests.bytes, request.len() as u64);
 }
 
 #[test]
 fn discovery_answers_a_request_for_the_whole_list() {
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let discovery = Discovery::start(&size, &traffic).unwrap();
-    let mut peer = Peer::asks(discovery.address(), "GET /registry/instances HTTP/1.1\r\nhost: x\r\n\r\n");
+    let mut peer = Peer::connect(discovery.address(), "GET /registry/instances HTTP/1.1\r\nhost: x\r\n\r\n");
     while !peer.line().is_empty() {}
-    let mut body = vec![0; discovery.whole_list_bytes()];
+    let mut body = vec![0; discovery.full_list_bytes()];
     peer.reader.read_exact(&mut body).unwrap();
-    let list = list::decode(std::str::from_utf8(&body).unwrap()).unwrap().unwrap();
+    let list = discovery_protocol::decode(std::str::from_utf8(&body).unwrap()).unwrap().unwrap();
     assert!(list.is_complete && list.entries.len() == size.replicas);
 }
 
@@ -141,12 +146,12 @@
 fn a_tap_counts_what_goes_through_it_each_way() {
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let relay = Relay::start(&size, &traffic).unwrap();
-    let tap = Tap::start().unwrap();
-    tap.lead_to(relay.address());
-    let call = "APPLY SET,1,s-new,2\r\n";
-    let mut caller = Peer::asks(tap.address(), call);
-    assert_eq!(caller.line(), "OK 1");
-    let through = |counter: &Counter| (counter.read().bytes, counter.read().lines);
-    assert_eq!(through(&tap.through.inward), (call.len() as u64, 1));
-    assert_eq!(through(&tap.through.outward), (caller.read as u64, 1));
+    let counting_proxy = CountingProxy::start().unwrap();
+    counting_proxy.set_target(relay.address());
+    let request = "APPLY SET,1,s-new,2\r\n";
+    let mut client = Peer::connect(counting_proxy.address(), request);
+    assert_eq!(client.line(), "OK 1");
+    let counts = |counter: &Counter| (counter.read().bytes, counter.read().lines);
+    assert_eq!(counts(&counting_proxy.traffic.to_controller), (request.len() as u64, 1));
+    assert_eq!(counts(&counting_proxy.traffic.from_controller), (client.read as u64, 1));
 }
