--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -80,6 +80,10 @@
 }
 
 /// Plays the days of the plan on so many threads, in the plan's order.
+///
+/// # Errors
+///
+/// When the threads cannot be started.
 pub fn play_all(plan: &Plan, threads: usize) -> Result<Vec<Played>, SweepError> {
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads.max(1)).build()?;
     let progress = Mutex::new(0);
@@ -96,6 +100,10 @@
 }
 
 /// Plays the sweep, prints its table, and writes rows and table where a folder is given.
+///
+/// # Errors
+///
+/// When the arguments are out of range, threads cannot be started, or results cannot be written.
 pub fn run(args: Args) -> Result<(), SweepError> {
     let plan = Plan::from_args(&args)?;
     let played = play_all(&plan, args.threads)?;
--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -96,6 +96,10 @@
 
 impl Plan {
     /// The plan that the command's arguments ask for.
+    ///
+    /// # Errors
+    ///
+    /// When a count that must be at least 1 is 0.
     pub fn from_args(args: &Args) -> Result<Plan, SweepError> {
         let counts = [
             ("replicas", args.replicas),
--- a/crates/scale-tests/src/fit.rs
+++ b/crates/scale-tests/src/fit.rs
@@ -33,7 +33,7 @@
     TooFewPoints {
         /// Points given.
         points: usize,
-        /// Coefficients wanted.
+        /// Coefficients of the model.
         coefficients: usize,
     },
     /// The points differ in their number of regressors.
@@ -49,7 +49,11 @@
 
 impl LinearFit {
     /// Fits the model to the points.
-    pub fn of(points: &[Point]) -> Result<LinearFit, FitError> {
+    ///
+    /// # Errors
+    ///
+    /// When the points are too few, differ in their number of regressors, or do not determine the coefficients.
+    pub fn least_squares(points: &[Point]) -> Result<LinearFit, FitError> {
         let regressor_count = points.first().map_or(0, |point| point.regressors.len());
         if points.iter().any(|point| point.regressors.len() != regressor_count) {
             return Err(FitError::Ragged);
@@ -67,7 +71,7 @@
             LinearFit { intercept: solution[0], slopes, residuals: vec![], r_squared: 1.0, range: vec![] };
         fit.residuals = points.iter().map(|point| point.measured - fit.predict(&point.regressors)).collect();
         fit.r_squared = r_squared(points, &fit.residuals);
-        fit.range = (0..regressor_count).map(|at| range(points, at)).collect();
+        fit.range = (0..regressor_count).map(|index| range(points, index)).collect();
         Ok(fit)
     }
 
@@ -90,21 +94,22 @@
 }
 
 fn scales(points: &[Point], regressor_count: usize) -> Vec<f64> {
-    let greatest = |at: usize| points.iter().map(|point| point.regressors[at].abs()).fold(0.0, f64::max);
-    (0..regressor_count).map(|at| if greatest(at) > 0.0 { greatest(at) } else { 1.0 }).collect()
+    let greatest =
+        |index: usize| points.iter().map(|point| point.regressors[index].abs()).fold(0.0, f64::max);
+    (0..regressor_count).map(|index| if greatest(index) > 0.0 { greatest(index) } else { 1.0 }).collect()
 }
 
-fn range(points: &[Point], at: usize) -> (f64, f64) {
-    let values = points.iter().map(|point| point.regressors[at]);
+fn range(points: &[Point], index: usize) -> (f64, f64) {
+    let values = points.iter().map(|point| point.regressors[index]);
     values.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), value| (low.min(value), high.max(value)))
 }
 
 fn r_squared(points: &[Point], residuals: &[f64]) -> f64 {
     let mean = points.iter().map(|point| point.measured).sum::<f64>() / points.len() as f64;
     let total: f64 = points.iter().map(|point| (point.measured - mean).powi(2)).sum();
-    let left: f64 = residuals.iter().map(|residual| residual.powi(2)).sum();
+    let unexplained: f64 = residuals.iter().map(|residual| residual.powi(2)).sum();
     if total > 0.0 {
-        1.0 - left / total
+        1.0 - unexplained / total
     } else {
         1.0
     }
--- a/crates/scale-tests/src/lib.rs
+++ b/crates/scale-tests/src/lib.rs
@@ -2,8 +2,7 @@
 //! stand-ins, `many` runs real processes beside simulated controllers, `decisions` sweeps the number of controllers
 //! in the emulator. `process` starts and observes a controller, `stand_ins` plays what it connects to, `fit` and
 //! `results` turn measurements into figures, tables and charts.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::unwrap_used)]
 
 pub mod decisions;
 pub mod fit;
--- a/crates/scale-tests/src/main.rs
+++ b/crates/scale-tests/src/main.rs
@@ -1,5 +1,5 @@
 //! `whinwall-scale-tests`: runs the scale tests; each subcommand writes its results as Parquet, a table and a chart.
-#![forbid(unsafe_code)]
+#![warn(clippy::unwrap_used)]
 
 use clap::{Parser, Subcommand};
 use std::error::Error;
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -21,10 +21,10 @@
 
 /// Threads for the stand-ins' sockets.
 const SOCKET_THREADS: usize = 2;
-/// Memory is looked at so often.
+/// Time between two looks at the memory of this process.
 const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Replicas that start again while a region is partitioned from the network: one in so many.
-const RESTARTED_REPLICAS: usize = 100;
+/// One replica in so many starts again while a region is partitioned from the network.
+const RESTARTED_REPLICA_INTERVAL: usize = 100;
 
 /// What controllers and harness have cost in a period.
 #[derive(Clone, Copy, Debug, Default)]
@@ -44,9 +44,9 @@
 pub struct Outcome {
     /// Its name.
     pub event: &'static str,
-    /// How long whoever caused it took to do so: to write files and signal, or to end processes.
+    /// How long it took to trigger: to write files and signal, or to end processes.
     pub trigger_time: Duration,
-    /// When controllers had come to its end, and what was sent.
+    /// When controllers had completed it, and what was sent.
     pub progress: EventProgress,
     /// What it has cost.
     pub costs: Costs,
@@ -70,6 +70,10 @@
 }
 
 /// Plays all events. When it returns, every process that it started has ended.
+///
+/// # Errors
+///
+/// When a process or stand-in cannot be started, a process ends unasked, memory exceeds its limit, or a signal comes.
 pub fn play(plan: &Plan) -> Result<Results, ManyError> {
     let runtime = Builder::new_multi_thread().worker_threads(SOCKET_THREADS).enable_all().build();
     let runtime = runtime.map_err(ManyError::io("runtime"))?;
@@ -79,7 +83,7 @@
         let mut interrupt = signal(SignalKind::interrupt()).map_err(ManyError::io("signals"))?;
         tokio::select! {
             result = run(plan) => result,
-            taken_kb = memory_beyond(limit_kb) => Err(ManyError::Memory { taken_kb, limit_kb }),
+            taken_kb = wait_for_memory_excess(limit_kb) => Err(ManyError::Memory { taken_kb, limit_kb }),
             _ = terminate.recv() => Err(ManyError::Signal),
             _ = interrupt.recv() => Err(ManyError::Signal),
         }
@@ -90,7 +94,7 @@
 }
 
 /// Returns once this process holds more than it may.
-async fn memory_beyond(limit_kb: u64) -> u64 {
+async fn wait_for_memory_excess(limit_kb: u64) -> u64 {
     loop {
         let taken = cost::of_self().memory_kb;
         if taken > limit_kb {
@@ -107,7 +111,7 @@
     results
 }
 
-/// Everything that runs.
+/// All controllers of a run with their stand-ins.
 struct Fleet {
     plan: Arc<Plan>,
     catalog: Arc<Catalog>,
@@ -154,12 +158,13 @@
             let state = Arc::new(state);
             let mut sites = BTreeMap::new();
             for site in [Site::First, Site::Second] {
-                sites.insert(site, stand_ins::open(&state, site).await.map_err(ManyError::io("listen"))?);
+                sites
+                    .insert(site, stand_ins::open_site(&state, site).await.map_err(ManyError::io("listen"))?);
             }
             let process = Process::new(controller, fleet.folder.path());
             for (zone, load) in load.iter().enumerate() {
                 let (plan, state) = (fleet.plan.clone(), state.clone());
-                tokio::spawn(stand_ins::collect(plan, state, zone, load.clone(), process.address()));
+                tokio::spawn(stand_ins::run_collector(plan, state, zone, load.clone(), process.address()));
             }
             fleet.stand_in_states.push(state);
             fleet.sites.push(sites);
@@ -306,7 +311,7 @@
         self.tracker.drain(plan.replica(DRAINED_DURING_PARTITION));
         self.tracker.begin(outside(), &agreed);
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let restarted = 2..2 + plan.replicas / RESTARTED_REPLICAS;
+        let restarted = 2..2 + plan.replicas / RESTARTED_REPLICA_INTERVAL;
         self.catalog.change(DRAINED_DURING_PARTITION, restarted, wall);
         let others =
             self.outcome("replica drained meanwhile: other regions", Duration::ZERO, &before).await?;
--- a/crates/scale-tests/src/many/mod.rs
+++ b/crates/scale-tests/src/many/mod.rs
@@ -1,6 +1,6 @@
-//! Many governors: real processes beside in-process ones, and events that concern all of them. Relay, discovery and
-//! collectors are stand-ins inside this process, on loopback sockets for the real governors and as calls for the
-//! in-process ones.
+//! Many controllers: real processes beside simulated ones inside this process, and events that concern all of them.
+//! Relay, discovery and collectors are stand-ins inside this process, on loopback sockets for the real controllers and
+//! as function calls for the simulated ones.
 
 mod catalog;
 mod cost;
@@ -22,12 +22,12 @@
 pub use tracker::{Condition, EventProgress, SentBytes, Site, Traffic};
 
 use std::path::PathBuf;
-use std::time::Duration;
+use std::time::{Duration, TryFromFloatSecsError};
 use thiserror::Error;
 
-/// More processes than this are not started.
+/// The most controllers that are started as processes.
 const MAX_PROCESSES: usize = 290;
-/// The report's file.
+/// The name of the report's file.
 const REPORT_FILE: &str = "many.md";
 
 /// Sizes of a run, from the command line.
@@ -86,7 +86,7 @@
 /// Why a run could not be made, or has failed.
 #[derive(Debug, Error)]
 pub enum ManyError {
-    /// The governor program was not built.
+    /// The controller program was not built.
     #[error(
         "no whinwall-controller beside this program: cargo build --release --locked -p whinwall-controller"
     )]
@@ -122,10 +122,10 @@
         /// What the system says.
         why: std::io::Error,
     },
-    /// The sizes make no sense.
-    #[error("{0}")]
-    Sizes(String),
-    /// Governors and harness took more memory than they may.
+    /// An argument is out of range.
+    #[error(transparent)]
+    Sizes(#[from] SizesError),
+    /// Controllers and harness took more memory than they may.
     #[error("{taken_kb} kB of memory are taken, {limit_kb} may be")]
     Memory {
         /// What they took.
@@ -136,7 +136,7 @@
     /// A signal ended the run.
     #[error("ended by a signal")]
     Signal,
-    /// An event did not come to its end at all governors.
+    /// Some controllers did not complete an event.
     #[error("{event}: {missing} governors did not come to its end; the report says which")]
     Missing {
         /// The event's name.
@@ -146,6 +146,28 @@
     },
 }
 
+/// Which argument of a run is out of range.
+#[derive(Clone, Debug, Error)]
+pub enum SizesError {
+    /// No process at all, or more than are started.
+    #[error("--real: from 1 to 290")]
+    Processes,
+    /// Fewer controllers than processes.
+    #[error("--governors: no fewer than --real")]
+    Controllers,
+    /// A size is below its least value.
+    #[error("--replicas 4, --slices 2, --zones, --proxies and --workers 1 at the least")]
+    TooSmall,
+    /// A number of seconds that is no duration.
+    #[error("{seconds} s: {why}")]
+    Duration {
+        /// The argument.
+        seconds: f64,
+        /// What is wrong with it.
+        why: TryFromFloatSecsError,
+    },
+}
+
 impl ManyError {
     fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ManyError {
         let what = what.into();
@@ -157,19 +179,17 @@
     type Error = ManyError;
 
     fn try_from(args: &Args) -> Result<Plan, ManyError> {
-        let wrong = |what: &str| Err(ManyError::Sizes(what.into()));
         if args.real == 0 || args.real > MAX_PROCESSES {
-            return wrong("--real: from 1 to 290");
+            return Err(SizesError::Processes.into());
         }
         if args.controllers < args.real {
-            return wrong("--governors: no fewer than --real");
+            return Err(SizesError::Controllers.into());
         }
         if args.replicas < 4 || args.slices < 2 || args.zones == 0 || args.proxies == 0 || args.workers == 0 {
-            return wrong("--replicas 4, --slices 2, --zones, --proxies and --workers 1 at the least");
+            return Err(SizesError::TooSmall.into());
         }
         let time = |seconds: f64| {
-            Duration::try_from_secs_f64(seconds)
-                .map_err(|why| ManyError::Sizes(format!("{seconds} s: {why}")))
+            Duration::try_from_secs_f64(seconds).map_err(|why| SizesError::Duration { seconds, why })
         };
         let program = args.program.clone().map_or_else(find_program, Ok)?;
         Ok(Plan {
@@ -193,7 +213,11 @@
     }
 }
 
-/// Plays all events and writes the report; an event that some governor did not come to the end of is an error.
+/// Plays all events and writes the report; an event that some controller did not complete is an error.
+///
+/// # Errors
+///
+/// When the sizes are out of range, a process fails, the report cannot be written, or an event is incomplete.
 pub fn run(args: Args) -> Result<(), ManyError> {
     let plan = Plan::try_from(&args)?;
     let file = args.out.join(REPORT_FILE);
--- a/crates/scale-tests/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -17,7 +17,7 @@
 /// The request class that all load is reported for.
 pub const REQUEST_CLASS: &str = "lookup";
 /// One controller in so many keeps running when the others are restarted.
-const RESTART_EXCEPT: usize = 10;
+const UNRESTARTED_INTERVAL: usize = 10;
 
 /// What is run.
 #[derive(Clone, Debug)]
@@ -74,7 +74,7 @@
 
     /// Whether this controller is restarted in a release that takes nine in ten at once.
     pub fn is_restarted(&self, controller: ControllerId) -> bool {
-        !controller.is_multiple_of(RESTART_EXCEPT)
+        !controller.is_multiple_of(UNRESTARTED_INTERVAL)
     }
 
     /// The name of a zone.
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -23,17 +23,17 @@
 const PROGRAM: &str = "whinwall-controller";
 /// A controller that has not ended so long after SIGTERM gets SIGKILL.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(5);
-/// Before a controller that does not answer yet is asked again.
+/// Pause between two pings of a controller that does not answer yet.
 const PING_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// One controller's process, or its place while none runs.
+/// The process of one controller, which may not run at the moment.
 pub struct Process {
     controller: ControllerId,
     configuration_file: PathBuf,
     child: Option<Child>,
     /// Where collectors find it.
     address: watch::Sender<Option<SocketAddr>>,
-    /// What earlier processes of this controller have cost.
+    /// The cost of this controller's processes that have exited.
     exited_cost: Cost,
 }
 
@@ -146,13 +146,17 @@
 }
 
 /// The controller program beside this one, or in the other profile's folder: the one that was built last.
+///
+/// # Errors
+///
+/// When no controller program is found.
 pub fn find_program() -> Result<PathBuf, ManyError> {
     let this = std::env::current_exe().map_err(|_| ManyError::NoProgram)?;
     let folders = this.ancestors().skip(1).take(3);
     let candidates =
         folders.flat_map(|folder| ["", "debug", "release"].map(|profile| folder.join(profile).join(PROGRAM)));
     let built = candidates.filter_map(|path| {
-        let time = std::fs::metadata(&path).ok().filter(|file| file.is_file())?.modified().ok()?;
+        let time = std::fs::metadata(&path).ok().filter(std::fs::Metadata::is_file)?.modified().ok()?;
         Some((time, path))
     });
     built.max().map(|(_, path)| path).ok_or(ManyError::NoProgram)
--- a/crates/scale-tests/src/many/report.rs
+++ b/crates/scale-tests/src/many/report.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Times are kept in microseconds, to three digits.
+/// Significant digits of the histogram of times, which are in microseconds.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The whole report.
@@ -116,7 +116,7 @@
 
 /// Kilobytes in all, and a second at the peak.
 fn kilobytes(sent_bytes: &SentBytes, traffic: Traffic) -> [f64; 2] {
-    [sent_bytes.bytes(traffic) as f64 / 1e3, sent_bytes.peak(traffic) / 1e3]
+    [sent_bytes.bytes(traffic) as f64 / 1e3, sent_bytes.peak_bytes_per_second(traffic) / 1e3]
 }
 
 fn write_costs(text: &mut String, plan: &Plan, results: &Results) -> std::fmt::Result {
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -22,29 +22,29 @@
 use whinwall_settings::{Settings, SettingsError};
 use whinwall_transport::{limits, ConnectionId, RequestError, StreamError};
 
-/// The one connection that its reports come on.
+/// The connection that its reports come on.
 const COLLECTOR: ConnectionId = 1;
-/// A step of a controller whose clock is moved forward.
+/// By how much the clock of a partitioned controller is moved forward in one step.
 const PARTITION_CLOCK_STEP: Duration = Duration::from_secs(60);
-/// A controller that no event waits for does what it has planned in turns no closer than this: each of its plans costs a
-/// look at all replicas, and hundreds of controllers share a few threads here.
+/// The least time between two turns of a controller that takes no part in an event: each rebalancing round looks at all
+/// replicas, and hundreds of controllers share a few threads here.
 const IDLE_TURN_INTERVAL: Duration = Duration::from_secs(10);
-/// It wakes so often at least, as the program's loop does.
+/// The longest time without a turn, as in the event loop of the program.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
-/// Of a controller's seed, the part that all have in common.
+/// Combined with a controller's number to its seed.
 const BASE_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// An answer that is still out, and when the transport gives up waiting for it.
+/// The failure that the transport would report for an unanswered request or a silent watch, and when.
 struct PendingFailure {
     due_at: Moment,
     event: Event,
 }
 
-/// How its region is doing.
+/// Whether its region can be reached.
 #[derive(Clone, Copy, PartialEq)]
 enum Connectivity {
     Connected,
-    /// Cut off, for so long yet by its own clock.
+    /// Partitioned from the network, for so long yet by its own clock.
     Partitioned {
         remaining: Duration,
     },
@@ -70,7 +70,7 @@
     relay_request_failure: Option<PendingFailure>,
     wake_at: Moment,
     last_turn: Moment,
-    /// An event has come to it and may not have come to its end: its plans are not put off.
+    /// An event has reached it and may not be complete: its turns are not delayed.
     in_event: bool,
     /// CPU time that its turns have taken since the event came to it.
     event_processor_time: Duration,
@@ -208,14 +208,14 @@
         self.connectivity != Connectivity::Connected
     }
 
-    /// Does what is due; true where it is to be called again at once.
+    /// Does what is due; true where it is to be called again without a pause.
     pub fn run_due_work(&mut self) -> bool {
         if let Connectivity::Partitioned { remaining } = self.connectivity {
             return self.step_through_partition(remaining);
         }
         let now = self.now();
-        // What an event leads to is measured by itself: whoever has no part in it stands still meanwhile.
-        let is_idle = !self.in_event && self.environment.tracker.in_event();
+        // The cost of an event is measured without noise: controllers that take no part in it pause meanwhile.
+        let is_paused = !self.in_event && self.environment.tracker.is_event_in_progress();
         let mut events = Vec::new();
         let has_new_list = self.list_version < self.environment.catalog.version() && self.list_version > 0;
         if has_new_list {
@@ -223,12 +223,12 @@
             events.push(list_event);
             self.mark_event_started();
         }
-        if self.next_report_at <= now && !is_idle {
+        if self.next_report_at <= now && !is_paused {
             self.next_report_at = now + to_span(self.environment.plan.simulated_report_period);
             events.push(self.load_report_event(now));
         }
         self.in_event = self.in_event && self.environment.tracker.is_waiting_for(self.controller);
-        if !events.is_empty() || (self.next_turn_at() <= now && !is_idle) {
+        if !events.is_empty() || (self.next_turn_at() <= now && !is_paused) {
             self.process_events(now, events);
             self.record_list_version();
         }
@@ -276,7 +276,7 @@
         Duration::from_nanos((next - self.now()).as_ns())
     }
 
-    /// Takes what has arrived, then follows up on what that leads to until nothing more is to be done.
+    /// Applies events to the reducer and executes its effects, until no effect leads to another event.
     fn process_events(&mut self, now: Moment, events: Vec<Event>) {
         let mut events = events;
         let mut conditions = Vec::new();
--- a/crates/scale-tests/src/many/stand_ins.rs
+++ b/crates/scale-tests/src/many/stand_ins.rs
@@ -15,13 +15,13 @@
 use tokio::sync::{broadcast, watch};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-/// The relay's keep-alives.
+/// Time between two keep-alive lines of the relay.
 const RELAY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Discovery's keep-alives.
+/// Time between two keep-alive lines of discovery.
 const DISCOVERY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Acknowledgements queued for a watcher of the relay, in messages.
 const ACK_QUEUE_CAPACITY: usize = 4096;
-/// Before a collector connects again.
+/// Pause before a collector connects again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// Whether a region is partitioned from the network.
@@ -29,7 +29,7 @@
 pub enum Link {
     /// Bytes pass.
     Up,
-    /// Nothing is said, and connections stay open.
+    /// Nothing is sent, and connections stay open.
     Partitioned,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl StandInState {
-    /// The stand-ins of a controller before anybody has come to them.
+    /// The stand-ins of a controller, without a connection yet.
     pub fn new(
         plan: &Plan,
         controller: ControllerId,
@@ -91,7 +91,7 @@
 }
 
 /// Opens relay and discovery of one site; they serve as long as the runtime does.
-pub async fn open(state: &Arc<StandInState>, site: Site) -> io::Result<Addresses> {
+pub async fn open_site(state: &Arc<StandInState>, site: Site) -> io::Result<Addresses> {
     let relay = TcpListener::bind("127.0.0.1:0").await?;
     let discovery = TcpListener::bind("127.0.0.1:0").await?;
     let addresses = Addresses { relay: relay.local_addr()?, discovery: discovery.local_addr()? };
@@ -100,7 +100,7 @@
     Ok(addresses)
 }
 
-/// What a listener stands in for.
+/// The service that a listener stands in for.
 #[derive(Clone, Copy)]
 enum Service {
     Relay,
@@ -110,7 +110,7 @@
 async fn accept(listener: TcpListener, state: Arc<StandInState>, service: Service, site: Site) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => _ = tokio::spawn(connection(state.clone(), service, site, stream)),
+            Ok((stream, _)) => _ = tokio::spawn(serve_until_partition(state.clone(), service, site, stream)),
             // No descriptor is free, for instance.
             Err(_) => sleep(RECONNECT_DELAY).await,
         }
@@ -119,9 +119,14 @@
 
 /// Serves a connection until it ends or its region is partitioned from the network. One that was open or came during the partition says nothing,
 /// and is closed once the region is back.
-async fn connection(state: Arc<StandInState>, service: Service, site: Site, mut stream: TcpStream) {
+async fn serve_until_partition(
+    state: Arc<StandInState>,
+    service: Service,
+    site: Site,
+    mut stream: TcpStream,
+) {
     let mut link = state.link.clone();
-    // Discovery is also asked now and then by whoever misses nothing.
+    // Controllers renew their watches of discovery from time to time also while nothing is wrong.
     if matches!(service, Service::Relay) && *link.borrow() == Link::Partitioned {
         state.record_condition(Condition::PartitionDetected);
     }
@@ -155,7 +160,7 @@
         };
         write.write_all(format!("OK {}\r\n", applied.commands).as_bytes()).await?;
         if !applied.acks.is_empty() {
-            // No receiver may be listening.
+            // No watcher may be subscribed.
             _ = state.acks.send(format!("{}\r\n", applied.acks.join("\r\n")));
         }
         if state.tracker.drained().is_some_and(|replica| state.store().is_drained(&replica)) {
@@ -266,7 +271,7 @@
 
 /// The collector of one zone: it reports as long as the controller has an address, and connects again when it must. The
 /// first zone's also reports on the controller's slices.
-pub async fn collect(
+pub async fn run_collector(
     plan: Arc<Plan>,
     state: Arc<StandInState>,
     zone: usize,
@@ -276,7 +281,7 @@
     loop {
         let Ok(at) = address.wait_for(Option::is_some).await.map(|at| *at) else { return };
         if let Some(at) = at.filter(|_| !state.is_partitioned()) {
-            // The connection's end says no more than that it is over.
+            // Its failure needs no handling: the next attempt follows.
             _ = send_reports(&plan, &state, zone, &load, at).await;
         }
         sleep(RECONNECT_DELAY).await;
--- a/crates/scale-tests/src/many/store.rs
+++ b/crates/scale-tests/src/many/store.rs
@@ -44,7 +44,7 @@
         for command in &commands {
             match command.split(',').collect::<Vec<_>>()[..] {
                 ["SET", slice, replica, weight] => {
-                    self.set(slice.parse().ok()?, replica, weight.parse().ok()?)
+                    self.set_weight(slice.parse().ok()?, replica, weight.parse().ok()?);
                 }
                 ["DEL", slice] => _ = self.tables.remove(&slice.parse().ok()?),
                 ["OUT", replica] => _ = self.withdrawn.insert(replica.to_string()),
@@ -59,7 +59,7 @@
         Some(Applied { commands: commands.len(), acks })
     }
 
-    fn set(&mut self, slice: u32, replica: &str, weight: f64) {
+    fn set_weight(&mut self, slice: u32, replica: &str, weight: f64) {
         let table = self.tables.entry(slice).or_default();
         if weight > 0.0 {
             table.insert(replica.to_string(), weight);
--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -1,4 +1,5 @@
-//! What an event waits for at each controller, when it was reached, and what was asked for meanwhile.
+//! Progress of an event: which conditions each controller still has to reach, when it had reached all, and how much
+//! was sent to it meanwhile.
 
 use super::plan::ControllerId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,10 +7,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Demand is summed over periods of this length; the highest sum is the peak.
+/// Sent bytes are summed over periods of this length; the highest sum is the peak.
 const BIN_LENGTH: Duration = Duration::from_millis(100);
 
-/// Something that a controller has come to.
+/// A condition that a controller reaches in the course of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
     /// It has answered a ping since its start.
@@ -55,27 +56,27 @@
 impl SentBytes {
     /// All bytes of this kind.
     pub fn bytes(&self, traffic: Traffic) -> u64 {
-        self.of(traffic).sum()
+        self.bins_of(traffic).sum()
     }
 
-    /// The highest rate of this kind, in bytes a second.
-    pub fn peak(&self, traffic: Traffic) -> f64 {
-        self.of(traffic).max().unwrap_or(0) as f64 / BIN_LENGTH.as_secs_f64()
+    /// The highest rate of this kind over one bin, in bytes a second.
+    pub fn peak_bytes_per_second(&self, traffic: Traffic) -> f64 {
+        self.bins_of(traffic).max().unwrap_or(0) as f64 / BIN_LENGTH.as_secs_f64()
     }
 
-    fn of(&self, traffic: Traffic) -> impl Iterator<Item = u64> + '_ {
+    fn bins_of(&self, traffic: Traffic) -> impl Iterator<Item = u64> + '_ {
         self.bins.iter().filter(move |((kind, _), _)| *kind == traffic).map(|(_, bytes)| *bytes)
     }
 }
 
-/// What came of an event.
+/// How far the controllers have come in an event.
 #[derive(Clone, Debug, Default)]
 pub struct EventProgress {
-    /// From the event's beginning until a controller had come to all that was waited for.
+    /// From the event's beginning until a controller had reached all its conditions.
     pub times: BTreeMap<ControllerId, Duration>,
     /// CPU time that it took a simulated controller, from when the event came to it.
     pub processor_time: BTreeMap<ControllerId, Duration>,
-    /// Who had not by the end.
+    /// The conditions that controllers have not reached yet.
     pub missing: BTreeMap<ControllerId, BTreeSet<Condition>>,
     /// What was sent meanwhile, to the real processes and to the others.
     pub real: SentBytes,
@@ -113,7 +114,7 @@
         self.phase.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An event begins now; each of these controllers is to come to all of these conditions.
+    /// Begins an event: each of these controllers is to reach all of these conditions.
     pub fn begin(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
         let awaited: BTreeSet<_> = conditions.iter().copied().collect();
         let missing = controllers.into_iter().map(|controller| (controller, awaited.clone())).collect();
@@ -122,17 +123,17 @@
         phase.began = Instant::now();
     }
 
-    /// From now on this replica is to be left.
+    /// Sets the replica that controllers are to withdraw.
     pub fn drain(&self, replica: String) {
         self.phase().drained = Some(replica);
     }
 
-    /// The replica that is to be left.
+    /// The replica that controllers are to withdraw.
     pub fn drained(&self) -> Option<String> {
         self.phase().drained.clone()
     }
 
-    /// A controller has come to this; true where the event waits for it no longer.
+    /// Records that a controller has reached a condition; true where it was the last one of that controller.
     pub fn record_condition(&self, controller: ControllerId, condition: Condition) -> bool {
         let mut phase = self.phase();
         let took = phase.began.elapsed();
@@ -160,8 +161,8 @@
         self.phase().progress.missing.contains_key(&controller)
     }
 
-    /// Whether an event goes on: some controller has not come to its end.
-    pub fn in_event(&self) -> bool {
+    /// Whether some controller has not completed the event yet.
+    pub fn is_event_in_progress(&self) -> bool {
         !self.phase().progress.missing.is_empty()
     }
 
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -10,10 +10,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A change of the list is looked for so often.
+/// Time between two looks for a change of the endpoint list.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What all simulated controllers of a thread receive.
+/// A command to all simulated controllers of a thread.
 #[derive(Clone)]
 enum Command {
     Configure(Site),
@@ -47,7 +47,7 @@
             let own: Vec<ControllerId> = all.skip(worker).step_by(plan.workers).collect();
             let (commands, received) = channel();
             let (environment, total_processor_time) = (environment.clone(), total_processor_time.clone());
-            let thread = std::thread::Builder::new().name(format!("hollow-{worker}"));
+            let thread = std::thread::Builder::new().name(format!("simulated-{worker}"));
             let thread = thread
                 .spawn(move || run(&own, &environment, &total_processor_time, &received))
                 .map_err(ManyError::Thread)?;
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -19,7 +19,7 @@
 
 /// Aggregators that have told nothing by then are not going to.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often it is looked at whether reports have come.
+/// Time between two looks for the first report.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The fleet's part of the operators' file.
@@ -27,13 +27,22 @@
 pub struct Subsetting {
     /// Aggregators that run.
     pub aggregators: usize,
-    /// Wished replicas a controller.
+    /// Replicas that a controller is meant to have in its subset.
     pub subset: usize,
-    /// What a controller may be told, in bytes a second.
+    /// The budget for reports to a controller, in bytes a second.
     pub bytes_per_second: u64,
 }
 
-/// What the controller and the aggregators used meanwhile.
+/// What one aggregator used during the measurement.
+#[derive(Clone, Copy, Debug)]
+pub struct AggregatorUsage {
+    /// Its CPU time during the measurement.
+    pub processor_time: Duration,
+    /// Its usage at the end.
+    pub at_end: Usage,
+}
+
+/// What the controller and the aggregators used during the measurement.
 #[derive(Clone, Debug)]
 pub struct Aggregated {
     /// How it was set up.
@@ -56,9 +65,9 @@
     pub processor_time: Duration,
     /// Its memory.
     pub usage: Usage,
-    /// Of each aggregator, its CPU time and memory.
-    pub aggregators: Vec<(Duration, Usage)>,
-    /// Bytes that all collectors told all aggregators.
+    /// What each aggregator used.
+    pub aggregators: Vec<AggregatorUsage>,
+    /// Bytes that all collectors sent to all aggregators.
     pub sent_to_aggregators: u64,
     /// The last lines of the controller's log.
     pub log: Vec<String>,
@@ -79,14 +88,13 @@
 
     /// The part of one core that an aggregator used, on average.
     pub fn aggregator_share(&self) -> f64 {
-        let total: f64 =
-            self.aggregators.iter().map(|(processor_time, _)| processor_time.as_secs_f64()).sum();
+        let total: f64 = self.aggregators.iter().map(|used| used.processor_time.as_secs_f64()).sum();
         total / self.lasted.as_secs_f64() / self.aggregators.len().max(1) as f64
     }
 
     /// The most memory that any aggregator held.
     pub fn aggregator_peak(&self) -> u64 {
-        self.aggregators.iter().map(|(_, usage)| usage.resident_peak).max().unwrap_or(0)
+        self.aggregators.iter().map(|used| used.at_end.resident_peak).max().unwrap_or(0)
     }
 }
 
@@ -166,6 +174,10 @@
 }
 
 /// Measures the controller while idle behind its aggregators.
+///
+/// # Errors
+///
+/// When a program or stand-in cannot be started or observed.
 pub fn measure(
     controller: &Path,
     aggregator: &Path,
@@ -188,14 +200,14 @@
     controller.ping()?;
     let time_to_ready = controller.started().elapsed();
     counting_proxy.set_target(controller.address());
-    let asked = Instant::now();
+    let aggregators_started = Instant::now();
     let aggregators = Aggregators::start(aggregator, addresses, &operators, aggregators_discovery.address())?;
     let collectors: Vec<Collectors> = aggregators
         .addresses
         .iter()
         .map(|address| Collectors::start(*address, setup.schedules(), &sent_to_aggregators))
         .collect::<std::io::Result<_>>()?;
-    let first_report = wait_for_reports(&counting_proxy, asked);
+    let first_report = wait_for_reports(&counting_proxy, aggregators_started);
     thread::sleep(times.warm_up);
 
     let (usage, aggregators_before, began) = (controller.usage()?, aggregators.usages()?, Instant::now());
@@ -211,7 +223,10 @@
     );
     let from_controller = counting_proxy.traffic.from_controller.read().since(from_controller);
     drop(collectors);
-    let used = |(after, before): (Usage, Usage)| (after.processor_time - before.processor_time, after);
+    let used = |(at_end, before): (Usage, Usage)| AggregatorUsage {
+        processor_time: at_end.processor_time - before.processor_time,
+        at_end,
+    };
     Ok(Aggregated {
         subsetting: subsetting.clone(),
         time_to_ready,
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -5,7 +5,8 @@
 use super::test_bed::{Setup, TestBed};
 use super::MeasureError;
 use crate::process::Usage;
-use crate::stand_ins::discovery::EntryState;
+use crate::stand_ins::collectors;
+use crate::stand_ins::discovery::{EntryState, ReplicaState};
 use crate::stand_ins::relay::RelayRequest;
 use crate::stand_ins::TrafficCount;
 use std::path::Path;
@@ -70,24 +71,32 @@
 }
 
 /// A start: from the process's creation until the first command that sets a line, which needs list and relay events.
+///
+/// # Errors
+///
+/// When the test bed cannot be started or observed.
 pub fn start(program: &Path, setup: &Setup) -> Result<Outcome, MeasureError> {
     let test_bed = TestBed::start(program, setup)?;
-    let (first_command, commands) = test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
+    let first = test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
     let usage = test_bed.controller.usage()?;
     Ok(Outcome {
         name: format!("a start, ready after {:.1} ms", test_bed.time_to_ready.as_secs_f64() * 1e3),
-        first_command,
+        first_command: first.latency,
         last_command: None,
         traffic: test_bed.traffic.read(),
         processor_time: usage.processor_time,
         lasted: test_bed.controller.started().elapsed(),
         resident_peak: usage.resident_peak,
-        commands,
+        commands: first.commands,
         machine_load: machine_load(),
     })
 }
 
 /// Plays the events in turn at one controller that receives reports all along.
+///
+/// # Errors
+///
+/// When the test bed cannot be started or observed.
 pub fn play(
     program: &Path,
     setup: &Setup,
@@ -95,7 +104,7 @@
     times: Times,
 ) -> Result<Vec<Outcome>, MeasureError> {
     let mut test_bed = TestBed::start(program, setup)?;
-    test_bed.report(setup)?;
+    test_bed.start_collectors(setup)?;
     thread::sleep(times.warm_up);
     events.iter().map(|event| play_one(&test_bed, setup, *event, times.measured)).collect()
 }
@@ -125,15 +134,16 @@
         Event::Drain(_) | Event::Return(_) => test_bed.discovery.change(change.entries()),
     }
     let names: Vec<String> = change.replicas.iter().map(|replica| setup.size.replica(*replica)).collect();
-    let drains = !names.is_empty() && change.entry_state.state == "leaving";
+    let is_drain = !names.is_empty() && change.entry_state.state == ReplicaState::Leaving;
     let (mut relay_requests, mut last_command) = (Vec::new(), None);
-    while began.elapsed() < settling || (drains && last_command.is_none() && began.elapsed() < ACTION_TIMEOUT)
+    while began.elapsed() < settling
+        || (is_drain && last_command.is_none() && began.elapsed() < ACTION_TIMEOUT)
     {
         relay_requests.extend(test_bed.relay.next_request(Duration::from_millis(20)));
-        let is_left = drains && !test_bed.relay.owners().values().any(|owner| names.contains(owner));
+        let is_left = is_drain && !test_bed.relay.owners().values().any(|owner| names.contains(owner));
         last_command = last_command.or(is_left.then(|| began.elapsed()));
     }
-    if drains {
+    if is_drain {
         first_command = first_withdrawal(&relay_requests, &names).map(|request| request.at - began);
     }
     let after = test_bed.controller.usage()?;
@@ -150,6 +160,15 @@
     })
 }
 
+/// Which replicas an event changes.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Selection {
+    /// A replica that owns a slice comes first, so that the event demands action.
+    OwnerFirst,
+    /// The first of the list, whoever owns what.
+    ListOrder,
+}
+
 /// Replicas that change, and to what.
 struct Change {
     replicas: Vec<usize>,
@@ -165,48 +184,66 @@
 /// Which replicas change, and to what.
 fn select_change(test_bed: &TestBed, setup: &Setup, event: Event) -> Change {
     let cold = || SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-    let leaving = EntryState { state: "leaving", started_ms: 0 };
+    let leaving = EntryState { state: ReplicaState::Leaving, started_ms: 0 };
     let (count, entry_state) = match event {
         Event::Nothing | Event::ConfigurationReload => (0, leaving),
         Event::Drain(count) => (count, leaving),
         Event::FullList => (1, leaving),
-        Event::Return(count) => (count, EntryState { state: "active", started_ms: cold() }),
+        Event::Return(count) => (count, EntryState { state: ReplicaState::Active, started_ms: cold() }),
+    };
+    let selection = match entry_state.state {
+        ReplicaState::Leaving => Selection::OwnerFirst,
+        ReplicaState::Active | ReplicaState::Left => Selection::ListOrder,
     };
-    Change { replicas: owners_first(test_bed, setup, count, entry_state.state == "leaving"), entry_state }
+    Change { replicas: replicas_to_change(test_bed, setup, count, selection), entry_state }
 }
 
-/// Replicas that own slices now come first, so that a drain asks for action; those that are back are the same
-/// positions of the list whoever owns what.
-fn owners_first(test_bed: &TestBed, setup: &Setup, count: usize, owners: bool) -> Vec<usize> {
+/// The numbers of the replicas that change.
+fn replicas_to_change(test_bed: &TestBed, setup: &Setup, count: usize, selection: Selection) -> Vec<usize> {
     let owned = test_bed.relay.owners();
     let owned = |at: &usize| owned.values().any(|owner| *owner == setup.size.replica(*at));
-    let first = (0..setup.size.replicas).find(|at| owners && owned(at));
+    let first = (0..setup.size.replicas).find(|at| selection == Selection::OwnerFirst && owned(at));
     let rest = (0..setup.size.replicas).filter(|at| Some(*at) != first);
     first.into_iter().chain(rest).take(count).collect()
 }
 
 fn first_withdrawal<'a>(relay_requests: &'a [RelayRequest], names: &[String]) -> Option<&'a RelayRequest> {
-    let withdraws =
-        |command: &String| command.strip_prefix("OUT,").is_some_and(|name| names.iter().any(|n| n == name));
+    let withdraws = |command: &String| {
+        command.strip_prefix("OUT,").is_some_and(|name| names.iter().any(|drained| drained == name))
+    };
     relay_requests.iter().find(|request| request.commands.iter().any(withdraws))
 }
 
-/// Floods the controller with lines and returns lines a second and CPU time a line in seconds.
-pub fn flood(program: &Path, setup: &Setup, times: usize) -> Result<(f64, f64, Usage), MeasureError> {
+/// What a controller uses while it is flooded.
+#[derive(Clone, Copy, Debug)]
+pub struct FloodCost {
+    /// Lines that it read, a second.
+    pub lines_per_second: f64,
+    /// CPU time for a line, in seconds.
+    pub cpu_seconds_per_line: f64,
+    /// Its usage at the end.
+    pub usage: Usage,
+}
+
+/// Floods the controller with lines, so many periods of each collector.
+///
+/// # Errors
+///
+/// When the test bed cannot be started or observed, or a collector fails.
+pub fn flood(program: &Path, setup: &Setup, periods: usize) -> Result<FloodCost, MeasureError> {
     let test_bed = TestBed::start(program, setup)?;
     // Reports on what is not listed yet would be passed over.
     test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
     let schedules = setup.schedules();
     // Once without being measured: names, windows and buffers are there then.
-    crate::stand_ins::collectors::flood(test_bed.controller.address(), &schedules, 1, &test_bed.traffic)?;
+    collectors::flood(test_bed.controller.address(), &schedules, 1, &test_bed.traffic)?;
     let before = test_bed.controller.usage()?;
-    let (lines, took) = crate::stand_ins::collectors::flood(
-        test_bed.controller.address(),
-        &schedules,
-        times,
-        &test_bed.traffic,
-    )?;
+    let flooded = collectors::flood(test_bed.controller.address(), &schedules, periods, &test_bed.traffic)?;
     let after = test_bed.controller.usage()?;
-    let processor_time = (after.processor_time - before.processor_time).as_secs_f64();
-    Ok((lines as f64 / took.as_secs_f64(), processor_time / lines as f64, after))
+    let cpu_seconds = (after.processor_time - before.processor_time).as_secs_f64();
+    Ok(FloodCost {
+        lines_per_second: flooded.lines as f64 / flooded.elapsed.as_secs_f64(),
+        cpu_seconds_per_line: cpu_seconds / flooded.lines as f64,
+        usage: after,
+    })
 }
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -67,6 +67,10 @@
 }
 
 /// Plays all sweeps and writes what came of them.
+///
+/// # Errors
+///
+/// When a program cannot be found, a measurement fails or a file cannot be written.
 pub fn run(args: Args) -> Result<(), MeasureError> {
     let program = args.program.clone().map_or_else(controller_program, Ok)?;
     let folder = Folder::create(&args.out)?;
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -156,7 +156,7 @@
         regressors: quantity.regressors.iter().map(|(_, of)| of(p)).collect(),
         measured: (quantity.measured)(p),
     };
-    LinearFit::of(&points_of(points, quantity.sweeps).map(point).collect::<Vec<_>>()).ok()
+    LinearFit::least_squares(&points_of(points, quantity.sweeps).map(point).collect::<Vec<_>>()).ok()
 }
 
 fn fits(points: &[Steady]) -> String {
@@ -189,23 +189,27 @@
 }
 
 /// Writes rows, table, fits and charts of the cases while idle.
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
 pub fn write_steady(folder: &Folder, points: &[Steady]) -> Result<(), ResultsError> {
     let columns = columns(points);
-    folder.rows("steady", &columns)?;
+    folder.write_rows("steady", &columns)?;
     let text =
         format!("# One governor at rest\n\n{}\n# Least squares\n\n{}", markdown(&columns), fits(points));
-    folder.text("steady.md", &text)?;
-    folder.chart(
+    folder.write_text("steady.md", &text)?;
+    folder.write_chart(
         "processor",
         &chart(points, "processor share of one governor", "cores", PROCESSOR_BUDGET, Steady::processor_share),
     )?;
     let bytes = |p: &Steady| p.rate(p.traffic.bytes_in()) / KILOBYTE;
-    folder.chart(
+    folder.write_chart(
         "bytes",
         &chart(points, "bytes told to one governor", "KB/s", BYTES_BUDGET / KILOBYTE, bytes),
     )?;
     let memory = |p: &Steady| p.usage.resident as f64 / MEGABYTE;
-    folder.chart("memory", &chart(points, "memory of one governor", "MB resident", 64.0, memory))
+    folder.write_chart("memory", &chart(points, "memory of one governor", "MB resident", 64.0, memory))
 }
 
 /// The sizes measured, a series for each number of zones.
@@ -224,7 +228,7 @@
         let at: Vec<_> = of_zones.map(|p| (p.case.setup.size.replicas as f64, measured(p))).collect();
         let fitted = at.iter().map(|(x, y)| Point { regressors: vec![*x], measured: *y }).collect::<Vec<_>>();
         let name = format!("{zones} zones");
-        match LinearFit::of(&fitted) {
+        match LinearFit::least_squares(&fitted) {
             Ok(fit) => Series::fitted(&name, at, &fit),
             Err(_) => Series { name, points: at, line: None },
         }
@@ -239,6 +243,10 @@
 }
 
 /// Writes rows and table of the events.
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
 pub fn write_events(folder: &Folder, outcomes: &[Outcome]) -> Result<(), ResultsError> {
     let real = |name, of: fn(&Outcome) -> f64| Column::real(name, outcomes.iter().map(of));
     let ms = |name, of: fn(&Outcome) -> Option<Duration>| {
@@ -260,25 +268,33 @@
         real("peak_mb", |o| o.resident_peak as f64 / MEGABYTE),
         real("machine_load", |o| o.machine_load),
     ];
-    folder.rows("events", &columns)?;
-    folder.text("events.md", &format!("# One governor in events\n\n{}", markdown(&columns)))
+    folder.write_rows("events", &columns)?;
+    folder.write_text("events.md", &format!("# One governor in events\n\n{}", markdown(&columns)))
 }
 
 /// Writes rows and table of the floods.
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
 pub fn write_floods(folder: &Folder, floods: &[Flood]) -> Result<(), ResultsError> {
     let real = |name, of: fn(&Flood) -> f64| Column::real(name, floods.iter().map(of));
     let columns = [
         Column::text("flood", floods.iter().map(|flood| flood.name.clone())),
-        real("lines_a_second", |f| f.lines),
-        real("processor_us_a_line", |f| f.processor_time * 1e6),
-        real("cores", |f| f.lines * f.processor_time),
-        real("peak_mb", |f| f.resident_peak as f64 / MEGABYTE),
+        real("lines_a_second", |f| f.cost.lines_per_second),
+        real("processor_us_a_line", |f| f.cost.cpu_seconds_per_line * 1e6),
+        real("cores", |f| f.cost.lines_per_second * f.cost.cpu_seconds_per_line),
+        real("peak_mb", |f| f.cost.usage.resident_peak as f64 / MEGABYTE),
     ];
-    folder.rows("floods", &columns)?;
-    folder.text("floods.md", &format!("# Floods\n\n{}", markdown(&columns)))
+    folder.write_rows("floods", &columns)?;
+    folder.write_text("floods.md", &format!("# Floods\n\n{}", markdown(&columns)))
 }
 
 /// Writes rows, table and fits of a controller behind aggregators, and the last log of the controller.
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
 pub fn write_aggregated(folder: &Folder, measured: &[Aggregated]) -> Result<(), ResultsError> {
     let whole = |name, of: fn(&Aggregated) -> u64| Column::whole(name, measured.iter().map(|m| of(m) as i64));
     let real = |name, of: fn(&Aggregated) -> f64| Column::real(name, measured.iter().map(of));
@@ -301,7 +317,7 @@
         real("measured_s", |m| m.lasted.as_secs_f64()),
         real("machine_load", |m| m.machine_load),
     ];
-    folder.rows("aggregated", &columns)?;
+    folder.write_rows("aggregated", &columns)?;
     let fits: Vec<String> = [
         fit_subset("bytes/s", measured, |m| m.rate(m.bytes_in)),
         fit_subset("cores", measured, Aggregated::processor_share),
@@ -316,13 +332,13 @@
         markdown(&columns),
         fits.concat()
     );
-    folder.text("aggregated.md", &text)
+    folder.write_text("aggregated.md", &text)
 }
 
 /// A quantity by the size of the subset.
 fn fit_subset(name: &str, measured: &[Aggregated], of: fn(&Aggregated) -> f64) -> Option<String> {
     let point = |m: &Aggregated| Point { regressors: vec![m.subsetting.subset as f64], measured: of(m) };
-    let fit = LinearFit::of(&measured.iter().map(point).collect::<Vec<_>>()).ok()?;
+    let fit = LinearFit::least_squares(&measured.iter().map(point).collect::<Vec<_>>()).ok()?;
     let residuals: Vec<_> = fit.residuals.iter().map(|residual| format!("{residual:.2e}")).collect();
     Some(format!(
         "- {name}: {:.4e} + {:.4e} x subset, R2 {:.4}, residuals {}\n",
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -3,7 +3,7 @@
 use super::test_bed::{Setup, TestBed};
 use super::MeasureError;
 use crate::process::{current_thread_processor_time, Usage};
-use crate::stand_ins::discovery::EntryState;
+use crate::stand_ins::discovery::{EntryState, ReplicaState};
 use crate::stand_ins::fleet::{FleetSize, Random, ReportShape};
 use crate::stand_ins::TrafficCount;
 use std::path::Path;
@@ -74,9 +74,13 @@
 }
 
 /// Plays a case.
+///
+/// # Errors
+///
+/// When the test bed cannot be started or observed.
 pub fn measure(program: &Path, case: &Case, times: Times) -> Result<Steady, MeasureError> {
     let mut test_bed = TestBed::start(program, &case.setup)?;
-    test_bed.report(&case.setup)?;
+    test_bed.start_collectors(&case.setup)?;
     thread::sleep(times.warm_up);
     test_bed.relay.take_requests();
     let (usage, harness) = (test_bed.controller.usage()?, Usage::of_self()?);
@@ -109,7 +113,7 @@
         }
         thread::sleep(next.saturating_duration_since(Instant::now()));
         let replica = step / 2 % case.setup.size.replicas;
-        let state = if step % 2 == 0 { "leaving" } else { "active" };
+        let state = if step % 2 == 0 { ReplicaState::Leaving } else { ReplicaState::Active };
         test_bed.discovery.change([(replica, EntryState { state, started_ms: 0 })]);
         next += pause;
     }
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -1,6 +1,6 @@
 //! Which cases are played in full.
 
-use super::events::{self, Event, Outcome};
+use super::events::{self, Event, FloodCost, Outcome};
 use super::steady::{Case, Times};
 use super::test_bed::Setup;
 use super::MeasureError;
@@ -52,13 +52,22 @@
 /// One connection that tells of some replicas, summed over all zones.
 fn summed(size: &FleetSize, replica_count: usize, window_ms: f64) -> Case {
     let mut summed = case("summed", size.clone());
-    let shape = ReportShape { replicas: 0..replica_count, window_ms, zones_summed: size.zones, slices: true };
+    let shape = ReportShape {
+        replicas: 0..replica_count,
+        window_ms,
+        zones_summed: size.zones,
+        includes_slices: true,
+    };
     summed.setup.reports = Some(shape);
     summed.setup.collectors = 1;
     summed
 }
 
 /// Starts at each size, then the events at the target's.
+///
+/// # Errors
+///
+/// When a test bed cannot be started or observed.
 pub fn play_events(program: &Path, times: Times) -> Result<Vec<Outcome>, MeasureError> {
     let mut outcomes = Vec::new();
     for replicas in REPLICAS {
@@ -100,24 +109,24 @@
 pub struct Flood {
     /// What was flooded.
     pub name: String,
-    /// Lines a second.
-    pub lines: f64,
-    /// CPU time a line, in seconds.
-    pub processor_time: f64,
-    /// The most memory resident.
-    pub resident_peak: u64,
+    /// What it cost the controller.
+    pub cost: FloodCost,
 }
 
 /// Four collectors flood one controller, on one core and with readers beside it.
+///
+/// # Errors
+///
+/// When a test bed cannot be started or observed.
 pub fn play_floods(program: &Path) -> Result<Vec<Flood>, MeasureError> {
     let mut floods = Vec::new();
     for cores in [1, 2, 4] {
         let size = FleetSize { zones: 4, ..FleetSize::target() };
         let operators = format!("<operators version=\"1\"><cores most=\"{cores}\"/></operators>");
         let setup = Setup { operators: (cores > 1).then_some(operators), ..Setup::reported(size) };
-        let (lines, processor_time, usage) = events::flood(program, &setup, FLOOD_PERIODS)?;
+        let cost = events::flood(program, &setup, FLOOD_PERIODS)?;
         let name = format!("four collectors, <cores most=\"{cores}\"/>");
-        floods.push(Flood { name, lines, processor_time, resident_peak: usage.resident_peak });
+        floods.push(Flood { name, cost });
     }
     Ok(floods)
 }
--- a/crates/scale-tests/src/one/test_bed.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How soon the end of a wait is noticed.
+/// How long one look for a request of the controller waits.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a controller is set up and what it receives.
@@ -44,6 +44,15 @@
     }
 }
 
+/// The first command on a routing table after a start.
+#[derive(Clone, Copy, Debug)]
+pub struct FirstTableCommand {
+    /// From the controller's start to the command; none where none came in time.
+    pub latency: Option<Duration>,
+    /// Commands sent until then.
+    pub commands: usize,
+}
+
 /// A running controller with its stand-ins; all end when it is dropped.
 pub struct TestBed {
     /// What the collectors say; declared first, so that they end before the controller does.
@@ -62,6 +71,10 @@
 
 impl TestBed {
     /// Starts the stand-ins, then the controller, and pings it; collectors are not there yet.
+    ///
+    /// # Errors
+    ///
+    /// When a stand-in or the controller cannot be started, or the controller does not answer a PING.
     pub fn start(program: &Path, setup: &Setup) -> Result<TestBed, MeasureError> {
         let traffic = Arc::new(Traffic::default());
         let relay = Relay::start(&setup.size, &traffic)?;
@@ -77,23 +90,27 @@
         Ok(TestBed { collectors: None, controller, relay, discovery, traffic, time_to_ready })
     }
 
-    /// Waits for the first command that sets a line of a table, which a controller makes once it knows the list and what
-    /// stands in the store. Returns the time since its start and the commands made so far; no time where none came.
-    pub fn wait_for_first_table_command(&self, longest: Duration) -> (Option<Duration>, usize) {
+    /// Waits for the first command that sets an entry of a routing table, which a controller sends once it knows the
+    /// endpoint list and the tables in the relay's store.
+    pub fn wait_for_first_table_command(&self, timeout: Duration) -> FirstTableCommand {
         let started = self.controller.started();
         let mut commands = 0;
-        while started.elapsed() < longest {
+        while started.elapsed() < timeout {
             let Some(request) = self.relay.next_request(POLL_INTERVAL) else { continue };
             commands += request.commands.len();
             if request.commands.iter().any(|command| command.starts_with("SET,")) {
-                return (Some(request.at - started), commands);
+                return FirstTableCommand { latency: Some(request.at - started), commands };
             }
         }
-        (None, commands)
+        FirstTableCommand { latency: None, commands }
     }
 
-    /// Has the collectors of the setup begin.
-    pub fn report(&mut self, setup: &Setup) -> Result<(), MeasureError> {
+    /// Starts the collectors of the setup.
+    ///
+    /// # Errors
+    ///
+    /// When a collector cannot connect.
+    pub fn start_collectors(&mut self, setup: &Setup) -> Result<(), MeasureError> {
         let schedules = setup.schedules();
         self.collectors = Some(Collectors::start(self.controller.address(), schedules, &self.traffic)?);
         Ok(())
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -13,7 +13,9 @@
 
 /// Far longer than a start takes, also on a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// A controller that reads its input answers a PING far sooner.
 const PING_TIMEOUT: Duration = Duration::from_secs(30);
+/// The package of the controller, and its program.
 const CONTROLLER: &str = "whinwall-controller";
 /// What a program of whinwall's logs once it listens; its address follows, up to a blank.
 const LISTENING: &str = "listening for collectors address=";
@@ -54,11 +56,19 @@
 }
 
 /// The controller's program beside the running executable; under cargo it is built first.
+///
+/// # Errors
+///
+/// As for [`program`].
 pub fn controller_program() -> Result<PathBuf, ProcessError> {
     program(CONTROLLER, CONTROLLER)
 }
 
 /// A program of the workspace beside the running executable. Under cargo it is built first, so that it is never stale.
+///
+/// # Errors
+///
+/// When the path of this executable is unknown, cargo fails to build the program, or the program is missing.
 pub fn program(package: &str, name: &str) -> Result<PathBuf, ProcessError> {
     let own = std::env::current_exe().map_err(io_error("own executable"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
@@ -98,6 +108,10 @@
 impl Usage {
     /// Reads the usage of the process with this id. Its CPU time comes in nanoseconds from `schedstat` where the
     /// kernel offers it, otherwise in ticks of 10 ms from `stat`.
+    ///
+    /// # Errors
+    ///
+    /// When `/proc` has no such process, or a file of it lacks an expected field.
     pub fn of(id: u32) -> Result<Usage, ProcessError> {
         let path = format!("/proc/{id}/status");
         let status = std::fs::read_to_string(&path).map_err(io_error(&path))?;
@@ -119,6 +133,10 @@
     }
 
     /// Usage of the running process itself: the harness with all its stand-ins.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Usage::of`].
     pub fn of_self() -> Result<Usage, ProcessError> {
         Usage::of(std::process::id())
     }
@@ -178,6 +196,10 @@
 
 impl RunningProgram {
     /// Starts the program.
+    ///
+    /// # Errors
+    ///
+    /// When the program cannot be started.
     pub fn start(mut command: Command) -> Result<RunningProgram, ProcessError> {
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let started = Instant::now();
@@ -191,6 +213,10 @@
     }
 
     /// Waits until it logs the address at which it listens.
+    ///
+    /// # Errors
+    ///
+    /// When the program ends, or logs no address within the start timeout.
     pub fn address(&self) -> Result<SocketAddr, ProcessError> {
         let end = self.started + START_TIMEOUT;
         let mut last = String::new();
@@ -214,6 +240,10 @@
     }
 
     /// What it has used so far.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Usage::of`].
     pub fn usage(&self) -> Result<Usage, ProcessError> {
         Usage::of(self.id())
     }
@@ -231,6 +261,10 @@
     }
 
     /// Has it read its files again (SIGHUP).
+    ///
+    /// # Errors
+    ///
+    /// When the signal cannot be sent.
     pub fn reload(&self) -> Result<(), ProcessError> {
         let sent = kill_process(Pid::from_child(&self.child), Signal::HUP);
         sent.map_err(|why| io_error("SIGHUP")(why.into()))
@@ -254,6 +288,10 @@
 
 impl Controller {
     /// Starts it, and waits until it listens.
+    ///
+    /// # Errors
+    ///
+    /// When the program cannot be started.
     pub fn start(launch: &Launch) -> Result<Controller, ProcessError> {
         let folder = tempfile::tempdir().map_err(io_error("temporary folder"))?;
         let mut configuration = launch.configuration.clone();
@@ -283,6 +321,10 @@
     }
 
     /// What it has used so far.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Usage::of`].
     pub fn usage(&self) -> Result<Usage, ProcessError> {
         self.process.usage()
     }
@@ -293,6 +335,10 @@
     }
 
     /// Opens a connection, sends a PING and waits for the PONG.
+    ///
+    /// # Errors
+    ///
+    /// When the connection fails, or is answered by something other than PONG.
     pub fn ping(&self) -> Result<(), ProcessError> {
         let stream = TcpStream::connect(self.address).map_err(io_error("connect"))?;
         ping(&stream)
@@ -300,6 +346,10 @@
 }
 
 /// Sends a PING on an open connection and waits for the PONG: all lines sent there before it have been read.
+///
+/// # Errors
+///
+/// When the connection fails, or is answered by something other than PONG.
 pub fn ping(mut stream: &TcpStream) -> Result<(), ProcessError> {
     stream.set_read_timeout(Some(PING_TIMEOUT)).map_err(io_error("PING"))?;
     stream.write_all(b"{\"@type\":\"PING\"}\n").map_err(io_error("PING"))?;
--- a/crates/scale-tests/src/results.rs
+++ b/crates/scale-tests/src/results.rs
@@ -2,10 +2,13 @@
 
 use crate::fit::LinearFit;
 use plotters::prelude::*;
+use std::error::Error;
 use std::path::{Path, PathBuf};
 pub use whinwall_experiments::columns::{markdown, write_parquet, Column, Values};
 
+/// Width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 480);
+/// Colours of the series, in rotation.
 const COLOURS: [RGBColor; 5] = [
     RGBColor(31, 119, 180),
     RGBColor(255, 127, 14),
@@ -16,15 +19,15 @@
 
 /// Why results could not be written.
 #[derive(Debug, thiserror::Error)]
-#[error("{path}: {why}")]
+#[error("{path}: {source}")]
 pub struct ResultsError {
     path: PathBuf,
-    why: String,
+    source: Box<dyn Error>,
 }
 
 impl ResultsError {
-    fn new(path: &Path, why: impl std::fmt::Display) -> Self {
-        ResultsError { path: path.into(), why: why.to_string() }
+    fn new(path: &Path, source: impl Into<Box<dyn Error>>) -> Self {
+        ResultsError { path: path.into(), source: source.into() }
     }
 }
 
@@ -34,30 +37,55 @@
 
 impl Folder {
     /// Creates the folder where it is missing.
+    ///
+    /// # Errors
+    ///
+    /// When the folder cannot be created.
     pub fn create(path: &Path) -> Result<Folder, ResultsError> {
         std::fs::create_dir_all(path).map_err(|why| ResultsError::new(path, why))?;
         Ok(Folder(path.into()))
     }
 
     /// Writes the rows as `NAME.parquet`.
-    pub fn rows(&self, name: &str, columns: &[Column]) -> Result<(), ResultsError> {
+    ///
+    /// # Errors
+    ///
+    /// When the file cannot be written.
+    pub fn write_rows(&self, name: &str, columns: &[Column]) -> Result<(), ResultsError> {
         let path = self.0.join(format!("{name}.parquet"));
         write_parquet(&path, columns).map_err(|why| ResultsError::new(&path, why))
     }
 
     /// Writes a text file.
-    pub fn text(&self, name: &str, text: &str) -> Result<(), ResultsError> {
+    ///
+    /// # Errors
+    ///
+    /// When the file cannot be written.
+    pub fn write_text(&self, name: &str, text: &str) -> Result<(), ResultsError> {
         let path = self.0.join(name);
         std::fs::write(&path, text).map_err(|why| ResultsError::new(&path, why))
     }
 
     /// Draws the chart as `NAME.svg`.
-    pub fn chart(&self, name: &str, chart: &Chart) -> Result<(), ResultsError> {
+    ///
+    /// # Errors
+    ///
+    /// When the chart cannot be drawn or the file cannot be written.
+    pub fn write_chart(&self, name: &str, chart: &Chart) -> Result<(), ResultsError> {
         let path = self.0.join(format!("{name}.svg"));
         chart.draw(&path).map_err(|why| ResultsError::new(&path, why))
     }
 }
 
+/// A straight line.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Line {
+    /// The value at 0.
+    pub intercept: f64,
+    /// The rise for each unit of the horizontal axis.
+    pub slope: f64,
+}
+
 /// Points of one kind, and the line fitted to them where there is one.
 #[derive(Clone, Debug, Default)]
 pub struct Series {
@@ -65,14 +93,14 @@
     pub name: String,
     /// Where they lie.
     pub points: Vec<(f64, f64)>,
-    /// Intercept and slope.
-    pub line: Option<(f64, f64)>,
+    /// The line fitted to them.
+    pub line: Option<Line>,
 }
 
 impl Series {
     /// Points with the line of a fit that has one regressor.
     pub fn fitted(name: &str, points: Vec<(f64, f64)>, fit: &LinearFit) -> Self {
-        let line = fit.slopes.first().map(|slope| (fit.intercept, *slope));
+        let line = fit.slopes.first().map(|slope| Line { intercept: fit.intercept, slope: *slope });
         Series { name: name.into(), points, line }
     }
 }
@@ -82,9 +110,9 @@
 pub struct Chart {
     /// Its title.
     pub title: String,
-    /// What the horizontal axis shows.
+    /// Label of the horizontal axis.
     pub x_label: String,
-    /// What the vertical axis shows.
+    /// Label of the vertical axis.
     pub y_label: String,
     /// What is drawn.
     pub series: Vec<Series>,
@@ -93,11 +121,12 @@
 }
 
 impl Chart {
-    fn greatest(&self, of: impl Fn(&(f64, f64)) -> f64) -> f64 {
-        self.series.iter().flat_map(|series| &series.points).map(of).fold(f64::MIN_POSITIVE, f64::max)
+    fn greatest(&self, coordinate: impl Fn(&(f64, f64)) -> f64) -> f64 {
+        self.series.iter().flat_map(|series| &series.points).map(coordinate).fold(f64::MIN_POSITIVE, f64::max)
     }
 
-    fn draw(&self, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+    fn draw(&self, path: &Path) -> Result<(), Box<dyn Error>> {
+        /// The axes reach beyond the greatest value by this factor.
         const MARGIN: f64 = 1.06;
         let right = self.greatest(|point| point.0) * MARGIN;
         let top = self.greatest(|point| point.1).max(self.budget.unwrap_or(0.0)) * MARGIN;
@@ -115,7 +144,7 @@
             let points = series.points.iter().map(|point| Circle::new(*point, 4, colour.filled()));
             let key = move |(x, y)| Circle::new((x + 8, y), 4, colour.filled());
             chart.draw_series(points)?.label(&series.name).legend(key);
-            if let Some((intercept, slope)) = series.line {
+            if let Some(Line { intercept, slope }) = series.line {
                 let ends = [0.0, right].map(|at| (at, intercept + slope * at));
                 chart.draw_series(LineSeries::new(ends, &colour))?;
             }
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -1,5 +1,5 @@
-//! Collectors: connections to the controller's address that say SOURCE and then lines at a pace, or as fast as they are
-//! taken.
+//! Stand-ins for collectors: connections to the controller that name their zone (SOURCE) and then send report lines at
+//! a pace, or as fast as the controller reads them.
 
 use super::fleet::{FleetSize, Random, ReportShape};
 use super::Traffic;
@@ -8,18 +8,20 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use std::thread::{self, JoinHandle};
+use std::thread::{self, JoinHandle, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
-/// Periods drawn in advance; a collector sends them in rotation, so that telling costs the harness little.
+/// Periods generated in advance; a collector sends them in rotation, so that sending costs the harness little.
 const GENERATED_PERIODS: u64 = 4;
+/// How often a waiting collector looks whether it is to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A block of lines, ready to be written.
 #[derive(Clone, Debug, Default)]
 pub struct ReportBlock {
     /// The lines, each with its LF.
     pub bytes: Vec<u8>,
-    /// How many.
+    /// The number of lines.
     pub lines: usize,
 }
 
@@ -35,7 +37,7 @@
     }
 }
 
-/// What one connection says, and when.
+/// The report lines of one connection, and when they are sent.
 #[derive(Clone, Debug)]
 pub struct ReportSchedule {
     /// The zone of its SOURCE line.
@@ -49,7 +51,7 @@
 }
 
 impl ReportSchedule {
-    /// A zone's collector that tells the shape once each period, in so many writes.
+    /// A zone's collector that reports the shape once each period, in so many writes.
     pub fn for_zone(size: &FleetSize, shape: &ReportShape, zone: usize, writes: usize) -> Self {
         let period = Duration::from_secs_f64(shape.window_ms / 1000.0);
         let generate = |period_index: u64| {
@@ -74,7 +76,11 @@
 }
 
 impl Collectors {
-    /// Connects each, and has them begin together.
+    /// Connects a collector for each schedule, and has them begin together.
+    ///
+    /// # Errors
+    ///
+    /// When a connection to the controller fails; those that were made before are closed.
     pub fn start(
         controller: SocketAddr,
         schedules: Vec<ReportSchedule>,
@@ -101,7 +107,11 @@
     }
 }
 
-/// A connection that has named its zone.
+/// Opens a collector's connection and names its zone.
+///
+/// # Errors
+///
+/// When the connection cannot be made, or its SOURCE line cannot be written.
 pub fn connect_collector(
     controller: SocketAddr,
     zone: &str,
@@ -141,30 +151,41 @@
     }
 }
 
-/// Whether the moment came before the end.
+/// Waits for a moment; false where the collectors are stopped before it.
 fn wait_until(due: Instant, stop: &AtomicBool) -> bool {
-    /// How soon an end is noticed.
-    const POLL_INTERVAL: Duration = Duration::from_millis(100);
     loop {
         if stop.load(Ordering::Relaxed) {
             return false;
         }
-        let left = due.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = due.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return true;
         }
-        thread::sleep(left.min(POLL_INTERVAL));
+        thread::sleep(remaining.min(STOP_POLL_INTERVAL));
     }
 }
 
-/// Writes a collector's periods as fast as the controller takes them, so many times on each of several connections, and
-/// waits until all lines have been read. Returns the lines written and the time that it took.
+/// What a flood wrote, and how long it took until the controller had read it.
+#[derive(Clone, Copy, Debug)]
+pub struct FloodOutcome {
+    /// Lines written on all connections.
+    pub lines: u64,
+    /// From the first write until each connection had answered a PING.
+    pub elapsed: Duration,
+}
+
+/// Writes the schedules' periods as fast as the controller takes them, `periods` of them on one connection for each
+/// schedule, and waits until all lines have been read.
+///
+/// # Errors
+///
+/// When a connection cannot be made or written, or does not answer the final PING.
 pub fn flood(
     controller: SocketAddr,
     schedules: &[ReportSchedule],
-    times: usize,
+    periods: usize,
     traffic: &Arc<Traffic>,
-) -> Result<(u64, Duration), ProcessError> {
+) -> Result<FloodOutcome, ProcessError> {
     let failed = |source| ProcessError::Io { what: "flood".into(), source };
     let streams: Vec<_> = schedules
         .iter()
@@ -174,7 +195,7 @@
     let (before, start) = (traffic.reports.read(), Instant::now());
     let outcome: Result<(), ProcessError> = thread::scope(|scope| {
         let write = |stream: &TcpStream, schedule: &ReportSchedule| -> Result<(), ProcessError> {
-            for blocks in schedule.periods.iter().cycle().take(times) {
+            for blocks in schedule.periods.iter().cycle().take(periods) {
                 for block in blocks {
                     (&mut &*stream).write_all(&block.bytes).map_err(failed)?;
                     traffic.reports.add(block.bytes.len(), block.lines);
@@ -187,8 +208,11 @@
             .zip(schedules)
             .map(|(stream, schedule)| scope.spawn(move || write(stream, schedule)))
             .collect();
-        let mut ended = writers.into_iter().map(|writer| writer.join());
+        let mut ended = writers.into_iter().map(ScopedJoinHandle::join);
         ended.try_for_each(|outcome| outcome.unwrap_or(Err(ProcessError::NoPong("a panic".into()))))
     });
-    outcome.map(|()| (traffic.reports.read().since(before).lines, start.elapsed()))
+    outcome.map(|()| FloodOutcome {
+        lines: traffic.reports.read().since(before).lines,
+        elapsed: start.elapsed(),
+    })
 }
--- a/crates/scale-tests/src/stand_ins/counting_proxy.rs
+++ b/crates/scale-tests/src/stand_ins/counting_proxy.rs
@@ -1,4 +1,4 @@
-//! A forwarder between whoever connects to a controller and the controller, which counts the bytes and lines each way.
+//! A TCP proxy in front of a controller, which counts the bytes and lines in each direction.
 
 use super::{Counter, LoopbackServer};
 use std::io::{Read, Write};
@@ -6,9 +6,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
+/// Size of the buffer for each direction, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// What went through a tap.
+/// Bytes and lines that went through a proxy.
 #[derive(Debug, Default)]
 pub struct ProxyTraffic {
     /// To the controller.
@@ -17,7 +18,7 @@
     pub from_controller: Counter,
 }
 
-/// The forwarder. Connections are refused until its target is known; it takes none any more once it is dropped.
+/// The proxy. It closes connections until its target is known, and takes none any more once it is dropped.
 pub struct CountingProxy {
     server: LoopbackServer,
     target: Arc<Mutex<Option<SocketAddr>>>,
@@ -27,6 +28,10 @@
 
 impl CountingProxy {
     /// Listens, without a target.
+    ///
+    /// # Errors
+    ///
+    /// When no port of loopback can be bound.
     pub fn start() -> std::io::Result<CountingProxy> {
         let target: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         let traffic: Arc<ProxyTraffic> = Arc::default();
@@ -34,7 +39,7 @@
         let server = LoopbackServer::start(move |stream| {
             let target = *at.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(Ok(onward)) = target.map(TcpStream::connect) else { return };
-            forward_both(&stream, &onward, &counts);
+            forward_both_ways(&stream, &onward, &counts);
         })?;
         Ok(CountingProxy { server, target, traffic })
     }
@@ -50,7 +55,7 @@
     }
 }
 
-fn forward_both(near: &TcpStream, far: &TcpStream, traffic: &ProxyTraffic) {
+fn forward_both_ways(near: &TcpStream, far: &TcpStream, traffic: &ProxyTraffic) {
     _ = far.set_nodelay(true);
     thread::scope(|scope| {
         scope.spawn(|| forward(near, far, &traffic.to_controller));
@@ -58,12 +63,12 @@
     });
 }
 
-/// Until one side ends, then both are closed.
+/// Forwards until one side ends, then closes both.
 fn forward(mut from: &TcpStream, mut to: &TcpStream, counter: &Counter) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer) {
         let lines = buffer[..read].iter().filter(|byte| **byte == b'\n').count();
-        // Counted first: whoever has read an answer finds both in the counters.
+        // Counted before it is written: once a peer has read an answer, the counters include it.
         counter.add(read, lines);
         if to.write_all(&buffer[..read]).is_err() {
             break;
--- a/crates/scale-tests/src/stand_ins/discovery.rs
+++ b/crates/scale-tests/src/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's agent: the registry's list over HTTP, whole or as a watch with chunks.
+//! Stand-in for discovery's agent: the registry's endpoint list over HTTP, complete or as a chunked watch.
 
 use super::fleet::FleetSize;
 use super::{LoopbackServer, Traffic};
@@ -9,23 +9,59 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A watch gives a keep-alives this often while nothing changes.
+/// Time between two keep-alive lines of a watch while nothing changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The state of one replica in the list.
+/// A replica's state of life in the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplicaState {
+    /// It takes requests.
+    Active,
+    /// It drains: it finishes what it has and takes nothing new.
+    Leaving,
+    /// It is gone; a complete list does not name it.
+    Left,
+}
+
+impl ReplicaState {
+    /// The word of the registry's wire format.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ReplicaState::Active => "active",
+            ReplicaState::Leaving => "leaving",
+            ReplicaState::Left => "left",
+        }
+    }
+}
+
+/// What the list says of one replica, beside its constant fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryState {
-    /// `active`, `leaving` or `left`.
-    pub state: &'static str,
+    /// Its state of life.
+    pub state: ReplicaState,
     /// When it was started last, in Unix milliseconds; 0 for long ago.
     pub started_ms: u64,
 }
 
+/// An entry of the list, and the version in which it changed last.
+struct VersionedEntry {
+    state: EntryState,
+    changed_in_version: u64,
+}
+
+/// What a new version of the list is sent to open watches as.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Delivery {
+    Changes,
+    FullList,
+}
+
+/// The list of replicas and its version.
 struct Registry {
     size: FleetSize,
     version: u64,
-    /// Of each replica, its state and the version in which it changed last.
-    entries: BTreeMap<usize, (EntryState, u64)>,
+    /// The entries by the replicas' numbers.
+    entries: BTreeMap<usize, VersionedEntry>,
     /// Watches whose last version is below this one receive the complete list.
     full_list_since: u64,
     ended: bool,
@@ -34,19 +70,18 @@
 impl Registry {
     /// The entries that changed after a version, or all of them.
     fn list(&self, since: Option<u64>) -> Value {
-        let wanted = |(entry_state, changed): &(EntryState, u64)| match since {
-            Some(since) => *changed > since,
-            None => entry_state.state != "left",
-        };
-        let entry = |(at, (entry_state, _)): (&usize, &(EntryState, u64))| {
-            self.size.entry(*at, entry_state.state, entry_state.started_ms)
+        let is_included = |entry: &VersionedEntry| match since {
+            Some(since) => entry.changed_in_version > since,
+            None => entry.state.state != ReplicaState::Left,
         };
+        let included = self.entries.iter().filter(|(_, entry)| is_included(entry));
         let replicas: Vec<Value> =
-            self.entries.iter().filter(|(_, entry)| wanted(entry)).map(entry).collect();
+            included.map(|(number, entry)| self.size.entry(*number, entry.state)).collect();
         json!({"version": self.version, "full": since.is_none(), "servers": replicas})
     }
 }
 
+/// The registry and the signal that it has changed, shared by all connections.
 #[derive(Clone)]
 struct Shared(Arc<(Mutex<Registry>, Condvar)>);
 
@@ -64,9 +99,14 @@
 
 impl Discovery {
     /// Lists all replicas of a fleet as active.
+    ///
+    /// # Errors
+    ///
+    /// When no port of loopback can be bound.
     pub fn start(size: &FleetSize, traffic: &Arc<Traffic>) -> std::io::Result<Discovery> {
-        let entry_state = EntryState { state: "active", started_ms: 0 };
-        let entries = (0..size.replicas).map(|at| (at, (entry_state, 1))).collect();
+        let state = EntryState { state: ReplicaState::Active, started_ms: 0 };
+        let entry = |number| (number, VersionedEntry { state, changed_in_version: 1 });
+        let entries = (0..size.replicas).map(entry).collect();
         let registry = Registry { size: size.clone(), version: 1, entries, full_list_since: 1, ended: false };
         let shared = Shared(Arc::new((Mutex::new(registry), Condvar::new())));
         let (serving, traffic) = (shared.clone(), traffic.clone());
@@ -83,22 +123,23 @@
 
     /// Changes the entries of some replicas in one version; watches receive the change at once.
     pub fn change(&self, changes: impl IntoIterator<Item = (usize, EntryState)>) {
-        self.next_version(changes, false);
+        self.publish_version(changes, Delivery::Changes);
     }
 
     /// The same, but watches receive the complete list, as after an outage.
     pub fn change_and_send_full_list(&self, changes: impl IntoIterator<Item = (usize, EntryState)>) {
-        self.next_version(changes, true);
+        self.publish_version(changes, Delivery::FullList);
     }
 
-    fn next_version(&self, changes: impl IntoIterator<Item = (usize, EntryState)>, whole: bool) {
+    fn publish_version(&self, changes: impl IntoIterator<Item = (usize, EntryState)>, delivery: Delivery) {
         let mut registry = self.shared.lock();
         registry.version += 1;
         let version = registry.version;
-        if whole {
+        if delivery == Delivery::FullList {
             registry.full_list_since = version;
         }
-        registry.entries.extend(changes.into_iter().map(|(at, entry_state)| (at, (entry_state, version))));
+        let entry = |(number, state)| (number, VersionedEntry { state, changed_in_version: version });
+        registry.entries.extend(changes.into_iter().map(entry));
         drop(registry);
         self.shared.0 .1.notify_all();
     }
@@ -154,7 +195,7 @@
     Ok(())
 }
 
-/// Whether the other side has ended the connection; it says nothing more while it follows.
+/// Whether the peer has closed the connection; it sends nothing more once it has asked for a watch.
 fn is_closed(stream: &TcpStream) -> bool {
     let at_once = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0]));
     let ended = match at_once {
@@ -189,7 +230,7 @@
         };
         sent_version = Some(registry.version);
         drop(registry);
-        // What is written to a watch that was given up would be counted and never arrive.
+        // Bytes written to an abandoned watch would be counted without ever arriving.
         if is_closed(stream) {
             return Ok(());
         }
--- a/crates/scale-tests/src/stand_ins/fleet.rs
+++ b/crates/scale-tests/src/stand_ins/fleet.rs
@@ -1,12 +1,17 @@
 //! The fleet that the stand-ins emulate: names of replicas and zones, the registry's entries, and the report lines
 //! about them, all drawn from a seed.
 
+use super::discovery::EntryState;
 use serde_json::{json, Value};
 
 /// Names of request classes that the settings and reports agree on.
 const CLASSES: [&str; 4] = ["lookup", "post", "search", "batch"];
-/// Mean latency of an answer in milliseconds: the least, and by how much it varies.
-const LATENCY_MS: (f64, f64) = (20.0, 40.0);
+/// The least mean latency in a report line, in milliseconds.
+const MIN_LATENCY_MS: f64 = 20.0;
+/// The range of mean latencies above the least, in milliseconds.
+const LATENCY_RANGE_MS: f64 = 40.0;
+/// The mean number of requests in flight in a report line.
+const MEAN_IN_FLIGHT: f64 = 4.0;
 
 /// How large the fleet of one controller is.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,10 +63,10 @@
     }
 
     /// The registry's entry of a replica in a state.
-    pub fn entry(&self, at: usize, state: &str, started_ms: u64) -> Value {
+    pub fn entry(&self, at: usize, entry: EntryState) -> Value {
         json!({"id": self.replica(at), "addr": format!("10.1.{}.{}:8443", at / 256, at % 256),
-            "zone": self.zone(at), "kind": "m2", "cell": at % 16, "state": state, "weight": 1.0,
-            "started_ms": started_ms})
+            "zone": self.zone(at), "kind": "m2", "cell": at % 16, "state": entry.state.as_str(), "weight": 1.0,
+            "started_ms": entry.started_ms})
     }
 
     /// The settings of one controller of the tier.
@@ -133,23 +138,23 @@
     /// Of how many zones a line is the sum.
     pub zones_summed: usize,
     /// Whether it reports on each slice of the controller too.
-    pub slices: bool,
+    pub includes_slices: bool,
 }
 
 impl ReportShape {
     /// Reports of a zone's collector on the complete fleet, once a second.
     pub fn full(size: &FleetSize) -> Self {
-        ReportShape { replicas: 0..size.replicas, window_ms: 1000.0, zones_summed: 1, slices: true }
+        ReportShape { replicas: 0..size.replicas, window_ms: 1000.0, zones_summed: 1, includes_slices: true }
     }
 
     /// Lines of one period.
     pub fn lines(&self, size: &FleetSize, zone: usize, random: &mut Random) -> Vec<String> {
         let mut lines: Vec<String> =
-            self.replicas.clone().map(|at| self.load_line(size, zone, at, random)).collect();
-        if self.slices {
+            self.replicas.clone().map(|at| self.endpoint_line(size, zone, at, random)).collect();
+        if self.includes_slices {
             let slice_classes =
                 (0..size.slices).flat_map(|slice| (0..size.classes).map(move |class| (slice, class)));
-            lines.extend(slice_classes.map(|(slice, class)| self.shard_line(size, slice, class, random)));
+            lines.extend(slice_classes.map(|(slice, class)| self.demand_line(size, slice, class, random)));
         }
         lines
     }
@@ -159,10 +164,10 @@
         size.requests * self.window_ms / 1000.0 * self.zones_summed as f64 / size.zones as f64
     }
 
-    fn load_line(&self, size: &FleetSize, zone: usize, at: usize, random: &mut Random) -> String {
+    fn endpoint_line(&self, size: &FleetSize, zone: usize, at: usize, random: &mut Random) -> String {
         let attempts = random.integer_near(self.expected_requests(size) / size.replicas as f64);
-        let latency = LATENCY_MS.0 + LATENCY_MS.1 * random.uniform();
-        let (in_flight, utilisation) = (random.integer_near(4.0), random.uniform());
+        let latency = MIN_LATENCY_MS + LATENCY_RANGE_MS * random.uniform();
+        let (in_flight, utilisation) = (random.integer_near(MEAN_IN_FLIGHT), random.uniform());
         format!(
             "{{\"@type\":\"LOAD\",\"az\":\"{}\",\"host\":\"{}\",\"n\":{attempts},\"bad\":0,\"avg\":{latency:.1},\
              \"window\":{:.1},\"report\":{{\"inflight\":{in_flight},\"util\":{utilisation:.2}}}}}",
@@ -172,9 +177,9 @@
         )
     }
 
-    fn shard_line(&self, size: &FleetSize, slice: usize, class: usize, random: &mut Random) -> String {
-        let all = (size.slices * size.controllers * size.classes) as f64;
-        let requests = random.integer_near(self.expected_requests(size) / all);
+    fn demand_line(&self, size: &FleetSize, slice: usize, class: usize, random: &mut Random) -> String {
+        let slice_classes = (size.slices * size.controllers * size.classes) as f64;
+        let requests = random.integer_near(self.expected_requests(size) / slice_classes);
         format!(
             "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"{}\",\"n\":{requests},\"bad\":0,\"window\":{:.1}}}",
             CLASSES[class], self.window_ms
--- a/crates/scale-tests/src/stand_ins/mod.rs
+++ b/crates/scale-tests/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for what a controller connects to or is connected by. Each paces what it says and counts the
-//! bytes and lines in each direction; each ends when it is dropped.
+//! Stand-ins on loopback for the peers of a controller. Each paces what it sends and counts the bytes and lines in each
+//! direction; each ends when it is dropped.
 
 pub mod collectors;
 pub mod counting_proxy;
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a reader may leave unread what it receives before it is given up.
+/// A peer that does not read for so long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Bytes and lines of one kind in one direction.
@@ -23,7 +23,7 @@
     lines: AtomicU64,
 }
 
-/// What a counter shows at one moment.
+/// The value of a counter at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// Bytes so far, without those of TCP and IP.
@@ -39,14 +39,14 @@
         self.lines.fetch_add(lines as u64, Ordering::Relaxed);
     }
 
-    /// What it shows now.
+    /// The count at this moment.
     pub fn read(&self) -> Count {
         Count { bytes: self.bytes.load(Ordering::Relaxed), lines: self.lines.load(Ordering::Relaxed) }
     }
 }
 
 impl Count {
-    /// What was added since an earlier look.
+    /// What was added since an earlier count.
     pub fn since(self, earlier: Count) -> Count {
         Count { bytes: self.bytes - earlier.bytes, lines: self.lines - earlier.lines }
     }
@@ -87,7 +87,7 @@
 }
 
 impl Traffic {
-    /// What all counters show now.
+    /// All counts at this moment.
     pub fn read(&self) -> TrafficCount {
         TrafficCount {
             reports: self.reports.read(),
@@ -101,7 +101,7 @@
 }
 
 impl TrafficCount {
-    /// What was added since an earlier look.
+    /// What was added since an earlier count.
     pub fn since(self, earlier: TrafficCount) -> TrafficCount {
         TrafficCount {
             reports: self.reports.since(earlier.reports),
@@ -153,7 +153,7 @@
 impl Drop for LoopbackServer {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // The listener's thread looks once somebody comes.
+        // The accepting thread sees the flag once a connection comes.
         _ = TcpStream::connect(self.address).map(|stream| stream.shutdown(Shutdown::Both));
     }
 }
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -1,5 +1,5 @@
-//! The relay: the store of tables and the way to the proxies. It tells what stands and keep-alives to whoever
-//! watches, carries out relay requests, and has all proxies acknowledge versions at once.
+//! Stand-in for the relay: the store of routing tables and the path to the proxies. It sends a snapshot and keep-alives
+//! to its watchers, executes relay requests, and has all proxies acknowledge versions at once.
 
 use super::fleet::FleetSize;
 use super::{LoopbackServer, Traffic};
@@ -12,12 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two keep-alives.
+/// Time between two keep-alive lines.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// The lag that proxies tell with an acknowledgement.
+/// The lag in an acknowledgement, in milliseconds.
 const ACK_LAG_MS: f64 = 90.5;
 
-/// A request that came, with its moment.
+/// A request of the controller, and when it was read.
 #[derive(Clone, Debug)]
 pub struct RelayRequest {
     /// When it was read.
@@ -58,7 +58,7 @@
                 let (Ok(slice), Ok(weight)) = (slice.parse::<usize>(), weight.parse::<f64>()) else {
                     return false;
                 };
-                // Orders for a slice that the controller does not hold change nothing.
+                // Commands for a slice that the controller does not own change nothing.
                 if let Some(table) = self.tables.get_mut(&slice) {
                     table.insert(replica.into(), weight);
                     table.retain(|_, weight| *weight > 0.0);
@@ -97,7 +97,7 @@
 
 /// The relay of one controller; it ends when dropped.
 pub struct Relay {
-    replica: LoopbackServer,
+    server: LoopbackServer,
     shared: Shared,
     relay_requests: Receiver<RelayRequest>,
     stop: Arc<AtomicBool>,
@@ -105,6 +105,10 @@
 
 impl Relay {
     /// Starts with one replica for each slice of the fleet.
+    ///
+    /// # Errors
+    ///
+    /// When no port of loopback can be bound.
     pub fn start(size: &FleetSize, traffic: &Arc<Traffic>) -> std::io::Result<Relay> {
         let table = |slice: usize| (slice, BTreeMap::from([(size.replica(size.owner(slice)), 1.0)]));
         let state = RelayState {
@@ -115,7 +119,7 @@
         let shared = Shared(Arc::new(Mutex::new(state)));
         let (sender, relay_requests) = channel();
         let (serving, counting) = (shared.clone(), traffic.clone());
-        let replica = LoopbackServer::start(move |stream| {
+        let server = LoopbackServer::start(move |stream| {
             _ = serve(stream, &serving, &counting, &sender);
         })?;
         let stop = Arc::new(AtomicBool::new(false));
@@ -126,12 +130,12 @@
                 keep_alive.lock().broadcast("*\r\n", 1, &counting);
             }
         });
-        Ok(Relay { replica, shared, relay_requests, stop })
+        Ok(Relay { server, shared, relay_requests, stop })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.replica.address
+        self.server.address
     }
 
     /// The next call, if one comes in this time.
@@ -206,7 +210,7 @@
         let lines = state.size.proxies;
         state.broadcast(&acks, lines, traffic);
     }
-    // No receiver may listen any more.
+    // The receiver may be dropped already.
     _ = sender.send(RelayRequest { at: Instant::now(), commands });
     format!("OK {accepted}\r\n")
 }
--- a/crates/scale-tests/tests/aggregated.rs
+++ b/crates/scale-tests/tests/aggregated.rs
@@ -12,7 +12,7 @@
 const TIMES: Times = Times { warm_up: Duration::from_secs(2), measured: Duration::from_secs(4) };
 
 #[test]
-fn a_controller_behind_aggregators_is_told_less_than_collectors_tell() {
+fn aggregators_send_a_controller_less_than_collectors_send_them() {
     let size =
         FleetSize { replicas: 60, zones: 3, slices: 6, proxies: 5, controllers: 20, ..FleetSize::target() };
     let setup = Setup::reported(size);
--- a/crates/scale-tests/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn each_combination_is_played_with_the_same_seeds() {
+fn each_combination_has_the_same_seeds() {
     let days = plan(DayKind::ALL.to_vec()).days();
     assert_eq!(days.len(), 5 * 2 * 2 * 2);
     for pair in days.chunks(2) {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_sweep_is_the_same_each_time_and_breaks_no_rule() {
+fn sweep_is_deterministic_and_violates_no_rule() {
     let plan = plan(vec![DayKind::Replaced, DayKind::Zone]);
     let (first, again) = (play_all(&plan, 2).unwrap(), play_all(&plan, 1).unwrap());
     let outcomes = |played: &[whinwall_scale_tests::decisions::Played]| {
--- a/crates/scale-tests/tests/fit.rs
+++ b/crates/scale-tests/tests/fit.rs
@@ -7,11 +7,11 @@
 }
 
 #[test]
-fn a_plane_is_found_exactly() {
+fn plane_is_fitted_exactly() {
     let plane = |lines: f64, replicas: f64| 0.0005 + 2.4e-6 * lines + 1e-7 * replicas;
     let sizes = [(275.0, 275.0), (2475.0, 275.0), (2200.0, 2200.0), (19_800.0, 2200.0), (9900.0, 1100.0)];
     let points: Vec<Point> = sizes.iter().map(|(x, y)| point(&[*x, *y], plane(*x, *y))).collect();
-    let fit = LinearFit::of(&points).unwrap();
+    let fit = LinearFit::least_squares(&points).unwrap();
     assert!((fit.intercept - 0.0005).abs() < 1e-12, "{fit:?}");
     assert!((fit.slopes[0] - 2.4e-6).abs() < 1e-14 && (fit.slopes[1] - 1e-7).abs() < 1e-13, "{fit:?}");
     assert!(fit.largest_residual() < 1e-12 && fit.r_squared > 0.999_999);
@@ -21,9 +21,9 @@
 
 /// Worked out by hand: y = 1/6 + 3/2 x over 0, 1, 2 with 0, 2, 3.
 #[test]
-fn residuals_and_r_squared_are_those_worked_out_by_hand() {
+fn residuals_and_r_squared_match_a_hand_calculation() {
     let points = [point(&[0.0], 0.0), point(&[1.0], 2.0), point(&[2.0], 3.0)];
-    let fit = LinearFit::of(&points).unwrap();
+    let fit = LinearFit::least_squares(&points).unwrap();
     let near = |a: f64, b: f64| assert!((a - b).abs() < 1e-12, "{a} is not {b}");
     near(fit.intercept, 1.0 / 6.0);
     near(fit.slopes[0], 1.5);
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn what_determines_no_fit_is_an_error() {
-    let few = LinearFit::of(&[point(&[1.0], 1.0)]);
+fn undetermined_fit_is_an_error() {
+    let few = LinearFit::least_squares(&[point(&[1.0], 1.0)]);
     assert_eq!(few, Err(FitError::TooFewPoints { points: 1, coefficients: 2 }));
-    let ragged = LinearFit::of(&[point(&[1.0], 1.0), point(&[1.0, 2.0], 1.0)]);
+    let ragged = LinearFit::least_squares(&[point(&[1.0], 1.0), point(&[1.0, 2.0], 1.0)]);
     assert_eq!(ragged, Err(FitError::Ragged));
     let same = [point(&[1.0, 2.0], 1.0), point(&[2.0, 4.0], 2.0), point(&[3.0, 6.0], 3.0)];
-    assert_eq!(LinearFit::of(&same), Err(FitError::Dependent));
-    assert_eq!(LinearFit::of(&[]), Err(FitError::TooFewPoints { points: 0, coefficients: 1 }));
+    assert_eq!(LinearFit::least_squares(&same), Err(FitError::Dependent));
+    assert_eq!(LinearFit::least_squares(&[]), Err(FitError::TooFewPoints { points: 0, coefficients: 1 }));
 }
--- a/crates/scale-tests/tests/many.rs
+++ b/crates/scale-tests/tests/many.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn every_event_comes_to_its_end_at_all_controllers() {
+fn every_event_completes_at_all_controllers() {
     let plan = plan();
     let results = play(&plan).unwrap();
     println!("{}", table(&plan, &results));
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn a_program_that_is_missing_is_named() {
+fn missing_program_is_named_in_the_error() {
     let plan = Plan { program: "/nowhere/whinwall-controller".into(), ..plan() };
     let failure = play(&plan).unwrap_err().to_string();
     assert!(failure.contains("/nowhere/whinwall-controller"), "{failure}");
 }
 
 #[test]
-fn a_controller_that_does_not_serve_ends_the_run() {
+fn controller_that_does_not_serve_ends_the_run() {
     // It ends at once, without a word.
     let plan = Plan { program: "/bin/true".into(), ..plan() };
     let failure = play(&plan).unwrap_err().to_string();
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -33,18 +33,17 @@
 }
 
 #[test]
-fn lines_arrive_are_counted_as_computed_and_fit_a_line() {
+fn report_lines_are_counted_as_written_and_fit_a_line() {
     const PERIODS: usize = 8;
     let mut points = Vec::new();
     for (replicas, zones) in [(20, 1), (20, 3), (60, 1), (60, 3), (180, 3)] {
         let setup = setup(replicas, zones);
         let test_bed = TestBed::start(program(), &setup).unwrap();
         // Reports on what is not listed yet would be passed over.
-        assert!(test_bed.wait_for_first_table_command(TIMEOUT).0.is_some());
+        assert!(test_bed.wait_for_first_table_command(TIMEOUT).latency.is_some());
         let schedules = setup.schedules();
         let before = test_bed.traffic.read().reports;
-        let (lines, _) =
-            flood(test_bed.controller.address(), &schedules, PERIODS, &test_bed.traffic).unwrap();
+        let flooded = flood(test_bed.controller.address(), &schedules, PERIODS, &test_bed.traffic).unwrap();
         let received = test_bed.traffic.read().reports.since(before);
         let written =
             schedules.iter().flat_map(|schedule| schedule.periods.iter().cycle().take(PERIODS).flatten());
@@ -55,7 +54,7 @@
         let (bytes, line_count) = written
             .fold((0, 0), |(bytes, line_count), block| (bytes + block.bytes.len(), line_count + block.lines));
         assert_eq!(received.bytes as usize, bytes + source_lines);
-        assert_eq!(lines as usize, line_count);
+        assert_eq!(flooded.lines as usize, line_count);
         assert_eq!(line_count, PERIODS * zones * (replicas + 6 * 2));
         // A line that could not be read would be logged, or have cost the connection before its PONG.
         let complaints: Vec<String> = test_bed
@@ -70,13 +69,13 @@
         assert!(!usage.processor_time.is_zero() && usage.threads >= 1, "{usage:?}");
         points.push(Point { regressors: vec![line_count as f64], measured: received.bytes as f64 });
     }
-    let fit = LinearFit::of(&points).unwrap();
+    let fit = LinearFit::least_squares(&points).unwrap();
     assert!(fit.r_squared > 0.99 && (80.0..150.0).contains(&fit.slopes[0]), "{fit:?}");
 }
 
 /// The check for complaints in the test above would find a line that can't be used.
 #[test]
-fn a_spoilt_line_is_logged() {
+fn invalid_report_line_is_logged() {
     let setup = setup(20, 1);
     let test_bed = TestBed::start(program(), &setup).unwrap();
     let mut collector = connect_collector(test_bed.controller.address(), "z0", &test_bed.traffic).unwrap();
@@ -86,17 +85,17 @@
 }
 
 #[test]
-fn readers_beside_the_loop_take_the_same_lines() {
+fn reader_threads_read_all_lines() {
     let mut setup = setup(60, 3);
     setup.operators = Some("<operators version=\"1\"><cores most=\"2\"/></operators>".into());
     let test_bed = TestBed::start(program(), &setup).unwrap();
-    let (lines, _) = flood(test_bed.controller.address(), &setup.schedules(), 5, &test_bed.traffic).unwrap();
+    let lines = flood(test_bed.controller.address(), &setup.schedules(), 5, &test_bed.traffic).unwrap().lines;
     assert_eq!(lines, 5 * 3 * (60 + 12));
     assert!(test_bed.controller.usage().unwrap().threads >= 3);
 }
 
 #[test]
-fn a_drain_and_a_whole_list_lead_to_a_withdrawal_and_to_tables_without_what_drains() {
+fn draining_replica_is_withdrawn_and_loses_its_slices() {
     let played = events::play(program(), &setup(40, 2), &[Event::Drain(1), Event::FullList], SHORT).unwrap();
     for outcome in &played {
         let (first, last) = (outcome.first_command.unwrap(), outcome.last_command.unwrap());
@@ -108,19 +107,19 @@
 }
 
 #[test]
-fn a_configuration_is_read_anew_and_costs_no_order() {
+fn configuration_reload_sends_no_command() {
     let played = events::play(program(), &setup(40, 2), &[Event::ConfigurationReload], SHORT).unwrap();
     assert!(played[0].first_command.is_some() && played[0].last_command.is_none(), "{played:?}");
 }
 
 #[test]
-fn a_start_leads_to_orders() {
+fn start_sends_commands() {
     let started = events::start(program(), &setup(40, 2)).unwrap();
     assert!(started.first_command.is_some() && started.traffic.endpoint_list.bytes > 0, "{started:?}");
 }
 
 #[test]
-fn results_are_written_as_rows_table_and_chart() {
+fn results_are_written_as_rows_table_and_charts() {
     let folder = tempfile::tempdir().unwrap();
     let (mut few, mut more) = (setup(20, 1), setup(40, 1));
     // Sums over zones in long windows: the shape that aggregated reports have.
@@ -143,7 +142,7 @@
 }
 
 #[test]
-fn the_harness_sees_its_own_usage() {
+fn harness_reads_its_own_usage() {
     let before = Usage::of_self().unwrap();
     let mut sum = 0u64;
     while Usage::of_self().unwrap().processor_time <= before.processor_time {
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -7,7 +7,7 @@
 use whinwall_protocol::{collector, discovery as discovery_protocol, relay as relay_protocol};
 use whinwall_scale_tests::stand_ins::collectors::ReportSchedule;
 use whinwall_scale_tests::stand_ins::counting_proxy::CountingProxy;
-use whinwall_scale_tests::stand_ins::discovery::{Discovery, EntryState};
+use whinwall_scale_tests::stand_ins::discovery::{Discovery, EntryState, ReplicaState};
 use whinwall_scale_tests::stand_ins::fleet::{FleetSize, Random, ReportShape};
 use whinwall_scale_tests::stand_ins::relay::Relay;
 use whinwall_scale_tests::stand_ins::{Counter, Traffic};
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_report_line_is_one_that_the_controller_reads() {
+fn each_report_line_is_valid() {
     let size = small();
     let lines = ReportShape::full(&size).lines(&size, 1, &mut Random::new(7));
     assert_eq!(lines.len(), size.replicas + size.slices * size.classes);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_schedule_holds_each_line_once_however_many_writes_it_has() {
+fn schedule_holds_each_line_once_for_any_number_of_writes() {
     let size = small();
     let lines = |writes| {
         let schedule = ReportSchedule::for_zone(&size, &ReportShape::full(&size), 0, writes);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_relay_tells_what_stands_and_carries_out_up_to_the_first_order_that_it_cannot_read() {
+fn relay_sends_a_snapshot_and_applies_commands_up_to_the_first_invalid_one() {
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let relay = Relay::start(&size, &traffic).unwrap();
     let mut watcher = Peer::connect(relay.address(), "WATCH\r\n");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn discovery_tells_the_whole_list_then_changes_then_the_whole_list_again_when_told_so() {
+fn watch_sends_the_full_list_then_changes_then_the_full_list_on_demand() {
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let discovery = Discovery::start(&size, &traffic).unwrap();
     let request = "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nhost: x\r\n\r\n";
@@ -120,7 +120,7 @@
     let (whole, length) = next();
     assert!(whole.is_complete && whole.entries.len() == size.replicas);
     assert_eq!(length, discovery.full_list_bytes() + 1);
-    let leaving = EntryState { state: "leaving", started_ms: 0 };
+    let leaving = EntryState { state: ReplicaState::Leaving, started_ms: 0 };
     discovery.change([(3, leaving), (4, leaving)]);
     let (changes, _) = next();
     assert!(!changes.is_complete && changes.entries.len() == 2 && changes.version == 2);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn discovery_answers_a_request_for_the_whole_list() {
+fn discovery_answers_a_request_for_the_full_list() {
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let discovery = Discovery::start(&size, &traffic).unwrap();
     let mut peer = Peer::connect(discovery.address(), "GET /registry/instances HTTP/1.1\r\nhost: x\r\n\r\n");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_tap_counts_what_goes_through_it_each_way() {
+fn counting_proxy_counts_each_direction() {
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let relay = Relay::start(&size, &traffic).unwrap();
     let counting_proxy = CountingProxy::start().unwrap();
