--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -1,11 +1,11 @@
-//! Sweeps of the number of governors in the emulator: the same days, with the same seeds, played by more and more
-//! governors. All figures are simulated by the project's own emulator.
+//! Sweeps of the number of controllers in the emulator: the same scenarios, with the same seeds, played with more and
+//! more controllers. All figures are simulated by the project's own emulator.
 
 mod plan;
 mod table;
 
-pub use plan::{DayKind, Plan, PlannedDay};
-pub use table::{paired_differences, table, Played};
+pub use plan::{Plan, PlannedScenario, ScenarioKind};
+pub use table::{paired_differences, table, PlayedScenario};
 
 use rayon::prelude::*;
 use std::path::PathBuf;
@@ -24,9 +24,17 @@
     /// The pool of threads could not be started.
     #[error("threads: {0}")]
     Threads(#[from] rayon::ThreadPoolBuildError),
-    /// The results could not be written.
+    /// The rows could not be written; the text is that of the experiments' results.
     #[error("{0}")]
-    Results(String),
+    Rows(String),
+    /// The table could not be written.
+    #[error("{}: {source}", path.display())]
+    Table {
+        /// The table's file.
+        path: PathBuf,
+        /// How it failed.
+        source: std::io::Error,
+    },
 }
 
 /// Arguments of the subcommand.
@@ -51,8 +59,8 @@
     #[arg(long, default_value_t = 40)]
     pub seconds: u64,
     /// Virtual seconds until troubles begin
-    #[arg(long, default_value_t = 10)]
-    pub begins: u64,
+    #[arg(long = "begins", value_name = "BEGINS", default_value_t = 10)]
+    pub faults_begin_s: u64,
     /// Numbers of governors to compare
     #[arg(long = "governors", value_name = "GOVERNORS", value_delimiter = ',', default_values_t = [1, 5, 20, 60, 200])]
     pub controllers: Vec<usize>,
@@ -60,8 +68,8 @@
     #[arg(long, default_value_t = 5)]
     pub reference: usize,
     /// Kinds of days
-    #[arg(long, value_enum, value_delimiter = ',', default_values_t = DayKind::ALL)]
-    pub days: Vec<DayKind>,
+    #[arg(long = "days", value_name = "DAYS", value_enum, value_delimiter = ',', default_values_t = ScenarioKind::ALL)]
+    pub scenarios: Vec<ScenarioKind>,
     /// Sizes of the subsets of replicas that governors steer; 0 plays without subsets
     #[arg(long, value_delimiter = ',', default_values_t = [0])]
     pub subsets: Vec<usize>,
@@ -79,24 +87,24 @@
     pub out: Option<PathBuf>,
 }
 
-/// Plays the days of the plan on so many threads, in the plan's order.
+/// Plays the scenarios of the plan on a pool of threads; the outcomes are in the plan's order.
 ///
 /// # Errors
 ///
 /// When the threads cannot be started.
-pub fn play_all(plan: &Plan, threads: usize) -> Result<Vec<Played>, SweepError> {
+pub fn play_all(plan: &Plan, threads: usize) -> Result<Vec<PlayedScenario>, SweepError> {
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads.max(1)).build()?;
     let progress = Mutex::new(0);
-    let all = plan.days();
-    let play_one = |day: &PlannedDay| {
-        let outcome = play(&day.sizes, Policy::Governed, &day.troubles, day.seed);
+    let scenarios = plan.scenarios();
+    let play_one = |scenario: &PlannedScenario| {
+        let outcome = play(&scenario.sizes, Policy::Governed, &scenario.faults, scenario.seed);
         if let Ok(mut done) = progress.lock() {
             *done += 1;
-            eprintln!("{}", table::progress_line(*done, all.len(), day, &outcome));
+            eprintln!("{}", table::progress_line(*done, scenarios.len(), scenario, &outcome));
         }
-        Played { day: day.clone(), outcome }
+        PlayedScenario { scenario: scenario.clone(), outcome }
     };
-    Ok(pool.install(|| all.par_iter().map(play_one).collect()))
+    Ok(pool.install(|| scenarios.par_iter().map(play_one).collect()))
 }
 
 /// Plays the sweep, prints its table, and writes rows and table where a folder is given.
@@ -110,8 +118,8 @@
     let text = format!("{}\n{}", table(&played), paired_differences(&played, args.reference));
     print!("{text}");
     let Some(out) = &args.out else { return Ok(()) };
-    let rows: Vec<Row> = played.iter().map(|one| one.row(&args.commit)).collect();
-    results::append(out, &rows).map_err(SweepError::Results)?;
-    let file = out.join("decisions.md");
-    std::fs::write(&file, text).map_err(|why| SweepError::Results(format!("{}: {why}", file.display())))
+    let rows: Vec<Row> = played.iter().map(|played| played.row(&args.commit)).collect();
+    results::append(out, &rows).map_err(SweepError::Rows)?;
+    let path = out.join("decisions.md");
+    std::fs::write(&path, text).map_err(|source| SweepError::Table { path, source })
 }
--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -1,4 +1,4 @@
-//! Which days are played: each kind of day with each number of governors and each size of subsets, seeds paired.
+//! Which scenarios are played: each kind with each number of controllers and each size of subsets, seeds paired.
 
 use super::{Args, SweepError};
 use clap::ValueEnum;
@@ -7,9 +7,9 @@
 use whinwall_emulator::trouble::{at, Trouble, What};
 use whinwall_policy::time::Span;
 
-/// What happens on a day.
+/// What happens in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
-pub enum DayKind {
+pub enum ScenarioKind {
     /// Nothing.
     Calm,
     /// Six replicas in ten are replaced in two waves, and come back cold.
@@ -22,76 +22,84 @@
     Zone,
 }
 
-const LASTS_MS: u64 = 10_000;
-/// A lost zone is back sooner: its replicas still have to get warm within the day.
-const ZONE_LASTS_MS: u64 = 5_000;
+/// How long a fault lasts, in virtual milliseconds.
+const FAULT_DURATION_MS: u64 = 10_000;
+/// How long a zone is lost, in virtual milliseconds: shorter, as its replicas still have to warm up in the scenario.
+const ZONE_LOSS_DURATION_MS: u64 = 5_000;
+/// By how much the load of the hot slice grows.
 const HOT_FACTOR: f64 = 20.0;
+/// By how much the load of all slices grows in a burst.
 const BURST_FACTOR: f64 = 1.5;
-/// Of ten replicas so many are replaced.
+/// Replicas that are replaced, of each ten.
 const REPLACED_OF_TEN: usize = 6;
 
-impl DayKind {
+impl ScenarioKind {
     /// All kinds.
-    pub const ALL: [DayKind; 5] =
-        [DayKind::Calm, DayKind::Replaced, DayKind::Hot, DayKind::Burst, DayKind::Zone];
+    pub const ALL: [ScenarioKind; 5] = [
+        ScenarioKind::Calm,
+        ScenarioKind::Replaced,
+        ScenarioKind::Hot,
+        ScenarioKind::Burst,
+        ScenarioKind::Zone,
+    ];
 
-    /// What happens on such a day in a fleet of this size, from this time on.
-    pub fn troubles(self, sizes: &Sizes, begins_ms: u64) -> Vec<Trouble> {
+    /// The faults of the scenario in a fleet of this size, from a virtual time in milliseconds on.
+    pub fn faults(self, sizes: &Sizes, begins_ms: u64) -> Vec<Trouble> {
         let what = match self {
-            DayKind::Calm => return Vec::new(),
-            DayKind::Replaced => What::Replaced { from: 0, to: sizes.replicas * REPLACED_OF_TEN / 10 },
-            DayKind::Hot => What::HotSlice { slice: sizes.slices / 3, factor: HOT_FACTOR },
-            DayKind::Burst => What::Burst { factor: BURST_FACTOR },
-            DayKind::Zone => What::ZoneLost { zone: 1 % sizes.zones },
+            ScenarioKind::Calm => return Vec::new(),
+            ScenarioKind::Replaced => What::Replaced { from: 0, to: sizes.replicas * REPLACED_OF_TEN / 10 },
+            ScenarioKind::Hot => What::HotSlice { slice: sizes.slices / 3, factor: HOT_FACTOR },
+            ScenarioKind::Burst => What::Burst { factor: BURST_FACTOR },
+            ScenarioKind::Zone => What::ZoneLost { zone: 1 % sizes.zones },
         };
-        let lasts = if self == DayKind::Zone { ZONE_LASTS_MS } else { LASTS_MS };
-        vec![at(begins_ms, lasts, what)]
+        let duration_ms = if self == ScenarioKind::Zone { ZONE_LOSS_DURATION_MS } else { FAULT_DURATION_MS };
+        vec![at(begins_ms, duration_ms, what)]
     }
 }
 
-impl fmt::Display for DayKind {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+impl fmt::Display for ScenarioKind {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = match self {
-            DayKind::Calm => "calm",
-            DayKind::Replaced => "replaced",
-            DayKind::Hot => "hot",
-            DayKind::Burst => "burst",
-            DayKind::Zone => "zone",
+            ScenarioKind::Calm => "calm",
+            ScenarioKind::Replaced => "replaced",
+            ScenarioKind::Hot => "hot",
+            ScenarioKind::Burst => "burst",
+            ScenarioKind::Zone => "zone",
         };
-        f.write_str(name)
+        formatter.write_str(name)
     }
 }
 
 /// The sweep's dimensions.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The fleet, whose number of governors and subsets are replaced by those of the plan.
+    /// The fleet, whose number of controllers and subsets are replaced by those of the plan.
     pub sizes: Sizes,
-    /// Numbers of governors.
+    /// Numbers of controllers.
     pub controllers: Vec<usize>,
     /// Sizes of subsets; 0 plays without subsets.
     pub subsets: Vec<usize>,
-    /// Kinds of days.
-    pub kinds: Vec<DayKind>,
-    /// When troubles begin.
-    pub begins_ms: u64,
+    /// Kinds of scenarios.
+    pub kinds: Vec<ScenarioKind>,
+    /// When faults begin, in virtual milliseconds.
+    pub faults_begin_ms: u64,
     /// Seeds, the same for each combination of the others.
     pub seeds: Vec<u64>,
 }
 
-/// One day of the plan.
+/// One scenario of the plan.
 #[derive(Clone, Debug)]
-pub struct PlannedDay {
-    /// What kind of day it is.
-    pub kind: DayKind,
+pub struct PlannedScenario {
+    /// Its kind.
+    pub kind: ScenarioKind,
     /// The size of subsets; 0 without subsets.
     pub subset: usize,
     /// The seed.
     pub seed: u64,
     /// The fleet.
     pub sizes: Sizes,
-    /// What happens.
-    pub troubles: Vec<Trouble>,
+    /// Its faults.
+    pub faults: Vec<Trouble>,
 }
 
 impl Plan {
@@ -125,29 +133,29 @@
             sizes,
             controllers: args.controllers.clone(),
             subsets: args.subsets.clone(),
-            kinds: args.days.clone(),
-            begins_ms: args.begins * 1000,
+            kinds: args.scenarios.clone(),
+            faults_begin_ms: args.faults_begin_s * 1000,
             seeds: (1..=args.seeds).collect(),
         })
     }
 
-    /// All days, those of one kind and one number of governors side by side.
-    pub fn days(&self) -> Vec<PlannedDay> {
-        let mut days = Vec::new();
+    /// All scenarios, those of one kind and one number of controllers side by side.
+    pub fn scenarios(&self) -> Vec<PlannedScenario> {
+        let mut scenarios = Vec::new();
         for kind in &self.kinds {
             for subset in &self.subsets {
                 for controllers in &self.controllers {
                     let sizes = Sizes { controllers: *controllers, subset: *subset, ..self.sizes.clone() };
-                    days.extend(self.seeds.iter().map(|seed| PlannedDay {
+                    scenarios.extend(self.seeds.iter().map(|seed| PlannedScenario {
                         kind: *kind,
                         subset: *subset,
                         seed: *seed,
                         sizes: sizes.clone(),
-                        troubles: kind.troubles(&sizes, self.begins_ms),
+                        faults: kind.faults(&sizes, self.faults_begin_ms),
                     }));
                 }
             }
         }
-        days
+        scenarios
     }
 }
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -1,39 +1,46 @@
-//! Tables of a sweep: means over seeds, rules broken, and paired differences.
+//! Tables of a sweep: means over seeds, violated rules, and paired differences.
 
-use super::{DayKind, PlannedDay};
+use super::{PlannedScenario, ScenarioKind};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use whinwall_emulator::day::Outcome;
 use whinwall_experiments::figures::mean;
 use whinwall_experiments::results::Row;
 
-/// A day of the plan, and what it came to.
+/// A scenario of the plan and its outcome.
 #[derive(Clone, Debug)]
-pub struct Played {
-    /// The day as planned.
-    pub day: PlannedDay,
-    /// What it came to.
+pub struct PlayedScenario {
+    /// The scenario as planned.
+    pub scenario: PlannedScenario,
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
-/// Days that differ in nothing but their seed: kind, size of subsets, number of controllers.
-type Group = (DayKind, usize, usize);
+/// What scenarios have in common that differ in nothing but their seed.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Group {
+    kind: ScenarioKind,
+    /// The size of subsets; 0 without subsets.
+    subset: usize,
+    controllers: usize,
+}
 
-impl Played {
+impl PlayedScenario {
     fn group(&self) -> Group {
-        (self.day.kind, self.day.subset, self.day.sizes.controllers)
+        let PlannedScenario { kind, subset, .. } = self.scenario;
+        Group { kind, subset, controllers: self.scenario.sizes.controllers }
     }
 
-    /// The lab's row of it; the value varied is the number of controllers.
+    /// Its row in the experiments' results; the value that is varied is the number of controllers.
     pub fn row(&self, commit: &str) -> Row {
         let Outcome { requests, acked, late, rejected, failed, orders, verdicts, .. } = self.outcome;
         Row {
-            experiment: format!("decisions-{}-replicas", self.day.sizes.replicas),
+            experiment: format!("decisions-{}-replicas", self.scenario.sizes.replicas),
             commit: commit.to_string(),
-            case: self.day.kind.to_string(),
-            way: way(self.day.subset),
-            value: self.day.sizes.controllers as f64,
-            seed: self.day.seed as i64,
+            case: self.scenario.kind.to_string(),
+            way: decision_label(self.scenario.subset),
+            value: self.scenario.sizes.controllers as f64,
+            seed: self.scenario.seed as i64,
             service: self.outcome.service,
             requests: requests as i64,
             acked: acked as i64,
@@ -43,73 +50,78 @@
             orders: orders as i64,
             verdicts: verdicts as i64,
             most_lines: self.outcome.most_lines,
-            broken: broken(&self.outcome) as i64,
+            broken: violation_count(&self.outcome) as i64,
         }
     }
 }
 
-fn way(subset: usize) -> String {
+fn decision_label(subset: usize) -> String {
     match subset {
         0 => "everyone".to_string(),
         size => format!("subsets of {size}"),
     }
 }
 
-fn broken(outcome: &Outcome) -> usize {
+fn violation_count(outcome: &Outcome) -> usize {
     outcome.broken.values().sum()
 }
 
-fn rules_text(all: &[&Outcome]) -> String {
-    let mut sums: BTreeMap<u8, usize> = BTreeMap::new();
-    for (rule, count) in all.iter().flat_map(|outcome| &outcome.broken) {
-        *sums.entry(*rule).or_default() += count;
+fn violated_rules(outcomes: &[&Outcome]) -> String {
+    let mut violations: BTreeMap<u8, usize> = BTreeMap::new();
+    for (rule, count) in outcomes.iter().flat_map(|outcome| &outcome.broken) {
+        *violations.entry(*rule).or_default() += count;
     }
-    match sums.is_empty() {
+    match violations.is_empty() {
         true => "none".to_string(),
         false => {
-            let named = sums.iter().map(|(rule, count)| format!("rule {rule}: {count}"));
+            let named = violations.iter().map(|(rule, count)| format!("rule {rule}: {count}"));
             named.collect::<Vec<_>>().join(", ")
         }
     }
 }
 
-/// One line that says how far the sweep has come.
-pub(super) fn progress_line(done: usize, of: usize, day: &PlannedDay, outcome: &Outcome) -> String {
-    let PlannedDay { kind, subset, seed, sizes, .. } = day;
-    let (way, rules) = (way(*subset), rules_text(&[outcome]));
+/// One line of progress output.
+pub(super) fn progress_line(
+    done: usize,
+    total: usize,
+    scenario: &PlannedScenario,
+    outcome: &Outcome,
+) -> String {
+    let PlannedScenario { kind, subset, seed, sizes, .. } = scenario;
+    let (label, rules) = (decision_label(*subset), violated_rules(&[outcome]));
     let Outcome { service, moves, orders, .. } = outcome;
     let controllers = sizes.controllers;
-    format!("{done}/{of} {kind}, {controllers} governors, {way}, seed {seed}: service {service:.3}, {moves} moves, {orders} orders, broken {rules}")
+    format!("{done}/{total} {kind}, {controllers} governors, {label}, seed {seed}: service {service:.3}, {moves} moves, {orders} orders, broken {rules}")
 }
 
-fn groups(played: &[Played]) -> BTreeMap<Group, Vec<&Played>> {
-    let mut groups: BTreeMap<Group, Vec<&Played>> = BTreeMap::new();
-    for one in played {
-        groups.entry(one.group()).or_default().push(one);
+fn by_group(played: &[PlayedScenario]) -> BTreeMap<Group, Vec<&PlayedScenario>> {
+    let mut groups: BTreeMap<Group, Vec<&PlayedScenario>> = BTreeMap::new();
+    for scenario in played {
+        groups.entry(scenario.group()).or_default().push(scenario);
     }
     groups
 }
 
-/// Means over seeds by kind of day, size of subsets and number of controllers.
-pub fn table(played: &[Played]) -> String {
+/// Means over seeds by kind of scenario, size of subsets and number of controllers.
+pub fn table(played: &[PlayedScenario]) -> String {
     let mut text = String::from(
         "| day | decisions | governors | seeds | service | least | moves | orders | verdicts | rules broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for ((kind, subset, controllers), all) in groups(played) {
-        let outcomes: Vec<_> = all.iter().map(|one| &one.outcome).collect();
+    for (Group { kind, subset, controllers }, all) in by_group(played) {
+        let outcomes: Vec<_> = all.iter().map(|played| &played.outcome).collect();
         let average = |figure: fn(&Outcome) -> f64| {
             outcomes.iter().map(|outcome| figure(outcome)).sum::<f64>() / outcomes.len() as f64
         };
         let least = outcomes.iter().map(|outcome| outcome.service).fold(f64::INFINITY, f64::min);
-        let (way, many, rules) = (way(subset), all.len(), rules_text(&outcomes));
+        let (label, seeds, rules) = (decision_label(subset), all.len(), violated_rules(&outcomes));
         let service = average(|outcome| outcome.service);
         let moves = average(|outcome| outcome.moves as f64);
         let orders = average(|outcome| outcome.orders as f64);
         let verdicts = average(|outcome| outcome.verdicts as f64);
         _ = writeln!(
             text,
-            "| {kind} | {way} | {controllers} | {many} | {service:.3} | {least:.3} | {moves:.0} | {orders:.0} | {verdicts:.1} | {rules} |"
+            "| {kind} | {label} | {controllers} | {seeds} | {service:.3} | {least:.3} | {moves:.0} | {orders:.0} | {verdicts:.1} | {rules} |"
         );
     }
     text
@@ -117,25 +129,30 @@
 
 /// Differences of service against the same seeds with `reference` controllers and no subsets (or, where that was not
 /// played, the same subsets), with the 95% interval of their mean.
-pub fn paired_differences(played: &[Played], reference: usize) -> String {
-    let groups = groups(played);
+pub fn paired_differences(played: &[PlayedScenario], reference: usize) -> String {
+    let groups = by_group(played);
     let mut text = format!(
         "| day | decisions | governors | service less that of {reference} governors | 95% within | least | greatest |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n"
     );
-    for ((kind, subset, controllers), all) in &groups {
-        let others = [0, *subset].iter().find_map(|other| groups.get(&(*kind, *other, reference)));
-        let Some(others) = others.filter(|_| (*subset, *controllers) != (0, reference)) else { continue };
+    for (group, all) in &groups {
+        let Group { kind, subset, controllers } = *group;
+        let reference_group = |subset: usize| groups.get(&Group { kind, subset, controllers: reference });
+        let others = reference_group(0).or_else(|| reference_group(subset));
+        let Some(others) = others.filter(|_| (subset, controllers) != (0, reference)) else { continue };
         let service: BTreeMap<_, _> =
-            others.iter().map(|other| (other.day.seed, other.outcome.service)).collect();
-        let paired = all.iter().filter_map(|one| Some(one.outcome.service - service.get(&one.day.seed)?));
+            others.iter().map(|other| (other.scenario.seed, other.outcome.service)).collect();
+        let paired = all
+            .iter()
+            .filter_map(|played| Some(played.outcome.service - service.get(&played.scenario.seed)?));
         let differences: Vec<f64> = paired.collect();
         let Some(figure) = mean(&differences) else { continue };
         let greatest = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        let (way, difference, within, least) = (way(*subset), figure.mean, figure.within, figure.least);
+        let (label, difference, within, least) =
+            (decision_label(subset), figure.mean, figure.within, figure.least);
         _ = writeln!(
             text,
-            "| {kind} | {way} | {controllers} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
+            "| {kind} | {label} | {controllers} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
         );
     }
     text
--- a/crates/scale-tests/src/many/catalog.rs
+++ b/crates/scale-tests/src/many/catalog.rs
@@ -1,4 +1,4 @@
-//! The list of replicas as discovery tells it: whole, or what has changed since a version.
+//! The endpoint list as discovery sends it: complete, or the changes since a version.
 
 use super::plan::Plan;
 use serde_json::{json, Value};
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -21,9 +21,9 @@
 
 /// Threads for the stand-ins' sockets.
 const SOCKET_THREADS: usize = 2;
-/// Time between two looks at the memory of this process.
+/// Time between two checks of the memory of this process.
 const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// One replica in so many starts again while a region is partitioned from the network.
+/// One replica in this many starts again while a region is partitioned from the network.
 const RESTARTED_REPLICA_INTERVAL: usize = 100;
 
 /// What controllers and harness have cost in a period.
@@ -198,7 +198,7 @@
         }
         let ready =
             [Condition::PingAnswered, Condition::RelaySnapshotFrom(Site::First), Condition::ListVersion(1)];
-        self.tracker.begin(0..self.plan.controllers(), &ready);
+        self.tracker.begin_event(0..self.plan.controllers(), &ready);
         let began = Instant::now();
         let environment = Environment::new(self.plan.clone(), self.catalog.clone(), self.tracker.clone());
         self.workers = Workers::start(&Arc::new(environment))?;
@@ -237,11 +237,11 @@
         failed.map_or(Ok(()), Err)
     }
 
-    /// A change of the configuration that reaches all: relay and discovery are elsewhere from now on.
+    /// A change of the configuration that reaches all: relay and discovery have other addresses from now on.
     async fn configure(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
-        let moved = [Condition::RelaySnapshotFrom(Site::Second), Condition::ListFrom(Site::Second)];
-        self.tracker.begin(0..self.plan.controllers(), &moved);
+        let at_second_site = [Condition::RelaySnapshotFrom(Site::Second), Condition::ListFrom(Site::Second)];
+        self.tracker.begin_event(0..self.plan.controllers(), &at_second_site);
         let began = Instant::now();
         self.workers.configure(Site::Second);
         for (process, sites) in self.processes.iter().zip(&self.sites) {
@@ -258,11 +258,11 @@
         self.stand_in_states.iter().filter(|state| state.store().has_replica(&replica)).count()
     }
 
-    /// A replica is drained, and the list told to all.
+    /// A replica is drained, and the list sent to all.
     async fn drain(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
-        self.tracker.drain(self.plan.replica(DRAINED_WHILE_IDLE));
-        self.tracker.begin(0..self.plan.controllers(), &[Condition::Withdrawn]);
+        self.tracker.set_drained_replica(self.plan.replica(DRAINED_WHILE_IDLE));
+        self.tracker.begin_event(0..self.plan.controllers(), &[Condition::Withdrawn]);
         self.catalog.change(DRAINED_WHILE_IDLE, 0..0, 0);
         self.outcome("replica drained", Duration::ZERO, &before).await
     }
@@ -286,21 +286,22 @@
             Condition::RelaySnapshotFrom(Site::Second),
             Condition::ListVersion(version),
         ];
-        self.tracker.begin((0..plan.controllers()).filter(|controller| restarted(*controller)), &ready);
+        self.tracker.begin_event((0..plan.controllers()).filter(|controller| restarted(*controller)), &ready);
         self.workers.restart();
         self.start_processes(restarted).await?;
         self.outcome("nine in ten restarted", trigger_time, &before).await
     }
 
-    /// A region is partitioned from the network; meanwhile a replica is drained and others start again; then the region is back.
+    /// A region is partitioned from the network; meanwhile a replica is drained and others restart; then the region is
+    /// connected again.
     async fn play_partition_events(&mut self) -> Result<Vec<Outcome>, ManyError> {
         let plan = self.plan.clone();
         let is_partitioned = |controller: &ControllerId| plan.region(*controller) == PARTITIONED_REGION;
-        let inside = || (0..plan.controllers()).filter(is_partitioned);
-        let outside = || (0..plan.controllers()).filter(|controller| !is_partitioned(controller));
+        let partitioned = || (0..plan.controllers()).filter(is_partitioned);
+        let connected = || (0..plan.controllers()).filter(|controller| !is_partitioned(controller));
         let before = self.costs();
         let began = Instant::now();
-        self.tracker.begin(inside(), &[Condition::PartitionDetected]);
+        self.tracker.begin_event(partitioned(), &[Condition::PartitionDetected]);
         self.region.send_replace(Link::Partitioned);
         self.workers.partition();
         let partition = self.outcome("region cut off: noticed", Duration::ZERO, &before).await?;
@@ -308,22 +309,22 @@
         let before = self.costs();
         let version = self.catalog.version() + 1;
         let agreed = [Condition::ListVersion(version), Condition::Withdrawn];
-        self.tracker.drain(plan.replica(DRAINED_DURING_PARTITION));
-        self.tracker.begin(outside(), &agreed);
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        self.tracker.set_drained_replica(plan.replica(DRAINED_DURING_PARTITION));
+        self.tracker.begin_event(connected(), &agreed);
+        let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let restarted = 2..2 + plan.replicas / RESTARTED_REPLICA_INTERVAL;
-        self.catalog.change(DRAINED_DURING_PARTITION, restarted, wall);
-        let others =
+        self.catalog.change(DRAINED_DURING_PARTITION, restarted, now_ms);
+        let drained_meanwhile =
             self.outcome("replica drained meanwhile: other regions", Duration::ZERO, &before).await?;
 
         sleep(plan.partition_duration.saturating_sub(began.elapsed())).await;
         let before = self.costs();
         let snapshot = Condition::RelaySnapshotFrom(Site::Second);
-        self.tracker.begin(inside(), &[snapshot, agreed[0], agreed[1]]);
+        self.tracker.begin_event(partitioned(), &[snapshot, agreed[0], agreed[1]]);
         self.region.send_replace(Link::Up);
         self.workers.reconnect();
-        let back = self.outcome("region back: all agree", Duration::ZERO, &before).await?;
-        Ok(vec![partition, others, back])
+        let reconnected = self.outcome("region back: all agree", Duration::ZERO, &before).await?;
+        Ok(vec![partition, drained_meanwhile, reconnected])
     }
 
     async fn outcome(
@@ -332,16 +333,16 @@
         trigger_time: Duration,
         before: &Costs,
     ) -> Result<Outcome, ManyError> {
-        let progress = self.tracker.wait(self.plan.event_timeout).await;
+        let progress = self.tracker.wait_for_completion(self.plan.event_timeout).await;
         let costs = self.costs_since(before);
         let (taken_kb, limit_kb) =
             (costs.real.memory_kb + costs.harness.memory_kb, self.plan.memory_limit_kb);
         if taken_kb > limit_kb {
             return Err(ManyError::Memory { taken_kb, limit_kb });
         }
-        let (came, missing) = (progress.times.len(), progress.missing.len());
+        let (completed, missing) = (progress.times.len(), progress.missing.len());
         eprintln!(
-            "{event}: {came} governors, {missing} missing, after {:.1} s",
+            "{event}: {completed} governors, {missing} missing, after {:.1} s",
             self.tracker.age().as_secs_f64()
         );
         Ok(Outcome { event, trigger_time, progress, costs })
--- a/crates/scale-tests/src/many/mod.rs
+++ b/crates/scale-tests/src/many/mod.rs
@@ -105,7 +105,7 @@
         /// Its number.
         controller: usize,
     },
-    /// A process ended that nobody had ended.
+    /// A process ended that had not been signalled.
     #[error("governor n{controller} has ended by itself")]
     Ended {
         /// Its number.
--- a/crates/scale-tests/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -16,7 +16,7 @@
 pub const PARTITIONED_REGION: usize = 0;
 /// The request class that all load is reported for.
 pub const REQUEST_CLASS: &str = "lookup";
-/// One controller in so many keeps running when the others are restarted.
+/// One controller in this many keeps running when the others are restarted.
 const UNRESTARTED_INTERVAL: usize = 10;
 
 /// What is run.
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -21,7 +21,7 @@
 
 /// The name of the controller program.
 const PROGRAM: &str = "whinwall-controller";
-/// A controller that has not ended so long after SIGTERM gets SIGKILL.
+/// Time between SIGTERM and SIGKILL for a controller that does not exit.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(5);
 /// Pause between two pings of a controller that does not answer yet.
 const PING_RETRY_DELAY: Duration = Duration::from_millis(2);
@@ -97,7 +97,7 @@
     pub fn signal(&self, signal: Signal) {
         let process = self.child.as_ref().and_then(Child::id).and_then(|id| Pid::from_raw(id as i32));
         if let Some(process) = process {
-            // It may have ended by itself, which whoever waits for it will see.
+            // It may have exited by itself; the wait for its exit notices.
             _ = kill_process(process, signal);
         }
     }
--- a/crates/scale-tests/src/many/report.rs
+++ b/crates/scale-tests/src/many/report.rs
@@ -147,16 +147,16 @@
     let each = |time: Duration, many: usize| milliseconds(time) / many.max(1) as f64;
     let (real, simulated) =
         (each(costs.real.processor_time, plan.real), each(costs.simulated, plan.simulated));
-    // Milliseconds in a period of so many seconds, as a part of a core in hundredths.
+    // Milliseconds of CPU time in a period, as a percentage of one core.
     let percent = |each: f64| each / seconds / 10.0;
-    let own = costs.harness.processor_time.saturating_sub(costs.simulated);
+    let harness_time = costs.harness.processor_time.saturating_sub(costs.simulated);
     writeln!(
         text,
         "| {name} | {seconds:.2} | {real:.1} | {:.2} | {:.1} | {simulated:.1} | {:.2} | {:.2} | {:.0} | {} |",
         percent(real),
         costs.real.memory_kb as f64 / plan.real.max(1) as f64 / 1e3,
         percent(simulated),
-        own.as_secs_f64() / seconds,
+        harness_time.as_secs_f64() / seconds,
         costs.harness.memory_kb as f64 / 1e3,
         costs.harness.threads,
     )
--- a/crates/scale-tests/src/many/simulated/effects.rs
+++ b/crates/scale-tests/src/many/simulated/effects.rs
@@ -59,7 +59,7 @@
             }
             Effect::RelayRequest { line, .. } => {
                 events.extend(self.apply_relay_request(&line));
-                let drained = self.environment.tracker.drained();
+                let drained = self.environment.tracker.drained_replica();
                 if drained.is_some_and(|replica| self.store.is_drained(&replica)) {
                     conditions.push(Condition::Withdrawn);
                 }
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Connectivity {
     Connected,
-    /// Partitioned from the network, for so long yet by its own clock.
+    /// Partitioned from the network; the remaining time is by its own clock.
     Partitioned {
         remaining: Duration,
     },
@@ -173,7 +173,7 @@
         self.process_events(self.now(), vec![Event::Configured(site_targets(site))]);
     }
 
-    /// Its region is partitioned from the network for so long by its own clock.
+    /// Partitions its region from the network, for the time in the plan by its own clock.
     pub fn partition(&mut self) {
         let now = self.now();
         self.connectivity =
--- a/crates/scale-tests/src/many/stand_ins.rs
+++ b/crates/scale-tests/src/many/stand_ins.rs
@@ -117,8 +117,8 @@
     }
 }
 
-/// Serves a connection until it ends or its region is partitioned from the network. One that was open or came during the partition says nothing,
-/// and is closed once the region is back.
+/// Serves a connection until it ends or its region is partitioned from the network. A connection that was open or came
+/// during the partition sends nothing, and is closed once the region is connected again.
 async fn serve_until_partition(
     state: Arc<StandInState>,
     service: Service,
@@ -163,7 +163,7 @@
             // No watcher may be subscribed.
             _ = state.acks.send(format!("{}\r\n", applied.acks.join("\r\n")));
         }
-        if state.tracker.drained().is_some_and(|replica| state.store().is_drained(&replica)) {
+        if state.tracker.drained_replica().is_some_and(|replica| state.store().is_drained(&replica)) {
             state.record_condition(Condition::Withdrawn);
         }
     }
--- a/crates/scale-tests/src/many/store.rs
+++ b/crates/scale-tests/src/many/store.rs
@@ -15,7 +15,7 @@
 pub struct Applied {
     /// Orders that were taken.
     pub commands: usize,
-    /// Lines of relay events about proxies that have applied the call.
+    /// Acknowledgements of the proxies, one line each, without line ends.
     pub acks: Vec<String>,
 }
 
@@ -37,7 +37,7 @@
         lines
     }
 
-    /// Carries out a request; all proxies acknowledge its version at once. None where the line is no call.
+    /// Executes a request; all proxies acknowledge its version at once. None where the line is no valid request.
     pub fn apply(&mut self, line: &str) -> Option<Applied> {
         let commands: Vec<_> = line.strip_prefix("APPLY ")?.split(';').collect();
         let mut acks = Vec::new();
--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -15,15 +15,15 @@
 pub enum Condition {
     /// It has answered a ping since its start.
     PingAnswered,
-    /// The relay events that stands received to it by the relay of this site.
+    /// The relay of this site has sent it a snapshot.
     RelaySnapshotFrom(Site),
-    /// The list received to it by the discovery of this site.
+    /// The discovery of this site has sent it the list.
     ListFrom(Site),
-    /// It received this version of the list, or a newer one.
+    /// It has received this version of the list, or a newer one.
     ListVersion(u64),
-    /// It has ordered that its proxies leave the drained replica.
+    /// It has withdrawn the drained replica from its proxies.
     Withdrawn,
-    /// It has noticed that it is partitioned from the network, and tries again.
+    /// It has noticed that it is partitioned from the network, and retries.
     PartitionDetected,
 }
 
@@ -41,7 +41,7 @@
 pub enum Traffic {
     /// Discovery's lists.
     List,
-    /// The relay's relay events.
+    /// The relay's events.
     RelayEvent,
     /// The collectors' reports.
     Reports,
@@ -84,67 +84,73 @@
     pub simulated: SentBytes,
 }
 
-struct Phase {
+struct CurrentEvent {
     began: Instant,
     drained: Option<String>,
     progress: EventProgress,
 }
 
-/// Shared by all stand-ins: they say what was reached, and whoever runs the event waits for it.
+/// Shared by all stand-ins: they record what was reached, and the task that plays the event waits for it.
 pub struct Tracker {
     real: usize,
-    made: Instant,
-    phase: Mutex<Phase>,
+    created: Instant,
+    current_event: Mutex<CurrentEvent>,
     done: Notify,
 }
 
 impl Tracker {
     /// The first `real` controllers are processes.
     pub fn new(real: usize) -> Self {
-        let phase = Phase { began: Instant::now(), drained: None, progress: EventProgress::default() };
-        Tracker { real, made: Instant::now(), phase: Mutex::new(phase), done: Notify::new() }
+        let current_event =
+            CurrentEvent { began: Instant::now(), drained: None, progress: EventProgress::default() };
+        Tracker {
+            real,
+            created: Instant::now(),
+            current_event: Mutex::new(current_event),
+            done: Notify::new(),
+        }
     }
 
     /// Time since it was made.
     pub fn age(&self) -> Duration {
-        self.made.elapsed()
+        self.created.elapsed()
     }
 
-    fn phase(&self) -> MutexGuard<'_, Phase> {
-        self.phase.lock().unwrap_or_else(PoisonError::into_inner)
+    fn current_event(&self) -> MutexGuard<'_, CurrentEvent> {
+        self.current_event.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Begins an event: each of these controllers is to reach all of these conditions.
-    pub fn begin(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
+    pub fn begin_event(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
         let awaited: BTreeSet<_> = conditions.iter().copied().collect();
         let missing = controllers.into_iter().map(|controller| (controller, awaited.clone())).collect();
-        let mut phase = self.phase();
-        phase.progress = EventProgress { missing, ..EventProgress::default() };
-        phase.began = Instant::now();
+        let mut current_event = self.current_event();
+        current_event.progress = EventProgress { missing, ..EventProgress::default() };
+        current_event.began = Instant::now();
     }
 
     /// Sets the replica that controllers are to withdraw.
-    pub fn drain(&self, replica: String) {
-        self.phase().drained = Some(replica);
+    pub fn set_drained_replica(&self, replica: String) {
+        self.current_event().drained = Some(replica);
     }
 
     /// The replica that controllers are to withdraw.
-    pub fn drained(&self) -> Option<String> {
-        self.phase().drained.clone()
+    pub fn drained_replica(&self) -> Option<String> {
+        self.current_event().drained.clone()
     }
 
     /// Records that a controller has reached a condition; true where it was the last one of that controller.
     pub fn record_condition(&self, controller: ControllerId, condition: Condition) -> bool {
-        let mut phase = self.phase();
-        let took = phase.began.elapsed();
-        let Some(awaited) = phase.progress.missing.get_mut(&controller) else { return false };
+        let mut current_event = self.current_event();
+        let took = current_event.began.elapsed();
+        let Some(awaited) = current_event.progress.missing.get_mut(&controller) else { return false };
         awaited.retain(|awaited| match (*awaited, condition) {
             (Condition::ListVersion(awaited), Condition::ListVersion(version)) => version < awaited,
             (awaited, condition) => awaited != condition,
         });
         if awaited.is_empty() {
-            phase.progress.missing.remove(&controller);
-            phase.progress.times.insert(controller, took);
+            current_event.progress.missing.remove(&controller);
+            current_event.progress.times.insert(controller, took);
             self.done.notify_one();
             return true;
         }
@@ -153,36 +159,36 @@
 
     /// The event has cost a simulated controller so much CPU time.
     pub fn record_processor_time(&self, controller: ControllerId, processor_time: Duration) {
-        self.phase().progress.processor_time.insert(controller, processor_time);
+        self.current_event().progress.processor_time.insert(controller, processor_time);
     }
 
     /// Whether the event waits for this controller yet.
     pub fn is_waiting_for(&self, controller: ControllerId) -> bool {
-        self.phase().progress.missing.contains_key(&controller)
+        self.current_event().progress.missing.contains_key(&controller)
     }
 
     /// Whether some controller has not completed the event yet.
     pub fn is_event_in_progress(&self) -> bool {
-        !self.phase().progress.missing.is_empty()
+        !self.current_event().progress.missing.is_empty()
     }
 
     /// A controller was sent so much.
     pub fn add_sent_bytes(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
-        let mut phase = self.phase();
-        let bin = phase.began.elapsed().as_nanos() / BIN_LENGTH.as_nanos();
-        let progress = &mut phase.progress;
+        let mut current_event = self.current_event();
+        let bin = current_event.began.elapsed().as_nanos() / BIN_LENGTH.as_nanos();
+        let progress = &mut current_event.progress;
         let sent_bytes = if controller < self.real { &mut progress.real } else { &mut progress.simulated };
         *sent_bytes.bins.entry((traffic, bin)).or_default() += bytes as u64;
     }
 
     /// Waits until all have come to all, no longer than `event_timeout`, and says how it went.
-    pub async fn wait(&self, event_timeout: Duration) -> EventProgress {
+    pub async fn wait_for_completion(&self, event_timeout: Duration) -> EventProgress {
         let end = tokio::time::Instant::now() + event_timeout;
-        while !self.phase().progress.missing.is_empty() {
+        while !self.current_event().progress.missing.is_empty() {
             if tokio::time::timeout_at(end, self.done.notified()).await.is_err() {
                 break;
             }
         }
-        self.phase().progress.clone()
+        self.current_event().progress.clone()
     }
 }
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time between two looks for a change of the endpoint list.
+/// Time between two checks for a change of the endpoint list.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A command to all simulated controllers of a thread.
@@ -57,7 +57,7 @@
     }
 
     fn broadcast(&self, command: &Command) {
-        // One that has ended is missed by whoever waits for its controllers.
+        // A worker that has ended shows in the event: its controllers stay incomplete.
         self.workers.iter().for_each(|worker| _ = worker.commands.send(command.clone()));
     }
 
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -1,5 +1,5 @@
-//! One real controller told by real aggregators: collectors of all zones tell each aggregator of the whole fleet, the
-//! aggregators tell the controller of its subset, and a counting proxy between them counts what it receives.
+//! One real controller behind real aggregators: collectors of all zones report the whole fleet to each aggregator, the
+//! aggregators report its subset to the controller, and a counting proxy between them counts what it receives.
 
 use super::steady::{machine_load, Times};
 use super::test_bed::Setup;
@@ -17,9 +17,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Aggregators that have told nothing by then are not going to.
+/// Aggregators that have sent no report by then have failed.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two looks for the first report.
+/// Time between two checks for the first report.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The fleet's part of the operators' file.
@@ -108,7 +108,7 @@
 ) -> String {
     let last = setup.size.slices.saturating_sub(1);
     let served = format!("<governor name=\"n0\" address=\"{counting_proxy}\" slices=\"0-{last}\"/>");
-    let aggregators_before: String =
+    let members: String =
         (1..setup.size.controllers).map(|index| format!("<governor name=\"n{index}\"/>")).collect();
     let aggregators: String = aggregators
         .iter()
@@ -118,7 +118,7 @@
     let Subsetting { subset, bytes_per_second, .. } = subsetting;
     format!(
         "<operators version=\"1\"><subsetting subset=\"{subset}\" bytes-per-second=\"{bytes_per_second}\">\
-         {served}{aggregators_before}{aggregators}</subsetting></operators>"
+         {served}{members}{aggregators}</subsetting></operators>"
     )
 }
 
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A controller that has not acted by then is not going to.
+/// A controller that has not acted by then has failed to.
 const ACTION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What the controller logs when it has read its files again.
@@ -52,7 +52,7 @@
 pub struct Outcome {
     /// What happened.
     pub name: String,
-    /// Until the first call that withdraws a replica, where one must come, or until files were read again.
+    /// Until the first request that withdraws a replica, where one must come, or until the files were reloaded.
     pub first_command: Option<Duration>,
     /// Until no slice is owned by a replica that drains, where one was.
     pub last_command: Option<Duration>,
@@ -165,7 +165,7 @@
 enum Selection {
     /// A replica that owns a slice comes first, so that the event demands action.
     OwnerFirst,
-    /// The first of the list, whoever owns what.
+    /// The first of the list, whether or not they own slices.
     ListOrder,
 }
 
@@ -225,7 +225,7 @@
     pub usage: Usage,
 }
 
-/// Floods the controller with lines, so many periods of each collector.
+/// Floods the controller with lines: `periods` periods of each collector.
 ///
 /// # Errors
 ///
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -1,4 +1,4 @@
-//! One real governor process at size, against paced stand-ins on loopback: `test_bed` sets it up, `steady` measures it at
+//! One real controller process at size, against paced stand-ins on loopback: `test_bed` sets it up, `steady` measures it at
 //! rest, `events` in events, `aggregated` behind real aggregators, `sweep` says which cases are played, `report` turns them into fits, tables and charts.
 
 pub mod aggregated;
@@ -83,7 +83,7 @@
     let cases: Vec<_> = sweep::steady_cases().into_iter().filter(|case| wanted(case.sweep)).collect();
     for case in (0..args.plays).flat_map(|_| &cases) {
         let point = steady::measure(&program, case, times)?;
-        eprintln!("{}", report::line(&point));
+        eprintln!("{}", report::progress_line(&point));
         points.push(point);
         report::write_steady(&folder, &points)?;
     }
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -9,14 +9,20 @@
 use std::fmt::Write;
 use std::time::Duration;
 
+/// Bytes in a kilobyte, as the tables count them.
 const KILOBYTE: f64 = 1000.0;
+/// Bytes in a megabyte, as the tables count them.
 const MEGABYTE: f64 = 1e6;
-/// What the target allows a controller for control.
+/// The target's budget for one controller, in cores.
 const PROCESSOR_BUDGET: f64 = 0.029;
+/// The target's budget for reports to one controller, in bytes a second.
 const BYTES_BUDGET: f64 = 27.0 * KILOBYTE;
 
-/// One point in a line, for whoever waits.
-pub fn line(point: &Steady) -> String {
+/// The target's budget for one controller, in megabytes.
+const MEMORY_BUDGET_MB: f64 = 64.0;
+
+/// One point in a line of progress output.
+pub fn progress_line(point: &Steady) -> String {
     let size = &point.case.setup.size;
     format!(
         "{}: {} replicas, {} zones, {} slices, {} proxies: {:.1} KB/s in, {:.2} KB/s out, {:.4} cores, {:.1} MB",
@@ -209,7 +215,10 @@
         &chart(points, "bytes told to one governor", "KB/s", BYTES_BUDGET / KILOBYTE, bytes),
     )?;
     let memory = |p: &Steady| p.usage.resident as f64 / MEGABYTE;
-    folder.write_chart("memory", &chart(points, "memory of one governor", "MB resident", 64.0, memory))
+    folder.write_chart(
+        "memory",
+        &chart(points, "memory of one governor", "MB resident", MEMORY_BUDGET_MB, memory),
+    )
 }
 
 /// The sizes measured, a series for each number of zones.
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -120,7 +120,7 @@
     thread::sleep(end.saturating_duration_since(Instant::now()));
 }
 
-/// CPU time of decoding one report line, on average over as many as the target's collectors tell in a second.
+/// CPU time of decoding one report line, on average over as many as the target's collectors send in a second.
 fn decoding_time() -> Option<Duration> {
     let size = FleetSize::target();
     let lines = ReportShape::full(&size).lines(&size, 0, &mut Random::new(1));
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -7,13 +7,19 @@
 use crate::stand_ins::fleet::{FleetSize, ReportShape};
 use std::path::Path;
 
+/// Sizes of the endpoint list, in replicas.
 const REPLICAS: [usize; 4] = [275, 550, 1100, 2200];
+/// Numbers of zones.
 const ZONES: [usize; 3] = [1, 3, 9];
+/// Slices owned by the controller.
 const SLICES: [usize; 4] = [0, 60, 200, 660];
+/// Numbers of proxies.
 const PROXIES: [usize; 3] = [0, 400, 1600];
+/// Entries of the list that change, a second.
 const CHURN: [f64; 3] = [1.0, 10.0, 100.0];
+/// Writes for each period of a collector.
 const WRITES: [usize; 2] = [20, 200];
-/// Replicas that summed reports tell of, and the window of a line in milliseconds: shapes of aggregated reports.
+/// Replicas that summed reports cover, and the window of a line in milliseconds: shapes of aggregated reports.
 const SUMMED_SHAPES: [(usize, f64); 6] =
     [(44, 1000.0), (88, 1000.0), (176, 1000.0), (352, 2000.0), (704, 4000.0), (2200, 12_000.0)];
 /// Periods of each collector in a flood: nine collectors, 19,800 lines a period.
@@ -49,7 +55,7 @@
     cases
 }
 
-/// One connection that tells of some replicas, summed over all zones.
+/// One connection that reports on some replicas, summed over all zones.
 fn summed(size: &FleetSize, replica_count: usize, window_ms: f64) -> Case {
     let mut summed = case("summed", size.clone());
     let shape = ReportShape {
--- a/crates/scale-tests/src/one/test_bed.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long one look for a request of the controller waits.
+/// Time for which one receive of a request of the controller blocks.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a controller is set up and what it receives.
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -154,7 +154,7 @@
     (!total.is_zero()).then_some(total)
 }
 
-/// The time on a processor of the calling thread so far, where the kernel tells it in nanoseconds.
+/// The time on a processor of the calling thread so far, where the kernel offers it in nanoseconds.
 pub fn current_thread_processor_time() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     Some(Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?))
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -138,7 +138,7 @@
         self.server.address
     }
 
-    /// The next call, if one comes in this time.
+    /// The next request, if one comes in this time.
     pub fn next_request(&self, within: Duration) -> Option<RelayRequest> {
         self.relay_requests.recv_timeout(within).ok()
     }
--- a/crates/scale-tests/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -2,19 +2,26 @@
 
 use whinwall_emulator::sizes::Sizes;
 use whinwall_policy::time::Span;
-use whinwall_scale_tests::decisions::{paired_differences, play_all, table, DayKind, Plan};
+use whinwall_scale_tests::decisions::{paired_differences, play_all, table, Plan, ScenarioKind};
 
-fn plan(kinds: Vec<DayKind>) -> Plan {
+fn plan(kinds: Vec<ScenarioKind>) -> Plan {
     let sizes =
         Sizes { replicas: 12, slices: 60, proxies: 20, load: 0.4, lasts: Span::ms(16_000), ..Sizes::small() };
-    Plan { sizes, controllers: vec![2, 12], subsets: vec![0, 6], kinds, begins_ms: 8000, seeds: vec![1, 2] }
+    Plan {
+        sizes,
+        controllers: vec![2, 12],
+        subsets: vec![0, 6],
+        kinds,
+        faults_begin_ms: 8000,
+        seeds: vec![1, 2],
+    }
 }
 
 #[test]
 fn each_combination_has_the_same_seeds() {
-    let days = plan(DayKind::ALL.to_vec()).days();
-    assert_eq!(days.len(), 5 * 2 * 2 * 2);
-    for pair in days.chunks(2) {
+    let scenarios = plan(ScenarioKind::ALL.to_vec()).scenarios();
+    assert_eq!(scenarios.len(), 5 * 2 * 2 * 2);
+    for pair in scenarios.chunks(2) {
         assert_eq!([pair[0].seed, pair[1].seed], [1, 2]);
         assert_eq!((pair[0].kind, pair[0].subset), (pair[1].kind, pair[1].subset));
     }
@@ -22,14 +29,14 @@
 
 #[test]
 fn sweep_is_deterministic_and_violates_no_rule() {
-    let plan = plan(vec![DayKind::Replaced, DayKind::Zone]);
+    let plan = plan(vec![ScenarioKind::Replaced, ScenarioKind::Zone]);
     let (first, again) = (play_all(&plan, 2).unwrap(), play_all(&plan, 1).unwrap());
-    let outcomes = |played: &[whinwall_scale_tests::decisions::Played]| {
+    let outcomes = |played: &[whinwall_scale_tests::decisions::PlayedScenario]| {
         played.iter().map(|one| one.outcome.clone()).collect::<Vec<_>>()
     };
     assert!(outcomes(&first) == outcomes(&again), "two plays of one plan differ");
     for one in &first {
-        assert!(one.outcome.broken.is_empty(), "{:?}: {:?}", one.day, one.outcome.violations.first());
+        assert!(one.outcome.broken.is_empty(), "{:?}: {:?}", one.scenario, one.outcome.violations.first());
         assert!(one.outcome.requests > 0 && one.outcome.moves > 0);
     }
     let text = table(&first);
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -46,7 +46,7 @@
     for line in &lines {
         collector::decode_report(line).unwrap_or_else(|| panic!("{line} is no report"));
     }
-    // What all zones tell of in a second is what comes to the fleet, within the spread of the draw.
+    // The reports of all zones for a second add up to the requests to the fleet, within the random spread.
     let total_attempts: f64 = (0..size.zones)
         .flat_map(|zone| ReportShape::full(&size).lines(&size, zone, &mut Random::new(zone as u64)))
         .filter_map(|line| match collector::decode(&line) {
