--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -1,11 +1,9 @@
 //! Which scenarios are played: each kind with each number of controllers and each size of subsets, seeds paired.
 
-use super::{Args, SweepError};
 use clap::ValueEnum;
 use std::fmt;
 use whinwall_emulator::sizes::Sizes;
 use whinwall_emulator::trouble::{at, Trouble, What};
-use whinwall_policy::time::Span;
 
 /// What happens in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
@@ -103,42 +101,6 @@
 }
 
 impl Plan {
-    /// The plan that the command's arguments ask for.
-    ///
-    /// # Errors
-    ///
-    /// When a count that must be at least 1 is 0.
-    pub fn from_args(args: &Args) -> Result<Plan, SweepError> {
-        let counts = [
-            ("replicas", args.replicas),
-            ("slices", args.slices),
-            ("proxies", args.proxies),
-            ("seeds", args.seeds as usize),
-            ("seconds", args.seconds as usize),
-            ("governors", args.controllers.iter().copied().min().unwrap_or(0)),
-        ];
-        if let Some((name, _)) = counts.iter().find(|(_, count)| *count == 0) {
-            return Err(SweepError::Zero(name));
-        }
-        let sizes = Sizes {
-            replicas: args.replicas,
-            slices: args.slices,
-            proxies: args.proxies,
-            load: args.load,
-            load_window: args.load_window,
-            lasts: Span::ms(args.seconds * 1000),
-            ..Sizes::large()
-        };
-        Ok(Plan {
-            sizes,
-            controllers: args.controllers.clone(),
-            subsets: args.subsets.clone(),
-            kinds: args.scenarios.clone(),
-            faults_begin_ms: args.faults_begin_s * 1000,
-            seeds: (1..=args.seeds).collect(),
-        })
-    }
-
     /// All scenarios, those of one kind and one number of controllers side by side.
     pub fn scenarios(&self) -> Vec<PlannedScenario> {
         let mut scenarios = Vec::new();
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -1,6 +1,6 @@
 //! Tables of a sweep: means over seeds, violated rules, and paired differences.
 
-use super::{PlannedScenario, ScenarioKind};
+use super::plan::{PlannedScenario, ScenarioKind};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use whinwall_emulator::day::Outcome;
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -2,13 +2,13 @@
 
 use super::catalog::Catalog;
 use super::cost::{self, Cost};
+use super::error::ManyError;
 use super::plan::{ControllerId, Plan, DRAINED_DURING_PARTITION, DRAINED_WHILE_IDLE, PARTITIONED_REGION};
 use super::process::Process;
 use super::simulated::Environment;
 use super::stand_ins::{self, Addresses, Link, StandInState};
 use super::tracker::{Condition, EventProgress, Site, Tracker};
 use super::workers::Workers;
-use super::ManyError;
 use rustix::process::Signal;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -1,10 +1,10 @@
 //! Controllers as processes: each is started with a configuration file of its own, and ended by its process id.
 
 use super::cost::{self, Cost};
+use super::error::ManyError;
 use super::plan::{ControllerId, Plan};
 use super::stand_ins::Addresses;
 use super::tracker::{Condition, Tracker};
-use super::ManyError;
 use crate::process::listening_address;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -1,9 +1,9 @@
 //! Threads that share the simulated controllers between them.
 
+use super::error::ManyError;
 use super::plan::{ControllerId, PARTITIONED_REGION};
 use super::simulated::{Environment, SimulatedController};
 use super::tracker::Site;
-use super::ManyError;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::sync::Arc;
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -1,9 +1,9 @@
 //! One real controller behind real aggregators: collectors of all zones report the whole fleet to each aggregator, the
 //! aggregators report its subset to the controller, and a counting proxy between them counts what it receives.
 
+use super::error::MeasureError;
 use super::steady::{machine_load, Times};
 use super::test_bed::Setup;
-use super::MeasureError;
 use crate::process::{Controller, Launch, ProcessError, RunningProgram, Usage};
 use crate::stand_ins::collectors::Collectors;
 use crate::stand_ins::counting_proxy::CountingProxy;
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -1,12 +1,12 @@
 //! One controller in events: what it uses, how much it receives, and how soon it acts, when some entries of the list
 //! change at once, when the complete list is sent again, and when it starts.
 
+use super::error::MeasureError;
 use super::steady::{machine_load, Times};
 use super::test_bed::{Setup, TestBed};
-use super::MeasureError;
 use crate::process::Usage;
 use crate::stand_ins::collectors;
-use crate::stand_ins::discovery::{EntryState, ReplicaState};
+use crate::stand_ins::fleet::{EntryState, ReplicaState};
 use crate::stand_ins::relay::RelayRequest;
 use crate::stand_ins::TrafficCount;
 use std::path::Path;
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -2,14 +2,17 @@
 //! rest, `events` in events, `aggregated` behind real aggregators, `sweep` says which cases are played, `report` turns them into fits, tables and charts.
 
 pub mod aggregated;
+mod error;
 pub mod events;
 pub mod report;
 pub mod steady;
 pub mod sweep;
 pub mod test_bed;
 
-use crate::process::{controller_program, ProcessError};
-use crate::results::{Folder, ResultsError};
+pub use error::MeasureError;
+
+use crate::process::controller_program;
+use crate::results::Folder;
 use crate::stand_ins::fleet::FleetSize;
 use aggregated::Subsetting;
 use std::path::{Path, PathBuf};
@@ -52,20 +55,6 @@
     pub only: Vec<String>,
 }
 
-/// Why a measurement failed.
-#[derive(Debug, thiserror::Error)]
-pub enum MeasureError {
-    /// A process could not be started or observed.
-    #[error(transparent)]
-    Process(#[from] ProcessError),
-    /// A stand-in could not be started, or a connection failed.
-    #[error("a stand-in: {0}")]
-    StandIn(#[from] std::io::Error),
-    /// Results could not be written.
-    #[error(transparent)]
-    Results(#[from] ResultsError),
-}
-
 /// Plays all sweeps and writes what came of them.
 ///
 /// # Errors
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -1,10 +1,9 @@
 //! One controller while idle: what it uses while the stand-ins go on at their pace.
 
+use super::error::MeasureError;
 use super::test_bed::{Setup, TestBed};
-use super::MeasureError;
 use crate::process::{current_thread_processor_time, Usage};
-use crate::stand_ins::discovery::{EntryState, ReplicaState};
-use crate::stand_ins::fleet::{FleetSize, Random, ReportShape};
+use crate::stand_ins::fleet::{EntryState, FleetSize, Random, ReplicaState, ReportShape};
 use crate::stand_ins::TrafficCount;
 use std::path::Path;
 use std::thread;
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -1,9 +1,9 @@
 //! Which cases are played in full.
 
+use super::error::MeasureError;
 use super::events::{self, Event, FloodCost, Outcome};
 use super::steady::{Case, Times};
 use super::test_bed::Setup;
-use super::MeasureError;
 use crate::stand_ins::fleet::{FleetSize, ReportShape};
 use std::path::Path;
 
--- a/crates/scale-tests/src/one/test_bed.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -1,6 +1,6 @@
 //! A controller with all its stand-ins, set up for one case.
 
-use super::MeasureError;
+use super::error::MeasureError;
 use crate::process::{Controller, Launch};
 use crate::stand_ins::collectors::{Collectors, ReportSchedule};
 use crate::stand_ins::discovery::Discovery;
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -2,7 +2,7 @@
 //! a pace, or as fast as the controller reads them.
 
 use super::fleet::{FleetSize, Random, ReportShape};
-use super::Traffic;
+use super::traffic::Traffic;
 use crate::process::{ping, ProcessError};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/scale-tests/src/stand_ins/counting_proxy.rs
+++ b/crates/scale-tests/src/stand_ins/counting_proxy.rs
@@ -1,6 +1,7 @@
 //! A TCP proxy in front of a controller, which counts the bytes and lines in each direction.
 
-use super::{Counter, LoopbackServer};
+use super::loopback_server::LoopbackServer;
+use super::traffic::Counter;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/scale-tests/src/stand_ins/discovery.rs
+++ b/crates/scale-tests/src/stand_ins/discovery.rs
@@ -1,7 +1,8 @@
 //! Stand-in for discovery's agent: the registry's endpoint list over HTTP, complete or as a chunked watch.
 
-use super::fleet::FleetSize;
-use super::{LoopbackServer, Traffic};
+use super::fleet::{EntryState, FleetSize, ReplicaState};
+use super::loopback_server::LoopbackServer;
+use super::traffic::Traffic;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -12,37 +13,6 @@
 /// Time between two keep-alive lines of a watch while nothing changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A replica's state of life in the list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplicaState {
-    /// It takes requests.
-    Active,
-    /// It drains: it finishes what it has and takes nothing new.
-    Leaving,
-    /// It is gone; a complete list does not name it.
-    Left,
-}
-
-impl ReplicaState {
-    /// The word of the registry's wire format.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            ReplicaState::Active => "active",
-            ReplicaState::Leaving => "leaving",
-            ReplicaState::Left => "left",
-        }
-    }
-}
-
-/// What the list says of one replica, beside its constant fields.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EntryState {
-    /// Its state of life.
-    pub state: ReplicaState,
-    /// When it was started last, in Unix milliseconds; 0 for long ago.
-    pub started_ms: u64,
-}
-
 /// An entry of the list, and the version in which it changed last.
 struct VersionedEntry {
     state: EntryState,
--- a/crates/scale-tests/src/stand_ins/fleet.rs
+++ b/crates/scale-tests/src/stand_ins/fleet.rs
@@ -1,7 +1,6 @@
 //! The fleet that the stand-ins emulate: names of replicas and zones, the registry's entries, and the report lines
 //! about them, all drawn from a seed.
 
-use super::discovery::EntryState;
 use serde_json::{json, Value};
 
 /// Names of request classes that the settings and reports agree on.
@@ -13,6 +12,37 @@
 /// The mean number of requests in flight in a report line.
 const MEAN_IN_FLIGHT: f64 = 4.0;
 
+/// A replica's state of life in the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplicaState {
+    /// It takes requests.
+    Active,
+    /// It drains: it finishes what it has and takes nothing new.
+    Leaving,
+    /// It is gone; a complete list does not name it.
+    Left,
+}
+
+impl ReplicaState {
+    /// The word of the registry's wire format.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ReplicaState::Active => "active",
+            ReplicaState::Leaving => "leaving",
+            ReplicaState::Left => "left",
+        }
+    }
+}
+
+/// What the list says of one replica, beside its constant fields.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EntryState {
+    /// Its state of life.
+    pub state: ReplicaState,
+    /// When it was started last, in Unix milliseconds; 0 for long ago.
+    pub started_ms: u64,
+}
+
 /// How large the fleet of one controller is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSize {
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -2,7 +2,8 @@
 //! to its watchers, executes relay requests, and has all proxies acknowledge versions at once.
 
 use super::fleet::FleetSize;
-use super::{LoopbackServer, Traffic};
+use super::loopback_server::LoopbackServer;
+use super::traffic::Traffic;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -7,8 +7,8 @@
 use whinwall_protocol::{collector, discovery as discovery_protocol, relay as relay_protocol};
 use whinwall_scale_tests::stand_ins::collectors::ReportSchedule;
 use whinwall_scale_tests::stand_ins::counting_proxy::CountingProxy;
-use whinwall_scale_tests::stand_ins::discovery::{Discovery, EntryState, ReplicaState};
-use whinwall_scale_tests::stand_ins::fleet::{FleetSize, Random, ReportShape};
+use whinwall_scale_tests::stand_ins::discovery::Discovery;
+use whinwall_scale_tests::stand_ins::fleet::{EntryState, FleetSize, Random, ReplicaState, ReportShape};
 use whinwall_scale_tests::stand_ins::relay::Relay;
 use whinwall_scale_tests::stand_ins::{Counter, Traffic};
 
