--- a/crates/scale-tests/src/many/catalog.rs
+++ b/crates/scale-tests/src/many/catalog.rs
@@ -7,8 +7,9 @@
 use tokio::sync::watch;
 use whinwall_protocol::discovery::{self, List};
 
-/// A replica that finishes what it has and wants nothing new.
+/// The state of a replica that drains.
 pub const LEAVING: &str = "leaving";
+/// The state of a replica that takes requests.
 const ACTIVE: &str = "active";
 
 /// One answer of discovery.
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -88,7 +88,7 @@
             _ = interrupt.recv() => Err(ManyError::Signal),
         }
     });
-    // Whatever serves sockets ends here.
+    // Ends the tasks that still serve sockets.
     runtime.shutdown_background();
     result
 }
@@ -190,7 +190,7 @@
         Ok(Results { outcomes, idle, bare_harness, list_bytes, holders, machine_load })
     }
 
-    /// All controllers start together, and know nothing.
+    /// All controllers start together, without any state.
     async fn start(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         for (process, sites) in self.processes.iter().zip(&self.sites) {
--- a/crates/scale-tests/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Position of a controller in the fleet: the real processes come first, the in-process ones after them.
+/// Position of a controller in the fleet: the real processes come first, the simulated ones after them.
 pub type ControllerId = usize;
 
 /// The replica that is drained in the event of that name; every controller has a slice on it.
@@ -19,7 +19,7 @@
 /// One controller in this many keeps running when the others are restarted.
 const UNRESTARTED_INTERVAL: usize = 10;
 
-/// What is run.
+/// The sizes and durations of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Controllers that run as processes.
@@ -42,7 +42,7 @@
     pub report_period: Duration,
     /// Time between the reports about one replica to a simulated controller.
     pub simulated_report_period: Duration,
-    /// How long resting costs are measured.
+    /// How long the costs without an event are measured.
     pub idle: Duration,
     /// How long the region is partitioned from the network, at least, for the real processes.
     pub partition_duration: Duration,
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -31,7 +31,7 @@
 const IDLE_TURN_INTERVAL: Duration = Duration::from_secs(10);
 /// The longest time without a turn, as in the event loop of the program.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
-/// Combined with a controller's number to its seed.
+/// Combined with a controller's number into its seed.
 const BASE_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The failure that the transport would report for an unanswered request or a silent watch, and when.
@@ -189,7 +189,7 @@
         });
     }
 
-    /// Its region is back: what it waits for is reset, and it asks again.
+    /// Connects its region again: pending requests and watches are reset, and it retries them.
     pub fn reconnect(&mut self) {
         self.connectivity = Connectivity::Connected;
         self.mark_event_started();
@@ -235,7 +235,8 @@
         false
     }
 
-    /// One step of its clock while its region is partitioned from the network; nothing arrives but what the transport gives up.
+    /// One step of its clock while its region is partitioned from the network; nothing arrives but
+    /// the failures that the transport would report.
     fn step_through_partition(&mut self, remaining: Duration) -> bool {
         let step = PARTITION_CLOCK_STEP.min(remaining);
         if step.is_zero() {
--- a/crates/scale-tests/src/many/store.rs
+++ b/crates/scale-tests/src/many/store.rs
@@ -10,10 +10,10 @@
     withdrawn: BTreeSet<String>,
 }
 
-/// What became of a request.
+/// The result of a request.
 #[derive(Debug, PartialEq)]
 pub struct Applied {
-    /// Orders that were taken.
+    /// Commands that were applied.
     pub commands: usize,
     /// Acknowledgements of the proxies, one line each, without line ends.
     pub acks: Vec<String>,
--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -74,7 +74,7 @@
 pub struct EventProgress {
     /// From the event's beginning until a controller had reached all its conditions.
     pub times: BTreeMap<ControllerId, Duration>,
-    /// CPU time that it took a simulated controller, from when the event came to it.
+    /// CPU time that it took a simulated controller, from when the event reached it.
     pub processor_time: BTreeMap<ControllerId, Duration>,
     /// The conditions that controllers have not reached yet.
     pub missing: BTreeMap<ControllerId, BTreeSet<Condition>>,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Time since it was made.
+    /// Time since it was created.
     pub fn age(&self) -> Duration {
         self.created.elapsed()
     }
@@ -157,7 +157,7 @@
         false
     }
 
-    /// The event has cost a simulated controller so much CPU time.
+    /// Records the CPU time that the event has cost a simulated controller.
     pub fn record_processor_time(&self, controller: ControllerId, processor_time: Duration) {
         self.current_event().progress.processor_time.insert(controller, processor_time);
     }
@@ -172,7 +172,7 @@
         !self.current_event().progress.missing.is_empty()
     }
 
-    /// A controller was sent so much.
+    /// Counts bytes that were sent to a controller.
     pub fn add_sent_bytes(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
         let mut current_event = self.current_event();
         let bin = current_event.began.elapsed().as_nanos() / BIN_LENGTH.as_nanos();
@@ -181,7 +181,7 @@
         *sent_bytes.bins.entry((traffic, bin)).or_default() += bytes as u64;
     }
 
-    /// Waits until all have come to all, no longer than `event_timeout`, and says how it went.
+    /// Waits until all controllers have reached all conditions, at most for `event_timeout`, and returns the progress.
     pub async fn wait_for_completion(&self, event_timeout: Duration) -> EventProgress {
         let end = tokio::time::Instant::now() + event_timeout;
         while !self.current_event().progress.missing.is_empty() {
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -21,7 +21,7 @@
     Restart,
     /// The region is partitioned from the network.
     Partitioned,
-    /// It is back.
+    /// The region is connected again.
     Reconnect,
 }
 
@@ -61,22 +61,22 @@
         self.workers.iter().for_each(|worker| _ = worker.commands.send(command.clone()));
     }
 
-    /// The configuration of all names another site.
+    /// Gives all of them a configuration that names another site.
     pub fn configure(&self, site: Site) {
         self.broadcast(&Command::Configure(site));
     }
 
-    /// Nine in ten start again.
+    /// Restarts nine in ten of them.
     pub fn restart(&self) {
         self.broadcast(&Command::Restart);
     }
 
-    /// The region that is to be partitioned from the network is.
+    /// Partitions the region [`PARTITIONED_REGION`] from the network.
     pub fn partition(&self) {
         self.broadcast(&Command::Partitioned);
     }
 
-    /// It is back.
+    /// Connects the partitioned region again.
     pub fn reconnect(&self) {
         self.broadcast(&Command::Reconnect);
     }
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -44,7 +44,7 @@
 
 /// What the controller and the aggregators used during the measurement.
 #[derive(Clone, Debug)]
-pub struct Aggregated {
+pub struct AggregatedMeasurement {
     /// How it was set up.
     pub subsetting: Subsetting,
     /// From the controller's start to its first PONG.
@@ -52,7 +52,7 @@
     /// From the aggregators' start until the first report came to the controller, where one came.
     pub first_report: Option<Duration>,
     /// For how long it was measured.
-    pub lasted: Duration,
+    pub measured_for: Duration,
     /// Bytes of reports that came to the controller.
     pub reports: u64,
     /// Lines of reports that came to the controller.
@@ -75,21 +75,21 @@
     pub machine_load: f64,
 }
 
-impl Aggregated {
+impl AggregatedMeasurement {
     /// A count as a rate a second.
     pub fn rate(&self, count: u64) -> f64 {
-        count as f64 / self.lasted.as_secs_f64()
+        count as f64 / self.measured_for.as_secs_f64()
     }
 
     /// The part of one core that the controller used.
     pub fn processor_share(&self) -> f64 {
-        self.processor_time.as_secs_f64() / self.lasted.as_secs_f64()
+        self.processor_time.as_secs_f64() / self.measured_for.as_secs_f64()
     }
 
     /// The part of one core that an aggregator used, on average.
     pub fn aggregator_share(&self) -> f64 {
         let total: f64 = self.aggregators.iter().map(|used| used.processor_time.as_secs_f64()).sum();
-        total / self.lasted.as_secs_f64() / self.aggregators.len().max(1) as f64
+        total / self.measured_for.as_secs_f64() / self.aggregators.len().max(1) as f64
     }
 
     /// The most memory that any aggregator held.
@@ -98,7 +98,7 @@
     }
 }
 
-/// The operators' file of a fleet in which one controller is served: `n0`, behind the tap. The others are members
+/// The operators' file of a fleet in which one controller is served: `n0`, behind the counting proxy. The others are members
 /// without an address.
 fn operators(
     setup: &Setup,
@@ -122,7 +122,7 @@
     )
 }
 
-/// Free addresses on loopback; each is given up at once, for a program to listen at.
+/// Free addresses on loopback; each is released at once, for a program to listen at.
 fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     let listeners: Vec<_> =
         (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<std::io::Result<_>>()?;
@@ -173,7 +173,7 @@
     None
 }
 
-/// Measures the controller while idle behind its aggregators.
+/// Measures the controller in a steady state behind its aggregators.
 ///
 /// # Errors
 ///
@@ -184,7 +184,7 @@
     setup: &Setup,
     subsetting: &Subsetting,
     times: Times,
-) -> Result<Aggregated, MeasureError> {
+) -> Result<AggregatedMeasurement, MeasureError> {
     let (traffic, sent_to_aggregators) = (Arc::new(Traffic::default()), Arc::new(Traffic::default()));
     let (relay, discovery) = (Relay::start(&setup.size, &traffic)?, Discovery::start(&setup.size, &traffic)?);
     let aggregators_discovery = Discovery::start(&setup.size, &sent_to_aggregators)?;
@@ -215,7 +215,7 @@
         (traffic.read(), counting_proxy.traffic.to_controller.read(), sent_to_aggregators.read());
     let from_controller = counting_proxy.traffic.from_controller.read();
     thread::sleep(times.measured);
-    let lasted = began.elapsed();
+    let measured_for = began.elapsed();
     let (usage_after, aggregators_after) = (controller.usage()?, aggregators.usages()?);
     let (stand_in_traffic, to_controller) = (
         traffic.read().since(stand_in_traffic),
@@ -227,11 +227,11 @@
         processor_time: at_end.processor_time - before.processor_time,
         at_end,
     };
-    Ok(Aggregated {
+    Ok(AggregatedMeasurement {
         subsetting: subsetting.clone(),
         time_to_ready,
         first_report,
-        lasted,
+        measured_for,
         reports: to_controller.bytes,
         lines: to_controller.lines,
         bytes_in: to_controller.bytes + stand_in_traffic.bytes_in(),
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -16,19 +16,19 @@
 /// A controller that has not acted by then has failed to.
 const ACTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the controller logs when it has read its files again.
+/// What the controller logs when it has reloaded its files.
 const RELOADED: &str = "configuration reloaded";
 
-/// What happens.
+/// An event that a controller has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Nothing: what the same time costs while idle.
     Nothing,
     /// The configuration file is read again, on SIGHUP.
     ConfigurationReload,
-    /// So many replicas begin to drain at once, the first owners of slices among them.
+    /// This many replicas begin to drain at once, an owner of slices among them.
     Drain(usize),
-    /// So many replicas are back at once, cold.
+    /// This many replicas are active again at once, without a warm-up.
     Return(usize),
     /// The complete list is sent again, with one owner of a slice that drains.
     FullList,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What an event came to.
+/// The result of an event.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// What happened.
@@ -61,16 +61,16 @@
     /// CPU time until it had settled.
     pub processor_time: Duration,
     /// For how long that was taken.
-    pub lasted: Duration,
+    pub measured_for: Duration,
     /// The most memory resident so far.
     pub resident_peak: u64,
-    /// Orders made meanwhile.
+    /// Commands sent during the measurement.
     pub commands: usize,
     /// Average number of runnable processes on the machine in the last minute.
     pub machine_load: f64,
 }
 
-/// A start: from the process's creation until the first command that sets a line, which needs list and relay events.
+/// Plays a start: from the process's creation until the first command that sets an entry of a routing table.
 ///
 /// # Errors
 ///
@@ -85,7 +85,7 @@
         last_command: None,
         traffic: test_bed.traffic.read(),
         processor_time: usage.processor_time,
-        lasted: test_bed.controller.started().elapsed(),
+        measured_for: test_bed.controller.started().elapsed(),
         resident_peak: usage.resident_peak,
         commands: first.commands,
         machine_load: machine_load(),
@@ -153,7 +153,7 @@
         last_command,
         traffic: test_bed.traffic.read().since(traffic),
         processor_time: after.processor_time - usage.processor_time,
-        lasted: began.elapsed(),
+        measured_for: began.elapsed(),
         resident_peak: after.resident_peak,
         commands: relay_requests.iter().map(|request| request.commands.len()).sum(),
         machine_load: machine_load(),
@@ -232,10 +232,10 @@
 /// When the test bed cannot be started or observed, or a collector fails.
 pub fn flood(program: &Path, setup: &Setup, periods: usize) -> Result<FloodCost, MeasureError> {
     let test_bed = TestBed::start(program, setup)?;
-    // Reports on what is not listed yet would be passed over.
+    // Reports on replicas that are not listed yet would be ignored.
     test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
     let schedules = setup.schedules();
-    // Once without being measured: names, windows and buffers are there then.
+    // A first flood without a measurement fills names, windows and buffers.
     collectors::flood(test_bed.controller.address(), &schedules, 1, &test_bed.traffic)?;
     let before = test_bed.controller.usage()?;
     let flooded = collectors::flood(test_bed.controller.address(), &schedules, periods, &test_bed.traffic)?;
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -1,5 +1,6 @@
-//! One real controller process at size, against paced stand-ins on loopback: `test_bed` sets it up, `steady` measures it at
-//! rest, `events` in events, `aggregated` behind real aggregators, `sweep` says which cases are played, `report` turns them into fits, tables and charts.
+//! One real controller process at size, against paced stand-ins on loopback: `test_bed` sets it up, `steady` measures it
+//! in a steady state, `events` in events, `aggregated` behind real aggregators, `sweep` lists the cases, `report` turns
+//! the measurements into fits, tables and charts.
 
 pub mod aggregated;
 mod error;
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -1,8 +1,8 @@
 //! What was measured, as rows, tables with least-squares fits, and charts.
 
-use super::aggregated::Aggregated;
+use super::aggregated::AggregatedMeasurement;
 use super::events::Outcome;
-use super::steady::Steady;
+use super::steady::SteadyMeasurement;
 use super::sweep::Flood;
 use crate::fit::{LinearFit, Point};
 use crate::results::{markdown, Chart, Column, Folder, ResultsError, Series};
@@ -22,7 +22,7 @@
 const MEMORY_BUDGET_MB: f64 = 64.0;
 
 /// One point in a line of progress output.
-pub fn progress_line(point: &Steady) -> String {
+pub fn progress_line(point: &SteadyMeasurement) -> String {
     let size = &point.case.setup.size;
     format!(
         "{}: {} replicas, {} zones, {} slices, {} proxies: {:.1} KB/s in, {:.2} KB/s out, {:.4} cores, {:.1} MB",
@@ -38,9 +38,10 @@
     )
 }
 
-fn columns(points: &[Steady]) -> Vec<Column> {
-    let whole = |name, of: fn(&Steady) -> usize| Column::whole(name, points.iter().map(|p| of(p) as i64));
-    let real = |name, of: fn(&Steady) -> f64| Column::real(name, points.iter().map(of));
+fn columns(points: &[SteadyMeasurement]) -> Vec<Column> {
+    let whole =
+        |name, of: fn(&SteadyMeasurement) -> usize| Column::whole(name, points.iter().map(|p| of(p) as i64));
+    let real = |name, of: fn(&SteadyMeasurement) -> f64| Column::real(name, points.iter().map(of));
     vec![
         Column::text("sweep", points.iter().map(|point| point.case.sweep.to_string())),
         whole("replicas", |p| p.case.setup.size.replicas),
@@ -58,26 +59,26 @@
         real("in_kb_a_second", |p| p.rate(p.traffic.bytes_in()) / KILOBYTE),
         real("out_kb_a_second", |p| p.rate(p.traffic.bytes_out()) / KILOBYTE),
         real("orders_a_second", |p| p.rate(p.commands as u64)),
-        real("cores", Steady::processor_share),
+        real("cores", SteadyMeasurement::processor_share),
         real("resident_mb", |p| p.usage.resident as f64 / MEGABYTE),
         real("peak_mb", |p| p.usage.resident_peak as f64 / MEGABYTE),
         real("ready_ms", |p| p.time_to_ready.as_secs_f64() * 1e3),
-        real("harness_cores", Steady::harness_share),
-        real("measured_s", |p| p.lasted.as_secs_f64()),
+        real("harness_cores", SteadyMeasurement::harness_share),
+        real("measured_s", |p| p.measured_for.as_secs_f64()),
         real("machine_load", |p| p.machine_load),
         real("decoding_us_a_line", |p| p.decoding.map_or(f64::NAN, |took| took.as_secs_f64() * 1e6)),
     ]
 }
 
 /// A name, and its value at a point.
-type Regressor = (&'static str, fn(&Steady) -> f64);
+type Regressor = (&'static str, fn(&SteadyMeasurement) -> f64);
 
 /// A fitted quantity: how it is called, the sweep, its regressors and what is measured.
 struct Quantity {
     name: &'static str,
     sweeps: &'static [&'static str],
     regressors: &'static [Regressor],
-    measured: fn(&Steady) -> f64,
+    measured: fn(&SteadyMeasurement) -> f64,
 }
 
 const LINES: Regressor = ("lines/s", |p| p.rate(p.traffic.reports.lines));
@@ -101,37 +102,37 @@
         name: "processor, cores",
         sweeps: &["size"],
         regressors: &[LINES, REPLICAS],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor, cores, by lines alone",
         sweeps: &["size"],
         regressors: &[LINES],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor without reports, cores",
         sweeps: &["silent"],
         regressors: &[REPLICAS],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by slices, cores",
         sweeps: &["slices"],
         regressors: &[SLICES],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by proxies, cores",
         sweeps: &["proxies"],
         regressors: &[PROXIES],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by churn of the list, cores",
         sweeps: &["churn"],
         regressors: &[CHURN],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "list by churn, bytes/s",
@@ -153,19 +154,22 @@
     },
 ];
 
-fn points_of<'a>(points: &'a [Steady], sweeps: &'a [&str]) -> impl Iterator<Item = &'a Steady> {
+fn points_of<'a>(
+    points: &'a [SteadyMeasurement],
+    sweeps: &'a [&str],
+) -> impl Iterator<Item = &'a SteadyMeasurement> {
     points.iter().filter(move |point| sweeps.contains(&point.case.sweep))
 }
 
-fn fit(points: &[Steady], quantity: &Quantity) -> Option<LinearFit> {
-    let point = |p: &Steady| Point {
+fn fit(points: &[SteadyMeasurement], quantity: &Quantity) -> Option<LinearFit> {
+    let point = |p: &SteadyMeasurement| Point {
         regressors: quantity.regressors.iter().map(|(_, of)| of(p)).collect(),
         measured: (quantity.measured)(p),
     };
     LinearFit::least_squares(&points_of(points, quantity.sweeps).map(point).collect::<Vec<_>>()).ok()
 }
 
-fn fits(points: &[Steady]) -> String {
+fn fits(points: &[SteadyMeasurement]) -> String {
     let mut text = String::from(
         "| quantity | points | fit | R2 | largest residual | residuals, in the order of the rows | range |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n",
@@ -194,12 +198,12 @@
     text
 }
 
-/// Writes rows, table, fits and charts of the cases while idle.
+/// Writes rows, table, fits and charts of the cases in a steady state.
 ///
 /// # Errors
 ///
 /// When a file of the results cannot be written.
-pub fn write_steady(folder: &Folder, points: &[Steady]) -> Result<(), ResultsError> {
+pub fn write_steady(folder: &Folder, points: &[SteadyMeasurement]) -> Result<(), ResultsError> {
     let columns = columns(points);
     folder.write_rows("steady", &columns)?;
     let text =
@@ -207,14 +211,20 @@
     folder.write_text("steady.md", &text)?;
     folder.write_chart(
         "processor",
-        &chart(points, "processor share of one governor", "cores", PROCESSOR_BUDGET, Steady::processor_share),
+        &chart(
+            points,
+            "processor share of one governor",
+            "cores",
+            PROCESSOR_BUDGET,
+            SteadyMeasurement::processor_share,
+        ),
     )?;
-    let bytes = |p: &Steady| p.rate(p.traffic.bytes_in()) / KILOBYTE;
+    let bytes = |p: &SteadyMeasurement| p.rate(p.traffic.bytes_in()) / KILOBYTE;
     folder.write_chart(
         "bytes",
         &chart(points, "bytes told to one governor", "KB/s", BYTES_BUDGET / KILOBYTE, bytes),
     )?;
-    let memory = |p: &Steady| p.usage.resident as f64 / MEGABYTE;
+    let memory = |p: &SteadyMeasurement| p.usage.resident as f64 / MEGABYTE;
     folder.write_chart(
         "memory",
         &chart(points, "memory of one governor", "MB resident", MEMORY_BUDGET_MB, memory),
@@ -223,11 +233,11 @@
 
 /// The sizes measured, a series for each number of zones.
 fn chart(
-    points: &[Steady],
+    points: &[SteadyMeasurement],
     title: &str,
     y_label: &str,
     budget: f64,
-    measured: impl Fn(&Steady) -> f64,
+    measured: impl Fn(&SteadyMeasurement) -> f64,
 ) -> Chart {
     let mut zones: Vec<_> = points_of(points, &["size"]).map(|p| p.case.setup.size.zones).collect();
     zones.sort_unstable();
@@ -273,7 +283,7 @@
         real("calls_kb", |o| o.traffic.relay_requests.bytes as f64 / KILOBYTE),
         Column::whole("orders", outcomes.iter().map(|outcome| outcome.commands as i64)),
         real("processor_ms", |o| o.processor_time.as_secs_f64() * 1e3),
-        real("over_s", |o| o.lasted.as_secs_f64()),
+        real("over_s", |o| o.measured_for.as_secs_f64()),
         real("peak_mb", |o| o.resident_peak as f64 / MEGABYTE),
         real("machine_load", |o| o.machine_load),
     ];
@@ -304,9 +314,11 @@
 /// # Errors
 ///
 /// When a file of the results cannot be written.
-pub fn write_aggregated(folder: &Folder, measured: &[Aggregated]) -> Result<(), ResultsError> {
-    let whole = |name, of: fn(&Aggregated) -> u64| Column::whole(name, measured.iter().map(|m| of(m) as i64));
-    let real = |name, of: fn(&Aggregated) -> f64| Column::real(name, measured.iter().map(of));
+pub fn write_aggregated(folder: &Folder, measured: &[AggregatedMeasurement]) -> Result<(), ResultsError> {
+    let whole = |name, of: fn(&AggregatedMeasurement) -> u64| {
+        Column::whole(name, measured.iter().map(|m| of(m) as i64))
+    };
+    let real = |name, of: fn(&AggregatedMeasurement) -> f64| Column::real(name, measured.iter().map(of));
     let columns = [
         whole("subset", |m| m.subsetting.subset as u64),
         whole("budget", |m| m.subsetting.bytes_per_second),
@@ -315,21 +327,21 @@
         real("lines_a_second", |m| m.rate(m.lines)),
         real("in_kb_a_second", |m| m.rate(m.bytes_in) / KILOBYTE),
         real("out_kb_a_second", |m| m.rate(m.bytes_out) / KILOBYTE),
-        real("cores", Aggregated::processor_share),
+        real("cores", AggregatedMeasurement::processor_share),
         real("resident_mb", |m| m.usage.resident as f64 / MEGABYTE),
         real("peak_mb", |m| m.usage.resident_peak as f64 / MEGABYTE),
         real("ready_ms", |m| m.time_to_ready.as_secs_f64() * 1e3),
         real("first_report_s", |m| m.first_report.map_or(f64::NAN, |took| took.as_secs_f64())),
-        real("aggregator_cores", Aggregated::aggregator_share),
+        real("aggregator_cores", AggregatedMeasurement::aggregator_share),
         real("aggregator_peak_mb", |m| m.aggregator_peak() as f64 / MEGABYTE),
         real("told_to_aggregators_kb_a_second", |m| m.rate(m.sent_to_aggregators) / KILOBYTE),
-        real("measured_s", |m| m.lasted.as_secs_f64()),
+        real("measured_s", |m| m.measured_for.as_secs_f64()),
         real("machine_load", |m| m.machine_load),
     ];
     folder.write_rows("aggregated", &columns)?;
     let fits: Vec<String> = [
         fit_subset("bytes/s", measured, |m| m.rate(m.bytes_in)),
-        fit_subset("cores", measured, Aggregated::processor_share),
+        fit_subset("cores", measured, AggregatedMeasurement::processor_share),
         fit_subset("bytes of memory", measured, |m| m.usage.resident_peak as f64),
     ]
     .into_iter()
@@ -345,8 +357,13 @@
 }
 
 /// A quantity by the size of the subset.
-fn fit_subset(name: &str, measured: &[Aggregated], of: fn(&Aggregated) -> f64) -> Option<String> {
-    let point = |m: &Aggregated| Point { regressors: vec![m.subsetting.subset as f64], measured: of(m) };
+fn fit_subset(
+    name: &str,
+    measured: &[AggregatedMeasurement],
+    of: fn(&AggregatedMeasurement) -> f64,
+) -> Option<String> {
+    let point =
+        |m: &AggregatedMeasurement| Point { regressors: vec![m.subsetting.subset as f64], measured: of(m) };
     let fit = LinearFit::least_squares(&measured.iter().map(point).collect::<Vec<_>>()).ok()?;
     let residuals: Vec<_> = fit.residuals.iter().map(|residual| format!("{residual:.2e}")).collect();
     Some(format!(
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -1,4 +1,4 @@
-//! One controller while idle: what it uses while the stand-ins go on at their pace.
+//! One controller in a steady state: what it uses while the stand-ins send at a constant pace.
 
 use super::error::MeasureError;
 use super::test_bed::{Setup, TestBed};
@@ -21,7 +21,7 @@
     pub churn: f64,
 }
 
-/// For how long a case is played.
+/// Durations of the phases of a case.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// Before the measurement, until windows and tables have filled.
@@ -30,24 +30,24 @@
     pub measured: Duration,
 }
 
-/// What a case came to.
+/// The measurement of a case.
 #[derive(Clone, Debug)]
-pub struct Steady {
+pub struct SteadyMeasurement {
     /// The case.
     pub case: Case,
     /// From the controller's start to its first PONG.
     pub time_to_ready: Duration,
     /// For how long it was measured.
-    pub lasted: Duration,
-    /// What went over its connections meanwhile.
+    pub measured_for: Duration,
+    /// What went over its connections during the measurement.
     pub traffic: TrafficCount,
-    /// Its CPU time meanwhile.
+    /// Its CPU time during the measurement.
     pub processor_time: Duration,
     /// Its memory at the end, and the most so far.
     pub usage: Usage,
-    /// CPU time of the harness meanwhile.
+    /// CPU time of the harness during the measurement.
     pub harness: Duration,
-    /// Orders that the controller made meanwhile.
+    /// Commands that the controller sent during the measurement.
     pub commands: usize,
     /// Average number of runnable processes on the machine in the last minute.
     pub machine_load: f64,
@@ -55,20 +55,20 @@
     pub decoding: Option<Duration>,
 }
 
-impl Steady {
+impl SteadyMeasurement {
     /// The part of one core that the controller used.
     pub fn processor_share(&self) -> f64 {
-        self.processor_time.as_secs_f64() / self.lasted.as_secs_f64()
+        self.processor_time.as_secs_f64() / self.measured_for.as_secs_f64()
     }
 
     /// The part of one core that the harness used.
     pub fn harness_share(&self) -> f64 {
-        self.harness.as_secs_f64() / self.lasted.as_secs_f64()
+        self.harness.as_secs_f64() / self.measured_for.as_secs_f64()
     }
 
     /// A count as a rate a second.
     pub fn rate(&self, count: u64) -> f64 {
-        count as f64 / self.lasted.as_secs_f64()
+        count as f64 / self.measured_for.as_secs_f64()
     }
 }
 
@@ -77,7 +77,7 @@
 /// # Errors
 ///
 /// When the test bed cannot be started or observed.
-pub fn measure(program: &Path, case: &Case, times: Times) -> Result<Steady, MeasureError> {
+pub fn measure(program: &Path, case: &Case, times: Times) -> Result<SteadyMeasurement, MeasureError> {
     let mut test_bed = TestBed::start(program, &case.setup)?;
     test_bed.start_collectors(&case.setup)?;
     thread::sleep(times.warm_up);
@@ -85,16 +85,16 @@
     let (usage, harness) = (test_bed.controller.usage()?, Usage::of_self()?);
     let (traffic, began) = (test_bed.traffic.read(), Instant::now());
     churn(&test_bed, case, began + times.measured);
-    let lasted = began.elapsed();
+    let measured_for = began.elapsed();
     let (usage_after, harness_after) = (test_bed.controller.usage()?, Usage::of_self()?);
-    Ok(Steady {
+    Ok(SteadyMeasurement {
         case: case.clone(),
         time_to_ready: test_bed.time_to_ready,
-        lasted,
+        measured_for,
         traffic: test_bed.traffic.read().since(traffic),
         processor_time: usage_after.processor_time - usage.processor_time,
         usage: usage_after,
-        // Threads of the harness that ended meanwhile took their time with them.
+        // The CPU time of harness threads that ended in between is no longer counted.
         harness: harness_after.processor_time.saturating_sub(harness.processor_time),
         commands: test_bed.relay.take_requests().iter().map(|request| request.commands.len()).sum(),
         machine_load: machine_load(),
@@ -130,7 +130,7 @@
     Some(took / decoded.max(1) as u32)
 }
 
-/// The machine's load average over one minute, to be said beside each figure.
+/// The machine's load average over one minute; not a number where the kernel does not offer it.
 pub fn machine_load() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().next().and_then(|load| load.parse().ok()).unwrap_or(f64::NAN)
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -1,4 +1,4 @@
-//! Which cases are played in full.
+//! The cases, events and floods of a complete run.
 
 use super::error::MeasureError;
 use super::events::{self, Event, FloodCost, Outcome};
@@ -29,7 +29,8 @@
     Case { sweep, setup: Setup::reported(size), churn: 0.0 }
 }
 
-/// The cases while idle: the target's size and an eighth of it, replicas by zones, then from the target's size each other dimension by itself.
+/// The cases without an event: the target's size and an eighth of it, replicas by zones, then from the target's size
+/// each other dimension by itself.
 pub fn steady_cases() -> Vec<Case> {
     let target = FleetSize::target();
     let sizes = ZONES.iter().flat_map(|zones| REPLICAS.iter().map(move |replicas| (*zones, *replicas)));
@@ -69,7 +70,7 @@
     summed
 }
 
-/// Starts at each size, then the events at the target's.
+/// Plays starts at each size, then the events at the target's size.
 ///
 /// # Errors
 ///
@@ -110,7 +111,7 @@
     Ok(outcomes)
 }
 
-/// What a flood came to.
+/// The result of a flood.
 #[derive(Clone, Debug)]
 pub struct Flood {
     /// What was flooded.
--- a/crates/scale-tests/src/one/test_bed.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -55,7 +55,7 @@
 
 /// A running controller with its stand-ins; all end when it is dropped.
 pub struct TestBed {
-    /// What the collectors say; declared first, so that they end before the controller does.
+    /// The collectors; declared first, so that they end before the controller does.
     pub collectors: Option<Collectors>,
     /// The controller.
     pub controller: Controller,
@@ -70,7 +70,7 @@
 }
 
 impl TestBed {
-    /// Starts the stand-ins, then the controller, and pings it; collectors are not there yet.
+    /// Starts the stand-ins, then the controller, and pings it; the collectors are not started yet.
     ///
     /// # Errors
     ///
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -11,9 +11,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than a start takes, also on a busy machine.
+/// Longest time for a start, with a wide margin for a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// A controller that reads its input answers a PING far sooner.
+/// Longest time for the answer to a PING, with the same margin.
 const PING_TIMEOUT: Duration = Duration::from_secs(30);
 /// The package of the controller, and its program.
 const CONTROLLER: &str = "whinwall-controller";
@@ -142,7 +142,7 @@
     }
 }
 
-/// The time on a processor of all threads that are alive.
+/// The CPU time of all threads that are alive.
 fn processor_time_from_scheduler(id: u32) -> Option<Duration> {
     let threads = std::fs::read_dir(format!("/proc/{id}/task")).ok()?;
     let mut total = Duration::ZERO;
@@ -154,7 +154,7 @@
     (!total.is_zero()).then_some(total)
 }
 
-/// The time on a processor of the calling thread so far, where the kernel offers it in nanoseconds.
+/// The CPU time of the calling thread so far, where the kernel offers it in nanoseconds.
 pub fn current_thread_processor_time() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     Some(Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?))
@@ -260,7 +260,7 @@
         std::iter::from_fn(next).any(|line| line.contains(text))
     }
 
-    /// Has it read its files again (SIGHUP).
+    /// Makes it reload its files (SIGHUP).
     ///
     /// # Errors
     ///
@@ -291,7 +291,7 @@
     ///
     /// # Errors
     ///
-    /// When the program cannot be started.
+    /// When its files cannot be written, the program cannot be started, or it does not listen in time.
     pub fn start(launch: &Launch) -> Result<Controller, ProcessError> {
         let folder = tempfile::tempdir().map_err(io_error("temporary folder"))?;
         let mut configuration = launch.configuration.clone();
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -13,7 +13,7 @@
 
 /// Periods generated in advance; a collector sends them in rotation, so that sending costs the harness little.
 const GENERATED_PERIODS: u64 = 4;
-/// How often a waiting collector looks whether it is to stop.
+/// Time between two checks of a waiting collector whether it is to stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A block of lines, ready to be written.
@@ -51,7 +51,7 @@
 }
 
 impl ReportSchedule {
-    /// A zone's collector that reports the shape once each period, in so many writes.
+    /// A zone's collector that reports the shape once each period, in `writes` writes.
     pub fn for_zone(size: &FleetSize, shape: &ReportShape, zone: usize, writes: usize) -> Self {
         let period = Duration::from_secs_f64(shape.window_ms / 1000.0);
         let generate = |period_index: u64| {
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// When a connection to the controller fails; those that were made before are closed.
+    /// When a connection to the controller fails; collectors that were started before send on until theirs ends.
     pub fn start(
         controller: SocketAddr,
         schedules: Vec<ReportSchedule>,
--- a/crates/scale-tests/src/stand_ins/counting_proxy.rs
+++ b/crates/scale-tests/src/stand_ins/counting_proxy.rs
@@ -50,7 +50,7 @@
         self.server.address
     }
 
-    /// Where connections lead from now on.
+    /// Sets the address that new connections are forwarded to.
     pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(target);
     }
--- a/crates/scale-tests/src/stand_ins/discovery.rs
+++ b/crates/scale-tests/src/stand_ins/discovery.rs
@@ -19,7 +19,7 @@
     changed_in_version: u64,
 }
 
-/// What a new version of the list is sent to open watches as.
+/// How a new version of the list is sent to open watches.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Delivery {
     Changes,
--- a/crates/scale-tests/src/stand_ins/fleet.rs
+++ b/crates/scale-tests/src/stand_ins/fleet.rs
@@ -12,7 +12,7 @@
 /// The mean number of requests in flight in a report line.
 const MEAN_IN_FLIGHT: f64 = 4.0;
 
-/// A replica's state of life in the list.
+/// A replica's lifecycle state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
     /// It takes requests.
@@ -37,7 +37,7 @@
 /// What the list says of one replica, beside its constant fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryState {
-    /// Its state of life.
+    /// Its lifecycle state.
     pub state: ReplicaState,
     /// When it was started last, in Unix milliseconds; 0 for long ago.
     pub started_ms: u64,
@@ -152,7 +152,7 @@
         (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A whole number near the mean, between nothing and twice of it.
+    /// A whole number near the mean, from 0 to twice the mean.
     fn integer_near(&mut self, mean: f64) -> u64 {
         (mean * 2.0 * self.uniform()).round() as u64
     }
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -52,7 +52,7 @@
         text
     }
 
-    /// Carries out one command; false where it can't be read.
+    /// Applies one command; false where it is invalid.
     fn apply_command(&mut self, command: &str) -> bool {
         match command.split(',').collect::<Vec<_>>()[..] {
             ["SET", slice, replica, weight] => {
@@ -199,7 +199,7 @@
     }
 }
 
-/// Carries out commands up to the first that can't be read; the answer says how many.
+/// Applies commands up to the first invalid one; the response says how many.
 fn apply(commands: &str, shared: &Shared, traffic: &Traffic, sender: &Sender<RelayRequest>) -> String {
     let commands: Vec<String> = commands.split(';').map(String::from).collect();
     let mut state = shared.lock();
--- a/crates/scale-tests/src/stand_ins/traffic.rs
+++ b/crates/scale-tests/src/stand_ins/traffic.rs
@@ -43,7 +43,7 @@
 pub struct Traffic {
     /// From collectors: reports on replicas and slices.
     pub reports: Counter,
-    /// From the relay: relay events.
+    /// From the relay: the lines of its watch.
     pub relay_events: Counter,
     /// From the relay: answers to relay requests.
     pub relay_responses: Counter,
@@ -60,13 +60,13 @@
 pub struct TrafficCount {
     /// From collectors.
     pub reports: Count,
-    /// News.
+    /// Events of the relay.
     pub relay_events: Count,
     /// Answers to relay requests.
     pub relay_responses: Count,
     /// The list and its changes.
     pub endpoint_list: Count,
-    /// Calls.
+    /// Requests to the relay.
     pub relay_requests: Count,
     /// Requests to discovery.
     pub discovery_requests: Count,
@@ -99,12 +99,12 @@
         }
     }
 
-    /// All that came to the controller.
+    /// Bytes that were sent to the controller on all channels.
     pub fn bytes_in(&self) -> u64 {
         self.reports.bytes + self.relay_events.bytes + self.relay_responses.bytes + self.endpoint_list.bytes
     }
 
-    /// All that the controller sent.
+    /// Bytes that the controller sent on all channels.
     pub fn bytes_out(&self) -> u64 {
         self.relay_requests.bytes + self.discovery_requests.bytes
     }
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -99,7 +99,7 @@
     let played = events::play(program(), &setup(40, 2), &[Event::Drain(1), Event::FullList], SHORT).unwrap();
     for outcome in &played {
         let (first, last) = (outcome.first_command.unwrap(), outcome.last_command.unwrap());
-        assert!(first <= outcome.lasted && last <= outcome.lasted, "{outcome:?}");
+        assert!(first <= outcome.measured_for && last <= outcome.measured_for, "{outcome:?}");
         assert!(outcome.commands > 0 && outcome.traffic.endpoint_list.bytes > 0, "{outcome:?}");
     }
     // The second received all entries, the first one of them.
@@ -131,7 +131,7 @@
         .map(|setup| steady::measure(program(), &case(setup), SHORT).unwrap())
         .collect();
     for point in &points {
-        assert!(point.lasted >= SHORT.measured && point.usage.resident < MEMORY_BOUND, "{point:?}");
+        assert!(point.measured_for >= SHORT.measured && point.usage.resident < MEMORY_BOUND, "{point:?}");
     }
     report::write_steady(&Folder::create(folder.path()).unwrap(), &points).unwrap();
     let table = std::fs::read_to_string(folder.path().join("steady.md")).unwrap();
