--- a/crates/scale-tests/src/many/report.rs
+++ b/crates/scale-tests/src/many/report.rs
@@ -2,7 +2,7 @@
 
 use super::events::{Costs, Outcome, Results};
 use super::plan::{ControllerId, Plan};
-use super::tracker::{SentBytes, Traffic};
+use super::tracker::{EventProgress, SentBytes, Traffic};
 use hdrhistogram::Histogram;
 use std::fmt::Write;
 use std::time::Duration;
@@ -57,19 +57,10 @@
     writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")?;
     for outcome in outcomes {
         let progress = &outcome.progress;
-        let is_real = |controller: &ControllerId| plan.is_real(*controller);
-        let of_kind = |real: bool| {
-            let times = progress.times.iter().filter(move |(controller, _)| is_real(controller) == real);
-            let missing =
-                progress.missing.keys().filter(move |controller| is_real(controller) == real).count();
-            (times.map(|(_, time)| *time).collect::<Vec<_>>(), missing)
-        };
         let (event, caused) = (outcome.event, milliseconds(outcome.trigger_time));
-        let (times, missing) = of_kind(true);
-        let row = times_row(&times, missing);
+        let row = times_row(progress, |controller| plan.is_real(controller));
         writeln!(text, "| {event} | processes | {row} | {caused:.1} | - | - | - |")?;
-        let (times, missing) = of_kind(false);
-        let row = times_row(&times, missing);
+        let row = times_row(progress, |controller| !plan.is_real(controller));
         let processor_time: Vec<_> = progress.processor_time.values().copied().collect();
         let [median, high, last] = percentiles(&processor_time).map(milliseconds);
         writeln!(text, "| {event} | in-process | {row} | - | {median:.1} | {high:.1} | {last:.1} |")?;
@@ -77,9 +68,12 @@
     writeln!(text)
 }
 
-/// How many were done, and when.
-fn times_row(times: &[Duration], missing: usize) -> String {
-    let [median, high, last] = percentiles(times).map(milliseconds);
+/// How many of the selected controllers have completed the event, and when.
+fn times_row(progress: &EventProgress, is_selected: impl Fn(ControllerId) -> bool) -> String {
+    let completed = progress.times.iter().filter(|(controller, _)| is_selected(**controller));
+    let times: Vec<_> = completed.map(|(_, time)| *time).collect();
+    let missing = progress.missing.keys().filter(|controller| is_selected(**controller)).count();
+    let [median, high, last] = percentiles(&times).map(milliseconds);
     format!("{} of {} | {median:.1} | {high:.1} | {last:.1}", times.len(), times.len() + missing)
 }
 
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -162,9 +162,9 @@
 }
 
 fn fit(points: &[SteadyMeasurement], quantity: &Quantity) -> Option<LinearFit> {
-    let point = |p: &SteadyMeasurement| Point {
-        regressors: quantity.regressors.iter().map(|(_, of)| of(p)).collect(),
-        measured: (quantity.measured)(p),
+    let point = |measurement: &SteadyMeasurement| Point {
+        regressors: quantity.regressors.iter().map(|(_, value_of)| value_of(measurement)).collect(),
+        measured: (quantity.measured)(measurement),
     };
     LinearFit::least_squares(&points_of(points, quantity.sweeps).map(point).collect::<Vec<_>>()).ok()
 }
--- a/crates/scale-tests/tests/many.rs
+++ b/crates/scale-tests/tests/many.rs
@@ -1,5 +1,5 @@
-//! A few controller processes beside some tens of in-process ones: every event comes to its end at all of them. Times
-//! are measured and printed, and not judged.
+//! A few controller processes beside some tens of simulated ones: every event completes at all of them. Times are
+//! measured and printed, and not judged.
 
 use std::time::Duration;
 use whinwall_scale_tests::many::{find_program, play, table, Plan, Results, Traffic};
@@ -25,7 +25,7 @@
     }
 }
 
-fn came(results: &Results, event: &str) -> usize {
+fn completed_count(results: &Results, event: &str) -> usize {
     let outcome = results.outcomes.iter().find(|outcome| outcome.event == event);
     outcome.unwrap_or_else(|| panic!("no event {event:?}")).progress.times.len()
 }
@@ -38,14 +38,14 @@
     for outcome in &results.outcomes {
         assert!(outcome.progress.missing.is_empty(), "{}: {:?}", outcome.event, outcome.progress.missing);
     }
-    assert_eq!(came(&results, "all start together"), 30);
-    assert_eq!(came(&results, "configuration change"), 30);
-    assert_eq!(came(&results, "replica drained"), 30);
+    assert_eq!(completed_count(&results, "all start together"), 30);
+    assert_eq!(completed_count(&results, "configuration change"), 30);
+    assert_eq!(completed_count(&results, "replica drained"), 30);
     // All but numbers 0, 10 and 20.
-    assert_eq!(came(&results, "nine in ten restarted"), 27);
-    assert_eq!(came(&results, "region cut off: noticed"), 10);
-    assert_eq!(came(&results, "replica drained meanwhile: other regions"), 20);
-    assert_eq!(came(&results, "region back: all agree"), 10);
+    assert_eq!(completed_count(&results, "nine in ten restarted"), 27);
+    assert_eq!(completed_count(&results, "region cut off: noticed"), 10);
+    assert_eq!(completed_count(&results, "replica drained meanwhile: other regions"), 20);
+    assert_eq!(completed_count(&results, "region back: all agree"), 10);
     let started = &results.outcomes[0].progress;
     let [real, simulated] =
         [&started.real, &started.simulated].map(|sent_bytes| sent_bytes.bytes(Traffic::List) as usize);
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins by themselves: what they say is what the protocol gives, and what they count is what was said.
+//! The stand-ins by themselves: what they send follows the protocol, and what they count is what was sent.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -80,9 +80,9 @@
     let (size, traffic) = (small(), Arc::new(Traffic::default()));
     let relay = Relay::start(&size, &traffic).unwrap();
     let mut watcher = Peer::connect(relay.address(), "WATCH\r\n");
-    let stands: Vec<String> = (0..1 + size.proxies + 2 * size.slices + 1).map(|_| watcher.line()).collect();
-    assert!(stands.iter().all(|line| relay_protocol::decode_event(line).is_ok()), "{stands:?}");
-    assert_eq!(stands.iter().filter(|line| line.starts_with("* ROW")).count(), size.slices);
+    let snapshot: Vec<String> = (0..1 + size.proxies + 2 * size.slices + 1).map(|_| watcher.line()).collect();
+    assert!(snapshot.iter().all(|line| relay_protocol::decode_event(line).is_ok()), "{snapshot:?}");
+    assert_eq!(snapshot.iter().filter(|line| line.starts_with("* ROW")).count(), size.slices);
 
     let mut client =
         Peer::connect(relay.address(), "APPLY SET,1,s-new,2;SYNC,9,1;NONSENSE;SET,2,s-new,2\r\n");
@@ -96,7 +96,7 @@
         acks += usize::from(watcher.line().starts_with("* ACK "));
     }
     assert_eq!(traffic.read().relay_responses.bytes, client.read as u64);
-    // Signs of life may follow what was read here.
+    // Keep-alives may follow what was read here.
     assert!(traffic.read().relay_events.bytes >= watcher.read as u64);
 }
 
