--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -1,4 +1,5 @@
-//! What an event waits for at each controller, when it was reached, and what was asked for meanwhile.
+//! Progress of an event: which conditions each controller still has to reach, when it had reached all, and how much
+//! was sent to it meanwhile.
 
 use super::plan::ControllerId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,24 +7,24 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Demand is summed over periods of this length; the highest sum is the peak.
-const BIN: Duration = Duration::from_millis(100);
+/// Sent bytes are summed over periods of this length; the highest sum is the peak.
+const BIN_LENGTH: Duration = Duration::from_millis(100);
 
-/// Something that a controller has come to.
+/// A condition that a controller reaches in the course of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
     /// It has answered a ping since its start.
-    Ponged,
-    /// The news that stands was told to it by the relay of this site.
-    NewsFrom(Site),
-    /// The list was told to it by the discovery of this site.
+    PingAnswered,
+    /// The relay of this site has sent it a snapshot.
+    RelaySnapshotFrom(Site),
+    /// The discovery of this site has sent it the list.
     ListFrom(Site),
-    /// It was told this version of the list, or a newer one.
+    /// It has received this version of the list, or a newer one.
     ListVersion(u64),
-    /// It has ordered that its proxies leave the drained replica.
+    /// It has withdrawn the drained replica from its proxies.
     Withdrawn,
-    /// It has noticed that it is cut off, and tries again.
-    CutNoticed,
+    /// It has noticed that it is partitioned from the network, and retries.
+    PartitionDetected,
 }
 
 /// Where relay and discovery of a controller are: before and after a change of the configuration.
@@ -40,7 +41,7 @@
 pub enum Traffic {
     /// Discovery's lists.
     List,
-    /// The relay's news.
+    /// The relay's events.
     RelayEvent,
     /// The collectors' reports.
     Reports,
@@ -48,140 +49,146 @@
 
 /// What was sent during an event.
 #[derive(Clone, Debug, Default)]
-pub struct Demand {
+pub struct SentBytes {
     bins: BTreeMap<(Traffic, u128), u64>,
 }
 
-impl Demand {
+impl SentBytes {
     /// All bytes of this kind.
     pub fn bytes(&self, traffic: Traffic) -> u64 {
-        self.of(traffic).sum()
+        self.bins_of(traffic).sum()
     }
 
-    /// The highest rate of this kind, in bytes a second.
-    pub fn peak(&self, traffic: Traffic) -> f64 {
-        self.of(traffic).max().unwrap_or(0) as f64 / BIN.as_secs_f64()
+    /// The highest rate of this kind over one bin, in bytes a second.
+    pub fn peak_bytes_per_second(&self, traffic: Traffic) -> f64 {
+        self.bins_of(traffic).max().unwrap_or(0) as f64 / BIN_LENGTH.as_secs_f64()
     }
 
-    fn of(&self, traffic: Traffic) -> impl Iterator<Item = u64> + '_ {
+    fn bins_of(&self, traffic: Traffic) -> impl Iterator<Item = u64> + '_ {
         self.bins.iter().filter(move |((kind, _), _)| *kind == traffic).map(|(_, bytes)| *bytes)
     }
 }
 
-/// What came of an event.
+/// How far the controllers have come in an event.
 #[derive(Clone, Debug, Default)]
-pub struct Reached {
-    /// From the event's beginning until a controller had come to all that was waited for.
+pub struct EventProgress {
+    /// From the event's beginning until a controller had reached all its conditions.
     pub times: BTreeMap<ControllerId, Duration>,
-    /// Processor time that it took an in-process controller, from when the event came to it.
-    pub processor: BTreeMap<ControllerId, Duration>,
-    /// Who had not by the end.
+    /// CPU time that it took a simulated controller, from when the event reached it.
+    pub processor_time: BTreeMap<ControllerId, Duration>,
+    /// The conditions that controllers have not reached yet.
     pub missing: BTreeMap<ControllerId, BTreeSet<Condition>>,
     /// What was sent meanwhile, to the real processes and to the others.
-    pub real: Demand,
-    /// The same for the in-process controllers.
-    pub hollow: Demand,
+    pub real: SentBytes,
+    /// The same for the simulated controllers.
+    pub simulated: SentBytes,
 }
 
-struct Phase {
+struct CurrentEvent {
     began: Instant,
     drained: Option<String>,
-    reached: Reached,
+    progress: EventProgress,
 }
 
-/// Shared by all stand-ins: they say what was reached, and whoever runs the event waits for it.
+/// Shared by all stand-ins: they record what was reached, and the task that plays the event waits for it.
 pub struct Tracker {
     real: usize,
-    made: Instant,
-    phase: Mutex<Phase>,
+    created: Instant,
+    current_event: Mutex<CurrentEvent>,
     done: Notify,
 }
 
 impl Tracker {
     /// The first `real` controllers are processes.
     pub fn new(real: usize) -> Self {
-        let phase = Phase { began: Instant::now(), drained: None, reached: Reached::default() };
-        Tracker { real, made: Instant::now(), phase: Mutex::new(phase), done: Notify::new() }
+        let current_event =
+            CurrentEvent { began: Instant::now(), drained: None, progress: EventProgress::default() };
+        Tracker {
+            real,
+            created: Instant::now(),
+            current_event: Mutex::new(current_event),
+            done: Notify::new(),
+        }
     }
 
-    /// Time since it was made.
+    /// Time since it was created.
     pub fn age(&self) -> Duration {
-        self.made.elapsed()
+        self.created.elapsed()
     }
 
-    fn phase(&self) -> MutexGuard<'_, Phase> {
-        self.phase.lock().unwrap_or_else(PoisonError::into_inner)
+    fn current_event(&self) -> MutexGuard<'_, CurrentEvent> {
+        self.current_event.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An event begins now; each of these controllers is to come to all of these conditions.
-    pub fn begin(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
-        let waited: BTreeSet<_> = conditions.iter().copied().collect();
-        let missing = controllers.into_iter().map(|controller| (controller, waited.clone())).collect();
-        let mut phase = self.phase();
-        phase.reached = Reached { missing, ..Reached::default() };
-        phase.began = Instant::now();
+    /// Begins an event: each of these controllers is to reach all of these conditions.
+    pub fn begin_event(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
+        let awaited: BTreeSet<_> = conditions.iter().copied().collect();
+        let missing = controllers.into_iter().map(|controller| (controller, awaited.clone())).collect();
+        let mut current_event = self.current_event();
+        current_event.progress = EventProgress { missing, ..EventProgress::default() };
+        current_event.began = Instant::now();
     }
 
-    /// From now on this replica is to be left.
-    pub fn drain(&self, replica: String) {
-        self.phase().drained = Some(replica);
+    /// Sets the replica that controllers are to withdraw.
+    pub fn set_drained_replica(&self, replica: String) {
+        self.current_event().drained = Some(replica);
     }
 
-    /// The replica that is to be left.
-    pub fn drained(&self) -> Option<String> {
-        self.phase().drained.clone()
+    /// The replica that controllers are to withdraw.
+    pub fn drained_replica(&self) -> Option<String> {
+        self.current_event().drained.clone()
     }
 
-    /// A controller has come to this; true where the event waits for it no longer.
-    pub fn reached(&self, controller: ControllerId, condition: Condition) -> bool {
-        let mut phase = self.phase();
-        let took = phase.began.elapsed();
-        let Some(waited) = phase.reached.missing.get_mut(&controller) else { return false };
-        waited.retain(|waited| match (*waited, condition) {
-            (Condition::ListVersion(waited), Condition::ListVersion(told)) => told < waited,
-            (waited, condition) => waited != condition,
+    /// Records that a controller has reached a condition; true where it was the last one of that controller.
+    pub fn record_condition(&self, controller: ControllerId, condition: Condition) -> bool {
+        let mut current_event = self.current_event();
+        let took = current_event.began.elapsed();
+        let Some(awaited) = current_event.progress.missing.get_mut(&controller) else { return false };
+        awaited.retain(|awaited| match (*awaited, condition) {
+            (Condition::ListVersion(awaited), Condition::ListVersion(version)) => version < awaited,
+            (awaited, condition) => awaited != condition,
         });
-        if waited.is_empty() {
-            phase.reached.missing.remove(&controller);
-            phase.reached.times.insert(controller, took);
+        if awaited.is_empty() {
+            current_event.progress.missing.remove(&controller);
+            current_event.progress.times.insert(controller, took);
             self.done.notify_one();
             return true;
         }
         false
     }
 
-    /// The event has cost an in-process controller so much processor time.
-    pub fn spent(&self, controller: ControllerId, processor: Duration) {
-        self.phase().reached.processor.insert(controller, processor);
+    /// Records the CPU time that the event has cost a simulated controller.
+    pub fn record_processor_time(&self, controller: ControllerId, processor_time: Duration) {
+        self.current_event().progress.processor_time.insert(controller, processor_time);
     }
 
     /// Whether the event waits for this controller yet.
-    pub fn waits_for(&self, controller: ControllerId) -> bool {
-        self.phase().reached.missing.contains_key(&controller)
+    pub fn is_waiting_for(&self, controller: ControllerId) -> bool {
+        self.current_event().progress.missing.contains_key(&controller)
     }
 
-    /// Whether an event goes on: some controller has not come to its end.
-    pub fn in_event(&self) -> bool {
-        !self.phase().reached.missing.is_empty()
+    /// Whether some controller has not completed the event yet.
+    pub fn is_event_in_progress(&self) -> bool {
+        !self.current_event().progress.missing.is_empty()
     }
 
-    /// A controller was sent so much.
-    pub fn sent(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
-        let mut phase = self.phase();
-        let bin = phase.began.elapsed().as_nanos() / BIN.as_nanos();
-        let reached = &mut phase.reached;
-        let demand = if controller < self.real { &mut reached.real } else { &mut reached.hollow };
-        *demand.bins.entry((traffic, bin)).or_default() += bytes as u64;
+    /// Counts bytes that were sent to a controller.
+    pub fn add_sent_bytes(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
+        let mut current_event = self.current_event();
+        let bin = current_event.began.elapsed().as_nanos() / BIN_LENGTH.as_nanos();
+        let progress = &mut current_event.progress;
+        let sent_bytes = if controller < self.real { &mut progress.real } else { &mut progress.simulated };
+        *sent_bytes.bins.entry((traffic, bin)).or_default() += bytes as u64;
     }
 
-    /// Waits until all have come to all, no longer than `patience`, and says how it went.
-    pub async fn wait(&self, patience: Duration) -> Reached {
-        let end = tokio::time::Instant::now() + patience;
-        while !self.phase().reached.missing.is_empty() {
+    /// Waits until all controllers have reached all conditions, at most for `event_timeout`, and returns the progress.
+    pub async fn wait_for_completion(&self, event_timeout: Duration) -> EventProgress {
+        let end = tokio::time::Instant::now() + event_timeout;
+        while !self.current_event().progress.missing.is_empty() {
             if tokio::time::timeout_at(end, self.done.notified()).await.is_err() {
                 break;
             }
         }
-        self.phase().reached.clone()
+        self.current_event().progress.clone()
     }
 }
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -1,21 +1,25 @@
-//! One real governor process at size, against paced stand-ins on loopback: `rig` sets it up, `steady` measures it at
-//! rest, `events` in events, `aggregated` behind real aggregators, `sweep` says which cases are played, `report` turns them into fits, tables and charts.
+//! One real controller process at size, against paced stand-ins on loopback: `test_bed` sets it up, `steady` measures it
+//! in a steady state, `events` in events, `aggregated` behind real aggregators, `sweep` lists the cases, `report` turns
+//! the measurements into fits, tables and charts.
 
 pub mod aggregated;
+mod error;
 pub mod events;
 pub mod report;
-pub mod rig;
 pub mod steady;
 pub mod sweep;
+pub mod test_bed;
 
-use crate::process::{controller_program, ProcessError};
-use crate::results::{Folder, ResultsError};
+pub use error::MeasureError;
+
+use crate::process::controller_program;
+use crate::results::Folder;
 use crate::stand_ins::fleet::FleetSize;
 use aggregated::Subsetting;
-use rig::Setup;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use steady::Times;
+use test_bed::Setup;
 
 /// Arguments of the subcommand.
 #[derive(Clone, Debug, clap::Args)]
@@ -52,21 +56,11 @@
     pub only: Vec<String>,
 }
 
-/// Why a measurement failed.
-#[derive(Debug, thiserror::Error)]
-pub enum MeasureError {
-    /// A process could not be started or observed.
-    #[error(transparent)]
-    Process(#[from] ProcessError),
-    /// A stand-in could not be started, or a connection failed.
-    #[error("a stand-in: {0}")]
-    StandIn(#[from] std::io::Error),
-    /// Results could not be written.
-    #[error(transparent)]
-    Results(#[from] ResultsError),
-}
-
 /// Plays all sweeps and writes what came of them.
+///
+/// # Errors
+///
+/// When a program cannot be found, a measurement fails or a file cannot be written.
 pub fn run(args: Args) -> Result<(), MeasureError> {
     let program = args.program.clone().map_or_else(controller_program, Ok)?;
     let folder = Folder::create(&args.out)?;
@@ -79,7 +73,7 @@
     let cases: Vec<_> = sweep::steady_cases().into_iter().filter(|case| wanted(case.sweep)).collect();
     for case in (0..args.plays).flat_map(|_| &cases) {
         let point = steady::measure(&program, case, times)?;
-        eprintln!("{}", report::line(&point));
+        eprintln!("{}", report::progress_line(&point));
         points.push(point);
         report::write_steady(&folder, &points)?;
     }
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -1,22 +1,28 @@
 //! What was measured, as rows, tables with least-squares fits, and charts.
 
-use super::aggregated::Aggregated;
+use super::aggregated::AggregatedMeasurement;
 use super::events::Outcome;
-use super::steady::Steady;
+use super::steady::SteadyMeasurement;
 use super::sweep::Flood;
 use crate::fit::{LinearFit, Point};
 use crate::results::{markdown, Chart, Column, Folder, ResultsError, Series};
 use std::fmt::Write;
 use std::time::Duration;
 
+/// Bytes in a kilobyte, as the tables count them.
 const KILOBYTE: f64 = 1000.0;
+/// Bytes in a megabyte, as the tables count them.
 const MEGABYTE: f64 = 1e6;
-/// What the target allows a controller for control.
+/// The target's budget for one controller, in cores.
 const PROCESSOR_BUDGET: f64 = 0.029;
+/// The target's budget for reports to one controller, in bytes a second.
 const BYTES_BUDGET: f64 = 27.0 * KILOBYTE;
 
-/// One point in a line, for whoever waits.
-pub fn line(point: &Steady) -> String {
+/// The target's budget for one controller, in megabytes.
+const MEMORY_BUDGET_MB: f64 = 64.0;
+
+/// One point in a line of progress output.
+pub fn progress_line(point: &SteadyMeasurement) -> String {
     let size = &point.case.setup.size;
     format!(
         "{}: {} replicas, {} zones, {} slices, {} proxies: {:.1} KB/s in, {:.2} KB/s out, {:.4} cores, {:.1} MB",
@@ -32,9 +38,10 @@
     )
 }
 
-fn columns(points: &[Steady]) -> Vec<Column> {
-    let whole = |name, of: fn(&Steady) -> usize| Column::whole(name, points.iter().map(|p| of(p) as i64));
-    let real = |name, of: fn(&Steady) -> f64| Column::real(name, points.iter().map(of));
+fn columns(points: &[SteadyMeasurement]) -> Vec<Column> {
+    let whole =
+        |name, of: fn(&SteadyMeasurement) -> usize| Column::whole(name, points.iter().map(|p| of(p) as i64));
+    let real = |name, of: fn(&SteadyMeasurement) -> f64| Column::real(name, points.iter().map(of));
     vec![
         Column::text("sweep", points.iter().map(|point| point.case.sweep.to_string())),
         whole("replicas", |p| p.case.setup.size.replicas),
@@ -47,31 +54,31 @@
         real("churn_a_second", |p| p.case.churn),
         real("lines_a_second", |p| p.rate(p.traffic.reports.lines)),
         real("reports_kb_a_second", |p| p.rate(p.traffic.reports.bytes) / KILOBYTE),
-        real("list_kb_a_second", |p| p.rate(p.traffic.list.bytes) / KILOBYTE),
-        real("news_kb_a_second", |p| p.rate(p.traffic.news.bytes) / KILOBYTE),
+        real("list_kb_a_second", |p| p.rate(p.traffic.endpoint_list.bytes) / KILOBYTE),
+        real("news_kb_a_second", |p| p.rate(p.traffic.relay_events.bytes) / KILOBYTE),
         real("in_kb_a_second", |p| p.rate(p.traffic.bytes_in()) / KILOBYTE),
         real("out_kb_a_second", |p| p.rate(p.traffic.bytes_out()) / KILOBYTE),
-        real("orders_a_second", |p| p.rate(p.orders as u64)),
-        real("cores", Steady::processor_share),
+        real("orders_a_second", |p| p.rate(p.commands as u64)),
+        real("cores", SteadyMeasurement::processor_share),
         real("resident_mb", |p| p.usage.resident as f64 / MEGABYTE),
         real("peak_mb", |p| p.usage.resident_peak as f64 / MEGABYTE),
         real("ready_ms", |p| p.time_to_ready.as_secs_f64() * 1e3),
-        real("harness_cores", Steady::harness_share),
-        real("measured_s", |p| p.lasted.as_secs_f64()),
+        real("harness_cores", SteadyMeasurement::harness_share),
+        real("measured_s", |p| p.measured_for.as_secs_f64()),
         real("machine_load", |p| p.machine_load),
         real("decoding_us_a_line", |p| p.decoding.map_or(f64::NAN, |took| took.as_secs_f64() * 1e6)),
     ]
 }
 
 /// A name, and its value at a point.
-type Regressor = (&'static str, fn(&Steady) -> f64);
+type Regressor = (&'static str, fn(&SteadyMeasurement) -> f64);
 
 /// A fitted quantity: how it is called, the sweep, its regressors and what is measured.
 struct Quantity {
     name: &'static str,
     sweeps: &'static [&'static str],
     regressors: &'static [Regressor],
-    measured: fn(&Steady) -> f64,
+    measured: fn(&SteadyMeasurement) -> f64,
 }
 
 const LINES: Regressor = ("lines/s", |p| p.rate(p.traffic.reports.lines));
@@ -95,43 +102,43 @@
         name: "processor, cores",
         sweeps: &["size"],
         regressors: &[LINES, REPLICAS],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor, cores, by lines alone",
         sweeps: &["size"],
         regressors: &[LINES],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor without reports, cores",
         sweeps: &["silent"],
         regressors: &[REPLICAS],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by slices, cores",
         sweeps: &["slices"],
         regressors: &[SLICES],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by proxies, cores",
         sweeps: &["proxies"],
         regressors: &[PROXIES],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by churn of the list, cores",
         sweeps: &["churn"],
         regressors: &[CHURN],
-        measured: Steady::processor_share,
+        measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "list by churn, bytes/s",
         sweeps: &["churn"],
         regressors: &[CHURN],
-        measured: |p| p.rate(p.traffic.list.bytes),
+        measured: |p| p.rate(p.traffic.endpoint_list.bytes),
     },
     Quantity {
         name: "memory resident, bytes",
@@ -147,19 +154,22 @@
     },
 ];
 
-fn points_of<'a>(points: &'a [Steady], sweeps: &'a [&str]) -> impl Iterator<Item = &'a Steady> {
+fn points_of<'a>(
+    points: &'a [SteadyMeasurement],
+    sweeps: &'a [&str],
+) -> impl Iterator<Item = &'a SteadyMeasurement> {
     points.iter().filter(move |point| sweeps.contains(&point.case.sweep))
 }
 
-fn fit(points: &[Steady], quantity: &Quantity) -> Option<LinearFit> {
-    let point = |p: &Steady| Point {
-        regressors: quantity.regressors.iter().map(|(_, of)| of(p)).collect(),
-        measured: (quantity.measured)(p),
+fn fit(points: &[SteadyMeasurement], quantity: &Quantity) -> Option<LinearFit> {
+    let point = |measurement: &SteadyMeasurement| Point {
+        regressors: quantity.regressors.iter().map(|(_, value_of)| value_of(measurement)).collect(),
+        measured: (quantity.measured)(measurement),
     };
-    LinearFit::of(&points_of(points, quantity.sweeps).map(point).collect::<Vec<_>>()).ok()
+    LinearFit::least_squares(&points_of(points, quantity.sweeps).map(point).collect::<Vec<_>>()).ok()
 }
 
-fn fits(points: &[Steady]) -> String {
+fn fits(points: &[SteadyMeasurement]) -> String {
     let mut text = String::from(
         "| quantity | points | fit | R2 | largest residual | residuals, in the order of the rows | range |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n",
@@ -188,28 +198,47 @@
     text
 }
 
-/// Writes rows, table, fits and charts of the cases at rest.
-pub fn write_steady(folder: &Folder, points: &[Steady]) -> Result<(), ResultsError> {
+/// Writes rows, table, fits and charts of the cases in a steady state.
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
+pub fn write_steady(folder: &Folder, points: &[SteadyMeasurement]) -> Result<(), ResultsError> {
     let columns = columns(points);
-    folder.rows("steady", &columns)?;
+    folder.write_rows("steady", &columns)?;
     let text =
         format!("# One governor at rest\n\n{}\n# Least squares\n\n{}", markdown(&columns), fits(points));
-    folder.text("steady.md", &text)?;
-    folder.chart(
+    folder.write_text("steady.md", &text)?;
+    folder.write_chart(
         "processor",
-        &chart(points, "processor share of one governor", "cores", PROCESSOR_BUDGET, Steady::processor_share),
+        &chart(
+            points,
+            "processor share of one governor",
+            "cores",
+            PROCESSOR_BUDGET,
+            SteadyMeasurement::processor_share,
+        ),
     )?;
-    let bytes = |p: &Steady| p.rate(p.traffic.bytes_in()) / KILOBYTE;
-    folder.chart(
+    let bytes = |p: &SteadyMeasurement| p.rate(p.traffic.bytes_in()) / KILOBYTE;
+    folder.write_chart(
         "bytes",
         &chart(points, "bytes told to one governor", "KB/s", BYTES_BUDGET / KILOBYTE, bytes),
     )?;
-    let memory = |p: &Steady| p.usage.resident as f64 / MEGABYTE;
-    folder.chart("memory", &chart(points, "memory of one governor", "MB resident", 64.0, memory))
+    let memory = |p: &SteadyMeasurement| p.usage.resident as f64 / MEGABYTE;
+    folder.write_chart(
+        "memory",
+        &chart(points, "memory of one governor", "MB resident", MEMORY_BUDGET_MB, memory),
+    )
 }
 
 /// The sizes measured, a series for each number of zones.
-fn chart(points: &[Steady], title: &str, up: &str, budget: f64, measured: impl Fn(&Steady) -> f64) -> Chart {
+fn chart(
+    points: &[SteadyMeasurement],
+    title: &str,
+    y_label: &str,
+    budget: f64,
+    measured: impl Fn(&SteadyMeasurement) -> f64,
+) -> Chart {
     let mut zones: Vec<_> = points_of(points, &["size"]).map(|p| p.case.setup.size.zones).collect();
     zones.sort_unstable();
     zones.dedup();
@@ -218,21 +247,25 @@
         let at: Vec<_> = of_zones.map(|p| (p.case.setup.size.replicas as f64, measured(p))).collect();
         let fitted = at.iter().map(|(x, y)| Point { regressors: vec![*x], measured: *y }).collect::<Vec<_>>();
         let name = format!("{zones} zones");
-        match LinearFit::of(&fitted) {
+        match LinearFit::least_squares(&fitted) {
             Ok(fit) => Series::fitted(&name, at, &fit),
             Err(_) => Series { name, points: at, line: None },
         }
     });
     Chart {
         title: title.into(),
-        across: "replicas".into(),
-        up: up.into(),
+        x_label: "replicas".into(),
+        y_label: y_label.into(),
         series: series.collect(),
         budget: Some(budget),
     }
 }
 
 /// Writes rows and table of the events.
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
 pub fn write_events(folder: &Folder, outcomes: &[Outcome]) -> Result<(), ResultsError> {
     let real = |name, of: fn(&Outcome) -> f64| Column::real(name, outcomes.iter().map(of));
     let ms = |name, of: fn(&Outcome) -> Option<Duration>| {
@@ -242,40 +275,50 @@
     };
     let columns = [
         Column::text("event", outcomes.iter().map(|outcome| outcome.name.clone())),
-        ms("first_order_ms", |o| o.first_order),
-        ms("last_order_ms", |o| o.last_order),
-        real("list_kb", |o| o.traffic.list.bytes as f64 / KILOBYTE),
-        real("news_kb", |o| o.traffic.news.bytes as f64 / KILOBYTE),
+        ms("first_order_ms", |o| o.first_command),
+        ms("last_order_ms", |o| o.last_command),
+        real("list_kb", |o| o.traffic.endpoint_list.bytes as f64 / KILOBYTE),
+        real("news_kb", |o| o.traffic.relay_events.bytes as f64 / KILOBYTE),
         real("reports_kb", |o| o.traffic.reports.bytes as f64 / KILOBYTE),
-        real("calls_kb", |o| o.traffic.calls.bytes as f64 / KILOBYTE),
-        Column::whole("orders", outcomes.iter().map(|outcome| outcome.orders as i64)),
-        real("processor_ms", |o| o.processor.as_secs_f64() * 1e3),
-        real("over_s", |o| o.lasted.as_secs_f64()),
+        real("calls_kb", |o| o.traffic.relay_requests.bytes as f64 / KILOBYTE),
+        Column::whole("orders", outcomes.iter().map(|outcome| outcome.commands as i64)),
+        real("processor_ms", |o| o.processor_time.as_secs_f64() * 1e3),
+        real("over_s", |o| o.measured_for.as_secs_f64()),
         real("peak_mb", |o| o.resident_peak as f64 / MEGABYTE),
         real("machine_load", |o| o.machine_load),
     ];
-    folder.rows("events", &columns)?;
-    folder.text("events.md", &format!("# One governor in events\n\n{}", markdown(&columns)))
+    folder.write_rows("events", &columns)?;
+    folder.write_text("events.md", &format!("# One governor in events\n\n{}", markdown(&columns)))
 }
 
 /// Writes rows and table of the floods.
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
 pub fn write_floods(folder: &Folder, floods: &[Flood]) -> Result<(), ResultsError> {
     let real = |name, of: fn(&Flood) -> f64| Column::real(name, floods.iter().map(of));
     let columns = [
         Column::text("flood", floods.iter().map(|flood| flood.name.clone())),
-        real("lines_a_second", |f| f.lines),
-        real("processor_us_a_line", |f| f.processor * 1e6),
-        real("cores", |f| f.lines * f.processor),
-        real("peak_mb", |f| f.resident_peak as f64 / MEGABYTE),
+        real("lines_a_second", |f| f.cost.lines_per_second),
+        real("processor_us_a_line", |f| f.cost.cpu_seconds_per_line * 1e6),
+        real("cores", |f| f.cost.lines_per_second * f.cost.cpu_seconds_per_line),
+        real("peak_mb", |f| f.cost.usage.resident_peak as f64 / MEGABYTE),
     ];
-    folder.rows("floods", &columns)?;
-    folder.text("floods.md", &format!("# Floods\n\n{}", markdown(&columns)))
+    folder.write_rows("floods", &columns)?;
+    folder.write_text("floods.md", &format!("# Floods\n\n{}", markdown(&columns)))
 }
 
 /// Writes rows, table and fits of a controller behind aggregators, and the last log of the controller.
-pub fn write_aggregated(folder: &Folder, measured: &[Aggregated]) -> Result<(), ResultsError> {
-    let whole = |name, of: fn(&Aggregated) -> u64| Column::whole(name, measured.iter().map(|m| of(m) as i64));
-    let real = |name, of: fn(&Aggregated) -> f64| Column::real(name, measured.iter().map(of));
+///
+/// # Errors
+///
+/// When a file of the results cannot be written.
+pub fn write_aggregated(folder: &Folder, measured: &[AggregatedMeasurement]) -> Result<(), ResultsError> {
+    let whole = |name, of: fn(&AggregatedMeasurement) -> u64| {
+        Column::whole(name, measured.iter().map(|m| of(m) as i64))
+    };
+    let real = |name, of: fn(&AggregatedMeasurement) -> f64| Column::real(name, measured.iter().map(of));
     let columns = [
         whole("subset", |m| m.subsetting.subset as u64),
         whole("budget", |m| m.subsetting.bytes_per_second),
@@ -284,21 +327,21 @@
         real("lines_a_second", |m| m.rate(m.lines)),
         real("in_kb_a_second", |m| m.rate(m.bytes_in) / KILOBYTE),
         real("out_kb_a_second", |m| m.rate(m.bytes_out) / KILOBYTE),
-        real("cores", Aggregated::processor_share),
+        real("cores", AggregatedMeasurement::processor_share),
         real("resident_mb", |m| m.usage.resident as f64 / MEGABYTE),
         real("peak_mb", |m| m.usage.resident_peak as f64 / MEGABYTE),
         real("ready_ms", |m| m.time_to_ready.as_secs_f64() * 1e3),
         real("first_report_s", |m| m.first_report.map_or(f64::NAN, |took| took.as_secs_f64())),
-        real("aggregator_cores", Aggregated::aggregator_share),
+        real("aggregator_cores", AggregatedMeasurement::aggregator_share),
         real("aggregator_peak_mb", |m| m.aggregator_peak() as f64 / MEGABYTE),
-        real("told_to_aggregators_kb_a_second", |m| m.rate(m.told) / KILOBYTE),
-        real("measured_s", |m| m.lasted.as_secs_f64()),
+        real("told_to_aggregators_kb_a_second", |m| m.rate(m.sent_to_aggregators) / KILOBYTE),
+        real("measured_s", |m| m.measured_for.as_secs_f64()),
         real("machine_load", |m| m.machine_load),
     ];
-    folder.rows("aggregated", &columns)?;
+    folder.write_rows("aggregated", &columns)?;
     let fits: Vec<String> = [
         fit_subset("bytes/s", measured, |m| m.rate(m.bytes_in)),
-        fit_subset("cores", measured, Aggregated::processor_share),
+        fit_subset("cores", measured, AggregatedMeasurement::processor_share),
         fit_subset("bytes of memory", measured, |m| m.usage.resident_peak as f64),
     ]
     .into_iter()
@@ -310,13 +353,18 @@
         markdown(&columns),
         fits.concat()
     );
-    folder.text("aggregated.md", &text)
+    folder.write_text("aggregated.md", &text)
 }
 
 /// A quantity by the size of the subset.
-fn fit_subset(name: &str, measured: &[Aggregated], of: fn(&Aggregated) -> f64) -> Option<String> {
-    let point = |m: &Aggregated| Point { regressors: vec![m.subsetting.subset as f64], measured: of(m) };
-    let fit = LinearFit::of(&measured.iter().map(point).collect::<Vec<_>>()).ok()?;
+fn fit_subset(
+    name: &str,
+    measured: &[AggregatedMeasurement],
+    of: fn(&AggregatedMeasurement) -> f64,
+) -> Option<String> {
+    let point =
+        |m: &AggregatedMeasurement| Point { regressors: vec![m.subsetting.subset as f64], measured: of(m) };
+    let fit = LinearFit::least_squares(&measured.iter().map(point).collect::<Vec<_>>()).ok()?;
     let residuals: Vec<_> = fit.residuals.iter().map(|residual| format!("{residual:.2e}")).collect();
     Some(format!(
         "- {name}: {:.4e} + {:.4e} x subset, R2 {:.4}, residuals {}\n",
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -11,9 +11,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than a start takes, also on a busy machine.
+/// Longest time for a start, with a wide margin for a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Longest time for the answer to a PING, with the same margin.
 const PING_TIMEOUT: Duration = Duration::from_secs(30);
+/// The package of the controller, and its program.
 const CONTROLLER: &str = "whinwall-controller";
 /// What a program of whinwall's logs once it listens; its address follows, up to a blank.
 const LISTENING: &str = "listening for collectors address=";
@@ -48,19 +50,27 @@
     NoPong(String),
 }
 
-fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ProcessError {
+fn io_error(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ProcessError {
     let what = what.into();
     |source| ProcessError::Io { what, source }
 }
 
 /// The controller's program beside the running executable; under cargo it is built first.
+///
+/// # Errors
+///
+/// As for [`program`].
 pub fn controller_program() -> Result<PathBuf, ProcessError> {
     program(CONTROLLER, CONTROLLER)
 }
 
 /// A program of the workspace beside the running executable. Under cargo it is built first, so that it is never stale.
+///
+/// # Errors
+///
+/// When the path of this executable is unknown, cargo fails to build the program, or the program is missing.
 pub fn program(package: &str, name: &str) -> Result<PathBuf, ProcessError> {
-    let own = std::env::current_exe().map_err(io("own executable"))?;
+    let own = std::env::current_exe().map_err(io_error("own executable"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
     // Executables of tests are one folder further down.
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
@@ -78,15 +88,15 @@
         command.arg("--release");
     }
     command.current_dir(env!("CARGO_MANIFEST_DIR"));
-    let status = command.status().map_err(io("cargo build"))?;
+    let status = command.status().map_err(io_error("cargo build"))?;
     status.success().then_some(()).ok_or_else(|| ProcessError::NotBuilt(folder.join(name)))
 }
 
 /// What a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time of all its threads.
-    pub processor: Duration,
+    /// CPU time of all its threads.
+    pub processor_time: Duration,
     /// Memory resident now, in bytes (VmRSS).
     pub resident: u64,
     /// The most memory that was ever resident, in bytes (VmHWM).
@@ -96,22 +106,26 @@
 }
 
 impl Usage {
-    /// Reads the usage of the process with this id. Its processor time comes in nanoseconds from `schedstat` where the
+    /// Reads the usage of the process with this id. Its CPU time comes in nanoseconds from `schedstat` where the
     /// kernel offers it, otherwise in ticks of 10 ms from `stat`.
+    ///
+    /// # Errors
+    ///
+    /// When `/proc` has no such process, or a file of it lacks an expected field.
     pub fn of(id: u32) -> Result<Usage, ProcessError> {
         let path = format!("/proc/{id}/status");
-        let status = std::fs::read_to_string(&path).map_err(io(&path))?;
+        let status = std::fs::read_to_string(&path).map_err(io_error(&path))?;
         let figure = |key: &'static str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key));
             let number = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
             number.ok_or(ProcessError::Unreadable(path.clone(), key))
         };
-        let processor = match scheduled(id) {
+        let processor_time = match processor_time_from_scheduler(id) {
             Some(time) => time,
-            None => ticks(id)?,
+            None => processor_time_from_ticks(id)?,
         };
         Ok(Usage {
-            processor,
+            processor_time,
             resident: figure("VmRSS:")? << 10,
             resident_peak: figure("VmHWM:")? << 10,
             threads: figure("Threads:")?,
@@ -119,13 +133,17 @@
     }
 
     /// Usage of the running process itself: the harness with all its stand-ins.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Usage::of`].
     pub fn of_self() -> Result<Usage, ProcessError> {
         Usage::of(std::process::id())
     }
 }
 
-/// The time on a processor of all threads that are alive.
-fn scheduled(id: u32) -> Option<Duration> {
+/// The CPU time of all threads that are alive.
+fn processor_time_from_scheduler(id: u32) -> Option<Duration> {
     let threads = std::fs::read_dir(format!("/proc/{id}/task")).ok()?;
     let mut total = Duration::ZERO;
     for thread in threads {
@@ -136,18 +154,18 @@
     (!total.is_zero()).then_some(total)
 }
 
-/// The time on a processor of the calling thread so far, where the kernel tells it in nanoseconds.
-pub fn thread_time() -> Option<Duration> {
+/// The CPU time of the calling thread so far, where the kernel offers it in nanoseconds.
+pub fn current_thread_processor_time() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     Some(Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?))
 }
 
-/// Processor time in user and system mode, in ticks.
-fn ticks(id: u32) -> Result<Duration, ProcessError> {
+/// CPU time in user and system mode, in ticks.
+fn processor_time_from_ticks(id: u32) -> Result<Duration, ProcessError> {
     const USER: usize = 11;
     const SYSTEM: usize = 12;
     let path = format!("/proc/{id}/stat");
-    let stat = std::fs::read_to_string(&path).map_err(io(&path))?;
+    let stat = std::fs::read_to_string(&path).map_err(io_error(&path))?;
     // The name in brackets may hold spaces; the fields are counted behind it.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let field = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok());
@@ -170,27 +188,35 @@
 }
 
 /// A running program that logs lines; it is killed by its id and waited for when dropped.
-pub struct Running {
+pub struct RunningProgram {
     child: Child,
     log: Receiver<String>,
     started: Instant,
 }
 
-impl Running {
+impl RunningProgram {
     /// Starts the program.
-    pub fn start(mut command: Command) -> Result<Running, ProcessError> {
+    ///
+    /// # Errors
+    ///
+    /// When the program cannot be started.
+    pub fn start(mut command: Command) -> Result<RunningProgram, ProcessError> {
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let started = Instant::now();
-        let mut child = command.spawn().map_err(io(command.get_program().display().to_string()))?;
-        let (say, log) = channel();
+        let mut child = command.spawn().map_err(io_error(command.get_program().display().to_string()))?;
+        let (sender, log) = channel();
         if let Some(errors) = child.stderr.take() {
             let lines = BufReader::new(errors).lines();
-            thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| say.send(line)));
+            thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         }
-        Ok(Running { child, log, started })
+        Ok(RunningProgram { child, log, started })
     }
 
     /// Waits until it logs the address at which it listens.
+    ///
+    /// # Errors
+    ///
+    /// When the program ends, or logs no address within the start timeout.
     pub fn address(&self) -> Result<SocketAddr, ProcessError> {
         let end = self.started + START_TIMEOUT;
         let mut last = String::new();
@@ -214,30 +240,38 @@
     }
 
     /// What it has used so far.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Usage::of`].
     pub fn usage(&self) -> Result<Usage, ProcessError> {
         Usage::of(self.id())
     }
 
-    /// All that it has logged since the last look.
-    pub fn logged(&self) -> Vec<String> {
+    /// All that it has logged since the previous call.
+    pub fn take_log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
     /// Waits until it logs a line with this text; false where none comes in time.
-    pub fn logs(&self, text: &str, within: Duration) -> bool {
+    pub fn wait_for_log_line(&self, text: &str, within: Duration) -> bool {
         let end = Instant::now() + within;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
         std::iter::from_fn(next).any(|line| line.contains(text))
     }
 
-    /// Has it read its files anew (SIGHUP).
+    /// Makes it reload its files (SIGHUP).
+    ///
+    /// # Errors
+    ///
+    /// When the signal cannot be sent.
     pub fn reload(&self) -> Result<(), ProcessError> {
         let sent = kill_process(Pid::from_child(&self.child), Signal::HUP);
-        sent.map_err(|why| io("SIGHUP")(why.into()))
+        sent.map_err(|why| io_error("SIGHUP")(why.into()))
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
@@ -247,27 +281,31 @@
 /// A running controller; it is killed when dropped.
 pub struct Controller {
     /// Its process.
-    pub process: Running,
+    pub process: RunningProgram,
     address: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
 impl Controller {
     /// Starts it, and waits until it listens.
+    ///
+    /// # Errors
+    ///
+    /// When its files cannot be written, the program cannot be started, or it does not listen in time.
     pub fn start(launch: &Launch) -> Result<Controller, ProcessError> {
-        let folder = tempfile::tempdir().map_err(io("temporary folder"))?;
+        let folder = tempfile::tempdir().map_err(io_error("temporary folder"))?;
         let mut configuration = launch.configuration.clone();
         configuration["listen"] = "127.0.0.1:0".into();
         let path = folder.path().join("configuration.json");
-        std::fs::write(&path, configuration.to_string()).map_err(io("configuration"))?;
+        std::fs::write(&path, configuration.to_string()).map_err(io_error("configuration"))?;
         let mut command = Command::new(&launch.program);
         command.env_clear().env("PROXY_CONFIG", &path).env("PROXY_DISCOVERY", launch.discovery.to_string());
         if let Some(text) = &launch.operators {
             let path = folder.path().join("operators.xml");
-            std::fs::write(&path, text).map_err(io("operators' file"))?;
+            std::fs::write(&path, text).map_err(io_error("operators' file"))?;
             command.arg("--operators").arg(path);
         }
-        let process = Running::start(command)?;
+        let process = RunningProgram::start(command)?;
         let address = process.address()?;
         Ok(Controller { process, address, _folder: folder })
     }
@@ -283,27 +321,39 @@
     }
 
     /// What it has used so far.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Usage::of`].
     pub fn usage(&self) -> Result<Usage, ProcessError> {
         self.process.usage()
     }
 
-    /// All that it has logged since the last look.
-    pub fn logged(&self) -> Vec<String> {
-        self.process.logged()
+    /// All that it has logged since the previous call.
+    pub fn take_log_lines(&self) -> Vec<String> {
+        self.process.take_log_lines()
     }
 
     /// Opens a connection, sends a PING and waits for the PONG.
+    ///
+    /// # Errors
+    ///
+    /// When the connection fails, or is answered by something other than PONG.
     pub fn ping(&self) -> Result<(), ProcessError> {
-        let stream = TcpStream::connect(self.address).map_err(io("connect"))?;
+        let stream = TcpStream::connect(self.address).map_err(io_error("connect"))?;
         ping(&stream)
     }
 }
 
 /// Sends a PING on an open connection and waits for the PONG: all lines sent there before it have been read.
+///
+/// # Errors
+///
+/// When the connection fails, or is answered by something other than PONG.
 pub fn ping(mut stream: &TcpStream) -> Result<(), ProcessError> {
-    stream.set_read_timeout(Some(PING_TIMEOUT)).map_err(io("PING"))?;
-    stream.write_all(b"{\"@type\":\"PING\"}\n").map_err(io("PING"))?;
+    stream.set_read_timeout(Some(PING_TIMEOUT)).map_err(io_error("PING"))?;
+    stream.write_all(b"{\"@type\":\"PING\"}\n").map_err(io_error("PING"))?;
     let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).map_err(io("PONG"))?;
+    BufReader::new(stream).read_line(&mut answer).map_err(io_error("PONG"))?;
     answer.contains("PONG").then_some(()).ok_or(ProcessError::NoPong(answer))
 }
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -1,108 +1,122 @@
-//! Collectors: connections to the controller's address that say SOURCE and then lines at a pace, or as fast as they are
-//! taken.
+//! Stand-ins for collectors: connections to the controller that name their zone (SOURCE) and then send report lines at
+//! a pace, or as fast as the controller reads them.
 
-use super::fleet::{Draw, FleetSize, ReportShape};
-use super::Traffic;
+use super::fleet::{FleetSize, Random, ReportShape};
+use super::traffic::Traffic;
 use crate::process::{ping, ProcessError};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use std::thread::{self, JoinHandle};
+use std::thread::{self, JoinHandle, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
-/// Periods drawn in advance; a collector tells them by turns, so that telling costs the harness little.
-const PERIODS_DRAWN: u64 = 4;
+/// Periods generated in advance; a collector sends them in rotation, so that sending costs the harness little.
+const GENERATED_PERIODS: u64 = 4;
+/// Time between two checks of a waiting collector whether it is to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A block of lines, ready to be written.
 #[derive(Clone, Debug, Default)]
-pub struct Block {
+pub struct ReportBlock {
     /// The lines, each with its LF.
     pub bytes: Vec<u8>,
-    /// How many.
+    /// The number of lines.
     pub lines: usize,
 }
 
-impl Block {
+impl ReportBlock {
     /// Joins lines.
-    pub fn of(lines: &[String]) -> Self {
+    pub fn from_lines(lines: &[String]) -> Self {
         let mut bytes = Vec::with_capacity(lines.iter().map(|line| line.len() + 1).sum());
         for line in lines {
             bytes.extend_from_slice(line.as_bytes());
             bytes.push(b'\n');
         }
-        Block { bytes, lines: lines.len() }
+        ReportBlock { bytes, lines: lines.len() }
     }
 }
 
-/// What one connection says, and when.
+/// The report lines of one connection, and when they are sent.
 #[derive(Clone, Debug)]
-pub struct Schedule {
+pub struct ReportSchedule {
     /// The zone of its SOURCE line.
     pub zone: String,
     /// Between the beginnings of two periods.
     pub period: Duration,
     /// From the start to the first period.
     pub offset: Duration,
-    /// Periods by turns; each consists of blocks that are spread evenly over it.
-    pub periods: Vec<Vec<Block>>,
+    /// Periods in rotation; each consists of blocks that are spread evenly over it.
+    pub periods: Vec<Vec<ReportBlock>>,
 }
 
-impl Schedule {
-    /// A zone's collector that tells the shape once each period, in so many writes.
-    pub fn of(size: &FleetSize, shape: &ReportShape, zone: usize, writes: usize) -> Self {
+impl ReportSchedule {
+    /// A zone's collector that reports the shape once each period, in `writes` writes.
+    pub fn for_zone(size: &FleetSize, shape: &ReportShape, zone: usize, writes: usize) -> Self {
         let period = Duration::from_secs_f64(shape.window_ms / 1000.0);
-        let drawn = |turn: u64| {
-            let mut draw = Draw::new(zone as u64 * PERIODS_DRAWN + turn);
-            let lines = shape.lines(size, zone, &mut draw);
+        let generate = |period_index: u64| {
+            let mut random = Random::new(zone as u64 * GENERATED_PERIODS + period_index);
+            let lines = shape.lines(size, zone, &mut random);
             let part = lines.len().div_ceil(writes).max(1);
-            lines.chunks(part).map(Block::of).collect()
+            lines.chunks(part).map(ReportBlock::from_lines).collect()
         };
-        Schedule {
+        ReportSchedule {
             zone: size.zone(zone),
             period,
             offset: period.mul_f64(zone as f64 / size.zones as f64),
-            periods: (0..PERIODS_DRAWN).map(drawn).collect(),
+            periods: (0..GENERATED_PERIODS).map(generate).collect(),
         }
     }
 }
 
 /// Running collectors; they end when dropped.
 pub struct Collectors {
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Collectors {
-    /// Connects each, and has them begin together.
+    /// Connects a collector for each schedule, and has them begin together.
+    ///
+    /// # Errors
+    ///
+    /// When a connection to the controller fails; collectors that were started before send on until theirs ends.
     pub fn start(
         controller: SocketAddr,
-        schedules: Vec<Schedule>,
+        schedules: Vec<ReportSchedule>,
         traffic: &Arc<Traffic>,
     ) -> std::io::Result<Collectors> {
-        let ends = Arc::new(AtomicBool::new(false));
-        let begin = Instant::now();
+        let stop = Arc::new(AtomicBool::new(false));
+        let start = Instant::now();
         let mut threads = Vec::new();
         for schedule in schedules {
-            let stream = join(controller, &schedule.zone, traffic)?;
-            let (ends, traffic) = (ends.clone(), traffic.clone());
-            threads.push(thread::spawn(move || tell(&stream, &schedule, begin, &ends, &traffic)));
+            let stream = connect_collector(controller, &schedule.zone, traffic)?;
+            let (stop, traffic) = (stop.clone(), traffic.clone());
+            threads.push(thread::spawn(move || send_reports(&stream, &schedule, start, &stop, &traffic)));
         }
-        Ok(Collectors { ends, threads })
+        Ok(Collectors { stop, threads })
     }
 }
 
 impl Drop for Collectors {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             _ = thread.join();
         }
     }
 }
 
-/// A connection that has named its zone.
-pub fn join(controller: SocketAddr, zone: &str, traffic: &Traffic) -> std::io::Result<TcpStream> {
+/// Opens a collector's connection and names its zone.
+///
+/// # Errors
+///
+/// When the connection cannot be made, or its SOURCE line cannot be written.
+pub fn connect_collector(
+    controller: SocketAddr,
+    zone: &str,
+    traffic: &Traffic,
+) -> std::io::Result<TcpStream> {
     let mut stream = TcpStream::connect(controller)?;
     stream.set_nodelay(true)?;
     let line = format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}\n");
@@ -111,12 +125,18 @@
     Ok(stream)
 }
 
-fn tell(mut stream: &TcpStream, schedule: &Schedule, begin: Instant, ends: &AtomicBool, traffic: &Traffic) {
-    let mut due = begin + schedule.offset;
+fn send_reports(
+    mut stream: &TcpStream,
+    schedule: &ReportSchedule,
+    start: Instant,
+    stop: &AtomicBool,
+    traffic: &Traffic,
+) {
+    let mut due = start + schedule.offset;
     for blocks in schedule.periods.iter().cycle() {
         let gap = schedule.period / blocks.len().max(1) as u32;
         for block in blocks {
-            if !wait_until(due, ends) || stream.write_all(&block.bytes).is_err() {
+            if !wait_until(due, stop) || stream.write_all(&block.bytes).is_err() {
                 return;
             }
             traffic.reports.add(block.bytes.len(), block.lines);
@@ -124,47 +144,58 @@
         }
         if blocks.is_empty() {
             due += schedule.period;
-            if !wait_until(due, ends) {
+            if !wait_until(due, stop) {
                 return;
             }
         }
     }
 }
 
-/// Whether the moment came before the end.
-fn wait_until(due: Instant, ends: &AtomicBool) -> bool {
-    /// How soon an end is noticed.
-    const LOOK: Duration = Duration::from_millis(100);
+/// Waits for a moment; false where the collectors are stopped before it.
+fn wait_until(due: Instant, stop: &AtomicBool) -> bool {
     loop {
-        if ends.load(Ordering::Relaxed) {
+        if stop.load(Ordering::Relaxed) {
             return false;
         }
-        let left = due.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = due.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return true;
         }
-        thread::sleep(left.min(LOOK));
+        thread::sleep(remaining.min(STOP_POLL_INTERVAL));
     }
 }
 
-/// Writes a collector's periods as fast as the controller takes them, so many times on each of several connections, and
-/// waits until all lines have been read. Returns the lines written and the time that it took.
+/// What a flood wrote, and how long it took until the controller had read it.
+#[derive(Clone, Copy, Debug)]
+pub struct FloodOutcome {
+    /// Lines written on all connections.
+    pub lines: u64,
+    /// From the first write until each connection had answered a PING.
+    pub elapsed: Duration,
+}
+
+/// Writes the schedules' periods as fast as the controller takes them, `periods` of them on one connection for each
+/// schedule, and waits until all lines have been read.
+///
+/// # Errors
+///
+/// When a connection cannot be made or written, or does not answer the final PING.
 pub fn flood(
     controller: SocketAddr,
-    schedules: &[Schedule],
-    times: usize,
+    schedules: &[ReportSchedule],
+    periods: usize,
     traffic: &Arc<Traffic>,
-) -> Result<(u64, Duration), ProcessError> {
+) -> Result<FloodOutcome, ProcessError> {
     let failed = |source| ProcessError::Io { what: "flood".into(), source };
     let streams: Vec<_> = schedules
         .iter()
-        .map(|schedule| join(controller, &schedule.zone, traffic))
+        .map(|schedule| connect_collector(controller, &schedule.zone, traffic))
         .collect::<Result<_, _>>()
         .map_err(failed)?;
-    let (before, begin) = (traffic.reports.read(), Instant::now());
+    let (before, start) = (traffic.reports.read(), Instant::now());
     let outcome: Result<(), ProcessError> = thread::scope(|scope| {
-        let write = |stream: &TcpStream, schedule: &Schedule| -> Result<(), ProcessError> {
-            for blocks in schedule.periods.iter().cycle().take(times) {
+        let write = |stream: &TcpStream, schedule: &ReportSchedule| -> Result<(), ProcessError> {
+            for blocks in schedule.periods.iter().cycle().take(periods) {
                 for block in blocks {
                     (&mut &*stream).write_all(&block.bytes).map_err(failed)?;
                     traffic.reports.add(block.bytes.len(), block.lines);
@@ -177,8 +208,11 @@
             .zip(schedules)
             .map(|(stream, schedule)| scope.spawn(move || write(stream, schedule)))
             .collect();
-        let mut ended = writers.into_iter().map(|writer| writer.join());
+        let mut ended = writers.into_iter().map(ScopedJoinHandle::join);
         ended.try_for_each(|outcome| outcome.unwrap_or(Err(ProcessError::NoPong("a panic".into()))))
     });
-    outcome.map(|()| (traffic.reports.read().since(before).lines, begin.elapsed()))
+    outcome.map(|()| FloodOutcome {
+        lines: traffic.reports.read().since(before).lines,
+        elapsed: start.elapsed(),
+    })
 }
--- a/crates/scale-tests/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -2,10 +2,10 @@
 
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_policy::time::Span;
-use whinwall_scale_tests::decisions::{paired_differences, play_all, table, DayKind, Plan};
+use whinwall_scale_tests::decisions::{paired_differences, play_all, table, Plan, ScenarioKind};
 
-fn plan(kinds: Vec<DayKind>) -> Plan {
-    let sizes = ScenarioConfig {
+fn plan(kinds: Vec<ScenarioKind>) -> Plan {
+    let fleet = ScenarioConfig {
         replicas: 12,
         slices: 60,
         proxies: 20,
@@ -13,24 +13,31 @@
         duration: Span::ms(16_000),
         ..ScenarioConfig::small()
     };
-    Plan { sizes, controllers: vec![2, 12], subsets: vec![0, 6], kinds, begins_ms: 8000, seeds: vec![1, 2] }
+    Plan {
+        fleet,
+        controllers: vec![2, 12],
+        subsets: vec![0, 6],
+        kinds,
+        faults_begin_ms: 8000,
+        seeds: vec![1, 2],
+    }
 }
 
 #[test]
-fn each_combination_is_played_with_the_same_seeds() {
-    let days = plan(DayKind::ALL.to_vec()).days();
-    assert_eq!(days.len(), 5 * 2 * 2 * 2);
-    for pair in days.chunks(2) {
+fn each_combination_has_the_same_seeds() {
+    let scenarios = plan(ScenarioKind::ALL.to_vec()).scenarios();
+    assert_eq!(scenarios.len(), 5 * 2 * 2 * 2);
+    for pair in scenarios.chunks(2) {
         assert_eq!([pair[0].seed, pair[1].seed], [1, 2]);
         assert_eq!((pair[0].kind, pair[0].subset), (pair[1].kind, pair[1].subset));
     }
 }
 
 #[test]
-fn a_sweep_is_the_same_each_time_and_breaks_no_rule() {
-    let plan = plan(vec![DayKind::Replaced, DayKind::Zone]);
+fn sweep_is_deterministic_and_violates_no_rule() {
+    let plan = plan(vec![ScenarioKind::Replaced, ScenarioKind::Zone]);
     let (first, again) = (play_all(&plan, 2).unwrap(), play_all(&plan, 1).unwrap());
-    let outcomes = |played: &[whinwall_scale_tests::decisions::Played]| {
+    let outcomes = |played: &[whinwall_scale_tests::decisions::PlayedScenario]| {
         played.iter().map(|one| one.outcome.clone()).collect::<Vec<_>>()
     };
     assert!(outcomes(&first) == outcomes(&again), "two plays of one plan differ");
@@ -38,7 +45,7 @@
         assert!(
             one.outcome.violation_counts.is_empty(),
             "{:?}: {:?}",
-            one.day,
+            one.scenario,
             one.outcome.violations.first()
         );
         assert!(one.outcome.requests > 0 && one.outcome.migrations > 0);
