--- /dev/null
+++ b/crates/experiments/src/charts.rs
@@ -0,0 +1,207 @@
+//! Charts as SVG.
+
+use crate::experiment::POLICIES;
+use crate::results::ResultRow;
+use crate::statistics::{mean, Mean};
+use plotters::drawing::DrawingAreaErrorKind;
+use plotters::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+const COLOURS: [RGBColor; 5] = [
+    RGBColor(31, 119, 180),
+    RGBColor(127, 127, 127),
+    RGBColor(255, 127, 14),
+    RGBColor(44, 160, 44),
+    RGBColor(148, 103, 189),
+];
+/// The size of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (900, 480);
+/// The highest service level on the axis, so that points at 1 are clear of the edge.
+const AXIS_TOP: f64 = 1.02;
+/// The space below the lowest interval.
+const AXIS_MARGIN: f64 = 0.03;
+/// Labels of the axis of a varied parameter.
+const VALUE_LABELS: usize = 10;
+
+type DrawError = DrawingAreaErrorKind<std::io::Error>;
+
+/// Why charts could not be written.
+#[derive(Debug, Error)]
+pub enum ChartError {
+    /// The folder could not be created.
+    #[error("{}: {source}", folder.display())]
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// A chart could not be drawn or written.
+    #[error("{}: {source}", folder.display())]
+    Draw {
+        /// The folder.
+        folder: PathBuf,
+        /// The cause.
+        source: DrawError,
+    },
+}
+
+/// Writes charts of the service levels of each policy and returns their file names: one chart over the cases, or
+/// for each case one over the parameter that is varied.
+///
+/// # Errors
+/// Where the folder can't be created or a chart can't be written.
+pub fn write_charts(rows: &[ResultRow], varied: &str, folder: &Path) -> Result<Vec<String>, ChartError> {
+    let folder_error = |source| ChartError::Folder { folder: folder.into(), source };
+    std::fs::create_dir_all(folder).map_err(folder_error)?;
+    let charts = if varied.is_empty() { vec![chart_of_cases(rows)] } else { charts_of_values(rows, varied) };
+    let mut names = Vec::new();
+    for chart in charts {
+        let drawn = chart.draw(&folder.join(&chart.file_name));
+        drawn.map_err(|source| ChartError::Draw { folder: folder.into(), source })?;
+        names.push(chart.file_name);
+    }
+    Ok(names)
+}
+
+/// A point of a chart.
+struct Point {
+    across: f64,
+    mean: Mean,
+}
+
+impl Point {
+    /// The half width of the interval, as far as there is one.
+    fn half_width(&self) -> f64 {
+        if self.mean.half_width.is_finite() {
+            self.mean.half_width
+        } else {
+            0.0
+        }
+    }
+}
+
+/// Points by policy.
+type Series = BTreeMap<String, Vec<Point>>;
+
+struct Chart {
+    file_name: String,
+    title: String,
+    /// The name of the parameter that is varied; empty where the chart is over cases.
+    varied: String,
+    across: Range<f64>,
+    series: Series,
+    /// The names of the cases, where the chart is over cases.
+    cases: Vec<String>,
+}
+
+fn case_names(rows: &[ResultRow]) -> Vec<String> {
+    rows.iter().map(|row| row.case.clone()).collect::<BTreeSet<_>>().into_iter().collect()
+}
+
+fn chart_of_cases(rows: &[ResultRow]) -> Chart {
+    let cases = case_names(rows);
+    let position = |row: &ResultRow| cases.iter().position(|case| *case == row.case).unwrap_or(0) as f64;
+    Chart {
+        file_name: "service.svg".to_string(),
+        title: "service by case".to_string(),
+        varied: String::new(),
+        across: -0.5..cases.len() as f64 - 0.5,
+        series: series(rows, position),
+        cases,
+    }
+}
+
+fn charts_of_values(rows: &[ResultRow], varied: &str) -> Vec<Chart> {
+    let chart = |case: String| {
+        let rows: Vec<_> = rows.iter().filter(|row| row.case == case).cloned().collect();
+        let low = rows.iter().map(|row| row.value).fold(f64::INFINITY, f64::min);
+        let high = rows.iter().map(|row| row.value).fold(f64::NEG_INFINITY, f64::max);
+        let margin = ((high - low) * 0.05).max(0.01);
+        let file_part = case.replace(|letter: char| !letter.is_ascii_alphanumeric(), "-");
+        Chart {
+            file_name: format!("service-{file_part}.svg"),
+            title: format!("service, {case}"),
+            varied: varied.to_string(),
+            across: low - margin..high + margin,
+            series: series(&rows, |row| row.value),
+            cases: Vec::new(),
+        }
+    };
+    case_names(rows).into_iter().map(chart).collect()
+}
+
+fn series(rows: &[ResultRow], across: impl Fn(&ResultRow) -> f64) -> Series {
+    let mut values: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
+    for row in rows {
+        let points = values.entry(row.policy.clone()).or_default();
+        points.entry(across(row).to_bits()).or_default().push(row.service_level);
+    }
+    let points = |points: BTreeMap<u64, Vec<f64>>| {
+        let point = |(bits, values): (u64, Vec<f64>)| {
+            Some(Point { across: f64::from_bits(bits), mean: mean(&values)? })
+        };
+        let mut points: Vec<_> = points.into_iter().filter_map(point).collect();
+        points.sort_by(|one, other| one.across.total_cmp(&other.across));
+        points
+    };
+    values.into_iter().map(|(policy, by_value)| (policy, points(by_value))).collect()
+}
+
+impl Chart {
+    /// The label at a position of the axis: the value, or the case that stands there.
+    fn label(&self, at: f64) -> String {
+        if !self.varied.is_empty() {
+            return format!("{at:.2}");
+        }
+        let is_near_case = at.fract().abs() < 0.01 && at >= 0.0;
+        self.cases.get(at.round() as usize).filter(|_| is_near_case).cloned().unwrap_or_default()
+    }
+
+    fn draw(&self, path: &Path) -> Result<(), DrawError> {
+        let area = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
+        area.fill(&WHITE)?;
+        let points = self.series.values().flatten();
+        let lowest = points.map(|point| point.mean.mean - point.half_width()).fold(1.0, f64::min);
+        let mut chart = ChartBuilder::on(&area)
+            .caption(&self.title, ("sans-serif", 22))
+            .margin(12)
+            .x_label_area_size(46)
+            .y_label_area_size(56)
+            .build_cartesian_2d(self.across.clone(), (lowest - AXIS_MARGIN).max(0.0)..AXIS_TOP)?;
+        let labels = if self.varied.is_empty() { self.cases.len() } else { VALUE_LABELS };
+        chart
+            .configure_mesh()
+            .x_labels(labels.max(2) * 2 + 1)
+            .x_label_formatter(&|at| self.label(*at))
+            .x_desc(&self.varied)
+            .y_desc("service")
+            .draw()?;
+        for (policy, points) in &self.series {
+            let colour = policy_colour(policy);
+            let bars = points.iter().map(|point| {
+                let (mean, half_width) = (point.mean.mean, point.half_width());
+                let high = (mean + half_width).min(AXIS_TOP);
+                ErrorBar::new_vertical(point.across, mean - half_width, mean, high, colour.filled(), 6)
+            });
+            let bars = chart.draw_series(bars)?.label(policy);
+            bars.legend(move |(x, y)| Circle::new((x + 8, y), 4, colour.filled()));
+            // A line between cases would suggest values where there are none.
+            if !self.varied.is_empty() {
+                let line = points.iter().map(|point| (point.across, point.mean.mean));
+                chart.draw_series(LineSeries::new(line, &colour))?;
+            }
+        }
+        chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+        area.present()
+    }
+}
+
+/// A policy has the same colour in each chart.
+fn policy_colour(policy: &str) -> RGBColor {
+    let position = POLICIES.iter().position(|(name, _)| *name == policy).unwrap_or(0);
+    COLOURS[position % COLOURS.len()]
+}
--- a/crates/experiments/src/columns.rs
+++ b/crates/experiments/src/columns.rs
@@ -1,4 +1,4 @@
-//! Tables by columns: written as one Parquet file, whole or not at all, and as Markdown.
+//! Tables by columns: written as one Parquet file, completely or not at all, and as Markdown.
 
 use parquet::data_type::{ByteArray, ByteArrayType, DoubleType, Int64Type};
 use parquet::file::properties::WriterProperties;
@@ -81,7 +81,10 @@
     format!("{value:.decimals$}")
 }
 
-/// Writes the columns as one row group; the file is there whole or not at all.
+/// Writes the columns as one row group, to a draft that is renamed once it is complete.
+///
+/// # Errors
+/// Where the file can't be written or renamed; a file of that name that existed before is left as it was.
 pub fn write_parquet(path: &Path, columns: &[Column]) -> parquet::errors::Result<()> {
     let draft = path.with_extension("draft");
     let fields: String = columns.iter().map(Column::schema).collect();
--- /dev/null
+++ b/crates/experiments/src/experiment/parse.rs
@@ -0,0 +1,151 @@
+//! Reads an experiment from XML.
+
+use super::attributes::{named, number, positive, AttributeError};
+use super::fault_xml::parse_fault;
+use super::names::{FleetSize, VariedParameter, FLEET_SIZES, POLICIES, VARIED_PARAMETERS};
+use super::write::VERSION;
+use super::{Case, CaseFaults, Experiment};
+use std::convert::Infallible;
+use whinwall_emulator::config::ScenarioConfig;
+use whinwall_emulator::policy::Policy;
+use whinwall_operator_config::xml::{self, Element};
+use whinwall_operator_config::ConfigError;
+use whinwall_overrides::text;
+
+/// Plays of one experiment at most: a typing error must not take days.
+const MAX_PLAYS: usize = 100_000;
+/// Replicas, slices, proxies or controllers at most.
+const MAX_FLEET: usize = 100_000;
+
+/// The fleet of an experiment.
+struct World {
+    config: ScenarioConfig,
+    size: FleetSize,
+}
+
+/// What an experiment varies.
+struct Variation {
+    parameter: Option<VariedParameter>,
+    values: Vec<f64>,
+}
+
+/// Reads an experiment.
+///
+/// # Errors
+/// Where the XML is malformed, or an element or attribute is unknown, missing or out of range.
+pub fn parse(text: &str) -> Result<Experiment, ConfigError> {
+    let root = xml::parse(text)?;
+    if root.name != "experiment" {
+        return Err(root.error("the outermost element must be <experiment>"));
+    }
+    root.allow_only(&["name", "version"], &["world", "seeds", "way", "case", "vary"])?;
+    root.required("version", check_version)?;
+    let name = root.required("name", parse_name)?;
+    let default_world = World { config: ScenarioConfig::small(), size: FleetSize::Small };
+    let World { config, size } =
+        root.optional_child("world")?.map(parse_world).transpose()?.unwrap_or(default_world);
+    let seeds =
+        root.optional_child("seeds")?.map(parse_seeds).transpose()?.unwrap_or_else(|| (1..=5).collect());
+    let Variation { parameter: varied, values } = parse_variation(root.optional_child("vary")?)?;
+    let policies = parse_policies(&root)?;
+    let cases = parse_cases(&root, &config)?;
+    let plays = cases.len() * policies.len() * seeds.len() * values.len();
+    if plays > MAX_PLAYS {
+        return Err(root.error(format!("{plays} plays are more than {MAX_PLAYS}")));
+    }
+    Ok(Experiment { name, config, size, seeds, policies, cases, varied, values })
+}
+
+fn check_version(text: &str) -> Result<(), AttributeError> {
+    if text == VERSION {
+        return Ok(());
+    }
+    Err(AttributeError::UnsupportedVersion { text: text.to_string(), supported: VERSION })
+}
+
+fn parse_name(text: &str) -> Result<String, AttributeError> {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || letter == '-';
+    let is_valid = !text.is_empty() && text.chars().all(is_allowed);
+    is_valid.then(|| text.to_string()).ok_or(AttributeError::NotAName)
+}
+
+fn parse_variation(element: Option<&Element>) -> Result<Variation, ConfigError> {
+    let Some(element) = element else { return Ok(Variation { parameter: None, values: vec![0.0] }) };
+    element.allow_only(&["what", "values"], &[])?;
+    let values = |text: &str| text.split_whitespace().map(positive).collect::<Result<Vec<_>, _>>();
+    let values = element.required("values", values)?;
+    if values.is_empty() {
+        return Err(element.error("values: there is none"));
+    }
+    let parameter = element.required("what", |text| named(text, &VARIED_PARAMETERS))?;
+    Ok(Variation { parameter: Some(parameter), values })
+}
+
+fn parse_policies(root: &Element) -> Result<Vec<Policy>, ConfigError> {
+    let mut policies = Vec::new();
+    for element in root.children.iter().filter(|child| child.name == "way") {
+        element.allow_only(&["policy"], &[])?;
+        policies.push(element.required("policy", |text| named(text, &POLICIES))?);
+    }
+    if policies.is_empty() {
+        policies.push(Policy::Controlled);
+    }
+    Ok(policies)
+}
+
+fn parse_cases(root: &Element, config: &ScenarioConfig) -> Result<Vec<Case>, ConfigError> {
+    let mut cases: Vec<Case> = Vec::new();
+    for element in root.children.iter().filter(|child| child.name == "case") {
+        let case = parse_case(element, config)?;
+        if cases.iter().any(|known| known.name == case.name) {
+            return Err(element.error(format!("name: {:?} is there twice", case.name)));
+        }
+        cases.push(case);
+    }
+    if cases.is_empty() {
+        cases.push(Case { name: "calm".into(), faults: CaseFaults::Given(Vec::new()) });
+    }
+    Ok(cases)
+}
+
+fn parse_world(world: &Element) -> Result<World, ConfigError> {
+    world.allow_only(&["size", "governors", "load", "lasts", "servers", "slices", "proxies"], &[])?;
+    let size = world.required("size", |text| named(text, &FLEET_SIZES))?;
+    let mut config = match size {
+        FleetSize::Small => ScenarioConfig::small(),
+        FleetSize::Large => ScenarioConfig::large(),
+    };
+    config.controllers = world.optional("governors", number)?.unwrap_or(config.controllers);
+    config.load = world.optional("load", positive)?.unwrap_or(config.load);
+    config.duration = world.optional("lasts", text::parse_duration)?.unwrap_or(config.duration);
+    config.replicas = world.optional("servers", number)?.unwrap_or(config.replicas);
+    config.slices = world.optional("slices", number)?.unwrap_or(config.slices);
+    config.proxies = world.optional("proxies", number)?.unwrap_or(config.proxies);
+    let counts = [config.controllers, config.replicas, config.slices, config.proxies];
+    if counts.iter().any(|count| *count == 0 || *count > MAX_FLEET) {
+        return Err(world.error("there must be some of each, and no more than 100,000"));
+    }
+    Ok(World { config, size })
+}
+
+fn parse_seeds(seeds: &Element) -> Result<Vec<u64>, ConfigError> {
+    seeds.allow_only(&["from", "to"], &[])?;
+    let (from, to) = (seeds.required("from", number::<u64>)?, seeds.required("to", number::<u64>)?);
+    if to < from || to - from >= MAX_PLAYS as u64 {
+        return Err(seeds.error("they end before they begin, or are too many"));
+    }
+    Ok((from..=to).collect())
+}
+
+fn parse_case(case: &Element, config: &ScenarioConfig) -> Result<Case, ConfigError> {
+    case.allow_only(&["name", "drawn"], &["trouble"])?;
+    let name = case.required("name", |text| Ok::<_, Infallible>(text.to_string()))?;
+    if let Some(count) = case.optional("drawn", number)? {
+        if !case.children.is_empty() {
+            return Err(case.error("its troubles are either drawn or given"));
+        }
+        return Ok(Case { name, faults: CaseFaults::Random(count) });
+    }
+    let faults: Result<_, _> = case.children.iter().map(|fault| parse_fault(fault, config)).collect();
+    Ok(Case { name, faults: CaseFaults::Given(faults?) })
+}
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,11 +1,14 @@
-//! Experiments on the emulator. `experiment` is the file that says what is played, `results` the rows of what
-//! came of it, `columns` their form as Parquet and Markdown, `figures` means, intervals and pairs, `report` tables and charts, `search` the
-//! worst day and the least that still shows it.
-#![forbid(unsafe_code)]
+//! Experiments on the emulator.
+//!
+//! [`experiment`] is the file that says what is played, [`results`] the rows of the outcomes, [`columns`] their
+//! form as Parquet and Markdown, [`statistics`] means, confidence intervals and pairs, [`report`] tables,
+//! [`charts`] charts, and [`search`] finds the worst scenario and the fewest faults that still show it.
+#![warn(clippy::unwrap_used)]
 
+pub mod charts;
 pub mod columns;
 pub mod experiment;
-pub mod figures;
 pub mod report;
 pub mod results;
 pub mod search;
+pub mod statistics;
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -1,138 +1,210 @@
-//! Rows of results in a folder, as Parquet: one file for each batch of plays, written whole or not at all, so
-//! that a run that was broken off goes on where it was.
+//! Rows of results in a folder, as Parquet: one file for each batch of plays, written completely or not at all, so
+//! that an interrupted run can be resumed.
 
 use crate::columns::{write_parquet, Column};
+use crate::experiment::{policy_name, Play};
+use parquet::errors::ParquetError;
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
 use std::fs::File;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 use whinwall_emulator::scenario::Outcome;
 
+/// Why results could not be read or written.
+#[derive(Debug, Error)]
+pub enum ResultsError {
+    /// A folder can't be created or listed.
+    #[error("{}: {source}", folder.display())]
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// A file can't be read or written.
+    #[error("{}: {source}", file.display())]
+    File {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        source: ParquetError,
+    },
+}
+
+/// The result of one play.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct ResultRow {
+    /// The experiment's name and hash.
     pub experiment: String,
+    /// The build that was played.
     pub commit: String,
+    /// The name of the case.
     pub case: String,
-    pub way: String,
+    /// The policy's name.
+    pub policy: String,
+    /// The value of the varied parameter.
     pub value: f64,
+    /// The seed.
     pub seed: i64,
-    pub service: f64,
+    /// The priority weight of timely requests, as a share of all, 0 to 1.
+    pub service_level: f64,
+    /// Requests that arrived.
     pub requests: i64,
-    pub acked: i64,
+    /// Requests that succeeded.
+    pub succeeded: i64,
+    /// Requests that succeeded after their latency objective.
     pub late: i64,
+    /// Requests that provably never ran.
     pub rejected: i64,
+    /// Requests that failed otherwise.
     pub failed: i64,
-    pub orders: i64,
-    pub verdicts: i64,
-    pub most_lines: f64,
-    pub broken: i64,
+    /// Commands that the relay accepted.
+    pub commands: i64,
+    /// Replicas that were ejected as outliers.
+    pub ejections: i64,
+    /// The most lines that were on their way in one channel.
+    pub peak_queued_lines: f64,
+    /// How often rules were violated.
+    pub violations: i64,
+}
+
+/// What identifies a play within an experiment.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PlayKey {
+    case: String,
+    policy: String,
+    value_bits: u64,
+    seed: i64,
+}
+
+impl PlayKey {
+    /// The key that the row of a play has.
+    pub fn of_play(play: &Play) -> Self {
+        PlayKey {
+            case: play.case.clone(),
+            policy: policy_name(play.policy).to_string(),
+            value_bits: play.value.to_bits(),
+            seed: play.seed as i64,
+        }
+    }
 }
 
-/// The rows by columns, in the order in which `read_file` takes them.
-fn columns(rows: &[Row]) -> Vec<Column> {
-    let text = |name, of: fn(&Row) -> &str| Column::text(name, rows.iter().map(|row| of(row).to_string()));
-    let whole = |name, of: fn(&Row) -> i64| Column::whole(name, rows.iter().map(of));
-    let real = |name, of: fn(&Row) -> f64| Column::real(name, rows.iter().map(of));
+/// The rows by columns, whose names and order are those of files that exist.
+fn columns(rows: &[ResultRow]) -> Vec<Column> {
+    let text =
+        |name, value: fn(&ResultRow) -> &str| Column::text(name, rows.iter().map(|row| value(row).into()));
+    let whole = |name, value: fn(&ResultRow) -> i64| Column::whole(name, rows.iter().map(value));
+    let real = |name, value: fn(&ResultRow) -> f64| Column::real(name, rows.iter().map(value));
     vec![
         text("experiment", |row| &row.experiment),
         text("commit", |row| &row.commit),
         text("case", |row| &row.case),
-        text("way", |row| &row.way),
+        text("way", |row| &row.policy),
         real("value", |row| row.value),
         whole("seed", |row| row.seed),
-        real("service", |row| row.service),
+        real("service", |row| row.service_level),
         whole("ops", |row| row.requests),
-        whole("acked", |row| row.acked),
+        whole("acked", |row| row.succeeded),
         whole("late", |row| row.late),
         whole("rejected", |row| row.rejected),
         whole("aborted", |row| row.failed),
-        whole("orders", |row| row.orders),
-        whole("verdicts", |row| row.verdicts),
-        real("most_lines", |row| row.most_lines),
-        whole("broken", |row| row.broken),
+        whole("orders", |row| row.commands),
+        whole("verdicts", |row| row.ejections),
+        real("most_lines", |row| row.peak_queued_lines),
+        whole("broken", |row| row.violations),
     ]
 }
 
-impl Row {
-    pub fn of(experiment: &str, commit: &str, play: &crate::experiment::Play, day: &Outcome) -> Self {
-        Row {
+impl ResultRow {
+    /// The row of a play.
+    pub fn new(experiment: &str, commit: &str, play: &Play, outcome: &Outcome) -> Self {
+        ResultRow {
             experiment: experiment.into(),
             commit: commit.into(),
             case: play.case.clone(),
-            way: crate::experiment::way_name(play.way).into(),
+            policy: policy_name(play.policy).into(),
             value: play.value,
             seed: play.seed as i64,
-            service: day.service_level,
-            requests: day.requests as i64,
-            acked: day.succeeded as i64,
-            late: day.late as i64,
-            rejected: day.rejected as i64,
-            failed: day.failed as i64,
-            orders: day.commands as i64,
-            verdicts: day.ejections as i64,
-            most_lines: day.peak_queued_lines,
-            broken: day.violation_counts.values().sum::<usize>() as i64,
+            service_level: outcome.service_level,
+            requests: outcome.requests as i64,
+            succeeded: outcome.succeeded as i64,
+            late: outcome.late as i64,
+            rejected: outcome.rejected as i64,
+            failed: outcome.failed as i64,
+            commands: outcome.commands as i64,
+            ejections: outcome.ejections as i64,
+            peak_queued_lines: outcome.peak_queued_lines,
+            violations: outcome.violation_counts.values().sum::<usize>() as i64,
         }
     }
 
-    /// What makes it the same play in another run.
-    pub fn key(&self) -> (String, String, u64, i64) {
-        (self.case.clone(), self.way.clone(), self.value.to_bits(), self.seed)
+    /// What identifies the same play in another run.
+    pub fn key(&self) -> PlayKey {
+        PlayKey {
+            case: self.case.clone(),
+            policy: self.policy.clone(),
+            value_bits: self.value.to_bits(),
+            seed: self.seed,
+        }
     }
 }
 
-fn failed(path: &Path, why: impl std::fmt::Display) -> String {
-    format!("{}: {why}", path.display())
-}
-
-/// One more file; it is there whole or not at all.
-pub fn append(folder: &Path, rows: &[Row]) -> Result<(), String> {
-    std::fs::create_dir_all(folder).map_err(|why| failed(folder, why))?;
-    let free = |n: &u32| !folder.join(format!("part-{n:05}.parquet")).exists();
-    let path = folder.join(format!("part-{:05}.parquet", (0..).find(free).unwrap_or_default()));
-    write_parquet(&path, &columns(rows)).map_err(|why| failed(&path, why))
+/// Adds a file with these rows to a folder.
+///
+/// # Errors
+/// Where the folder can't be created or the file can't be written; there is no file then.
+pub fn append(folder: &Path, rows: &[ResultRow]) -> Result<(), ResultsError> {
+    let folder_error = |source| ResultsError::Folder { folder: folder.into(), source };
+    std::fs::create_dir_all(folder).map_err(folder_error)?;
+    let part = |number: u32| folder.join(format!("part-{number:05}.parquet"));
+    let is_free = |number: &u32| !part(*number).exists();
+    let file = part((0..).find(is_free).unwrap_or_default());
+    write_parquet(&file, &columns(rows)).map_err(|source| ResultsError::File { file, source })
 }
 
-/// All rows of a folder, or of one file.
-pub fn read(path: &Path) -> Result<Vec<Row>, String> {
-    let mut files: Vec<PathBuf> = match path.is_dir() {
-        false => vec![path.into()],
-        true => {
-            let entries = std::fs::read_dir(path).map_err(|why| failed(path, why))?;
-            let paths = entries.filter_map(|entry| Some(entry.ok()?.path()));
-            paths.filter(|path| path.extension().is_some_and(|ending| ending == "parquet")).collect()
-        }
-    };
+/// Reads all rows of a folder, or of one file.
+///
+/// # Errors
+/// Where the folder can't be listed or a file can't be read.
+pub fn read(path: &Path) -> Result<Vec<ResultRow>, ResultsError> {
+    let mut files = if path.is_dir() { parquet_files(path)? } else { vec![path.into()] };
     files.sort();
     let mut rows = Vec::new();
-    for file in &files {
-        read_file(file, &mut rows).map_err(|why| failed(file, why))?;
+    for file in files {
+        read_file(&file, &mut rows).map_err(|source| ResultsError::File { file, source })?;
     }
     Ok(rows)
 }
 
-fn read_file(path: &Path, rows: &mut Vec<Row>) -> parquet::errors::Result<()> {
+fn parquet_files(folder: &Path) -> Result<Vec<PathBuf>, ResultsError> {
+    let folder_error = |source| ResultsError::Folder { folder: folder.into(), source };
+    let entries = std::fs::read_dir(folder).map_err(folder_error)?;
+    let paths = entries.filter_map(|entry| Some(entry.ok()?.path()));
+    Ok(paths.filter(|path| path.extension().is_some_and(|extension| extension == "parquet")).collect())
+}
+
+fn read_file(path: &Path, rows: &mut Vec<ResultRow>) -> parquet::errors::Result<()> {
     let reader = SerializedFileReader::new(File::open(path)?)?;
     for row in reader.get_row_iter(None)? {
         let row = row?;
-        let text = |at| row.get_string(at).cloned();
-        rows.push(Row {
-            experiment: text(0)?,
-            commit: text(1)?,
-            case: text(2)?,
-            way: text(3)?,
+        rows.push(ResultRow {
+            experiment: row.get_string(0)?.clone(),
+            commit: row.get_string(1)?.clone(),
+            case: row.get_string(2)?.clone(),
+            policy: row.get_string(3)?.clone(),
             value: row.get_double(4)?,
             seed: row.get_long(5)?,
-            service: row.get_double(6)?,
+            service_level: row.get_double(6)?,
             requests: row.get_long(7)?,
-            acked: row.get_long(8)?,
+            succeeded: row.get_long(8)?,
             late: row.get_long(9)?,
             rejected: row.get_long(10)?,
             failed: row.get_long(11)?,
-            orders: row.get_long(12)?,
-            verdicts: row.get_long(13)?,
-            most_lines: row.get_double(14)?,
-            broken: row.get_long(15)?,
+            commands: row.get_long(12)?,
+            ejections: row.get_long(13)?,
+            peak_queued_lines: row.get_double(14)?,
+            violations: row.get_long(15)?,
         });
     }
     Ok(())
--- /dev/null
+++ b/crates/experiments/src/statistics.rs
@@ -0,0 +1,120 @@
+//! Means with their confidence intervals, and pairs of plays.
+
+use crate::results::{PlayKey, ResultRow};
+use std::collections::BTreeMap;
+
+/// A mean with its 95% confidence interval.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Mean {
+    /// The mean.
+    pub mean: f64,
+    /// How far from it the true mean may be; infinite for a single value.
+    pub half_width: f64,
+    /// The number of values.
+    pub count: usize,
+    /// The least value.
+    pub least: f64,
+}
+
+/// Student's 97.5% quantiles for 1 to 30 degrees of freedom.
+const STUDENT_QUANTILES: [f64; 30] = [
+    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
+    2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
+];
+/// The normal distribution's 97.5% quantile, near enough for more degrees of freedom.
+const NORMAL_QUANTILE: f64 = 1.96;
+
+/// The mean of some values; none of no values.
+pub fn mean(values: &[f64]) -> Option<Mean> {
+    let count = values.len();
+    if count == 0 {
+        return None;
+    }
+    let mean = values.iter().sum::<f64>() / count as f64;
+    let squares = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
+    let half_width = if count == 1 {
+        f64::INFINITY
+    } else {
+        let quantile = STUDENT_QUANTILES.get(count - 2).copied().unwrap_or(NORMAL_QUANTILE);
+        quantile * (squares / (count - 1) as f64 / count as f64).sqrt()
+    };
+    Some(Mean { mean, half_width, count, least: values.iter().copied().fold(f64::INFINITY, f64::min) })
+}
+
+/// A case with a value of the varied parameter.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CaseKey {
+    /// The name of the case.
+    pub case: String,
+    /// The bits of the value, which order as the value does while it is not negative.
+    value_bits: u64,
+}
+
+impl CaseKey {
+    /// The value of the varied parameter.
+    pub fn value(&self) -> f64 {
+        f64::from_bits(self.value_bits)
+    }
+}
+
+/// Rows by case and value, then by policy.
+pub type Groups<'a> = BTreeMap<CaseKey, BTreeMap<String, Vec<&'a ResultRow>>>;
+
+/// Groups rows.
+pub fn groups(rows: &[ResultRow]) -> Groups<'_> {
+    let mut groups = Groups::new();
+    for row in rows {
+        let key = CaseKey { case: row.case.clone(), value_bits: row.value.to_bits() };
+        groups.entry(key).or_default().entry(row.policy.clone()).or_default().push(row);
+    }
+    groups
+}
+
+/// How the same plays differ between two runs.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Pair {
+    /// The name of the case.
+    pub case: String,
+    /// The policy's name.
+    pub policy: String,
+    /// The value of the varied parameter.
+    pub value: f64,
+    /// The service levels of the second run less those of the first.
+    pub difference: Mean,
+}
+
+impl Pair {
+    /// Whether zero is outside the difference's confidence interval.
+    pub fn is_significant(&self) -> bool {
+        self.difference.mean.abs() > self.difference.half_width
+    }
+}
+
+/// The plays of two runs, paired.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Comparison {
+    /// By case, policy and value.
+    pub pairs: Vec<Pair>,
+    /// Plays of the first run that the second does not have.
+    pub unpaired: usize,
+}
+
+/// Pairs each play of the first run with the same play of the second.
+pub fn compare(first: &[ResultRow], second: &[ResultRow]) -> Comparison {
+    let others: BTreeMap<PlayKey, f64> = second.iter().map(|row| (row.key(), row.service_level)).collect();
+    let mut differences: BTreeMap<(String, String, u64), Vec<f64>> = BTreeMap::new();
+    let mut unpaired = 0;
+    for row in first {
+        match others.get(&row.key()) {
+            None => unpaired += 1,
+            Some(other) => {
+                let key = (row.case.clone(), row.policy.clone(), row.value.to_bits());
+                differences.entry(key).or_default().push(other - row.service_level);
+            }
+        }
+    }
+    let pair = |((case, policy, value_bits), differences): ((String, String, u64), Vec<f64>)| {
+        Some(Pair { case, policy, value: f64::from_bits(value_bits), difference: mean(&differences)? })
+    };
+    Comparison { pairs: differences.into_iter().filter_map(pair).collect(), unpaired }
+}
--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use whinwall_emulator::policy::Policy;
 use whinwall_emulator::scenario::play;
-use whinwall_experiments::results::{self, Row};
+use whinwall_experiments::results::{self, ResultRow};
 
 /// Why a sweep could not be played.
 #[derive(Debug, Error)]
@@ -102,8 +102,8 @@
     let text = format!("{}\n{}", table(&played), paired_differences(&played, args.reference));
     print!("{text}");
     let Some(out) = &args.out else { return Ok(()) };
-    let rows: Vec<Row> = played.iter().map(|one| one.row(&args.commit)).collect();
-    results::append(out, &rows).map_err(SweepError::Results)?;
+    let rows: Vec<ResultRow> = played.iter().map(|one| one.row(&args.commit)).collect();
+    results::append(out, &rows).map_err(|error| SweepError::Results(error.to_string()))?;
     let file = out.join("decisions.md");
     std::fs::write(&file, text).map_err(|why| SweepError::Results(format!("{}: {why}", file.display())))
 }
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use whinwall_emulator::scenario::Outcome;
-use whinwall_experiments::figures::mean;
-use whinwall_experiments::results::Row;
+use whinwall_experiments::results::ResultRow;
+use whinwall_experiments::statistics::mean;
 
 /// A day of the plan, and what it came to.
 #[derive(Clone, Debug)]
@@ -25,25 +25,25 @@
     }
 
     /// The lab's row of it; the value varied is the number of controllers.
-    pub fn row(&self, commit: &str) -> Row {
+    pub fn row(&self, commit: &str) -> ResultRow {
         let Outcome { requests, succeeded, late, rejected, failed, commands, ejections, .. } = self.outcome;
-        Row {
+        ResultRow {
             experiment: format!("decisions-{}-replicas", self.day.sizes.replicas),
             commit: commit.to_string(),
             case: self.day.kind.to_string(),
-            way: way(self.day.subset),
+            policy: way(self.day.subset),
             value: self.day.sizes.controllers as f64,
             seed: self.day.seed as i64,
-            service: self.outcome.service_level,
+            service_level: self.outcome.service_level,
             requests: requests as i64,
-            acked: succeeded as i64,
+            succeeded: succeeded as i64,
             late: late as i64,
             rejected: rejected as i64,
             failed: failed as i64,
-            orders: commands as i64,
-            verdicts: ejections as i64,
-            most_lines: self.outcome.peak_queued_lines,
-            broken: broken(&self.outcome) as i64,
+            commands: commands as i64,
+            ejections: ejections as i64,
+            peak_queued_lines: self.outcome.peak_queued_lines,
+            violations: broken(&self.outcome) as i64,
         }
     }
 }
@@ -133,7 +133,7 @@
         let differences: Vec<f64> = paired.collect();
         let Some(figure) = mean(&differences) else { continue };
         let greatest = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        let (way, difference, within, least) = (way(*subset), figure.mean, figure.within, figure.least);
+        let (way, difference, within, least) = (way(*subset), figure.mean, figure.half_width, figure.least);
         _ = writeln!(
             text,
             "| {kind} | {way} | {controllers} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
