--- a/crates/scale-tests/src/decisions/error.rs
+++ b/crates/scale-tests/src/decisions/error.rs
@@ -2,6 +2,7 @@
 
 use std::path::PathBuf;
 use thiserror::Error;
+use whinwall_experiments::results::ResultsError;
 
 /// Why a sweep could not be played.
 #[derive(Debug, Error)]
@@ -12,9 +13,9 @@
     /// The pool of threads could not be started.
     #[error("threads: {0}")]
     Threads(#[from] rayon::ThreadPoolBuildError),
-    /// The rows could not be written; the text is that of the experiments' results.
-    #[error("{0}")]
-    Rows(String),
+    /// The rows could not be written.
+    #[error(transparent)]
+    Rows(#[from] ResultsError),
     /// The table could not be written.
     #[error("{}: {source}", path.display())]
     Table {
--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Mutex;
 use whinwall_emulator::policy::Policy;
 use whinwall_emulator::scenario::play;
-use whinwall_experiments::results::{self, Row};
+use whinwall_experiments::results::{self, ResultRow};
 
 /// Plays the scenarios of the plan on a pool of threads; the outcomes are in the plan's order.
 ///
@@ -48,8 +48,8 @@
     let text = format!("{}\n{}", table(&played), paired_differences(&played, args.reference));
     print!("{text}");
     let Some(out) = &args.out else { return Ok(()) };
-    let rows: Vec<Row> = played.iter().map(|played| played.row(&args.commit)).collect();
-    results::append(out, &rows).map_err(SweepError::Rows)?;
+    let rows: Vec<ResultRow> = played.iter().map(|played| played.row(&args.commit)).collect();
+    results::append(out, &rows)?;
     let path = out.join("decisions.md");
     std::fs::write(&path, text).map_err(|source| SweepError::Table { path, source })
 }
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use whinwall_emulator::scenario::Outcome;
-use whinwall_experiments::figures::mean;
-use whinwall_experiments::results::Row;
+use whinwall_experiments::results::ResultRow;
+use whinwall_experiments::statistics::mean;
 
 /// A scenario of the plan and its outcome.
 #[derive(Clone, Debug)]
@@ -32,25 +32,25 @@
     }
 
     /// Its row in the experiments' results; the value that is varied is the number of controllers.
-    pub fn row(&self, commit: &str) -> Row {
+    pub fn row(&self, commit: &str) -> ResultRow {
         let Outcome { requests, succeeded, late, rejected, failed, commands, ejections, .. } = self.outcome;
-        Row {
+        ResultRow {
             experiment: format!("decisions-{}-replicas", self.scenario.fleet.replicas),
             commit: commit.to_string(),
             case: self.scenario.kind.to_string(),
-            way: decision_label(self.scenario.subset),
+            policy: decision_label(self.scenario.subset),
             value: self.scenario.fleet.controllers as f64,
             seed: self.scenario.seed as i64,
-            service: self.outcome.service_level,
+            service_level: self.outcome.service_level,
             requests: requests as i64,
-            acked: succeeded as i64,
+            succeeded: succeeded as i64,
             late: late as i64,
             rejected: rejected as i64,
             failed: failed as i64,
-            orders: commands as i64,
-            verdicts: ejections as i64,
-            most_lines: self.outcome.peak_queued_lines,
-            broken: violation_count(&self.outcome) as i64,
+            commands: commands as i64,
+            ejections: ejections as i64,
+            peak_queued_lines: self.outcome.peak_queued_lines,
+            violations: violation_count(&self.outcome) as i64,
         }
     }
 }
@@ -149,7 +149,7 @@
         let Some(figure) = mean(&differences) else { continue };
         let greatest = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
         let (label, difference, within, least) =
-            (decision_label(subset), figure.mean, figure.within, figure.least);
+            (decision_label(subset), figure.mean, figure.half_width, figure.least);
         _ = writeln!(
             text,
             "| {kind} | {label} | {controllers} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
