--- a/crates/controller/benches/reducer.rs
+++ b/crates/controller/benches/reducer.rs
@@ -51,7 +51,7 @@
         let entry = |n| json!({"id": format!("s-{n}"), "zone": "north", "state": "active"});
         let list =
             json!({"version": 1, "full": true, "servers": (0..replicas).map(entry).collect::<Vec<_>>()});
-        fleet.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+        fleet.apply(Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..3).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for slice in 0..replicas * SLICES {
@@ -94,7 +94,7 @@
                         events.extend((0..3).map(ack));
                     }
                 }
-                events.push(Event::RelayReply(Ok(Response::Accepted(line.split(';').count()))));
+                events.push(Event::RelayResponse(Ok(Response::Accepted(line.split(';').count()))));
             }
         }
     }
--- a/crates/controller/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -48,7 +48,7 @@
     reducer.apply(now, Event::Started);
     let entry = |n| json!({"id": format!("s-{n}"), "zone": "north", "state": "active"});
     let list = json!({"version": 1, "full": true, "servers": (0..replicas).map(entry).collect::<Vec<_>>()});
-    reducer.apply(now, Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+    reducer.apply(now, Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
     reducer.apply(now, Event::SubsettingConfigured(fleet));
     for from in 0..2 {
         let message = collector::Message::Source { zone: "north".into() };
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -75,7 +75,7 @@
         for effect in effects {
             let Effect::RelayRequest { line, .. } = effect else { continue };
             let commands = self.send(&line);
-            self.apply(vec![Event::RelayReply(Ok(Response::Accepted(commands)))]);
+            self.apply(vec![Event::RelayResponse(Ok(Response::Accepted(commands)))]);
         }
     }
 
@@ -125,7 +125,7 @@
     };
     let replicas: Vec<_> = entries.map(entry).collect();
     let list = json!({"version": version, "full": is_complete, "servers": replicas});
-    Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap())
+    Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap())
 }
 
 fn relay_events(lines: impl Iterator<Item = String>) -> Vec<Event> {
--- a/crates/controller/benches/subsets.rs
+++ b/crates/controller/benches/subsets.rs
@@ -80,7 +80,7 @@
 
     fn list(&mut self, version: usize, whole: bool, replicas: Vec<Value>) {
         let line = json!({"version": version, "full": whole, "servers": replicas}).to_string();
-        self.tell(Event::Registry(discovery::decode(&line).unwrap().unwrap()));
+        self.tell(Event::EndpointListReceived(discovery::decode(&line).unwrap().unwrap()));
     }
 
     /// A replica leaves and another comes.
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -60,7 +60,7 @@
             Input::WatchLine(id, line) => self.decode_relay_event(id, line),
             Input::RegistryLine(id, line) => self.decode_registry_message(id, line),
             Input::RelayResponse(outcome) => Some(self.decode_relay_response(outcome)),
-            Input::UnsolicitedResponse => Some(Event::UnexpectedReply),
+            Input::UnsolicitedResponse => Some(Event::UnsolicitedResponse),
         };
         if let Some(event) = event {
             self.dispatcher.apply(event);
@@ -96,7 +96,7 @@
         }
         let line = match line {
             Ok(line) => line,
-            Err(error) => return Some(Event::WatchLost(error)),
+            Err(error) => return Some(Event::RelayWatchLost(error)),
         };
         Some(match relay::decode_event(&line) {
             Ok(event) => {
@@ -105,7 +105,7 @@
             }
             Err(error) => {
                 self.dispatcher.watches.close_relay_watch();
-                Event::WatchLost(unreadable(&error))
+                Event::RelayWatchLost(unreadable(&error))
             }
         })
     }
@@ -119,18 +119,18 @@
         }
         let line = match line {
             Ok(line) => line,
-            Err(error) => return Some(Event::RegistryLost(error)),
+            Err(error) => return Some(Event::EndpointListWatchLost(error)),
         };
         match discovery::decode(&line) {
             Ok(heartbeat_or_list) => {
                 let list = heartbeat_or_list?;
                 let entries = list.entries.len();
                 tracing::debug!(version = list.version, entries, "endpoint list");
-                Some(Event::Registry(list))
+                Some(Event::EndpointListReceived(list))
             }
             Err(error) => {
                 self.dispatcher.watches.close_registry_watch();
-                Some(Event::RegistryLost(unreadable(&error)))
+                Some(Event::EndpointListWatchLost(unreadable(&error)))
             }
         }
     }
@@ -141,7 +141,7 @@
         let decode = |line: String| {
             relay::decode_response(&line).map_err(|error| RequestError::OutcomeUnknown(unreadable(&error)))
         };
-        Event::RelayReply(outcome.and_then(decode))
+        Event::RelayResponse(outcome.and_then(decode))
     }
 
     /// Takes the batch of one chunk, and others of its connection that have waited for it.
--- a/crates/controller/tests/event_races.rs
+++ b/crates/controller/tests/event_races.rs
@@ -47,7 +47,7 @@
 /// Where the relay accepts one command of each request, the remaining commands are a message of their own.
 #[test]
 fn partially_accepted_requests_keep_the_message_cap() {
-    keeps_the_message_cap(60, Span::ms(50), || Event::RelayReply(Ok(Response::Accepted(1))));
+    keeps_the_message_cap(60, Span::ms(50), || Event::RelayResponse(Ok(Response::Accepted(1))));
 }
 
 /// A proxy whose acknowledgements are delayed has the former table and writes by it: there is no new owner before it has
@@ -155,7 +155,7 @@
         rig.advance_ms(600);
     }
     rig.proxies = proxies;
-    rig.apply(Event::WatchLost(StreamError::TimedOut));
+    rig.apply(Event::RelayWatchLost(StreamError::TimedOut));
     rig.advance_ms(200);
     assert!(rig.resend_snapshot_if_requested(), "the relay watch is requested again");
     let before = rig.requests.len();
@@ -230,7 +230,7 @@
 
 fn send_list(rig: &mut Rig, version: u64, is_complete: bool, replicas: Vec<serde_json::Value>) {
     let list = json!({"version": version, "full": is_complete, "servers": replicas});
-    rig.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+    rig.apply(Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
     rig.drain_input();
 }
 
@@ -287,7 +287,7 @@
         let mut rig = Rig::with_seed(12, seed, |_| {}).start_serving();
         (0..8)
             .map(|_| {
-                rig.apply(Event::WatchLost(StreamError::Closed));
+                rig.apply(Event::RelayWatchLost(StreamError::Closed));
                 rig.drain_input();
                 let pause = rig.wake_at.unwrap() - rig.now;
                 assert!(pause <= Span::ms(100), "{pause:?}");
@@ -433,7 +433,7 @@
         // At the second refusal the first command is skipped, and nothing may be left.
         let may_be_over = taken >= commands.len() || commands.len() == 1;
         self.open = Some((commands.iter().map(std::string::ToString::to_string).collect(), may_be_over));
-        self.rig.apply(Event::RelayReply(Ok(Response::Accepted(taken.min(commands.len())))));
+        self.rig.apply(Event::RelayResponse(Ok(Response::Accepted(taken.min(commands.len())))));
     }
 
     fn list(&mut self, version: u64) {
@@ -474,18 +474,19 @@
                 send_list(&mut self.rig, self.version - 1 - u64::from(n % 9), n.is_multiple_of(2), all);
                 send_list(&mut self.rig, self.version, false, Vec::new());
             }
-            3 => self.rig.apply(Event::RegistryLost(StreamError::TimedOut)),
+            3 => self.rig.apply(Event::EndpointListWatchLost(StreamError::TimedOut)),
             4 | 5 => self.answer(event % 18 == 4, |_| UNKNOWN),
-            6 => self.answer(false, |_| Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into())))),
+            6 => self
+                .answer(false, |_| Event::RelayResponse(Ok(Response::Retryable("ERR unavailable".into())))),
             7 => self.is_short(n as usize % 3),
             8 => {
                 let settles = self.rig.pending_request.is_some();
-                self.answer(true, |commands| Event::RelayReply(Ok(Response::Accepted(commands))));
+                self.answer(true, |commands| Event::RelayResponse(Ok(Response::Accepted(commands))));
                 self.open = self.open.take().filter(|_| !settles);
             }
-            9 => self.rig.apply(Event::UnexpectedReply),
+            9 => self.rig.apply(Event::UnsolicitedResponse),
             10 => {
-                self.rig.apply(Event::WatchLost(StreamError::TimedOut));
+                self.rig.apply(Event::RelayWatchLost(StreamError::TimedOut));
                 self.rig.now = self.rig.now + Span::ms(u64::from(n % 300));
             }
             11 | 12 => self.take_slice_away_and_back(n % 12, event % 18 == 12),
@@ -548,7 +549,7 @@
         let rig = &mut run.rig;
         let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
         assert_eq!(drained, None, "seed {seed}: {events:?}");
-        rig.apply(Event::WatchLost(StreamError::Closed));
+        rig.apply(Event::RelayWatchLost(StreamError::Closed));
         rig.advance_ms(100);
         rig.send_snapshot(&[]);
         let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
@@ -566,7 +567,7 @@
     rig.drain("s-2");
     rig.advance_ms(20_000);
     assert!(!rig.owners().contains("s-2"));
-    rig.apply(Event::WatchLost(StreamError::TimedOut));
+    rig.apply(Event::RelayWatchLost(StreamError::TimedOut));
     rig.advance_ms(100);
     rig.send_snapshot(&[]);
     let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
@@ -579,7 +580,7 @@
     let mut rig = Rig::serving();
     rig.advance_ms(5000);
     let before = rig.requests.len();
-    rig.apply(Event::WatchLost(StreamError::TimedOut));
+    rig.apply(Event::RelayWatchLost(StreamError::TimedOut));
     rig.store.insert(3, BTreeMap::from([("s-5".into(), 1.0)]));
     rig.advance_ms(100);
     rig.send_snapshot(&[]);
@@ -597,7 +598,7 @@
     let mut read_anew = 0;
     for _ in 0..40 {
         if rig.pending_request.take().is_some() {
-            rig.apply(Event::RelayReply(Ok(Response::Accepted(0))));
+            rig.apply(Event::RelayResponse(Ok(Response::Accepted(0))));
         }
         rig.now = rig.now + Span::ms(100);
         rig.drain_input();
--- a/crates/controller/tests/large_fleet.rs
+++ b/crates/controller/tests/large_fleet.rs
@@ -83,7 +83,8 @@
     let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
     let targets = Targets { discovery: here(8500), relay: here(6400) };
     let mut reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
-    let listed = |list: Value| Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap());
+    let listed =
+        |list: Value| Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap());
     let news = |line: String| Event::Relay(decode_event(&line).unwrap());
     let mut longest = Duration::ZERO;
     let mut tell = |now: Moment, events: Vec<Event>| {
@@ -98,7 +99,7 @@
                     .into_iter()
                     .flat_map(|version| (0..3).map(move |proxy| format!("* ACK {proxy} {version} 1")));
                 events.extend(acks.map(news));
-                events.push(Event::RelayReply(Ok(Response::Accepted(line.split(';').count()))));
+                events.push(Event::RelayResponse(Ok(Response::Accepted(line.split(';').count()))));
             }
         }
         longest = longest.max(began.elapsed());
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -86,14 +86,14 @@
     ];
     let before = rig.requests.len();
     for list in odd {
-        rig.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+        rig.apply(Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
         rig.advance_ms(700);
     }
     let again =
         |call: &String| call.contains("IN,s-2") || call.contains(",s-2,1") || call.contains(",s-2,0.");
     assert!(!rig.requests[before..].iter().any(again), "{:?}", &rig.requests[before..]);
     let back = json!({"version": 50, "full": false, "servers": [entry("s-2", "active", "north", 0)]});
-    rig.apply(Event::Registry(discovery::decode(&back.to_string()).unwrap().unwrap()));
+    rig.apply(Event::EndpointListReceived(discovery::decode(&back.to_string()).unwrap().unwrap()));
     rig.advance_ms(3000);
     assert!(rig.requests[before..].iter().any(|call| call.contains("IN,s-2")));
 }
@@ -153,7 +153,7 @@
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let first = rig.pending_request.clone().unwrap();
-    rig.apply(Event::WatchLost(StreamError::Closed));
+    rig.apply(Event::RelayWatchLost(StreamError::Closed));
     rig.other_effects.clear();
     let moved = |port, other| Targets {
         relay: SocketAddr::new(RELAY.ip(), port),
@@ -191,7 +191,7 @@
     for (taken, next) in [(usize::MAX, 0), (orders.len() + 1, 0), (0, 0), (2, 2), (1, 3), (0, 4)] {
         let before = rig.logs.len();
         rig.pending_request = None;
-        rig.apply(Event::RelayReply(Ok(Response::Accepted(taken))));
+        rig.apply(Event::RelayResponse(Ok(Response::Accepted(taken))));
         rig.drain_input();
         if rig.pending_request.is_none() {
             rig.now = rig.now + Span::ms(100);
@@ -236,7 +236,7 @@
 fn replicas_can_be_replaced_without_end() {
     let mut rig = Rig::serving();
     let known = |rig: &mut Rig| {
-        rig.apply(Event::WatchLost(StreamError::Closed));
+        rig.apply(Event::RelayWatchLost(StreamError::Closed));
         rig.advance_ms(100);
         rig.send_snapshot(&[]);
         let note = rig.logs.last().unwrap().clone();
@@ -403,7 +403,7 @@
                     rig.send_list();
                 }
                 6 => {
-                    rig.apply(Event::WatchLost(StreamError::Closed));
+                    rig.apply(Event::RelayWatchLost(StreamError::Closed));
                     rig.advance_ms(200);
                     rig.resend_snapshot_if_requested();
                 }
@@ -431,7 +431,7 @@
     rig.drain("s-2");
     rig.pending_request = None;
     rig.other_effects.clear();
-    rig.apply(Event::RelayReply(Ok(Response::Rejected("ERR bad_request".into()))));
+    rig.apply(Event::RelayResponse(Ok(Response::Rejected("ERR bad_request".into()))));
     assert_eq!(rig.other_effects, [Effect::WatchRelay { relay: RELAY }]);
     rig.send_snapshot(&[]);
     rig.advance_ms(1000);
@@ -444,7 +444,7 @@
     // A break in the middle of a table: the half is forgotten.
     rig.relay_event("OK");
     rig.relay_event("* GRANT 3 1");
-    rig.apply(Event::WatchLost(StreamError::Closed));
+    rig.apply(Event::RelayWatchLost(StreamError::Closed));
     rig.drain_input();
     assert_eq!(
         rig.other_effects.last(),
@@ -510,7 +510,7 @@
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let call = rig.pending_request.take().unwrap();
-    rig.apply(Event::RelayReply(Err(RequestError::NotSent(StreamError::Closed))));
+    rig.apply(Event::RelayResponse(Err(RequestError::NotSent(StreamError::Closed))));
     // The relay is back with the tables as they were: the call is still to come, and it alone.
     rig.send_snapshot(&[]);
     assert_eq!(rig.pending_request.as_ref(), Some(&call));
@@ -527,7 +527,7 @@
     for (why, since) in
         [(StreamError::Closed, 41), (StreamError::Unreadable("a list that is none".into()), 0)]
     {
-        rig.apply(Event::RegistryLost(why));
+        rig.apply(Event::EndpointListWatchLost(why));
         rig.drain_input();
         rig.advance_ms(100);
         assert_eq!(rig.other_effects.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since }));
@@ -551,7 +551,7 @@
     rig.advance_ms(2000);
     rig.drain("s-2");
     assert!(rig.pending_request.is_some());
-    rig.apply(Event::RegistryLost(StreamError::TimedOut));
+    rig.apply(Event::EndpointListWatchLost(StreamError::TimedOut));
     for _ in 0..31 {
         rig.now = rig.now + Span::ms(100);
         rig.drain_input();
@@ -694,11 +694,11 @@
                     }
                 }
                 4 if rig.pending_request.take().is_some() => {
-                    rig.apply(Event::RelayReply(Ok(Response::Retryable("ERR unavailable".into()))));
+                    rig.apply(Event::RelayResponse(Ok(Response::Retryable("ERR unavailable".into()))));
                     rig.drain_input();
                 }
                 5 => {
-                    rig.apply(Event::WatchLost(StreamError::Closed));
+                    rig.apply(Event::RelayWatchLost(StreamError::Closed));
                     rig.send_snapshot(&[]);
                 }
                 6 => {
@@ -722,7 +722,7 @@
             rig.advance_ms(1000);
         }
         rig.advance_ms(8000);
-        rig.apply(Event::WatchLost(StreamError::Closed));
+        rig.apply(Event::RelayWatchLost(StreamError::Closed));
         rig.advance_ms(100);
         rig.send_snapshot(&[]);
         let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -78,7 +78,7 @@
     rig.replicas.extend(registry.iter().map(|listed| (listed.id.clone(), listed.state)));
     let replicas: Vec<_> = registry.iter().map(entry).collect();
     let line = json!({"version": version, "full": whole, "servers": replicas}).to_string();
-    rig.apply(Event::Registry(discovery::decode(&line).expect("a list").expect("a change")));
+    rig.apply(Event::EndpointListReceived(discovery::decode(&line).expect("a list").expect("a change")));
 }
 
 /// What the pure package says of each replica for the controller under test.
--- a/crates/controller/tests/support/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -31,7 +31,7 @@
 
 pub const RELAY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 6400);
 pub const DISCOVERY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8500);
-pub const UNKNOWN: Event = Event::RelayReply(Err(RequestError::OutcomeUnknown(StreamError::TimedOut)));
+pub const UNKNOWN: Event = Event::RelayResponse(Err(RequestError::OutcomeUnknown(StreamError::TimedOut)));
 
 impl Rig {
     /// Six replicas, twelve slices, four proxies; nothing of it told yet.
@@ -118,7 +118,7 @@
         let entry = |(id, state)| json!({"id": id, "zone": "north", "state": state});
         let entries: Vec<_> = self.replicas.iter().map(entry).collect();
         let list = json!({"version": 41, "full": true, "servers": entries});
-        self.apply(Event::Registry(discovery::decode(&list.to_string()).unwrap().unwrap()));
+        self.apply(Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
     }
 
     /// What a new news connection says stands, all but the slices without a grant.
@@ -165,7 +165,7 @@
     pub fn accept_request(&mut self) {
         let Some(call) = self.pending_request.take() else { return };
         let taken = self.carry_out(&call);
-        self.apply(Event::RelayReply(Ok(Response::Accepted(taken))));
+        self.apply(Event::RelayResponse(Ok(Response::Accepted(taken))));
         self.drain_input();
     }
 
--- a/crates/emulator/src/scenario/connection.rs
+++ b/crates/emulator/src/scenario/connection.rs
@@ -35,13 +35,15 @@
 pub(super) fn write_event(connection: &mut dyn ControllerConnection, event: &Event) {
     match event {
         Event::Message { from, message } => write_report(connection, *from as usize, message),
-        Event::RelayReply(Ok(Response::Accepted(count))) => connection.respond(Some(&format!("OK {count}"))),
-        Event::RelayReply(Ok(Response::Retryable(reason) | Response::Rejected(reason))) => {
+        Event::RelayResponse(Ok(Response::Accepted(count))) => {
+            connection.respond(Some(&format!("OK {count}")));
+        }
+        Event::RelayResponse(Ok(Response::Retryable(reason) | Response::Rejected(reason))) => {
             connection.respond(Some(&format!("ERR {reason}")));
         }
-        Event::RelayReply(Err(_)) => connection.respond(None),
-        Event::WatchLost(_) => connection.close_relay_watch(),
-        Event::RegistryLost(_) => connection.close_registry_watch(),
+        Event::RelayResponse(Err(_)) => connection.respond(None),
+        Event::RelayWatchLost(_) => connection.close_relay_watch(),
+        Event::EndpointListWatchLost(_) => connection.close_registry_watch(),
         _ => {}
     }
 }
--- a/crates/emulator/src/scenario/controllers.rs
+++ b/crates/emulator/src/scenario/controllers.rs
@@ -88,7 +88,7 @@
         if let Some(connection) = &mut self.controllers[at].connection {
             write_event(connection.as_mut(), event);
         }
-        if matches!(event, Event::Registry(_)) {
+        if matches!(event, Event::EndpointListReceived(_)) {
             self.send_list_text(at);
         }
     }
@@ -101,7 +101,7 @@
             Effect::WatchRelay { .. } => self.start_relay_watch(at),
             Effect::WatchRegistry { .. } => {
                 let delivery = if self.is_discovery_unreachable {
-                    Delivery::Event(Box::new(Event::RegistryLost(StreamError::TimedOut)))
+                    Delivery::Event(Box::new(Event::EndpointListWatchLost(StreamError::TimedOut)))
                 } else {
                     Delivery::List(Box::new(self.registry_snapshot()))
                 };
--- a/crates/emulator/src/scenario/discovery.rs
+++ b/crates/emulator/src/scenario/discovery.rs
@@ -102,6 +102,6 @@
         for replica in draining {
             draining_since.entry(replica).or_insert(self.now);
         }
-        self.deliver_event(controller, Event::Registry(list));
+        self.deliver_event(controller, Event::EndpointListReceived(list));
     }
 }
--- a/crates/emulator/src/scenario/real_time.rs
+++ b/crates/emulator/src/scenario/real_time.rs
@@ -38,7 +38,7 @@
         match input {
             ControllerInput::WatchRelay => self.start_relay_watch(controller),
             ControllerInput::WatchRegistry if self.is_discovery_unreachable => {
-                self.deliver_event(controller, Event::RegistryLost(StreamError::TimedOut));
+                self.deliver_event(controller, Event::EndpointListWatchLost(StreamError::TimedOut));
             }
             ControllerInput::WatchRegistry => self.send_list_text(controller),
             ControllerInput::RelayRequest(line) => self.handle_relay_request(controller, line),
--- a/crates/emulator/src/scenario/relay.rs
+++ b/crates/emulator/src/scenario/relay.rs
@@ -55,7 +55,7 @@
         delay: Span,
         response: Result<Response, RequestError>,
     ) {
-        let reply = Event::RelayReply(response);
+        let reply = Event::RelayResponse(response);
         self.deliver_after(delay, controller, Delivery::Event(Box::new(reply)));
     }
 
--- a/crates/emulator/src/scenario/relay_watch.rs
+++ b/crates/emulator/src/scenario/relay_watch.rs
@@ -21,7 +21,7 @@
     pub(super) fn start_relay_watch(&mut self, controller: ControllerIndex) {
         if self.is_relay_unreachable {
             self.controllers[controller].is_watching = false;
-            let lost = Event::WatchLost(StreamError::Unreachable("away".into()));
+            let lost = Event::RelayWatchLost(StreamError::Unreachable("away".into()));
             return self.deliver_after(NETWORK_DELAY, controller, Delivery::Event(Box::new(lost)));
         }
         self.controllers[controller].is_watching = true;
--- a/crates/emulator/src/scenario/run.rs
+++ b/crates/emulator/src/scenario/run.rs
@@ -115,7 +115,7 @@
             if is_garbled && self.controllers[controller].is_watching {
                 self.controllers[controller].is_watching = false;
                 let error = StreamError::Unreadable("garbled".into());
-                self.deliver_event(controller, Event::WatchLost(error));
+                self.deliver_event(controller, Event::RelayWatchLost(error));
             } else if self.controllers[controller].is_watching && !self.is_relay_unreachable {
                 self.send_relay_event(controller, "*");
             }
--- a/crates/emulator/src/scenario/start_faults.rs
+++ b/crates/emulator/src/scenario/start_faults.rs
@@ -120,14 +120,14 @@
         self.is_relay_unreachable = true;
         for controller in 0..self.controllers.len() {
             self.controllers[controller].is_watching = false;
-            self.deliver_event(controller, Event::WatchLost(StreamError::TimedOut));
+            self.deliver_event(controller, Event::RelayWatchLost(StreamError::TimedOut));
         }
     }
 
     fn cut_off_discovery(&mut self) {
         self.is_discovery_unreachable = true;
         for controller in 0..self.controllers.len() {
-            self.deliver_event(controller, Event::RegistryLost(StreamError::TimedOut));
+            self.deliver_event(controller, Event::EndpointListWatchLost(StreamError::TimedOut));
         }
     }
 
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -51,15 +51,15 @@
     /// An event of the relay watch.
     Relay(RelayEvent),
     /// The relay watch has failed.
-    WatchLost(StreamError),
+    RelayWatchLost(StreamError),
     /// The outcome of the relay request that was in flight.
-    RelayReply(Result<Response, RequestError>),
+    RelayResponse(Result<Response, RequestError>),
     /// The relay sent a reply without a request: an earlier reply may have belonged to another request.
-    UnexpectedReply,
+    UnsolicitedResponse,
     /// A registry snapshot, or changes since the last one.
-    Registry(List),
+    EndpointListReceived(List),
     /// The registry watch has failed.
-    RegistryLost(StreamError),
+    EndpointListWatchLost(StreamError),
     /// The operators' file as read at the start or anew, and the clocks at that moment.
     OperatorConfigChanged(OverrideConfig, ClockReading),
     /// A request at the management API.
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -103,14 +103,14 @@
             Event::ReportBytes(bytes) => self.report_bytes_received(now, bytes),
             Event::Disconnected(from) => _ = self.collectors.remove(&from),
             Event::Relay(event) => self.relay_event_received(now, event),
-            Event::WatchLost(error) => self.relay_watch_lost(now, &error),
-            Event::RelayReply(response) => self.relay_responded(now, response),
-            Event::UnexpectedReply => {
+            Event::RelayWatchLost(error) => self.relay_watch_lost(now, &error),
+            Event::RelayResponse(response) => self.relay_responded(now, response),
+            Event::UnsolicitedResponse => {
                 self.log(LogEvent::UnsolicitedResponse);
                 self.reread_store();
             }
-            Event::Registry(list) => self.list_received(now, &list),
-            Event::RegistryLost(error) => self.registry_watch_lost(now, &error),
+            Event::EndpointListReceived(list) => self.list_received(now, &list),
+            Event::EndpointListWatchLost(error) => self.registry_watch_lost(now, &error),
             Event::OperatorConfigChanged(config, reading) => self.overrides_configured(now, config, &reading),
             Event::ManagementRequest { request_id, request } => {
                 self.management_requested(now, request_id, request);
--- a/crates/scale-tests/src/many/simulated/effects.rs
+++ b/crates/scale-tests/src/many/simulated/effects.rs
@@ -27,7 +27,7 @@
             Effect::Pong { .. } => conditions.push(Condition::PingAnswered),
             Effect::WakeAt(at) => self.wake_at = self.wake_at.min(at),
             Effect::WatchRelay { .. } if self.is_partitioned() => {
-                let event = Event::WatchLost(StreamError::TimedOut);
+                let event = Event::RelayWatchLost(StreamError::TimedOut);
                 self.relay_watch_failure =
                     Some(PendingFailure { due_at: after(limits::RELAY_WATCH_RESPONSE_TIMEOUT), event });
             }
@@ -38,8 +38,10 @@
             }
             Effect::WatchRegistry { .. } if self.is_partitioned() => {
                 let due_at = after(limits::REGISTRY_REQUEST_INTERVAL * limits::MAX_CONNECT_ATTEMPTS as u32);
-                self.registry_watch_failure =
-                    Some(PendingFailure { due_at, event: Event::RegistryLost(StreamError::TimedOut) });
+                self.registry_watch_failure = Some(PendingFailure {
+                    due_at,
+                    event: Event::EndpointListWatchLost(StreamError::TimedOut),
+                });
             }
             // The watch that it renews times out by itself.
             Effect::RenewRegistryWatch { .. } if self.is_partitioned() => {}
@@ -53,7 +55,7 @@
                     .extend([Condition::ListFrom(self.site), Condition::ListVersion(self.list_version)]);
             }
             Effect::RelayRequest { .. } if self.is_partitioned() => {
-                let event = Event::RelayReply(Err(RequestError::NotSent(StreamError::TimedOut)));
+                let event = Event::RelayResponse(Err(RequestError::NotSent(StreamError::TimedOut)));
                 self.relay_request_failure =
                     Some(PendingFailure { due_at: after(limits::RELAY_RESPONSE_TIMEOUT), event });
             }
@@ -70,9 +72,9 @@
 
     fn apply_relay_request(&mut self, line: &str) -> Vec<Event> {
         let Some(applied) = self.store.apply(line) else {
-            return vec![Event::RelayReply(Ok(Response::Rejected("bad_request".into())))];
+            return vec![Event::RelayResponse(Ok(Response::Rejected("bad_request".into())))];
         };
-        let mut events = vec![Event::RelayReply(Ok(Response::Accepted(applied.commands)))];
+        let mut events = vec![Event::RelayResponse(Ok(Response::Accepted(applied.commands)))];
         events.extend(self.decode_relay_lines(&applied.acks));
         events
     }
@@ -93,7 +95,7 @@
         let update = self.environment.catalog.since(since);
         self.environment.tracker.add_sent_bytes(self.controller, Traffic::List, update.line.len());
         self.list_version = update.version;
-        Event::Registry(update.list.clone())
+        Event::EndpointListReceived(update.list.clone())
     }
 
     pub(super) fn record_list_version(&self) {
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -181,11 +181,11 @@
         self.mark_event_started();
         self.relay_watch_failure = Some(PendingFailure {
             due_at: now + to_span(limits::RELAY_WATCH_IDLE_TIMEOUT),
-            event: Event::WatchLost(StreamError::TimedOut),
+            event: Event::RelayWatchLost(StreamError::TimedOut),
         });
         self.registry_watch_failure = Some(PendingFailure {
             due_at: now + to_span(limits::REGISTRY_WATCH_IDLE_TIMEOUT),
-            event: Event::RegistryLost(StreamError::TimedOut),
+            event: Event::EndpointListWatchLost(StreamError::TimedOut),
         });
     }
 
@@ -195,10 +195,12 @@
         self.mark_event_started();
         let reset = || StreamError::Lost("reset".into());
         let mut events = Vec::new();
-        events.extend(self.relay_watch_failure.take().map(|_| Event::WatchLost(reset())));
-        events.extend(self.registry_watch_failure.take().map(|_| Event::RegistryLost(reset())));
+        events.extend(self.relay_watch_failure.take().map(|_| Event::RelayWatchLost(reset())));
+        events.extend(self.registry_watch_failure.take().map(|_| Event::EndpointListWatchLost(reset())));
         events.extend(
-            self.relay_request_failure.take().map(|_| Event::RelayReply(Err(RequestError::NotSent(reset())))),
+            self.relay_request_failure
+                .take()
+                .map(|_| Event::RelayResponse(Err(RequestError::NotSent(reset())))),
         );
         self.process_events(self.now(), events);
     }
