--- a/crates/scale-tests/src/decisions/arguments.rs
+++ b/crates/scale-tests/src/decisions/arguments.rs
@@ -39,7 +39,7 @@
     /// Kinds of days
     #[arg(long = "days", value_name = "DAYS", value_enum, value_delimiter = ',', default_values_t = ScenarioKind::ALL)]
     pub scenarios: Vec<ScenarioKind>,
-    /// ScenarioConfig of the subsets of replicas that governors steer; 0 plays without subsets
+    /// Sizes of the subsets of replicas that governors steer; 0 plays without subsets
     #[arg(long, value_delimiter = ',', default_values_t = [0])]
     pub subsets: Vec<usize>,
     /// Seeds, counted from 1
--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -77,7 +77,7 @@
     pub fleet: ScenarioConfig,
     /// Numbers of controllers.
     pub controllers: Vec<usize>,
-    /// ScenarioConfig of subsets; 0 plays without subsets.
+    /// Sizes of subsets; 0 plays without subsets.
     pub subsets: Vec<usize>,
     /// Kinds of scenarios.
     pub kinds: Vec<ScenarioKind>,
