--- a/crates/aggregation/src/configuration.rs
+++ b/crates/aggregation/src/configuration.rs
@@ -14,7 +14,7 @@
     pub name: String,
     /// Where it listens; without an address it is in the membership, and is not served.
     pub address: Option<SocketAddr>,
-    /// The slices that it is told of, as ranges with both ends included.
+    /// The slices whose reports it gets, as ranges with both ends included.
     pub slices: Vec<(u32, u32)>,
 }
 
@@ -41,7 +41,7 @@
     /// More aggregators than peers are kept for.
     #[error("{0} aggregators are more than {max}", max = limits::MAX_AGGREGATORS)]
     TooManyAggregators(usize),
-    /// A controller is to be served, and nothing says which slices it is told of.
+    /// A controller is to be served, and nothing says which slices it steers.
     #[error("governor {0:?} has an address and no slices: the protocol does not tell which ones it has")]
     SlicesMissing(String),
     /// A controller has no usable slices.
--- a/crates/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -1,4 +1,4 @@
-//! What one controller is told: its keys, how far it has read each, and when it is its turn.
+//! The reports for one controller: its keys, how far each has been sent, and when it is sent next.
 
 use crate::budget::{self, Candidate};
 use crate::configuration::ControllerMember;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A connection is there: it is told from as far back as is held. Its turns come once in each report period,
+    /// A connection is established: reports are sent from the oldest that are held on. There is one turn in each report period,
     /// `phase` after the period's start on the clock that all machines read, whoever serves it: where another did
     /// so until now, the two are one period apart.
     pub fn connected(&mut self, now: Moment, phase: Span) {
--- a/crates/aggregation/src/limits.rs
+++ b/crates/aggregation/src/limits.rs
@@ -2,9 +2,9 @@
 
 use whinwall_policy::time::Span;
 
-/// Collectors report each second, and a controller is told each second while the budget allows it.
+/// Collectors report each second, and a controller is sent a line each second while the budget allows it.
 pub const REPORT_PERIOD: Span = Span::ms(1000);
-/// No key that has news waits longer than this for its line.
+/// No key with new reports waits longer than this for its line.
 pub const MAX_WINDOW: Span = Span::ms(5000);
 /// A replica that no collector speaks of for so long gets a line that says so, with a count of 0: a controller takes no
 /// silence for a verdict. Two reports that are late are no silence.
@@ -31,9 +31,9 @@
 pub const ZONE_FORGOTTEN: Span = Span::ms(2 * 3600 * 1000);
 /// Discovery's watch gives a heartbeat each two seconds; the list is old where it is silent for so long.
 pub const REGISTRY_STALE: Span = Span::ms(6000);
-/// A list below the version that is held comes from an agent that is behind, for so long; then it is a new count.
+/// For this long a list below the known version is taken to be from an agent that lags; then it counts as a restarted count.
 pub const REGISTRY_BEHIND: Span = Span::ms(6000);
-/// A watch that told no change for so long is asked for anew: it may have missed one.
+/// A watch without a change for this long is requested again: it may have missed one.
 pub const REGISTRY_RENEWED: Span = Span::ms(30_000);
 /// Before discovery is asked again, and before the first new dial to a controller.
 pub const RETRY: Span = Span::ms(1000);
--- a/crates/aggregation/src/sums.rs
+++ b/crates/aggregation/src/sums.rs
@@ -146,8 +146,8 @@
         self.id == cursor.series
     }
 
-    /// What came since, if anything did. A pause in which nobody spoke of the key is not covered, and nothing is
-    /// told of a series that not every zone has had the time to report to.
+    /// The reports since the cursor, if there are any. A gap in which nobody reported the key is not covered, and a series
+    /// that not every zone has had the time to report is left out.
     pub fn since(&self, cursor: &Cursor, now: Moment) -> Option<Portion> {
         let sum = self.total.less(&cursor.read);
         let is_whole = now - self.began >= limits::REPORT_PERIOD;
--- a/crates/protocol/src/collector.rs
+++ b/crates/protocol/src/collector.rs
@@ -313,7 +313,7 @@
         && own.is_none_or(|own| is_plausible_count(own.in_flight.unwrap_or(0.0)))
 }
 
-/// More may be aborted than requests: what requests before the report's time is aborted in it.
+/// There may be more failures than requests: those of requests that arrived before the report's window fail within it.
 fn is_plausible_demand_report(requests: f64, failed: f64, window_ms: f64) -> bool {
     is_plausible_count(requests) && is_plausible_count(failed) && is_plausible_window(window_ms)
 }
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -62,9 +62,9 @@
 
     /// An override as the management API shows it.
     pub fn shown(&self, policy: &Policy, one: &Override) -> ListedOverride {
-        let heeded =
+        let status =
             one.is_active().then(|| policy.override_status(one.number).unwrap_or(OverrideStatus::Absent));
-        ListedOverride { entry: one.clone(), status: heeded }
+        ListedOverride { entry: one.clone(), status }
     }
 
     /// When the overrides change by the passing of time, no sooner than at the last call.
