--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -1,7 +1,7 @@
 //! Operator overrides that expire: what is requested, which overrides are active, and how they are stored.
 //!
 //! The package has no I/O and reads no clock; callers pass the time and carry out [`OverrideEffect`]s.
-//! [`controller`] handles requests and the store, [`registry`] holds all overrides, [`record`] defines one
+//! [`manager`] handles requests and the store, [`registry`] holds all overrides, [`record`] defines one
 //! override, [`validation`] its limits, [`timeline`] how expiry times outlive a restart, [`encoding`] the
 //! stored form and [`text`] the form that people write.
 #![forbid(unsafe_code)]
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -174,9 +174,9 @@
     }
 
     fn drop_reassigned_commands(&mut self) {
-        let crossed = std::mem::take(&mut self.reassigned_slices);
+        let reassigned = std::mem::take(&mut self.reassigned_slices);
         if let Some(request) = self.requests.front_mut() {
-            request.retain(|command| command.slice.is_none_or(|slice| !crossed.contains(&slice)));
+            request.retain(|command| command.slice.is_none_or(|slice| !reassigned.contains(&slice)));
         }
     }
 
