--- a/crates/policy/src/rules/recovery.rs
+++ b/crates/policy/src/rules/recovery.rs
@@ -39,8 +39,12 @@
     }
 
     fn next_withdrawal(&self) -> Option<Action> {
+        // Asked before the search, as the rules run after each event and a full channel may last for seconds.
+        if self.withdrawals.pending.is_empty() || !self.has_channel_room(1.0, Priority::NoEndpoint) {
+            return None;
+        }
         let replica = self.withdrawals.next_due(self.now)?;
-        self.has_channel_room(1.0, Priority::NoEndpoint).then_some(Action::Withdraw { replica })
+        Some(Action::Withdraw { replica })
     }
 
     fn next_reinstatement(&self) -> Option<Action> {
