--- a/crates/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -229,7 +229,7 @@
 
 /// The first turn after this moment.
 fn turn_after(now: Moment, phase: Span) -> Moment {
-    let periods = (now - phase).count_of(limits::REPORT_PERIOD) + 1;
+    let periods = (now - phase).elapsed_periods(limits::REPORT_PERIOD) + 1;
     Moment::default() + phase + Span::ns(limits::REPORT_PERIOD.as_ns().saturating_mul(periods))
 }
 
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -90,7 +90,7 @@
     let assignment = Assignment::compute(&membership, &replicas, &parameters);
     let share = |replica: &Replica| match assignment.position(replica.id, OWN_NAME) {
         Some(zone) => SubsetMembership::Subset { controllers: zone.controllers, position: zone.position },
-        None => SubsetMembership::Others,
+        None => SubsetMembership::OtherControllers,
     };
     replicas.iter().map(|replica| (replica.id.to_string(), share(replica))).collect()
 }
@@ -122,14 +122,18 @@
     rig.apply(Event::SubsettingConfigured(None));
     rig.drain_input();
     assert_eq!(rig.reducer.subset_memberships().len(), REPLICAS);
-    assert!(rig.reducer.subset_memberships().values().all(|share| *share == SubsetMembership::Everyone));
+    assert!(rig
+        .reducer
+        .subset_memberships()
+        .values()
+        .all(|share| *share == SubsetMembership::AllControllers));
     assert_eq!(status(&mut rig), None);
 }
 
 #[test]
 fn memberships_equal_the_subsetting_package_in_any_order_of_events() {
     let expected = expected(&names(CONTROLLERS), &registry());
-    assert!(expected.values().any(|share| *share == SubsetMembership::Others));
+    assert!(expected.values().any(|share| *share == SubsetMembership::OtherControllers));
     let mut list_first = rig();
     list_first.apply(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     assert_eq!(told(&list_first, &expected), expected);
@@ -181,7 +185,7 @@
     registry.push(Listed { id: "s-newer".into(), ..registry[5].clone() });
     list(&mut rig, 43, false, &registry[registry.len() - 1..]);
     rig.drain_input();
-    assert_eq!(rig.reducer.subset_memberships()["s-newer"], SubsetMembership::Others);
+    assert_eq!(rig.reducer.subset_memberships()["s-newer"], SubsetMembership::OtherControllers);
     assert_eq!(told(&rig, &first), first);
     rig.advance_ms(1000);
     let second = expected(&fleet_names, &registry);
@@ -253,7 +257,11 @@
     rig.apply(Event::SubsettingConfigured(Some(fleet(&names(1)))));
     assert_eq!(rig.logs, [""; 0], "the same fleet again is no change");
     rig.apply(Event::SubsettingConfigured(None));
-    assert!(rig.reducer.subset_memberships().values().all(|share| *share == SubsetMembership::Everyone));
+    assert!(rig
+        .reducer
+        .subset_memberships()
+        .values()
+        .all(|share| *share == SubsetMembership::AllControllers));
 }
 
 #[test]
--- a/crates/emulator/src/scenario/reports.rs
+++ b/crates/emulator/src/scenario/reports.rs
@@ -146,7 +146,8 @@
     fn steered_replicas(&self, controller: ControllerIndex) -> BTreeSet<ReplicaIndex> {
         let reducer = self.controllers[controller].reducer.as_ref();
         let memberships = reducer.map(Reducer::subset_memberships).unwrap_or_default();
-        let steered = memberships.iter().filter(|(_, membership)| **membership != SubsetMembership::Others);
+        let steered =
+            memberships.iter().filter(|(_, membership)| **membership != SubsetMembership::OtherControllers);
         steered.filter_map(|(name, _)| self.replicas_by_name.get(*name).copied()).collect()
     }
 }
--- a/crates/ingest/tests/ingest.rs
+++ b/crates/ingest/tests/ingest.rs
@@ -216,16 +216,16 @@
 fn late_reports_count_in_the_interval_that_they_cover() {
     let windowed_counter = || WindowedCounter::new(Span::ms(500), 40);
     let (mut late, mut in_time) = (windowed_counter(), windowed_counter());
-    in_time.spread(at(2000), Span::ms(1000), 8.0);
-    in_time.spread(at(6000), Span::ms(1000), 4.0);
-    late.spread(at(6000), Span::ms(1000), 4.0);
-    late.spread(at(2000), Span::ms(1000), 8.0);
+    in_time.add_over(at(2000), Span::ms(1000), 8.0);
+    in_time.add_over(at(6000), Span::ms(1000), 4.0);
+    late.add_over(at(6000), Span::ms(1000), 4.0);
+    late.add_over(at(2000), Span::ms(1000), 8.0);
     for over in [500, 1000, 3000, 5000, 9000] {
         assert_eq!(late.sum(at(6000), Span::ms(over)), in_time.sum(at(6000), Span::ms(over)), "{over} ms");
     }
     assert_eq!(late.newest(), in_time.newest(), "it does not make the counter look fresh");
     let before = late.sum(at(6000), Span::ms(20_000));
-    late.spread(at(0) - Span::ms(60_000), Span::ms(1000), 99.0);
+    late.add_over(at(0) - Span::ms(60_000), Span::ms(1000), 99.0);
     assert_eq!(late.sum(at(6000), Span::ms(20_000)), before, "older than any rule looks back, it is gone");
 }
 
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -27,7 +27,7 @@
 pub enum SubsetMembership {
     /// Subsetting is off: every controller steers every replica.
     #[default]
-    Everyone,
+    AllControllers,
     /// The replica is in this controller's subset and in those of `controllers - 1` others.
     Subset {
         /// The number of controllers that steer the replica.
@@ -36,7 +36,7 @@
         position: u32,
     },
     /// The replica is in the subsets of other controllers only.
-    Others,
+    OtherControllers,
 }
 
 /// One entry of the replica list.
@@ -83,7 +83,7 @@
         factor: f64,
     },
     /// Out of service: left as a draining replica is.
-    Out {
+    OutOfService {
         /// Which replica.
         replica: ReplicaId,
     },
@@ -103,7 +103,7 @@
     pub fn replica(&self) -> ReplicaId {
         match self {
             OverrideSpec::Weight { replica, .. }
-            | OverrideSpec::Out { replica }
+            | OverrideSpec::OutOfService { replica }
             | OverrideSpec::Pin { replica, .. } => *replica,
         }
     }
@@ -248,14 +248,14 @@
         /// Of which request classes: bit n stands for the class at position n; 0 stands for all.
         request_classes: u64,
         /// The share of requests that is admitted, from 0 to 1.
-        share: f64,
+        admission_rate: f64,
         /// Retries that a request may have.
         retries: u8,
     },
     /// Asks all proxies to acknowledge what was sent up to here.
     Sync {
         /// The version of this reply.
-        number: u16,
+        version: u16,
     },
     /// Asks for the replica list.
     RequestReplicaList,
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -24,11 +24,11 @@
     /// reports show to the next one what was moved.
     pub fn is_claimed(self, stable_hash: u64, now: Moment, window_excess: Span) -> bool {
         match self {
-            SubsetMembership::Everyone => true,
-            SubsetMembership::Others => false,
+            SubsetMembership::AllControllers => true,
+            SubsetMembership::OtherControllers => false,
             SubsetMembership::Subset { controllers: 1, .. } => true,
             SubsetMembership::Subset { controllers, position } => {
-                let epoch = now.count_of(CLAIM_EPOCH);
+                let epoch = now.elapsed_periods(CLAIM_EPOCH);
                 let since_start = now - Moment::at_ns(epoch * CLAIM_EPOCH.as_ns());
                 let active_time = (CLAIM_EPOCH - window_excess).max(MIN_CLAIM_TIME);
                 claimant(stable_hash, epoch, controllers) == position && since_start < active_time
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -161,16 +161,16 @@
         let admitted = report.requests * self.admission_rate(reduction, report.request_class);
         let has_stood = self.slices.get(&id).is_some_and(|slice| self.has_stood(slice));
         if let Some(class) = self.class_outcomes.get_mut(report.request_class) {
-            class.admitted.spread(at, report.window, admitted);
-            class.failed.spread(at, report.window, report.failed);
+            class.admitted.add_over(at, report.window, admitted);
+            class.failed.add_over(at, report.window, report.failed);
         }
         let Some(slice) = self.slices.get_mut(&id) else { return };
-        slice.admitted.spread(at, report.window, admitted);
-        slice.failed.spread(at, report.window, report.failed);
+        slice.admitted.add_over(at, report.window, admitted);
+        slice.failed.add_over(at, report.window, report.failed);
         // Requests are expected at a replica only where all proxies have known its endpoint for a while.
         for (replica, share) in slice.table.request_shares().filter(|_| has_stood) {
             if let Some(replica) = self.replicas.get_mut(&replica) {
-                replica.reports.expected.spread(at, report.window, admitted * share);
+                replica.reports.expected.add_over(at, report.window, admitted * share);
             }
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -308,9 +308,9 @@
 
     /// How many of the listed replicas that this controller steers can't be ejected as outliers, as reports on them are
     /// incomplete, or none have come recently.
-    pub fn partly_observed_count(&self) -> usize {
+    pub fn partially_observed_count(&self) -> usize {
         self.state.count_replicas(|replica| {
-            let is_ours = replica.subset != SubsetMembership::Others;
+            let is_ours = replica.subset != SubsetMembership::OtherControllers;
             replica.is_ready() && is_ours && !self.state.is_observed(replica)
         })
     }
--- a/crates/policy/src/measure/admission.rs
+++ b/crates/policy/src/measure/admission.rs
@@ -40,10 +40,10 @@
     pub(crate) fn admission_commands(&self, slice: SliceId, applied: f64, desired: f64) -> Vec<Action> {
         let class_count = self.deployment.request_classes.len();
         let retries = self.allowed_retries(desired);
-        let command = |request_classes, share| Action::SetAdmission {
+        let command = |request_classes, admission_rate| Action::SetAdmission {
             slice: Some(slice),
             request_classes,
-            share,
+            admission_rate,
             retries,
         };
         let rate = |class| self.admission_rate(desired, class);
--- a/crates/policy/src/measure/shared_load.rs
+++ b/crates/policy/src/measure/shared_load.rs
@@ -24,7 +24,7 @@
 impl ControllerState {
     /// Adds to each replica's load what other controllers' slices bring. Does nothing where all replicas are everyone's.
     pub(crate) fn add_others_load(&mut self) {
-        let is_shared = |replica: &Replica| replica.subset != SubsetMembership::Everyone;
+        let is_shared = |replica: &Replica| replica.subset != SubsetMembership::AllControllers;
         self.sharing.is_active = self.replicas.values().any(is_shared);
         if !self.sharing.is_active {
             return;
@@ -59,7 +59,7 @@
     }
 
     fn draw_for_round(&mut self) {
-        let round = self.now.count_of(DRAW_PERIOD);
+        let round = self.now.elapsed_periods(DRAW_PERIOD);
         if replace(&mut self.sharing.drawn_round, round) != round {
             for replica in self.replicas.values_mut() {
                 replica.shared.round_draw = self.random.draw();
@@ -79,7 +79,7 @@
             for (id, weight) in &slice.table.applied {
                 if let Some(replica) = self.replicas.get_mut(id) {
                     let requests = slice.demand * elapsed.seconds() * weight / total_weight;
-                    replica.shared.own_requests.spread(now, elapsed, requests);
+                    replica.shared.own_requests.add_over(now, elapsed, requests);
                 }
             }
         }
--- a/crates/policy/src/rules/load_shedding.rs
+++ b/crates/policy/src/rules/load_shedding.rs
@@ -151,9 +151,9 @@
         let reduction = self.global_admission.reduction;
         let retries = self.allowed_retries(reduction);
         for class in 0..class_count {
-            let share = self.admission_rate(reduction, class);
+            let admission_rate = self.admission_rate(reduction, class);
             let request_classes = 1u64 << class;
-            self.actions.push(Action::SetAdmission { slice: None, request_classes, share, retries });
+            self.actions.push(Action::SetAdmission { slice: None, request_classes, admission_rate, retries });
         }
         self.add_lines(class_count as f64);
         self.global_admission.applied = Some(reduction);
--- a/crates/policy/src/rules/overrides.rs
+++ b/crates/policy/src/rules/overrides.rs
@@ -47,7 +47,9 @@
         for (id, entry) in &mut entries {
             let former = entry.status;
             entry.status = match entry.spec {
-                OverrideSpec::Out { replica } => self.apply_out_of_service(replica, entry, &mut fleet),
+                OverrideSpec::OutOfService { replica } => {
+                    self.apply_out_of_service(replica, entry, &mut fleet)
+                }
                 OverrideSpec::Weight { replica, factor } => self.apply_weight(replica, factor),
                 OverrideSpec::Pin { .. } => {
                     pins.get(id).copied().unwrap_or(Waiting("no slice of it is ours"))
--- a/crates/policy/src/state/controller.rs
+++ b/crates/policy/src/state/controller.rs
@@ -124,7 +124,7 @@
     /// Closes the reply and takes its actions; its version ends it.
     pub(crate) fn close_reply(&mut self) -> Vec<Action> {
         let version = self.channel.open_version.take();
-        self.actions.extend(version.map(|number| Action::Sync { number }));
+        self.actions.extend(version.map(|version| Action::Sync { version }));
         self.is_replying = false;
         take(&mut self.actions)
     }
--- a/crates/policy/src/state/link_latency.rs
+++ b/crates/policy/src/state/link_latency.rs
@@ -34,7 +34,7 @@
     /// Adds a report.
     pub(crate) fn record(&mut self, at: Moment, report: &EndpointReport) {
         let succeeded = (report.attempts - report.failed).max(0.0);
-        self.succeeded.spread(at, report.window, succeeded);
-        self.latency_seconds.spread(at, report.window, succeeded * report.mean_latency.seconds());
+        self.succeeded.add_over(at, report.window, succeeded);
+        self.latency_seconds.add_over(at, report.window, succeeded * report.mean_latency.seconds());
     }
 }
--- a/crates/policy/src/state/operator_overrides.rs
+++ b/crates/policy/src/state/operator_overrides.rs
@@ -39,7 +39,7 @@
     /// The replicas that overrides take out of service.
     pub(crate) fn replicas_out_of_service(&self) -> BTreeSet<ReplicaId> {
         let out_of_service = |entry: &OverrideEntry| match entry.spec {
-            OverrideSpec::Out { replica } => Some(replica),
+            OverrideSpec::OutOfService { replica } => Some(replica),
             OverrideSpec::Weight { .. } | OverrideSpec::Pin { .. } => None,
         };
         self.entries.values().filter_map(out_of_service).collect()
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -160,7 +160,7 @@
 
     /// Whether other controllers steer it and this one does not.
     pub(crate) fn is_steered_by_others(&self) -> bool {
-        self.subset == SubsetMembership::Others
+        self.subset == SubsetMembership::OtherControllers
     }
 
     /// Whether slices may move to it at all.
--- a/crates/policy/src/state/replica_reports.rs
+++ b/crates/policy/src/state/replica_reports.rs
@@ -62,10 +62,10 @@
     pub(crate) fn record(&mut self, at: Moment, report: &EndpointReport, latest_latency: Span, delay: f64) {
         let succeeded = (report.attempts - report.failed).max(0.0);
         let own_seconds = |latency: Span| (latency.seconds() - delay).max(0.0);
-        self.attempts.spread(at, report.window, report.attempts);
-        self.failed.spread(at, report.window, report.failed);
-        self.succeeded.spread(at, report.window, succeeded);
-        self.latency_seconds.spread(at, report.window, succeeded * own_seconds(report.mean_latency));
+        self.attempts.add_over(at, report.window, report.attempts);
+        self.failed.add_over(at, report.window, report.failed);
+        self.succeeded.add_over(at, report.window, succeeded);
+        self.latency_seconds.add_over(at, report.window, succeeded * own_seconds(report.mean_latency));
         if succeeded > 0.0 {
             self.last_latency_seconds = own_seconds(latest_latency);
         }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -17,7 +17,7 @@
     }
 
     /// The number of whole spans of this length that lie before this moment.
-    pub fn count_of(self, length: Span) -> u64 {
+    pub fn elapsed_periods(self, length: Span) -> u64 {
         self.0 / length.0.max(1)
     }
 }
--- a/crates/policy/src/windowed_counter.rs
+++ b/crates/policy/src/windowed_counter.rs
@@ -21,13 +21,13 @@
 
     /// Adds an amount at this moment.
     pub fn add(&mut self, now: Moment, amount: f64) {
-        self.spread(now, Span::default(), amount);
+        self.add_over(now, Span::default(), amount);
     }
 
     /// Adds an amount that came evenly over the span that ends at this moment; what lies before the first bucket is added to
     /// it. What is older than something added before is added where it belongs.
-    pub fn spread(&mut self, now: Moment, over: Span, amount: f64) {
-        let last = now.count_of(self.bucket);
+    pub fn add_over(&mut self, now: Moment, over: Span, amount: f64) {
+        let last = now.elapsed_periods(self.bucket);
         let size = self.sums.len() as u64;
         // Buckets that time has passed over hold a former lap's sums: they are emptied before use.
         for stale in (self.newest + 1..=last).rev().take(self.sums.len()) {
@@ -65,7 +65,7 @@
 
     /// The numbers of the buckets within the last span that are kept.
     fn buckets(&self, now: Moment, over: Span) -> RangeInclusive<u64> {
-        let last = now.count_of(self.bucket);
+        let last = now.elapsed_periods(self.bucket);
         let size = self.sums.len() as u64;
         let count = over.as_ns().div_ceil(self.bucket.as_ns().max(1)).min(size);
         let first = (last + 1).saturating_sub(count).max((self.newest + 1).saturating_sub(size));
--- a/crates/policy/tests/evacuation.rs
+++ b/crates/policy/tests/evacuation.rs
@@ -75,8 +75,8 @@
             for action in policy.collect_actions(at(now)) {
                 let last = matches!(action, Action::Withdraw { replica: 99 });
                 first = first.or(last.then_some(now));
-                if let Action::Sync { number } = action {
-                    (0..proxies).for_each(|proxy| policy.ack_received(at(now), proxy, number));
+                if let Action::Sync { version } = action {
+                    (0..proxies).for_each(|proxy| policy.ack_received(at(now), proxy, version));
                 }
             }
         }
@@ -190,18 +190,18 @@
         policy.replicas_listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
         let reply = policy.collect_actions(at(5000));
         assert!(reply.iter().any(withdrawn), "{reply:?}");
-        let Some(Action::Sync { number }) = reply.last() else { panic!("no mark: {reply:?}") };
-        policy.ack_received(at(5300), 0, *number);
+        let Some(Action::Sync { version }) = reply.last() else { panic!("no mark: {reply:?}") };
+        policy.ack_received(at(5300), 0, *version);
         if !missed {
-            policy.ack_received(at(5300), 1, *number);
+            policy.ack_received(at(5300), 1, *version);
         }
         policy.proxy_left(at(5400), 1);
         policy.proxy_joined(at(5600), 1, ProxyTables::Retained);
         let was_sent = (5600..7000).step_by(100).any(|now| {
             policy.timer_fired(at(now), now);
             let reply = policy.collect_actions(at(now));
-            if let Some(Action::Sync { number }) = reply.last() {
-                (0..2).for_each(|proxy| policy.ack_received(at(now), proxy, *number));
+            if let Some(Action::Sync { version }) = reply.last() {
+                (0..2).for_each(|proxy| policy.ack_received(at(now), proxy, *version));
             }
             reply.iter().any(withdrawn)
         });
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -54,7 +54,7 @@
         weight: 1.0,
         started,
         stable_hash: lot,
-        subset: SubsetMembership::Everyone,
+        subset: SubsetMembership::AllControllers,
     }
 }
 
@@ -180,7 +180,7 @@
         let actions = self.policy.collect_actions(at(self.now_ms));
         let versions: Vec<u16> = actions
             .iter()
-            .filter_map(|s| if let Action::Sync { number } = s { Some(*number) } else { None })
+            .filter_map(|s| if let Action::Sync { version } = s { Some(*version) } else { None })
             .collect();
         let mut commands = Vec::new();
         for action in &actions {
@@ -265,8 +265,8 @@
                     }
                     Action::Withdraw { replica } => _ = p.withdrawn.insert(*replica),
                     Action::Reinstate { replica } => _ = p.withdrawn.remove(replica),
-                    Action::SetAdmission { slice: Some(n), share, .. } => {
-                        _ = if *share == 0.0 { p.halted.insert(*n) } else { p.halted.remove(n) };
+                    Action::SetAdmission { slice: Some(n), admission_rate, .. } => {
+                        _ = if *admission_rate == 0.0 { p.halted.insert(*n) } else { p.halted.remove(n) };
                     }
                     _ => {}
                 }
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -58,7 +58,7 @@
     policy.proxy_left(at(20_000), 1);
     let actions = play_reports(&mut policy, 20..60, 1, 6, &late);
     let last = actions.iter().rev().find_map(|action| match action {
-        Action::SetAdmission { slice: None, share, .. } => Some(*share),
+        Action::SetAdmission { slice: None, admission_rate, .. } => Some(*admission_rate),
         _ => None,
     });
     assert_eq!(last, Some(1.0), "one proxy: each slice has its own");
--- a/crates/policy/tests/overrides.rs
+++ b/crates/policy/tests/overrides.rs
@@ -8,7 +8,7 @@
 use whinwall_policy::deployment::Deployment;
 use OverrideStatus::{Absent, InForce, Suspended, Waiting};
 
-const REPLICA_0_OUT: [(OverrideNumber, OverrideSpec); 1] = [(1, OverrideSpec::Out { replica: 0 })];
+const REPLICA_0_OUT: [(OverrideNumber, OverrideSpec); 1] = [(1, OverrideSpec::OutOfService { replica: 0 })];
 
 /// Four even replicas and twelve slices, with these overrides.
 fn fleet_with_overrides(overrides: &[(OverrideNumber, OverrideSpec)]) -> Fleet {
@@ -74,7 +74,8 @@
 
 #[test]
 fn half_of_the_fleet_stays_in_service_and_older_overrides_hold() {
-    let all_out = [0, 1, 2, 3].map(|replica| (u64::from(replica) + 1, OverrideSpec::Out { replica }));
+    let all_out =
+        [0, 1, 2, 3].map(|replica| (u64::from(replica) + 1, OverrideSpec::OutOfService { replica }));
     let mut fleet = fleet_with_overrides(&all_out);
     fleet.advance(4000);
     let statuses = [1, 2, 3, 4].map(|id| fleet.policy.override_status(id).unwrap());
@@ -195,7 +196,7 @@
 fn pin_is_suspended_while_its_replica_drains_or_is_out_of_service() {
     let mut fleet = fleet_with_overrides(&[
         (1, OverrideSpec::Pin { first: 0, last: 3, replica: 2 }),
-        (2, OverrideSpec::Out { replica: 2 }),
+        (2, OverrideSpec::OutOfService { replica: 2 }),
     ]);
     fleet.advance(5000);
     assert_eq!((slices_naming(&fleet, 2), fleet.policy.override_status(2)), (0, Some(InForce)));
@@ -247,8 +248,10 @@
 
 #[test]
 fn overrides_survive_a_regranted_slice_and_a_restarted_replica() {
-    let overrides =
-        [(1, OverrideSpec::Pin { first: 4, last: 4, replica: 3 }), (2, OverrideSpec::Out { replica: 1 })];
+    let overrides = [
+        (1, OverrideSpec::Pin { first: 4, last: 4, replica: 3 }),
+        (2, OverrideSpec::OutOfService { replica: 1 }),
+    ];
     let mut fleet = fleet_with_overrides(&overrides);
     fleet.advance(3000);
     fleet.store.insert(4, [(1, 1.0)].into());
@@ -272,7 +275,10 @@
     fleet.advance(2000);
     set_overrides(
         &mut fleet,
-        &[(1, OverrideSpec::Out { replica: 0 }), (2, OverrideSpec::Pin { first: 1, last: 1, replica: 2 })],
+        &[
+            (1, OverrideSpec::OutOfService { replica: 0 }),
+            (2, OverrideSpec::Pin { first: 1, last: 1, replica: 2 }),
+        ],
     );
     fleet.advance(8000);
     assert_eq!((slices_naming(&fleet, 0), owners_of(&fleet, 1)), (0, vec![2]));
@@ -316,7 +322,7 @@
         for (at, (kind, n)) in run.0.into_iter().enumerate() {
             let (replica, slice) = (n % 8, n / 8 % 24);
             match kind % 10 {
-                0 => overrides.push((at as u64, OverrideSpec::Out { replica })),
+                0 => overrides.push((at as u64, OverrideSpec::OutOfService { replica })),
                 1 => overrides
                     .push((at as u64, OverrideSpec::Weight { replica, factor: f64::from(n % 100) / 10.0 })),
                 2 | 3 => overrides
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -63,8 +63,8 @@
         (0..3).for_each(|n| policy.slice_granted(at(1000), n, &[(n, 1.0)]));
         (0..3).for_each(|proxy| policy.proxy_joined(at(1000), proxy, ProxyTables::Empty));
         let first = policy.collect_actions(at(1000));
-        let Some(Action::Sync { number }) = first.last() else { panic!("no mark: {first:?}") };
-        (0..times).for_each(|_| policy.command_resent(at(1010), *number));
+        let Some(Action::Sync { version }) = first.last() else { panic!("no mark: {first:?}") };
+        (0..times).for_each(|_| policy.command_resent(at(1010), *version));
         policy.replicas_listed(at(2000), ListScope::Changes, &list(1)[1..2]);
         let withdrawn = policy.collect_actions(at(2000)).contains(&Action::Withdraw { replica: 1 });
         assert_eq!(withdrawn, times == 0);
@@ -80,7 +80,7 @@
         fleet.log.clear();
         fleet.advance(3000);
         let version =
-            |action: &Action| if let Action::Sync { number } = action { Some(*number) } else { None };
+            |action: &Action| if let Action::Sync { version } = action { Some(*version) } else { None };
         fleet.log.iter().filter_map(version).collect::<Vec<_>>()
     };
     let (one, other) = (versions(0x8c1f30d27a5be964), versions(0x8c1f30d27a5b7777));
--- a/crates/policy/tests/reports/mod.rs
+++ b/crates/policy/tests/reports/mod.rs
@@ -56,8 +56,8 @@
         policy.timer_fired(now, second);
         let reply = policy.collect_actions(now);
         for action in &reply {
-            if let Action::Sync { number } = action {
-                policy.ack_received(now, 0, *number);
+            if let Action::Sync { version } = action {
+                policy.ack_received(now, 0, *version);
             }
         }
         actions.extend(reply);
@@ -70,8 +70,8 @@
 }
 
 pub fn reduces_admission(action: &Action, of: Option<SliceId>, mask: u64) -> bool {
-    matches!(action, Action::SetAdmission { slice, request_classes, share, .. }
-        if *slice == of && request_classes & mask > 0 && *share < 1.0)
+    matches!(action, Action::SetAdmission { slice, request_classes, admission_rate, .. }
+        if *slice == of && request_classes & mask > 0 && *admission_rate < 1.0)
 }
 
 /// Attempts at each of six replicas in a second, all answered in 100 ms, and requests for its slice.
@@ -91,8 +91,8 @@
 pub fn acked_reply(policy: &mut Policy, now: Moment) -> Vec<Action> {
     policy.timer_fired(now, 0);
     let reply = policy.collect_actions(now);
-    if let Some(Action::Sync { number }) = reply.last() {
-        policy.ack_received(now, 0, *number);
+    if let Some(Action::Sync { version }) = reply.last() {
+        policy.ack_received(now, 0, *version);
     }
     reply
 }
--- a/crates/policy/tests/shared_replicas.rs
+++ b/crates/policy/tests/shared_replicas.rs
@@ -76,8 +76,8 @@
     assert!((0..5).all(|position| !subset(5, position).is_claimed(3, last, late)));
     assert!(subset(1, 0).is_claimed(3, last, late), "who shares with nobody need not wait");
     assert!(
-        SubsetMembership::Everyone.is_claimed(3, last, late)
-            && !SubsetMembership::Others.is_claimed(3, last, late)
+        SubsetMembership::AllControllers.is_claimed(3, last, late)
+            && !SubsetMembership::OtherControllers.is_claimed(3, last, late)
     );
 }
 
@@ -202,7 +202,7 @@
     for seed in 1..6 {
         let mut fleet = shared_fleet(60, 24, 24, |_| 30.0);
         for replica in 12..24 {
-            fleet.subsets.insert(replica, SubsetMembership::Others);
+            fleet.subsets.insert(replica, SubsetMembership::OtherControllers);
             fleet.others_requests.remove(&replica);
         }
         fleet.start_incarnation(seed);
@@ -223,7 +223,7 @@
     for n in 0..6 {
         fleet.store.insert(n, [(n % 3, 1.0)].into());
     }
-    (3..8).for_each(|s| _ = fleet.subsets.insert(s, SubsetMembership::Others));
+    (3..8).for_each(|s| _ = fleet.subsets.insert(s, SubsetMembership::OtherControllers));
     fleet.start_incarnation(5);
     fleet.advance(6000);
     for replica in 0..3 {
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -48,7 +48,7 @@
             let replica = names.id(one.kind.replica())?;
             let spec = match one.kind {
                 OverrideKind::Weight { factor, .. } => OverrideSpec::Weight { replica, factor },
-                OverrideKind::Out { .. } => OverrideSpec::Out { replica },
+                OverrideKind::Out { .. } => OverrideSpec::OutOfService { replica },
                 OverrideKind::Pin { first, last, .. } => OverrideSpec::Pin { first, last, replica },
             };
             Some((one.number, spec))
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -204,13 +204,13 @@
             }
             Action::Withdraw { replica } => Command::Withdraw { replica: self.names.name(replica)? },
             Action::Reinstate { replica } => Command::Reinstate { replica: self.names.name(replica)? },
-            Action::SetAdmission { slice, request_classes, share, retries } => {
+            Action::SetAdmission { slice, request_classes, admission_rate, retries } => {
                 let classes = self.settings.request_classes.iter().enumerate();
                 let selected = classes.filter(|(position, _)| request_classes >> position & 1 == 1);
                 let request_classes = selected.map(|(_, name)| name.clone()).collect();
-                Command::SetAdmission { slice, request_classes, share, retries }
+                Command::SetAdmission { slice, request_classes, share: admission_rate, retries }
             }
-            Action::Sync { number } => Command::Sync { number },
+            Action::Sync { version } => Command::Sync { number: version },
             Action::RequestReplicaList => {
                 self.open_registry_watch(now);
                 return None;
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -161,7 +161,7 @@
             bytes_per_second: stream.bytes_per_second(now),
             age: stream.age(now),
             stale: stream.is_stale(),
-            partial_replicas: self.policy.partly_observed_count(),
+            partial_replicas: self.policy.partially_observed_count(),
         })
     }
 
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -62,7 +62,7 @@
 
     /// Which controllers steer a replica.
     pub(super) fn subset_membership(&self, replica: &str) -> SubsetMembership {
-        self.subsets.as_ref().map_or(SubsetMembership::Everyone, |subsets| subsets.membership(replica))
+        self.subsets.as_ref().map_or(SubsetMembership::AllControllers, |subsets| subsets.membership(replica))
     }
 
     fn apply_memberships(&mut self, now: Moment) {
--- a/crates/routing/src/report_stream.rs
+++ b/crates/routing/src/report_stream.rs
@@ -168,7 +168,7 @@
 
 impl RecentMaxima {
     fn record(&mut self, now: Moment, window: Span, pause: Span) {
-        let period = now.count_of(RATE_WINDOW);
+        let period = now.elapsed_periods(RATE_WINDOW);
         if period > self.period {
             let is_next = period == self.period + 1;
             self.previous = if is_next { self.current } else { Maxima::default() };
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -124,7 +124,7 @@
     pub fn membership(&self, replica: &str) -> SubsetMembership {
         match self.assignment.position(replica, &self.fleet.own_name) {
             Some(Position { controllers, position }) => SubsetMembership::Subset { controllers, position },
-            None => SubsetMembership::Others,
+            None => SubsetMembership::OtherControllers,
         }
     }
 
--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -18,11 +18,11 @@
         Action::SetEndpoint { slice, replica, weight } => json!(["setWeight", replica, slice, weight]),
         Action::Withdraw { replica } => json!(["takeOut", true, replica]),
         Action::Reinstate { replica } => json!(["takeOut", false, replica]),
-        Action::SetAdmission { slice, request_classes, share, retries } => {
+        Action::SetAdmission { slice, request_classes, admission_rate, retries } => {
             let table = slice.map_or(EVERY_TABLE, u64::from);
-            json!(["ration", share, retries, request_classes, table])
+            json!(["ration", admission_rate, retries, request_classes, table])
         }
-        Action::Sync { number } => json!(["barrier", number, sync_all]),
+        Action::Sync { version } => json!(["barrier", version, sync_all]),
         Action::RequestReplicaList => json!(["keepInformed", true]),
         Action::StartTimer { token, after } => json!(["wakeAt", token, after.as_ns()]),
         // The text is part of the simulator's trace.
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -182,7 +182,7 @@
     Some(ReplicaListing {
         replica,
         stable_hash: u64::from(replica),
-        subset: SubsetMembership::Everyone,
+        subset: SubsetMembership::AllControllers,
         zone: instance.zone(entry.get(1)?.as_str()?),
         machine: entry.get(2)?.as_str()?.to_string(),
         state: state(entry.get(4)?.as_str()?)?,
