--- a/crates/controller/benches/reducer.rs
+++ b/crates/controller/benches/reducer.rs
@@ -35,7 +35,7 @@
     fn of(replicas: u32, overrides: u32) -> Self {
         let example = include_str!("../../../deploy/example.json");
         let example: serde_json::Value = serde_json::from_str(example).unwrap();
-        let settings = whinwall_settings::read(&example["settings"]).unwrap();
+        let settings = whinwall_settings::parse_settings(&example["settings"]).unwrap();
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: local(8500), relay: local(6400) };
--- a/crates/controller/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -40,7 +40,7 @@
 fn controller(replicas: u32, fleet: Option<Fleet>) -> (Reducer, Moment) {
     let example = include_str!("../../../deploy/example.json");
     let example: serde_json::Value = serde_json::from_str(example).unwrap();
-    let settings = whinwall_settings::read(&example["settings"]).unwrap();
+    let settings = whinwall_settings::parse_settings(&example["settings"]).unwrap();
     let now = Moment::default() + Span::ms(1_800_000_000_000);
     let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
     let targets = Targets { discovery: here(8500), relay: here(6400) };
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -147,7 +147,7 @@
     settings["obligations"]["drainGraceNs"] = json!(2_500_000_000u64);
     settings["me"] = json!(0);
     settings["peersTotal"] = json!(CONTROLLERS);
-    whinwall_settings::read(&settings).unwrap()
+    whinwall_settings::parse_settings(&settings).unwrap()
 }
 
 /// One scenario on a fleet of one size.
--- a/crates/controller/benches/subsets.rs
+++ b/crates/controller/benches/subsets.rs
@@ -54,7 +54,7 @@
         let example: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
         let mut settings = example["settings"].clone();
         settings["zones"] = (0..ZONES).map(|zone| format!("zone-{zone}")).collect();
-        let settings = whinwall_settings::read(&settings).unwrap();
+        let settings = whinwall_settings::parse_settings(&settings).unwrap();
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: here(8500), relay: here(6400) };
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -203,7 +203,7 @@
         let stamp = ClockStamp { position, reading: Clock::read_machine_clocks() };
         let batch = WriteBatch { writes, removals, stamp: encoding::encode_stamp(&stamp) };
         if !self.services.write_store(serial, batch) {
-            self.apply(Event::Saved { serial, outcome: Err(STORAGE_BUSY.into()) });
+            self.apply(Event::SaveCompleted { serial, outcome: Err(STORAGE_BUSY.into()) });
         }
     }
 }
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -63,7 +63,7 @@
     let (now, wall) = (dispatcher.clock.now(), Clock::wall_time());
     if wall_monitor.has_stepped(now, wall) {
         tracing::warn!("wall clock stepped");
-        dispatcher.apply(Event::WallStepped(wall));
+        dispatcher.apply(Event::WallClockStepped(wall));
     }
 }
 
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -244,9 +244,9 @@
                 let (records, stamp) = (found.records, found.stamp);
                 Event::StoreRead { records, stamp, reading: Clock::read_machine_clocks() }
             }
-            StoreReply::Unavailable(error) => Event::StoreNotRead(error.to_string()),
+            StoreReply::Unavailable(error) => Event::StoreUnavailable(error.to_string()),
             StoreReply::Written { serial, outcome } => {
-                Event::Saved { serial, outcome: outcome.map_err(|error| error.to_string()) }
+                Event::SaveCompleted { serial, outcome: outcome.map_err(|error| error.to_string()) }
             }
         };
         self.dispatcher.apply(event);
--- a/crates/controller/src/program/reload.rs
+++ b/crates/controller/src/program/reload.rs
@@ -56,7 +56,7 @@
         tracing::warn!(key, "a changed configuration key needs a restart");
     }
     dispatcher.relay.set_target(targets.relay);
-    dispatcher.apply(Event::Configured(targets));
+    dispatcher.apply(Event::TargetsConfigured(targets));
     dispatcher.apply(Event::SubsettingConfigured(config.fleet.clone()));
     if let Err(error) = dispatcher.services.reconfigure(&config.name, config.operators.as_ref()) {
         tracing::error!(%error, "management API not available");
--- a/crates/controller/tests/event_races.rs
+++ b/crates/controller/tests/event_races.rs
@@ -493,7 +493,7 @@
             13 => {
                 self.targets.relay.set_port(6400 + (n % 2) as u16);
                 self.targets.discovery.set_port(8500 + (n % 3) as u16);
-                self.rig.apply(Event::Configured(self.targets));
+                self.rig.apply(Event::TargetsConfigured(self.targets));
             }
             14 => self.rig.relay_event(&format!("* CLOSED {}", n % 4)),
             15 => self.rig.relay_event(&format!("* SUBSCRIBE {} north 21.5 {}", n % 4, n / 4 % 2)),
--- a/crates/controller/tests/large_fleet.rs
+++ b/crates/controller/tests/large_fleet.rs
@@ -78,7 +78,7 @@
     file["settings"]["zones"] = (0..ZONES).map(zone).collect();
     file["settings"]["familyInfo"]["queueCap"] = json!(1e9);
     file["settings"]["familyInfo"]["pushRate"] = json!(1e9);
-    let settings = whinwall_settings::read(&file["settings"]).unwrap();
+    let settings = whinwall_settings::parse_settings(&file["settings"]).unwrap();
     let mut now = Moment::default() + Span::ms(1_800_000_000_000);
     let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
     let targets = Targets { discovery: here(8500), relay: here(6400) };
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -155,10 +155,10 @@
         relay: SocketAddr::new(RELAY.ip(), port),
         discovery: SocketAddr::new(RELAY.ip(), other),
     };
-    rig.apply(Event::Configured(moved(RELAY.port(), DISCOVERY.port())));
+    rig.apply(Event::TargetsConfigured(moved(RELAY.port(), DISCOVERY.port())));
     assert_eq!(rig.other_effects, [], "nothing has moved");
     let (targets, before) = (moved(6401, 8501), rig.requests.len());
-    rig.apply(Event::Configured(targets));
+    rig.apply(Event::TargetsConfigured(targets));
     let expected = [
         Effect::WatchRelay { relay: targets.relay },
         Effect::WatchRegistry { discovery: targets.discovery, since: 41 },
--- a/crates/controller/tests/reducer_overrides.rs
+++ b/crates/controller/tests/reducer_overrides.rs
@@ -95,11 +95,11 @@
 fn wall_clock_step_prolongs_no_override() {
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 10_000);
-    rig.apply(Event::WallStepped(rig.now - Span::ms(7_200_000)));
+    rig.apply(Event::WallClockStepped(rig.now - Span::ms(7_200_000)));
     rig.advance_ms(10_000);
     assert!(rig.standing_overrides().is_empty());
     rig.out("s-2", 10_000);
-    rig.apply(Event::WallStepped(rig.now + Span::ms(7_200_000)));
+    rig.apply(Event::WallClockStepped(rig.now + Span::ms(7_200_000)));
     rig.advance_ms(9000);
     assert_eq!(rig.standing_overrides(), ["s-2"], "forwards it has its time");
 }
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -219,7 +219,7 @@
     let second = coverage.count(&line(2, 1250, 1000)).unwrap();
     assert_eq!(
         (second.fraction, second.window, second.continuity),
-        (0.25, Span::ms(250), Continuity::Seamless)
+        (0.25, Span::ms(250), Continuity::Continuous)
     );
     assert_eq!(coverage.count(&line(1, 1250, 1000)), None, "all of it is covered");
     assert_eq!(coverage.count(&line(1, 1200, 1000)), None, "it comes late");
@@ -235,7 +235,7 @@
     let mut coverage = ReportCoverage::default();
     coverage.count(&line(1, 1000, 1000));
     let jitter = coverage.count(&line(2, 2250, 1000)).unwrap();
-    assert_eq!((jitter.fraction, jitter.continuity), (1.25, Continuity::Seamless));
+    assert_eq!((jitter.fraction, jitter.continuity), (1.25, Continuity::Continuous));
     let gap = coverage.count(&line(1, 6250, 1000)).unwrap();
     assert_eq!(
         (gap.fraction, gap.window, gap.continuity),
@@ -250,7 +250,7 @@
     let same = coverage.count(&slice(1, 90_000)).unwrap();
     assert_eq!(
         same.continuity,
-        Continuity::Seamless,
+        Continuity::Continuous,
         "nobody asked for the slice, and so nothing was told of it"
     );
 }
--- a/crates/controller/tests/support/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -49,7 +49,7 @@
         let example = include_str!("../../../../deploy/example.json");
         let mut example: serde_json::Value = serde_json::from_str(example).unwrap();
         change(&mut example["settings"]);
-        let settings = whinwall_settings::read(&example["settings"]).unwrap();
+        let settings = whinwall_settings::parse_settings(&example["settings"]).unwrap();
         let single_writer = settings.deployment.single_writer;
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let targets = Targets { discovery: DISCOVERY, relay: RELAY };
--- a/crates/emulator/src/scenario/controllers.rs
+++ b/crates/emulator/src/scenario/controllers.rs
@@ -24,7 +24,8 @@
     /// Starts a new incarnation of a controller.
     pub(super) fn start_controller(&mut self, at: ControllerIndex) {
         let settings = self.config.settings(at);
-        let settings = whinwall_settings::read(&settings).expect("the emulator's own settings are valid");
+        let settings =
+            whinwall_settings::parse_settings(&settings).expect("the emulator's own settings are valid");
         let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: local(DISCOVERY_PORT), relay: local(RELAY_PORT) };
         let seed = (self.random.draw() * SEED_RANGE) as u64;
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -20,7 +20,7 @@
     /// The program is ready to carry out effects.
     Started,
     /// The configuration file was read anew; these are the addresses it names.
-    Configured(Targets),
+    TargetsConfigured(Targets),
     /// The operators' file names the fleet in which each controller steers a subset of the replicas, or none.
     SubsettingConfigured(Option<Fleet>),
     /// A message arrived at the controller's own address.
@@ -79,16 +79,16 @@
         reading: ClockReading,
     },
     /// The override store cannot be read.
-    StoreNotRead(String),
+    StoreUnavailable(String),
     /// A write to the override store has ended.
-    Saved {
+    SaveCompleted {
         /// The serial number of the write.
         serial: u64,
         /// Whether it succeeded.
         outcome: Result<(), String>,
     },
     /// The wall clock was stepped to this time.
-    WallStepped(Moment),
+    WallClockStepped(Moment),
     /// All input that had arrived was fed; time has advanced.
     InputDrained,
 }
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -92,7 +92,7 @@
     pub fn apply(&mut self, now: Moment, event: Event) -> Vec<Effect> {
         match event {
             Event::Started => self.started(now),
-            Event::Configured(targets) => self.targets_configured(now, targets),
+            Event::TargetsConfigured(targets) => self.targets_configured(now, targets),
             Event::SubsettingConfigured(fleet) => {
                 // Where there is a fleet there are aggregators, and controllers get all reports from them.
                 self.aggregate_reports(now, fleet.is_some());
@@ -121,17 +121,17 @@
                     overrides.manager.handle_store_read(now, &reading, stamp.as_deref(), &records);
                 });
             }
-            Event::StoreNotRead(reason) => {
+            Event::StoreUnavailable(reason) => {
                 self.change_overrides(now, |overrides| {
                     overrides.manager.handle_store_unavailable(&reason);
                 });
             }
-            Event::Saved { serial, outcome } => {
+            Event::SaveCompleted { serial, outcome } => {
                 self.change_overrides(now, |overrides| {
                     overrides.manager.handle_save_outcome(now, serial, outcome);
                 });
             }
-            Event::WallStepped(wall) => {
+            Event::WallClockStepped(wall) => {
                 self.change_overrides(now, |overrides| {
                     overrides.manager.handle_wall_clock_step(now, wall);
                 });
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -205,7 +205,7 @@
             policy.observed_since(about, report.at - window);
         }
         let is_incomplete = match counted.continuity {
-            Continuity::Seamless => false,
+            Continuity::Continuous => false,
             Continuity::Gap(_) => true,
             Continuity::Unknown => matches!(about, ReportSubject::Replica(_)),
         };
--- a/crates/routing/src/report_coverage.rs
+++ b/crates/routing/src/report_coverage.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Continuity {
     /// Nothing, or jitter.
-    Seamless,
+    Continuous,
     /// No line covers this time.
     Gap(Span),
     /// No recent line covers the subject: what was covered before is too old to be set off against.
@@ -133,7 +133,7 @@
     let gap = (line.at - line.window) - covered;
     let is_reported_each_window = matches!(line.subject, Subject::Replica(_));
     let is_gap = is_reported_each_window && gap > MAX_WINDOW;
-    (count_all(line, if is_gap { Continuity::Gap(gap) } else { Continuity::Seamless }), until)
+    (count_all(line, if is_gap { Continuity::Gap(gap) } else { Continuity::Continuous }), until)
 }
 
 fn other_connection(line: &ReportLine, covered: Moment) -> Option<Counted> {
@@ -150,6 +150,6 @@
     let first = uncovered.seconds() / line.window.seconds().max(f64::MIN_POSITIVE);
     let fraction = (first + line.line_count - 1.0) / line.line_count.max(1.0);
     let window = if line.line_count > 1.0 { line.window.max(uncovered) } else { uncovered };
-    let continuity = if gap > MAX_JITTER { Continuity::Gap(gap) } else { Continuity::Seamless };
+    let continuity = if gap > MAX_JITTER { Continuity::Gap(gap) } else { Continuity::Continuous };
     Some(Counted { fraction, window, continuity })
 }
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -86,7 +86,8 @@
         environment: Arc<Environment>,
         total_processor_time: Arc<AtomicU64>,
     ) -> Result<Self, SettingsError> {
-        let settings = whinwall_settings::read(&environment.plan.configuration(controller)["settings"])?;
+        let settings =
+            whinwall_settings::parse_settings(&environment.plan.configuration(controller)["settings"])?;
         let now = environment.run_start.current_time();
         let site = Site::First;
         let reducer = Reducer::start(
@@ -170,7 +171,7 @@
     pub fn configure(&mut self, site: Site) {
         self.site = site;
         self.mark_event_started();
-        self.process_events(self.now(), vec![Event::Configured(site_targets(site))]);
+        self.process_events(self.now(), vec![Event::TargetsConfigured(site_targets(site))]);
     }
 
     /// Partitions its region from the network, for the time in the plan by its own clock.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// Where a key is missing, has the wrong type, or its value is outside its range.
-pub fn read(settings: &serde_json::Value) -> Result<Settings, SettingsError> {
+pub fn parse_settings(settings: &serde_json::Value) -> Result<Settings, SettingsError> {
     Ok(serde_path_to_error::deserialize(settings)?)
 }
 
--- a/crates/settings/tests/every_key.rs
+++ b/crates/settings/tests/every_key.rs
@@ -3,7 +3,7 @@
 
 use serde_json::Value;
 use whinwall_policy::time::Span;
-use whinwall_settings::{read, Settings};
+use whinwall_settings::{parse_settings, Settings};
 
 fn every_key() -> Value {
     serde_json::from_str(include_str!("fixtures/every_key.json")).unwrap()
@@ -25,7 +25,7 @@
 }
 
 fn parsed(settings: &Value) -> Settings {
-    read(settings).unwrap()
+    parse_settings(settings).unwrap()
 }
 
 #[test]
@@ -115,18 +115,18 @@
         ("/obligations", "fallMultiple", "obligations: "),
     ];
     for (pointer, key, zone) in required {
-        let error = read(&without(pointer, key)).unwrap_err().to_string();
+        let error = parse_settings(&without(pointer, key)).unwrap_err().to_string();
         assert_eq!(error, format!("{zone}missing field `{key}`"));
     }
 }
 
 #[test]
 fn a_value_of_the_wrong_type_is_named_by_its_path() {
-    let error = read(&with("/familyInfo/pushRate", "fast".into())).unwrap_err().to_string();
+    let error = parse_settings(&with("/familyInfo/pushRate", "fast".into())).unwrap_err().to_string();
     assert_eq!(error, r#"familyInfo.pushRate: invalid type: string "fast", expected f64"#);
-    let error = read(&with("/obligations/coldFrom", (-1).into())).unwrap_err().to_string();
+    let error = parse_settings(&with("/obligations/coldFrom", (-1).into())).unwrap_err().to_string();
     assert_eq!(error, "obligations.coldFrom: -1 is below 0");
-    let error = read(&with("/peersTotal", 1.5.into())).unwrap_err().to_string();
+    let error = parse_settings(&with("/peersTotal", 1.5.into())).unwrap_err().to_string();
     assert_eq!(error, "peersTotal: 1.5 is no count");
 }
 
@@ -134,7 +134,7 @@
 fn the_words_of_the_registry_mode_are_push_and_ask() {
     assert!(parsed(&with("/membershipMode", "push".into())).deployment.list_pushed);
     assert!(!parsed(&with("/membershipMode", "ask".into())).deployment.list_pushed);
-    let error = read(&with("/membershipMode", "pull".into())).unwrap_err().to_string();
+    let error = parse_settings(&with("/membershipMode", "pull".into())).unwrap_err().to_string();
     assert_eq!(error, "membershipMode: unknown variant `pull`, expected `push` or `ask`");
 }
 
@@ -155,9 +155,9 @@
 
 #[test]
 fn settings_without_classes_or_with_too_many_are_refused() {
-    let error = read(&with("/classes", Value::Array(Vec::new()))).unwrap_err().to_string();
+    let error = parse_settings(&with("/classes", Value::Array(Vec::new()))).unwrap_err().to_string();
     assert_eq!(error, "classes: 0 op types, not 1 to 64");
     let class = every_key()["classes"][0].clone();
-    let error = read(&with("/classes", Value::Array(vec![class; 65]))).unwrap_err().to_string();
+    let error = parse_settings(&with("/classes", Value::Array(vec![class; 65]))).unwrap_err().to_string();
     assert_eq!(error, "classes: 65 op types, not 1 to 64");
 }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -120,7 +120,7 @@
     /// Starts an instance; the action to return says why its settings can't be used.
     fn start(&mut self, now: Moment, id: u64, event: &Event) -> Result<Option<Value>, EventError> {
         let seed = event.whole(0, "rngSeed")?;
-        let settings = match whinwall_settings::read(event.value(1)) {
+        let settings = match whinwall_settings::parse_settings(event.value(1)) {
             Ok(settings) => settings,
             Err(error) => return Ok(Some(json!(["fault", format!("config: {error}")]))),
         };
