--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -227,8 +227,8 @@
 
     fn input(&mut self, input: Input) {
         match input {
-            Input::Line { from, line, back, .. } => {
-                self.line(&Sender { connection: from, commands: &back }, &line);
+            Input::Line { from, line, commands, .. } => {
+                self.line(&Sender { connection: from, commands: &commands }, &line);
             }
             Input::Disconnected(connection, _) => {
                 self.admitted.remove(&connection);
--- a/crates/aggregation/src/program/event_loop/lines.rs
+++ b/crates/aggregation/src/program/event_loop/lines.rs
@@ -71,7 +71,7 @@
 
     fn admit(&mut self, sender: &Sender) {
         if self.admitted.insert(sender.connection) {
-            sender.command(ConnectionCommand::Admit);
+            sender.command(ConnectionCommand::MarkAuthenticated);
         }
     }
 
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -169,7 +169,7 @@
             Effect::Pong { to } => {
                 self.send_command(to, ConnectionCommand::Send(collector::encode(collector::Reply::Pong)));
             }
-            Effect::Admit { to } => self.send_command(to, ConnectionCommand::Admit),
+            Effect::Admit { to } => self.send_command(to, ConnectionCommand::MarkAuthenticated),
             Effect::Disconnect { to, why } => {
                 let close_reason = why.map(|why| collector::encode(collector::Reply::Nack { why }));
                 self.send_command(to, ConnectionCommand::Close(close_reason));
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -55,7 +55,7 @@
     /// Takes one input from a peer.
     pub(super) fn receive(&mut self, input: Input) {
         let event = match input {
-            Input::Line { from, line, back, .. } => Some(self.decode_line(from, &line, back)),
+            Input::Line { from, line, commands, .. } => Some(self.decode_line(from, &line, commands)),
             Input::Disconnected(id, chunks) => self.end_connection(id, chunks),
             Input::WatchLine(id, line) => self.decode_relay_event(id, line),
             Input::RegistryLine(id, line) => self.decode_registry_message(id, line),
@@ -163,7 +163,7 @@
                 self.dispatcher.apply(event);
             }
             if let Some(readers) = &self.readers {
-                readers.metrics.observe_report_lag(info.at.elapsed());
+                readers.metrics.observe_report_lag(info.received_at.elapsed());
             }
         }
         if ready.is_ended {
@@ -192,7 +192,7 @@
             readers.pool.borrow().publish_names(names);
         }
         let now = self.dispatcher.clock.now();
-        if now - self.readers_checked_at < limits::span(READER_CHECK_INTERVAL) {
+        if now - self.readers_checked_at < limits::to_span(READER_CHECK_INTERVAL) {
             return;
         }
         self.readers_checked_at = now;
--- a/crates/controller/src/program/reader.rs
+++ b/crates/controller/src/program/reader.rs
@@ -125,8 +125,8 @@
 
 fn decode_chunk(reader: ReaderId, context: &ReaderContext, chunk: Chunk) -> ReportBatch {
     let names = context.names.borrow().clone();
-    let Chunk { info, lines, back: commands, weight } = chunk;
-    let arrived_at = context.clock.moment_of(info.at);
+    let Chunk { info, lines, commands, memory_permit } = chunk;
+    let arrived_at = context.clock.moment_of(info.received_at);
     let began = Instant::now();
     let hook = |stage| (context.hook)(reader, stage);
     let decoded = catch_unwind(AssertUnwindSafe(|| decode_lines(&lines, arrived_at, &names, hook)));
@@ -136,7 +136,7 @@
     });
     let line_count = lines.iter().filter(|byte| **byte == b'\n').count();
     context.metrics.count_chunk(reader, lines.len(), line_count, began);
-    ReportBatch { info, arrived_at, reader, items, commands, _memory: weight }
+    ReportBatch { info, arrived_at, reader, items, commands, _memory: memory_permit }
 }
 
 fn decode_lines(
--- a/crates/controller/src/program/reload.rs
+++ b/crates/controller/src/program/reload.rs
@@ -32,8 +32,8 @@
             tracing::error!(%error, "configuration reload failed, the former configuration stays");
             let now = dispatcher.clock.now();
             self.retry = Some(Retry {
-                next_at: now + limits::span(limits::RETRY_BACKOFF),
-                until: now + limits::span(limits::CONFIG_REREAD_PERIOD),
+                next_at: now + limits::to_span(limits::RETRY_BACKOFF),
+                until: now + limits::to_span(limits::CONFIG_REREAD_PERIOD),
             });
         }
     }
@@ -43,7 +43,7 @@
         let now = dispatcher.clock.now();
         let Some(retry) = self.retry.filter(|retry| retry.next_at <= now) else { return };
         let is_over = apply_files(config, dispatcher).is_ok() || now >= retry.until;
-        let next = Retry { next_at: now + limits::span(limits::RETRY_BACKOFF), ..retry };
+        let next = Retry { next_at: now + limits::to_span(limits::RETRY_BACKOFF), ..retry };
         self.retry = (!is_over).then_some(next);
     }
 }
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -67,7 +67,7 @@
                         }));
                     }
                     BatchItem::Message(Message::Source { .. }) => {
-                        _ = batch.commands.try_send(ConnectionCommand::Admit);
+                        _ = batch.commands.try_send(ConnectionCommand::MarkAuthenticated);
                     }
                     BatchItem::Message(Message::Ping) => {
                         counted.push(Counted::Ping(from));
--- a/crates/controller/tests/transport.rs
+++ b/crates/controller/tests/transport.rs
@@ -12,8 +12,8 @@
 use whinwall_serving::shutdown;
 use whinwall_transport::listener::{self, LocalReader};
 use whinwall_transport::{
-    earliest, limits, relay_requests, Bounds, ConnectionCommand, ConnectionShutdown, Input, RequestError,
-    StreamError,
+    first_success, limits, relay_requests, Bounds, ConnectionCommand, ConnectionShutdown, Input,
+    RequestError, StreamError,
 };
 
 fn run<T>(work: impl Future<Output = T>) -> T {
@@ -30,10 +30,14 @@
         actix_rt::time::sleep(every * 3).await;
         Ok(begun.get())
     };
-    let reached = run(earliest(every, 8, slow));
+    let reached = run(first_success(every, 8, slow));
     assert!(reached.is_ok_and(|dials| dials > 1), "another is begun meanwhile");
     let hangs = async || std::future::pending::<Result<(), StreamError>>().await;
-    assert_eq!(run(earliest(every, 2, hangs)), Err(StreamError::TimedOut), "for ever it is not waited for");
+    assert_eq!(
+        run(first_success(every, 2, hangs)),
+        Err(StreamError::TimedOut),
+        "for ever it is not waited for"
+    );
 }
 
 /// One that is refused says so at once; one that is lost on its way is made up for by the next.
@@ -41,7 +45,7 @@
 fn refused_and_lost_connect_attempts_cost_no_time() {
     let refused = async || Err::<(), _>(StreamError::Unreachable("refused".into()));
     let long = Duration::from_secs(60);
-    assert_eq!(run(earliest(long, 8, refused)), Err(StreamError::Unreachable("refused".into())));
+    assert_eq!(run(first_success(long, 8, refused)), Err(StreamError::Unreachable("refused".into())));
     let dials = Cell::new(0);
     let first_is_lost = async || {
         dials.set(dials.get() + 1);
@@ -50,7 +54,7 @@
             dial => Ok(dial),
         }
     };
-    assert_eq!(run(earliest(Duration::from_millis(5), 8, first_is_lost)), Ok(2));
+    assert_eq!(run(first_success(Duration::from_millis(5), 8, first_is_lost)), Ok(2));
 }
 
 /// Nobody takes connections from its backlog, which is full: a dial there is neither taken nor refused.
@@ -116,7 +120,7 @@
     let mut silent = std::net::TcpStream::connect(address.recv().unwrap()).unwrap();
     silent.write_all(b"{\"@type\":\"PING\"}\n").unwrap();
     // Shorter than it may stay without having joined.
-    silent.set_read_timeout(Some(limits::JOIN_TIMEOUT / 2)).unwrap();
+    silent.set_read_timeout(Some(limits::AUTHENTICATION_TIMEOUT / 2)).unwrap();
     let ended = silent.read(&mut [0; 64]);
     assert!(
         matches!(ended, Ok(0)) || ended.is_err_and(|why| why.kind() == std::io::ErrorKind::ConnectionReset)
@@ -162,17 +166,17 @@
             loop {
                 tokio::select! {
                     Some(input) = arrived.recv() => {
-                        let Input::Line { back, .. } = input else { continue };
+                        let Input::Line { commands, .. } = input else { continue };
                         lines += 1;
                         match lines {
-                            1 => back.try_send(ConnectionCommand::Admit).unwrap(),
+                            1 => commands.try_send(ConnectionCommand::MarkAuthenticated).unwrap(),
                             20 => trigger.close(tokio::time::Instant::now() + limits::CLOSE_TIMEOUT),
                             _ => {}
                         }
                         // Replies take a moment, so that some are due at any time.
                         actix_rt::spawn(async move {
                             actix_rt::time::sleep(Duration::from_millis(10)).await;
-                            _ = back.try_send(ConnectionCommand::Send("reply".into()));
+                            _ = commands.try_send(ConnectionCommand::Send("reply".into()));
                         });
                     }
                     () = running.ended() => return lines,
--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -43,7 +43,7 @@
             return ListAge::Current;
         }
         let since = *self.lagging_since.get_or_insert(now);
-        if now - since < limits::span(limits::REGISTRY_LAG_TIMEOUT) {
+        if now - since < limits::to_span(limits::REGISTRY_LAG_TIMEOUT) {
             return ListAge::Lagging;
         }
         (self.version, self.lagging_since) = (0, None);
--- a/crates/routing/src/reducer/endpoint_list.rs
+++ b/crates/routing/src/reducer/endpoint_list.rs
@@ -31,7 +31,7 @@
     fn restart_renewal(&mut self, now: Moment) {
         self.timers.cancel(Timer::RegistryRenewal);
         if self.settings.deployment.list_pushed {
-            let at = now + limits::span(limits::REGISTRY_RENEWAL_INTERVAL);
+            let at = now + limits::to_span(limits::REGISTRY_RENEWAL_INTERVAL);
             self.timers.start(at, Timer::RegistryRenewal);
         }
     }
--- a/crates/routing/src/reducer/timers.rs
+++ b/crates/routing/src/reducer/timers.rs
@@ -14,7 +14,7 @@
     /// Starts a timer after a backoff with jitter.
     pub(super) fn start_after_backoff(&mut self, now: Moment, timer: Timer) {
         let jitter = BACKOFF_JITTER * self.random.draw();
-        self.timers.start(now + limits::span(limits::RETRY_BACKOFF).times(1.0 - jitter), timer);
+        self.timers.start(now + limits::to_span(limits::RETRY_BACKOFF).times(1.0 - jitter), timer);
     }
 
     pub(super) fn input_drained(&mut self, now: Moment) {
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -123,9 +123,10 @@
             ),
             Err(error) => return error.into(),
         };
-        let (back, commands) = mpsc::channel(limits::MAX_QUEUED_REPLIES);
+        let (command_sender, commands) = mpsc::channel(limits::MAX_QUEUED_REPLIES);
         let chunks_sent = &mut chunks_sent;
-        let session = Session { id, peer: &peer, bounds: &bounds, back, commands, closing, chunks_sent };
+        let session =
+            Session { id, peer: &peer, bounds: &bounds, command_sender, commands, closing, chunks_sent };
         session.serve_lines(framed, &inputs, chunk_sender).await
     };
     let reason = super::contained(served).await;
@@ -143,7 +144,7 @@
     peer: &'a Peer,
     bounds: &'a Bounds,
     /// Given along with each line, for the replies to it.
-    back: mpsc::Sender<ConnectionCommand>,
+    command_sender: mpsc::Sender<ConnectionCommand>,
     commands: mpsc::Receiver<ConnectionCommand>,
     closing: ClosingSignal,
     chunks_sent: &'a mut u64,
@@ -155,8 +156,8 @@
     /// Writes the replies to what was read, ends the write side, and closes. The replies are all there once nobody holds
     /// the other end of their queue any more, which goes along with each line.
     async fn answer_and_close(self, mut io: TcpStream, closing: Option<Closing>) -> CloseReason {
-        let Session { back, mut commands, .. } = self;
-        drop(back);
+        let Session { command_sender, mut commands, .. } = self;
+        drop(command_sender);
         let closing = closing.unwrap_or_else(|| Closing {
             is_eviction: false,
             deadline: Instant::now() + limits::CLOSE_TIMEOUT,
@@ -178,19 +179,24 @@
 
     /// False where nobody will ever read it.
     async fn send_line(&self, inputs: &InputSender, line: String) -> bool {
-        let Some(weight) = self.bounds.reserve_queued(line.len()).await else { return false };
-        let line = Input::Line { from: self.id, line, back: self.back.clone(), _weight: weight };
+        let Some(memory_permit) = self.bounds.reserve_queued(line.len()).await else { return false };
+        let line = Input::Line {
+            from: self.id,
+            line,
+            commands: self.command_sender.clone(),
+            _memory_permit: memory_permit,
+        };
         inputs.send(line).await.is_ok()
     }
 
     /// False where nobody will ever read it.
     async fn send_chunk(&mut self, chunk_sender: &ChunkSender, lines: bytes::Bytes) -> bool {
         // Its time is that of its arrival, however long it waits for memory.
-        let at = std::time::Instant::now();
-        let info = ChunkInfo { from: self.id, number: *self.chunks_sent, at, bytes: lines.len() };
-        let Some(weight) = self.bounds.reserve_queued(lines.len()).await else { return false };
+        let received_at = std::time::Instant::now();
+        let info = ChunkInfo { from: self.id, number: *self.chunks_sent, received_at, bytes: lines.len() };
+        let Some(memory_permit) = self.bounds.reserve_queued(lines.len()).await else { return false };
         *self.chunks_sent += 1;
-        let chunk = Chunk { info, lines, back: self.back.clone(), weight };
+        let chunk = Chunk { info, lines, commands: self.command_sender.clone(), memory_permit };
         chunk_sender.chunks.send(chunk).await.is_ok()
     }
 }
@@ -201,7 +207,7 @@
 /// Writes what a command asks for.
 async fn carry_out(io: &mut TcpStream, command: ConnectionCommand) -> Result<IsLast, CloseReason> {
     let (line, is_last) = match command {
-        ConnectionCommand::Admit => (None, false),
+        ConnectionCommand::MarkAuthenticated => (None, false),
         ConnectionCommand::Send(line) => (Some(line), false),
         ConnectionCommand::Close(line) => (line, true),
     };
--- a/crates/transport/src/connection/lines.rs
+++ b/crates/transport/src/connection/lines.rs
@@ -53,7 +53,7 @@
         inputs: &InputSender,
         chunk_sender: Option<ChunkSender>,
     ) -> CloseReason {
-        let deadline = Instant::now() + limits::JOIN_TIMEOUT;
+        let deadline = Instant::now() + limits::AUTHENTICATION_TIMEOUT;
         let mut state = LineState {
             is_authenticated: false,
             is_reply_due: false,
@@ -63,7 +63,7 @@
         };
         loop {
             match self.next_line_event(&mut framed, &state).await {
-                LineEvent::Command(ConnectionCommand::Admit) => {
+                LineEvent::Command(ConnectionCommand::MarkAuthenticated) => {
                     self.admit(&mut framed, &mut state);
                     if let Some(chunk_sender) = chunk_sender {
                         return self.serve_chunks(framed, chunk_sender, state.closing).await;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -52,9 +52,9 @@
         /// The line, without its end.
         line: String,
         /// Commands for its connection.
-        back: mpsc::Sender<ConnectionCommand>,
+        commands: mpsc::Sender<ConnectionCommand>,
         /// Its part of the memory for queued lines, which is released with it.
-        _weight: OwnedSemaphorePermit,
+        _memory_permit: OwnedSemaphorePermit,
     },
     /// A connection to the program's own address has ended, after so many chunks.
     Disconnected(ConnectionId, u64),
@@ -76,7 +76,7 @@
     /// Its number among the chunks of its connection, from 0.
     pub number: u64,
     /// When its last byte was read.
-    pub at: std::time::Instant,
+    pub received_at: std::time::Instant,
     /// Its size.
     pub bytes: usize,
 }
@@ -89,9 +89,9 @@
     /// The lines, each with its end.
     pub lines: bytes::Bytes,
     /// Commands for its connection.
-    pub back: mpsc::Sender<ConnectionCommand>,
+    pub commands: mpsc::Sender<ConnectionCommand>,
     /// Its part of the memory for queued lines.
-    pub weight: OwnedSemaphorePermit,
+    pub memory_permit: OwnedSemaphorePermit,
 }
 
 /// What is to be done at a connection to the program's own address.
@@ -102,7 +102,7 @@
     /// Send a line that states the reason, where there is one, and close.
     Close(Option<String>),
     /// The peer is authenticated, and its connection stays open.
-    Admit,
+    MarkAuthenticated,
 }
 
 /// Takes all that arrives.
@@ -123,7 +123,7 @@
 /// # Errors
 ///
 /// Fails with the last error where all attempts so far failed, and with `TimedOut` after the last interval.
-pub async fn earliest<T>(
+pub async fn first_success<T>(
     interval: Duration,
     max_attempts: usize,
     attempt: impl AsyncFn() -> Result<T, StreamError>,
@@ -152,7 +152,8 @@
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, StreamError> {
     let unreachable = |error: std::io::Error| StreamError::Unreachable(error.to_string());
     let connect_once = async || TcpStream::connect(address).await.map_err(unreachable);
-    let stream = earliest(limits::CONNECT_RETRY_INTERVAL, limits::MAX_CONNECT_ATTEMPTS, connect_once).await?;
+    let stream =
+        first_success(limits::CONNECT_RETRY_INTERVAL, limits::MAX_CONNECT_ATTEMPTS, connect_once).await?;
     // A request is one small write: nothing is to wait for more to fill a packet.
     stream.set_nodelay(true).map_err(unreachable)?;
     Ok(stream)
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -47,7 +47,7 @@
 pub const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 /// A peer authenticates in this time or is disconnected: a second is what it may take, and three are what an
 /// unauthenticated peer may be kept waiting.
-pub const JOIN_TIMEOUT: Duration = Duration::from_millis(1500);
+pub const AUTHENTICATION_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A peer keeps its place for so long after it has come, or after a line, where descriptors are short: its first line takes
 /// a few milliseconds.
 pub const FIRST_LINE_PERIOD: Duration = Duration::from_millis(100);
@@ -77,6 +77,6 @@
 pub const RESERVED_DESCRIPTORS: usize = 64;
 
 /// A duration in the policy's type for time.
-pub fn span(duration: Duration) -> Span {
+pub fn to_span(duration: Duration) -> Span {
     Span::ns(duration.as_nanos() as u64)
 }
--- a/crates/transport/src/registry_watch.rs
+++ b/crates/transport/src/registry_watch.rs
@@ -1,7 +1,7 @@
 //! The registry watch: one HTTP request, answered by lines for as long as it lasts.
 
 use super::framing::LineCodec;
-use super::{contained, earliest, limits, within, Input, InputSender, StreamError, WatchId};
+use super::{contained, first_success, limits, within, Input, InputSender, StreamError, WatchId};
 use actix_codec::Decoder;
 use bytes::BytesMut;
 use futures_util::StreamExt;
@@ -20,7 +20,7 @@
         Err(error) => Err(unreachable(&error)),
     };
     let (interval, max_attempts) = (limits::REGISTRY_REQUEST_INTERVAL, limits::MAX_CONNECT_ATTEMPTS);
-    let mut response = match earliest(interval, max_attempts, send_request).await {
+    let mut response = match first_success(interval, max_attempts, send_request).await {
         Ok(response) => response,
         Err(error) => return error,
     };
