--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Parses and validates the deployment settings that a controller receives at startup: JSON with the names and units
-//! of the protocol's first message. The simulator adapter and the controller share this package, so that the decision
-//! module needs no JSON.
+//! Parses and validates the deployment settings that a controller receives at start-up: JSON with the names and units
+//! of the protocol's first message. The controller and the simulator adapter share this package, so that the policy
+//! does not depend on JSON.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
@@ -9,17 +9,17 @@
 use whinwall_policy::deployment::{Deployment, RequestClass};
 use whinwall_policy::time::Span;
 
-/// The most request classes of one deployment: the decisions address them by the bits of one `u64`.
+/// The maximum number of request classes of a deployment: the policy represents a set of them as the bits of a `u64`.
 const MAX_REQUEST_CLASSES: usize = 64;
 
 /// The validated settings of one deployment.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The typed facts that the decision module works with.
+    /// The typed settings for the policy.
     pub deployment: Deployment,
-    /// Names of the request classes, by their position in `deployment.request_classes`.
+    /// The names of the request classes, in the order of `deployment.request_classes`.
     pub request_classes: Vec<String>,
-    /// Names of the zones, by the position under which the decision module knows them.
+    /// The names of the zones; the policy identifies a zone by its position.
     pub zones: Vec<String>,
 }
 
@@ -28,14 +28,16 @@
         let document = Document::deserialize(raw)?;
         let classes = document.request_classes.len();
         if !(1..=MAX_REQUEST_CLASSES).contains(&classes) {
-            let message = format!("classes: {classes} op types, not 1 to {MAX_REQUEST_CLASSES}");
+            let message = format!(
+                "classes: invalid length {classes}, expected 1 to {MAX_REQUEST_CLASSES} request classes"
+            );
             return Err(D::Error::custom(message));
         }
         Ok(document.into_settings())
     }
 }
 
-/// The settings can't be used; the text names the key that is missing or has the wrong type.
+/// The settings are invalid. The text names the key that is missing or has an invalid value.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct SettingsError(#[from] serde_path_to_error::Error<serde_json::Error>);
@@ -44,12 +46,12 @@
 ///
 /// # Errors
 ///
-/// Where a key is missing, has the wrong type, or its value is outside its range.
+/// Fails if a key is missing, has the wrong type, or has a value outside its range.
 pub fn parse_settings(settings: &serde_json::Value) -> Result<Settings, SettingsError> {
     Ok(serde_path_to_error::deserialize(settings)?)
 }
 
-/// The settings as they are written.
+/// The settings as written in JSON.
 #[derive(Deserialize)]
 struct Document {
     #[serde(rename = "classes")]
@@ -65,9 +67,9 @@
     #[serde(rename = "zones", default)]
     zones: Vec<String>,
     #[serde(rename = "peersTotal", default = "single_controller", deserialize_with = "count")]
-    controllers: u32,
+    controller_count: u32,
     #[serde(rename = "me", default, deserialize_with = "optional_count")]
-    number: Option<u32>,
+    controller_index: Option<u32>,
 }
 
 fn single_controller() -> u32 {
@@ -107,13 +109,13 @@
     #[serde(rename = "writeLifeNs", default, deserialize_with = "duration")]
     write_lifetime: Span,
     #[serde(rename = "fixedCost", deserialize_with = "non_negative")]
-    message_head: f64,
+    message_overhead_lines: f64,
     #[serde(rename = "pushRate", deserialize_with = "non_negative")]
-    pace: f64,
+    lines_per_second: f64,
     #[serde(rename = "queueCap", deserialize_with = "non_negative")]
-    queue_cap: f64,
+    queue_capacity_lines: f64,
     #[serde(rename = "updateCap", default, deserialize_with = "non_negative")]
-    message_cap: f64,
+    message_limit: f64,
     #[serde(rename = "reloadSpanNs", default, deserialize_with = "duration")]
     message_window: Span,
 }
@@ -121,38 +123,42 @@
 #[derive(Deserialize)]
 struct RulesSection {
     #[serde(rename = "goneIsAdvice", default)]
-    gone_is_advice: bool,
+    delisting_is_advisory: bool,
     #[serde(rename = "coldFrom", deserialize_with = "non_negative")]
-    cold_share: f64,
+    cold_capacity_share: f64,
     #[serde(rename = "warmAfterNs", deserialize_with = "duration")]
-    warm_after: Span,
+    warm_up: Span,
     #[serde(rename = "fallMultiple", deserialize_with = "non_negative")]
-    fall_multiple: f64,
+    collapse_multiple: f64,
     #[serde(rename = "drainGraceNs", default, deserialize_with = "duration")]
     drain_grace: Span,
 }
 
-/// Accepts a count of nanoseconds written as an integer or as a decimal, as different JSON writers do.
+/// Reads a duration in nanoseconds. JSON writers may write it as an integer or as a decimal number.
 fn duration<'de, D: Deserializer<'de>>(raw: D) -> Result<Span, D::Error> {
-    // Clamped to a signed 64-bit count (292 years), because moments and durations are added up.
+    // Clamped to the range of a signed 64-bit integer (292 years), so that sums of times and durations do not
+    // overflow.
     non_negative(raw).map(|ns| Span::ns(ns.min(i64::MAX as f64) as u64))
 }
 
+/// Reads an integer that fits into a `u32`. JSON writers may write it as a decimal number, such as `5.0`.
 fn count<'de, D: Deserializer<'de>>(raw: D) -> Result<u32, D::Error> {
     let count = non_negative(raw)?;
     let whole = count.fract() == 0.0 && count <= f64::from(u32::MAX);
-    whole.then_some(count as u32).ok_or_else(|| D::Error::custom(format!("{count} is no count")))
+    whole.then_some(count as u32).ok_or_else(|| {
+        D::Error::custom(format!("invalid value {count}, expected an integer from 0 to 4294967295"))
+    })
 }
 
 fn optional_count<'de, D: Deserializer<'de>>(raw: D) -> Result<Option<u32>, D::Error> {
     count(raw).map(Some)
 }
 
-/// Rejects negative numbers and NaN.
+/// Reads a number, and rejects negative numbers and NaN.
 fn non_negative<'de, D: Deserializer<'de>>(raw: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(raw)?;
     let valid = (number >= 0.0).then_some(number);
-    valid.ok_or_else(|| D::Error::custom(format!("{number} is below 0")))
+    valid.ok_or_else(|| D::Error::custom(format!("invalid value {number}, expected a number of at least 0")))
 }
 
 impl Document {
@@ -165,26 +171,30 @@
         let deployment = Deployment {
             request_classes: self.request_classes.iter().map(request_class).collect(),
             report_period: fleet.report_period,
-            delisting_is_advisory: rules.gone_is_advice,
+            delisting_is_advisory: rules.delisting_is_advisory,
             list_pushed: self.registry_mode == RegistryMode::Push,
             weights_known: matches!(self.replica_weights.as_str(), "nominal" | "rough"),
             admission_supported: fleet.level_kind == "fraction",
-            controller_count: self.controllers,
-            // Without a number of its own, one of several controllers takes no part in draws among them.
-            controller_index: self.number.unwrap_or(if self.controllers > 1 { u32::MAX } else { 0 }),
+            controller_count: self.controller_count,
+            // One of several controllers that has no index of its own does not take part in random choices among them.
+            controller_index: self.controller_index.unwrap_or(if self.controller_count > 1 {
+                u32::MAX
+            } else {
+                0
+            }),
             fleet_size: fleet.proxies,
             slice_count: fleet.slices,
             single_writer: fleet.single_writer,
             tenure: fleet.tenure,
             write_lifetime: fleet.write_lifetime,
-            cold_capacity_share: rules.cold_share,
-            warm_up: rules.warm_after,
-            collapse_multiple: rules.fall_multiple,
+            cold_capacity_share: rules.cold_capacity_share,
+            warm_up: rules.warm_up,
+            collapse_multiple: rules.collapse_multiple,
             drain_grace: rules.drain_grace,
-            message_overhead_lines: fleet.message_head,
-            lines_per_second: fleet.pace,
-            queue_capacity_lines: fleet.queue_cap,
-            message_limit: fleet.message_cap as u32,
+            message_overhead_lines: fleet.message_overhead_lines,
+            lines_per_second: fleet.lines_per_second,
+            queue_capacity_lines: fleet.queue_capacity_lines,
+            message_limit: fleet.message_limit as u32,
             message_window: fleet.message_window,
         };
         let request_classes = self.request_classes.into_iter().map(|class| class.name).collect();
--- a/crates/settings/tests/every_key.rs
+++ b/crates/settings/tests/every_key.rs
@@ -1,5 +1,5 @@
-//! The exact names of the keys of the deployment settings, and of the words among their values. The fixture has
-//! every key that the parser reads, each with a value that is not its default.
+//! Tests the exact names of the keys of the deployment settings, their enumerated values, and the error messages. The
+//! fixture contains every key that the parser reads, each with a value that differs from its default.
 
 use serde_json::Value;
 use whinwall_policy::time::Span;
@@ -9,15 +9,15 @@
     serde_json::from_str(include_str!("fixtures/every_key.json")).unwrap()
 }
 
-/// The settings of the fixture with one value changed.
-fn with(pointer: &str, value: Value) -> Value {
+/// The settings of the fixture with the value at `pointer` replaced.
+fn with_value(pointer: &str, value: Value) -> Value {
     let mut settings = every_key();
     *settings.pointer_mut(pointer).unwrap() = value;
     settings
 }
 
-/// The settings of the fixture with one key of the object at `pointer` left out.
-fn without(pointer: &str, key: &str) -> Value {
+/// The settings of the fixture without one key of the object at `pointer`.
+fn without_key(pointer: &str, key: &str) -> Value {
     let mut settings = every_key();
     let object = settings.pointer_mut(pointer).and_then(Value::as_object_mut).unwrap();
     object.remove(key).unwrap_or_else(|| panic!("the fixture has no {key} in {pointer:?}"));
@@ -79,11 +79,11 @@
 
 #[test]
 fn optional_keys_have_defaults() {
-    let deployment_without = |pointer, key| parsed(&without(pointer, key)).deployment;
+    let deployment_without = |pointer, key| parsed(&without_key(pointer, key)).deployment;
     assert_eq!(deployment_without("", "peersTotal").controller_count, 1);
     assert_eq!(deployment_without("", "me").controller_index, u32::MAX);
     assert!(!deployment_without("", "weights").weights_known);
-    assert!(parsed(&without("", "zones")).zones.is_empty());
+    assert!(parsed(&without_key("", "zones")).zones.is_empty());
     assert_eq!(deployment_without("/familyInfo", "periodNs").report_period, Span::default());
     assert!(!deployment_without("/familyInfo", "levelKind").admission_supported);
     assert_eq!(deployment_without("/familyInfo", "agents").fleet_size, 0);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn required_keys_are_named_where_they_are_missing() {
+fn missing_required_key_is_named_in_the_error() {
     let required = [
         ("", "classes", ""),
         ("", "familyInfo", ""),
@@ -114,50 +114,55 @@
         ("/obligations", "warmAfterNs", "obligations: "),
         ("/obligations", "fallMultiple", "obligations: "),
     ];
-    for (pointer, key, zone) in required {
-        let error = parse_settings(&without(pointer, key)).unwrap_err().to_string();
-        assert_eq!(error, format!("{zone}missing field `{key}`"));
+    for (pointer, key, path) in required {
+        let error = parse_settings(&without_key(pointer, key)).unwrap_err().to_string();
+        assert_eq!(error, format!("{path}missing field `{key}`"));
     }
 }
 
 #[test]
-fn a_value_of_the_wrong_type_is_named_by_its_path() {
-    let error = parse_settings(&with("/familyInfo/pushRate", "fast".into())).unwrap_err().to_string();
+fn invalid_value_is_named_by_its_path() {
+    let error = parse_settings(&with_value("/familyInfo/pushRate", "fast".into())).unwrap_err().to_string();
     assert_eq!(error, r#"familyInfo.pushRate: invalid type: string "fast", expected f64"#);
-    let error = parse_settings(&with("/obligations/coldFrom", (-1).into())).unwrap_err().to_string();
-    assert_eq!(error, "obligations.coldFrom: -1 is below 0");
-    let error = parse_settings(&with("/peersTotal", 1.5.into())).unwrap_err().to_string();
-    assert_eq!(error, "peersTotal: 1.5 is no count");
+    let error = parse_settings(&with_value("/obligations/coldFrom", (-1).into())).unwrap_err().to_string();
+    assert_eq!(error, "obligations.coldFrom: invalid value -1, expected a number of at least 0");
+    let error = parse_settings(&with_value("/peersTotal", 1.5.into())).unwrap_err().to_string();
+    assert_eq!(error, "peersTotal: invalid value 1.5, expected an integer from 0 to 4294967295");
 }
 
 #[test]
-fn the_words_of_the_registry_mode_are_push_and_ask() {
-    assert!(parsed(&with("/membershipMode", "push".into())).deployment.list_pushed);
-    assert!(!parsed(&with("/membershipMode", "ask".into())).deployment.list_pushed);
-    let error = parse_settings(&with("/membershipMode", "pull".into())).unwrap_err().to_string();
+fn registry_mode_is_push_or_ask() {
+    assert!(parsed(&with_value("/membershipMode", "push".into())).deployment.list_pushed);
+    assert!(!parsed(&with_value("/membershipMode", "ask".into())).deployment.list_pushed);
+    let error = parse_settings(&with_value("/membershipMode", "pull".into())).unwrap_err().to_string();
     assert_eq!(error, "membershipMode: unknown variant `pull`, expected `push` or `ask`");
 }
 
 #[test]
-fn sizes_count_where_weights_are_nominal_or_rough() {
-    for (word, known) in [("nominal", true), ("rough", true), ("none", false), ("", false)] {
-        assert_eq!(parsed(&with("/weights", word.into())).deployment.weights_known, known, "{word:?}");
+fn weights_are_known_if_nominal_or_rough() {
+    for (value, known) in [("nominal", true), ("rough", true), ("none", false), ("", false)] {
+        assert_eq!(
+            parsed(&with_value("/weights", value.into())).deployment.weights_known,
+            known,
+            "{value:?}"
+        );
     }
 }
 
 #[test]
-fn levels_are_followed_where_their_kind_is_fraction() {
-    for (word, followed) in [("fraction", true), ("rate", false), ("", false)] {
-        let deployment = parsed(&with("/familyInfo/levelKind", word.into())).deployment;
-        assert_eq!(deployment.admission_supported, followed, "{word:?}");
+fn admission_is_supported_if_the_level_kind_is_fraction() {
+    for (value, supported) in [("fraction", true), ("rate", false), ("", false)] {
+        let deployment = parsed(&with_value("/familyInfo/levelKind", value.into())).deployment;
+        assert_eq!(deployment.admission_supported, supported, "{value:?}");
     }
 }
 
 #[test]
-fn settings_without_classes_or_with_too_many_are_refused() {
-    let error = parse_settings(&with("/classes", Value::Array(Vec::new()))).unwrap_err().to_string();
-    assert_eq!(error, "classes: 0 op types, not 1 to 64");
+fn settings_without_request_classes_or_with_too_many_are_rejected() {
+    let error = parse_settings(&with_value("/classes", Value::Array(Vec::new()))).unwrap_err().to_string();
+    assert_eq!(error, "classes: invalid length 0, expected 1 to 64 request classes");
     let class = every_key()["classes"][0].clone();
-    let error = parse_settings(&with("/classes", Value::Array(vec![class; 65]))).unwrap_err().to_string();
-    assert_eq!(error, "classes: 65 op types, not 1 to 64");
+    let error =
+        parse_settings(&with_value("/classes", Value::Array(vec![class; 65]))).unwrap_err().to_string();
+    assert_eq!(error, "classes: invalid length 65, expected 1 to 64 request classes");
 }
