--- a/crates/ingest/src/aggregate.rs
+++ b/crates/ingest/src/aggregate.rs
@@ -1,11 +1,11 @@
-//! Pre-aggregation: one report in place of several of the same subject, that is, of the same replica as seen from the
-//! same zone, or of the same slice and request class, in windows of the same length. In an ordinary second no two reports
-//! have the same subject; where a collector catches up, or several report for one zone, most do.
+//! Pre-aggregation: replaces several reports on the same subject by one. The subject is a replica and the zone that
+//! reports on it, or a slice and a request class, and the length of the window. Usually no two reports of the same
+//! second have the same subject; if a collector catches up, or several collectors report for the same zone, most do.
 
 use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
 use whinwall_policy::time::{Moment, Span};
 
-/// The reports of one chunk, which arrived at the same time.
+/// Sums the reports of one chunk, which arrived at the same time.
 #[derive(Debug)]
 pub struct ReportAggregator {
     arrived_at: Moment,
@@ -13,7 +13,7 @@
 }
 
 impl ReportAggregator {
-    /// No reports yet; those that are added arrived at this time.
+    /// Starts without reports. All that are added arrived at `arrived_at`.
     pub fn new(arrived_at: Moment) -> Self {
         ReportAggregator { arrived_at, reports: Vec::new() }
     }
@@ -23,23 +23,23 @@
         self.reports.push(report);
     }
 
-    /// Whether no report was added.
+    /// Returns true if no report was added.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// The sums, ordered by subject. They lose nothing: what the decisions make of reports is linear in them, but for
-    /// the latest latency, which is kept.
+    /// The sums, ordered by subject. Decisions are not affected by the summation, because they are linear in the
+    /// reports, except for the latest latency, which is kept separately.
     pub fn into_reports(self) -> Vec<Report> {
         let mut bodies = self.reports;
-        // A stable sort: the latest report of a subject stays the last one of it.
+        // The sort is stable, so that the latest report on a subject stays the last one.
         bodies.sort_by_key(subject);
         let mut reports: Vec<Report> = Vec::new();
         for body in bodies {
             match reports.last_mut().filter(|last| subject(&last.body) == subject(&body)) {
                 Some(sum) => {
                     sum.line_count += 1.0;
-                    add(&mut sum.body, body);
+                    add_report(&mut sum.body, body);
                 }
                 None => reports.push(Report { at: self.arrived_at, line_count: 1.0, body }),
             }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Kind, then replica or slice, then zone or request class, then the length of the window.
+/// The sort key of a report: kind, replica or slice, zone or request class, length of the window.
 fn subject(report: &ReportBody) -> (u8, u32, usize, Span) {
     match report {
         ReportBody::Endpoint { replica, report, .. } => (0, *replica, report.zone, report.window),
@@ -56,15 +56,15 @@
     }
 }
 
-/// Adds a later report of the same subject.
-fn add(sum: &mut ReportBody, report: ReportBody) {
+/// Adds a later report on the same subject.
+fn add_report(sum: &mut ReportBody, report: ReportBody) {
     match (sum, report) {
         (
             ReportBody::Endpoint { report: sum, latest_latency, .. },
-            ReportBody::Endpoint { report, latest_latency: later, .. },
+            ReportBody::Endpoint { report, latest_latency: later_latency, .. },
         ) => {
             if succeeded(&report) > 0.0 {
-                *latest_latency = later;
+                *latest_latency = later_latency;
             }
             add_endpoint_report(sum, &report);
         }
@@ -92,12 +92,12 @@
     (report.attempts - report.failed).max(0.0)
 }
 
-/// A single endpoint report, whose mean latency is also its latest.
+/// The body of a single endpoint report, whose mean latency is also its latest latency.
 pub fn endpoint_report(replica: u32, report: EndpointReport) -> ReportBody {
     ReportBody::Endpoint { replica, report, latest_latency: report.mean_latency }
 }
 
-/// A single demand report.
+/// The body of a single demand report.
 pub fn demand_report(slice: u32, report: DemandReport) -> ReportBody {
     ReportBody::Demand { slice, report }
 }
--- a/crates/ingest/src/lib.rs
+++ b/crates/ingest/src/lib.rs
@@ -1,10 +1,11 @@
-//! The decisions of a reader pool, without I/O or clock. Reader threads read bytes from collectors, cut them into
-//! chunks of whole lines, and decode chunks, whichever of them read the chunk; one owner applies what comes of it.
+//! The logic of a reader pool, without I/O or clock. Reader threads read bytes from collectors and split them into
+//! chunks of whole lines. Any reader may decode a chunk, also one that another reader has read. A single owner
+//! applies the decoded reports.
 //!
 //! - `partition` assigns connections to readers.
 //! - `reorder` restores the order of each connection's chunks.
-//! - `aggregate` sums reports of the same subject.
-//! - `liveness` notices readers that have stopped.
+//! - `aggregate` sums reports on the same subject.
+//! - `liveness` detects readers that have stopped, and schedules their restarts.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/ingest/src/liveness.rs
+++ b/crates/ingest/src/liveness.rs
@@ -1,28 +1,29 @@
-//! Notices readers that have stopped, by a heartbeat counter that each of them increments, and says when to restart
-//! them.
+//! Detects readers that have stopped, by a heartbeat counter that each of them increments, and schedules their
+//! restarts with exponential backoff.
 
 use crate::ReaderId;
 use whinwall_policy::time::{Moment, Span};
 
-/// A reader whose heartbeat stands still for longer has stopped: it grows ten times as often.
+/// A reader whose heartbeat counter does not change for longer than this has stalled. A running reader increments it
+/// ten times in this period.
 const HEARTBEAT_TIMEOUT: Span = Span::ms(1000);
-/// Where the checks themselves were further apart, the whole machine may have paused, and no reader is to blame.
+/// If two checks are further apart than this, the whole machine may have paused, and heartbeat time-outs start again.
 const CHECK_GAP: Span = Span::ms(400);
-/// Before the first restart of a reader; doubled with each further one.
+/// The backoff before the first restart of a reader; doubled with each further restart.
 const FIRST_RESTART_BACKOFF: Span = Span::ms(100);
-/// Before any restart, at most.
+/// The maximum backoff before a restart.
 const MAX_RESTART_BACKOFF: Span = Span::ms(10_000);
-/// A reader that has run for longer begins with the first backoff again.
+/// The backoff of a reader that has run for longer than this is reset to the first one.
 const BACKOFF_RESET: Span = Span::ms(60_000);
 
-/// What a check finds of a reader.
+/// The finding of a check of one reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderEvent {
-    /// Its thread runs and makes no progress.
+    /// Its thread runs but makes no progress.
     Stalled,
     /// Its thread has ended.
     Died,
-    /// It has stopped before, and is to be restarted now.
+    /// The backoff of a stopped reader is over, and it is to be restarted now.
     RestartDue,
 }
 
@@ -35,7 +36,7 @@
 #[derive(Clone, Debug)]
 struct Reader {
     state: ReaderState,
-    /// Before its next restart.
+    /// The backoff before its next restart.
     backoff: Span,
 }
 
@@ -47,21 +48,21 @@
 }
 
 impl LivenessMonitor {
-    /// So many readers, all started now.
+    /// Starts with this number of readers, all started now.
     pub fn new(readers: usize, now: Moment) -> Self {
         let state = ReaderState::Running { since: now, heartbeat: 0, last_progress: now };
         let reader = Reader { state, backoff: FIRST_RESTART_BACKOFF };
         LivenessMonitor { readers: vec![reader; readers], last_check: now }
     }
 
-    /// A restart that was due is not possible now; it is due again after the backoff.
+    /// Postpones a due restart that is not possible now by the current backoff.
     pub fn postpone_restart(&mut self, now: Moment, reader: ReaderId) {
         if let Some(reader) = self.readers.get_mut(reader) {
             reader.state = ReaderState::Stopped { restart_at: now + reader.backoff };
         }
     }
 
-    /// Begins a check of all readers.
+    /// Begins a round of checks. Call [`LivenessMonitor::check`] for each reader after it.
     pub fn begin_check(&mut self, now: Moment) {
         if now - self.last_check > CHECK_GAP {
             for reader in &mut self.readers {
@@ -73,7 +74,8 @@
         self.last_check = now;
     }
 
-    /// What has become of one reader since the last check. A reader that was due for a restart counts as running again.
+    /// Checks one reader and returns what changed since the last check. A reader whose restart is due counts as
+    /// running from then on.
     pub fn check(
         &mut self,
         now: Moment,
--- a/crates/ingest/src/partition.rs
+++ b/crates/ingest/src/partition.rs
@@ -1,19 +1,19 @@
-//! Assigns connections to readers. All readers share the decoding; the assignment decides who reads a connection, and
-//! so which connections are lost with a reader.
+//! Assigns connections to readers. The assignment determines which reader reads a connection, and so which
+//! connections are lost when a reader stops. Decoding is shared by all readers.
 
 use crate::{ConnectionId, ReaderId};
 use std::collections::BTreeMap;
 
-/// The fraction of a reader's load that remains after `decay_load`.
+/// The fraction of a reader's recent bytes that remains after each `decay_load`.
 const LOAD_DECAY: f64 = 0.8;
-/// The load of an open connection, in bytes: many idle ones are work too.
+/// The load of an open connection that sends nothing, in bytes. Many idle connections are a load, too.
 const IDLE_CONNECTION_BYTES: f64 = 1000.0;
 
 #[derive(Clone, Debug, Default)]
 struct Reader {
     is_disabled: bool,
     connections: usize,
-    /// Bytes that its connections sent, older ones decayed.
+    /// The bytes that its connections sent, with exponential decay.
     recent_bytes: f64,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Which reader each connection belongs to, and the load of the readers.
+/// The reader of each connection, and the load of the readers.
 #[derive(Clone, Debug, Default)]
 pub struct Partitioner {
     readers: Vec<Reader>,
@@ -31,12 +31,13 @@
 }
 
 impl Partitioner {
-    /// So many readers, all enabled and idle.
+    /// Starts with this number of readers, all enabled and idle.
     pub fn new(readers: usize) -> Self {
         Partitioner { readers: vec![Reader::default(); readers], connections: BTreeMap::new() }
     }
 
-    /// Assigns a new connection to the reader with the least load; none where all are disabled.
+    /// Assigns a new connection to the enabled reader with the least load. Returns `None` if all readers are
+    /// disabled.
     pub fn assign(&mut self, id: ConnectionId) -> Option<ReaderId> {
         let enabled = self.readers.iter().enumerate().filter(|(_, reader)| !reader.is_disabled);
         let (reader, _) = enabled.min_by(|a, b| a.1.load().total_cmp(&b.1.load()))?;
@@ -50,7 +51,7 @@
         self.connections.get(&id).copied()
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a closed connection.
     pub fn remove(&mut self, id: ConnectionId) {
         let reader = self.connections.remove(&id);
         if let Some(reader) = reader.and_then(|reader| self.readers.get_mut(reader)) {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Counts bytes of a connection as load of its reader.
+    /// Adds the bytes that a connection sent to the load of its reader.
     pub fn add_bytes(&mut self, id: ConnectionId, bytes: usize) {
         let reader = self.connections.get(&id).copied();
         if let Some(reader) = reader.and_then(|reader| self.readers.get_mut(reader)) {
@@ -66,14 +67,15 @@
         }
     }
 
-    /// Reduces the load of the past; called at regular intervals.
+    /// Decays the recent bytes of all readers. Called at regular intervals.
     pub fn decay_load(&mut self) {
         for reader in &mut self.readers {
             reader.recent_bytes *= LOAD_DECAY;
         }
     }
 
-    /// Assigns no more connections to a reader that has stopped, and returns those that it had.
+    /// Disables a reader that has stopped: it is assigned no more connections. Returns and removes the connections it
+    /// had.
     pub fn disable(&mut self, reader: ReaderId) -> Vec<ConnectionId> {
         let assigned = self.connections.iter().filter(|(_, assigned)| **assigned == reader);
         let lost: Vec<_> = assigned.map(|(id, _)| *id).collect();
@@ -87,7 +89,7 @@
         lost
     }
 
-    /// Assigns connections to a reader again.
+    /// Enables a reader, so that it is assigned connections again.
     pub fn enable(&mut self, reader: ReaderId) {
         if let Some(reader) = self.readers.get_mut(reader) {
             reader.is_disabled = false;
--- a/crates/ingest/src/reorder.rs
+++ b/crates/ingest/src/reorder.rs
@@ -1,5 +1,5 @@
-//! Restores the order of decoded chunks: those of one connection are ready in the order in which they were read,
-//! whichever reader decoded them and however long that took. Connections do not wait for each other.
+//! Restores the order of decoded chunks. The chunks of one connection become ready in the order in which they were
+//! read, regardless of which reader decoded them and how long that took. Connections do not wait for each other.
 
 use crate::ConnectionId;
 use std::collections::BTreeMap;
@@ -8,22 +8,23 @@
 /// The chunks of one connection.
 #[derive(Debug)]
 struct ConnectionQueue<C> {
-    /// The number of the chunk that is ready next.
+    /// The number of the next chunk to become ready.
     next_number: u64,
-    /// Chunks that came before an earlier one.
+    /// Chunks that wait for a chunk with a lower number.
     early: BTreeMap<u64, C>,
-    /// Since when the next chunk is missing although a later one or the end has come.
+    /// The time since which the next chunk is missing although a later chunk, or the end of the connection, has
+    /// arrived.
     missing_since: Option<Moment>,
-    /// How many chunks there are in all, once the connection has ended.
+    /// The total number of chunks; known once the connection has ended.
     total: Option<u64>,
 }
 
-/// The chunks that are ready, in order.
+/// The chunks of one connection that are ready.
 #[derive(Debug, PartialEq)]
 pub struct Ready<C> {
-    /// The chunks.
+    /// The chunks, in order.
     pub chunks: Vec<C>,
-    /// Whether the connection has ended and no chunk follows.
+    /// True if the connection has ended and these are its last chunks.
     pub is_ended: bool,
 }
 
@@ -33,16 +34,16 @@
     }
 }
 
-/// How much a buffer holds.
+/// The number of entries in a buffer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BufferSize {
-    /// Connections that are open, or whose chunks are not complete.
+    /// Connections that are open, or have ended with chunks missing.
     pub connections: usize,
-    /// Chunks that wait for an earlier one.
+    /// Chunks that wait for a chunk with a lower number.
     pub early_chunks: usize,
 }
 
-/// The chunks of all connections.
+/// Restores the order of the chunks of all connections.
 #[derive(Debug)]
 pub struct ReorderBuffer<C> {
     connections: BTreeMap<ConnectionId, ConnectionQueue<C>>,
@@ -51,12 +52,12 @@
 }
 
 impl<C> ReorderBuffer<C> {
-    /// A connection whose next chunk is missing for longer than the timeout is abandoned.
+    /// Creates an empty buffer. A connection whose next chunk is missing for longer than the time-out is abandoned.
     pub fn new(chunk_timeout: Span) -> Self {
         ReorderBuffer { connections: BTreeMap::new(), chunk_timeout, late_chunks: 0 }
     }
 
-    /// Expects chunks of a connection, numbered from zero.
+    /// Opens a connection. Its chunks are numbered from 0.
     pub fn open(&mut self, id: ConnectionId) {
         self.connections.entry(id).or_insert_with(|| ConnectionQueue {
             next_number: 0,
@@ -66,7 +67,7 @@
         });
     }
 
-    /// Adds a chunk, and returns those of its connection that are ready now.
+    /// Adds a chunk, and returns the chunks of its connection that are ready now.
     pub fn insert(&mut self, now: Moment, id: ConnectionId, number: u64, chunk: C) -> Ready<C> {
         let queue = self.connections.get_mut(&id);
         let Some(queue) = queue.filter(|queue| number >= queue.next_number) else {
@@ -79,7 +80,7 @@
         self.take_ready(now, id)
     }
 
-    /// The connection has ended after so many chunks; returns those that are ready now.
+    /// Ends a connection after `total` chunks, and returns the chunks that are ready now.
     pub fn end(&mut self, now: Moment, id: ConnectionId, total: u64) -> Ready<C> {
         let Some(queue) = self.connections.get_mut(&id) else { return Ready::default() };
         queue.total = Some(total);
@@ -104,13 +105,14 @@
         Ready { chunks, is_ended }
     }
 
-    /// Forgets a connection; chunks of it that still come are late. False where it is unknown.
+    /// Removes a connection. Chunks of it that still arrive count as late. Returns false if the connection is
+    /// unknown.
     pub fn abandon(&mut self, id: ConnectionId) -> bool {
         self.connections.remove(&id).is_some()
     }
 
-    /// Abandons the connections that miss a chunk for longer than the timeout, as the reader that has it has stopped.
-    /// Chunks after the missing one are dropped too: the collector sends all of them again.
+    /// Abandons the connections that miss a chunk for longer than the time-out, because the reader that decodes it
+    /// has stopped. Chunks after the missing one are dropped, too: the collector sends all of them again.
     pub fn take_overdue(&mut self, now: Moment) -> Vec<ConnectionId> {
         let is_overdue = |queue: &ConnectionQueue<C>| {
             queue.missing_since.is_some_and(|since| now - since > self.chunk_timeout)
@@ -123,18 +125,18 @@
         overdue
     }
 
-    /// The earliest time at which `take_overdue` may find something.
+    /// The earliest time after which `take_overdue` may return a connection.
     pub fn next_timeout_at(&self) -> Option<Moment> {
         let earliest = self.connections.values().filter_map(|queue| queue.missing_since).min();
         earliest.map(|since| since + self.chunk_timeout)
     }
 
-    /// Chunks that came too late or twice.
+    /// The number of chunks that arrived too late or twice.
     pub fn late_chunks(&self) -> u64 {
         self.late_chunks
     }
 
-    /// How much the buffer holds now.
+    /// The number of entries in the buffer.
     pub fn size(&self) -> BufferSize {
         BufferSize {
             connections: self.connections.len(),
