--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Which version of the registry's endpoint list is known.
+//! The known version of the registry's endpoint list, and the handling of lists with a lower version.
 
 use whinwall_policy::time::Moment;
 use whinwall_transport::limits;
@@ -6,18 +6,19 @@
 /// The known version of the endpoint list.
 pub(crate) struct EndpointListVersion {
     version: u64,
-    /// Since when lists have had lower versions.
+    /// The time since which all lists have had lower versions.
     lagging_since: Option<Moment>,
 }
 
-/// How a list's version compares to the known one.
+/// The result of comparing the version of a list to the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListAge {
-    /// It is the same or newer.
+    /// The version is equal or higher.
     Current,
-    /// It comes from an agent that lags behind.
+    /// The version is lower: the discovery agent lags behind.
     Lagging,
-    /// The agent lags for so long that its versions must have begun anew.
+    /// The version is lower, and has been for [`limits::REGISTRY_LAG_TIMEOUT`]: the agent must have restarted its
+    /// version count.
     Restarted,
 }
 
@@ -26,7 +27,7 @@
         EndpointListVersion { version, lagging_since: None }
     }
 
-    /// The version from which a watch is to continue.
+    /// The version from which a new watch continues.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -36,7 +37,7 @@
         self.version = 0;
     }
 
-    /// Takes note of a list's version.
+    /// Records the version of a list and compares it to the known one.
     pub fn advance(&mut self, now: Moment, version: u64) -> ListAge {
         if version >= self.version {
             (self.version, self.lagging_since) = (version, None);
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the reducer, as typed messages.
+//! The typed inputs ([`Event`]) and outputs ([`Effect`]) of the reducer.
 
 use super::log_event::LogEvent;
 use super::overrides::OverrideConfig;
@@ -14,103 +14,106 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_transport::{ConnectionId, RequestError, StreamError, Targets};
 
-/// The reducer's input.
+/// An input of the reducer.
 #[derive(Debug)]
 pub enum Event {
-    /// The program is ready to carry out effects.
+    /// The program is ready to execute effects.
     Started,
-    /// The configuration file was read anew; these are the addresses it names.
+    /// The configuration file was reloaded; these are the addresses in it.
     TargetsConfigured(Targets),
-    /// The operators' file names the fleet in which each controller steers a subset of the replicas, or none.
+    /// The operators' file was read. The fleet is present if the file enables subsetting, in which each controller
+    /// steers a subset of the replicas.
     SubsettingConfigured(Option<Fleet>),
     /// A message arrived at the controller's own address.
     Message {
-        /// Its connection.
+        /// The connection it arrived on.
         from: ConnectionId,
-        /// What it says.
+        /// The decoded message.
         message: Message,
     },
     /// Reports of one connection, decoded by a reader thread.
     Reports {
-        /// Their connection.
+        /// The connection they arrived on.
         from: ConnectionId,
-        /// The reports, in order.
+        /// The reports, in the order of arrival.
         reports: Vec<Report>,
     },
-    /// The number of bytes that arrived from collectors.
+    /// This number of bytes arrived from collectors.
     ReportBytes(u64),
     /// A line at the controller's own address is not a valid message.
     Invalid {
-        /// Its connection.
+        /// The connection it arrived on.
         from: ConnectionId,
-        /// What is wrong with it.
+        /// The decoding error.
         error: InvalidMessage,
     },
-    /// A connection to the controller's own address has ended.
+    /// A connection to the controller's own address was closed.
     Disconnected(ConnectionId),
     /// An event of the relay watch.
     Relay(RelayEvent),
-    /// The relay watch has failed.
+    /// The relay watch failed.
     RelayWatchLost(StreamError),
     /// The outcome of the relay request that was in flight.
     RelayResponse(Result<Response, RequestError>),
-    /// The relay sent a reply without a request: an earlier reply may have belonged to another request.
+    /// The relay sent a response without a request, so an earlier response may have been matched to the wrong
+    /// request.
     UnsolicitedResponse,
-    /// A registry snapshot, or changes since the last one.
+    /// A complete endpoint list, or the changes since the last one.
     EndpointListReceived(List),
-    /// The registry watch has failed.
+    /// The registry watch failed.
     EndpointListWatchLost(StreamError),
-    /// The operators' file as read at the start or anew, and the clocks at that moment.
+    /// The override configuration of the operators' file, read at start-up or on a reload, with the clocks at that
+    /// time.
     OperatorConfigChanged(OverrideConfig, ClockReading),
-    /// A request at the management API.
+    /// A request to the management API.
     ManagementRequest {
-        /// Identifies the reply.
+        /// Identifies the request in its reply.
         request_id: RequestId,
-        /// What is asked for.
+        /// The request.
         request: Request,
     },
     /// The override store was read.
     StoreRead {
         /// The stored overrides.
         records: Vec<(OverrideNumber, Vec<u8>)>,
-        /// The clock stamp that was stored with them.
+        /// The clock stamp stored with them.
         stamp: Option<Vec<u8>>,
-        /// The clocks at that moment.
+        /// The clocks at the time of reading.
         reading: ClockReading,
     },
-    /// The override store cannot be read.
+    /// The override store cannot be read; the text is the reason.
     StoreUnavailable(String),
-    /// A write to the override store has ended.
+    /// A write to the override store completed.
     SaveCompleted {
         /// The serial number of the write.
         serial: u64,
-        /// Whether it succeeded.
+        /// `Ok` if it succeeded, else the reason for the failure.
         outcome: Result<(), String>,
     },
-    /// The wall clock was stepped to this time.
+    /// The wall clock was set to this time.
     WallClockStepped(Moment),
-    /// All input that had arrived was fed; time has advanced.
+    /// All input that had arrived was applied, and time has advanced.
     InputDrained,
 }
 
-/// The reducer's output: what the program is to do.
+/// An output of the reducer: an action that the program executes.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a ping.
+    /// Reply to a ping.
     Pong {
-        /// The connection to answer on.
+        /// The connection to reply on.
         to: ConnectionId,
     },
-    /// Admit a peer that has named its zone; its connection stays open.
+    /// Admit an authenticated peer, which has named its zone; its connection stays open.
     Admit {
-        /// Its connection.
+        /// The peer's connection.
         to: ConnectionId,
     },
-    /// Close a connection. The reason is sent to an unauthenticated peer; nothing is ever written to a collector.
+    /// Close a connection. Only an unauthenticated peer is sent the reason; nothing is ever written to a collector.
     Disconnect {
         /// The connection to close.
         to: ConnectionId,
-        /// The reason, where it is sent.
+        /// The reason to send, if any.
         why: Option<&'static str>,
     },
     /// Send a request to the relay.
@@ -119,7 +122,7 @@
         relay: SocketAddr,
         /// The encoded request.
         line: String,
-        /// On a new connection, as the last attempt failed.
+        /// True if the last attempt failed, so that the request needs a new connection.
         needs_new_connection: bool,
     },
     /// Open the relay watch.
@@ -127,39 +130,39 @@
         /// The relay's address.
         relay: SocketAddr,
     },
-    /// Open the registry watch in place of a former one.
+    /// Open the registry watch, replacing the current one if there is one.
     WatchRegistry {
-        /// Discovery's address.
+        /// The address of discovery.
         discovery: SocketAddr,
-        /// The version that is known.
+        /// The known version of the endpoint list.
         since: u64,
     },
-    /// Open a registry watch beside the current one, which goes on until the new one speaks.
+    /// Open a second registry watch. The current one stays open until the new one delivers its first line.
     RenewRegistryWatch {
-        /// Discovery's address.
+        /// The address of discovery.
         discovery: SocketAddr,
-        /// The version that is known.
+        /// The known version of the endpoint list.
         since: u64,
     },
-    /// Write to the override store, atomically, with a stamp of this timeline.
+    /// Write to the override store in one transaction, together with a clock stamp of this timeline.
     Save {
-        /// Identifies the outcome.
+        /// The serial number that [`Event::SaveCompleted`] returns.
         serial: u64,
-        /// Overrides to write.
+        /// The overrides to write.
         writes: Vec<(OverrideNumber, Vec<u8>)>,
-        /// Overrides to remove.
+        /// The overrides to remove.
         removals: Vec<OverrideNumber>,
-        /// The timeline to stamp it with.
+        /// The timeline that the stamp is taken from.
         timeline: Timeline,
     },
     /// Reply to a management request.
     Reply {
-        /// The request's request_id.
+        /// The id of the request.
         request_id: RequestId,
         /// The reply.
         reply: Reply,
     },
-    /// Feed `Event::InputDrained` at this time, if not earlier.
+    /// Apply [`Event::InputDrained`] at this time at the latest.
     WakeAt(Moment),
     /// Write an event to the log.
     Log(LogEvent),
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,4 +1,5 @@
-//! All state of a controller behind one reducer, without I/O or clock: events in, effects out.
+//! The state of a controller, held by a single reducer: it takes events and returns effects. It does no I/O and reads
+//! no clock.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/routing/src/log_event.rs
+++ b/crates/routing/src/log_event.rs
@@ -1,4 +1,4 @@
-//! What the reducer logs: a constant message, then fields as `name=value`.
+//! The log events of the reducer. Each is written as a constant message followed by `name=value` fields.
 
 use crate::outbox::Outcome;
 use crate::source_failures::Source;
@@ -7,14 +7,14 @@
 use whinwall_policy::api::ChannelLoad;
 use whinwall_policy::time::Span;
 
-/// Names an attempt at a relay request.
+/// Identifies one attempt of a relay request in the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLabel {
-    /// The version that proxies acknowledge; none where the request reaches no proxy.
+    /// The version that proxies acknowledge; `None` if the request reaches no proxy.
     pub version: Option<u16>,
-    /// The number of its commands.
+    /// The number of commands in the request.
     pub commands: usize,
-    /// Which attempt this is, from 1 on.
+    /// The number of the attempt, counted from 1.
     pub attempt: u32,
 }
 
@@ -28,121 +28,120 @@
     }
 }
 
-/// Writes the fields of a channel's load.
-fn write_channel(f: &mut fmt::Formatter, channel: &ChannelLoad) -> fmt::Result {
+fn write_channel_load(f: &mut fmt::Formatter, channel: &ChannelLoad) -> fmt::Result {
     let ChannelLoad { proxies, unacked_lines, capacity_lines } = channel;
     write!(f, " proxies={proxies} unacked_lines={unacked_lines:.0} capacity_lines={capacity_lines:.0}")
 }
 
-/// A line for the log. Its text is a constant message with fields.
+/// An event to write to the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// The relay watch has delivered all current state.
+    /// The relay watch delivered the complete current state.
     SnapshotComplete {
         /// The number of connected proxies.
         proxies: usize,
-        /// The number of slices of this controller.
+        /// The number of slices granted to this controller.
         slices: usize,
-        /// The number of slices whose routing table was not as it was left.
+        /// The number of slices whose routing table differs from the known one.
         changed_slices: usize,
-        /// The number of replicas that are known.
+        /// The number of known replicas.
         replicas: usize,
     },
-    /// A source of information has failed for the first time since it worked.
+    /// A source of information failed for the first time since it last worked.
     SourceFailed {
         /// The source.
         source: Source,
-        /// What went wrong.
+        /// The error.
         reason: String,
     },
     /// A source of information works again.
     SourceRecovered {
         /// The source.
         source: Source,
-        /// The number of failures before.
+        /// The number of failures before the recovery.
         failures: u32,
     },
-    /// A request goes to the relay.
+    /// A request was sent to the relay.
     RequestSent {
-        /// Which one.
+        /// The attempt.
         request: RequestLabel,
-        /// What may wait in the channel once it is carried out.
+        /// The estimated load of the command channel, including this request.
         channel: ChannelLoad,
     },
-    /// The relay has accepted some or all commands of a request.
+    /// The relay accepted some or all commands of a request.
     RequestAccepted {
-        /// Which one.
+        /// The attempt.
         request: RequestLabel,
         /// The number of accepted commands.
         accepted: usize,
     },
-    /// An attempt at a request has failed; it is resent.
+    /// An attempt of a request failed; the request is resent.
     RequestAttemptFailed {
-        /// Which one.
+        /// The attempt.
         request: RequestLabel,
-        /// Whether it may have been carried out.
+        /// Tells if the request may have been applied.
         outcome: Outcome,
-        /// What went wrong.
+        /// The error.
         reason: String,
     },
-    /// A request waits to be resent until the channel has room for its being carried out once more.
+    /// A request is not resent until the command channel has room for a second copy of it.
     ResendHeld {
-        /// Which one.
+        /// The attempt.
         request: RequestLabel,
-        /// What may wait in the channel without it.
+        /// The estimated load of the command channel without the second copy.
         channel: ChannelLoad,
     },
-    /// The relay stopped twice at a command, which is not sent again.
+    /// The relay stopped at the same command twice; the command is not sent again.
     CommandSkipped {
-        /// The command as the relay reads it.
+        /// The encoded command.
         command: String,
     },
-    /// The relay rejected a request, which is not sent again.
+    /// The relay rejected a request; the request is not sent again.
     RequestRejected {
         /// The relay's response.
         reason: String,
     },
-    /// The relay sent a response without a request: the store is read again.
+    /// The relay sent a response without a request; its store is read again.
     UnsolicitedResponse,
-    /// A collector's message changes nothing.
+    /// A message of a collector was ignored.
     ReportIgnored {
-        /// What is wrong with it.
+        /// The reason.
         reason: String,
     },
-    /// A collector's connection is closed, as what it sends cannot be decoded.
+    /// The connection of a collector is closed because its input cannot be decoded.
     CollectorDisconnected {
-        /// What is wrong with it.
+        /// The decoding error.
         reason: String,
     },
-    /// The overrides of the operators' file cannot be used; the former ones stay.
+    /// The overrides in the operators' file are invalid; the previous ones stay in force.
     OverrideConfigRejected {
-        /// What is wrong with them.
+        /// The validation error.
         reason: String,
     },
     /// An event of the override store.
     Override(StoreEvent),
     /// A replica is ejected as an outlier.
     ReplicaEjected {
-        /// Its name.
+        /// The name of the replica.
         replica: String,
-        /// Why.
+        /// The cause of the ejection.
         reason: &'static str,
     },
-    /// No aggregated report arrived for too long; routing tables and admission stay as they are.
+    /// Aggregated reports are stale; routing tables and admission rates stay unchanged.
     ReportsStale {
         /// The time since the last report.
         silence: Span,
     },
-    /// Aggregated reports on everything arrive again.
+    /// Aggregated reports on all replicas and slices arrive again.
     ReportsFresh {
-        /// The time without reports.
+        /// The duration of the interruption.
         silence: Span,
     },
-    /// The controller steers all replicas from now on.
+    /// Subsetting was switched off; the controller steers all replicas.
     SubsettingDisabled,
-    /// A subset of the replicas was computed for another fleet.
+    /// A subset of the replicas was assigned after a change of the fleet.
     SubsetAssigned {
-        /// The number of controllers of the fleet.
+        /// The number of controllers in the fleet.
         controllers: usize,
         /// The number of replicas that this controller steers.
         own_replicas: usize,
@@ -169,7 +168,7 @@
             }
             LogEvent::RequestSent { request, channel } => {
                 write!(f, "relay request sent {request}")?;
-                write_channel(f, channel)
+                write_channel_load(f, channel)
             }
             LogEvent::RequestAccepted { request, accepted } => {
                 write!(f, "relay request accepted {request} accepted={accepted}")
@@ -179,7 +178,7 @@
             }
             LogEvent::ResendHeld { request, channel } => {
                 write!(f, "relay request held, no room in the channel {request}")?;
-                write_channel(f, channel)
+                write_channel_load(f, channel)
             }
             LogEvent::CommandSkipped { command } => write!(f, "relay command skipped command={command}"),
             LogEvent::RequestRejected { reason } => write!(f, "relay request rejected reason={reason:?}"),
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -1,4 +1,5 @@
-//! Commands on their way to the relay: requests in order, one at a time, each until its outcome is known.
+//! The queue of requests to the relay. Requests are sent one at a time and in order; each is resent until its outcome
+//! is known.
 
 use crate::log_event::RequestLabel;
 use std::collections::{BTreeSet, VecDeque};
@@ -6,26 +7,26 @@
 use whinwall_policy::api::SliceId;
 use whinwall_protocol::relay::{self, Command, SyncScope};
 
-/// The commands of one reply of the policy, as requests that are not answered yet.
+/// The commands of one policy reply, as requests that the relay has not answered yet.
 #[derive(Default)]
 pub(crate) struct Outbox {
     requests: VecDeque<Vec<PendingCommand>>,
     state: State,
     consecutive_failures: u32,
-    /// The next attempt was delayed, as the channel has no room for it.
+    /// The next attempt is delayed because the command channel has no room for it.
     is_held: bool,
-    /// Some of the first request may have been carried out already: the outcome of the last attempt is unknown, or the relay
-    /// accepted only some of its commands.
-    may_have_been_applied: bool,
-    /// A proxy has acknowledged the version of what is pending: all of it was carried out.
+    /// All or part of the first request may have been applied: either the outcome of its last attempt is unknown, or
+    /// the relay accepted only some of its commands (partially accepted). Resending it can then apply commands twice.
+    is_possibly_applied: bool,
+    /// A proxy acknowledged the version of the pending requests, which proves that all of them were applied.
     is_acknowledged: bool,
-    /// The relay has stopped once at the first command.
-    has_stopped_at_first: bool,
-    /// Slices that were revoked or granted since the request in flight was sent.
+    /// The relay stopped at the first command once.
+    has_stopped_at_first_command: bool,
+    /// The slices that were revoked or granted since the request in flight was sent.
     reassigned_slices: BTreeSet<SliceId>,
 }
 
-/// A command as the relay reads it, and what must be known of it.
+/// An encoded command with the slice and the version it carries.
 struct PendingCommand {
     text: String,
     slice: Option<SliceId>,
@@ -37,23 +38,23 @@
     #[default]
     Idle,
     InFlight,
-    /// The relay cannot be reached or accepts nothing yet; the next attempt waits a little.
+    /// The last attempt failed or the next one is held; the next attempt waits for [`Outbox::end_backoff`].
     BackingOff,
 }
 
 /// A request to send now.
 pub(crate) struct NextRequest {
     pub line: String,
-    /// Whether to open a new connection, as the last attempt failed.
+    /// True if the last attempt failed, so that the request needs a new connection.
     pub needs_new_connection: bool,
 }
 
-/// What is known of a request that failed.
+/// The outcome of a failed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was not carried out.
+    /// The request was not applied.
     NotApplied,
-    /// It may have been carried out.
+    /// The request may or may not have been applied.
     Unknown,
 }
 
@@ -66,24 +67,25 @@
     }
 }
 
-/// When a failed request is retried.
+/// The time at which a failed request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Retry {
-    /// As soon as it may be.
+    /// Immediately.
     Now,
     /// After [`Outbox::end_backoff`].
     AfterBackoff,
 }
 
 impl Outbox {
-    /// Whether nothing is pending, so that newer commands may be issued.
+    /// Returns true if no command is pending or in flight, so that new commands may be issued.
     pub fn is_empty(&self) -> bool {
         self.requests.iter().all(Vec::is_empty)
     }
 
-    /// Takes the commands of one reply of the policy, while nothing is pending. They are one request, unless that
-    /// is too large. Of several requests the last alone has the version, and asks all proxies to acknowledge it: some
-    /// may have got an earlier request only, and a version by itself reaches none.
+    /// Queues the commands of one policy reply; nothing may be pending. The commands form one request unless they
+    /// exceed the maximum size of a request. If they form several, only the last request carries the version, and it
+    /// asks all proxies to acknowledge that version: a proxy may have received commands of an earlier request only,
+    /// and a request that carries only a version would reach no proxy otherwise.
     pub fn enqueue(&mut self, commands: &[Command]) {
         self.clear();
         let (mut request, mut bytes) = (Vec::new(), 0);
@@ -101,21 +103,21 @@
         self.requests.extend((!request.is_empty()).then_some(request));
     }
 
-    /// The number of requests that are pending.
+    /// The number of requests that are pending or in flight.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
     fn clear(&mut self) {
         self.requests = VecDeque::new();
-        self.has_stopped_at_first = false;
-        self.may_have_been_applied = false;
+        self.has_stopped_at_first_command = false;
+        self.is_possibly_applied = false;
         self.is_acknowledged = false;
     }
 
-    /// Drops the commands for a slice that was revoked or granted: they were for a routing table that is no longer there.
-    /// Those of the request in flight are out of reach, but are not sent again with it.
-    pub fn drop_slice(&mut self, slice: SliceId) {
+    /// Drops the commands for a slice that was revoked or granted, because they were computed for a routing table
+    /// that no longer exists. Commands in flight cannot be recalled; they are dropped if their request is resent.
+    pub fn drop_commands_for_slice(&mut self, slice: SliceId) {
         let is_in_flight = self.state == State::InFlight;
         for request in self.requests.iter_mut().skip(usize::from(is_in_flight)) {
             request.retain(|command| command.slice != Some(slice));
@@ -125,69 +127,71 @@
         }
     }
 
-    /// The slices whose routing tables change with what is pending.
+    /// The slices whose routing tables the pending commands change.
     pub fn slices(&self) -> BTreeSet<SliceId> {
         self.requests.iter().flatten().filter_map(|command| command.slice).collect()
     }
 
-    /// The request to send now, where none is in flight.
+    /// The request to send now; `None` if a request is in flight or the next attempt waits for a backoff.
     pub fn send_next(&mut self) -> Option<NextRequest> {
         if self.state != State::Idle {
             return None;
         }
         self.requests.retain(|request| !request.is_empty());
         let texts: Vec<_> = self.requests.front()?.iter().map(|command| command.text.as_str()).collect();
-        (self.state, self.may_have_been_applied) = (State::InFlight, false);
+        (self.state, self.is_possibly_applied) = (State::InFlight, false);
         self.is_held = false;
         let needs_new_connection = self.consecutive_failures > 0;
         Some(NextRequest { line: relay::encode_request(&texts), needs_new_connection })
     }
 
-    /// Delays the next attempt. True where it was not delayed since the last one failed.
-    pub fn hold(&mut self) -> bool {
+    /// Delays the next attempt. Returns true unless it was already delayed since the last attempt.
+    pub fn hold_next_attempt(&mut self) -> bool {
         self.state = State::BackingOff;
         !std::mem::replace(&mut self.is_held, true)
     }
 
-    /// The next attempt may be made.
+    /// Ends the backoff, so that the next attempt may be made.
     pub fn end_backoff(&mut self) {
         if self.state == State::BackingOff {
             self.state = State::Idle;
         }
     }
 
-    /// The request in flight failed, or may be accepted later: it stays the first, for what is newer must not
-    /// overtake it. The first failure may be a connection that was closed meanwhile; a second one in a row is not.
+    /// Records that the request in flight failed or was not accepted yet. It stays first in the queue, because newer
+    /// requests must not overtake it. A first failure is retried immediately, as the relay may have closed an idle
+    /// connection; a second consecutive failure has another cause and is retried after a backoff.
     pub fn request_failed(&mut self, outcome: Outcome) -> Retry {
         self.consecutive_failures += 1;
-        self.may_have_been_applied = outcome == Outcome::Unknown;
+        self.is_possibly_applied = outcome == Outcome::Unknown;
         let retry = if self.consecutive_failures > 1 { Retry::AfterBackoff } else { Retry::Now };
         self.state = if retry == Retry::AfterBackoff { State::BackingOff } else { State::Idle };
         self.drop_reassigned_commands();
         retry
     }
 
-    /// The version of the request to resend next, where its outcome is unknown.
-    pub fn version_of_possible_duplicate(&self) -> Option<u16> {
-        self.version().filter(|_| self.may_have_been_applied && self.state == State::Idle)
+    /// The version of the request to send next if all or part of it may have been applied: if its outcome is unknown
+    /// or it was partially accepted.
+    pub fn possibly_applied_version(&self) -> Option<u16> {
+        self.version().filter(|_| self.is_possibly_applied && self.state == State::Idle)
     }
 
-    /// Takes note of an acknowledgement: it proves that the request was carried out, whatever became of the response,
-    /// so that it need not be resent.
-    pub fn acknowledge(&mut self, version: u16) {
+    /// Records an acknowledgement by a proxy. It proves that the request was applied even if the response was lost,
+    /// so that the request need not be resent.
+    pub fn record_acknowledgement(&mut self, version: u16) {
         self.is_acknowledged |= self.version() == Some(version);
     }
 
-    /// Drops a request of unknown outcome that was acknowledged.
+    /// Drops requests that may have been applied and were acknowledged since.
     pub fn drop_acknowledged(&mut self) {
-        if self.is_acknowledged && self.may_have_been_applied {
+        if self.is_acknowledged && self.is_possibly_applied {
             self.clear();
             (self.state, self.consecutive_failures) = (State::Idle, 0);
         }
     }
 
-    /// Whether slices of the request in flight changed hands since it was sent: if it still met them, it changed a
-    /// routing table after that was read.
+    /// Returns true if a slice of the request in flight was revoked or granted since the request was sent. If the
+    /// relay applied the request after that, the routing table in the store differs from the one that was read.
     pub fn has_reassigned_slices(&self) -> bool {
         let slices = self.requests.front().into_iter().flatten().filter_map(|command| command.slice);
         slices.into_iter().any(|slice| self.reassigned_slices.contains(&slice))
@@ -200,12 +204,12 @@
         }
     }
 
-    /// The version of what is pending.
+    /// The version of the pending commands.
     pub fn version(&self) -> Option<u16> {
         self.requests.iter().flatten().find_map(|command| command.version)
     }
 
-    /// The request in flight, or the one to be sent next, for the log.
+    /// Identifies the request in flight, or the one to send next, in the log.
     pub fn label(&self) -> RequestLabel {
         RequestLabel {
             version: self.version(),
@@ -214,31 +218,33 @@
         }
     }
 
-    /// The number of commands of the request in flight.
+    /// The number of commands in the request in flight.
     pub fn commands_in_flight(&self) -> usize {
         self.requests.front().map_or(0, Vec::len)
     }
 
-    /// The relay has accepted so many commands, which are done. The rest is sent again, for the number may be wrong,
-    /// and a command sets a state. A command at which the relay stops twice would stop it for ever: it is dropped
-    /// and returned, with all other commands for its slice.
-    pub fn accept(&mut self, count: usize) -> Option<String> {
+    /// Drops the first `count` commands of the request in flight, which the relay accepted. The rest is sent again,
+    /// because the count may be wrong, and commands are idempotent. A command at which the relay stops twice would
+    /// block the queue forever: it is returned, and dropped together with all other commands for its slice.
+    pub fn drop_accepted(&mut self, count: usize) -> Option<String> {
         (self.state, self.consecutive_failures) = (State::Idle, 0);
         let request = self.requests.front_mut()?;
         request.drain(..count.min(request.len()));
-        let is_skipping = count == 0 && self.has_stopped_at_first && !request.is_empty();
+        let is_skipping = count == 0 && self.has_stopped_at_first_command && !request.is_empty();
         let skipped = is_skipping.then(|| request.remove(0));
-        // What it would have gone with may empty a routing table that it was to fill.
+        // The other commands for the slice may remove endpoints that the skipped command was to replace, which would
+        // empty the routing table.
         let slice = skipped.as_ref().and_then(|command| command.slice);
         request.retain(|command| slice.is_none() || command.slice != slice);
-        self.has_stopped_at_first = !is_skipping && !request.is_empty();
-        // What was accepted has gone out to proxies by itself: the rest is weighed like a resend.
-        self.may_have_been_applied = count > 0 && !request.is_empty();
+        self.has_stopped_at_first_command = !is_skipping && !request.is_empty();
+        // The accepted commands were sent to proxies as a message of their own, so that the rest is rate limited like
+        // a resend.
+        self.is_possibly_applied = count > 0 && !request.is_empty();
         self.drop_reassigned_commands();
         skipped.map(|command| command.text)
     }
 
-    /// Drops the request in flight, which the relay cannot decode.
+    /// Drops the request in flight, which the relay rejected.
     pub fn drop_rejected(&mut self) {
         (self.state, self.consecutive_failures) = (State::Idle, 0);
         self.reassigned_slices.clear();
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -1,4 +1,5 @@
-//! Operators' overrides, between their registry, which knows replicas by name, and the policy, which knows ids.
+//! Operators' overrides: translates the overrides in force, which name replicas, into those of the policy, which uses
+//! ids.
 
 use super::replica_names::ReplicaNames;
 use whinwall_management_api::messages::ListedOverride;
@@ -9,27 +10,27 @@
 use whinwall_policy::time::Moment;
 use whinwall_policy::Policy;
 
-/// The overrides part of the operators' file.
+/// The override configuration in the operators' file.
 #[derive(Clone, Debug)]
 pub struct OverrideConfig {
-    /// The bounds on overrides.
+    /// The limits on overrides.
     pub limits: OverrideLimits,
-    /// The overrides that the file has itself.
+    /// The overrides that the file itself contains.
     pub configured: Vec<ConfiguredOverride>,
-    /// Whether overrides are stored on disk; those in the store arrive later.
+    /// True if overrides are persisted; the stored ones arrive later.
     pub has_store: bool,
 }
 
-/// The overrides in force, and what the policy knows of them.
+/// The overrides, and those that the policy was last given.
 pub(crate) struct Overrides {
-    /// Decides on requests for overrides, and when they end.
+    /// Handles requests for overrides and their expiry.
     pub manager: OverrideManager,
-    /// What the policy was given last.
+    /// The overrides that the policy was last given.
     applied: Vec<(OverrideNumber, OverrideSpec)>,
 }
 
 impl Overrides {
-    /// No overrides yet.
+    /// Starts without overrides.
     pub fn start(now: Moment, reading: &ClockReading, config: &OverrideConfig) -> Self {
         let limits = config.limits.clone();
         let manager = if config.has_store {
@@ -40,18 +41,18 @@
         Overrides { manager, applied: Vec::new() }
     }
 
-    /// Gives the policy the overrides in force, where they, or the id of a replica, have changed. A replica without
-    /// an id is none yet.
+    /// Passes the overrides in force to the policy if they, or the ids of their replicas, have changed. An override
+    /// whose replica has no id is left out until the replica is known.
     pub fn apply_to_policy(&mut self, now: Moment, names: &ReplicaNames, policy: &mut Policy) {
         self.manager.take_changed();
-        let spec = |one: &Override| {
-            let replica = names.id(one.kind.replica())?;
-            let spec = match one.kind {
+        let spec = |entry: &Override| {
+            let replica = names.id(entry.kind.replica())?;
+            let spec = match entry.kind {
                 OverrideKind::Weight { factor, .. } => OverrideSpec::Weight { replica, factor },
                 OverrideKind::Out { .. } => OverrideSpec::OutOfService { replica },
                 OverrideKind::Pin { first, last, .. } => OverrideSpec::Pin { first, last, replica },
             };
-            Some((one.number, spec))
+            Some((entry.number, spec))
         };
         let specs: Vec<_> = self.manager.registry().active().filter_map(spec).collect();
         if specs != self.applied {
@@ -60,14 +61,14 @@
         }
     }
 
-    /// An override as the management API shows it.
-    pub fn shown(&self, policy: &Policy, one: &Override) -> ListedOverride {
+    /// An override as the management API lists it.
+    pub fn listed_override(&self, policy: &Policy, entry: &Override) -> ListedOverride {
         let status =
-            one.is_active().then(|| policy.override_status(one.number).unwrap_or(OverrideStatus::Absent));
-        ListedOverride { entry: one.clone(), status }
+            entry.is_active().then(|| policy.override_status(entry.number).unwrap_or(OverrideStatus::Absent));
+        ListedOverride { entry: entry.clone(), status }
     }
 
-    /// When the overrides change by the passing of time, no sooner than at the last call.
+    /// The time at which the overrides next change without a request, for instance when one expires.
     pub fn due_at(&self) -> Option<Moment> {
         self.manager.next_tick_at()
     }
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -1,7 +1,8 @@
-//! The reducer: feeds the policy with one event after another, and asks for effects. Commands are issued only once all
-//! input that had arrived is in, and only while no relay request is pending: then they rest on the newest view.
+//! The reducer: passes events to the policy one at a time and returns effects. Commands are issued only after all
+//! input that had arrived was applied, and only while no relay request is pending, so that they are based on the
+//! newest state.
 //!
-//! Here events are dispatched; each concern's handling, and the state that only it has, is in a module of its own.
+//! This module dispatches events. The submodules handle them, and hold the state that only one of them needs.
 
 mod endpoint_list;
 mod management;
@@ -36,13 +37,14 @@
 use whinwall_settings::Settings;
 use whinwall_transport::{ConnectionId, Targets};
 
-/// All state of a controller.
+/// The state of a controller.
 pub struct Reducer {
     policy: Policy,
     settings: Settings,
     targets: Targets,
     started: Moment,
-    /// For backoff: controllers whose connections broke together must not reconnect together.
+    /// For backoff jitter: controllers that lose their connections at the same time must not reconnect at the same
+    /// time.
     random: Random,
     names: ReplicaNames,
     list_version: EndpointListVersion,
@@ -52,19 +54,19 @@
     commands: RelayCommands,
     failures: SourceFailures,
     timers: Timers,
-    /// Present once the operators' file was read.
+    /// `None` until the operators' file was read.
     overrides: Option<Overrides>,
-    /// Present while reports are made by aggregators.
+    /// Present while aggregators send the reports.
     aggregated: Option<AggregatedReports>,
-    /// Present while the operators' file names a fleet.
+    /// Present while the operators' file enables subsetting.
     subsets: Option<Subsets>,
     effects: Vec<Effect>,
 }
 
 impl Reducer {
-    /// A controller that knows this endpoint list from before, and nothing else. The seed is that of all its random
-    /// choices.
-    pub fn start(settings: Settings, targets: Targets, seed: u64, known: &List, now: Moment) -> Self {
+    /// Creates a controller that knows nothing but an endpoint list from before the start. The seed determines all of
+    /// its random choices.
+    pub fn start(settings: Settings, targets: Targets, seed: u64, known_list: &List, now: Moment) -> Self {
         let mut reducer = Reducer {
             policy: Policy::start(settings.deployment.clone(), seed, now),
             settings,
@@ -72,7 +74,7 @@
             started: now,
             random: Random::from_seed(!seed),
             names: ReplicaNames::default(),
-            list_version: EndpointListVersion::new(known.version),
+            list_version: EndpointListVersion::new(known_list.version),
             collectors: BTreeSet::new(),
             relay: RelayView::default(),
             commands: RelayCommands::default(),
@@ -83,19 +85,19 @@
             subsets: None,
             effects: Vec::new(),
         };
-        let list = reducer.listings(known);
+        let list = reducer.listings(known_list);
         reducer.policy.replicas_listed(now, ListScope::Cached, &list);
         reducer
     }
 
-    /// Takes in an event and returns the effects that it asks for, in order.
+    /// Applies an event and returns its effects, in the order in which they are to be executed.
     pub fn apply(&mut self, now: Moment, event: Event) -> Vec<Effect> {
         match event {
             Event::Started => self.started(now),
             Event::TargetsConfigured(targets) => self.targets_configured(now, targets),
             Event::SubsettingConfigured(fleet) => {
-                // Where there is a fleet there are aggregators, and controllers get all reports from them.
-                self.aggregate_reports(now, fleet.is_some());
+                // A fleet has aggregators, and its controllers get all reports from them.
+                self.set_aggregated_reports(now, fleet.is_some());
                 self.subsetting_configured(now, fleet);
             }
             Event::Message { from, message } => self.message_received(now, from, message),
@@ -141,7 +143,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// What reader threads have to know, where it is not this version.
+    /// The names that reader threads resolve reports with; `None` if `known_version` is the current version.
     pub fn report_names(&self, known_version: Option<u64>) -> Option<ReportNames> {
         let version = self.names.version();
         (known_version != Some(version)).then(|| ReportNames {
@@ -152,12 +154,12 @@
         })
     }
 
-    /// What may wait in the command channel.
+    /// The estimated load of the command channel.
     pub fn channel_load(&self) -> ChannelLoad {
         self.policy.channel_load()
     }
 
-    /// What became of attempts at relay requests, since the start.
+    /// Counts of attempts of relay requests since start-up.
     pub fn request_counts(&self) -> RequestCounts {
         self.commands.counts
     }
@@ -169,28 +171,29 @@
         }
     }
 
-    /// Moves to new addresses. All that is known stays, and a pending relay request stays the first: it is resent at
-    /// the new address where the former one does not respond.
+    /// Switches to new addresses. All state is kept, and a pending relay request stays first in the queue: it is
+    /// resent to the new address if the previous one does not respond.
     fn targets_configured(&mut self, now: Moment, targets: Targets) {
-        let former = std::mem::replace(&mut self.targets, targets);
-        if former.relay != targets.relay {
+        let previous = std::mem::replace(&mut self.targets, targets);
+        if previous.relay != targets.relay {
             self.relay.snapshot = Default::default();
             self.commands.outbox.end_backoff();
             self.open_relay_watch();
         }
-        if former.discovery != targets.discovery {
+        if previous.discovery != targets.discovery {
             self.open_registry_watch(now);
         }
     }
 
-    /// Logs the first failure of a source only: while it is unavailable, it fails many times a second.
+    /// Counts a failure of a source, and logs it if it is the first since the source last worked. An unavailable
+    /// source can fail many times per second.
     fn source_failed(&mut self, source: Source, reason: impl fmt::Display) {
         if self.failures.add(source) {
             self.log(LogEvent::SourceFailed { source, reason: reason.to_string() });
         }
     }
 
-    fn source_works(&mut self, source: Source) {
+    fn source_succeeded(&mut self, source: Source) {
         if let Some(failures) = self.failures.clear(source) {
             self.log(LogEvent::SourceRecovered { source, failures });
         }
--- a/crates/routing/src/reducer/endpoint_list.rs
+++ b/crates/routing/src/reducer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The registry's endpoint list: its watch, and what it says of replicas.
+//! The registry's endpoint list: its watch, and the replicas it lists.
 
 use super::Reducer;
 use crate::endpoint_list::ListAge;
@@ -12,7 +12,7 @@
 use whinwall_transport::{limits, StreamError};
 
 impl Reducer {
-    /// Opens the registry watch in place of a former one.
+    /// Opens the registry watch, replacing the current one if there is one.
     pub(super) fn open_registry_watch(&mut self, now: Moment) {
         self.timers.cancel(Timer::RegistryWatch);
         let (discovery, since) = (self.targets.discovery, self.list_version.version());
@@ -20,14 +20,14 @@
         self.restart_renewal(now);
     }
 
-    /// Opens another registry watch beside the current one.
+    /// Opens a second registry watch, which replaces the current one once it delivers a line.
     pub(super) fn renew_registry_watch(&mut self, now: Moment) {
         let (discovery, since) = (self.targets.discovery, self.list_version.version());
         self.effects.push(Effect::RenewRegistryWatch { discovery, since });
         self.restart_renewal(now);
     }
 
-    /// Where the list is pushed, a renewal costs nothing.
+    /// Restarts the renewal timer. The watch is renewed only if the list is pushed, where that costs nothing.
     fn restart_renewal(&mut self, now: Moment) {
         self.timers.cancel(Timer::RegistryRenewal);
         if self.settings.deployment.list_pushed {
@@ -51,13 +51,14 @@
     }
 
     pub(super) fn list_received(&mut self, now: Moment, list: &List) {
-        self.source_works(Source::RegistryWatch);
+        self.source_succeeded(Source::RegistryWatch);
         self.restart_renewal(now);
         let mut listings = self.listings(list);
         let mut scope = if list.is_complete { ListScope::Complete } else { ListScope::Changes };
         let age = self.list_version.advance(now, list.version);
         if age != ListAge::Current {
-            // An agent that lags can report what is new, and takes nothing back: none is gone for being absent.
+            // A lagging agent can add replicas, but its list is outdated: it neither removes replicas by not listing
+            // them nor makes them ready again.
             listings.retain(|listing| !self.is_outdated_return(listing));
             scope = ListScope::Changes;
         }
@@ -69,11 +70,11 @@
         if !list.entries.is_empty() {
             self.commands.clear_skipped();
         }
-        // A replica may have come, or come back under another id.
+        // Overrides may name replicas that were added, or that have a new id.
         self.change_overrides(now, |_| {});
     }
 
-    /// Whether a replica that drains or is gone seems to be ready again without a new start.
+    /// Returns true if a replica that is draining or gone is listed as ready without having restarted.
     fn is_outdated_return(&self, listing: &ReplicaListing) -> bool {
         let known = self.policy.replica_state(listing.replica);
         listing.state == ReplicaState::Ready
@@ -81,7 +82,7 @@
                 .is_some_and(|(state, started)| state != ReplicaState::Ready && started == listing.started)
     }
 
-    /// The list in the policy's terms, with ids for new names.
+    /// Converts the list to the policy's types, and assigns ids to new replicas.
     pub(super) fn listings(&mut self, list: &List) -> Vec<ReplicaListing> {
         for entry in &list.entries {
             let is_named = self.settings.zones.contains(&entry.zone);
@@ -89,7 +90,7 @@
             self.names.set_unnamed_zone(replica, (!is_named).then_some(entry.zone.as_str()));
         }
         let listing = |entry: &Entry| ReplicaListing {
-            // A zone that the settings do not name is like no other.
+            // A zone that is not in the settings is treated as different from all zones.
             zone: self.known_zone(&entry.zone).unwrap_or(ZoneId::MAX),
             replica: self.names.id_or_assign(&entry.replica),
             machine: entry.machine.clone(),
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -1,4 +1,4 @@
-//! Requests of the management API.
+//! Requests to the management API.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -11,28 +11,29 @@
 impl Reducer {
     pub(super) fn management_requested(&mut self, now: Moment, request_id: RequestId, request: Request) {
         let reply = match (request, &self.overrides) {
-            (Request::Change(ask), Some(_)) => {
+            (Request::Change(change), Some(_)) => {
                 return self.change_overrides(now, |overrides| {
-                    overrides.manager.handle_request(now, request_id, ask);
+                    overrides.manager.handle_request(now, request_id, change);
                 });
             }
             (Request::Change(_), None) => Reply::Rejected(OverrideError::LimitReached { limit: 0 }),
             (Request::List, Some(overrides)) => self.list_overrides(now, overrides),
             (Request::List, None) => Reply::Listed { overrides: Vec::new(), now },
-            // The program counts; the reducer has no metrics.
+            // The program fills in the metrics; the reducer has none.
             (Request::Metrics, _) => Reply::Metrics(String::new()),
             (Request::Status, _) => Reply::Status(self.status(now)),
         };
         self.effects.push(Effect::Reply { request_id, reply });
     }
 
-    /// Before the store is read the registry lacks what it holds: a list of the rest would be taken for all.
+    /// Lists the overrides. Until the store was read the list would be incomplete, so the reply is that it is not
+    /// known yet.
     fn list_overrides(&self, now: Moment, overrides: &Overrides) -> Reply {
         if let Some(reason) = overrides.manager.store_unavailable_reason() {
             return Reply::NotKnownYet(reason.into());
         }
         let listed = overrides.manager.registry().listed();
-        let overrides = listed.map(|one| overrides.shown(&self.policy, one)).collect();
+        let overrides = listed.map(|entry| overrides.listed_override(&self.policy, entry)).collect();
         Reply::Listed { overrides, now }
     }
 
--- a/crates/routing/src/reducer/overrides.rs
+++ b/crates/routing/src/reducer/overrides.rs
@@ -1,4 +1,4 @@
-//! Operators' overrides: whatever changes them, the policy learns of it and their effects are asked for.
+//! Operators' overrides: every change of them is passed to the policy, and its effects are returned.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -9,8 +9,8 @@
 use whinwall_policy::time::Moment;
 
 impl Reducer {
-    /// Takes over the overrides of the operators' file. Where they cannot be used nothing changes, as with the rest of
-    /// the file.
+    /// Applies the overrides of the operators' file. If they are invalid nothing changes, as with the rest of the
+    /// file.
     pub(super) fn overrides_configured(
         &mut self,
         now: Moment,
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Changes the overrides, where there are any, gives the policy those in force, and asks for their effects.
+    /// Changes the overrides, passes those in force to the policy, and adds their effects. Does nothing before the
+    /// operators' file was read.
     pub(super) fn change_overrides(&mut self, now: Moment, change: impl FnOnce(&mut Overrides)) {
         let Some(mut overrides) = self.overrides.take() else { return };
         change(&mut overrides);
@@ -45,11 +46,11 @@
                 }
                 OverrideEffect::Log(event) => Effect::Log(LogEvent::Override(event)),
                 OverrideEffect::Reply { request_id, reply } => {
-                    let shown = |number| {
-                        let one = overrides.manager.registry().get_by_number(number)?;
-                        Some(overrides.shown(&self.policy, one))
+                    let listed = |number| {
+                        let entry = overrides.manager.registry().get_by_number(number)?;
+                        Some(overrides.listed_override(&self.policy, entry))
                     };
-                    Effect::Reply { request_id, reply: Reply::from_change(reply, now, shown) }
+                    Effect::Reply { request_id, reply: Reply::from_change(reply, now, listed) }
                 }
             });
         }
--- a/crates/routing/src/reducer/peers.rs
+++ b/crates/routing/src/reducer/peers.rs
@@ -1,4 +1,4 @@
-//! Peers at the controller's own address: authentication, pings, and messages that cannot be used.
+//! Peers at the controller's own address: authentication, pings, and messages that are ignored.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -10,7 +10,7 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_transport::ConnectionId;
 
-/// Close reasons; they are sent to the peer.
+/// The reasons for closing a connection that are sent to the peer; part of the protocol.
 const UNREADABLE: &str = "unreadable";
 const NOT_AUTHENTICATED: &str = "of no use from whoever has not joined";
 
@@ -37,7 +37,7 @@
         match error {
             InvalidMessage::Malformed(error) => self.ignore_message(from, error),
             InvalidMessage::Unreadable(error) => {
-                // What it still sends counts for nothing either.
+                // Messages that still arrive on the connection are ignored, too.
                 let was_authenticated = self.collectors.remove(&from);
                 if was_authenticated {
                     self.log(LogEvent::CollectorDisconnected { reason: error.to_string() });
@@ -48,8 +48,8 @@
         }
     }
 
-    /// A message that is malformed, or names what does not exist, changes nothing; an unauthenticated peer is
-    /// disconnected.
+    /// Ignores a message that is malformed, unexpected, or contains unknown names. Disconnects the peer if it is
+    /// unauthenticated.
     pub(super) fn ignore_message(&mut self, from: ConnectionId, reason: impl fmt::Display) {
         if self.collectors.contains(&from) {
             self.log(LogEvent::ReportIgnored { reason: reason.to_string() });
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The id of a zone that the settings name. Where they name none, any zone will do.
+    /// The id of a zone, if it is in the settings. If these name no zones, every zone is accepted.
     pub(super) fn known_zone(&self, name: &str) -> Option<ZoneId> {
         crate::report_names::zone_id(&self.settings.zones, name)
     }
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -1,4 +1,5 @@
-//! Commands to the relay: issued by the policy, sent as requests, and resent until their outcome is known.
+//! Commands to the relay: the policy issues them, and they are sent as requests that are resent until their outcome
+//! is known.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -13,44 +14,44 @@
 use whinwall_protocol::relay::{Command, Response};
 use whinwall_transport::{RequestError, StreamError};
 
-/// The number of skipped commands that are remembered; beyond that they are forgotten, and cost one more reading of the
-/// store each.
+/// The maximum number of skipped commands that are remembered. Beyond that all are forgotten, and each costs one more
+/// reading of the store.
 const MAX_SKIPPED_COMMANDS: usize = 256;
 
-/// What became of attempts at relay requests, since the start.
+/// Counts of attempts of relay requests since start-up, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     /// Attempts that were sent.
     pub sent: u64,
-    /// Attempts that the relay answered with accepted commands.
+    /// Attempts to which the relay responded with a number of accepted commands.
     pub accepted: u64,
-    /// Attempts that were not carried out.
+    /// Attempts that were not applied.
     pub not_applied: u64,
-    /// Attempts that may have been carried out.
+    /// Attempts with an unknown outcome.
     pub unknown: u64,
     /// Attempts that had to wait for room in the command channel.
     pub held: u64,
 }
 
-/// The commands on their way, and those that the relay could not use.
+/// The queued commands, and those that were skipped.
 #[derive(Default)]
 pub(super) struct RelayCommands {
     pub outbox: Outbox,
     pub counts: RequestCounts,
-    /// Commands that the relay could not use, since the endpoint list last changed.
+    /// The commands that were skipped, since the endpoint list last changed, because the relay did not accept them.
     skipped: BTreeSet<String>,
 }
 
 impl RelayCommands {
-    /// Remembers a skipped command. True where it was not skipped before.
-    fn skip(&mut self, command: String) -> bool {
+    /// Records a skipped command. Returns true if it was not recorded before.
+    fn record_skipped(&mut self, command: String) -> bool {
         if self.skipped.len() >= MAX_SKIPPED_COMMANDS {
             self.skipped.clear();
         }
         self.skipped.insert(command)
     }
 
-    /// The endpoint list has changed: the relay may know the replicas of skipped commands now.
+    /// Forgets the skipped commands when the endpoint list has changed: the relay may know their replicas now.
     pub fn clear_skipped(&mut self) {
         self.skipped.clear();
     }
@@ -59,9 +60,9 @@
 impl Reducer {
     pub(super) fn relay_responded(&mut self, now: Moment, response: Result<Response, RequestError>) {
         let commands = self.commands.outbox.commands_in_flight();
-        let response = response.and_then(|response| check_count(response, commands));
+        let response = response.and_then(|response| check_accepted_count(response, commands));
         let is_not_applied = matches!(response, Ok(Response::Retryable(_)) | Err(RequestError::NotSent(_)));
-        let mut is_in_doubt = !is_not_applied && self.commands.outbox.has_reassigned_slices();
+        let mut needs_reread = !is_not_applied && self.commands.outbox.has_reassigned_slices();
         match response {
             Ok(Response::Accepted(count)) => {
                 self.commands.counts.accepted += 1;
@@ -69,12 +70,12 @@
                     request: self.commands.outbox.label(),
                     accepted: count,
                 });
-                is_in_doubt |= self.request_accepted(now, count, commands);
+                needs_reread |= self.request_accepted(now, count, commands);
             }
             Ok(Response::Rejected(reason)) => {
                 self.log(LogEvent::RequestRejected { reason });
-                // Its commands are in the known routing tables and not in the store.
-                is_in_doubt = true;
+                // The known routing tables include the rejected commands, the store does not.
+                needs_reread = true;
                 self.commands.outbox.drop_rejected();
             }
             Ok(Response::Retryable(reason)) => self.request_failed(now, reason, Outcome::NotApplied),
@@ -83,27 +84,28 @@
                 self.request_failed(now, error, outcome);
             }
         }
-        if is_in_doubt {
+        if needs_reread {
             self.reread_store();
         }
     }
 
-    /// The relay has accepted some of the request's commands. True where the store is in doubt.
+    /// Handles a response that accepts commands of the request. Returns true if the store has to be reread.
     fn request_accepted(&mut self, now: Moment, count: usize, commands: usize) -> bool {
-        self.source_works(Source::RelayRequests);
-        let has_stopped_at_first = count == 0 && commands > 0;
-        let mut is_in_doubt = false;
-        if let Some(command) = self.commands.outbox.accept(count) {
+        self.source_succeeded(Source::RelayRequests);
+        let has_stopped_at_first_command = count == 0 && commands > 0;
+        let mut needs_reread = false;
+        if let Some(command) = self.commands.outbox.drop_accepted(count) {
             self.log(LogEvent::CommandSkipped { command: command.clone() });
-            // Its change is in the known routing tables and not in the store, unless the responses were garbled. A
-            // command that was skipped before cannot be used whatever the store holds.
-            is_in_doubt = self.commands.skip(command);
+            // The known routing tables include the skipped command; the store does not, unless the responses were
+            // corrupt. A command that was skipped before is one that the relay never accepts, so that rereading the
+            // store does not help.
+            needs_reread = self.commands.record_skipped(command);
         }
-        // Should the count be wrong, proxies get one message more.
-        if let Some(version) = self.commands.outbox.version().filter(|_| has_stopped_at_first) {
+        // The count may be wrong, in which case the resend is one more message to the proxies.
+        if let Some(version) = self.commands.outbox.version().filter(|_| has_stopped_at_first_command) {
             self.policy.command_resent(now, version);
         }
-        is_in_doubt
+        needs_reread
     }
 
     fn request_failed(&mut self, now: Moment, reason: impl fmt::Display, outcome: Outcome) {
@@ -119,11 +121,11 @@
         }
     }
 
-    /// Resends a request of unknown outcome only where the rate limit allows for its being carried out twice (see *Rate
-    /// limiting* in [`whinwall_policy`]).
+    /// Lets a request that may have been applied be resent only if the rate limit allows for applying it twice (see
+    /// *Rate limiting* in [`whinwall_policy`]); otherwise holds it.
     fn resend_if_capacity(&mut self, now: Moment) {
         self.commands.outbox.drop_acknowledged();
-        let Some(version) = self.commands.outbox.version_of_possible_duplicate() else { return };
+        let Some(version) = self.commands.outbox.possibly_applied_version() else { return };
         if self.policy.may_resend(now, version) {
             self.policy.command_resent(now, version);
         } else {
@@ -131,9 +133,9 @@
         }
     }
 
-    /// Asks again a little later; logged once for each attempt, as acknowledgements may take long.
+    /// Delays a resend by one backoff. Logs this once per attempt, as it may recur until proxies acknowledge.
     fn hold_resend(&mut self, now: Moment) {
-        if self.commands.outbox.hold() {
+        if self.commands.outbox.hold_next_attempt() {
             self.commands.counts.held += 1;
             let request = self.commands.outbox.label();
             self.log(LogEvent::ResendHeld { request, channel: self.policy.channel_load() });
@@ -141,7 +143,7 @@
         self.start_after_backoff(now, Timer::RelayRequest);
     }
 
-    /// Sends the next request, where none is in flight.
+    /// Sends the next request unless one is in flight.
     pub(super) fn send_next_request(&mut self, now: Moment) {
         self.resend_if_capacity(now);
         if let Some(request) = self.commands.outbox.send_next() {
@@ -154,9 +156,10 @@
         }
     }
 
-    /// Asks the policy for commands where it may issue any, else for its background actions only.
+    /// Asks the policy for commands if none are pending and the view of the store is current, else for background
+    /// actions only.
     pub(super) fn issue_commands(&mut self, now: Moment) {
-        let is_view_current = self.relay.snapshot.tables_complete_at().is_none() && !self.relay.is_in_doubt;
+        let is_view_current = self.relay.snapshot.tables_complete_at().is_none() && !self.relay.needs_reread;
         if !(self.commands.outbox.is_empty() && is_view_current) {
             for action in self.policy.take_background_actions() {
                 _ = self.command_for(now, action);
@@ -168,13 +171,16 @@
             actions.into_iter().filter_map(|action| self.command_for(now, action)).collect();
         let changed_slices = commands.iter().filter_map(Command::slice);
         let first_granted = &self.relay.first_granted_slices;
-        self.relay.slices_in_motion.extend(changed_slices.filter(|slice| !first_granted.contains(slice)));
+        self.relay
+            .slices_with_recent_commands
+            .extend(changed_slices.filter(|slice| !first_granted.contains(slice)));
         self.enqueue(now, &commands);
-        // Only now: a command may be the last that names a replica.
+        // After the commands were encoded, because a command may be the last use of the name of a replica.
         self.forget_unneeded_replicas(now);
     }
 
-    /// Each request is a message to the proxies, with an overhead of its own.
+    /// Queues commands, and reports a split into several requests to the policy: each request is a message to the
+    /// proxies with its own overhead.
     fn enqueue(&mut self, now: Moment, commands: &[Command]) {
         let outbox = &mut self.commands.outbox;
         outbox.enqueue(commands);
@@ -194,7 +200,7 @@
         self.change_overrides(now, |_| {});
     }
 
-    /// The command that an action stands for; none for one that concerns nobody but this controller, which is done here.
+    /// The command for an action. An action that is local to this controller is executed here and has no command.
     fn command_for(&mut self, now: Moment, action: Action) -> Option<Command> {
         Some(match action {
             Action::SetEndpoint { slice, replica, weight } => {
@@ -227,11 +233,11 @@
         })
     }
 
-    /// Changes a routing table as the store will have it.
+    /// Applies a command to the known routing table, as the relay will apply it to its store.
     fn set_endpoint(&mut self, slice: SliceId, replica: ReplicaId, weight: f64) {
         let table = self.relay.tables.entry(slice).or_default();
         if weight > 0.0 {
-            // Where one owner writes, a new endpoint takes the place of the former.
+            // With a single writer, a new endpoint replaces the previous one.
             if self.settings.deployment.single_writer {
                 table.clear();
             }
@@ -242,11 +248,11 @@
     }
 }
 
-/// A response that accepts more commands than were sent belongs to another request, or is garbled.
-fn check_count(response: Response, commands: usize) -> Result<Response, RequestError> {
+/// Rejects a response that accepts more commands than were sent: it belongs to another request or is corrupt.
+fn check_accepted_count(response: Response, commands: usize) -> Result<Response, RequestError> {
     match response {
         Response::Accepted(count) if count > commands => {
-            let reason = format!("{count} commands accepted of {commands}");
+            let reason = format!("relay accepted {count} commands, but the request has {commands}");
             Err(RequestError::OutcomeUnknown(StreamError::Unreadable(reason)))
         }
         response => Ok(response),
--- a/crates/routing/src/reducer/relay_watch.rs
+++ b/crates/routing/src/reducer/relay_watch.rs
@@ -1,4 +1,4 @@
-//! The relay watch: connected proxies, granted slices and their routing tables.
+//! The relay watch, which delivers connected proxies, granted slices and their routing tables.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -14,24 +14,24 @@
 
 impl Reducer {
     pub(super) fn open_relay_watch(&mut self) {
-        self.relay.slices_in_motion = self.commands.outbox.slices();
+        self.relay.slices_with_recent_commands = self.commands.outbox.slices();
         self.policy.acks_interrupted();
-        // A reopening that waits for its backoff is this one: another would only cut it short.
+        // The watch is opened now: a pending reopening after a backoff would only interrupt it.
         self.timers.cancel(Timer::RelayWatch);
         self.effects.push(Effect::WatchRelay { relay: self.targets.relay });
     }
 
     pub(super) fn relay_watch_lost(&mut self, now: Moment, error: &StreamError) {
         self.relay.snapshot = RoutingSnapshot::default();
-        self.relay.is_in_doubt = false;
+        self.relay.needs_reread = false;
         self.policy.acks_interrupted();
         self.source_failed(Source::RelayWatch, error);
         self.start_after_backoff(now, Timer::RelayWatch);
     }
 
-    /// What the store holds is unknown: it is read again before commands are issued.
+    /// Reopens the relay watch to read the store again. No commands are issued until that is done or has failed.
     pub(super) fn reread_store(&mut self) {
-        self.relay.is_in_doubt = true;
+        self.relay.needs_reread = true;
         self.open_relay_watch();
     }
 
@@ -45,7 +45,7 @@
         }
         match event {
             RelayEvent::SnapshotStarted => {
-                self.source_works(Source::RelayWatch);
+                self.source_succeeded(Source::RelayWatch);
                 self.relay.snapshot = RoutingSnapshot::started();
                 self.relay.first_granted_slices.clear();
             }
@@ -58,7 +58,7 @@
             }
             RelayEvent::ProxyLeft { proxy } => self.proxy_left(now, proxy),
             RelayEvent::Acknowledged { proxy, version } => {
-                self.commands.outbox.acknowledge(version);
+                self.commands.outbox.record_acknowledgement(version);
                 self.policy.ack_received(now, proxy, version);
             }
             RelayEvent::SliceGranted { slice } => {
@@ -83,31 +83,32 @@
         self.relay.snapshot.remove_slice(slice);
         self.relay.tables.remove(&slice);
         self.remove_reports_on(slice);
-        self.commands.outbox.drop_slice(slice);
+        self.commands.outbox.drop_commands_for_slice(slice);
         self.policy.slice_revoked(now, slice);
     }
 
-    /// Takes over the routing tables to which no further endpoint is expected.
+    /// Applies the routing tables for which no further endpoint is expected.
     pub(super) fn take_complete_tables(&mut self, now: Moment) {
         let tables = self.relay.snapshot.take_complete_tables(now);
         self.tables_granted(now, tables);
     }
 
-    /// Endpoints belong with their grant: the policy gets both at once, or it would take a routing table for empty and
-    /// fill it, where the watch delivers it in pieces or breaks in the middle.
+    /// Passes each slice to the policy together with all of its endpoints. If the policy got a grant first and the
+    /// endpoints later, or the watch failed in between, it would treat the routing table as empty and fill it.
     fn tables_granted(&mut self, now: Moment, tables: BTreeMap<SliceId, RoutingTable>) {
         let is_snapshot = self.relay.snapshot.is_in_progress();
         for (slice, table) in tables {
-            // After a break of the watch most routing tables are as this controller left them, or as pending commands
-            // leave them: the load estimates of these must not be lost over that.
+            // After an interruption of the watch most routing tables equal the known ones or are explained by pending
+            // commands. They are not passed to the policy again, which would discard their load estimates.
             let known = self.relay.tables.get(&slice);
-            let is_unchanged =
-                known.is_some_and(|known| *known == table || self.relay.slices_in_motion.contains(&slice));
+            let is_unchanged = known.is_some_and(|known| {
+                *known == table || self.relay.slices_with_recent_commands.contains(&slice)
+            });
             if is_snapshot && is_unchanged {
                 continue;
             }
             let endpoints: Vec<_> = table.iter().map(|(replica, weight)| (*replica, *weight)).collect();
-            self.commands.outbox.drop_slice(slice);
+            self.commands.outbox.drop_commands_for_slice(slice);
             if is_snapshot && known.is_some() {
                 self.policy.slice_table_reread(now, slice, &endpoints);
             } else {
@@ -118,16 +119,16 @@
         }
     }
 
-    /// The snapshot is complete: what it did not name is gone.
+    /// Completes the snapshot, and removes proxies and slices that are not in it.
     fn finish_snapshot(&mut self, now: Moment) {
         let tables = self.relay.snapshot.take_all_tables();
         self.tables_granted(now, tables);
         let Some(contents) = self.relay.snapshot.finish() else { return };
         self.relay.first_granted_slices.clear();
-        self.relay.is_in_doubt = false;
+        self.relay.needs_reread = false;
         self.policy.acks_resumed(now);
-        let left: Vec<_> = self.relay.proxies.difference(&contents.proxies).copied().collect();
-        for proxy in left {
+        let departed: Vec<_> = self.relay.proxies.difference(&contents.proxies).copied().collect();
+        for proxy in departed {
             self.proxy_left(now, proxy);
         }
         let slices = self.relay.tables.keys().copied();
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -1,5 +1,5 @@
-//! Reports on their way to the policy: checked against what is known, and where aggregators report against the time
-//! that is covered already.
+//! Checks reports before they are passed to the policy: their names against the known ones and, with aggregators,
+//! their windows against the time that earlier reports cover.
 
 use super::Reducer;
 use crate::log_event::LogEvent;
@@ -15,47 +15,48 @@
 use whinwall_protocol::collector;
 use whinwall_transport::ConnectionId;
 
-/// The state of reports that aggregators make; it ends when that is switched off.
+/// The state that exists while aggregators send the reports.
 pub(super) struct AggregatedReports {
     coverage: ReportCoverage,
     stream: ReportStream,
-    /// What the policy was given last.
+    /// The report flow that the policy was last given.
     applied_flow: ReportFlow,
 }
 
 impl Reducer {
-    /// Whether reports are made by aggregators: what two of them report is counted once, and what is missing is known.
-    pub(super) fn aggregate_reports(&mut self, now: Moment, is_on: bool) {
-        if is_on == self.aggregated.is_some() {
+    /// Sets whether aggregators send the reports. If so, time that two of them report on is counted once, and gaps
+    /// are detected.
+    pub(super) fn set_aggregated_reports(&mut self, now: Moment, is_enabled: bool) {
+        if is_enabled == self.aggregated.is_some() {
             return;
         }
-        self.aggregated = is_on.then(|| AggregatedReports {
+        self.aggregated = is_enabled.then(|| AggregatedReports {
             coverage: ReportCoverage::default(),
             stream: ReportStream::start(now),
             applied_flow: ReportFlow::Direct,
         });
-        if !is_on {
+        if !is_enabled {
             self.policy.set_report_flow(now, ReportFlow::Direct);
         }
         self.check_report_freshness(now);
     }
 
-    /// The number of replicas, and of request classes of slices, that have covered time.
+    /// The number of subjects (replicas, and request classes of slices) that reports of aggregators cover.
     pub fn covered_subjects(&self) -> usize {
         self.aggregated.as_ref().map_or(0, |aggregated| aggregated.coverage.len())
     }
 
-    /// The load of a replica that reports show, in requests per second, as of the last refresh of load estimates.
+    /// The load of a replica according to reports, in requests per second, as of the last refresh of load estimates.
     pub fn measured_load(&self, replica: &str) -> Option<f64> {
         self.policy.measured_load(self.names.id(replica)?)
     }
 
-    /// The load of all slices together, in requests per second.
+    /// The load of all slices together according to reports, in requests per second.
     pub fn total_measured_load(&self) -> f64 {
         self.policy.total_measured_load()
     }
 
-    /// Takes in the reports that a reader thread decoded.
+    /// Handles reports that a reader thread decoded.
     pub(super) fn reports_received(&mut self, now: Moment, from: ConnectionId, mut reports: Vec<Report>) {
         if !self.collectors.contains(&from) {
             return self.ignore_message(from, "reports");
@@ -70,7 +71,7 @@
         self.policy.load_reported(now, &reports);
     }
 
-    /// Takes in a report on a replica. Reports add neither zones nor replicas.
+    /// Handles a report on a replica. It is ignored if its zone or replica is unknown; reports never add either.
     pub(super) fn endpoint_report_received(
         &mut self,
         now: Moment,
@@ -94,7 +95,7 @@
         self.report_received(now, from, body, line.missing);
     }
 
-    /// Takes in a report on a slice.
+    /// Handles a report on a slice.
     pub(super) fn demand_report_received(
         &mut self,
         now: Moment,
@@ -106,8 +107,8 @@
         else {
             return self.ignore_message(from, format!("unknown request class {class:?} of slice {slice}"));
         };
-        // A slice that has just changed hands is still reported on for a while, and one of this number may never have
-        // existed: nobody's requests count for nothing.
+        // Reports on a slice that is not this controller's are dropped: collectors still send them for a while after
+        // a slice was revoked, and the number may be that of no slice at all.
         if self.relay.tables.contains_key(&slice) {
             let window = span_from_ms(line.window_ms);
             let report = DemandReport { request_class, window, requests: line.requests, failed: line.failed };
@@ -122,17 +123,17 @@
         }
     }
 
-    /// Whether any of the report counts; where only a part does, it is reduced to that.
+    /// Returns true if all or part of the report counts, and reduces it to that part.
     fn count_report(&mut self, from: ConnectionId, report: &mut Report, missing_zones: u32) -> bool {
         let Some(aggregated) = &mut self.aggregated else { return true };
-        // A reader thread may know a replica that was forgotten meanwhile: nothing would remove its coverage.
+        // A reader thread may still know a replica that was forgotten since. Its coverage would never be removed.
         if matches!(report.body, ReportBody::Endpoint { replica, .. } if !self.names.has_id(replica)) {
             return false;
         }
         aggregated.count_report(from, report, missing_zones, &mut self.policy)
     }
 
-    /// Gives the policy, and the log, the state of the report stream where it has changed.
+    /// Passes a change of the report stream's state to the policy, and logs a change of its freshness.
     pub(super) fn check_report_freshness(&mut self, now: Moment) {
         let Some(aggregated) = &mut self.aggregated else { return };
         let change = aggregated.stream.check_freshness(now);
@@ -154,7 +155,7 @@
         }
     }
 
-    /// How fresh and how complete the reports of aggregators are; none where no aggregators report.
+    /// The freshness and completeness of aggregated reports; `None` if reports are not aggregated.
     pub fn report_freshness(&self, now: Moment) -> Option<ReportFreshness> {
         let stream = &self.aggregated.as_ref()?.stream;
         Some(ReportFreshness {
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Removes the coverage of replicas that are no longer known.
+    /// Removes the coverage of replicas that were forgotten.
     pub(super) fn remove_reports_on_forgotten_replicas(&mut self) {
         if let Some(aggregated) = &mut self.aggregated {
             aggregated.coverage.retain_replicas(|replica| self.names.has_id(replica));
@@ -188,7 +189,7 @@
         missing_zones: u32,
         policy: &mut Policy,
     ) -> bool {
-        let (subject, about, window) = match report.body {
+        let (subject, report_subject, window) = match report.body {
             ReportBody::Endpoint { replica, report, .. } => {
                 (Subject::Replica(replica), ReportSubject::Replica(replica), report.window)
             }
@@ -202,15 +203,15 @@
         let line = ReportLine { subject, from, at: report.at, window, line_count: report.line_count };
         let Some(counted) = self.coverage.count(&line) else { return false };
         if counted.continuity == Continuity::Unknown {
-            policy.observed_since(about, report.at - window);
+            policy.observed_since(report_subject, report.at - window);
         }
         let is_incomplete = match counted.continuity {
             Continuity::Continuous => false,
             Continuity::Gap(_) => true,
-            Continuity::Unknown => matches!(about, ReportSubject::Replica(_)),
+            Continuity::Unknown => matches!(report_subject, ReportSubject::Replica(_)),
         };
         if is_incomplete || missing_zones > 0 {
-            policy.report_incomplete(report.at, about);
+            policy.report_incomplete(report.at, report_subject);
         }
         reduce_to_counted(report, &counted);
         true
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -1,4 +1,4 @@
-//! Subsetting: the policy learns which controllers steer each replica.
+//! Subsetting: passes to the policy which controllers steer each replica.
 
 use super::Reducer;
 use crate::log_event::LogEvent;
@@ -13,14 +13,14 @@
 use whinwall_subsetting::Replica;
 
 impl Reducer {
-    /// Which controllers steer each replica, as the policy was given last.
+    /// The controllers that steer each replica, as last passed to the policy.
     pub fn subset_memberships(&self) -> BTreeMap<&str, SubsetMembership> {
         let ids = self.names.ids().iter();
         ids.filter_map(|(name, replica)| Some((name.as_str(), self.policy.subset_membership(*replica)?)))
             .collect()
     }
 
-    /// The operators' file names a fleet, another fleet, or none any more.
+    /// Applies the fleet of the operators' file, or switches subsetting off if it names none.
     pub(super) fn subsetting_configured(&mut self, now: Moment, fleet: Option<Fleet>) {
         let changed = match (&mut self.subsets, fleet) {
             (None, None) => false,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Schedules the computation of subsets, where the registry may have changed.
+    /// Schedules the computation of subsets after a list that may have changed the registry.
     pub(super) fn schedule_subsets(&mut self, now: Moment, list: &List) {
         let Some(subsets) = &self.subsets else { return };
         let present = list.entries.iter().filter(|entry| entry.state != State::Gone);
@@ -52,7 +52,7 @@
         self.timers.start(scheduled_at.map_or(compute_at, |at| at.min(compute_at)), Timer::Subsets);
     }
 
-    /// Computes the subsets of the registry as it is known, and gives the policy what changed.
+    /// Computes the subsets from the known registry, and passes changes to the policy.
     pub(super) fn compute_subsets(&mut self, now: Moment) {
         let Some(subsets) = &mut self.subsets else { return };
         if subsets.compute(now, &registry(&self.names, &self.policy, &self.settings.zones)) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Which controllers steer a replica.
+    /// The controllers that steer a replica.
     pub(super) fn subset_membership(&self, replica: &str) -> SubsetMembership {
         self.subsets.as_ref().map_or(SubsetMembership::AllControllers, |subsets| subsets.membership(replica))
     }
@@ -88,8 +88,8 @@
     }
 }
 
-/// The replicas that are listed and not gone, in the registry's zones: aggregators, which have no settings, compute the
-/// same subsets from these.
+/// The replicas that are listed and not gone, with the zones of the registry. Aggregators, which have no settings,
+/// compute the same subsets from the same zones.
 fn registry<'a>(names: &'a ReplicaNames, policy: &'a Policy, zones: &'a [String]) -> Vec<Replica<'a>> {
     let replica = |(name, replica): (&'a String, &ReplicaId)| {
         let listed = policy.listed_replica(*replica)?;
--- a/crates/routing/src/reducer/timers.rs
+++ b/crates/routing/src/reducer/timers.rs
@@ -1,4 +1,4 @@
-//! What happens once all input is in: timers that are due, then new commands.
+//! Handling after all input was applied: due timers first, then new commands.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -7,7 +7,7 @@
 use whinwall_policy::time::Moment;
 use whinwall_transport::limits;
 
-/// The part of a backoff that is drawn at random.
+/// The fraction of a backoff that is random.
 const BACKOFF_JITTER: f64 = 0.5;
 
 impl Reducer {
--- a/crates/routing/src/relay_view.rs
+++ b/crates/routing/src/relay_view.rs
@@ -1,4 +1,4 @@
-//! What is known of the relay's store, and how far it can be relied on.
+//! The known state of the relay's store.
 
 use crate::routing_snapshot::{RoutingSnapshot, RoutingTable};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,16 +8,17 @@
 #[derive(Default)]
 pub(crate) struct RelayView {
     pub proxies: BTreeSet<ProxyId>,
-    /// The routing tables as the store has them, once it has carried out all commands.
+    /// The routing tables as the store has them after all issued commands are applied.
     pub tables: BTreeMap<SliceId, RoutingTable>,
     pub snapshot: RoutingSnapshot,
-    /// Slices with commands that were pending, or issued, since the watch was last opened: of these a snapshot may
-    /// show the state before or after the commands.
-    pub slices_in_motion: BTreeSet<SliceId>,
-    /// Slices that the snapshot in progress was the first to grant: an endpoint that it adds to them later is a late
-    /// piece, whatever was commanded meanwhile.
+    /// Slices with commands that were pending when the watch was last opened, or were issued since. A snapshot may
+    /// show their state before or after these commands.
+    pub slices_with_recent_commands: BTreeSet<SliceId>,
+    /// Slices that were unknown before the snapshot in progress granted them. An endpoint that the snapshot adds to
+    /// one of them later belongs to the table of the grant, even if commands for the slice were issued in between.
     pub first_granted_slices: BTreeSet<SliceId>,
-    /// A request was rejected, or crossed with a slice that changed hands: no commands are issued until the store
-    /// was read again, or cannot be read.
-    pub is_in_doubt: bool,
+    /// True if the store may differ from `tables`, for example because a request was rejected, or was in flight while
+    /// one of its slices was granted or revoked. No commands are issued until the store was read again or the watch is
+    /// lost.
+    pub needs_reread: bool,
 }
--- a/crates/routing/src/replica_names.rs
+++ b/crates/routing/src/replica_names.rs
@@ -1,16 +1,16 @@
-//! Replica ids for replica names: the policy knows replicas by id; discovery, collectors and the relay by name.
+//! Maps replica names to ids and back: the policy uses ids; discovery, collectors and the relay use names.
 
 use std::collections::BTreeMap;
 use whinwall_policy::api::ReplicaId;
 
-/// The replicas that are known. An id is never assigned twice: a replica must not come back under another's.
+/// The known replicas. An id is never reused, so that a replica is never confused with a forgotten one.
 pub(crate) struct ReplicaNames {
     ids: BTreeMap<String, ReplicaId>,
     names: BTreeMap<ReplicaId, String>,
-    /// Zones of replicas, as the registry has them, where the settings do not name the zone.
+    /// The registry's zone of each replica whose zone is not in the settings.
     unnamed_zones: BTreeMap<ReplicaId, String>,
     next_id: ReplicaId,
-    /// Grows with each change.
+    /// Incremented with each change.
     version: u64,
 }
 
@@ -21,14 +21,14 @@
             names: BTreeMap::new(),
             unnamed_zones: BTreeMap::new(),
             next_id: 0,
-            // Above the version 0 of a reader that knows nothing yet.
+            // Higher than version 0, which a reader has before it gets any names.
             version: 1,
         }
     }
 }
 
 impl ReplicaNames {
-    /// The id of a replica that the endpoint list or the relay names; a new replica gets the next id.
+    /// The id of a replica that the endpoint list or the relay names. Assigns the next id if the replica is new.
     pub fn id_or_assign(&mut self, name: &str) -> ReplicaId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -41,7 +41,7 @@
         id
     }
 
-    /// The id of a replica that is known.
+    /// The id of a replica, if it is known.
     pub fn id(&self, name: &str) -> Option<ReplicaId> {
         self.ids.get(name).copied()
     }
@@ -50,7 +50,7 @@
         self.names.get(&id).cloned()
     }
 
-    /// Remembers the registry's zone of a replica where the settings do not name that zone; none where they do.
+    /// Sets the registry's zone of a replica. `zone` is `None` if the settings name the zone.
     pub fn set_unnamed_zone(&mut self, id: ReplicaId, zone: Option<&str>) {
         match zone {
             Some(zone) => _ = self.unnamed_zones.insert(id, zone.to_string()),
@@ -58,12 +58,12 @@
         }
     }
 
-    /// The registry's zone of a replica, where the settings do not name that zone.
+    /// The registry's zone of a replica, if that zone is not in the settings.
     pub fn unnamed_zone(&self, id: ReplicaId) -> Option<&str> {
         self.unnamed_zones.get(&id).map(String::as_str)
     }
 
-    /// Whether the id stands for a replica that is known.
+    /// Returns true if the id belongs to a known replica.
     pub fn has_id(&self, id: ReplicaId) -> bool {
         self.names.contains_key(&id)
     }
@@ -80,7 +80,7 @@
         &self.ids
     }
 
-    /// Forgets all replicas but these.
+    /// Forgets the replicas for which `is_needed` returns false.
     pub fn retain(&mut self, is_needed: impl Fn(ReplicaId) -> bool) {
         self.version += 1;
         self.names.retain(|id, _| is_needed(*id));
@@ -89,7 +89,7 @@
     }
 }
 
-/// FNV-1a, as published by Fowler, Noll and Vo: the same at every controller and in every build.
+/// The FNV-1a hash of Fowler, Noll and Vo, which is the same in every controller and every build.
 pub(crate) fn stable_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/routing/src/report_names.rs
+++ b/crates/routing/src/report_names.rs
@@ -1,21 +1,21 @@
-//! What a reader thread has to know to resolve the names in reports. It may be out of date: an id is never assigned
-//! twice, and a report with a name that it lacks is left to the reducer.
+//! The names with which a reader thread resolves reports. They may be out of date: ids are never reused, and reports
+//! with unknown names are passed to the reducer unresolved.
 
 use std::collections::BTreeMap;
 use whinwall_policy::api::{DemandReport, EndpointReport, ReplicaId, ReportBody, ZoneId};
 use whinwall_policy::time::Span;
 use whinwall_protocol::collector::Report;
 
-/// The names that reports may use.
+/// The names that reports may contain.
 #[derive(Clone, Debug, Default)]
 pub struct ReportNames {
-    /// The zones that the settings name; a zone's id is its position. Empty where any zone will do.
+    /// The zones in the settings; the id of a zone is its position. If empty, any zone is accepted.
     pub zones: Vec<String>,
-    /// The request classes that the settings name; the policy knows one by its position.
+    /// The request classes in the settings; the policy identifies a request class by its position.
     pub request_classes: Vec<String>,
     /// The ids of the replicas.
     pub replicas: BTreeMap<String, ReplicaId>,
-    /// Grows with each change of the replicas.
+    /// Incremented with each change of the replicas.
     pub version: u64,
 }
 
@@ -25,8 +25,8 @@
         self.request_classes.iter().position(|known| known == name)
     }
 
-    /// The report with ids for names; none where it has an unknown name. None either where zones are missing in it:
-    /// such a line is never summed with others, and goes to the reducer as the message that it is.
+    /// Converts a report to one with ids. Returns `None` if a name is unknown, and also if the report misses zones:
+    /// such a report is not summed with others but passed to the reducer as a message.
     pub fn resolve(&self, report: &Report) -> Option<ReportBody> {
         match *report {
             Report::EndpointReport { missing: 1.., .. } | Report::DemandReport { missing: 1.., .. } => None,
@@ -54,12 +54,12 @@
     }
 }
 
-/// A time in milliseconds, as reports have it.
+/// Converts a duration in milliseconds, the unit of reports.
 pub(crate) fn span_from_ms(ms: f64) -> Span {
     Span::ms(1).times(ms)
 }
 
-/// The id of a zone. Where the settings name no zones, any name has the same id.
+/// The id of a zone, if it is in the settings. If these name no zones, every name has the same id.
 pub(crate) fn zone_id(zones: &[String], name: &str) -> Option<ZoneId> {
     let any = zones.is_empty().then_some(ZoneId::MAX);
     zones.iter().position(|known| known == name).or(any)
--- a/crates/routing/src/report_stream.rs
+++ b/crates/routing/src/report_stream.rs
@@ -1,59 +1,61 @@
-//! Whether aggregated reports arrive at all. Between two lines nothing may arrive for a while; beyond that the policy
-//! keeps the load estimates that it has, and beyond three times that operators have to know. No I/O or clock.
+//! Detects interruptions of aggregated reports. A pause between two lines is normal up to a limit. In a longer one
+//! the policy keeps its load estimates unchanged, and after [`STALE_AFTER`] the reports are stale, which operators
+//! have to know. No I/O or clock.
 
 use super::report_coverage::MAX_WINDOW;
 use whinwall_policy::api::ReportFlow;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_policy::windowed_counter::WindowedCounter;
 
-/// How much longer than the longest recent pause one between two lines may be. The policy keeps load estimates for a
-/// second longer than lines cover, and may learn of an interruption one tick, 250 ms, late: so estimates never fall
-/// because nothing arrives.
+/// The amount by which a pause between two lines may exceed the longest recent pause before it is an interruption.
+/// The policy keeps load estimates for one second longer than lines cover, and may learn of an interruption one tick
+/// (250 ms) late, so that with 750 ms estimates never fall because no lines arrive.
 const PAUSE_TOLERANCE: Span = Span::ms(750);
-/// Reports are stale after three of the longest windows: the other aggregators notice within one that an aggregator is
-/// gone, the one that takes over reports on everything within the second, and the third is for what is slow.
+/// Reports are stale after three times the longest window. Within the first window the other aggregators notice that
+/// an aggregator is gone, within the second its successor reports on all subjects, and the third allows for delays.
 pub const STALE_AFTER: Span = Span::ms(24_000);
-/// The time over which the byte rate is taken: longer than the longest window, as lines may arrive in bursts.
+/// The period over which the byte rate is averaged. It is longer than the longest window, because lines may arrive in
+/// bursts.
 const RATE_WINDOW: Span = Span::ms(10_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Flowing,
-    /// Nothing arrives.
+    /// No lines arrive.
     Interrupted {
         is_stale: bool,
     },
-    /// Lines arrive again, but not on every subject until then.
+    /// Lines arrive again. All subjects are reported by `until`.
     Recovering {
         until: Moment,
         is_stale: bool,
     },
 }
 
-/// A change that operators have to know.
+/// A change of freshness to log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreshnessChange {
-    /// Reports are stale: nothing arrived for so long.
+    /// Reports are stale; no line arrived for this duration.
     Stale(Span),
-    /// Reports are fresh again, so long after the last line before the interruption.
+    /// Reports are fresh again, this duration after the last line before the interruption.
     Fresh(Span),
 }
 
-/// Follows the arrival of lines on all subjects together, while aggregated reports are on. It is of fixed size.
+/// Tracks the arrival of lines on all subjects together while aggregated reports are enabled. Its size is constant.
 #[derive(Debug)]
 pub struct ReportStream {
     state: State,
-    /// When aggregated reports were switched on.
+    /// The time at which aggregated reports were enabled.
     started: Moment,
     last_line: Option<Moment>,
-    /// When the last line before the present or last interruption arrived.
+    /// The arrival of the last line before the current or latest interruption.
     interrupted_since: Moment,
     recent: RecentMaxima,
     bytes: WindowedCounter,
 }
 
 impl ReportStream {
-    /// Aggregated reports are switched on.
+    /// Starts when aggregated reports are enabled.
     pub fn start(now: Moment) -> Self {
         ReportStream {
             state: State::Interrupted { is_stale: false },
@@ -65,18 +67,19 @@
         }
     }
 
-    /// Records a line that covers such a window. True where it ends an interruption.
+    /// Records a line with a window of this length. Returns true if it ends an interruption.
     pub fn record_line(&mut self, now: Moment, window: Span) -> bool {
-        // The line may arrive before the next check.
+        // An interruption may end before the next check.
         self.detect_interruption(now);
         let silence = self.silence(now);
-        let is_long = self.last_line.is_none() || silence > MAX_WINDOW;
+        let is_long_silence = self.last_line.is_none() || silence > MAX_WINDOW;
         self.last_line = self.last_line.max(Some(now));
-        // A long silence is no pause between lines; one of a window may recur, where lines arrive in bursts.
-        self.recent.record(now, window, if is_long { Span::default() } else { silence });
+        // A pause of up to one window may recur, because lines may arrive in bursts. A longer one is not a regular
+        // pause.
+        self.recent.record(now, window, if is_long_silence { Span::default() } else { silence });
         let State::Interrupted { is_stale } = self.state else { return false };
-        // After a long silence, and at the start, it is unknown how far apart lines will be.
-        let all_reported_after = if is_long { MAX_WINDOW } else { self.recent.window() };
+        // After a long interruption, and at the start, the interval between lines is unknown.
+        let all_reported_after = if is_long_silence { MAX_WINDOW } else { self.recent.window() };
         self.state = State::Recovering { until: now + all_reported_after, is_stale };
         true
     }
@@ -99,12 +102,12 @@
         }
     }
 
-    /// Records the arrival of so many bytes.
+    /// Records the arrival of a number of bytes.
     pub fn record_bytes(&mut self, now: Moment, bytes: u64) {
         self.bytes.add(now, bytes as f64);
     }
 
-    /// Checks freshness after some time; returns each change once.
+    /// Checks freshness at this time. Returns each change once.
     pub fn check_freshness(&mut self, now: Moment) -> Option<FreshnessChange> {
         self.detect_interruption(now);
         match self.state {
@@ -128,12 +131,12 @@
         }
     }
 
-    /// Whether reports are stale: that was returned as a change, and not yet that they are fresh again.
+    /// Returns true from the time [`FreshnessChange::Stale`] is returned until [`FreshnessChange::Fresh`] is.
     pub fn is_stale(&self) -> bool {
         matches!(self.state, State::Interrupted { is_stale: true } | State::Recovering { is_stale: true, .. })
     }
 
-    /// The time since the last line; none where none arrived yet.
+    /// The time since the last line; `None` if no line arrived yet.
     pub fn age(&self, now: Moment) -> Option<Span> {
         self.last_line.map(|last| now - last)
     }
@@ -152,7 +155,8 @@
     }
 }
 
-/// The longest window and the longest pause between two lines, of this period and the one before.
+/// The longest window and the longest pause between two lines, in the current and the previous period of
+/// [`RATE_WINDOW`].
 #[derive(Debug, Default)]
 struct RecentMaxima {
     period: u64,
--- a/crates/routing/src/routing_snapshot.rs
+++ b/crates/routing/src/routing_snapshot.rs
@@ -1,5 +1,5 @@
-//! The state that the relay watch delivers, piece by piece: connected proxies, and slices with their endpoints.
-//! Neither the end of a snapshot nor that of a routing table is marked.
+//! Assembles the state that the relay watch delivers one item at a time: connected proxies, and slices with their
+//! endpoints. The protocol marks neither the end of a snapshot nor that of a routing table.
 
 use std::collections::{BTreeMap, BTreeSet};
 use whinwall_policy::api::{ProxyId, ReplicaId, SliceId};
@@ -8,35 +8,36 @@
 /// The weights of a slice's endpoints.
 pub(crate) type RoutingTable = BTreeMap<ReplicaId, f64>;
 
-/// A routing table is complete when no further endpoint of it arrived for so long.
+/// Routing tables are complete when no further endpoint arrived for this duration.
 const TABLE_COMPLETE_AFTER: Span = Span::ms(100);
 
-/// What a complete snapshot named: all else is gone.
+/// The contents of a complete snapshot. Proxies and slices that are not in it no longer exist.
 #[derive(Default)]
 pub(crate) struct SnapshotContents {
     pub proxies: BTreeSet<ProxyId>,
     pub slices: BTreeSet<SliceId>,
-    /// The number of slices whose routing table was not as this controller left it.
+    /// The number of slices whose routing table differs from the known one.
     pub changed_slices: usize,
 }
 
-/// What is known of a snapshot that is being delivered.
+/// A snapshot in progress, and routing tables that are still being delivered.
 #[derive(Default)]
 pub(crate) struct RoutingSnapshot {
-    /// None outside a snapshot, while changes are delivered as they happen.
+    /// `None` outside a snapshot, while the watch delivers changes as they happen.
     contents: Option<SnapshotContents>,
-    /// Routing tables that may still lack endpoints.
+    /// Routing tables whose endpoints may not all have arrived.
     partial_tables: BTreeMap<SliceId, RoutingTable>,
-    last_endpoint: Moment,
+    last_endpoint_at: Moment,
 }
 
 impl RoutingSnapshot {
-    /// A snapshot that begins now.
+    /// Begins a snapshot.
     pub fn started() -> Self {
         RoutingSnapshot { contents: Some(SnapshotContents::default()), ..RoutingSnapshot::default() }
     }
 
-    /// Whether a snapshot is being delivered. After a break of the watch most of it is known.
+    /// Returns true while a snapshot is being delivered. After an interruption of the watch most of its contents are
+    /// already known.
     pub fn is_in_progress(&self) -> bool {
         self.contents.is_some()
     }
@@ -48,38 +49,39 @@
     pub fn add_slice(&mut self, now: Moment, slice: SliceId) {
         self.contents.iter_mut().for_each(|contents| _ = contents.slices.insert(slice));
         self.partial_tables.insert(slice, RoutingTable::new());
-        self.last_endpoint = now;
+        self.last_endpoint_at = now;
     }
 
     pub fn remove_slice(&mut self, slice: SliceId) {
         self.partial_tables.remove(&slice);
     }
 
-    /// Adds an endpoint to a routing table. One that arrives after its table was handed over is a late piece of it.
+    /// Adds an endpoint to a routing table. If that table was already taken as complete (`known_table`), the endpoint
+    /// is a late one: the table is reopened with it.
     pub fn add_endpoint(
         &mut self,
         now: Moment,
         slice: SliceId,
-        handed_over: Option<&RoutingTable>,
+        known_table: Option<&RoutingTable>,
         (replica, weight): (ReplicaId, f64),
     ) {
-        if let (false, Some(table)) = (self.partial_tables.contains_key(&slice), handed_over) {
+        if let (false, Some(table)) = (self.partial_tables.contains_key(&slice), known_table) {
             self.partial_tables.insert(slice, table.clone());
         }
         if let Some(table) = self.partial_tables.get_mut(&slice) {
             table.insert(replica, weight);
-            self.last_endpoint = now;
+            self.last_endpoint_at = now;
         }
     }
 
-    /// When routing tables that have endpoints are complete. That one has none at all is believed only once the
-    /// watch delivers something else: to take a table for empty is to fill it.
+    /// The time at which the routing tables with endpoints are complete. A table without endpoints counts as empty
+    /// only once the watch delivers something else, because the policy fills empty tables.
     pub fn tables_complete_at(&self) -> Option<Moment> {
         let has_endpoints = self.partial_tables.values().any(|table| !table.is_empty());
-        has_endpoints.then_some(self.last_endpoint + TABLE_COMPLETE_AFTER)
+        has_endpoints.then_some(self.last_endpoint_at + TABLE_COMPLETE_AFTER)
     }
 
-    /// Hands over the routing tables that are complete by now.
+    /// Takes the routing tables that are complete at this time.
     pub fn take_complete_tables(&mut self, now: Moment) -> BTreeMap<SliceId, RoutingTable> {
         if self.tables_complete_at().is_none_or(|at| now < at) {
             return BTreeMap::new();
@@ -90,12 +92,12 @@
         complete
     }
 
-    /// Hands over all routing tables: the watch delivers something else.
+    /// Takes all routing tables. Called when the watch delivers something else, which completes them.
     pub fn take_all_tables(&mut self) -> BTreeMap<SliceId, RoutingTable> {
         std::mem::take(&mut self.partial_tables)
     }
 
-    /// Whether a routing table that is not handed over yet names this replica.
+    /// Returns true if a routing table that was not taken yet contains this replica.
     pub fn has_replica(&self, replica: ReplicaId) -> bool {
         self.partial_tables.values().any(|table| table.contains_key(&replica))
     }
@@ -104,7 +106,7 @@
         self.contents.iter_mut().for_each(|contents| contents.changed_slices += 1);
     }
 
-    /// Ends the snapshot, where one is being delivered.
+    /// Ends the snapshot and returns its contents, if one is in progress.
     pub fn finish(&mut self) -> Option<SnapshotContents> {
         self.contents.take()
     }
--- a/crates/routing/src/source_failures.rs
+++ b/crates/routing/src/source_failures.rs
@@ -1,4 +1,4 @@
-//! Which of the controller's sources of information fail, and since how many attempts.
+//! The failing sources of information of the controller, with their numbers of failures.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 }
 
 impl Source {
-    /// Its name in the management API's status, which is an interface and keeps its words.
+    /// The name in the status of the management API. It is part of that interface and must not change.
     pub(crate) fn status_name(self) -> &'static str {
         match self {
             Source::RelayWatch => "the relay's news",
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Its name in the log.
+    /// The name in the log.
     pub(crate) fn log_name(self) -> &'static str {
         match self {
             Source::RelayWatch => "relay watch",
@@ -38,14 +38,14 @@
 pub(crate) struct SourceFailures(BTreeMap<Source, u32>);
 
 impl SourceFailures {
-    /// Counts a failure. True where it is the first since the source last worked.
+    /// Counts a failure. Returns true if it is the first since the source last worked.
     pub fn add(&mut self, source: Source) -> bool {
         let failures = self.0.entry(source).or_default();
         *failures += 1;
         *failures == 1
     }
 
-    /// The source works; returns the number of its failures, where it had failed.
+    /// Clears the failures of a source that works. Returns their number if there were any.
     pub fn clear(&mut self, source: Source) -> Option<u32> {
         self.0.remove(&source)
     }
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -1,5 +1,5 @@
-//! Which replicas this controller steers, where each controller of the fleet steers a subset of them. It is computed from
-//! the fleet's names and the registry alone, so that controllers with the same knowledge compute the same subsets.
+//! Computes the subset of replicas that this controller steers when subsetting is enabled. The only inputs are the
+//! fleet's names and the registry, so that controllers with the same inputs compute the same subsets.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use whinwall_management_api::messages::SubsettingStatus;
@@ -8,14 +8,14 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_subsetting::{Assignment, Membership, MembershipError, Parameters, Planner, Position, Replica};
 
-/// The time between two computations, each of some 10 ms at 650 controllers and 2,200 replicas. Changes of the registry
-/// are taken together meanwhile: a zone that comes back one replica at a time costs 1% of a core.
+/// The minimum time between two computations. Each takes about 10 ms at 650 controllers and 2,200 replicas. Changes
+/// of the registry are batched in between, so that a zone that comes back one replica at a time costs 1% of a core.
 const MIN_COMPUTE_INTERVAL: Span = Span::ms(1000);
 
-/// Where more than one in so many of the known replicas are new at once, they do not wait.
-const MANY_REPLICAS_DIVISOR: usize = 16;
+/// Subsets are computed at once if more than 1 / `IMMEDIATE_COMPUTE_DIVISOR` of the listed replicas are unassigned.
+const IMMEDIATE_COMPUTE_DIVISOR: usize = 16;
 
-/// The fleet that the operators' file names, as one of its controllers sees it.
+/// The fleet in the operators' file, from the point of view of one of its controllers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     own_name: String,
@@ -25,13 +25,13 @@
     bytes_per_second: u64,
 }
 
-/// Why a configuration cannot be that of this controller's fleet.
+/// The reason why a configuration is invalid for this controller.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FleetError {
-    /// The controller itself is not named.
+    /// The controller's own name is not in the configuration.
     #[error(transparent)]
     Unknown(#[from] UnknownMember),
-    /// The names are not a valid fleet.
+    /// The names do not form a valid fleet.
     #[error("<subsetting>: {0}")]
     Membership(#[from] MembershipError),
 }
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the controller's own name is not in it, or the names are not a valid fleet.
+    /// Fails if the controller's own name is not in the configuration, or the names do not form a valid fleet.
     pub fn new(config: &SubsettingConfig, own_name: &str) -> Result<Self, FleetError> {
         config.controller(own_name)?;
         Ok(Fleet {
@@ -53,19 +53,20 @@
         })
     }
 
-    /// What all controllers must agree on for computing the same.
+    /// The inputs that must be equal in all controllers for them to compute the same subsets.
     fn plan(&self) -> (&Membership, Parameters) {
         (&self.membership, self.parameters)
     }
 }
 
-/// The latest assignment of replicas to controllers, and what the next one needs.
+/// The latest assignment of replicas to controllers, and the inputs of the next one.
 #[derive(Debug)]
 pub(crate) struct Subsets {
     fleet: Fleet,
     planner: Planner,
     assignment: Assignment,
-    /// Of the registry that it was computed from; none where it has to be computed anew in any case.
+    /// The fingerprint of the registry that the assignment was computed from; `None` if it must be recomputed even if
+    /// the registry has not changed.
     fingerprint: Option<u64>,
     computed_at: Option<Moment>,
     own_replicas: usize,
@@ -73,7 +74,7 @@
 }
 
 impl Subsets {
-    /// Nothing is assigned before the first computation.
+    /// Starts with an empty assignment.
     pub fn new(fleet: Fleet) -> Self {
         let mut planner = Planner::new(fleet.membership.clone(), fleet.parameters);
         let assignment = planner.assign(&[]);
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Takes over a new configuration; the assignment stays until the next computation. True where the members or the
-    /// size of subsets changed.
+    /// Applies a new configuration; the assignment stays until the next computation. Returns true if the members or
+    /// the size of the subsets changed.
     pub fn reconfigure(&mut self, fleet: Fleet) -> bool {
         let changed = self.fleet.plan() != fleet.plan();
         if changed {
@@ -100,15 +101,16 @@
         changed
     }
 
-    /// When subsets are to be computed for a change of the registry that lists these replicas: at once where many are
-    /// new, as at a start, or else together with the changes that follow.
+    /// The time at which to compute subsets after a change of the registry that lists these replicas: at once if many
+    /// are unassigned, as after a start, otherwise [`MIN_COMPUTE_INTERVAL`] after the last computation, together with
+    /// the changes until then.
     pub fn compute_at<'a>(&self, now: Moment, listed: impl Iterator<Item = &'a str>) -> Moment {
         let unassigned = listed.filter(|replica| self.assignment.controllers_of(replica).is_empty()).count();
-        let are_many = unassigned * MANY_REPLICAS_DIVISOR > self.listed_replicas;
-        self.computed_at.filter(|_| !are_many).map_or(now, |at| now.max(at + MIN_COMPUTE_INTERVAL))
+        let is_immediate = unassigned * IMMEDIATE_COMPUTE_DIVISOR > self.listed_replicas;
+        self.computed_at.filter(|_| !is_immediate).map_or(now, |at| now.max(at + MIN_COMPUTE_INTERVAL))
     }
 
-    /// Computes the assignment where the registry or the fleet changed. True where it did.
+    /// Computes the assignment if the registry or the fleet changed. Returns true if it was computed.
     pub fn compute(&mut self, now: Moment, registry: &[Replica]) -> bool {
         let fingerprint = Some(fingerprint(registry));
         if self.fingerprint == fingerprint {
@@ -120,7 +122,7 @@
         true
     }
 
-    /// Which controllers steer a replica. One that is not assigned yet is left to others until it is.
+    /// The controllers that steer a replica. A replica that is not assigned yet is treated as steered by others.
     pub fn membership(&self, replica: &str) -> SubsetMembership {
         match self.assignment.position(replica, &self.fleet.own_name) {
             Some(Position { controllers, position }) => SubsetMembership::Subset { controllers, position },
@@ -128,7 +130,7 @@
         }
     }
 
-    /// What the management API shows.
+    /// The status for the management API.
     pub fn status(&self) -> SubsettingStatus {
         SubsettingStatus {
             controllers: self.fleet.membership.len(),
@@ -141,7 +143,7 @@
     }
 }
 
-/// Registries with the same fingerprint are taken for the same.
+/// A hash of the registry; registries with the same fingerprint are treated as equal.
 fn fingerprint(registry: &[Replica]) -> u64 {
     let mut hasher = DefaultHasher::new();
     for Replica { id, zone, group, weight } in registry {
--- a/crates/routing/src/timers.rs
+++ b/crates/routing/src/timers.rs
@@ -1,26 +1,26 @@
-//! What is to be done at a later time.
+//! Timers of the reducer.
 
 use std::collections::BTreeSet;
 use whinwall_policy::time::Moment;
 
-/// What a timer is for. Of timers that are due at the same time, those further up come first.
+/// The purpose of a timer. Timers that are due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A timer of the policy, with its token.
     Policy(u64),
     /// The backoff of relay requests ends.
     RelayRequest,
-    /// The relay watch is opened again.
+    /// The relay watch is reopened.
     RelayWatch,
-    /// The registry watch is opened again.
+    /// The registry watch is reopened.
     RegistryWatch,
-    /// The registry watch has reported no change for a while, and is opened anew beside itself.
+    /// The registry watch has reported no change for a while; a second one is opened to replace it.
     RegistryRenewal,
-    /// Subsets are computed for the registry as it is by then.
+    /// Subsets are computed from the current registry.
     Subsets,
 }
 
-/// The timers that run.
+/// The running timers, in the order in which they fire.
 #[derive(Default)]
 pub(crate) struct Timers(BTreeSet<(Moment, Timer)>);
 
@@ -29,22 +29,22 @@
         self.0.insert((at, timer));
     }
 
-    /// Stops all timers for this purpose.
+    /// Cancels all timers for this purpose.
     pub fn cancel(&mut self, timer: Timer) {
         self.0.retain(|(_, running)| *running != timer);
     }
 
-    /// When the first timer for this purpose is due.
+    /// The time at which the first timer for this purpose is due.
     pub fn due_at(&self, timer: Timer) -> Option<Moment> {
         self.0.iter().find(|(_, running)| *running == timer).map(|(at, _)| *at)
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due.
     pub fn next_at(&self) -> Option<Moment> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Stops and returns the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub fn pop_due(&mut self, now: Moment) -> Option<Timer> {
         let (_, timer) = self.0.first().copied().filter(|(at, _)| *at <= now)?;
         self.0.pop_first();
