--- a/crates/controller/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -31,7 +31,7 @@
             for replica in 0..REPLICAS {
                 let subject = Subject::Replica(replica);
                 let line = ReportLine { subject, from, at, window: Span::ms(1000), line_count: 1.0 };
-                divan::black_box(coverage.count(&line));
+                divan::black_box(coverage.count_line(&line));
             }
         }
     });
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -170,8 +170,8 @@
                 self.send_command(to, ConnectionCommand::Send(collector::encode(collector::Reply::Pong)));
             }
             Effect::Admit { to } => self.send_command(to, ConnectionCommand::MarkAuthenticated),
-            Effect::Disconnect { to, why } => {
-                let close_reason = why.map(|why| collector::encode(collector::Reply::Nack { why }));
+            Effect::Disconnect { to, reason } => {
+                let close_reason = reason.map(|why| collector::encode(collector::Reply::Nack { why }));
                 self.send_command(to, ConnectionCommand::Close(close_reason));
             }
             Effect::RelayRequest { relay, line, needs_new_connection } => {
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use whinwall_ingest::reorder::Ready;
+use whinwall_ingest::reorder::ReadyChunks;
 use whinwall_management_api::messages::{Reply, Request};
 use whinwall_management_api::server::PendingRequest;
 use whinwall_override_store::storage_thread::StoreReply;
@@ -78,7 +78,7 @@
         self.dispatcher.set_connection(from, commands);
         match collector::decode(line) {
             Ok(message) => Event::Message { from, message },
-            Err(error) => Event::Invalid { from, error },
+            Err(error) => Event::InvalidMessage { from, error },
         }
     }
 
@@ -152,7 +152,7 @@
         self.apply_ready(from, ready);
     }
 
-    fn apply_ready(&mut self, from: ConnectionId, ready: Ready<ReportBatch>) {
+    fn apply_ready(&mut self, from: ConnectionId, ready: ReadyChunks<ReportBatch>) {
         for batch in ready.chunks {
             let info = batch.info;
             tracing::debug!(connection = from, chunk = info.number, reader = batch.reader, "chunk decoded");
@@ -175,7 +175,7 @@
         match item {
             BatchItem::Reports(reports) => Event::Reports { from, reports },
             BatchItem::Message(message) => Event::Message { from, message },
-            BatchItem::Invalid(error) => Event::Invalid { from, error },
+            BatchItem::Invalid(error) => Event::InvalidMessage { from, error },
             BatchItem::Panicked => {
                 tracing::error!(connection = from, "panic while decoding a chunk, connection closed");
                 self.dispatcher.send_command(from, ConnectionCommand::Close(None));
--- a/crates/controller/src/program/reader_pool.rs
+++ b/crates/controller/src/program/reader_pool.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, watch};
 use whinwall_ingest::liveness::{LivenessMonitor, ReaderEvent};
 use whinwall_ingest::partition::Partitioner;
-use whinwall_ingest::reorder::{Ready, ReorderBuffer};
+use whinwall_ingest::reorder::{ReadyChunks, ReorderBuffer};
 use whinwall_ingest::ReaderId;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_routing::report_names::ReportNames;
@@ -177,7 +177,7 @@
             self.partitioner.remove(id);
             return false;
         }
-        self.reorder.open(id);
+        self.reorder.open_connection(id);
         self.sockets.insert(id, socket);
         true
     }
@@ -202,22 +202,22 @@
     }
 
     /// Takes a batch from a reader, and returns those of its connection that are ready, in order.
-    pub fn accept_batch(&mut self, now: Moment, batch: ReportBatch) -> Ready<ReportBatch> {
+    pub fn accept_batch(&mut self, now: Moment, batch: ReportBatch) -> ReadyChunks<ReportBatch> {
         let (from, number) = (batch.info.from, batch.info.number);
         self.partitioner.add_bytes(from, batch.info.bytes);
-        self.reorder.insert(now, from, number, batch)
+        self.reorder.insert_chunk(now, from, number, batch)
     }
 
     /// The connection has ended after so many chunks.
-    pub fn end_connection(&mut self, now: Moment, id: ConnectionId, chunks: u64) -> Ready<ReportBatch> {
+    pub fn end_connection(&mut self, now: Moment, id: ConnectionId, chunks: u64) -> ReadyChunks<ReportBatch> {
         self.partitioner.remove(id);
         self.sockets.remove(&id);
-        self.reorder.end(now, id, chunks)
+        self.reorder.end_connection(now, id, chunks)
     }
 
     fn close_connections(&mut self, ids: Vec<ConnectionId>) -> PoolEvent {
         for id in &ids {
-            self.reorder.abandon(*id);
+            self.reorder.abandon_connection(*id);
             self.partitioner.remove(*id);
             if let Some(socket) = self.sockets.remove(id) {
                 // It fails where the peer has closed the connection already.
--- a/crates/controller/tests/collector_wire.rs
+++ b/crates/controller/tests/collector_wire.rs
@@ -152,7 +152,7 @@
     let mut rig = Rig::new();
     rig.collector_line(1, LOAD);
     let told = rig.other_effects.iter().find_map(|effect| match effect {
-        Effect::Disconnect { to: 1, why: Some(why) } => Some(encode(Reply::Nack { why })),
+        Effect::Disconnect { to: 1, reason: Some(why) } => Some(encode(Reply::Nack { why })),
         _ => None,
     });
     let expected = r#"{"@type":"NACK","why":"of no use from whoever has not joined"}"#;
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -14,7 +14,7 @@
 use whinwall_controller::program::metrics::ReaderMetrics;
 use whinwall_controller::program::reader::{BatchItem, ReaderStage, ReportBatch, StageHook};
 use whinwall_controller::program::reader_pool::{PoolConfig, PoolEvent, PoolHandle, ReaderPool};
-use whinwall_ingest::reorder::Ready;
+use whinwall_ingest::reorder::ReadyChunks;
 use whinwall_policy::api::ReportBody;
 use whinwall_protocol::collector::Message;
 use whinwall_routing::report_names::ReportNames;
@@ -51,7 +51,7 @@
 }
 
 impl OwnerState {
-    fn apply(&self, from: ConnectionId, ready: Ready<ReportBatch>) {
+    fn apply(&self, from: ConnectionId, ready: ReadyChunks<ReportBatch>) {
         let mut counted = self.counted.lock().unwrap();
         for batch in ready.chunks {
             for item in batch.items {
--- a/crates/controller/tests/reducer_reports.rs
+++ b/crates/controller/tests/reducer_reports.rs
@@ -60,7 +60,7 @@
         rig.collector_line(1, line);
         assert_eq!(
             rig.other_effects,
-            [Effect::Disconnect { to: 1, why: None }],
+            [Effect::Disconnect { to: 1, reason: None }],
             "{line}: a collector is told nothing"
         );
         rig.collector_line(1, spoilt[0]);
@@ -83,7 +83,7 @@
         rig.other_effects.clear();
         rig.collector_line(1, line);
         assert!(
-            matches!(rig.other_effects[..], [Effect::Disconnect { to: 1, why: Some(_) }]),
+            matches!(rig.other_effects[..], [Effect::Disconnect { to: 1, reason: Some(_) }]),
             "{line}: {:?}",
             rig.other_effects
         );
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -214,18 +214,18 @@
 #[test]
 fn time_covered_by_another_connection_does_not_count() {
     let mut coverage = ReportCoverage::default();
-    let first = coverage.count(&line(1, 1000, 1000)).unwrap();
+    let first = coverage.count_line(&line(1, 1000, 1000)).unwrap();
     assert_eq!((first.fraction, first.continuity), (1.0, Continuity::Unknown));
-    let second = coverage.count(&line(2, 1250, 1000)).unwrap();
+    let second = coverage.count_line(&line(2, 1250, 1000)).unwrap();
     assert_eq!(
         (second.fraction, second.window, second.continuity),
         (0.25, Span::ms(250), Continuity::Continuous)
     );
-    assert_eq!(coverage.count(&line(1, 1250, 1000)), None, "all of it is covered");
-    assert_eq!(coverage.count(&line(1, 1200, 1000)), None, "it comes late");
-    let next = coverage.count(&line(2, 2150, 1000)).unwrap();
+    assert_eq!(coverage.count_line(&line(1, 1250, 1000)), None, "all of it is covered");
+    assert_eq!(coverage.count_line(&line(1, 1200, 1000)), None, "it comes late");
+    let next = coverage.count_line(&line(2, 2150, 1000)).unwrap();
     assert_eq!((next.fraction, next.window), (1.0, Span::ms(1000)), "one connection's lines do not overlap");
-    let third = coverage.count(&line(1, 2500, 1000)).unwrap();
+    let third = coverage.count_line(&line(1, 2500, 1000)).unwrap();
     assert_eq!((third.fraction, third.window), (0.25, Span::ms(250)));
     assert_eq!(coverage.len(), 1);
 }
@@ -233,21 +233,21 @@
 #[test]
 fn gap_is_known_and_filled_at_the_rate_of_the_line_that_ends_it() {
     let mut coverage = ReportCoverage::default();
-    coverage.count(&line(1, 1000, 1000));
-    let jitter = coverage.count(&line(2, 2250, 1000)).unwrap();
+    coverage.count_line(&line(1, 1000, 1000));
+    let jitter = coverage.count_line(&line(2, 2250, 1000)).unwrap();
     assert_eq!((jitter.fraction, jitter.continuity), (1.25, Continuity::Continuous));
-    let gap = coverage.count(&line(1, 6250, 1000)).unwrap();
+    let gap = coverage.count_line(&line(1, 6250, 1000)).unwrap();
     assert_eq!(
         (gap.fraction, gap.window, gap.continuity),
         (4.0, Span::ms(4000), Continuity::Gap(Span::ms(3000)))
     );
-    let long = coverage.count(&line(2, 60_000, 1000)).unwrap();
+    let long = coverage.count_line(&line(2, 60_000, 1000)).unwrap();
     assert_eq!((long.fraction, long.window, long.continuity), (1.0, Span::ms(1000), Continuity::Unknown));
-    let same = coverage.count(&line(2, 90_000, 1000)).unwrap();
+    let same = coverage.count_line(&line(2, 90_000, 1000)).unwrap();
     assert_eq!((same.fraction, same.continuity), (1.0, Continuity::Gap(Span::ms(29_000))));
     let slice = |from, at_ms| ReportLine { subject: Subject::Slice(3, 0), ..line(from, at_ms, 1000) };
-    coverage.count(&slice(1, 1000));
-    let same = coverage.count(&slice(1, 90_000)).unwrap();
+    coverage.count_line(&slice(1, 1000));
+    let same = coverage.count_line(&slice(1, 90_000)).unwrap();
     assert_eq!(
         same.continuity,
         Continuity::Continuous,
@@ -276,7 +276,8 @@
         lines.sort_by_key(|line| line.at);
         let (Some(first), Some(last)) = (lines.first(), lines.last()) else { return true };
         let time = (last.at - first.at).seconds() + 1.0;
-        let counted: f64 = lines.iter().filter_map(|line| coverage.count(line)).map(|c| c.fraction).sum();
+        let counted: f64 =
+            lines.iter().filter_map(|line| coverage.count_line(line)).map(|c| c.fraction).sum();
         (counted - time).abs() <= 0.2 + 1e-6
     }
     quickcheck::QuickCheck::new().tests(2000).quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
@@ -609,11 +610,12 @@
 fn simultaneous_lines_count_alike_one_by_one_and_summed() {
     let (mut one_by_one, mut summed) = (ReportCoverage::default(), ReportCoverage::default());
     for coverage in [&mut one_by_one, &mut summed] {
-        coverage.count(&line(1, 1000, 1000));
+        coverage.count_line(&line(1, 1000, 1000));
     }
     let late = line(2, 1300, 1000);
-    let shares: f64 = (0..3).filter_map(|_| one_by_one.count(&late)).map(|counted| counted.fraction).sum();
-    let counted = summed.count(&ReportLine { line_count: 3.0, ..late }).unwrap();
+    let shares: f64 =
+        (0..3).filter_map(|_| one_by_one.count_line(&late)).map(|counted| counted.fraction).sum();
+    let counted = summed.count_line(&ReportLine { line_count: 3.0, ..late }).unwrap();
     assert!((3.0 * counted.fraction - shares).abs() < 1e-9, "{counted:?} and {shares}");
 }
 
--- a/crates/controller/tests/support/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -119,7 +119,7 @@
     pub fn collector_line(&mut self, from: u64, line: &str) {
         self.apply(match collector::decode(line) {
             Ok(message) => Event::Message { from, message },
-            Err(error) => Event::Invalid { from, error },
+            Err(error) => Event::InvalidMessage { from, error },
         });
     }
 
--- a/crates/ingest/src/reorder.rs
+++ b/crates/ingest/src/reorder.rs
@@ -21,16 +21,16 @@
 
 /// The chunks of one connection that are ready.
 #[derive(Debug, PartialEq)]
-pub struct Ready<C> {
+pub struct ReadyChunks<C> {
     /// The chunks, in order.
     pub chunks: Vec<C>,
     /// True if the connection has ended and these are its last chunks.
     pub is_ended: bool,
 }
 
-impl<C> Default for Ready<C> {
+impl<C> Default for ReadyChunks<C> {
     fn default() -> Self {
-        Ready { chunks: Vec::new(), is_ended: false }
+        ReadyChunks { chunks: Vec::new(), is_ended: false }
     }
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// Opens a connection. Its chunks are numbered from 0.
-    pub fn open(&mut self, id: ConnectionId) {
+    pub fn open_connection(&mut self, id: ConnectionId) {
         self.connections.entry(id).or_insert_with(|| ConnectionQueue {
             next_number: 0,
             early: BTreeMap::new(),
@@ -68,11 +68,11 @@
     }
 
     /// Adds a chunk, and returns the chunks of its connection that are ready now.
-    pub fn insert(&mut self, now: Moment, id: ConnectionId, number: u64, chunk: C) -> Ready<C> {
+    pub fn insert_chunk(&mut self, now: Moment, id: ConnectionId, number: u64, chunk: C) -> ReadyChunks<C> {
         let queue = self.connections.get_mut(&id);
         let Some(queue) = queue.filter(|queue| number >= queue.next_number) else {
             self.late_chunks += 1;
-            return Ready::default();
+            return ReadyChunks::default();
         };
         if queue.early.insert(number, chunk).is_some() {
             self.late_chunks += 1;
@@ -81,14 +81,14 @@
     }
 
     /// Ends a connection after `total` chunks, and returns the chunks that are ready now.
-    pub fn end(&mut self, now: Moment, id: ConnectionId, total: u64) -> Ready<C> {
-        let Some(queue) = self.connections.get_mut(&id) else { return Ready::default() };
+    pub fn end_connection(&mut self, now: Moment, id: ConnectionId, total: u64) -> ReadyChunks<C> {
+        let Some(queue) = self.connections.get_mut(&id) else { return ReadyChunks::default() };
         queue.total = Some(total);
         self.take_ready(now, id)
     }
 
-    fn take_ready(&mut self, now: Moment, id: ConnectionId) -> Ready<C> {
-        let Some(queue) = self.connections.get_mut(&id) else { return Ready::default() };
+    fn take_ready(&mut self, now: Moment, id: ConnectionId) -> ReadyChunks<C> {
+        let Some(queue) = self.connections.get_mut(&id) else { return ReadyChunks::default() };
         let mut chunks = Vec::new();
         while let Some(chunk) = queue.early.remove(&queue.next_number) {
             chunks.push(chunk);
@@ -102,12 +102,12 @@
         if is_ended {
             self.connections.remove(&id);
         }
-        Ready { chunks, is_ended }
+        ReadyChunks { chunks, is_ended }
     }
 
     /// Removes a connection. Chunks of it that still arrive count as late. Returns false if the connection is
     /// unknown.
-    pub fn abandon(&mut self, id: ConnectionId) -> bool {
+    pub fn abandon_connection(&mut self, id: ConnectionId) -> bool {
         self.connections.remove(&id).is_some()
     }
 
@@ -120,7 +120,7 @@
         let overdue: Vec<_> =
             self.connections.iter().filter(|(_, queue)| is_overdue(queue)).map(|(id, _)| *id).collect();
         for id in &overdue {
-            self.abandon(*id);
+            self.abandon_connection(*id);
         }
         overdue
     }
--- a/crates/ingest/tests/ingest.rs
+++ b/crates/ingest/tests/ingest.rs
@@ -50,34 +50,34 @@
 #[test]
 fn chunks_of_a_connection_are_ready_in_order_independently_of_other_connections() {
     let mut buffer = ReorderBuffer::new(Span::ms(1000));
-    buffer.open(1);
-    buffer.open(2);
-    assert!(buffer.insert(at(0), 1, 1, "b").chunks.is_empty());
-    assert_eq!(buffer.insert(at(0), 2, 0, "x").chunks, ["x"]);
-    assert!(!buffer.end(at(0), 1, 3).is_ended, "two chunks are missing");
-    assert_eq!(buffer.insert(at(0), 1, 0, "a").chunks, ["a", "b"]);
-    let ready = buffer.insert(at(0), 1, 2, "c");
+    buffer.open_connection(1);
+    buffer.open_connection(2);
+    assert!(buffer.insert_chunk(at(0), 1, 1, "b").chunks.is_empty());
+    assert_eq!(buffer.insert_chunk(at(0), 2, 0, "x").chunks, ["x"]);
+    assert!(!buffer.end_connection(at(0), 1, 3).is_ended, "two chunks are missing");
+    assert_eq!(buffer.insert_chunk(at(0), 1, 0, "a").chunks, ["a", "b"]);
+    let ready = buffer.insert_chunk(at(0), 1, 2, "c");
     assert_eq!((ready.chunks, ready.is_ended), (vec!["c"], true));
-    assert!(buffer.insert(at(0), 1, 3, "d").chunks.is_empty());
-    assert!(buffer.insert(at(0), 2, 0, "x again").chunks.is_empty());
+    assert!(buffer.insert_chunk(at(0), 1, 3, "d").chunks.is_empty());
+    assert!(buffer.insert_chunk(at(0), 2, 0, "x again").chunks.is_empty());
     assert_eq!((buffer.late_chunks(), size(&buffer)), (2, (1, 0)));
-    assert!(buffer.end(at(0), 2, 1).is_ended, "nothing is missing");
+    assert!(buffer.end_connection(at(0), 2, 1).is_ended, "nothing is missing");
 }
 
 #[test]
 fn missing_chunk_ends_its_connection_after_the_timeout_and_no_other() {
     let mut buffer = ReorderBuffer::new(Span::ms(1000));
-    (1..=3).for_each(|id| buffer.open(id));
-    buffer.insert(at(0), 1, 1, "later");
-    buffer.insert(at(500), 2, 0, "in time");
+    (1..=3).for_each(|id| buffer.open_connection(id));
+    buffer.insert_chunk(at(0), 1, 1, "later");
+    buffer.insert_chunk(at(500), 2, 0, "in time");
     // A connection without later chunks has no gap, however long it was idle.
     assert_eq!(buffer.next_timeout_at(), Some(at(1000)));
     assert_eq!(buffer.take_overdue(at(1000)), []);
     assert_eq!(buffer.take_overdue(at(1001)), [1]);
-    assert!(buffer.insert(at(1002), 1, 0, "too late").chunks.is_empty(), "a late chunk is dropped");
-    assert_eq!(buffer.insert(at(1002), 2, 1, "goes on").chunks, ["goes on"]);
+    assert!(buffer.insert_chunk(at(1002), 1, 0, "too late").chunks.is_empty(), "a late chunk is dropped");
+    assert_eq!(buffer.insert_chunk(at(1002), 2, 1, "goes on").chunks, ["goes on"]);
     // A connection that has ended with chunks missing has a gap, too.
-    buffer.end(at(2000), 3, 2);
+    buffer.end_connection(at(2000), 3, 2);
     assert_eq!(buffer.take_overdue(at(3001)), [3]);
     assert_eq!((size(&buffer), buffer.next_timeout_at()), ((1, 0), None));
 }
@@ -108,13 +108,13 @@
         let mut buffer = ReorderBuffer::new(Span::ms(1000));
         let mut counted: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
         let mut ended = BTreeSet::new();
-        (0..5).for_each(|id| buffer.open(id));
+        (0..5).for_each(|id| buffer.open_connection(id));
         let chunk_count = |id| shuffled.0.iter().filter(|(connection, _)| *connection == id).count() as u64;
         for (position, (id, number)) in shuffled.0.iter().enumerate() {
-            let mut outcomes = vec![buffer.insert(at(0), *id, *number, *number)];
+            let mut outcomes = vec![buffer.insert_chunk(at(0), *id, *number, *number)];
             // The end of a connection is reported at arbitrary times, mostly before all of its chunks have arrived.
             if position % 3 == 0 {
-                outcomes.push(buffer.end(at(0), *id, chunk_count(*id)));
+                outcomes.push(buffer.end_connection(at(0), *id, chunk_count(*id)));
             }
             for ready in outcomes {
                 counted.entry(*id).or_default().extend(ready.chunks);
@@ -122,7 +122,7 @@
             }
         }
         for id in 0..5 {
-            if buffer.end(at(0), id, chunk_count(id)).is_ended {
+            if buffer.end_connection(at(0), id, chunk_count(id)).is_ended {
                 assert!(ended.insert(id));
             }
             let all: Vec<_> = (0..chunk_count(id)).collect();
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -41,7 +41,7 @@
     /// This number of bytes arrived from collectors.
     ReportBytes(u64),
     /// A line at the controller's own address is not a valid message.
-    Invalid {
+    InvalidMessage {
         /// The connection it arrived on.
         from: ConnectionId,
         /// The decoding error.
@@ -114,7 +114,7 @@
         /// The connection to close.
         to: ConnectionId,
         /// The reason to send, if any.
-        why: Option<&'static str>,
+        reason: Option<&'static str>,
     },
     /// Send a request to the relay.
     RelayRequest {
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -101,7 +101,7 @@
                 self.subsetting_configured(now, fleet);
             }
             Event::Message { from, message } => self.message_received(now, from, message),
-            Event::Invalid { from, error } => self.invalid_message_received(from, error),
+            Event::InvalidMessage { from, error } => self.invalid_message_received(from, error),
             Event::Reports { from, reports } => self.reports_received(now, from, reports),
             Event::ReportBytes(bytes) => self.report_bytes_received(now, bytes),
             Event::Disconnected(from) => _ = self.collectors.remove(&from),
--- a/crates/routing/src/reducer/peers.rs
+++ b/crates/routing/src/reducer/peers.rs
@@ -42,8 +42,8 @@
                 if was_authenticated {
                     self.log(LogEvent::CollectorDisconnected { reason: error.to_string() });
                 }
-                let why = (!was_authenticated).then_some(UNREADABLE);
-                self.effects.push(Effect::Disconnect { to: from, why });
+                let reason = (!was_authenticated).then_some(UNREADABLE);
+                self.effects.push(Effect::Disconnect { to: from, reason });
             }
         }
     }
@@ -54,7 +54,7 @@
         if self.collectors.contains(&from) {
             self.log(LogEvent::ReportIgnored { reason: reason.to_string() });
         } else {
-            self.effects.push(Effect::Disconnect { to: from, why: Some(NOT_AUTHENTICATED) });
+            self.effects.push(Effect::Disconnect { to: from, reason: Some(NOT_AUTHENTICATED) });
         }
     }
 
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -201,7 +201,7 @@
             self.coverage.forget_connections();
         }
         let line = ReportLine { subject, from, at: report.at, window, line_count: report.line_count };
-        let Some(counted) = self.coverage.count(&line) else { return false };
+        let Some(counted) = self.coverage.count_line(&line) else { return false };
         if counted.continuity == Continuity::Unknown {
             policy.observed_since(report_subject, report.at - window);
         }
--- a/crates/routing/src/report_coverage.rs
+++ b/crates/routing/src/report_coverage.rs
@@ -79,7 +79,7 @@
 impl ReportCoverage {
     /// Records a line and returns the part of it that counts. Returns `None`, and records nothing, if another
     /// connection already covers all of its window.
-    pub fn count(&mut self, line: &ReportLine) -> Option<Counted> {
+    pub fn count_line(&mut self, line: &ReportLine) -> Option<Counted> {
         let previous = self.covered.get(&line.subject).copied();
         let (counted, until) = match previous {
             None => (count_all(line, Continuity::Unknown), line.at),
