--- a/crates/ingest/src/aggregate.rs
+++ b/crates/ingest/src/aggregate.rs
@@ -63,7 +63,7 @@
             ReportBody::Endpoint { report: sum, latest_latency, .. },
             ReportBody::Endpoint { report, latest_latency: later_latency, .. },
         ) => {
-            if succeeded(&report) > 0.0 {
+            if succeeded_attempts(&report) > 0.0 {
                 *latest_latency = later_latency;
             }
             add_endpoint_report(sum, &report);
@@ -78,7 +78,7 @@
 }
 
 fn add_endpoint_report(sum: &mut EndpointReport, report: &EndpointReport) {
-    let (sum_succeeded, report_succeeded) = (succeeded(sum), succeeded(report));
+    let (sum_succeeded, report_succeeded) = (succeeded_attempts(sum), succeeded_attempts(report));
     let latency = sum.mean_latency.times(sum_succeeded) + report.mean_latency.times(report_succeeded);
     let all_succeeded = sum_succeeded + report_succeeded;
     if all_succeeded > 0.0 {
@@ -88,7 +88,7 @@
     sum.failed += report.failed;
 }
 
-fn succeeded(report: &EndpointReport) -> f64 {
+fn succeeded_attempts(report: &EndpointReport) -> f64 {
     (report.attempts - report.failed).max(0.0)
 }
 
--- a/crates/ingest/src/liveness.rs
+++ b/crates/ingest/src/liveness.rs
@@ -8,13 +8,13 @@
 /// ten times in this period.
 const HEARTBEAT_TIMEOUT: Span = Span::ms(1000);
 /// If two checks are further apart than this, the whole machine may have paused, and heartbeat time-outs start again.
-const CHECK_GAP: Span = Span::ms(400);
+const MAX_CHECK_GAP: Span = Span::ms(400);
 /// The backoff before the first restart of a reader; doubled with each further restart.
 const FIRST_RESTART_BACKOFF: Span = Span::ms(100);
 /// The maximum backoff before a restart.
 const MAX_RESTART_BACKOFF: Span = Span::ms(10_000);
 /// The backoff of a reader that has run for longer than this is reset to the first one.
-const BACKOFF_RESET: Span = Span::ms(60_000);
+const BACKOFF_RESET_AFTER: Span = Span::ms(60_000);
 
 /// The finding of a check of one reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
 
     /// Begins a round of checks. Call [`LivenessMonitor::check`] for each reader after it.
     pub fn begin_check(&mut self, now: Moment) {
-        if now - self.last_check > CHECK_GAP {
+        if now - self.last_check > MAX_CHECK_GAP {
             for reader in &mut self.readers {
                 if let ReaderState::Running { last_progress, .. } = &mut reader.state {
                     *last_progress = now;
@@ -102,7 +102,7 @@
                 None
             }
             ReaderState::Running { since, .. } => {
-                if now - *since > BACKOFF_RESET {
+                if now - *since > BACKOFF_RESET_AFTER {
                     *backoff = FIRST_RESTART_BACKOFF;
                 }
                 *state = ReaderState::Stopped { restart_at: now + *backoff };
--- a/crates/routing/src/reducer/endpoint_list.rs
+++ b/crates/routing/src/reducer/endpoint_list.rs
@@ -59,7 +59,7 @@
         if age != ListAge::Current {
             // A lagging agent can add replicas, but its list is outdated: it neither removes replicas by not listing
             // them nor makes them ready again.
-            listings.retain(|listing| !self.is_outdated_return(listing));
+            listings.retain(|listing| !self.is_outdated_ready_listing(listing));
             scope = ListScope::Changes;
         }
         if age == ListAge::Restarted {
@@ -75,7 +75,7 @@
     }
 
     /// Returns true if a replica that is draining or gone is listed as ready without having restarted.
-    fn is_outdated_return(&self, listing: &ReplicaListing) -> bool {
+    fn is_outdated_ready_listing(&self, listing: &ReplicaListing) -> bool {
         let known = self.policy.replica_state(listing.replica);
         listing.state == ReplicaState::Ready
             && known
--- a/crates/routing/src/reducer/peers.rs
+++ b/crates/routing/src/reducer/peers.rs
@@ -11,8 +11,8 @@
 use whinwall_transport::ConnectionId;
 
 /// The reasons for closing a connection that are sent to the peer; part of the protocol.
-const UNREADABLE: &str = "unreadable";
-const NOT_AUTHENTICATED: &str = "of no use from whoever has not joined";
+const UNREADABLE_REASON: &str = "unreadable";
+const NOT_AUTHENTICATED_REASON: &str = "of no use from whoever has not joined";
 
 impl Reducer {
     pub(super) fn message_received(&mut self, now: Moment, from: ConnectionId, message: Message) {
@@ -42,7 +42,7 @@
                 if was_authenticated {
                     self.log(LogEvent::CollectorDisconnected { reason: error.to_string() });
                 }
-                let reason = (!was_authenticated).then_some(UNREADABLE);
+                let reason = (!was_authenticated).then_some(UNREADABLE_REASON);
                 self.effects.push(Effect::Disconnect { to: from, reason });
             }
         }
@@ -54,7 +54,7 @@
         if self.collectors.contains(&from) {
             self.log(LogEvent::ReportIgnored { reason: reason.to_string() });
         } else {
-            self.effects.push(Effect::Disconnect { to: from, reason: Some(NOT_AUTHENTICATED) });
+            self.effects.push(Effect::Disconnect { to: from, reason: Some(NOT_AUTHENTICATED_REASON) });
         }
     }
 
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -123,7 +123,7 @@
 
     /// Lets a request that may have been applied be resent only if the rate limit allows for applying it twice (see
     /// *Rate limiting* in [`whinwall_policy`]); otherwise holds it.
-    fn resend_if_capacity(&mut self, now: Moment) {
+    fn check_resend_capacity(&mut self, now: Moment) {
         self.commands.outbox.drop_acknowledged();
         let Some(version) = self.commands.outbox.possibly_applied_version() else { return };
         if self.policy.may_resend(now, version) {
@@ -145,7 +145,7 @@
 
     /// Sends the next request unless one is in flight.
     pub(super) fn send_next_request(&mut self, now: Moment) {
-        self.resend_if_capacity(now);
+        self.check_resend_capacity(now);
         if let Some(request) = self.commands.outbox.send_next() {
             self.commands.counts.sent += 1;
             let label = self.commands.outbox.label();
@@ -162,13 +162,13 @@
         let is_view_current = self.relay.snapshot.tables_complete_at().is_none() && !self.relay.needs_reread;
         if !(self.commands.outbox.is_empty() && is_view_current) {
             for action in self.policy.take_background_actions() {
-                _ = self.command_for(now, action);
+                _ = self.command_for_action(now, action);
             }
             return;
         }
         let actions = self.policy.collect_actions(now);
         let commands: Vec<_> =
-            actions.into_iter().filter_map(|action| self.command_for(now, action)).collect();
+            actions.into_iter().filter_map(|action| self.command_for_action(now, action)).collect();
         let changed_slices = commands.iter().filter_map(Command::slice);
         let first_granted = &self.relay.first_granted_slices;
         self.relay
@@ -201,7 +201,7 @@
     }
 
     /// The command for an action. An action that is local to this controller is executed here and has no command.
-    fn command_for(&mut self, now: Moment, action: Action) -> Option<Command> {
+    fn command_for_action(&mut self, now: Moment, action: Action) -> Option<Command> {
         Some(match action {
             Action::SetEndpoint { slice, replica, weight } => {
                 let name = self.names.name(replica)?;
--- a/crates/routing/src/reducer/relay_watch.rs
+++ b/crates/routing/src/reducer/relay_watch.rs
@@ -88,14 +88,14 @@
     }
 
     /// Applies the routing tables for which no further endpoint is expected.
-    pub(super) fn take_complete_tables(&mut self, now: Moment) {
+    pub(super) fn apply_complete_tables(&mut self, now: Moment) {
         let tables = self.relay.snapshot.take_complete_tables(now);
-        self.tables_granted(now, tables);
+        self.apply_tables(now, tables);
     }
 
     /// Passes each slice to the policy together with all of its endpoints. If the policy got a grant first and the
     /// endpoints later, or the watch failed in between, it would treat the routing table as empty and fill it.
-    fn tables_granted(&mut self, now: Moment, tables: BTreeMap<SliceId, RoutingTable>) {
+    fn apply_tables(&mut self, now: Moment, tables: BTreeMap<SliceId, RoutingTable>) {
         let is_snapshot = self.relay.snapshot.is_in_progress();
         for (slice, table) in tables {
             // After an interruption of the watch most routing tables equal the known ones or are explained by pending
@@ -122,7 +122,7 @@
     /// Completes the snapshot, and removes proxies and slices that are not in it.
     fn finish_snapshot(&mut self, now: Moment) {
         let tables = self.relay.snapshot.take_all_tables();
-        self.tables_granted(now, tables);
+        self.apply_tables(now, tables);
         let Some(contents) = self.relay.snapshot.finish() else { return };
         self.relay.first_granted_slices.clear();
         self.relay.needs_reread = false;
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -55,7 +55,7 @@
     /// Computes the subsets from the known registry, and passes changes to the policy.
     pub(super) fn compute_subsets(&mut self, now: Moment) {
         let Some(subsets) = &mut self.subsets else { return };
-        if subsets.compute(now, &registry(&self.names, &self.policy, &self.settings.zones)) {
+        if subsets.compute(now, &registry_replicas(&self.names, &self.policy, &self.settings.zones)) {
             self.apply_memberships(now);
         }
     }
@@ -90,7 +90,11 @@
 
 /// The replicas that are listed and not gone, with the zones of the registry. Aggregators, which have no settings,
 /// compute the same subsets from the same zones.
-fn registry<'a>(names: &'a ReplicaNames, policy: &'a Policy, zones: &'a [String]) -> Vec<Replica<'a>> {
+fn registry_replicas<'a>(
+    names: &'a ReplicaNames,
+    policy: &'a Policy,
+    zones: &'a [String],
+) -> Vec<Replica<'a>> {
     let replica = |(name, replica): (&'a String, &ReplicaId)| {
         let listed = policy.listed_replica(*replica)?;
         let named = zones.get(listed.zone).map(String::as_str);
--- a/crates/routing/src/reducer/timers.rs
+++ b/crates/routing/src/reducer/timers.rs
@@ -25,7 +25,7 @@
             self.change_overrides(now, |overrides| overrides.manager.tick(now));
         }
         self.check_report_freshness(now);
-        self.take_complete_tables(now);
+        self.apply_complete_tables(now);
         self.issue_commands(now);
         self.send_next_request(now);
         self.schedule_wake_up();
--- a/crates/routing/src/report_stream.rs
+++ b/crates/routing/src/report_stream.rs
@@ -55,7 +55,7 @@
 }
 
 impl ReportStream {
-    /// Starts when aggregated reports are enabled.
+    /// Creates the state of the stream. Called when aggregated reports are enabled.
     pub fn start(now: Moment) -> Self {
         ReportStream {
             state: State::Interrupted { is_stale: false },
