--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -225,7 +225,8 @@
 
     /// Drops the first `count` commands of the request in flight, which the relay accepted. The rest is sent again,
     /// because the count may be wrong, and commands are idempotent. A command at which the relay stops twice would
-    /// block the queue forever: it is returned, and dropped together with all other commands for its slice.
+    /// block the queue forever: it is returned, and dropped together with the other commands of the request for its
+    /// slice.
     pub fn drop_accepted(&mut self, count: usize) -> Option<String> {
         (self.state, self.consecutive_failures) = (State::Idle, 0);
         let request = self.requests.front_mut()?;
