--- a/crates/ingest/tests/ingest.rs
+++ b/crates/ingest/tests/ingest.rs
@@ -223,7 +223,11 @@
     for over in [500, 1000, 3000, 5000, 9000] {
         assert_eq!(late.sum(at(6000), Span::ms(over)), in_time.sum(at(6000), Span::ms(over)), "{over} ms");
     }
-    assert_eq!(late.newest(), in_time.newest(), "it does not make the counter look fresh");
+    assert_eq!(
+        late.newest_bucket_end(),
+        in_time.newest_bucket_end(),
+        "it does not make the counter look fresh"
+    );
     let before = late.sum(at(6000), Span::ms(20_000));
     late.add_over(at(0) - Span::ms(60_000), Span::ms(1000), 99.0);
     assert_eq!(late.sum(at(6000), Span::ms(20_000)), before, "older than any rule looks back, it is gone");
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -13,7 +13,7 @@
 const MIN_CLAIM_TIME: Span = Span::ms(1000);
 
 /// The position, among so many controllers, that holds the claim on a replica in an epoch.
-pub fn claimant(stable_hash: u64, epoch: u64, controllers: u32) -> u32 {
+pub fn claim_holder(stable_hash: u64, epoch: u64, controllers: u32) -> u32 {
     let position = (u128::from(stable_hash) + u128::from(epoch)) % u128::from(controllers.max(1));
     position as u32
 }
@@ -31,7 +31,7 @@
                 let epoch = now.elapsed_periods(CLAIM_EPOCH);
                 let since_start = now - Moment::at_ns(epoch * CLAIM_EPOCH.as_ns());
                 let active_time = (CLAIM_EPOCH - window_excess).max(MIN_CLAIM_TIME);
-                claimant(stable_hash, epoch, controllers) == position && since_start < active_time
+                claim_holder(stable_hash, epoch, controllers) == position && since_start < active_time
             }
         }
     }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -34,7 +34,7 @@
         }
         self.record_sent(&update, commands.len());
         self.actions.extend(commands);
-        self.mark_rest_pending(id, priority, update.changes_single_writer);
+        self.mark_remainder_pending(id, priority, update.changes_single_writer);
         true
     }
 
@@ -48,19 +48,19 @@
         let reduction = match priority {
             _ if changes_single_writer => HALTED_REDUCTION,
             Priority::NoEndpoint | Priority::Urgent => slice.applied_reduction,
-            Priority::Calm | Priority::Standby => slice.reduction,
+            Priority::Normal | Priority::StandbyOnly => slice.reduction,
         };
         let was_owner = |id: &ReplicaId| table.applied.get(id).is_some_and(|weight| *weight >= FULL_WEIGHT);
-        let matters = |(id, weight): &(ReplicaId, f64)| match priority {
+        let is_needed_now = |(id, weight): &(ReplicaId, f64)| match priority {
             Priority::NoEndpoint => *weight >= FULL_WEIGHT,
             Priority::Urgent => *weight >= FULL_WEIGHT || was_owner(id),
-            Priority::Calm | Priority::Standby => true,
+            Priority::Normal | Priority::StandbyOnly => true,
         };
         let must_halt_first = changes_single_writer && slice.applied_reduction != HALTED_REDUCTION;
         let endpoints = if must_halt_first {
             Vec::new()
         } else {
-            table.diff(self.removals()).into_iter().filter(matters).collect()
+            table.diff(self.removals()).into_iter().filter(is_needed_now).collect()
         };
         SliceUpdate { slice: id, endpoints, reduction, changes_single_writer }
     }
@@ -106,16 +106,16 @@
     }
 
     /// What of the slice's difference is left is sent later.
-    fn mark_rest_pending(&mut self, id: SliceId, priority: Priority, changes_single_writer: bool) {
+    fn mark_remainder_pending(&mut self, id: SliceId, priority: Priority, changes_single_writer: bool) {
         let slice = &self.slices[&id];
-        let rest = match priority {
+        let remainder_priority = match priority {
             _ if slice.is_fully_applied() => return,
             _ if changes_single_writer => priority.max(Priority::Urgent),
             Priority::NoEndpoint => Priority::Urgent,
-            _ if slice.reduction == slice.applied_reduction => Priority::Standby,
-            _ => Priority::Calm,
+            _ if slice.reduction == slice.applied_reduction => Priority::StandbyOnly,
+            _ => Priority::Normal,
         };
-        self.mark_pending(id, rest);
+        self.mark_pending(id, remainder_priority);
     }
 
     /// Where a slice has a single writer, each stage of a change of owner waits for the one before: acknowledgements of all
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -10,7 +10,7 @@
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::routing_table::RoutingTable;
-use crate::state::schedule::ROUND;
+use crate::state::schedule::ROUND_PERIOD;
 use crate::state::slice::Slice;
 use crate::time::{Moment, Span};
 use std::mem::replace;
@@ -65,14 +65,14 @@
         let is_empty = tables == ProxyTables::Empty;
         let holds_until = if is_empty { Moment::default() } else { applied_until.unwrap_or_default() };
         self.proxies.applied_until.insert(proxy, holds_until);
-        let may_hold_former = self.may_have_former_withdrawals() && !is_empty;
+        let may_hold_earlier_withdrawals = self.may_have_earlier_withdrawals() && !is_empty;
         let mut missed = Vec::new();
         for (id, replica) in &self.replicas {
             let has_missed_change = applied_until.is_none_or(|until| until < replica.withdrawal_sent_at);
             let has_missed_reinstatement = replica.was_ever_withdrawn && has_missed_change;
             if replica.withdrawn && !replica.slices.is_empty() && (is_empty || has_missed_change) {
                 missed.push(*id);
-            } else if may_hold_former
+            } else if may_hold_earlier_withdrawals
                 && !replica.withdrawn
                 && (applied_until.is_none() || has_missed_reinstatement)
             {
@@ -109,11 +109,11 @@
         self.fleet_changed = true;
     }
 
-    pub(crate) fn forget_applied_admission(&mut self, id: SliceId) {
+    pub(crate) fn invalidate_applied_admission(&mut self, id: SliceId) {
         if let Some(slice) = self.slices.get_mut(&id) {
             slice.applied_reduction = UNKNOWN_REDUCTION;
         }
-        self.mark_pending(id, Priority::Calm);
+        self.mark_pending(id, Priority::Normal);
     }
 
     pub(crate) fn remove_slice(&mut self, id: SliceId) {
@@ -148,9 +148,9 @@
         if let Some(replica) = self.replicas.get_mut(&id) {
             let link = (report.zone, replica.zone);
             // What the link adds is no fault of the replica: else a slow link would look like an overloaded zone.
-            let delay = self.links.delays.get(&link).copied().unwrap_or(0.0);
+            let link_delay_seconds = self.links.delays.get(&link).copied().unwrap_or(0.0);
             replica.shared.report_window = report.window;
-            replica.reports.record(at, report, latest_latency, delay);
+            replica.reports.record(at, report, latest_latency, link_delay_seconds);
             self.links.latencies.entry(link).or_default().record(at, report);
         }
     }
@@ -159,7 +159,7 @@
         let slice_reduction = self.slices.get(&id).map_or(0.0, |slice| slice.applied_reduction);
         let reduction = slice_reduction.max(self.global_admission.applied.unwrap_or(0.0));
         let admitted = report.requests * self.admission_rate(reduction, report.request_class);
-        let has_stood = self.slices.get(&id).is_some_and(|slice| self.has_stood(slice));
+        let is_table_settled = self.slices.get(&id).is_some_and(|slice| self.is_table_settled(slice));
         if let Some(class) = self.class_outcomes.get_mut(report.request_class) {
             class.admitted.add_over(at, report.window, admitted);
             class.failed.add_over(at, report.window, report.failed);
@@ -168,7 +168,7 @@
         slice.admitted.add_over(at, report.window, admitted);
         slice.failed.add_over(at, report.window, report.failed);
         // Requests are expected at a replica only where all proxies have known its endpoint for a while.
-        for (replica, share) in slice.table.request_shares().filter(|_| has_stood) {
+        for (replica, share) in slice.table.request_shares().filter(|_| is_table_settled) {
             if let Some(replica) = self.replicas.get_mut(&replica) {
                 replica.reports.expected.add_over(at, report.window, admitted * share);
             }
@@ -178,11 +178,11 @@
     /// Where reports were or are interrupted, rounds outside the band are counted anew: those before rest on what was
     /// known then.
     pub(crate) fn record_report_flow(&mut self, now: Moment, flow: ReportFlow) {
-        let former = replace(&mut self.reporting.flow, flow);
-        if former != flow && [former, flow].contains(&ReportFlow::Interrupted) {
+        let previous = replace(&mut self.reporting.flow, flow);
+        if previous != flow && [previous, flow].contains(&ReportFlow::Interrupted) {
             self.replicas.values_mut().for_each(|replica| replica.rounds_outside_band = 0);
             (self.pending_work.rebalancing, self.pending_work.load_shedding) = (false, false);
-            self.deadlines.round = now + ROUND;
+            self.deadlines.round = now + ROUND_PERIOD;
         }
         if matches!(flow, ReportFlow::Aggregated { .. }) {
             self.reporting.lag = self.measure_report_lag(RECENT_WINDOW);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -95,7 +95,7 @@
     /// The actions of the reply to the batch of events that ends at this moment.
     pub fn collect_actions(&mut self, now: Moment) -> Vec<Action> {
         self.state.open_reply();
-        self.settle(now);
+        self.run_rules(now);
         self.state.close_reply()
     }
 
@@ -114,7 +114,7 @@
         background
     }
 
-    fn settle(&mut self, now: Moment) {
+    fn run_rules(&mut self, now: Moment) {
         self.state.now = now;
         while RULES.iter().any(|rule| rule(&mut self.state)) {}
     }
@@ -125,43 +125,43 @@
     /// A timer that [`Action::StartTimer`] asked for has fired.
     pub fn timer_fired(&mut self, now: Moment, token: u64) {
         self.state.record_timer(token);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// The replica list, or a change of it.
     pub fn replicas_listed(&mut self, now: Moment, scope: ListScope, list: &[ReplicaListing]) {
         self.state.record_list(scope, list);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// A request for the replica list has failed, or its subscription has ended.
     pub fn list_request_failed(&mut self, now: Moment) {
         self.state.schedule_list_retry(now);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// Other controllers steer these replicas now; nothing else that the list says of them changed.
     pub fn subsets_changed(&mut self, now: Moment, subsets: &[(ReplicaId, SubsetMembership)]) {
         self.state.record_subsets(subsets);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// A proxy has connected. It holds what former incarnations withdrew, and lacks what was sent while it was away.
     pub fn proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
         self.state.record_proxy_joined(now, proxy, tables);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// A proxy has disconnected.
     pub fn proxy_left(&mut self, now: Moment, proxy: ProxyId) {
         self.state.record_proxy_left(now, proxy);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// A proxy has applied everything up to and including this version.
     pub fn ack_received(&mut self, now: Moment, proxy: ProxyId, version: u16) {
         self.state.record_ack(now, proxy, version);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// The relay's events are interrupted: acknowledgements can't arrive, so that their absence shows nothing.
@@ -178,7 +178,7 @@
     /// its message counts again.
     pub fn command_resent(&mut self, now: Moment, version: u16) {
         self.state.channel.record_resend(now, version);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// The reply with this version is so long that it is sent as so many messages more than one.
@@ -191,28 +191,28 @@
     pub fn slice_granted(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
         self.slice_revoked(now, slice);
         self.state.add_slice(now, slice, table);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// A slice is still this controller's, and its table in the store differs from what was sent: its admission rates are
     /// not known either and are sent anew.
     pub fn slice_table_reread(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
         self.slice_granted(now, slice, table);
-        self.state.forget_applied_admission(slice);
-        self.settle(now);
+        self.state.invalidate_applied_admission(slice);
+        self.run_rules(now);
     }
 
     /// A slice is not this controller's any more.
     pub fn slice_revoked(&mut self, now: Moment, slice: SliceId) {
         self.state.remove_slice(slice);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// All overrides that operators have set, the oldest first. One that is missing has ended; one that is known already goes
     /// on as it is.
     pub fn set_overrides(&mut self, now: Moment, overrides: &[(OverrideNumber, OverrideSpec)]) {
         self.state.record_overrides(overrides);
-        self.settle(now);
+        self.run_rules(now);
     }
 }
 
@@ -233,13 +233,13 @@
     /// Many reports at once, each with its own time.
     pub fn load_reported(&mut self, now: Moment, reports: &[Report]) {
         self.state.record_reports(reports);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// How reports come from now on.
     pub fn set_report_flow(&mut self, now: Moment, flow: ReportFlow) {
         self.state.record_report_flow(now, flow);
-        self.settle(now);
+        self.run_rules(now);
     }
 
     /// Reports on the subject up to now were lost, or left out of a sum: no replica is ejected because of them.
--- a/crates/policy/src/measure/admission.rs
+++ b/crates/policy/src/measure/admission.rs
@@ -6,9 +6,9 @@
 use crate::state::controller::ControllerState;
 
 /// Answers are late above this ratio of mean latency to the tightest target latency (docs/design.md, Load shedding).
-pub(crate) const LATE_RATIO: f64 = 0.6;
+pub(crate) const HIGH_LATENCY_RATIO: f64 = 0.6;
 /// Answers are quick below this ratio of mean latency to the tightest target latency (docs/design.md, Load shedding).
-pub(crate) const QUICK_RATIO: f64 = 0.35;
+pub(crate) const LOW_LATENCY_RATIO: f64 = 0.35;
 /// The lowest admission rate of a request class, at a reduction of 1 (docs/design.md, Load shedding: a tenth).
 const MIN_ADMISSION_RATE: f64 = 0.1;
 
--- a/crates/policy/src/measure/fleet_averages.rs
+++ b/crates/policy/src/measure/fleet_averages.rs
@@ -23,17 +23,18 @@
 
     /// The averages over the usable replicas that are not another controller's alone.
     pub(crate) fn measure_fleet_averages(&self) -> FleetAverages {
-        let counted = || self.replicas.values().filter(|replica| self.is_averaged(replica));
-        let capacity = counted().map(|replica| replica.effective_capacity).sum::<f64>().max(MIN_CAPACITY);
+        let averaged_replicas = || self.replicas.values().filter(|replica| self.is_averaged(replica));
+        let capacity =
+            averaged_replicas().map(|replica| replica.effective_capacity).sum::<f64>().max(MIN_CAPACITY);
         let load: f64 = self.slices.values().map(|slice| slice.load).sum();
         let burst_load: f64 = self.slices.values().map(|slice| slice.burst_load).sum();
         let utilization = load / capacity;
         let averages = FleetAverages {
             utilization,
             band_half_width: BAND_HALF_WIDTH * utilization * self.fleet_multiple().sqrt(),
-            proven_service_rate: self.measure_proven_service_rate(),
+            observed_service_rate: self.measure_observed_service_rate(),
             burst_ratio: burst_load / load.max(0.01),
-            even_burst_load: burst_load / self.replicas.len().max(1) as f64,
+            mean_burst_load: burst_load / self.replicas.len().max(1) as f64,
         };
         if self.sharing.is_active {
             self.subset_averages(averages)
@@ -48,32 +49,34 @@
 
     /// What a unit of service rate was seen to answer. It is no less for what operators count replicas for, nor for cold
     /// ones that are sent little beside warm ones.
-    fn measure_proven_service_rate(&self) -> f64 {
-        let counted = || self.replicas.values().filter(|replica| self.is_averaged(replica));
-        let some_are_warm = counted().any(|replica| !self.is_warming_up(replica));
-        let proven = || counted().filter(|replica| !some_are_warm || !self.is_warming_up(replica));
-        let service_rate = proven().map(|replica| replica.service_rate).sum::<f64>().max(MIN_CAPACITY);
-        let load: f64 = proven().map(|replica| replica.load).sum();
+    fn measure_observed_service_rate(&self) -> f64 {
+        let averaged_replicas = || self.replicas.values().filter(|replica| self.is_averaged(replica));
+        let some_are_warm = averaged_replicas().any(|replica| !self.is_warming_up(replica));
+        let averaged =
+            || averaged_replicas().filter(|replica| !some_are_warm || !self.is_warming_up(replica));
+        let service_rate = averaged().map(|replica| replica.service_rate).sum::<f64>().max(MIN_CAPACITY);
+        let load: f64 = averaged().map(|replica| replica.load).sum();
         let succeeded_rate = |replica: &Replica| {
             let since = self.started_at.max(replica.reports.observed_since);
             self.request_rate(&replica.reports.succeeded, LOAD_WINDOW, since)
         };
-        let succeeded: f64 = proven().map(succeeded_rate).sum();
+        let succeeded: f64 = averaged().map(succeeded_rate).sum();
         load.min(succeeded) / service_rate
     }
 
     /// Averages over the replicas of the subset: the load of all of them, also of those that must be left, has to find its
     /// place on the ones that are averaged.
     fn subset_averages(&self, own: FleetAverages) -> FleetAverages {
-        let ours = || self.replicas.values().filter(|replica| !replica.is_steered_by_others());
-        let counted = || ours().filter(|replica| self.is_averaged(replica));
-        let load: f64 = ours().map(|replica| replica.load).sum();
-        let capacity = counted().map(|replica| replica.effective_capacity).sum::<f64>().max(MIN_CAPACITY);
+        let steered = || self.replicas.values().filter(|replica| !replica.is_steered_by_others());
+        let averaged_replicas = || steered().filter(|replica| self.is_averaged(replica));
+        let load: f64 = steered().map(|replica| replica.load).sum();
+        let capacity =
+            averaged_replicas().map(|replica| replica.effective_capacity).sum::<f64>().max(MIN_CAPACITY);
         let utilization = load / capacity;
         FleetAverages {
             utilization,
             band_half_width: BAND_HALF_WIDTH * utilization,
-            even_burst_load: load * own.burst_ratio / counted().count().max(1) as f64,
+            mean_burst_load: load * own.burst_ratio / averaged_replicas().count().max(1) as f64,
             ..own
         }
     }
--- a/crates/policy/src/measure/load_estimates.rs
+++ b/crates/policy/src/measure/load_estimates.rs
@@ -42,10 +42,10 @@
 impl ControllerState {
     /// Refreshes loads, capacities, averages and rankings, once a tick.
     pub(crate) fn refresh_load_estimates(&mut self) -> bool {
-        if !take(&mut self.pending_work.load_estimates) || self.keeps_last_estimates() {
+        if !take(&mut self.pending_work.load_estimates) || self.keep_last_estimates() {
             return false;
         }
-        self.forget_gone();
+        self.remove_gone_replicas();
         self.reporting.lag = self.measure_report_lag(RECENT_WINDOW);
         let recent_window = RECENT_WINDOW + self.reporting.lag;
         self.links.delays = self.measure_link_delays(recent_window);
@@ -58,13 +58,13 @@
     }
 
     /// While no reports come the last estimates stay; a replica that is new since then counts for what it is listed as.
-    fn keeps_last_estimates(&mut self) -> bool {
+    fn keep_last_estimates(&mut self) -> bool {
         if self.reporting.flow != ReportFlow::Interrupted {
             return false;
         }
-        self.forget_gone();
+        self.remove_gone_replicas();
         for replica in self.replicas.values_mut() {
-            if replica.reports.attempts.newest() < self.started_at {
+            if replica.reports.attempts.newest_bucket_end() < self.started_at {
                 replica.service_rate = replica.weight.clamp(WEIGHT_RANGE.0, WEIGHT_RANGE.1);
             }
             replica.effective_capacity =
@@ -152,7 +152,7 @@
     }
 
     /// Whether a slice's table has been with all proxies long enough to show in reports.
-    pub(crate) fn has_stood(&self, slice: &Slice) -> bool {
+    pub(crate) fn is_table_settled(&self, slice: &Slice) -> bool {
         slice.awaited_version.is_none() && self.now - slice.settled_at > RECENT_WINDOW + self.reporting.lag
     }
 
--- a/crates/policy/src/measure/rankings.rs
+++ b/crates/policy/src/measure/rankings.rs
@@ -38,9 +38,9 @@
     /// by a draw in proportion to their headroom, so that controllers which evacuate at once spread.
     fn headroom_rank(&self, replica: &Replica, tie_breaker: f64) -> f64 {
         let headroom = self.averages.headroom(replica);
-        let is_claimed_and_light =
+        let is_claimed_and_underutilized =
             || self.holds_claim(replica) && replica.utilization() < self.averages.utilization;
-        if !self.sharing.is_active || is_claimed_and_light() {
+        if !self.sharing.is_active || is_claimed_and_underutilized() {
             return -headroom;
         }
         -(1.0 - tie_breaker).ln() / headroom.max(MIN_HEADROOM)
--- a/crates/policy/src/measure/report_timing.rs
+++ b/crates/policy/src/measure/report_timing.rs
@@ -36,7 +36,7 @@
     /// Requests a second over a window that ends with the newest report: a report that is merely late is no silence.
     /// Nothing is known of the time before `since`.
     pub(crate) fn request_rate(&self, counter: &WindowedCounter, window: Span, since: Moment) -> f64 {
-        let end = counter.newest().min(self.now).max(self.newest_report_expected_at());
+        let end = counter.newest_bucket_end().min(self.now).max(self.newest_report_expected_at());
         let window = window.min(end - since).max(self.deployment.report_period);
         counter.sum(end, window) / window.seconds().max(MIN_RATE_SECONDS)
     }
@@ -49,7 +49,8 @@
             _ if replica.is_steered_by_others() => false,
             ReportFlow::Direct => true,
             ReportFlow::Aggregated { .. } => {
-                let is_recent = replica.reports.attempts.newest() >= self.newest_report_expected_at();
+                let is_recent =
+                    replica.reports.attempts.newest_bucket_end() >= self.newest_report_expected_at();
                 let window = RECENT_WINDOW + self.reporting.lag;
                 is_recent && replica.reports.incomplete_at.is_none_or(|at| self.now - at > window)
             }
--- a/crates/policy/src/measure/shared_load.rs
+++ b/crates/policy/src/measure/shared_load.rs
@@ -7,7 +7,7 @@
 use crate::measure::windows::RETRIED_SHARE_OF_FAILURES;
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
-use crate::state::shared_load::{SAMPLE_BUCKET, SAMPLE_BUCKETS};
+use crate::state::shared_load::{SAMPLE_BUCKET_COUNT, SAMPLE_BUCKET_DURATION};
 use crate::time::{Moment, Span};
 use std::mem::replace;
 
@@ -33,7 +33,7 @@
         self.sample_own_load();
         self.refresh_window_excess();
         let now = self.now;
-        let newest = self.replicas.values().map(|replica| replica.reports.attempts.newest()).max();
+        let newest = self.replicas.values().map(|replica| replica.reports.attempts.newest_bucket_end()).max();
         // Aggregated reports may have longer windows than the silence that is allowed.
         let allowed_silence = MAX_REPORT_SILENCE.max(self.reporting.lag + self.deployment.report_period);
         let oldest = newest.unwrap_or_default() - allowed_silence;
@@ -42,7 +42,8 @@
             if matches!(replica.subset, SubsetMembership::Subset { controllers: 1, .. }) {
                 continue;
             }
-            let end = replica.reports.attempts.newest().max(oldest).min(now) - SAMPLE_BUCKET;
+            let end =
+                replica.reports.attempts.newest_bucket_end().max(oldest).min(now) - SAMPLE_BUCKET_DURATION;
             let rate = others_rate(replica, end, OTHERS_WINDOW);
             let retried = RETRIED_SHARE_OF_FAILURES * replica.recent.failed_share();
             replica.shared.others_demand = rate.max(others_rate(replica, end, OTHERS_BURST_WINDOW));
@@ -53,8 +54,8 @@
     }
 
     fn refresh_window_excess(&mut self) {
-        let ours = self.replicas.values().filter(|replica| !replica.is_steered_by_others());
-        let longest_window = ours.map(|replica| replica.shared.report_window).max().unwrap_or_default();
+        let steered = self.replicas.values().filter(|replica| !replica.is_steered_by_others());
+        let longest_window = steered.map(|replica| replica.shared.report_window).max().unwrap_or_default();
         self.sharing.window_excess = longest_window - self.deployment.report_period;
     }
 
@@ -71,7 +72,7 @@
     fn sample_own_load(&mut self) {
         let now = self.now;
         // Before the first sample, and while reports were interrupted, tables were what they are now.
-        let longest = SAMPLE_BUCKET.times(SAMPLE_BUCKETS as f64);
+        let longest = SAMPLE_BUCKET_DURATION.times(SAMPLE_BUCKET_COUNT as f64);
         let sampled_at = self.sharing.sampled_at.replace(now);
         let elapsed = sampled_at.map_or(longest, |since| (now - since).min(longest));
         for slice in self.slices.values() {
--- a/crates/policy/src/measure/slow_start.rs
+++ b/crates/policy/src/measure/slow_start.rs
@@ -4,13 +4,13 @@
 use crate::state::replica::Replica;
 
 /// The part that is used of what would make a cold replica collapse (docs/design.md, Evacuation).
-const SLOW_START_SAFETY: f64 = 0.55;
+const SLOW_START_SAFETY_FACTOR: f64 = 0.55;
 /// The shortest warm-up that is divided by, in seconds.
 const MIN_WARM_UP_SECONDS: f64 = 0.1;
 
 impl ControllerState {
     /// The share of its capacity that a replica has: from the share at its start, evenly up to all.
-    fn warm_share(&self, replica: &Replica) -> f64 {
+    fn warm_capacity_share(&self, replica: &Replica) -> f64 {
         let age = (self.now - replica.started.unwrap_or_default()).seconds();
         let warmed = age / self.deployment.warm_up.seconds().max(MIN_WARM_UP_SECONDS);
         let initial = self.deployment.cold_capacity_share;
@@ -24,11 +24,11 @@
             return f64::INFINITY;
         }
         replica.service_rate
-            * self.averages.proven_service_rate
+            * self.averages.observed_service_rate
             * self.measure_ownership(replica)
             * self.deployment.collapse_multiple
-            * self.warm_share(replica)
-            * SLOW_START_SAFETY
+            * self.warm_capacity_share(replica)
+            * SLOW_START_SAFETY_FACTOR
     }
 
     /// This controller's part of a replica, in multiples of an even part. A cold replica is one controller's alone, by a draw
--- a/crates/policy/src/rules/acknowledgements.rs
+++ b/crates/policy/src/rules/acknowledgements.rs
@@ -27,7 +27,7 @@
             self.finish_version(version);
             return true;
         }
-        if self.must_ask_single_writers() || (self.is_replying && self.needs_sync()) {
+        if self.must_request_single_writer_acks() || (self.is_replying && self.needs_sync()) {
             self.add_lines(0.0);
             return true;
         }
@@ -39,10 +39,10 @@
         !message.waiting_slices.is_empty() && self.now - message.sent_at >= MAX_ACK_WAIT
     }
 
-    fn must_ask_single_writers(&self) -> bool {
+    fn must_request_single_writer_acks(&self) -> bool {
         self.deployment.single_writer
             && self.now - self.channel.last_opened_at >= MAX_ACK_WAIT
             && self.channel.sent.values().any(|message| self.is_late(message))
-            && self.has_channel_room(0.0, Priority::Calm)
+            && self.has_channel_room(0.0, Priority::Normal)
     }
 }
--- a/crates/policy/src/rules/evacuation.rs
+++ b/crates/policy/src/rules/evacuation.rs
@@ -5,7 +5,7 @@
 //! take over long before each table is written anew.
 
 use crate::api::{ReplicaId, SliceId};
-use crate::rules::placement::RefugeScope;
+use crate::rules::placement::DestinationScope;
 use crate::state::admission::HALTED_REDUCTION;
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
@@ -40,16 +40,17 @@
 
     /// Everything on replicas that may have to be left, and slices without an endpoint, the heaviest first.
     fn find_departures(&self) -> Vec<Departure> {
-        let may_be_left = |replica: &Replica| {
+        let may_be_evacuated = |replica: &Replica| {
             replica.withdrawn
                 || self.must_be_evacuated(replica)
                 || self.is_ejected(replica)
                 || self.is_warming_up(replica)
         };
-        let left = self.replicas.iter().filter(|(_, replica)| may_be_left(replica));
-        let leaving = left.flat_map(|(from, replica)| replica.slices.iter().map(|id| (*id, Some(*from))));
+        let sources = self.replicas.iter().filter(|(_, replica)| may_be_evacuated(replica));
+        let endpoints_to_leave =
+            sources.flat_map(|(from, replica)| replica.slices.iter().map(|id| (*id, Some(*from))));
         let without_endpoint = self.slices.iter().filter(|(_, slice)| slice.table.desired.is_empty());
-        let all = leaving.chain(without_endpoint.map(|(id, _)| (*id, None)));
+        let all = endpoints_to_leave.chain(without_endpoint.map(|(id, _)| (*id, None)));
         let mut departures: Vec<_> =
             all.map(|(slice, from)| Departure { load: self.slices[&slice].load, slice, from }).collect();
         departures.sort_by(|one, other| other.load.total_cmp(&one.load));
@@ -59,8 +60,8 @@
     fn evacuate_endpoint(&mut self, id: SliceId, from: Option<ReplicaId>) {
         let slice = &self.slices[&id];
         let replica = from.and_then(|from| self.replicas.get(&from));
-        let scope = self.refuge_scope(replica);
-        let must_leave = scope != RefugeScope::WithCapacity;
+        let scope = self.destination_scope(replica);
+        let must_leave = scope != DestinationScope::WithCapacity;
         let named = from.filter(|from| slice.table.desired.contains_key(from));
         if let Some(standby) = named.filter(|from| slice.table.is_standby(from)) {
             self.replace_standby(id, standby);
@@ -70,7 +71,7 @@
                 self.mark_pending(id, Priority::Urgent);
             }
         } else if must_leave || replica.is_some_and(|replica| self.is_over_budget(replica)) {
-            if let Some(to) = self.find_refuge(slice, slice.load, scope) {
+            if let Some(to) = self.find_destination(slice, slice.load, scope) {
                 let from = from.unwrap_or(to);
                 self.move_slice(SliceMove { slice: id, from, to }, Priority::Urgent);
             }
@@ -78,41 +79,41 @@
     }
 
     /// How far the search for a refuge from a replica may go.
-    fn refuge_scope(&self, from: Option<&Replica>) -> RefugeScope {
+    fn destination_scope(&self, from: Option<&Replica>) -> DestinationScope {
         match from {
-            Some(replica) if self.must_be_evacuated(replica) => RefugeScope::Any,
-            Some(replica) if self.is_ejected(replica) => RefugeScope::AnyWarm,
-            Some(_) => RefugeScope::WithCapacity,
-            None => RefugeScope::Any,
+            Some(replica) if self.must_be_evacuated(replica) => DestinationScope::Any,
+            Some(replica) if self.is_ejected(replica) => DestinationScope::AnyWarm,
+            Some(_) => DestinationScope::WithCapacity,
+            None => DestinationScope::Any,
         }
     }
 
     fn is_over_budget(&self, replica: &Replica) -> bool {
         let budget = self.slow_start_budget(replica) * MAX_BUDGET_OVERRUN;
-        replica.demand > budget && self.may_relieve_cold(replica)
+        replica.demand > budget && self.may_offload_cold_replica(replica)
     }
 
     /// A standby must be usable and warm; a withdrawn one does no harm while more urgent commands wait.
     fn replace_standby(&mut self, id: SliceId, standby: ReplicaId) {
         let is_withdrawn = self.replicas.get(&standby).is_none_or(|replica| replica.withdrawn);
-        if !is_withdrawn || !self.pending_slices.has_more_urgent_than(Priority::Standby) {
+        if !is_withdrawn || !self.pending_slices.has_more_urgent_than(Priority::StandbyOnly) {
             let next = self.find_standby(id);
-            self.replace_endpoint(id, Some(standby), next, Priority::Standby);
+            self.replace_endpoint(id, Some(standby), next, Priority::StandbyOnly);
         }
     }
 
     /// Has a slice sent at once whose applied table names nothing that may be used.
     fn mark_if_without_endpoint(&mut self, id: SliceId) {
         let single_writer = self.deployment.single_writer;
-        let is_lost =
+        let is_unusable =
             |replica: &Replica| replica.withdrawn || (single_writer && self.must_be_evacuated(replica));
-        let is_open = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| !is_lost(replica));
-        let has_no_endpoint = |slice: &Slice| {
+        let is_usable = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| !is_unusable(replica));
+        let lacks_usable_endpoint = |slice: &Slice| {
             !slice.is_fully_applied()
                 && slice.applied_reduction != HALTED_REDUCTION
-                && !slice.table.applied.keys().any(is_open)
+                && !slice.table.applied.keys().any(is_usable)
         };
-        if self.slices.get(&id).is_some_and(has_no_endpoint) {
+        if self.slices.get(&id).is_some_and(lacks_usable_endpoint) {
             self.mark_pending(id, Priority::NoEndpoint);
         }
     }
@@ -142,7 +143,7 @@
         }
         let is_named = !replica.slices.is_empty();
         if self.must_be_evacuated(replica) {
-            return is_named || (replica.withdrawn && !replica.is_forgettable(self.now));
+            return is_named || (replica.withdrawn && !replica.is_removable(self.now));
         }
         let is_owner = |slice: &SliceId| self.slices[slice].table.owners().any(|owner| owner == id);
         let owns_slices = || replica.slices.iter().any(is_owner);
--- a/crates/policy/src/rules/load_shedding.rs
+++ b/crates/policy/src/rules/load_shedding.rs
@@ -4,13 +4,13 @@
 //! Guards against a queue that makes all answers late and so serves nobody.
 
 use crate::api::Action;
-use crate::measure::admission::{LATE_RATIO, QUICK_RATIO};
-use crate::rules::outlier_ejection::FAILING_SHARE;
+use crate::measure::admission::{HIGH_LATENCY_RATIO, LOW_LATENCY_RATIO};
+use crate::rules::outlier_ejection::FAILED_SHARE_THRESHOLD;
 use crate::state::admission::RETRIES_ONLY_REDUCTION;
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
-use crate::state::schedule::ROUND;
+use crate::state::schedule::ROUND_PERIOD;
 use std::mem::take;
 
 /// How much a reduction shrinks in a round, at the limit of quick answers; up to twice that the quicker they are. The
@@ -28,10 +28,10 @@
 /// A reduction after another round: it grows by what goes unanswered where answers are late, and shrinks where they are
 /// quick.
 fn next_reduction(reduction: f64, latency_ratio: f64, answered_share: f64) -> f64 {
-    let step = if latency_ratio > LATE_RATIO {
+    let step = if latency_ratio > HIGH_LATENCY_RATIO {
         (1.0 - reduction) * (1.0 - REDUCTION_GAIN * answered_share.max(MIN_ANSWERED_SHARE))
-    } else if latency_ratio < QUICK_RATIO {
-        REDUCTION_STEP * (latency_ratio / QUICK_RATIO - 2.0)
+    } else if latency_ratio < LOW_LATENCY_RATIO {
+        REDUCTION_STEP * (latency_ratio / LOW_LATENCY_RATIO - 2.0)
     } else {
         0.0
     };
@@ -46,8 +46,8 @@
         }
         // Answers that never come leave no latency to be measured. Where every request class lacks them, and the usual
         // replica, it is neither one class nor some replicas that fail, but all that is too much.
-        let usual_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
-        let failed_share = self.lowest_failed_share().min(usual_failed_share);
+        let median_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
+        let failed_share = self.lowest_failed_share().min(median_failed_share);
         let fleet_latency_ratio = self.fleet_latency_ratio(failed_share);
         self.refresh_global_reduction(fleet_latency_ratio, failed_share);
         self.refresh_replica_reductions(fleet_latency_ratio);
@@ -64,7 +64,7 @@
         // Not a factor: with an objective of 0 the usual ratio is infinite.
         if !is_costly {
             0.0
-        } else if failed_share > FAILING_SHARE {
+        } else if failed_share > FAILED_SHARE_THRESHOLD {
             1.0
         } else {
             self.median_of_usable(|replica| replica.latency_ratio)
@@ -72,15 +72,16 @@
     }
 
     fn refresh_global_reduction(&mut self, fleet_latency_ratio: f64, failed_share: f64) {
-        let former = self.global_admission.reduction;
+        let previous = self.global_admission.reduction;
         // What the last step did is not in the reports yet; stopping retries alone shows at once.
-        let pause = if former <= RETRIES_ONLY_REDUCTION { ROUND } else { ROUND + self.reporting.lag };
+        let pause =
+            if previous <= RETRIES_ONLY_REDUCTION { ROUND_PERIOD } else { ROUND_PERIOD + self.reporting.lag };
         if self.now - self.global_admission.changed_at < pause {
             return;
         }
-        let next = next_reduction(former, fleet_latency_ratio, 1.0 - failed_share);
-        let reduction = if former == 0.0 { next.min(RETRIES_ONLY_REDUCTION) } else { next };
-        if reduction != former {
+        let next = next_reduction(previous, fleet_latency_ratio, 1.0 - failed_share);
+        let reduction = if previous == 0.0 { next.min(RETRIES_ONLY_REDUCTION) } else { next };
+        if reduction != previous {
             self.global_admission.reduction = reduction;
             self.global_admission.changed_at = self.now;
         }
@@ -98,21 +99,21 @@
     }
 
     fn next_replica_reduction(&self, replica: &Replica, fleet_latency_ratio: f64) -> f64 {
-        let former = replica.reduction;
-        let is_late = replica.latency_ratio > LATE_RATIO;
-        if self.now - replica.reduction_changed_at < ROUND + ROUND + self.reporting.lag {
+        let previous = replica.reduction;
+        let is_late = replica.latency_ratio > HIGH_LATENCY_RATIO;
+        if self.now - replica.reduction_changed_at < ROUND_PERIOD + ROUND_PERIOD + self.reporting.lag {
             // What the last step did is not in the reports yet.
-            former
-        } else if is_late && fleet_latency_ratio > LATE_RATIO {
+            previous
+        } else if is_late && fleet_latency_ratio > HIGH_LATENCY_RATIO {
             // What is too much for all is not reduced twice.
-            former
+            previous
         } else if is_late {
-            next_reduction(former, replica.latency_ratio, 1.0 - replica.recent.failed_share())
+            next_reduction(previous, replica.latency_ratio, 1.0 - replica.recent.failed_share())
         } else if replica.demand > self.slow_start_budget(replica) {
             // Against a cold replica that collapses where its slices have no other place to go.
-            (former + REDUCTION_STEP).min(1.0)
+            (previous + REDUCTION_STEP).min(1.0)
         } else {
-            next_reduction(former, replica.latency_ratio, 1.0)
+            next_reduction(previous, replica.latency_ratio, 1.0)
         }
     }
 
@@ -137,7 +138,7 @@
                 changed.push(*id);
             }
         }
-        changed.into_iter().for_each(|id| self.mark_pending(id, Priority::Calm));
+        changed.into_iter().for_each(|id| self.mark_pending(id, Priority::Normal));
     }
 
     /// Sends what holds for all slices: one command a request class, where one a slice would take the channel many seconds.
--- a/crates/policy/src/rules/outlier_ejection.rs
+++ b/crates/policy/src/rules/outlier_ejection.rs
@@ -1,7 +1,7 @@
 //! Ejects replicas that do not answer or fail fast, whatever the cause (crash, hang, silence, cut network).
 
 use crate::api::{Action, ReplicaId};
-use crate::measure::admission::{LATE_RATIO, QUICK_RATIO};
+use crate::measure::admission::{HIGH_LATENCY_RATIO, LOW_LATENCY_RATIO};
 use crate::measure::windows::{MIN_SAMPLES, RECENT_WINDOW};
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
@@ -14,11 +14,11 @@
 const MAX_EJECTION_MULTIPLE: u32 = 4;
 /// At or above this share of failed attempts a replica may be an outlier; at or above it at the median replica, the fleet
 /// counts as overloaded.
-pub(crate) const FAILING_SHARE: f64 = 0.3;
+pub(crate) const FAILED_SHARE_THRESHOLD: f64 = 0.3;
 /// An outlier fails this many times the usual share more than that.
-const USUAL_FAILURES_MULTIPLE: f64 = 2.0;
+const MEDIAN_FAILED_SHARE_MULTIPLE: f64 = 2.0;
 /// Requests that were expected at a silent replica, at least.
-const MIN_EXPECTED: f64 = 2.0 * MIN_SAMPLES;
+const MIN_EXPECTED_REQUESTS: f64 = 2.0 * MIN_SAMPLES;
 /// Above this share of ejected replicas it is more likely that our view is broken than they.
 const MAX_EJECTED_SHARE: f64 = 0.4;
 
@@ -44,7 +44,7 @@
 
     /// The outliers that are not ejected yet, and why.
     fn find_outliers(&self) -> Vec<(ReplicaId, &'static str)> {
-        let usual_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
+        let median_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
         let is_candidate = |replica: &Replica| {
             !self.must_be_evacuated(replica)
                 && !self.is_ejected(replica)
@@ -53,20 +53,20 @@
         };
         let candidates = self.replicas.iter().filter(|(_, replica)| is_candidate(replica));
         let with_cause = candidates
-            .filter_map(|(id, replica)| Some((*id, self.ejection_cause(replica, usual_failed_share)?)));
+            .filter_map(|(id, replica)| Some((*id, self.ejection_cause(replica, median_failed_share)?)));
         with_cause.collect()
     }
 
-    fn ejection_cause(&self, replica: &Replica, usual_failed_share: f64) -> Option<&'static str> {
+    fn ejection_cause(&self, replica: &Replica, median_failed_share: f64) -> Option<&'static str> {
         // Where most attempts fail everywhere, the fleet is overloaded, and evacuations would finish it.
-        if usual_failed_share < FAILING_SHARE && self.is_silent(replica) {
+        if median_failed_share < FAILED_SHARE_THRESHOLD && self.is_silent(replica) {
             return Some("answers nothing");
         }
         // A full replica rejects requests too, but then the others do as well, or its answers are late.
         let recent = &replica.recent;
-        let failing_share = FAILING_SHARE + USUAL_FAILURES_MULTIPLE * usual_failed_share;
+        let failing_share = FAILED_SHARE_THRESHOLD + MEDIAN_FAILED_SHARE_MULTIPLE * median_failed_share;
         let is_failing = recent.failed >= MIN_SAMPLES && recent.failed_share() >= failing_share;
-        let answers_quickly = recent.succeeded > 0.0 && replica.latency_ratio < QUICK_RATIO;
+        let answers_quickly = recent.succeeded > 0.0 && replica.latency_ratio < LOW_LATENCY_RATIO;
         (is_failing && answers_quickly).then_some("fails quickly")
     }
 
@@ -83,15 +83,15 @@
     fn is_silent(&self, replica: &Replica) -> bool {
         let window = RECENT_WINDOW + self.reporting.lag;
         let reports = &replica.reports;
-        let was_late = reports.last_latency_seconds > LATE_RATIO * self.tightest_target_seconds();
+        let was_late = reports.last_latency_seconds > HIGH_LATENCY_RATIO * self.tightest_target_seconds();
         if was_late && reports.succeeded.sum(self.now, window.times(2.0)) > 0.0 {
             return false;
         }
         let recent = &replica.recent;
-        if recent.succeeded == 0.0 && recent.expected >= MIN_EXPECTED {
+        if recent.succeeded == 0.0 && recent.expected >= MIN_EXPECTED_REQUESTS {
             return true;
         }
-        let newest = reports.attempts.newest().min(self.now).max(self.now - window);
+        let newest = reports.attempts.newest_bucket_end().min(self.now).max(self.now - window);
         let last = reports.recent_counts(newest, RECENT_WINDOW);
         recent.failed >= MIN_SAMPLES && last.failed >= MIN_SAMPLES && last.succeeded == 0.0
     }
--- a/crates/policy/src/rules/overrides.rs
+++ b/crates/policy/src/rules/overrides.rs
@@ -6,7 +6,7 @@
 
 use crate::api::OverrideStatus::{self, Absent, InForce, Suspended, Waiting};
 use crate::api::{OverrideNumber, OverrideSpec, ReplicaId, ReplicaState, SliceId};
-use crate::measure::admission::QUICK_RATIO;
+use crate::measure::admission::LOW_LATENCY_RATIO;
 use crate::rules::outlier_ejection::BASE_EJECTION_DURATION;
 use crate::state::controller::ControllerState;
 use crate::state::operator_overrides::OverrideEntry;
@@ -26,13 +26,13 @@
 const MOVING_TO_PIN: OverrideStatus = Waiting("its slices come");
 
 /// Replicas that are left while overrides take some out of service.
-struct FleetLeft {
+struct RemainingFleet {
     /// Usable and warm.
     warm: usize,
     /// Ready, as the list has them.
     ready: usize,
     /// Ready, but out of service or ejected.
-    missing: usize,
+    unavailable: usize,
 }
 
 impl ControllerState {
@@ -42,10 +42,10 @@
             return false;
         }
         let pins = self.apply_pins();
-        let mut fleet = self.fleet_left();
+        let mut fleet = self.remaining_fleet();
         let mut entries = take(&mut self.operator_overrides.entries);
         for (id, entry) in &mut entries {
-            let former = entry.status;
+            let previous = entry.status;
             entry.status = match entry.spec {
                 OverrideSpec::OutOfService { replica } => {
                     self.apply_out_of_service(replica, entry, &mut fleet)
@@ -55,7 +55,7 @@
                     pins.get(id).copied().unwrap_or(Waiting("no slice of it is ours"))
                 }
             };
-            if matches!((former, entry.status), (InForce | Waiting(_), Suspended(_))) {
+            if matches!((previous, entry.status), (InForce | Waiting(_), Suspended(_))) {
                 entry.suspended_at = Some(self.now);
             }
         }
@@ -63,13 +63,13 @@
         true
     }
 
-    fn fleet_left(&self) -> FleetLeft {
-        let is_missing =
+    fn remaining_fleet(&self) -> RemainingFleet {
+        let is_unavailable =
             |replica: &Replica| replica.is_ready() && (replica.out_of_service || self.is_ejected(replica));
-        FleetLeft {
+        RemainingFleet {
             warm: self.count_replicas(|replica| self.is_usable_and_warm(replica)),
             ready: self.count_replicas(Replica::is_ready),
-            missing: self.count_replicas(is_missing),
+            unavailable: self.count_replicas(is_unavailable),
         }
     }
 
@@ -79,21 +79,21 @@
         &mut self,
         id: ReplicaId,
         entry: &OverrideEntry,
-        fleet: &mut FleetLeft,
+        fleet: &mut RemainingFleet,
     ) -> OverrideStatus {
         let known = self.replicas.get(&id).filter(|replica| replica.listed || replica.out_of_service);
         let Some(replica) = known else { return Absent };
         let is_warm = self.is_usable_and_warm(replica);
         let was_out = replica.out_of_service;
         let others_are_warm = fleet.warm > usize::from(is_warm);
-        let missing = fleet.missing + usize::from(!was_out && !self.is_ejected(replica));
-        let too_many_missing = missing * 2 > fleet.ready;
+        let unavailable = fleet.unavailable + usize::from(!was_out && !self.is_ejected(replica));
+        let too_many_unavailable = unavailable * 2 > fleet.ready;
         let just_suspended = entry.suspended_at.is_some_and(|at| self.now - at < BASE_EJECTION_DURATION);
-        let may_stay_out = was_out || !(too_many_missing || just_suspended);
-        let is_out = replica.state == ReplicaState::Draining || (others_are_warm && may_stay_out);
+        let may_be_out = was_out || !(too_many_unavailable || just_suspended);
+        let is_out = replica.state == ReplicaState::Draining || (others_are_warm && may_be_out);
         if is_out && !was_out {
             fleet.warm -= usize::from(is_warm);
-            fleet.missing = missing;
+            fleet.unavailable = unavailable;
         }
         let is_owner = |slice: &SliceId| self.slices[slice].table.owners().any(|owner| owner == id);
         let status = match () {
@@ -154,10 +154,10 @@
     fn move_to_pin(&mut self, id: SliceId, to: ReplicaId, by: OverrideNumber) {
         let others: Vec<_> = self.slices[&id].table.owners().filter(|owner| *owner != to).collect();
         for other in others.iter().skip(1) {
-            self.replace_endpoint(id, Some(*other), None, Priority::Calm);
+            self.replace_endpoint(id, Some(*other), None, Priority::Normal);
         }
         let from = others.first().copied().unwrap_or(to);
-        self.move_slice(SliceMove { slice: id, from, to }, Priority::Calm);
+        self.move_slice(SliceMove { slice: id, from, to }, Priority::Normal);
         if let Some(slice) = self.slices.get_mut(&id) {
             slice.pin_moves.record(by);
         }
@@ -179,8 +179,8 @@
             _ if is_at_pin => Waiting("rule 5: orders wait for room"),
             _ if slice.awaited_version.is_some() => Waiting("an earlier change is not acked yet"),
             _ if self.now - slice.settled_at < backoff => Waiting("it had to leave lately"),
-            _ if replica.latency_ratio >= QUICK_RATIO => Suspended("the server answers late"),
-            _ if !self.may_take(replica, slice.load.max(slice.demand)) => {
+            _ if replica.latency_ratio >= LOW_LATENCY_RATIO => Suspended("the server answers late"),
+            _ if !self.can_accept(replica, slice.load.max(slice.demand)) => {
                 Suspended("rule 4: the server is cold")
             }
             _ => MOVING_TO_PIN,
--- a/crates/policy/src/rules/rate_limit.rs
+++ b/crates/policy/src/rules/rate_limit.rs
@@ -5,13 +5,13 @@
 
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
-use crate::state::schedule::TICK;
+use crate::state::schedule::TICK_PERIOD;
 use crate::time::{Moment, Span};
 
 /// The share of the queue's capacity that commands use (docs/design.md, Rate limiting).
 const QUEUE_SHARE: f64 = 0.9;
 /// The share of that which calm commands use.
-const CALM_QUEUE_SHARE: f64 = 0.55;
+const NORMAL_QUEUE_SHARE: f64 = 0.55;
 /// The share of the message limit that is used by what can wait.
 const DEFERRABLE_MESSAGE_SHARE: f64 = 0.75;
 /// The share of the channel that the overhead of messages may take.
@@ -19,12 +19,12 @@
 /// Acknowledgements that come no sooner than this after the last activity are overdue.
 pub(crate) const ACK_TIMEOUT: Span = Span::ms(3000);
 /// The share of the drain grace that an urgent command may wait for its message.
-const MAX_GRACE_SHARE_WAITED: f64 = 0.75;
+const MAX_WAIT_SHARE_OF_GRACE: f64 = 0.75;
 
 /// Messages that may still be opened, and how long until the window gives one back.
 struct OpenableMessages {
-    left: f64,
-    next_in: Span,
+    remaining: f64,
+    next_available_in: Span,
 }
 
 impl ControllerState {
@@ -39,7 +39,7 @@
         let overhead_time =
             Span::ms(1000).times(overhead / self.deployment.lines_per_second.max(1.0) / OVERHEAD_SHARE);
         let (share, gap) = match priority {
-            Priority::Calm | Priority::Standby => (CALM_QUEUE_SHARE, overhead_time + overhead_time),
+            Priority::Normal | Priority::StandbyOnly => (NORMAL_QUEUE_SHARE, overhead_time + overhead_time),
             Priority::NoEndpoint | Priority::Urgent if unacked == 0.0 => (1.0, Span::default()),
             Priority::NoEndpoint | Priority::Urgent => (1.0, overhead_time),
         };
@@ -63,11 +63,11 @@
         let lines = self.channel.unacked_lines(now) + self.channel.lines_of_version(version);
         let fits = lines <= self.deployment.queue_capacity_lines * QUEUE_SHARE;
         let is_overdue = self.channel.ack_silence(now) > ACK_TIMEOUT;
-        (fits || is_overdue) && self.messages_left(now, 1.0) >= 1.0
+        (fits || is_overdue) && self.remaining_messages(now, 1.0) >= 1.0
     }
 
     /// How many messages each proxy may still get within the window, where this share of the limit is used.
-    fn messages_left(&self, now: Moment, share: f64) -> f64 {
+    fn remaining_messages(&self, now: Moment, share: f64) -> f64 {
         let limit = f64::from(self.deployment.message_limit);
         if limit == 0.0 {
             return f64::INFINITY;
@@ -76,23 +76,25 @@
     }
 
     fn message_window(&self) -> Span {
-        self.deployment.message_window + TICK
+        self.deployment.message_window + TICK_PERIOD
     }
 
     /// The messages that may be opened where this share of the limit is used; none while the window is empty, or where there
     /// is no limit.
     fn openable_messages(&self, share: f64) -> Option<OpenableMessages> {
         let window = self.message_window();
-        let oldest = self.channel.opened_messages.oldest(self.now, window)?;
-        let left = self.messages_left(self.now, share) - 1.0;
-        left.is_finite().then(|| OpenableMessages { left, next_in: window - (self.now - oldest) })
+        let oldest = self.channel.opened_messages.oldest_bucket_start(self.now, window)?;
+        let remaining = self.remaining_messages(self.now, share) - 1.0;
+        remaining
+            .is_finite()
+            .then(|| OpenableMessages { remaining, next_available_in: window - (self.now - oldest) })
     }
 
     /// Whether each message that is left could wait for its share of the grace until one is given back.
-    fn messages_are_ample(&self) -> bool {
+    fn has_spare_messages(&self) -> bool {
         self.openable_messages(1.0).is_none_or(|openable| {
-            let may_wait = MAX_GRACE_SHARE_WAITED * (openable.left - 1.0);
-            self.deployment.drain_grace.times(may_wait) >= openable.next_in
+            let wait_share = MAX_WAIT_SHARE_OF_GRACE * (openable.remaining - 1.0);
+            self.deployment.drain_grace.times(wait_share) >= openable.next_available_in
         })
     }
 
@@ -100,15 +102,15 @@
     /// is given back, and what can wait leaves some of them. What can't wait goes at once while they are ample.
     fn may_open_message(&self, share: f64, gap: Span, priority: Priority) -> bool {
         let can_wait = priority != Priority::NoEndpoint;
-        let most = if can_wait { DEFERRABLE_MESSAGE_SHARE } else { 1.0 };
-        let spread = match self.openable_messages(most) {
-            Some(openable) if can_wait || !self.messages_are_ample() => {
-                openable.next_in.times(1.0 / openable.left.max(1.0))
+        let max_share = if can_wait { DEFERRABLE_MESSAGE_SHARE } else { 1.0 };
+        let spacing = match self.openable_messages(max_share) {
+            Some(openable) if can_wait || !self.has_spare_messages() => {
+                openable.next_available_in.times(1.0 / openable.remaining.max(1.0))
             }
             _ => Span::default(),
         };
-        let has_waited = self.now - self.channel.last_opened_at >= gap.max(spread);
-        has_waited && self.messages_left(self.now, share.min(most)) > 1.0
+        let has_waited = self.now - self.channel.last_opened_at >= gap.max(spacing);
+        has_waited && self.remaining_messages(self.now, share.min(max_share)) > 1.0
     }
 
     /// Whether to ask for acknowledgements by a version alone: unacknowledged messages take the room of calm commands, and
@@ -120,8 +122,9 @@
         let overhead = self.message_overhead() * proxies;
         let capacity = self.deployment.queue_capacity_lines;
         let is_overdue = self.channel.acks_lost || self.channel.ack_silence(self.now) > ACK_TIMEOUT;
-        let is_in_the_way = unacked + overhead + proxies > capacity * QUEUE_SHARE * CALM_QUEUE_SHARE;
-        let fits = unacked + overhead <= capacity && self.messages_left(self.now, 1.0) > 1.0;
-        is_overdue && is_in_the_way && fits && unacked > 0.0 && self.channel.open_version.is_none()
+        let blocks_normal_commands =
+            unacked + overhead + proxies > capacity * QUEUE_SHARE * NORMAL_QUEUE_SHARE;
+        let fits = unacked + overhead <= capacity && self.remaining_messages(self.now, 1.0) > 1.0;
+        is_overdue && blocks_normal_commands && fits && unacked > 0.0 && self.channel.open_version.is_none()
     }
 }
--- a/crates/policy/src/rules/rebalance.rs
+++ b/crates/policy/src/rules/rebalance.rs
@@ -5,13 +5,13 @@
 //! band for several rounds take part, and a slice that has moved often moves no more.
 
 use crate::api::{ReplicaId, ReportFlow};
-use crate::measure::admission::QUICK_RATIO;
+use crate::measure::admission::LOW_LATENCY_RATIO;
 use crate::measure::load_estimates::MovableSlice;
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
 use crate::state::routing_table::SliceMove;
-use crate::state::schedule::ROUND;
+use crate::state::schedule::ROUND_PERIOD;
 
 /// omega of DDMC: each move of a slice weakens the case for the next by this factor (docs/design.md: with 0.5 a slice is held
 /// after two moves).
@@ -38,11 +38,11 @@
         damping * self.source.utilization() / self.highest_utilization > MOVE_THRESHOLD
     }
 
-    fn give(&self, slice: &MovableSlice) -> SliceMove {
+    fn transfer_slice(&self, slice: &MovableSlice) -> SliceMove {
         SliceMove { slice: slice.id, from: self.source_id, to: self.destination_id }
     }
 
-    fn take_back(&self, slice: &MovableSlice) -> SliceMove {
+    fn return_slice(&self, slice: &MovableSlice) -> SliceMove {
         SliceMove { slice: slice.id, from: self.destination_id, to: self.source_id }
     }
 }
@@ -53,7 +53,7 @@
         if self.deadlines.round > self.now || self.reporting.flow == ReportFlow::Interrupted {
             return false;
         }
-        self.deadlines.round = self.now + ROUND;
+        self.deadlines.round = self.now + ROUND_PERIOD;
         self.pending_work.rebalancing = true;
         self.pending_work.load_shedding = self.deployment.admission_supported;
         for replica in self.replicas.values_mut() {
@@ -79,7 +79,7 @@
         };
         self.pending_work.rebalancing = found.is_some();
         for slice_move in found.into_iter().flatten() {
-            self.move_slice(slice_move, Priority::Calm);
+            self.move_slice(slice_move, Priority::Normal);
             if let Some(source) = self.replicas.get_mut(&slice_move.from) {
                 source.moved_this_round = true;
             }
@@ -93,11 +93,11 @@
         let (_, heaviest) = heavy.first()?;
         let highest_utilization = heaviest.utilization();
         // One that operators made small is heavy though nobody is light.
-        let is_made_small = heaviest.weight_factor < 1.0;
-        if is_made_small {
+        let is_weight_reduced = heaviest.weight_factor < 1.0;
+        if is_weight_reduced {
             heavy.truncate(1);
         }
-        let (destination_id, destination) = self.lightest_replica(is_made_small)?;
+        let (destination_id, destination) = self.lightest_replica(is_weight_reduced)?;
         heavy.into_iter().find_map(|(source_id, source)| {
             let transfer = Transfer { source_id, source, destination_id, destination, highest_utilization };
             self.find_transfer(&transfer)
@@ -108,7 +108,7 @@
         let own = self.movable_slices(transfer.source_id, transfer.source);
         let movable = || own.iter().filter(|slice| transfer.may_move_again(slice));
         if let Some(slice) = movable().find(|slice| self.is_transferable(transfer, slice.load)) {
-            return Some(vec![transfer.give(slice)]);
+            return Some(vec![transfer.transfer_slice(slice)]);
         }
         let returnable = self.movable_slices(transfer.destination_id, transfer.destination);
         movable().find_map(|slice| {
@@ -116,7 +116,7 @@
                 transfer.may_move_again(other) && self.is_transferable(transfer, slice.load - other.load)
             };
             let returned = returnable.iter().rev().find(may_return)?;
-            Some(vec![transfer.give(slice), transfer.take_back(returned)])
+            Some(vec![transfer.transfer_slice(slice), transfer.return_slice(returned)])
         })
     }
 
@@ -128,14 +128,14 @@
         net_load > 0.0
             && source_after >= self.averages.band(source).low
             && destination_after <= self.averages.band(destination).high
-            && self.may_take(destination, net_load)
+            && self.can_accept(destination, net_load)
     }
 
     /// Replicas that have been above their bands for long enough, the heaviest first.
     fn heavy_replicas(&self) -> Vec<(ReplicaId, &Replica)> {
         let is_heavy = |replica: &Replica| {
             replica.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND
-                && self.may_take_part(replica)
+                && self.is_rebalancing_candidate(replica)
                 && replica.utilization() > self.averages.band(replica).high
         };
         let mut heavy: Vec<_> = self
@@ -150,17 +150,17 @@
 
     /// The replica with most headroom of those below their bands for long enough, or anywhere below the upper limit where
     /// the source was made small by operators. One that answers late is none: a low utilization may mean that it is weak.
-    fn lightest_replica(&self, source_is_made_small: bool) -> Option<(ReplicaId, &Replica)> {
+    fn lightest_replica(&self, source_weight_is_reduced: bool) -> Option<(ReplicaId, &Replica)> {
         let is_below_band = |replica: &Replica| {
             -replica.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND
                 && replica.utilization() < self.averages.band(replica).low
         };
         let is_inside = |replica: &Replica| replica.utilization() < self.averages.band(replica).high;
         let is_light = |replica: &Replica| {
-            self.may_take_part(replica)
-                && (is_below_band(replica) || (source_is_made_small && is_inside(replica)))
-                && self.may_take(replica, 0.0)
-                && replica.latency_ratio < QUICK_RATIO
+            self.is_rebalancing_candidate(replica)
+                && (is_below_band(replica) || (source_weight_is_reduced && is_inside(replica)))
+                && self.can_accept(replica, 0.0)
+                && replica.latency_ratio < LOW_LATENCY_RATIO
         };
         let light = self.replicas.iter().filter(|(_, replica)| is_light(replica));
         let lightest =
@@ -168,7 +168,7 @@
         lightest.map(|(id, replica)| (*id, replica))
     }
 
-    fn may_take_part(&self, replica: &Replica) -> bool {
-        self.is_usable(replica) && !replica.moved_this_round && self.may_shed(replica)
+    fn is_rebalancing_candidate(&self, replica: &Replica) -> bool {
+        self.is_usable(replica) && !replica.moved_this_round && self.may_offload(replica)
     }
 }
--- a/crates/policy/src/rules/recovery.rs
+++ b/crates/policy/src/rules/recovery.rs
@@ -49,7 +49,7 @@
 
     fn next_reinstatement(&self) -> Option<Action> {
         let replica = *self.withdrawals.reinstatements.first()?;
-        let may_be_sent = self.reinstatements_are_due() && self.has_channel_room(1.0, Priority::Calm);
+        let may_be_sent = self.reinstatements_are_due() && self.has_channel_room(1.0, Priority::Normal);
         may_be_sent.then_some(Action::Reinstate { replica })
     }
 }
--- a/crates/policy/src/rules/replication.rs
+++ b/crates/policy/src/rules/replication.rs
@@ -5,7 +5,7 @@
 
 use crate::api::{ReplicaId, SliceId};
 use crate::measure::windows::{BURST_WINDOW, LOAD_WINDOW};
-use crate::rules::placement::RefugeScope;
+use crate::rules::placement::DestinationScope;
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::replica::Replica;
@@ -38,7 +38,7 @@
         let may_be_hot = |slice: &Slice| {
             slice.awaited_version.is_none()
                 && slice.is_fully_applied()
-                && slice.burst_load > self.averages.even_burst_load * MIN_HOT_SHARE
+                && slice.burst_load > self.averages.mean_burst_load * MIN_HOT_SHARE
         };
         let mut candidates =
             self.slices.iter().filter(|(id, slice)| may_be_hot(slice) && !self.is_at_pin(**id, slice));
@@ -49,7 +49,7 @@
             if excess <= 0.0 || slice.table.owners().count() >= MAX_OWNERS {
                 return None;
             }
-            Some((*id, self.find_refuge(slice, excess, RefugeScope::WithCapacity)?))
+            Some((*id, self.find_destination(slice, excess, DestinationScope::WithCapacity)?))
         })
     }
 
@@ -59,7 +59,7 @@
             return false;
         }
         let Some((id, fullest)) = self.find_consolidation() else { return false };
-        self.replace_owner(id, Some(fullest), None, Priority::Calm);
+        self.replace_owner(id, Some(fullest), None, Priority::Normal);
         self.pending_work.consolidation = true;
         true
     }
@@ -96,7 +96,7 @@
         let ids: Vec<SliceId> = without_standby.map(|(id, _)| *id).collect();
         for id in ids {
             if let Some(standby) = self.find_standby(id) {
-                self.replace_endpoint(id, None, Some(standby), Priority::Standby);
+                self.replace_endpoint(id, None, Some(standby), Priority::StandbyOnly);
             }
         }
         true
@@ -112,11 +112,11 @@
             !slice.table.desired.contains_key(candidate)
                 && self.replicas.get(candidate).is_some_and(is_accepted)
         };
-        let is_elsewhere = |replica: &Replica| Some(replica.zone) != owner_zone;
+        let is_in_other_zone = |replica: &Replica| Some(replica.zone) != owner_zone;
         let by_standby_load = &self.rankings.by_standby_load;
-        let elsewhere = by_standby_load.first(|candidate| is_candidate(candidate, &is_elsewhere));
+        let in_other_zone = by_standby_load.first(|candidate| is_candidate(candidate, &is_in_other_zone));
         let standby =
-            elsewhere.or_else(|| by_standby_load.first(|candidate| is_candidate(candidate, &|_| true)));
+            in_other_zone.or_else(|| by_standby_load.first(|candidate| is_candidate(candidate, &|_| true)));
         standby.map(|id| (id, STANDBY_WEIGHT))
     }
 }
--- a/crates/policy/src/rules/shared_replicas.rs
+++ b/crates/policy/src/rules/shared_replicas.rs
@@ -17,7 +17,7 @@
 impl ControllerState {
     /// Whether it is this controller's turn, by draw, to take a slice from a replica above the average. Guards against all
     /// controllers leaving a heavy replica at once. Others take part at any time.
-    pub(crate) fn may_shed(&self, replica: &Replica) -> bool {
+    pub(crate) fn may_offload(&self, replica: &Replica) -> bool {
         let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
         let excess = 1.0 - self.averages.utilization / replica.utilization().max(f64::MIN_POSITIVE);
         let rounds_until_reported = ROUNDS_UNTIL_REPORTED + self.sharing.window_excess.seconds();
@@ -27,7 +27,7 @@
 
     /// The same for a cold replica that is sent too much: one of its controllers is drawn, in proportion to what its own
     /// slices bring.
-    pub(crate) fn may_relieve_cold(&self, replica: &Replica) -> bool {
+    pub(crate) fn may_offload_cold_replica(&self, replica: &Replica) -> bool {
         let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
         let others_share = replica.shared.others_demand / replica.demand.max(f64::MIN_POSITIVE);
         replica.shared.round_draw < 1.0 - others_share
@@ -57,9 +57,10 @@
     }
 
     fn may_return_to(&self, slice: &Slice, candidate: &ReplicaId) -> bool {
-        let takes = |replica: &Replica| {
-            !replica.moved_this_round && self.may_take(replica, slice.load.max(slice.demand))
+        let accepts_slice = |replica: &Replica| {
+            !replica.moved_this_round && self.can_accept(replica, slice.load.max(slice.demand))
         };
-        !slice.table.desired.contains_key(candidate) && self.replicas.get(candidate).is_some_and(takes)
+        !slice.table.desired.contains_key(candidate)
+            && self.replicas.get(candidate).is_some_and(accepts_slice)
     }
 }
--- a/crates/policy/src/rules/tick.rs
+++ b/crates/policy/src/rules/tick.rs
@@ -3,7 +3,7 @@
 use crate::api::Action;
 use crate::rules::rate_limit::ACK_TIMEOUT;
 use crate::state::controller::ControllerState;
-use crate::state::schedule::TICK;
+use crate::state::schedule::TICK_PERIOD;
 
 impl ControllerState {
     /// Starts a tick once it is due. Guards against the cost of a look at the whole fleet for each line of a report.
@@ -11,7 +11,7 @@
         if self.deadlines.tick > self.now {
             return false;
         }
-        self.deadlines.tick = self.now + TICK;
+        self.deadlines.tick = self.now + TICK_PERIOD;
         if self.channel.ack_silence(self.now) > ACK_TIMEOUT {
             self.channel.drop_extra_copies();
         }
@@ -25,8 +25,8 @@
             return false;
         }
         self.timer_token += 1;
-        self.deadlines.timer = Some(self.now + TICK);
-        self.actions.push(Action::StartTimer { token: self.timer_token, after: TICK });
+        self.deadlines.timer = Some(self.now + TICK_PERIOD);
+        self.actions.push(Action::StartTimer { token: self.timer_token, after: TICK_PERIOD });
         true
     }
 }
--- a/crates/policy/src/state/command_channel.rs
+++ b/crates/policy/src/state/command_channel.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// The resolution with which messages are counted against their limit.
-const MESSAGE_BUCKET: Span = Span::ms(500);
+const MESSAGE_BUCKET_DURATION: Span = Span::ms(500);
 /// A proxy that acknowledges nothing for this long holds up no count but that of its own lines: it may be gone. A slow channel
 /// takes less for one message to all proxies.
 const STALL_TIMEOUT: Span = Span::ms(8000);
@@ -16,18 +16,18 @@
 #[derive(Default)]
 pub(crate) struct ConnectedProxy {
     /// Since when it has owed an acknowledgement; none while it owes none. Each acknowledgement begins it anew.
-    owes_ack_since: Option<Moment>,
+    awaiting_ack_since: Option<Moment>,
 }
 
 impl ConnectedProxy {
     fn is_stalled(&self, now: Moment) -> bool {
-        self.owes_ack_since.is_some_and(|since| now - since > STALL_TIMEOUT)
+        self.awaiting_ack_since.is_some_and(|since| now - since > STALL_TIMEOUT)
     }
 }
 
 /// The oldest message that waits, and how many of its copies.
 #[derive(Clone, Copy)]
-struct OldestWaiting {
+struct OldestUnacked {
     sequence: u64,
     copies: u32,
 }
@@ -59,7 +59,7 @@
     /// A channel without proxies, of which the fleet has so many. Messages are counted over `message_window`; versions follow
     /// `last_version`.
     pub(crate) fn new(message_window: Span, fleet_size: u32, last_version: u16) -> Self {
-        let buckets = message_window.as_ns().div_ceil(MESSAGE_BUCKET.as_ns()) as usize + 1;
+        let buckets = message_window.as_ns().div_ceil(MESSAGE_BUCKET_DURATION.as_ns()) as usize + 1;
         CommandChannel {
             proxies: BTreeMap::new(),
             fleet_size,
@@ -71,7 +71,7 @@
             acks_can_arrive: true,
             acks_lost: false,
             last_opened_at: Moment::default(),
-            opened_messages: WindowedCounter::new(MESSAGE_BUCKET, buckets),
+            opened_messages: WindowedCounter::new(MESSAGE_BUCKET_DURATION, buckets),
         }
     }
 
@@ -96,7 +96,7 @@
         self.acks_can_arrive = true;
         self.acks_lost = true;
         self.last_activity_at = now;
-        for since in self.proxies.values_mut().filter_map(|proxy| proxy.owes_ack_since.as_mut()) {
+        for since in self.proxies.values_mut().filter_map(|proxy| proxy.awaiting_ack_since.as_mut()) {
             *since = now;
         }
     }
@@ -144,9 +144,9 @@
             let copies = if message.sequence == sequence { 1 } else { u32::MAX };
             message.remove_copies(proxy, copies);
         }
-        let owes_more = sequence < self.last_sequence;
+        let has_later_messages = sequence < self.last_sequence;
         if let Some(proxy) = self.proxies.get_mut(&proxy) {
-            proxy.owes_ack_since = owes_more.then_some(now);
+            proxy.awaiting_ack_since = has_later_messages.then_some(now);
         }
         Some(sent_at)
     }
@@ -156,7 +156,7 @@
     /// it waits as well, acknowledged or not: a proxy that has just connected gets and acknowledges new messages while others
     /// are seconds behind (docs/incidents/incident-12041.md).
     pub(crate) fn unacked_lines(&self, now: Moment) -> f64 {
-        let oldest = self.oldest_waiting(now);
+        let oldest = self.oldest_unacked(now);
         let lines = |message: &SentMessage| match oldest {
             Some(oldest) if message.sequence >= oldest.sequence => {
                 // Of the oldest, copies that all have acknowledged have left; what is behind it has not.
@@ -170,14 +170,14 @@
     }
 
     /// The oldest message that a proxy which is not stalled has not acknowledged.
-    fn oldest_waiting(&self, now: Moment) -> Option<OldestWaiting> {
+    fn oldest_unacked(&self, now: Moment) -> Option<OldestUnacked> {
         let is_responsive = |proxy: &ProxyId| self.is_responsive(now, *proxy);
-        let waits = |message: &&SentMessage| message.unacked_copies.keys().any(is_responsive);
-        let oldest = self.sent.values().filter(waits).min_by_key(|message| message.sequence)?;
+        let is_unacked = |message: &&SentMessage| message.unacked_copies.keys().any(is_responsive);
+        let oldest = self.sent.values().filter(is_unacked).min_by_key(|message| message.sequence)?;
         let unacked = oldest.unacked_copies.iter().filter(|(proxy, _)| is_responsive(proxy));
         // Each call would look at all proxies, where nearly every message is sent once.
         let copies = if oldest.send_count == 1 { 1 } else { unacked.map(|(_, copies)| *copies).max()? };
-        Some(OldestWaiting { sequence: oldest.sequence, copies })
+        Some(OldestUnacked { sequence: oldest.sequence, copies })
     }
 
     fn is_responsive(&self, now: Moment, proxy: ProxyId) -> bool {
@@ -224,7 +224,7 @@
         let mut message = SentMessage::new(now, self.last_sequence, overhead_lines);
         message.add_copies(self.proxies.keys().copied());
         for proxy in self.proxies.values_mut() {
-            proxy.owes_ack_since.get_or_insert(now);
+            proxy.awaiting_ack_since.get_or_insert(now);
         }
         self.sent.insert(self.last_version, message);
         self.open_version = Some(self.last_version);
--- a/crates/policy/src/state/controller.rs
+++ b/crates/policy/src/state/controller.rs
@@ -131,10 +131,10 @@
 
     /// Drops replicas that have gone for good and that nothing names. Replicas are replaced for as long as the fleet runs:
     /// else the map would grow for ever.
-    pub(crate) fn forget_gone(&mut self) {
+    pub(crate) fn remove_gone_replicas(&mut self) {
         let (now, withdrawals) = (self.now, &self.withdrawals);
         self.replicas.retain(|id, replica| {
-            replica.withdrawn || withdrawals.concerns(id) || !replica.is_forgettable(now)
+            replica.withdrawn || withdrawals.concerns(id) || !replica.is_removable(now)
         });
     }
 
--- a/crates/policy/src/state/fleet_averages.rs
+++ b/crates/policy/src/state/fleet_averages.rs
@@ -10,11 +10,11 @@
     /// phi of DDMC.
     pub band_half_width: f64,
     /// Requests a second that a unit of service rate was seen to answer.
-    pub proven_service_rate: f64,
+    pub observed_service_rate: f64,
     /// The load over the shorter window against that over the longer one.
     pub burst_ratio: f64,
     /// An even part of the load over the shorter window, in requests a second.
-    pub even_burst_load: f64,
+    pub mean_burst_load: f64,
 }
 
 /// The limits of utilization between which a replica is left alone.
--- a/crates/policy/src/state/operator_overrides.rs
+++ b/crates/policy/src/state/operator_overrides.rs
@@ -24,13 +24,13 @@
 impl OperatorOverrides {
     /// Takes over all overrides, the oldest first. One that is known already keeps its status.
     pub(crate) fn replace(&mut self, overrides: &[(OverrideNumber, OverrideSpec)]) {
-        let mut former = take(&mut self.entries);
+        let mut previous = take(&mut self.entries);
         self.pins = SlicePins::default();
         for (id, spec) in overrides {
             if let OverrideSpec::Pin { first, last, replica } = *spec {
                 self.pins.insert(first, last, (replica, *id));
             }
-            let unchanged = former.remove(id).filter(|known| known.spec == *spec);
+            let unchanged = previous.remove(id).filter(|known| known.spec == *spec);
             let new = || OverrideEntry { spec: *spec, status: OverrideStatus::Absent, suspended_at: None };
             self.entries.insert(*id, unchanged.unwrap_or_else(new));
         }
--- a/crates/policy/src/state/pending_slices.rs
+++ b/crates/policy/src/state/pending_slices.rs
@@ -12,9 +12,9 @@
     /// An owner must be left.
     Urgent,
     /// A move or an admission rate.
-    Calm,
+    Normal,
     /// Only a standby endpoint: it can wait for all else.
-    Standby,
+    StandbyOnly,
 }
 
 /// Slices to be sent, the most urgent first, then the one that has waited longest. A slice is there at most once.
@@ -27,9 +27,9 @@
 impl PendingSlices {
     /// Adds a slice. One that is there keeps its age, and gets the more urgent of both priorities.
     pub(crate) fn mark(&mut self, slice: SliceId, priority: Priority, now: Moment) {
-        let (former, since) = self.by_slice.get(&slice).copied().unwrap_or((priority, now));
-        let priority = former.min(priority);
-        self.order.remove(&(former, since, slice));
+        let (previous, since) = self.by_slice.get(&slice).copied().unwrap_or((priority, now));
+        let priority = previous.min(priority);
+        self.order.remove(&(previous, since, slice));
         self.order.insert((priority, since, slice));
         self.by_slice.insert(slice, (priority, since));
     }
--- a/crates/policy/src/state/recent_counter.rs
+++ b/crates/policy/src/state/recent_counter.rs
@@ -3,12 +3,12 @@
 use crate::time::Span;
 use crate::windowed_counter::WindowedCounter;
 
-const BUCKET: Span = Span::ms(500);
-const BUCKETS: usize = 40;
+const BUCKET_DURATION: Span = Span::ms(500);
+const BUCKET_COUNT: usize = 40;
 /// The longest time that any rule looks back: the buckets together.
 pub(crate) const LONGEST_LOOKBACK: Span = Span::ms(20_000);
 
 /// A counter that reaches back as long as any rule looks.
 pub(crate) fn recent_counter() -> WindowedCounter {
-    WindowedCounter::new(BUCKET, BUCKETS)
+    WindowedCounter::new(BUCKET_DURATION, BUCKET_COUNT)
 }
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -149,8 +149,10 @@
     }
 
     /// Whether it is not listed, in no table, and was not reported on for longer than any rule looks back.
-    pub(crate) fn is_forgettable(&self, now: Moment) -> bool {
-        !self.listed && self.slices.is_empty() && now - self.reports.attempts.newest() > LONGEST_LOOKBACK
+    pub(crate) fn is_removable(&self, now: Moment) -> bool {
+        !self.listed
+            && self.slices.is_empty()
+            && now - self.reports.attempts.newest_bucket_end() > LONGEST_LOOKBACK
     }
 
     /// Whether the list says that it serves.
--- a/crates/policy/src/state/replica_reports.rs
+++ b/crates/policy/src/state/replica_reports.rs
@@ -59,9 +59,15 @@
 
 impl ReplicaReports {
     /// Adds a report; `delay` is how many seconds of its latency are the link's.
-    pub(crate) fn record(&mut self, at: Moment, report: &EndpointReport, latest_latency: Span, delay: f64) {
+    pub(crate) fn record(
+        &mut self,
+        at: Moment,
+        report: &EndpointReport,
+        latest_latency: Span,
+        link_delay_seconds: f64,
+    ) {
         let succeeded = (report.attempts - report.failed).max(0.0);
-        let own_seconds = |latency: Span| (latency.seconds() - delay).max(0.0);
+        let own_seconds = |latency: Span| (latency.seconds() - link_delay_seconds).max(0.0);
         self.attempts.add_over(at, report.window, report.attempts);
         self.failed.add_over(at, report.window, report.failed);
         self.succeeded.add_over(at, report.window, succeeded);
--- a/crates/policy/src/state/replica_withdrawals.rs
+++ b/crates/policy/src/state/replica_withdrawals.rs
@@ -11,7 +11,7 @@
     pub(crate) fn replica_entry(&mut self, id: ReplicaId, started: Option<Moment>) -> &mut Replica {
         let is_older = started.is_none_or(|at| at < self.started_at);
         let may_be_withdrawn =
-            self.may_have_former_withdrawals() && !self.proxies.applied_until.is_empty() && is_older;
+            self.may_have_earlier_withdrawals() && !self.proxies.applied_until.is_empty() && is_older;
         if may_be_withdrawn && !self.replicas.contains_key(&id) {
             self.withdrawals.reinstatements.insert(id);
             let reinstate_at = self.now + self.deployment.report_period;
@@ -21,7 +21,7 @@
     }
 
     /// Whether former incarnations may have withdrawn replicas; where slices have a single writer none does.
-    pub(crate) fn may_have_former_withdrawals(&self) -> bool {
+    pub(crate) fn may_have_earlier_withdrawals(&self) -> bool {
         !self.deployment.single_writer
     }
 
@@ -58,8 +58,8 @@
         self.withdrawals.pending.remove(id);
         if is_reinstatement {
             self.withdrawals.reinstatements.remove(id);
-            let has_more = !self.withdrawals.reinstatements.is_empty();
-            self.deadlines.reinstatement = self.deadlines.reinstatement.filter(|_| has_more);
+            let has_remaining = !self.withdrawals.reinstatements.is_empty();
+            self.deadlines.reinstatement = self.deadlines.reinstatement.filter(|_| has_remaining);
         }
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.withdrawal_sent_at = self.now;
--- a/crates/policy/src/state/schedule.rs
+++ b/crates/policy/src/state/schedule.rs
@@ -4,9 +4,9 @@
 use crate::time::{Moment, Span};
 
 /// The period of a tick, in which whatever needs a look at the whole fleet is done once.
-pub(crate) const TICK: Span = Span::ms(250);
+pub(crate) const TICK_PERIOD: Span = Span::ms(250);
 /// The period of a rebalancing round (docs/design.md: reports come each second).
-pub(crate) const ROUND: Span = Span::ms(1000);
+pub(crate) const ROUND_PERIOD: Span = Span::ms(1000);
 
 /// When recurring work is next due.
 #[derive(Default)]
@@ -26,7 +26,7 @@
 impl Deadlines {
     /// Deadlines at the start: rounds begin once two of them have passed.
     pub(crate) fn new(now: Moment, list_request: Option<Moment>) -> Self {
-        Deadlines { list_request, round: now + ROUND + ROUND, ..Deadlines::default() }
+        Deadlines { list_request, round: now + ROUND_PERIOD + ROUND_PERIOD, ..Deadlines::default() }
     }
 }
 
--- a/crates/policy/src/state/sent_message.rs
+++ b/crates/policy/src/state/sent_message.rs
@@ -52,9 +52,9 @@
     }
 
     /// Notes that up to so many copies have reached the proxy, or never will.
-    pub(super) fn remove_copies(&mut self, proxy: ProxyId, most: u32) {
+    pub(super) fn remove_copies(&mut self, proxy: ProxyId, max_copies: u32) {
         let Some(copies) = self.unacked_copies.get_mut(&proxy) else { return };
-        let removed = most.min(*copies);
+        let removed = max_copies.min(*copies);
         *copies -= removed;
         self.copies -= removed;
         if *copies == 0 {
--- a/crates/policy/src/state/shared_load.rs
+++ b/crates/policy/src/state/shared_load.rs
@@ -4,9 +4,9 @@
 use crate::windowed_counter::WindowedCounter;
 
 /// Reports of a moment are complete, and the sample of this controller's own load beside them, one bucket later.
-pub(crate) const SAMPLE_BUCKET: Span = Span::ms(500);
+pub(crate) const SAMPLE_BUCKET_DURATION: Span = Span::ms(500);
 /// How many samples of this controller's own load are kept.
-pub(crate) const SAMPLE_BUCKETS: usize = 40;
+pub(crate) const SAMPLE_BUCKET_COUNT: usize = 40;
 
 /// What is remembered of sharing as a whole.
 #[derive(Default)]
@@ -39,7 +39,7 @@
     fn default() -> Self {
         SharedLoad {
             report_window: Span::default(),
-            own_requests: WindowedCounter::new(SAMPLE_BUCKET, SAMPLE_BUCKETS),
+            own_requests: WindowedCounter::new(SAMPLE_BUCKET_DURATION, SAMPLE_BUCKET_COUNT),
             others_load: 0.0,
             others_demand: 0.0,
             round_draw: 1.0,
--- a/crates/policy/src/state/withdrawals.rs
+++ b/crates/policy/src/state/withdrawals.rs
@@ -16,8 +16,8 @@
 impl Withdrawals {
     /// Has a replica withdrawn; of two moments the earlier one counts.
     pub(crate) fn schedule(&mut self, id: ReplicaId, at: Moment) {
-        let due = self.pending.entry(id).or_insert(at);
-        *due = at.min(*due);
+        let due_at = self.pending.entry(id).or_insert(at);
+        *due_at = at.min(*due_at);
     }
 
     /// The withdrawal that has been due for longest.
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -336,9 +336,10 @@
         let usable_count = self.nodes.values().filter(usable).filter(|n| warm(n)).count();
         for p in self.proxies.values_mut() {
             let withdrawn = &p.withdrawn;
-            let has_no_endpoint = |t: &BTreeMap<ReplicaId, f64>| t.keys().all(|s| withdrawn.contains(s));
+            let lacks_usable_endpoint =
+                |t: &BTreeMap<ReplicaId, f64>| t.keys().all(|s| withdrawn.contains(s));
             let now_without_endpoint: Vec<_> =
-                p.tables.iter().filter(|(_, t)| has_no_endpoint(t)).map(|(n, _)| *n).collect();
+                p.tables.iter().filter(|(_, t)| lacks_usable_endpoint(t)).map(|(n, _)| *n).collect();
             p.without_endpoint_since
                 .retain(|n, _| p.joined && usable_count > 0 && now_without_endpoint.contains(n));
             for n in now_without_endpoint {
--- a/crates/policy/tests/overrides.rs
+++ b/crates/policy/tests/overrides.rs
@@ -218,14 +218,14 @@
     restart(&mut fleet, 2);
     set_overrides(&mut fleet, &[(1, OverrideSpec::Pin { first: 0, last: 11, replica: 2 })]);
     fleet.advance(5000);
-    let there = |fleet: &Fleet| (0..12).filter(|n| owners_of(fleet, *n) == [2]).count();
+    let count_at_pin = |fleet: &Fleet| (0..12).filter(|n| owners_of(fleet, *n) == [2]).count();
     assert!(
-        there(&fleet) < 12 && !matches!(fleet.policy.override_status(1), Some(InForce)),
+        count_at_pin(&fleet) < 12 && !matches!(fleet.policy.override_status(1), Some(InForce)),
         "{}",
-        there(&fleet)
+        count_at_pin(&fleet)
     );
     fleet.advance(120_000);
-    assert_eq!(there(&fleet), 12);
+    assert_eq!(count_at_pin(&fleet), 12);
     assert!((0..12).all(|n| moves_onto(&fleet, n, 2) <= 1), "none had to leave again");
 }
 
--- a/crates/policy/tests/shared_replicas.rs
+++ b/crates/policy/tests/shared_replicas.rs
@@ -5,7 +5,7 @@
 use fleet::{at, owners_of, site, Fleet};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
-use whinwall_policy::claims::{claimant, CLAIM_EPOCH};
+use whinwall_policy::claims::{claim_holder, CLAIM_EPOCH};
 use whinwall_policy::deployment::Deployment;
 use whinwall_policy::time::{Moment, Span};
 
@@ -56,7 +56,7 @@
                     subset(controllers, *position).is_claimed(stable_hash, start, Span::default())
                 };
                 let holders: Vec<_> = (0..controllers).filter(holds).collect();
-                assert_eq!(holders, [claimant(stable_hash, epoch, controllers)]);
+                assert_eq!(holders, [claim_holder(stable_hash, epoch, controllers)]);
                 turns.extend(holders);
             }
             assert_eq!(turns.len(), controllers as usize, "stable hash {stable_hash}");
@@ -179,7 +179,7 @@
         onto_cold.iter().all(|(_, to, when)| fleet.subsets[to].is_claimed(3, *when, Span::default())),
         "{moves:?}"
     );
-    assert!(!onto_cold.is_empty(), "the claimant did not use its budget: {moves:?}");
+    assert!(!onto_cold.is_empty(), "the claim holder did not use its budget: {moves:?}");
 }
 
 /// A cold replica that others push to its budget gets nothing more, even from who holds the claim.
