--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,105 +1,107 @@
-//! The types of the calls to [`Policy`](crate::Policy) and of the actions that it returns, free of any wire protocol.
+//! Types used in calls to [`Policy`](crate::Policy) and in the actions that it returns. They do not depend on any
+//! wire protocol.
 
 use crate::time::{Moment, Span};
 
-/// A replica's id. Ids stay as the protocol gives them; they carry no meaning.
+/// The id of a replica, as given by the protocol.
 pub type ReplicaId = u32;
-/// The id of a slice of the key space, which is the unit of routing: each slice has a routing table of its own.
+/// The id of a slice of the key space. A slice is the unit of routing: each slice has its own routing table.
 pub type SliceId = u32;
 /// The id of a proxy.
 pub type ProxyId = u32;
-/// A zone of the deployment, by its position among them.
+/// A zone of the deployment, as an index into the list of zones.
 pub type ZoneId = usize;
 
-/// What the list says of a replica.
+/// The state of a replica according to the replica list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It serves requests.
+    /// The replica serves requests.
     Ready,
-    /// It shuts down gracefully and must be left.
+    /// The replica is shutting down gracefully; its slices must move to other replicas.
     Draining,
-    /// It is not listed any more.
+    /// The replica is no longer listed.
     Gone,
 }
 
-/// Which controllers steer a replica, where each of them works with a subset of the replicas.
+/// The controllers that may assign slices to ("steer") a replica when each controller works with a subset of the
+/// replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SubsetMembership {
     /// Subsetting is off: every controller steers every replica.
     #[default]
     AllControllers,
-    /// The replica is in this controller's subset and in those of `controllers - 1` others.
+    /// The replica is in this controller's subset and in those of `controllers - 1` other controllers.
     Subset {
         /// The number of controllers that steer the replica.
         controllers: u32,
-        /// This controller's rank among them, from 0 on; all of them compute the same order.
+        /// The zero-based rank of this controller among them. All controllers compute the same order.
         position: u32,
     },
     /// The replica is in the subsets of other controllers only.
     OtherControllers,
 }
 
-/// One entry of the replica list.
+/// An entry of the replica list.
 #[derive(Clone, Debug)]
 pub struct ReplicaListing {
-    /// Which replica.
+    /// The id of the replica.
     pub replica: ReplicaId,
-    /// The zone that it runs in; `ZoneId::MAX` where that is not known.
+    /// The zone that the replica runs in; `ZoneId::MAX` if it is unknown.
     pub zone: ZoneId,
-    /// The kind of machine that it runs on.
+    /// The machine type that the replica runs on.
     pub machine: String,
-    /// Whether it serves.
+    /// The state of the replica.
     pub state: ReplicaState,
-    /// Its capacity against that of the others, as listed.
+    /// The listed weight: the replica's capacity relative to other replicas.
     pub weight: f64,
-    /// When its process started, if known.
+    /// The start time of the replica's process, if known.
     pub started: Option<Moment>,
-    /// Identifies the replica at all controllers alike, whatever its id is here: random draws about it give all of them
-    /// the same result.
+    /// A hash that identifies the replica identically at all controllers, whatever its id is here. Random draws
+    /// that are seeded with it give the same result at all of them.
     pub stable_hash: u64,
-    /// Which controllers steer it.
+    /// The controllers that steer the replica.
     pub subset: SubsetMembership,
 }
 
-/// How much of the replica list an update covers.
+/// The part of the replica list that an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Only the entries that changed.
     Changes,
-    /// All entries: a replica that is missing has gone.
+    /// All entries: a replica that is missing is gone.
     Complete,
-    /// All entries as an earlier incarnation of this controller knew them.
+    /// All entries, as cached by an earlier incarnation of this controller.
     Cached,
 }
 
-/// A temporary operators' override of what the list says.
+/// A temporary override, set by an operator, of what the replica list says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OverrideSpec {
-    /// A factor on a replica's listed weight.
+    /// Multiplies a replica's listed weight by a factor.
     Weight {
-        /// Which replica.
+        /// The replica whose weight changes.
         replica: ReplicaId,
-        /// The factor, above 0.
+        /// The factor, greater than 0.
         factor: f64,
     },
-    /// Out of service: left as a draining replica is.
+    /// Takes a replica out of service: it is evacuated like a draining replica.
     OutOfService {
-        /// Which replica.
+        /// The replica to take out of service.
         replica: ReplicaId,
     },
-    /// These slices are to be on this replica; where overrides overlap the newer one counts.
+    /// Pins a range of slices to a replica. Where pins overlap, the newer override takes precedence.
     Pin {
         /// The first slice of the range.
         first: SliceId,
-        /// The last slice of the range, included.
+        /// The last slice of the range, inclusive.
         last: SliceId,
-        /// Where they belong.
+        /// The replica that the slices are pinned to.
         replica: ReplicaId,
     },
 }
 
 impl OverrideSpec {
-    /// The replica that the override is about.
+    /// Returns the replica that the override applies to.
     pub fn replica(&self) -> ReplicaId {
         match self {
             OverrideSpec::Weight { replica, .. }
@@ -109,99 +111,101 @@
     }
 }
 
-/// An override's id, given by the caller; it stays the same for as long as the override exists.
+/// An override's id, assigned by the caller. It does not change during the override's lifetime.
 pub type OverrideNumber = u64;
 
-/// Whether an override is in force, and if not, what it waits for or which rule suspends it.
+/// The status of an override: in force, or the reason why it is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideStatus {
-    /// It is in force.
+    /// The override is in force.
     InForce,
-    /// It will be in force once this is done.
+    /// The override takes effect once the condition described by the text is met.
     Waiting(&'static str),
-    /// It is not in force while this holds.
+    /// A rule suspends the override while the condition described by the text holds.
     Suspended(&'static str),
-    /// Its replica is not on the list.
+    /// The override's replica is not listed.
     Absent,
 }
 
-/// What the proxies of one zone observed at one replica within a time window.
+/// Requests from the proxies of one zone to one replica within a time window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointReport {
-    /// The proxies' zone.
+    /// The zone of the proxies.
     pub zone: ZoneId,
     /// The length of the time window that the report covers.
     pub window: Span,
-    /// Requests sent to the replica, retries included.
+    /// The number of requests sent to the replica, including retries.
     pub attempts: f64,
-    /// Those of them that failed.
+    /// The number of these requests that failed.
     pub failed: f64,
-    /// The mean latency of the others.
+    /// The mean latency of the requests that succeeded.
     pub mean_latency: Span,
 }
 
-/// The requests for one slice, of one request class, within a time window.
+/// Requests for one slice and one request class within a time window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandReport {
-    /// The request class, by its position among those of the deployment.
+    /// The request class, as an index into
+    /// [`Deployment::request_classes`](crate::deployment::Deployment::request_classes).
     pub request_class: usize,
     /// The length of the time window that the report covers.
     pub window: Span,
-    /// Requests received, before admission control.
+    /// The number of requests received, before admission control.
     pub requests: f64,
-    /// Those of them that failed.
+    /// The number of these requests that failed.
     pub failed: f64,
 }
 
-/// One line of a load report, or the sum of several of the same subject, with the time at which it was sent: a line that
-/// arrives late counts for the time that it covers.
+/// One line of a load report, or the sum of several lines about the same subject. The time at which it was sent is
+/// included because a line that arrives late counts for the time that it covers.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
-    /// When it was sent, which is the end of its time window.
+    /// The time at which the report was sent, which is the end of its time window.
     pub at: Moment,
-    /// How many lines it is the sum of.
+    /// The number of lines that were added up.
     pub line_count: f64,
-    /// What it says.
+    /// The subject and the figures of the report.
     pub body: ReportBody,
 }
 
-/// What a line of a load report is about, and its figures.
+/// The subject of a line of a load report, with its figures.
 #[derive(Clone, Copy, Debug)]
 pub enum ReportBody {
-    /// On a replica.
+    /// A report on a replica.
     Endpoint {
-        /// Which replica.
+        /// The replica.
         replica: ReplicaId,
-        /// The figures.
+        /// The figures of the report.
         report: EndpointReport,
         /// The mean latency in the newest of the lines that were added up.
         latest_latency: Span,
     },
-    /// On a slice.
+    /// A report on a slice.
     Demand {
-        /// Which slice.
+        /// The slice.
         slice: SliceId,
-        /// The figures.
+        /// The figures of the report.
         report: DemandReport,
     },
 }
 
-/// How load reports reach the controller.
+/// The path on which load reports reach the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportFlow {
-    /// From the collectors themselves, once a second.
+    /// Reports come directly from the collectors, once a second.
     #[default]
     Direct,
-    /// Summed by aggregators.
+    /// Reports are summed by aggregators.
     Aggregated {
         /// The longest time window of the lines received recently.
         longest_window: Span,
     },
-    /// They should come from aggregators but do not, or have started again only just now: the last estimates stay in use.
+    /// Reports should come from aggregators, but none arrive or they have only just resumed. The last load
+    /// estimates stay in use.
     Interrupted,
 }
 
-/// What a load report is about.
+/// The subject of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSubject {
     /// The replica of an [`EndpointReport`].
@@ -210,73 +214,74 @@
     Slice(SliceId),
 }
 
-/// The tables that a proxy holds when it joins.
+/// The routing tables that a proxy holds when it connects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyTables {
-    /// What it applied before its stream broke, withdrawals included.
+    /// The proxy still holds what it applied before its stream was lost, including withdrawals.
     Retained,
-    /// Nothing: it has just started, or has dropped its state.
+    /// The proxy holds nothing: it has just started, or it has dropped its state.
     Empty,
 }
 
-/// One action of a reply. Actions take effect in order: a withdrawal never overtakes the endpoint that replaces it.
+/// One action of a reply. Actions take effect in order, so an endpoint is never withdrawn before its replacement
+/// is in place.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sets one endpoint of a slice's routing table.
     SetEndpoint {
-        /// Whose table.
+        /// The slice whose table changes.
         slice: SliceId,
-        /// Which endpoint.
+        /// The replica that serves as the endpoint.
         replica: ReplicaId,
-        /// Its weight in the table; 0 removes it.
+        /// The endpoint's weight in the table; 0 removes the endpoint.
         weight: f64,
     },
-    /// Takes a replica out of all routing tables, whose endpoints stay as they are.
+    /// Excludes a replica from all routing tables without changing their endpoints.
     Withdraw {
-        /// Which replica.
+        /// The replica to withdraw.
         replica: ReplicaId,
     },
-    /// Ends a replica's withdrawal.
+    /// Ends the withdrawal of a replica.
     Reinstate {
-        /// Which replica.
+        /// The replica to reinstate.
         replica: ReplicaId,
     },
-    /// Sets which share of the requests is admitted, and the retries of those.
+    /// Sets the admission rate of requests and the number of retries that admitted requests may have.
     SetAdmission {
-        /// Of which slice, or of all.
+        /// The slice, or `None` for all slices.
         slice: Option<SliceId>,
-        /// Of which request classes: bit n stands for the class at position n; 0 stands for all.
+        /// The request classes as a bit mask: bit n stands for the class at position n; 0 stands for all classes.
         request_classes: u64,
         /// The share of requests that is admitted, from 0 to 1.
         admission_rate: f64,
-        /// Retries that a request may have.
+        /// The number of retries that a request may have.
         retries: u8,
     },
-    /// Asks all proxies to acknowledge what was sent up to here.
+    /// Requests that all proxies acknowledge everything sent up to this point.
     Sync {
         /// The version of this reply.
         version: u16,
     },
-    /// Asks for the replica list.
+    /// Requests the replica list.
     RequestReplicaList,
-    /// Asks for [`Policy::timer_fired`](crate::Policy::timer_fired).
+    /// Starts a timer, after which [`Policy::timer_fired`](crate::Policy::timer_fired) must be called.
     StartTimer {
-        /// Comes back with the call.
+        /// The token to pass to the call.
         token: u64,
-        /// How long until the call.
+        /// The time until the call.
         after: Span,
     },
-    /// For observers: a replica was ejected as an outlier.
+    /// Reports to observers that a replica was ejected as an outlier.
     ReplicaEjected {
-        /// Which replica.
+        /// The replica that was ejected.
         replica: ReplicaId,
-        /// Why, for operators.
+        /// The reason, in words for operators.
         cause: &'static str,
     },
 }
 
 impl Action {
-    /// Whether the action changes what proxies hold.
+    /// Returns true if the action changes state held by the proxies.
     pub fn reaches_proxies(&self) -> bool {
         match self {
             Action::SetEndpoint { .. }
@@ -291,13 +296,13 @@
     }
 }
 
-/// What may wait in the command channel to the proxies, as far as acknowledgements show.
+/// An upper bound of what is queued in the command channel to the proxies, derived from acknowledgements.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChannelLoad {
     /// The number of connected proxies.
     pub proxies: usize,
-    /// Lines that are not acknowledged, in all messages together.
+    /// The number of unacknowledged lines in all messages.
     pub unacked_lines: f64,
-    /// Lines that may wait.
+    /// The number of lines that may be queued.
     pub capacity_lines: f64,
 }
--- a/crates/policy/src/deployment.rs
+++ b/crates/policy/src/deployment.rs
@@ -1,61 +1,63 @@
-//! What a controller is told of its deployment when it starts. It holds facts only: nothing here decides.
+//! Facts about the deployment that a controller gets when it starts. No decisions are made here.
 
 use crate::time::Span;
 
-/// A kind of request, as far as decisions depend on it.
+/// The properties of a request class that decisions depend on.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// How much an answered request is worth: classes of less weight are shed first.
+    /// The value of an answered request. Classes of lower weight are shed first.
     pub priority_weight: f64,
-    /// Answers that take longer are late.
+    /// The latency above which an answer is late.
     pub target_latency: Span,
 }
 
-/// The facts of a deployment, from its settings.
+/// The properties of a deployment, from its settings.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The request classes, in the order that their positions refer to.
+    /// The request classes, in the order that request class indices refer to.
     pub request_classes: Vec<RequestClass>,
-    /// The usual time between two reports; a report that covers more was delayed.
+    /// The usual time between two reports. A report that covers more time was delayed.
     pub report_period: Span,
-    /// Whether the replica list is pushed unasked; where false it must be requested.
+    /// True if the replica list is pushed without a request; otherwise it must be requested.
     pub list_pushed: bool,
-    /// Whether a replica that the list drops may still be used; one that it shows as draining may not.
+    /// True if a replica that is removed from the list may still be used. A replica that is listed as draining may
+    /// not be used in either case.
     pub delisting_is_advisory: bool,
-    /// Whether the list's weights are meaningful and constant.
+    /// True if the listed weights are meaningful and constant.
     pub weights_known: bool,
-    /// Whether proxies can admit a share of a request class.
+    /// True if proxies can admit a share of a request class.
     pub admission_supported: bool,
-    /// How many controllers this deployment has.
+    /// The number of controllers of the deployment.
     pub controller_count: u32,
-    /// Which of them this is, from 0 on.
+    /// The zero-based index of this controller among them.
     pub controller_index: u32,
-    /// How many proxies this deployment has, connected to this controller or not; 0 where that is not known.
+    /// The number of proxies of the deployment, whether or not they are connected to this controller; 0 if
+    /// unknown.
     pub fleet_size: u32,
-    /// Slices of all controllers together; 0 where that is not known.
+    /// The number of slices of all controllers; 0 if unknown.
     pub slice_count: u32,
-    /// Whether a slice has one owner at a time, so that its table has one endpoint.
+    /// True if a slice has one owner at a time, so that its table has a single endpoint.
     pub single_writer: bool,
-    /// How long a proxy still sends writes after its stream broke.
+    /// The time for which a proxy still sends writes after its stream was lost.
     pub tenure: Span,
-    /// How long a write can be in flight.
+    /// The maximum time for which a write can be in flight.
     pub write_lifetime: Span,
-    /// The share of its capacity that a replica has when it starts.
+    /// The share of its full capacity that a replica has when it starts.
     pub cold_capacity_share: f64,
-    /// How long after its start a replica is warming up.
+    /// The time after its start during which a replica is warming up.
     pub warm_up: Span,
-    /// A replica collapses when it is sent this multiple of its capacity.
+    /// The multiple of its capacity at which load makes a replica collapse.
     pub collapse_multiple: f64,
-    /// How long proxies may go on sending to a replica that drains or is gone.
+    /// The time for which proxies may continue to send to a replica that is draining or gone.
     pub drain_grace: Span,
-    /// What a message costs besides its own lines, in lines.
+    /// The overhead of a message in addition to its lines, expressed in lines.
     pub message_overhead_lines: f64,
-    /// Lines a second that the command channel delivers when all is well.
+    /// The number of lines per second that the command channel delivers in normal operation.
     pub lines_per_second: f64,
-    /// Lines that may wait in the command channel.
+    /// The number of lines that the command channel can queue.
     pub queue_capacity_lines: f64,
-    /// Messages to one proxy within `message_window`; 0 means no limit.
+    /// The maximum number of messages to one proxy within `message_window`; 0 means no limit.
     pub message_limit: u32,
-    /// The time over which `message_limit` counts.
+    /// The time window that `message_limit` applies to.
     pub message_window: Span,
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,8 +1,9 @@
-//! Dispatch: the only place where commands for slices are made, from what differs between desired and applied.
+//! Dispatch: the only module that creates commands for slices, from the difference between desired and applied
+//! state.
 //!
-//! Guards against commands that nobody needs, and, where a slice has a single writer, against two owners at once: its
-//! requests are held back, and the writes in flight run out, before another owner gets them, as a proxy that learns late
-//! would write to the former one still.
+//! It avoids commands that change nothing. Where a slice has a single writer, it also prevents two simultaneous
+//! owners: a proxy that learns of a change late still writes to the previous owner, so the slice's requests are
+//! held back and the writes in flight are given time to end before another owner gets them.
 
 use crate::api::{Action, ReplicaId, SliceId};
 use crate::state::admission::HALTED_REDUCTION;
@@ -12,18 +13,19 @@
 use crate::state::slice::Slice;
 use crate::time::Moment;
 
-/// What is sent for a slice in one step.
+/// The changes of one slice that are sent in one step.
 struct SliceUpdate {
     slice: SliceId,
-    /// New endpoints go before old ones leave: a table is at no moment empty.
+    /// New endpoints are added before old ones are removed, so that a table is never empty.
     endpoints: Vec<(ReplicaId, f64)>,
     reduction: f64,
-    /// Whether it is a stage of a single writer's change of owner.
+    /// True if the update is a stage of a change of owner under single writer.
     changes_single_writer: bool,
 }
 
 impl ControllerState {
-    /// Sends one slice's difference, the most urgent first, while there is room, and no more of it than matters now.
+    /// Sends the difference of one slice, the most urgent first, if the channel has room. Only the part that
+    /// matches the slice's priority is sent.
     pub(crate) fn dispatch(&mut self) -> bool {
         let may_be_sent = |(_, id): &(Priority, SliceId)| self.may_send_table(&self.slices[id]);
         let Some((priority, id)) = self.pending_slices.iter().find(may_be_sent) else { return false };
@@ -38,8 +40,8 @@
         true
     }
 
-    /// What of a slice's difference matters now: a table without an endpoint gets one, an owner is replaced; admission rates
-    /// and standbys can wait.
+    /// Returns the part of a slice's difference that is needed at this priority. Tables without an endpoint get
+    /// one first, then owners are replaced; admission rates and standbys can wait.
     fn next_update(&self, id: SliceId, priority: Priority) -> SliceUpdate {
         let slice = &self.slices[&id];
         let table = &slice.table;
@@ -86,7 +88,8 @@
         commands
     }
 
-    /// Notes what went out in this reply for a slice. Without endpoints a single writer's change of owner has only begun.
+    /// Records what was sent for a slice in this reply. If a single writer's change of owner was sent without
+    /// endpoints, the change has only begun.
     fn record_sent(&mut self, update: &SliceUpdate, command_count: usize) {
         let version = (command_count > 0).then(|| self.add_lines(command_count as f64));
         self.pending_slices.clear(update.slice);
@@ -105,7 +108,7 @@
         self.change_table(update.slice, |table| table.record_applied(&update.endpoints, removals));
     }
 
-    /// What of the slice's difference is left is sent later.
+    /// Marks the part of the slice's difference that was not sent as pending.
     fn mark_remainder_pending(&mut self, id: SliceId, priority: Priority, changes_single_writer: bool) {
         let slice = &self.slices[&id];
         let remainder_priority = match priority {
@@ -118,9 +121,9 @@
         self.mark_pending(id, remainder_priority);
     }
 
-    /// Where a slice has a single writer, each stage of a change of owner waits for the one before: acknowledgements of all
-    /// connected proxies, the time that those may go on which left this controller or the slice's former one, and the
-    /// lifetime of a write.
+    /// Returns true if the table of the slice may be sent. Under single writer, each stage of a change of owner
+    /// must wait for acknowledgements from all connected proxies, for the end of the tenure of proxies that
+    /// disconnected from this controller or from the slice's previous controller, and for the lifetime of a write.
     fn may_send_table(&self, slice: &Slice) -> bool {
         if !self.deployment.single_writer || slice.applied_reduction != HALTED_REDUCTION {
             return true;
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,4 +1,4 @@
-//! How events are taken into the state. Nothing is decided here: the rules run afterwards.
+//! Applies events to the state. Decisions are made by the rules, which run afterwards.
 
 use crate::api::{
     DemandReport, EndpointReport, ListScope, OverrideNumber, OverrideSpec, ProxyId, ProxyTables, ReplicaId,
@@ -57,8 +57,9 @@
 
 /// Proxies, their acknowledgements, and slices.
 impl ControllerState {
-    /// Notes which withdrawals the proxy has to be sent again, and which of a former incarnation it may still hold. What it
-    /// applied before it left it still holds, unless its tables are empty.
+    /// Schedules the withdrawals that must be sent to the proxy again, and reinstatements of replicas that an
+    /// earlier incarnation may have withdrawn. A proxy still holds what it applied before it disconnected, unless
+    /// its tables are empty.
     pub(crate) fn record_proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
         self.channel.add_proxy(proxy);
         let applied_until = self.proxies.applied_until.get(&proxy).copied();
@@ -100,7 +101,7 @@
     pub(crate) fn add_slice(&mut self, now: Moment, id: SliceId, table: &[(ReplicaId, f64)]) {
         self.slices.insert(id, Slice::new(table, now));
         self.change_table(id, |_| {});
-        // Proxies that joined while no table of ours named it have not been sent its withdrawal.
+        // Withdrawals are not sent to proxies that join while no table of this controller names the replica.
         let is_withdrawn = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| replica.withdrawn);
         let stays_withdrawn =
             |id: &ReplicaId| is_withdrawn(id) && !self.withdrawals.reinstatements.contains(id);
@@ -147,7 +148,8 @@
     fn record_endpoint(&mut self, at: Moment, id: ReplicaId, report: &EndpointReport, latest_latency: Span) {
         if let Some(replica) = self.replicas.get_mut(&id) {
             let link = (report.zone, replica.zone);
-            // What the link adds is no fault of the replica: else a slow link would look like an overloaded zone.
+            // The delay of the link is not the replica's; without the correction a slow link would look like an
+            // overloaded zone.
             let link_delay_seconds = self.links.delays.get(&link).copied().unwrap_or(0.0);
             replica.shared.report_window = report.window;
             replica.reports.record(at, report, latest_latency, link_delay_seconds);
@@ -167,7 +169,7 @@
         let Some(slice) = self.slices.get_mut(&id) else { return };
         slice.admitted.add_over(at, report.window, admitted);
         slice.failed.add_over(at, report.window, report.failed);
-        // Requests are expected at a replica only where all proxies have known its endpoint for a while.
+        // Requests are expected at a replica only if all proxies have known its endpoint for a while.
         for (replica, share) in slice.table.request_shares().filter(|_| is_table_settled) {
             if let Some(replica) = self.replicas.get_mut(&replica) {
                 replica.reports.expected.add_over(at, report.window, admitted * share);
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Where reports were or are interrupted, rounds outside the band are counted anew: those before rest on what was
-    /// known then.
+    /// Records the report flow. When an interruption begins or ends, the count of rounds outside the band
+    /// restarts, because earlier rounds were based on outdated reports.
     pub(crate) fn record_report_flow(&mut self, now: Moment, flow: ReportFlow) {
         let previous = replace(&mut self.reporting.flow, flow);
         if previous != flow && [previous, flow].contains(&ReportFlow::Interrupted) {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,36 +1,37 @@
-//! The decisions of a proxy fleet's controller: state, measures and rules, without I/O or clock.
+//! The decisions of a proxy fleet controller: state, measures and rules, without I/O or clock.
 //!
-//! To use them: [`Policy::start`], then one call for each event of a batch, then [`Policy::collect_actions`], which returns
-//! the actions of the reply, in order. The types of the calls are in [`api`], the facts given at start in [`deployment`].
+//! Usage: call [`Policy::start`], then one method for each event of a batch, then [`Policy::collect_actions`],
+//! which returns the actions of the reply in order. The types of the calls are in [`api`], the facts given at
+//! start-up in [`deployment`].
 //!
-//! After every call the rules in `RULES` are gone through, in order, until none acts. What needs a look at the whole fleet
-//! is done once a tick, so that a line of a report costs next to nothing. The rules shape each routing table as it should be
-//! (desired); `dispatch` alone sends commands, and only for what differs from what the proxies were sent (applied).
+//! After every call the rules in `RULES` are run in order until none acts. Work that covers the whole fleet is
+//! done once per tick, so that a report line is cheap to process. The rules change each routing table as it should
+//! be (desired); only `dispatch` sends commands, and only for the difference to what the proxies were sent
+//! (applied).
 //!
-//! The modules, each of which uses only those above it:
+//! Modules; each uses only the ones above it:
 //!
-//! | module | holds |
-//! | --- | --- |
-//! | [`time`], [`random`], [`windowed_counter`], [`api`], [`deployment`], [`claims`] | types that know nothing of decisions |
-//! | `state` | what a controller remembers; each struct keeps its own invariants |
-//! | `measure` | what is worked out from that: load estimates, averages, slow-start budgets, rankings |
-//! | `rules` | what is decided from both |
-//! | `dispatch` | commands for the difference between desired and applied tables |
-//! | `events` | how events are taken into the state |
+//! | module | content | | --- | --- | | [`time`], [`random`], [`windowed_counter`], [`api`], [`deployment`],
+//! [`claims`] | types without decisions | | `state` | what a controller stores; each struct maintains its own
+//! invariants | | `measure` | values computed from the state: load estimates, averages, slow-start budgets,
+//! rankings | | `rules` | decisions based on state and measures | | `dispatch` | commands for the difference
+//! between desired and applied tables | | `events` | application of events to the state |
 //!
-//! The ordinary path is DDMC (docs/design.md): load estimates are refreshed, a rebalancing round is opened, slices are moved.
-//! Before it come the operators' overrides; beside it stand six mechanisms:
+//! Regular rebalancing is DDMC (docs/design.md): load estimates are refreshed, a rebalancing round is opened,
+//! slices are moved. Operators' overrides are applied before it. Six further mechanisms run beside it:
 //!
-//! 1. *Outlier ejection*: a replica that is sent requests and answers none, or fails quickly, is ejected for a while.
-//! 2. *Evacuation*: slices leave replicas that are gone, draining or ejected, which are withdrawn from all tables, and those
-//!    that are warming up and sent too much.
-//! 3. *Replication*: each slice has a standby endpoint for retries; one too hot for its replica gets more owners, and loses
-//!    them when it cools.
-//! 4. *Load shedding*: where an owner answers late, or all do, retries are stopped first, then admission rates are reduced,
-//!    by priority weight.
-//! 5. *Rate limiting*: urgent commands go first; unacknowledged lines stay under the queue's capacity, messages under their
-//!    limit.
-//! 6. *Recovery*: the replica list is requested again after a failure; withdrawals of former incarnations are ended.
+//! 1. *Outlier ejection*: a replica that receives requests and answers none, or that fails quickly, is ejected
+//!    temporarily.
+//! 2. *Evacuation*: slices are moved away from replicas that are gone, draining or ejected, which are then
+//!    withdrawn from all tables, and from overloaded replicas that are warming up.
+//! 3. *Replication*: each slice has a standby endpoint for retries. A slice that is too hot for its replica gets
+//!    additional owners, which are removed when it cools down.
+//! 4. *Load shedding*: where one owner, or the whole fleet, answers late, retries are stopped first, then
+//!    admission rates are reduced by priority weight.
+//! 5. *Rate limiting*: urgent commands are sent first. Unacknowledged lines stay below the queue's capacity,
+//!    messages below their limit.
+//! 6. *Recovery*: the replica list is requested again after a failure; withdrawals of earlier incarnations are
+//!    ended.
 
 #![warn(clippy::unwrap_used)]
 
@@ -56,10 +57,10 @@
 use crate::state::replica::Replica;
 use crate::time::Moment;
 
-/// A rule looks at the state, changes it, and says whether it acted.
+/// A rule changes the state if its condition holds, and returns true if it acted.
 type Rule = fn(&mut ControllerState) -> bool;
 
-/// All rules, in the order in which they are tried: after one has acted, the first is tried again.
+/// All rules in order of precedence: after a rule has acted, evaluation restarts at the first rule.
 const RULES: [Rule; 17] = [
     ControllerState::request_list,
     ControllerState::send_withdrawals,
@@ -80,27 +81,28 @@
     ControllerState::start_timer,
 ];
 
-/// One controller's decisions. The same calls in the same order give the same actions.
+/// The decisions of one controller. The same calls in the same order give the same actions.
 pub struct Policy {
     state: ControllerState,
 }
 
-/// Start, rules and replies.
+/// Start, evaluation of the rules, and replies.
 impl Policy {
-    /// The decisions of a controller that starts at this moment and knows nothing yet. Random draws depend on the seed alone.
+    /// Creates the policy of a controller that starts at `now` without any knowledge. Random draws depend only on
+    /// the seed.
     pub fn start(deployment: Deployment, seed: u64, now: Moment) -> Self {
         Policy { state: ControllerState::new(deployment, seed, now) }
     }
 
-    /// The actions of the reply to the batch of events that ends at this moment.
+    /// Returns the actions of the reply to the batch of events that ends at `now`.
     pub fn collect_actions(&mut self, now: Moment) -> Vec<Action> {
         self.state.open_reply();
         self.run_rules(now);
         self.state.close_reply()
     }
 
-    /// Actions that need no command channel: they can be taken while no command can be sent, so that a broken channel
-    /// delays neither timers nor requests for the replica list.
+    /// Takes the actions that do not need the command channel. They can be carried out while no command can be
+    /// sent, so that a disconnected channel delays neither timers nor requests for the replica list.
     pub fn take_background_actions(&mut self) -> Vec<Action> {
         let needs_channel = |action: &Action| {
             !matches!(
@@ -122,94 +124,96 @@
 
 /// Events.
 impl Policy {
-    /// A timer that [`Action::StartTimer`] asked for has fired.
+    /// Handles the end of a timer started by [`Action::StartTimer`].
     pub fn timer_fired(&mut self, now: Moment, token: u64) {
         self.state.record_timer(token);
         self.run_rules(now);
     }
 
-    /// The replica list, or a change of it.
+    /// Handles the replica list or a change to it.
     pub fn replicas_listed(&mut self, now: Moment, scope: ListScope, list: &[ReplicaListing]) {
         self.state.record_list(scope, list);
         self.run_rules(now);
     }
 
-    /// A request for the replica list has failed, or its subscription has ended.
+    /// Handles a failed request for the replica list, or the end of the list's subscription.
     pub fn list_request_failed(&mut self, now: Moment) {
         self.state.schedule_list_retry(now);
         self.run_rules(now);
     }
 
-    /// Other controllers steer these replicas now; nothing else that the list says of them changed.
+    /// Updates which controllers steer these replicas. Their other listed properties are unchanged.
     pub fn subsets_changed(&mut self, now: Moment, subsets: &[(ReplicaId, SubsetMembership)]) {
         self.state.record_subsets(subsets);
         self.run_rules(now);
     }
 
-    /// A proxy has connected. It holds what former incarnations withdrew, and lacks what was sent while it was away.
+    /// Handles a proxy that has connected. It may hold withdrawals of earlier incarnations, and it has missed what
+    /// was sent while it was disconnected.
     pub fn proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
         self.state.record_proxy_joined(now, proxy, tables);
         self.run_rules(now);
     }
 
-    /// A proxy has disconnected.
+    /// Handles a proxy that has disconnected.
     pub fn proxy_left(&mut self, now: Moment, proxy: ProxyId) {
         self.state.record_proxy_left(now, proxy);
         self.run_rules(now);
     }
 
-    /// A proxy has applied everything up to and including this version.
+    /// Handles an acknowledgement: the proxy has applied everything up to and including this version.
     pub fn ack_received(&mut self, now: Moment, proxy: ProxyId, version: u16) {
         self.state.record_ack(now, proxy, version);
         self.run_rules(now);
     }
 
-    /// The relay's events are interrupted: acknowledgements can't arrive, so that their absence shows nothing.
+    /// Handles an interruption of the relay's events. No acknowledgement can arrive during it, so a missing one
+    /// means nothing.
     pub fn acks_interrupted(&mut self) {
         self.state.channel.interrupt_acks();
     }
 
-    /// The relay's events have started anew: acknowledgements from before may have been lost.
+    /// Handles the restart of the relay's events. Earlier acknowledgements may have been lost.
     pub fn acks_resumed(&mut self, now: Moment) {
         self.state.channel.resume_acks(now);
     }
 
-    /// The reply with this version was sent once more, as its outcome is unknown: its lines may be in the channel twice, and
-    /// its message counts again.
+    /// Records that the reply with this version was sent again because its outcome is unknown. Its lines may be in
+    /// the channel twice, and its message counts again.
     pub fn command_resent(&mut self, now: Moment, version: u16) {
         self.state.channel.record_resend(now, version);
         self.run_rules(now);
     }
 
-    /// The reply with this version is so long that it is sent as so many messages more than one.
+    /// Records that the reply with this version is split, and sent as `additional_messages` more than one message.
     pub fn reply_split(&mut self, now: Moment, version: u16, additional_messages: u32) {
         let overhead = self.state.message_overhead();
         self.state.channel.record_split(now, version, additional_messages, overhead);
     }
 
-    /// A slice is this controller's from now on; its table as the store has it.
+    /// Handles the assignment of a slice to this controller, with its table as stored.
     pub fn slice_granted(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
         self.slice_revoked(now, slice);
         self.state.add_slice(now, slice, table);
         self.run_rules(now);
     }
 
-    /// A slice is still this controller's, and its table in the store differs from what was sent: its admission rates are
-    /// not known either and are sent anew.
+    /// Handles a slice that this controller still owns, but whose stored table differs from what was sent. Its
+    /// admission rates are unknown as well and are sent again.
     pub fn slice_table_reread(&mut self, now: Moment, slice: SliceId, table: &[(ReplicaId, f64)]) {
         self.slice_granted(now, slice, table);
         self.state.invalidate_applied_admission(slice);
         self.run_rules(now);
     }
 
-    /// A slice is not this controller's any more.
+    /// Handles the removal of a slice from this controller.
     pub fn slice_revoked(&mut self, now: Moment, slice: SliceId) {
         self.state.remove_slice(slice);
         self.run_rules(now);
     }
 
-    /// All overrides that operators have set, the oldest first. One that is missing has ended; one that is known already goes
-    /// on as it is.
+    /// Sets the complete list of operators' overrides, oldest first. Overrides that are missing from the list have
+    /// ended; known overrides keep their state.
     pub fn set_overrides(&mut self, now: Moment, overrides: &[(OverrideNumber, OverrideSpec)]) {
         self.state.record_overrides(overrides);
         self.run_rules(now);
@@ -218,36 +222,37 @@
 
 /// Load reports.
 impl Policy {
-    /// A report on a replica that ends at this moment.
+    /// Handles a report on a replica whose time window ends at `now`.
     pub fn endpoint_reported(&mut self, now: Moment, replica: ReplicaId, report: EndpointReport) {
         let body = ReportBody::Endpoint { replica, report, latest_latency: report.mean_latency };
         self.load_reported(now, &[Report { at: now, line_count: 1.0, body }]);
     }
 
-    /// A report on a slice that ends at this moment.
+    /// Handles a report on a slice whose time window ends at `now`.
     pub fn demand_reported(&mut self, now: Moment, slice: SliceId, report: DemandReport) {
         let body = ReportBody::Demand { slice, report };
         self.load_reported(now, &[Report { at: now, line_count: 1.0, body }]);
     }
 
-    /// Many reports at once, each with its own time.
+    /// Handles several reports at once, each with its own time.
     pub fn load_reported(&mut self, now: Moment, reports: &[Report]) {
         self.state.record_reports(reports);
         self.run_rules(now);
     }
 
-    /// How reports come from now on.
+    /// Sets the path on which reports arrive from now on.
     pub fn set_report_flow(&mut self, now: Moment, flow: ReportFlow) {
         self.state.record_report_flow(now, flow);
         self.run_rules(now);
     }
 
-    /// Reports on the subject up to now were lost, or left out of a sum: no replica is ejected because of them.
+    /// Records that earlier reports on the subject were lost, or left out of a sum, so that no replica is ejected
+    /// because of them.
     pub fn report_incomplete(&mut self, now: Moment, subject: ReportSubject) {
         self.state.record_incomplete_report(now, subject);
     }
 
-    /// Reports on the subject say nothing of the time before `since`.
+    /// Records that reports on the subject do not cover the time before `since`.
     pub fn observed_since(&mut self, subject: ReportSubject, since: Moment) {
         self.state.record_observed_since(subject, since);
     }
@@ -255,14 +260,14 @@
 
 /// Queries.
 impl Policy {
-    /// Whether a command of this version may be sent once more: where it fits into the queue beside itself, or no
-    /// acknowledgement has come for so long that nothing can wait any more, and the message limit allows one more, as each
-    /// attempt may have been carried out.
+    /// Returns true if the reply with this version may be sent again. It must fit into the queue in addition to
+    /// its first copy, unless acknowledgements have been missing for so long that nothing can be queued any more.
+    /// The message limit must also allow another message, because each attempt may have been applied.
     pub fn may_resend(&self, now: Moment, version: u16) -> bool {
         self.state.may_resend(now, version)
     }
 
-    /// What may wait in the command channel.
+    /// Returns an upper bound of what is queued in the command channel.
     pub fn channel_load(&self) -> ChannelLoad {
         ChannelLoad {
             proxies: self.state.channel.proxies.len(),
@@ -271,43 +276,43 @@
         }
     }
 
-    /// Whether the replica is remembered.
+    /// Returns true if the policy has a record of the replica.
     pub fn knows_replica(&self, replica: ReplicaId) -> bool {
         self.state.replicas.contains_key(&replica)
     }
 
-    /// How many replicas are remembered.
+    /// Returns the number of replicas that the policy has records of.
     pub fn known_replica_count(&self) -> usize {
         self.state.replicas.len()
     }
 
-    /// What the list last said of a replica, and when that process of it started.
+    /// Returns a replica's last listed state and the start time of that process.
     pub fn replica_state(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
         self.state.replicas.get(&replica).map(|known| (known.state, known.started))
     }
 
-    /// A replica that the list names and does not call gone.
+    /// Returns a replica if it is listed and not gone.
     pub fn listed_replica(&self, replica: ReplicaId) -> Option<&Replica> {
         self.state.replicas.get(&replica).filter(|known| known.listed)
     }
 
-    /// Which controllers steer a replica, as the policy was told last.
+    /// Returns the controllers that steer a replica, as last set.
     pub fn subset_membership(&self, replica: ReplicaId) -> Option<SubsetMembership> {
         self.state.replicas.get(&replica).map(|known| known.subset)
     }
 
-    /// The load of a replica's slices in requests a second, as last estimated.
+    /// Returns the last estimate of the load of a replica's slices, in requests per second.
     pub fn measured_load(&self, replica: ReplicaId) -> Option<f64> {
         self.state.replicas.get(&replica).map(|known| known.load)
     }
 
-    /// The load of all slices in requests a second, as last estimated.
+    /// Returns the last estimate of the load of all slices, in requests per second.
     pub fn total_measured_load(&self) -> f64 {
         self.state.slices.values().map(|slice| slice.load).sum()
     }
 
-    /// How many of the listed replicas that this controller steers can't be ejected as outliers, as reports on them are
-    /// incomplete, or none have come recently.
+    /// Returns the number of listed replicas steered by this controller that can't be ejected as outliers because
+    /// reports on them are incomplete or missing.
     pub fn partially_observed_count(&self) -> usize {
         self.state.count_replicas(|replica| {
             let is_ours = replica.subset != SubsetMembership::OtherControllers;
@@ -315,7 +320,7 @@
         })
     }
 
-    /// Whether an override is in force, and if not, why.
+    /// Returns the status of an override, with the reason if it is not in force.
     pub fn override_status(&self, id: OverrideNumber) -> Option<OverrideStatus> {
         self.state.operator_overrides.entries.get(&id).map(|entry| entry.status)
     }
--- a/crates/policy/src/measure/admission.rs
+++ b/crates/policy/src/measure/admission.rs
@@ -1,20 +1,23 @@
-//! Which admission rates a reduction stands for.
+//! Maps a reduction to admission rates.
 
 use crate::api::{Action, SliceId};
 use crate::deployment::RequestClass;
 use crate::state::admission::{HALTED_REDUCTION, RETRIES_ONLY_REDUCTION};
 use crate::state::controller::ControllerState;
 
-/// Answers are late above this ratio of mean latency to the tightest target latency (docs/design.md, Load shedding).
+/// Answers are late if the ratio of mean latency to the tightest target latency is above this (docs/design.md,
+/// Load shedding).
 pub(crate) const HIGH_LATENCY_RATIO: f64 = 0.6;
-/// Answers are quick below this ratio of mean latency to the tightest target latency (docs/design.md, Load shedding).
+/// Answers are fast if the ratio of mean latency to the tightest target latency is below this (docs/design.md,
+/// Load shedding).
 pub(crate) const LOW_LATENCY_RATIO: f64 = 0.35;
-/// The lowest admission rate of a request class, at a reduction of 1 (docs/design.md, Load shedding: a tenth).
+/// The lowest admission rate of a request class, at a reduction of 1 (docs/design.md, Load shedding: one tenth).
 const MIN_ADMISSION_RATE: f64 = 0.1;
 
 impl ControllerState {
-    /// The share of a request class that is admitted at a reduction, from 0 to 1. Classes are reduced one after the other,
-    /// the one with the least priority weight first; classes of equal weight together.
+    /// Returns the admission rate of a request class at a reduction, from 0 to 1. Classes are reduced one after
+    /// the other in the order of their priority weight, lowest first; classes of equal weight are reduced
+    /// together.
     pub(crate) fn admission_rate(&self, reduction: f64, request_class: usize) -> f64 {
         let classes = &self.deployment.request_classes;
         let Some(class) = classes.get(request_class) else { return 1.0 };
@@ -30,13 +33,14 @@
         }
     }
 
-    /// Retries that a request may have at a reduction: the first step of a reduction stops them.
+    /// Returns the number of retries that a request may have at a reduction. The first step of a reduction stops
+    /// retries.
     pub(crate) fn allowed_retries(&self, reduction: f64) -> u8 {
         u8::from(reduction == 0.0)
     }
 
-    /// The commands that turn one reduction of a slice into another; one command serves where all request classes get the
-    /// same rate.
+    /// Returns the commands that change a slice from one reduction to another. If all request classes get the same
+    /// rate, one command is enough.
     pub(crate) fn admission_commands(&self, slice: SliceId, applied: f64, desired: f64) -> Vec<Action> {
         let class_count = self.deployment.request_classes.len();
         let retries = self.allowed_retries(desired);
--- a/crates/policy/src/measure/fleet_averages.rs
+++ b/crates/policy/src/measure/fleet_averages.rs
@@ -1,18 +1,18 @@
-//! Averages over the fleet: AvgL of DDMC and what goes with it.
+//! Averages over the fleet: AvgL of DDMC and related values.
 
 use crate::measure::windows::LOAD_WINDOW;
 use crate::state::controller::ControllerState;
 use crate::state::fleet_averages::FleetAverages;
 use crate::state::replica::Replica;
 
-/// phi of DDMC, as a share of AvgL (docs/design.md: at the paper's 0.1 most moves chase noise).
+/// phi of DDMC, as a share of AvgL. With the paper's 0.1 most moves react to noise (docs/design.md).
 const BAND_HALF_WIDTH: f64 = 0.35;
-/// The least sum of capacities that is divided by.
+/// Lower bound of a sum of capacities used as a divisor.
 const MIN_CAPACITY: f64 = 0.01;
 
 impl ControllerState {
-    /// How many times as many slices all controllers have as this one, at least 1; 1 where replicas are shared, as what all
-    /// controllers bring is known there.
+    /// Returns the ratio of all controllers' slices to this controller's slices, at least 1. Returns 1 where
+    /// replicas are shared, because the load of all controllers is known there.
     pub(crate) fn fleet_multiple(&self) -> f64 {
         if self.sharing.is_active {
             return 1.0;
@@ -21,7 +21,7 @@
         (f64::from(self.deployment.slice_count) / own_slices).max(1.0)
     }
 
-    /// The averages over the usable replicas that are not another controller's alone.
+    /// Computes the averages over the usable replicas, without those that another controller owns alone.
     pub(crate) fn measure_fleet_averages(&self) -> FleetAverages {
         let averaged_replicas = || self.replicas.values().filter(|replica| self.is_averaged(replica));
         let capacity =
@@ -47,8 +47,8 @@
         self.is_usable(replica) && replica.ownership > 0.0
     }
 
-    /// What a unit of service rate was seen to answer. It is no less for what operators count replicas for, nor for cold
-    /// ones that are sent little beside warm ones.
+    /// Returns the rate of requests that were answered per unit of service rate. Operators' weight factors do not
+    /// lower it, and neither do cold replicas that receive few requests while others are warm.
     fn measure_observed_service_rate(&self) -> f64 {
         let averaged_replicas = || self.replicas.values().filter(|replica| self.is_averaged(replica));
         let some_are_warm = averaged_replicas().any(|replica| !self.is_warming_up(replica));
@@ -64,8 +64,8 @@
         load.min(succeeded) / service_rate
     }
 
-    /// Averages over the replicas of the subset: the load of all of them, also of those that must be left, has to find its
-    /// place on the ones that are averaged.
+    /// Computes averages over the replicas of the subset. The load of all of them is spread over the averaged
+    /// ones, including the load of replicas that must be evacuated.
     fn subset_averages(&self, own: FleetAverages) -> FleetAverages {
         let steered = || self.replicas.values().filter(|replica| !replica.is_steered_by_others());
         let averaged_replicas = || steered().filter(|replica| self.is_averaged(replica));
--- a/crates/policy/src/measure/load_estimates.rs
+++ b/crates/policy/src/measure/load_estimates.rs
@@ -1,4 +1,4 @@
-//! Load estimates of replicas and slices, refreshed once a tick and corrected by each change of a table.
+//! Load estimates of replicas and slices, refreshed once per tick and corrected by each table change.
 
 use crate::api::{ReplicaId, ReportFlow, SliceId};
 use crate::measure::windows::{
@@ -10,12 +10,12 @@
 use crate::time::Span;
 use std::mem::take;
 
-/// Limits of a listed weight that is used: a list may say anything.
+/// Limits applied to listed weights, because the list may contain any value.
 const WEIGHT_RANGE: (f64, f64) = (0.01, 1e6);
-/// Limits of a replica's speed relative to its like.
+/// Limits of a replica's speed relative to replicas of the same machine type.
 const SPEED_RANGE: (f64, f64) = (0.5, 1.3);
 
-/// The load estimates of a slice, in requests a second.
+/// The load estimates of a slice, in requests per second.
 struct SliceLoad {
     load: f64,
     burst_load: f64,
@@ -30,7 +30,7 @@
     pub move_count: u32,
 }
 
-/// A latency against the objective; with an objective of 0 all answers are late.
+/// Returns the ratio of a latency to its target. With a target of 0 all answers are late.
 fn latency_ratio(latency_seconds: f64, target_seconds: f64) -> f64 {
     if target_seconds > 0.0 {
         latency_seconds / target_seconds
@@ -40,7 +40,7 @@
 }
 
 impl ControllerState {
-    /// Refreshes loads, capacities, averages and rankings, once a tick.
+    /// Refreshes loads, capacities, averages and rankings, once per tick.
     pub(crate) fn refresh_load_estimates(&mut self) -> bool {
         if !take(&mut self.pending_work.load_estimates) || self.keep_last_estimates() {
             return false;
@@ -57,7 +57,8 @@
         true
     }
 
-    /// While no reports come the last estimates stay; a replica that is new since then counts for what it is listed as.
+    /// While reports are interrupted, keeps the last estimates and returns true. A replica that is new since then
+    /// counts with its listed weight.
     fn keep_last_estimates(&mut self) -> bool {
         if self.reporting.flow != ReportFlow::Interrupted {
             return false;
@@ -74,7 +75,7 @@
         true
     }
 
-    /// What was reported of each replica recently, and how late its answers are against the tightest target.
+    /// Refreshes the recent report sums of each replica, and the ratio of its latency to the tightest target.
     fn refresh_replica_counts(&mut self, window: Span) {
         let now = self.now;
         let target = self.tightest_target_seconds();
@@ -91,8 +92,9 @@
         }
     }
 
-    /// mu of DDMC: the listed weight times the root of the replica's speed. Only the root counts, as a full replica looks
-    /// slow too, and by the whole ratio it would lose the slices whose keys it has warm.
+    /// Refreshes mu of DDMC: the listed weight times the square root of the replica's relative speed. The square
+    /// root is used because an overloaded replica also looks slow; with the full ratio it would lose the slices
+    /// whose keys it has cached.
     fn refresh_capacities(&mut self) {
         let relative_latencies = self.relative_latencies(LOAD_WINDOW + self.reporting.lag);
         let ownerships: Vec<_> =
@@ -106,7 +108,8 @@
         }
     }
 
-    /// The load of each slice, added up over the endpoints of its table, and what other controllers bring.
+    /// Refreshes the load of each slice and of the replicas in its table, and adds the load from other
+    /// controllers.
     fn refresh_slice_loads(&mut self) {
         let loads: Vec<_> = self.slices.values().map(|slice| self.measure_slice_load(slice)).collect();
         for replica in self.replicas.values_mut() {
@@ -127,8 +130,9 @@
         self.add_others_load();
     }
 
-    /// Clients retry after a failure: counted in full, a broken replica's slices would look like hot ones. But all requests,
-    /// retries too, are what a replica feels.
+    /// Estimates the load of a slice. Clients retry after a failure, so if all requests were counted, the slices
+    /// of a failing replica would look hot. `demand` does count all requests, since a replica has to handle
+    /// retries too.
     fn measure_slice_load(&self, slice: &Slice) -> SliceLoad {
         let since = slice.granted_at.max(slice.observed_since);
         let admitted = |window| self.request_rate(&slice.admitted, window, since);
@@ -141,7 +145,8 @@
         }
     }
 
-    /// The share of admitted requests that failed, of the request class that fares best; 0 where nothing is known.
+    /// Returns the share of admitted requests that failed, for the request class with the lowest share; 0 if
+    /// nothing is known.
     pub(crate) fn lowest_failed_share(&self) -> f64 {
         let window = RECENT_WINDOW + self.reporting.lag;
         let failed_shares = self.class_outcomes.iter().filter_map(|class| {
@@ -151,13 +156,13 @@
         failed_shares.reduce(f64::min).unwrap_or(0.0)
     }
 
-    /// Whether a slice's table has been with all proxies long enough to show in reports.
+    /// Returns true if all proxies have had a slice's table for long enough that reports reflect it.
     pub(crate) fn is_table_settled(&self, slice: &Slice) -> bool {
         slice.awaited_version.is_none() && self.now - slice.settled_at > RECENT_WINDOW + self.reporting.lag
     }
 
-    /// The slices that a replica owns alone, that are not pinned to it and for which no change is under way, the heaviest
-    /// first.
+    /// Returns the slices that a replica owns alone, without those pinned to it and those with a change in
+    /// progress, in the order of decreasing load.
     pub(crate) fn movable_slices(&self, owner: ReplicaId, replica: &Replica) -> Vec<MovableSlice> {
         let is_free = |slice: &Slice| {
             slice.awaited_version.is_none()
--- a/crates/policy/src/measure/mod.rs
+++ b/crates/policy/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! What is worked out from the state. Nothing here knows the rules.
+//! Values computed from the state. This module does not depend on the rules.
 
 pub(crate) mod admission;
 pub(crate) mod fleet_averages;
--- a/crates/policy/src/measure/rankings.rs
+++ b/crates/policy/src/measure/rankings.rs
@@ -1,15 +1,15 @@
-//! The orders in which replicas are looked through for one that may take a slice.
+//! The orders in which replicas are searched for one that can accept a slice.
 
 use crate::api::ReplicaId;
 use crate::state::controller::ControllerState;
 use crate::state::ranking::Rankings;
 use crate::state::replica::Replica;
 
-/// Keeps draws apart from replicas without headroom, in requests a second.
+/// Lower bound of a replica's headroom in random draws, in requests per second.
 const MIN_HEADROOM: f64 = 1e-6;
 
 impl ControllerState {
-    /// Ranks a replica by its present figures; one that may take no slice is not ranked.
+    /// Updates the rank of a replica from its current values. Replicas that may not accept slices are not ranked.
     pub(crate) fn update_rank(&mut self, id: ReplicaId) {
         let Some(replica) = self.rankable(id) else { return };
         let standby_load = replica.standby_count / replica.effective_capacity;
@@ -22,7 +22,7 @@
         self.rankings.by_standby_load.insert(id, standby_load, tie_breaker);
     }
 
-    /// Ranks all replicas anew.
+    /// Rebuilds the rankings of all replicas.
     pub(crate) fn rebuild_rankings(&mut self) {
         self.rankings = Rankings::default();
         let ids: Vec<_> = self.replicas.keys().copied().collect();
@@ -34,8 +34,9 @@
         (replica.ownership > 0.0 && self.is_usable(replica)).then_some(replica)
     }
 
-    /// The order by headroom: where replicas are shared, claimed ones below the average first, by headroom; then the others
-    /// by a draw in proportion to their headroom, so that controllers which evacuate at once spread.
+    /// Returns the replica's rank by headroom. Where replicas are shared, claimed replicas with less than average
+    /// utilization come first, by headroom. The others follow in a random order weighted by headroom, so that
+    /// controllers that evacuate at the same time choose different replicas.
     fn headroom_rank(&self, replica: &Replica, tie_breaker: f64) -> f64 {
         let headroom = self.averages.headroom(replica);
         let is_claimed_and_underutilized =
@@ -46,7 +47,8 @@
         -(1.0 - tie_breaker).ln() / headroom.max(MIN_HEADROOM)
     }
 
-    /// The order by utilization: where replicas are shared, a draw among those that differ by less than the band.
+    /// Returns the replica's rank by utilization. Where replicas are shared, the order of replicas that differ by
+    /// less than the band is random.
     fn utilization_rank(&self, replica: &Replica, tie_breaker: f64) -> f64 {
         if self.sharing.is_active {
             replica.utilization() + self.averages.band_half_width * tie_breaker
--- a/crates/policy/src/measure/relative_latency.rs
+++ b/crates/policy/src/measure/relative_latency.rs
@@ -1,4 +1,4 @@
-//! Latencies of replicas against those of their like, and what links between zones add.
+//! Latencies of replicas relative to replicas of the same machine type, and delays of the links between zones.
 
 use crate::measure::windows::MIN_SAMPLES;
 use crate::state::controller::ControllerState;
@@ -7,7 +7,7 @@
 use crate::time::Span;
 use std::collections::BTreeMap;
 
-/// The sum of some latencies in seconds, and their number.
+/// A sum of latencies in seconds, and their count.
 #[derive(Default)]
 struct LatencySum {
     seconds: f64,
@@ -15,7 +15,8 @@
 }
 
 impl ControllerState {
-    /// How many seconds each link between zones adds to a request, beyond what proxies in the replica's own zone find.
+    /// Returns the latency in seconds that each link between zones adds to a request, compared with requests from
+    /// proxies in the replica's own zone.
     pub(crate) fn measure_link_delays(&self, window: Span) -> BTreeMap<Link, f64> {
         let mean_latency = |link: Link| {
             let latency = self.links.latencies.get(&link)?;
@@ -29,8 +30,8 @@
         self.links.latencies.keys().filter_map(|link| Some((*link, delay(link)?))).collect()
     }
 
-    /// Each replica's mean latency, in the order of their ids, against the mean of the usable ones of its kind; 1 where
-    /// either is not known.
+    /// Returns each replica's mean latency divided by the mean of the usable replicas of its machine type, in the
+    /// order of replica ids; 1 if either is unknown.
     pub(crate) fn relative_latencies(&self, window: Span) -> Vec<f64> {
         let latency = |replica: &Replica| replica.reports.mean_latency_seconds(self.now, window, MIN_SAMPLES);
         let latencies: Vec<_> = self.replicas.values().map(latency).collect();
@@ -52,7 +53,8 @@
         self.replicas.values().zip(latencies).map(relative).collect()
     }
 
-    /// The kind of machine, where the list's weights tell kinds apart; else all replicas are alike.
+    /// Returns the replica's machine type if listed weights distinguish types; otherwise all replicas count as one
+    /// type.
     fn machine_kind<'a>(&self, replica: &'a Replica) -> &'a str {
         if self.deployment.weights_known {
             &replica.machine
--- a/crates/policy/src/measure/report_timing.rs
+++ b/crates/policy/src/measure/report_timing.rs
@@ -1,4 +1,4 @@
-//! How late load reports are, and rates that allow for it.
+//! The lag of load reports, and rates that allow for it.
 
 use crate::api::ReportFlow;
 use crate::measure::windows::RECENT_WINDOW;
@@ -7,12 +7,13 @@
 use crate::time::{Moment, Span};
 use crate::windowed_counter::WindowedCounter;
 
-/// The shortest time that a rate is divided by, in seconds.
+/// Lower bound of the time used as the divisor of a rate, in seconds.
 const MIN_RATE_SECONDS: f64 = 0.001;
 
 impl ControllerState {
-    /// How much more than a report period the reports of the last `window` cover: they fall behind by that. Of aggregated
-    /// ones the longest counts, as what is reported seldom would else look silent.
+    /// Returns the time by which the windows of the reports of the last `window` exceed a report period; reports
+    /// lag by this time. For aggregated reports the longest window counts, because otherwise a subject with
+    /// infrequent reports would look silent.
     pub(crate) fn measure_report_lag(&self, window: Span) -> Span {
         let period = self.deployment.report_period;
         if let ReportFlow::Aggregated { longest_window } = self.reporting.flow {
@@ -24,7 +25,8 @@
         lag.max(self.sharing.window_excess)
     }
 
-    /// When the newest report on anything should have come. Aggregated ones may come a period later than their window.
+    /// Returns the time at which the newest report on any subject should have arrived. An aggregated report may
+    /// arrive one period later than its window.
     fn newest_report_expected_at(&self) -> Moment {
         let periods = match self.reporting.flow {
             ReportFlow::Aggregated { .. } => 2.0,
@@ -33,17 +35,17 @@
         self.now - self.reporting.lag - self.deployment.report_period.times(periods)
     }
 
-    /// Requests a second over a window that ends with the newest report: a report that is merely late is no silence.
-    /// Nothing is known of the time before `since`.
+    /// Returns the rate of requests per second over a window that ends with the newest report, so that a late
+    /// report does not count as silence. The time before `since` is left out because nothing is known about it.
     pub(crate) fn request_rate(&self, counter: &WindowedCounter, window: Span, since: Moment) -> f64 {
         let end = counter.newest_bucket_end().min(self.now).max(self.newest_report_expected_at());
         let window = window.min(end - since).max(self.deployment.report_period);
         counter.sum(end, window) / window.seconds().max(MIN_RATE_SECONDS)
     }
 
-    /// Whether reports on a replica are complete and recent enough to be held against what was expected at it. After an
-    /// incomplete one they are so again once the window has left that behind; on a replica that other controllers steer none
-    /// are to come.
+    /// Returns true if reports on a replica are complete and recent enough to be compared with the expected
+    /// requests. After an incomplete report this is false until the window no longer contains that report. No
+    /// reports are expected on a replica that other controllers steer.
     pub(crate) fn is_observed(&self, replica: &Replica) -> bool {
         match self.reporting.flow {
             _ if replica.is_steered_by_others() => false,
--- a/crates/policy/src/measure/shared_load.rs
+++ b/crates/policy/src/measure/shared_load.rs
@@ -1,7 +1,7 @@
-//! What other controllers bring to the replicas that they share with this one.
+//! The load that other controllers put on replicas shared with this controller.
 //!
-//! A replica's load is what all proxies report for it. Reports lag, so a controller replaces its own part of what was
-//! reported by what its own slices bring now.
+//! A replica's load is the sum of what all proxies report for it. Because reports lag, a controller replaces its
+//! own part of the reported load by the current load of its own slices.
 
 use crate::api::SubsetMembership;
 use crate::measure::windows::RETRIED_SHARE_OF_FAILURES;
@@ -11,18 +11,19 @@
 use crate::time::{Moment, Span};
 use std::mem::replace;
 
-/// What other controllers bring is averaged over this window.
+/// The window over which other controllers' load is averaged.
 const OTHERS_WINDOW: Span = Span::ms(3000);
-/// Where more came within this shorter window, that counts as their demand.
+/// A shorter window: if the rate in it is higher, it counts as other controllers' demand.
 const OTHERS_BURST_WINDOW: Span = Span::ms(1000);
-/// A replica of which no report has come for so long, while others' came, gets nothing. Where no reports come at all, what
-/// came last stands.
+/// A replica without reports for this time, while reports on others arrive, counts as having no load. If no
+/// reports arrive at all, the last values stay.
 const MAX_REPORT_SILENCE: Span = Span::ms(4000);
-/// The period of random draws.
+/// The period after which random draws are renewed.
 const DRAW_PERIOD: Span = Span::ms(1000);
 
 impl ControllerState {
-    /// Adds to each replica's load what other controllers' slices bring. Does nothing where all replicas are everyone's.
+    /// Adds the load from other controllers' slices to each replica. Does nothing if all replicas are steered by
+    /// all controllers.
     pub(crate) fn add_others_load(&mut self) {
         let is_shared = |replica: &Replica| replica.subset != SubsetMembership::AllControllers;
         self.sharing.is_active = self.replicas.values().any(is_shared);
@@ -34,11 +35,11 @@
         self.refresh_window_excess();
         let now = self.now;
         let newest = self.replicas.values().map(|replica| replica.reports.attempts.newest_bucket_end()).max();
-        // Aggregated reports may have longer windows than the silence that is allowed.
+        // The windows of aggregated reports may be longer than `MAX_REPORT_SILENCE`.
         let allowed_silence = MAX_REPORT_SILENCE.max(self.reporting.lag + self.deployment.report_period);
         let oldest = newest.unwrap_or_default() - allowed_silence;
         for replica in self.replicas.values_mut() {
-            // Nobody else brings anything to a replica that this controller steers alone.
+            // No other controller adds load to a replica that this controller steers alone.
             if matches!(replica.subset, SubsetMembership::Subset { controllers: 1, .. }) {
                 continue;
             }
@@ -68,10 +69,11 @@
         }
     }
 
-    /// Notes what this controller's slices have brought since the last time, by the tables that proxies were sent.
+    /// Records the requests from this controller's slices since the previous sample, according to the tables that
+    /// the proxies were sent.
     fn sample_own_load(&mut self) {
         let now = self.now;
-        // Before the first sample, and while reports were interrupted, tables were what they are now.
+        // Before the first sample, and for the time of an interruption, the current tables are assumed.
         let longest = SAMPLE_BUCKET_DURATION.times(SAMPLE_BUCKET_COUNT as f64);
         let sampled_at = self.sharing.sampled_at.replace(now);
         let elapsed = sampled_at.map_or(longest, |since| (now - since).min(longest));
@@ -86,13 +88,13 @@
         }
     }
 
-    /// Whether this controller may move slices to a replica by the ordinary path.
+    /// Returns true if this controller may move slices to a replica by regular rebalancing.
     pub(crate) fn holds_claim(&self, replica: &Replica) -> bool {
         replica.subset.is_claimed(replica.stable_hash, self.now, self.sharing.window_excess)
     }
 }
 
-/// Requests a second that other controllers brought to a replica within a window.
+/// Returns the rate of requests per second from other controllers to a replica within a window.
 fn others_rate(replica: &Replica, end: Moment, window: Span) -> f64 {
     let reported = replica.reports.attempts.sum(end, window);
     let own = replica.shared.own_requests.sum(end, window);
--- a/crates/policy/src/measure/slow_start.rs
+++ b/crates/policy/src/measure/slow_start.rs
@@ -1,15 +1,16 @@
-//! Slow start: what a replica that warms up may be sent.
+//! Slow start: limits on the load of a replica that is warming up.
 
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
 
-/// The part that is used of what would make a cold replica collapse (docs/design.md, Evacuation).
+/// The used share of the load that would make a cold replica collapse (docs/design.md, Evacuation).
 const SLOW_START_SAFETY_FACTOR: f64 = 0.55;
-/// The shortest warm-up that is divided by, in seconds.
+/// Lower bound of the warm-up time used as a divisor, in seconds.
 const MIN_WARM_UP_SECONDS: f64 = 0.1;
 
 impl ControllerState {
-    /// The share of its capacity that a replica has: from the share at its start, evenly up to all.
+    /// Returns the share of its full capacity that a replica currently has. It grows linearly from the share at
+    /// start-up to 1.
     fn warm_capacity_share(&self, replica: &Replica) -> f64 {
         let age = (self.now - replica.started.unwrap_or_default()).seconds();
         let warmed = age / self.deployment.warm_up.seconds().max(MIN_WARM_UP_SECONDS);
@@ -17,8 +18,9 @@
         (initial + (1.0 - initial) * warmed).min(1.0)
     }
 
-    /// What a replica may be sent now, in requests a second with retries; no limit for a warm one. What the fleet answers is
-    /// the only sure sign of what replicas can do; what is asked may be far more (overload, retries).
+    /// Returns the requests per second, including retries, that a replica may currently be sent; infinite for a
+    /// warm one. The limit is based on the rate that the fleet answers, since that is the only reliable measure of
+    /// what replicas can handle. The requested rate may be far higher (overload, retries).
     pub(crate) fn slow_start_budget(&self, replica: &Replica) -> f64 {
         if !self.is_warming_up(replica) {
             return f64::INFINITY;
@@ -31,9 +33,10 @@
             * SLOW_START_SAFETY_FACTOR
     }
 
-    /// This controller's part of a replica, in multiples of an even part. A cold replica is one controller's alone, by a draw
-    /// that falls alike at all: an even part of its budget for each would be less than most slices need. Where nobody else
-    /// has slices, or slices are not what is shared out, nothing is drawn.
+    /// Returns this controller's part of a replica, in multiples of an even part. A cold replica is assigned to a
+    /// single controller by a draw that gives the same result at all controllers, because an even part of its
+    /// budget per controller would be less than most slices need. There is no draw if no other controller has
+    /// slices, or if slices are not distributed among controllers.
     pub(crate) fn measure_ownership(&self, replica: &Replica) -> f64 {
         let fleet_multiple = self.fleet_multiple();
         if fleet_multiple == 1.0 || !self.is_warming_up(replica) {
@@ -47,7 +50,8 @@
         }
     }
 
-    /// What a replica may still get, inside its band and its slow-start budget, in requests a second.
+    /// Returns the load that a replica may still get within its band and its slow-start budget, in requests per
+    /// second.
     pub(crate) fn headroom(&self, replica: &Replica) -> f64 {
         let budget_left = self.slow_start_budget(replica) - replica.demand;
         self.averages.headroom(replica).min(budget_left)
--- a/crates/policy/src/measure/table_changes.rs
+++ b/crates/policy/src/measure/table_changes.rs
@@ -1,11 +1,11 @@
-//! Changes of desired tables, which correct the load estimates of the replicas concerned.
+//! Changes to desired tables, with corrections of the load estimates of the replicas concerned.
 
 use crate::api::{ReplicaId, SliceId};
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::routing_table::RoutingTable;
 
-/// Whether a slice's load is taken from its replicas or put on them.
+/// The direction in which a slice's load is applied to its replicas.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LoadChange {
     Remove,
@@ -22,12 +22,12 @@
 }
 
 impl ControllerState {
-    /// Changes a slice's table, and what its replicas carry with it.
+    /// Changes a slice's table and updates the load of its replicas.
     pub(crate) fn change_table(&mut self, id: SliceId, change: impl FnOnce(&mut RoutingTable)) {
         self.apply_load(id, LoadChange::Remove);
         if let Some(slice) = self.slices.get_mut(&id) {
             change(&mut slice.table);
-            // A replica that only the store knows still has its slices counted.
+            // A replica that only a stored table names needs a record too, so that its slices are counted.
             let named: Vec<_> = slice.table.desired.keys().copied().collect();
             for replica in named {
                 self.replica_entry(replica, None);
@@ -58,7 +58,7 @@
         named.into_iter().for_each(|replica_id| self.update_rank(replica_id));
     }
 
-    /// Puts one endpoint in the place of another, either of which may be missing, and has that sent.
+    /// Replaces one endpoint by another, either of which may be missing, and marks the slice as pending.
     pub(crate) fn replace_endpoint(
         &mut self,
         id: SliceId,
@@ -70,7 +70,7 @@
         self.mark_pending(id, priority);
     }
 
-    /// The same, where it is the owners that change.
+    /// Like `replace_endpoint`, for a change of owners.
     pub(crate) fn replace_owner(
         &mut self,
         id: SliceId,
--- a/crates/policy/src/rules/acknowledgements.rs
+++ b/crates/policy/src/rules/acknowledgements.rs
@@ -1,20 +1,23 @@
-//! Waiting for acknowledgements: a slice whose table changed is left alone until all proxies have applied it.
+//! Waiting for acknowledgements: a slice whose table has changed is not changed again until all proxies have
+//! applied the change.
 //!
-//! Guards against a slice that moves again before anybody knows of its last move, and, where it has a single writer, against
-//! two owners that are written to at once.
+//! This prevents a slice from moving again before the proxies know its previous move. Under single writer it also
+//! prevents writes to two owners at once.
 
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::sent_message::SentMessage;
 use crate::time::Span;
 
-/// How long a slice waits for acknowledgements that do not come: some proxies may be gone (docs/design.md, Messages).
+/// The time for which a slice waits for missing acknowledgements; some proxies may be gone (docs/design.md,
+/// Messages).
 const MAX_ACK_WAIT: Span = Span::ms(5000);
 
 impl ControllerState {
-    /// Frees the slices that wait for a version once all acknowledgements are there, or after a while; lines stay counted
-    /// until they are acknowledged. Where slices have a single writer, a proxy that has not acknowledged may still write to
-    /// the former owner: there all are asked again instead.
+    /// Releases the slices that wait for a version, once all acknowledgements have arrived or `MAX_ACK_WAIT` has
+    /// passed. Lines still count as queued until they are acknowledged. Under single writer, a proxy that has not
+    /// acknowledged may still write to the previous owner, so there is no time limit and all proxies are asked
+    /// again instead.
     pub(crate) fn finish_versions(&mut self) -> bool {
         let single_writer = self.deployment.single_writer;
         let is_finished = |version: u16, message: &SentMessage| {
@@ -34,7 +37,7 @@
         false
     }
 
-    /// Whether slices have waited for the message for too long.
+    /// Returns true if slices have waited for the message for `MAX_ACK_WAIT` or longer.
     fn is_late(&self, message: &SentMessage) -> bool {
         !message.waiting_slices.is_empty() && self.now - message.sent_at >= MAX_ACK_WAIT
     }
--- a/crates/policy/src/rules/evacuation.rs
+++ b/crates/policy/src/rules/evacuation.rs
@@ -1,8 +1,8 @@
-//! Evacuation: slices leave replicas that are gone, draining or ejected, which are withdrawn from all tables, and cold ones
-//! that are sent too much.
+//! Evacuation: slices move away from replicas that are gone, draining or ejected, which are withdrawn from all
+//! tables, and from overloaded cold replicas.
 //!
-//! Guards against requests that are sent to what will not answer: a withdrawal is one line a replica, and standby endpoints
-//! take over long before each table is written anew.
+//! This avoids requests to replicas that will not answer. A withdrawal is one line per replica, so standby
+//! endpoints take over long before every table has been rewritten.
 
 use crate::api::{ReplicaId, SliceId};
 use crate::rules::placement::DestinationScope;
@@ -14,7 +14,7 @@
 use crate::state::slice::Slice;
 use std::mem::take;
 
-/// How far a cold replica's demand may exceed its slow-start budget before slices leave it.
+/// The multiple of its slow-start budget that a cold replica's demand may reach before slices are moved away.
 const MAX_BUDGET_OVERRUN: f64 = 1.2;
 
 /// A slice that may have to leave a replica, or that has no endpoint.
@@ -25,7 +25,8 @@
 }
 
 impl ControllerState {
-    /// Has slices leave, the heaviest first, and withdraws or reinstates replicas, once a tick or when the fleet changed.
+    /// Moves slices away, heaviest first, and withdraws or reinstates replicas. Runs once per tick and when the
+    /// fleet has changed.
     pub(crate) fn evacuate(&mut self) -> bool {
         if !take(&mut self.pending_work.evacuation) {
             return false;
@@ -38,7 +39,8 @@
         true
     }
 
-    /// Everything on replicas that may have to be left, and slices without an endpoint, the heaviest first.
+    /// Returns the slices on replicas that may have to be evacuated, and slices without an endpoint, heaviest
+    /// first.
     fn find_departures(&self) -> Vec<Departure> {
         let may_be_evacuated = |replica: &Replica| {
             replica.withdrawn
@@ -66,7 +68,7 @@
         if let Some(standby) = named.filter(|from| slice.table.is_standby(from)) {
             self.replace_standby(id, standby);
         } else if named != from {
-            // On its way already, but what the proxies hold must not wait among calm commands.
+            // The slice is already being moved, but the update must not wait behind commands of normal priority.
             if replica.is_some_and(|replica| replica.withdrawn || must_leave) {
                 self.mark_pending(id, Priority::Urgent);
             }
@@ -78,7 +80,7 @@
         }
     }
 
-    /// How far the search for a refuge from a replica may go.
+    /// Returns the replicas that are permitted as destinations of slices that leave a replica.
     fn destination_scope(&self, from: Option<&Replica>) -> DestinationScope {
         match from {
             Some(replica) if self.must_be_evacuated(replica) => DestinationScope::Any,
@@ -93,7 +95,8 @@
         replica.demand > budget && self.may_offload_cold_replica(replica)
     }
 
-    /// A standby must be usable and warm; a withdrawn one does no harm while more urgent commands wait.
+    /// Replaces a standby, which must be usable and warm. A withdrawn standby is harmless, so it is kept while
+    /// more urgent commands are pending.
     fn replace_standby(&mut self, id: SliceId, standby: ReplicaId) {
         let is_withdrawn = self.replicas.get(&standby).is_none_or(|replica| replica.withdrawn);
         if !is_withdrawn || !self.pending_slices.has_more_urgent_than(Priority::StandbyOnly) {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Has a slice sent at once whose applied table names nothing that may be used.
+    /// Marks a slice as most urgent if its applied table has no usable endpoint.
     fn mark_if_without_endpoint(&mut self, id: SliceId) {
         let single_writer = self.deployment.single_writer;
         let is_unusable =
@@ -134,9 +137,11 @@
         to_reinstate.into_iter().for_each(|id| self.reinstate(id));
     }
 
-    /// Withdrawn is what must be left, and what is ejected once all its slices have another owner: an ejected one is still
-    /// better than none. One that is well again stays withdrawn until no table names it, or it would get its old slices back
-    /// cold. Where a slice has a single writer, requests are held back instead.
+    /// Returns true if a replica should be withdrawn. A replica that must be evacuated is withdrawn. An ejected
+    /// one is withdrawn only once all its slices have another owner, because an ejected owner is better than none.
+    /// A replica that has recovered stays withdrawn until no table names it, because otherwise it would get its
+    /// old slices back with cold caches. Under single writer no replica is withdrawn; requests are held back
+    /// instead.
     fn should_be_withdrawn(&self, id: ReplicaId, replica: &Replica) -> bool {
         if self.deployment.single_writer {
             return false;
--- a/crates/policy/src/rules/load_shedding.rs
+++ b/crates/policy/src/rules/load_shedding.rs
@@ -1,7 +1,7 @@
-//! Load shedding: where answers are late, retries are stopped first, then admission rates are reduced, the request class with
-//! the least priority weight first.
+//! Load shedding: where answers are late, retries are stopped first, then admission rates are reduced, starting
+//! with the request class of the lowest priority weight.
 //!
-//! Guards against a queue that makes all answers late and so serves nobody.
+//! This avoids a queue that makes all answers late and therefore useless.
 
 use crate::api::Action;
 use crate::measure::admission::{HIGH_LATENCY_RATIO, LOW_LATENCY_RATIO};
@@ -13,20 +13,22 @@
 use crate::state::schedule::ROUND_PERIOD;
 use std::mem::take;
 
-/// How much a reduction shrinks in a round, at the limit of quick answers; up to twice that the quicker they are. The
-/// reduction of a cold replica that is sent too much grows by the same.
+/// The decrease of a reduction per round when the latency ratio is just below `LOW_LATENCY_RATIO`; up to twice
+/// this for lower latencies. The reduction of an overloaded cold replica grows by the same step.
 const REDUCTION_STEP: f64 = 0.15;
-/// The part of what is not answered by which a reduction grows.
+/// The weight of the answered share in the growth of a reduction: per step, a reduction grows by (1 - this *
+/// answered share) of what is left up to 1.
 const REDUCTION_GAIN: f64 = 0.85;
-/// A share of answered requests below this counts as this.
+/// The lower bound applied to the share of answered requests.
 const MIN_ANSWERED_SHARE: f64 = 0.5;
-/// Where commands for each slice would take more than so many seconds of the channel, one reduction may hold for all slices.
+/// If commands for each slice would take more than this many seconds of the channel, a single reduction for all
+/// slices may be used.
 const MAX_SECONDS_FOR_SLICE_COMMANDS: f64 = 2.0;
-/// A smaller change of a slice's reduction is not worth a line at each proxy.
+/// The minimum change of a slice's reduction that is worth a line to each proxy.
 const MIN_REDUCTION_CHANGE: f64 = 0.08;
 
-/// A reduction after another round: it grows by what goes unanswered where answers are late, and shrinks where they are
-/// quick.
+/// Returns a reduction after another round. It grows with the share of unanswered requests where answers are late,
+/// and shrinks where they are fast.
 fn next_reduction(reduction: f64, latency_ratio: f64, answered_share: f64) -> f64 {
     let step = if latency_ratio > HIGH_LATENCY_RATIO {
         (1.0 - reduction) * (1.0 - REDUCTION_GAIN * answered_share.max(MIN_ANSWERED_SHARE))
@@ -39,13 +41,13 @@
 }
 
 impl ControllerState {
-    /// Refreshes all reductions, once a round.
+    /// Refreshes all reductions, once per round.
     pub(crate) fn shed_load(&mut self) -> bool {
         if !take(&mut self.pending_work.load_shedding) {
             return false;
         }
-        // Answers that never come leave no latency to be measured. Where every request class lacks them, and the usual
-        // replica, it is neither one class nor some replicas that fail, but all that is too much.
+        // Missing answers have no latency to measure. If every request class and the median replica lack answers,
+        // the whole fleet is overloaded, rather than one class or some replicas failing.
         let median_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
         let failed_share = self.lowest_failed_share().min(median_failed_share);
         let fleet_latency_ratio = self.fleet_latency_ratio(failed_share);
@@ -55,13 +57,13 @@
         true
     }
 
-    /// How late the usual replica answers; 0 where commands for each slice take few seconds of the channel, as each owner's
-    /// own reduction is the finer tool there.
+    /// Returns the latency ratio of the median replica. Returns 0 if commands for each slice take little channel
+    /// time, because reductions per owner are more precise then.
     fn fleet_latency_ratio(&self, failed_share: f64) -> f64 {
         let classes = self.deployment.request_classes.len();
         let commands = (self.slices.len() * classes * self.channel.proxies.len()) as f64;
         let is_costly = commands > self.deployment.lines_per_second * MAX_SECONDS_FOR_SLICE_COMMANDS;
-        // Not a factor: with an objective of 0 the usual ratio is infinite.
+        // Not a multiplication by 0 or 1: with a target latency of 0 the median ratio is infinite.
         if !is_costly {
             0.0
         } else if failed_share > FAILED_SHARE_THRESHOLD {
@@ -73,7 +75,8 @@
 
     fn refresh_global_reduction(&mut self, fleet_latency_ratio: f64, failed_share: f64) {
         let previous = self.global_admission.reduction;
-        // What the last step did is not in the reports yet; stopping retries alone shows at once.
+        // The reports do not show the effect of the last step yet. Only the effect of stopping retries is
+        // immediate.
         let pause =
             if previous <= RETRIES_ONLY_REDUCTION { ROUND_PERIOD } else { ROUND_PERIOD + self.reporting.lag };
         if self.now - self.global_admission.changed_at < pause {
@@ -102,22 +105,22 @@
         let previous = replica.reduction;
         let is_late = replica.latency_ratio > HIGH_LATENCY_RATIO;
         if self.now - replica.reduction_changed_at < ROUND_PERIOD + ROUND_PERIOD + self.reporting.lag {
-            // What the last step did is not in the reports yet.
+            // The reports do not show the effect of the last step yet.
             previous
         } else if is_late && fleet_latency_ratio > HIGH_LATENCY_RATIO {
-            // What is too much for all is not reduced twice.
+            // The global reduction already covers overload of the whole fleet.
             previous
         } else if is_late {
             next_reduction(previous, replica.latency_ratio, 1.0 - replica.recent.failed_share())
         } else if replica.demand > self.slow_start_budget(replica) {
-            // Against a cold replica that collapses where its slices have no other place to go.
+            // Prevents a cold replica from collapsing if its slices have no other destination.
             (previous + REDUCTION_STEP).min(1.0)
         } else {
             next_reduction(previous, replica.latency_ratio, 1.0)
         }
     }
 
-    /// Slices follow their least reduced owner, beyond what holds for all slices.
+    /// Sets each slice's reduction to that of its least reduced owner, if it exceeds the global reduction.
     fn refresh_slice_reductions(&mut self) {
         let global_reduction = self.global_admission.reduction;
         let mut changed = Vec::new();
@@ -141,8 +144,9 @@
         changed.into_iter().for_each(|id| self.mark_pending(id, Priority::Normal));
     }
 
-    /// Sends what holds for all slices: one command a request class, where one a slice would take the channel many seconds.
-    /// One retry is allowed, only after proof that the first attempt never ran: no effect happens twice.
+    /// Sends the global reduction: one command per request class, since commands for each slice would take the
+    /// channel many seconds. One retry is allowed, and only after proof that the first attempt was not executed,
+    /// so that no request takes effect twice.
     pub(crate) fn send_global_admission(&mut self) -> bool {
         let class_count = self.deployment.request_classes.len();
         let is_needed = !self.global_admission.is_applied() && !self.channel.proxies.is_empty();
--- a/crates/policy/src/rules/mod.rs
+++ b/crates/policy/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! What is decided from state and measures. Each rule says whether it acted; their order is in `crate::RULES`.
+//! Decisions based on state and measures. Each rule returns true if it acted; their order is in `crate::RULES`.
 
 pub(crate) mod acknowledgements;
 pub(crate) mod evacuation;
--- a/crates/policy/src/rules/outlier_ejection.rs
+++ b/crates/policy/src/rules/outlier_ejection.rs
@@ -1,4 +1,5 @@
-//! Ejects replicas that do not answer or fail fast, whatever the cause (crash, hang, silence, cut network).
+//! Outlier ejection: ejects replicas that do not answer or that fail fast, whatever the cause (crash, hang, no
+//! response, network partition).
 
 use crate::api::{Action, ReplicaId};
 use crate::measure::admission::{HIGH_LATENCY_RATIO, LOW_LATENCY_RATIO};
@@ -8,23 +9,25 @@
 use crate::time::Span;
 use std::mem::take;
 
-/// How long an outlier is ejected for the first time; longer each time (docs/design.md, Outlier ejection).
+/// The duration of the first ejection of an outlier; later ones are longer (docs/design.md, Outlier ejection).
 pub(crate) const BASE_EJECTION_DURATION: Span = Span::ms(8000);
-/// The longest ejection, in multiples of the first.
+/// The duration of the longest ejection, as a multiple of the first.
 const MAX_EJECTION_MULTIPLE: u32 = 4;
-/// At or above this share of failed attempts a replica may be an outlier; at or above it at the median replica, the fleet
-/// counts as overloaded.
+/// The share of failed attempts at or above which a replica may be an outlier. If the median replica reaches it,
+/// the fleet counts as overloaded.
 pub(crate) const FAILED_SHARE_THRESHOLD: f64 = 0.3;
-/// An outlier fails this many times the usual share more than that.
+/// An outlier's share of failed attempts must exceed `FAILED_SHARE_THRESHOLD` by this multiple of the median
+/// replica's share.
 const MEDIAN_FAILED_SHARE_MULTIPLE: f64 = 2.0;
-/// Requests that were expected at a silent replica, at least.
+/// The minimum number of requests expected at a replica for it to count as silent.
 const MIN_EXPECTED_REQUESTS: f64 = 2.0 * MIN_SAMPLES;
-/// Above this share of ejected replicas it is more likely that our view is broken than they.
+/// Above this share of ejected replicas, a fault in this controller's observations is more likely than failing
+/// replicas.
 const MAX_EJECTED_SHARE: f64 = 0.4;
 
 impl ControllerState {
-    /// Ejects replicas that answer nothing or fail quickly, once a tick. Guards against requests that go on failing at a
-    /// broken replica; and, by a limit on the share ejected, against a break of our own view.
+    /// Ejects replicas that answer nothing or fail quickly, once per tick. This avoids further failing requests to
+    /// broken replicas; the limit on the share of ejected replicas protects against faulty observations.
     pub(crate) fn eject_outliers(&mut self) -> bool {
         if !take(&mut self.pending_work.outliers) {
             return false;
@@ -42,7 +45,7 @@
         true
     }
 
-    /// The outliers that are not ejected yet, and why.
+    /// Returns the outliers that are not ejected yet, with the cause.
     fn find_outliers(&self) -> Vec<(ReplicaId, &'static str)> {
         let median_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
         let is_candidate = |replica: &Replica| {
@@ -58,11 +61,11 @@
     }
 
     fn ejection_cause(&self, replica: &Replica, median_failed_share: f64) -> Option<&'static str> {
-        // Where most attempts fail everywhere, the fleet is overloaded, and evacuations would finish it.
+        // If most attempts fail everywhere, the fleet is overloaded, and evacuations would make it collapse.
         if median_failed_share < FAILED_SHARE_THRESHOLD && self.is_silent(replica) {
             return Some("answers nothing");
         }
-        // A full replica rejects requests too, but then the others do as well, or its answers are late.
+        // An overloaded replica rejects requests too, but then other replicas do as well, or its answers are late.
         let recent = &replica.recent;
         let failing_share = FAILED_SHARE_THRESHOLD + MEDIAN_FAILED_SHARE_MULTIPLE * median_failed_share;
         let is_failing = recent.failed >= MIN_SAMPLES && recent.failed_share() >= failing_share;
@@ -70,16 +73,18 @@
         (is_failing && answers_quickly).then_some("fails quickly")
     }
 
-    /// Whether so many new outliers would make too large a share of the fleet.
+    /// Returns true if ejecting this number of new outliers would exceed the limit on the share of ejected
+    /// replicas.
     fn would_eject_too_many(&self, outliers: usize) -> bool {
         let counted = || self.replicas.values().filter(|replica| !self.must_be_evacuated(replica));
         let ejected = outliers + counted().filter(|replica| self.is_ejected(replica)).count();
         ejected as f64 > MAX_EJECTED_SHARE * counted().count() as f64
     }
 
-    /// Whether nothing comes back, though much was expected there or all of the newest attempts failed. One that was late
-    /// before is more likely full: its load is shed first and it gets longer, as evacuations from it fill others with slices
-    /// whose keys they have cold.
+    /// Returns true if a replica does not answer although many requests were expected there, or although all of
+    /// the newest attempts failed. A replica that was late before is more likely overloaded: its load is shed
+    /// first and it gets more time, because evacuating it would fill other replicas with slices whose keys they
+    /// have not cached.
     fn is_silent(&self, replica: &Replica) -> bool {
         let window = RECENT_WINDOW + self.reporting.lag;
         let reports = &replica.reports;
--- a/crates/policy/src/rules/overrides.rs
+++ b/crates/policy/src/rules/overrides.rs
@@ -1,8 +1,8 @@
-//! The operators' overrides: how far each is in force, after the rules that come first. docs/design/overrides.md has the
-//! conditions.
+//! Operators' overrides: determines which of them are in force. Other rules take precedence;
+//! docs/design/overrides.md has the conditions.
 //!
-//! Guards against an operator's override that would break what the rules keep: one that can't be in force says why, and comes
-//! into force by itself later, but not at once, lest the fleet flaps.
+//! An override must not break what the rules guarantee. One that can't be in force reports the reason, and takes
+//! effect later by itself, but with a delay so that the fleet does not flap.
 
 use crate::api::OverrideStatus::{self, Absent, InForce, Suspended, Waiting};
 use crate::api::{OverrideNumber, OverrideSpec, ReplicaId, ReplicaState, SliceId};
@@ -18,25 +18,25 @@
 use std::collections::BTreeMap;
 use std::mem::take;
 
-/// How much later a slice comes back to its pin each time that a rule took it from there.
+/// The increase of the delay before a slice returns to its pin, added each time that a rule has moved it away.
 const PIN_BACKOFF: Span = Span::ms(5000);
-/// The longest such pause, in multiples of that.
+/// The longest such delay, as a multiple of `PIN_BACKOFF`.
 const MAX_PIN_BACKOFF_STEPS: f64 = 12.0;
 /// The status of a pin whose slice may be moved to its replica now.
 const MOVING_TO_PIN: OverrideStatus = Waiting("its slices come");
 
-/// Replicas that are left while overrides take some out of service.
+/// The replicas that remain while overrides take some out of service.
 struct RemainingFleet {
-    /// Usable and warm.
+    /// Replicas that are usable and warm.
     warm: usize,
-    /// Ready, as the list has them.
+    /// Replicas that are listed as ready.
     ready: usize,
-    /// Ready, but out of service or ejected.
+    /// Replicas that are listed as ready, but out of service or ejected.
     unavailable: usize,
 }
 
 impl ControllerState {
-    /// Puts overrides into force as far as the rules let it, once a tick or when the fleet changed.
+    /// Applies overrides as far as the rules permit. Runs once per tick and when the fleet has changed.
     pub(crate) fn apply_overrides(&mut self) -> bool {
         if !take(&mut self.pending_work.overrides) || self.operator_overrides.entries.is_empty() {
             return false;
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Takes a replica out of service where a warm replica stays, and half of the fleet: one more could not be made up for.
-    /// What is in force stays so for as long as there is a warm one.
+    /// Takes a replica out of service if another warm replica remains and at most half of the fleet is
+    /// unavailable, since the remaining replicas could not compensate for more. An override that is already in
+    /// force stays in force while another warm replica remains.
     fn apply_out_of_service(
         &mut self,
         id: ReplicaId,
@@ -113,7 +114,7 @@
         status
     }
 
-    /// Puts a factor on a replica's capacity. What a cold replica may be sent does not grow with it.
+    /// Applies a factor to a replica's capacity. The slow-start budget of a cold replica does not grow with it.
     fn apply_weight(&mut self, id: ReplicaId, factor: f64) -> OverrideStatus {
         let Some(replica) = self.replicas.get(&id).filter(|replica| replica.listed) else { return Absent };
         let status = match () {
@@ -128,7 +129,8 @@
         status
     }
 
-    /// Brings pinned slices to their replicas, one a replica and tick; the status of the first of each that is not there.
+    /// Moves pinned slices to their replicas, one per replica and tick. Returns for each override the status of
+    /// its first slice that is not at its pin.
     fn apply_pins(&mut self) -> BTreeMap<OverrideNumber, OverrideStatus> {
         let mut statuses = BTreeMap::new();
         let mut moves = BTreeMap::new();
@@ -150,7 +152,7 @@
         statuses
     }
 
-    /// Makes a replica a slice's only owner.
+    /// Makes a replica the only owner of a slice.
     fn move_to_pin(&mut self, id: SliceId, to: ReplicaId, by: OverrideNumber) {
         let others: Vec<_> = self.slices[&id].table.owners().filter(|owner| *owner != to).collect();
         for other in others.iter().skip(1) {
@@ -163,7 +165,8 @@
         }
     }
 
-    /// How far a slice is at its pin. What the rules take from there comes back later each time.
+    /// Returns the status of a slice's pin. Each time that a rule moves the slice away, its return is delayed
+    /// longer.
     fn pin_status(&self, id: SliceId, slice: &Slice, to: ReplicaId, by: OverrideNumber) -> OverrideStatus {
         let Some(replica) = self.replicas.get(&to).filter(|replica| replica.listed) else { return Absent };
         let backoff_steps = f64::from(slice.pin_moves.count_by(by)).min(MAX_PIN_BACKOFF_STEPS);
--- a/crates/policy/src/rules/placement.rs
+++ b/crates/policy/src/rules/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which replica a slice may move to. All rules that move slices ask here.
+//! Placement: selects the replica that a slice moves to. All rules that move slices use it.
 
 use crate::api::ReplicaId;
 use crate::state::controller::ControllerState;
@@ -9,25 +9,26 @@
 use crate::state::slice::Slice;
 use crate::time::Span;
 
-/// A replica that started less than this ago takes one slice a round (docs/design.md, The ordinary path).
+/// A replica that started less than this ago accepts one slice per round (docs/design.md, The ordinary path).
 const RECENT_START_PERIOD: Span = Span::ms(30_000);
-/// The least slow-start budget that is divided by, in requests a second.
+/// Lower bound of a slow-start budget used as a divisor, in requests per second.
 const MIN_BUDGET: f64 = 0.001;
 
-/// How far a search for another replica may go.
+/// The replicas that are permitted as destinations.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DestinationScope {
-    /// To usable replicas inside their slow-start budgets.
+    /// Usable replicas within their slow-start budgets.
     WithCapacity,
-    /// Where there is none, to full warm ones too.
+    /// If there are none, warm replicas that are overloaded as well.
     AnyWarm,
-    /// Where there is none, to ejected or cold ones too: anything is better than what must be left.
+    /// If there are none, ejected or cold replicas as well, since any replica is better than one that must be
+    /// evacuated.
     Any,
 }
 
 impl ControllerState {
-    /// Whether a replica may get so many requests a second more. Guards against a cold replica that collapses, and against
-    /// filling a fresh one before its load shows.
+    /// Returns true if a replica may get `demand` more requests per second. This prevents a cold replica from
+    /// collapsing, and a recently started one from being overfilled before reports show its load.
     pub(crate) fn can_accept(&self, replica: &Replica, demand: f64) -> bool {
         let started_recently = replica.started.is_some_and(|at| self.now - at < RECENT_START_PERIOD);
         self.is_usable(replica)
@@ -36,8 +37,9 @@
             && replica.demand + demand <= self.slow_start_budget(replica)
     }
 
-    /// The replica for a slice that leaves another one, of which so much load has to find a place: the one with most
-    /// headroom, else the least utilized; an unusable one only where there is no usable one.
+    /// Returns the destination for a slice that leaves another replica, for which `load` must be placed: the
+    /// replica with the most headroom, otherwise the least utilized one. Unusable replicas are selected only if
+    /// there is no usable one.
     pub(crate) fn find_destination(
         &self,
         slice: &Slice,
@@ -48,7 +50,7 @@
         let first = |ranking: &Ranking, accepts: &dyn Fn(&Replica) -> bool| {
             ranking.first(|id| !owns(id) && self.replicas.get(id).is_some_and(accepts))
         };
-        // What comes with retries, not the load alone, is what would push a cold one over.
+        // A cold replica has to handle retries too, so the demand counts, not only the load.
         let demand = load.max(slice.demand);
         let accepts_slice = |replica: &Replica| self.can_accept(replica, demand);
         let with_headroom = first(&self.rankings.by_headroom, &|replica| {
@@ -59,7 +61,7 @@
         }
         let least_utilized = first(&self.rankings.by_utilization, &accepts_slice);
         let usable = self.usable_or_shared_destination(scope, least_utilized, load, &owns);
-        // With no usable one, a full warm replica still beats a cold one, which would collapse.
+        // If no replica is usable, an overloaded warm replica is better than a cold one, which would collapse.
         let warm = || first(&self.rankings.by_utilization, &|replica| self.is_usable_and_warm(replica));
         match scope {
             DestinationScope::WithCapacity => usable,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Of the replicas that the list calls ready, the one whose slow-start budget is exceeded least.
+    /// Returns the replica whose slow-start budget is exceeded least, of those that are listed as ready.
     fn least_over_budget(&self, demand: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
         let selectable = self.replicas.iter().filter(|(id, replica)| !owns(id) && replica.is_selectable());
         let overload =
@@ -88,8 +90,9 @@
         }
     }
 
-    /// Where replicas are shared, whether a claimed replica has room for all of it; escapes prefer it up to the average
-    /// only, lest replicas whose claimants have much to place are filled before the others.
+    /// Returns true if replicas are not shared, or if a claimed replica has room for all of the load. Evacuations
+    /// prefer a claimed replica only up to the average utilization, so that replicas whose claim holders have much
+    /// to place are not filled before others.
     fn is_preferred_if_shared(&self, scope: DestinationScope, replica: &Replica, load: f64) -> bool {
         if !self.sharing.is_active {
             return true;
@@ -99,7 +102,7 @@
         self.averages.headroom(replica) >= load && is_preferred
     }
 
-    /// The usable replica that was found, or, where a slice must leave one that is shared, a better escape.
+    /// Returns the usable replica that was found, or a better destination if a slice must leave a shared replica.
     fn usable_or_shared_destination(
         &self,
         scope: DestinationScope,
@@ -114,8 +117,9 @@
         }
     }
 
-    /// A warm replica of the subset with room, or the least utilized by draw, whoever holds the claim on it: escapes can't
-    /// wait for a claim. Where the subset has no usable warm one, a warm one of other controllers.
+    /// Returns a warm replica of the subset with room, otherwise the least utilized one with ties broken by a
+    /// random draw. The claim does not matter, because an evacuation can't wait for one. If the subset has no
+    /// usable warm replica, returns a warm replica of other controllers.
     fn find_shared_evacuation_destination(
         &self,
         load: f64,
--- a/crates/policy/src/rules/rate_limit.rs
+++ b/crates/policy/src/rules/rate_limit.rs
@@ -1,35 +1,36 @@
-//! Rate limiting of commands: unacknowledged lines stay under the queue's capacity, messages under their limit.
+//! Rate limiting of commands: unacknowledged lines stay below the queue's capacity, messages below their limit.
 //!
-//! Guards against a queue that overflows, against overhead that fills the channel, and against messages used up when an
-//! urgent command needs one.
+//! This prevents a queue overflow, a channel filled with message overhead, and a used-up message limit when an
+//! urgent command has to be sent.
 
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::schedule::TICK_PERIOD;
 use crate::time::{Moment, Span};
 
-/// The share of the queue's capacity that commands use (docs/design.md, Rate limiting).
+/// The share of the queue's capacity that commands may use (docs/design.md, Rate limiting).
 const QUEUE_SHARE: f64 = 0.9;
-/// The share of that which calm commands use.
+/// The share of that which commands of normal priority may use.
 const NORMAL_QUEUE_SHARE: f64 = 0.55;
-/// The share of the message limit that is used by what can wait.
+/// The share of the message limit that deferrable commands may use.
 const DEFERRABLE_MESSAGE_SHARE: f64 = 0.75;
-/// The share of the channel that the overhead of messages may take.
+/// The share of the channel's throughput that message overhead may use.
 const OVERHEAD_SHARE: f64 = 0.25;
-/// Acknowledgements that come no sooner than this after the last activity are overdue.
+/// Acknowledgements are overdue if none has arrived for this time since the last channel activity.
 pub(crate) const ACK_TIMEOUT: Span = Span::ms(3000);
-/// The share of the drain grace that an urgent command may wait for its message.
+/// The share of the drain grace period for which an urgent command may wait for its message.
 const MAX_WAIT_SHARE_OF_GRACE: f64 = 0.75;
 
-/// Messages that may still be opened, and how long until the window gives one back.
+/// The number of messages that may still be opened, and the time until the window permits another one.
 struct OpenableMessages {
     remaining: f64,
     next_available_in: Span,
 }
 
 impl ControllerState {
-    /// Room for so many more lines to each proxy, under both limits. A first message always has room; others come so far
-    /// apart that overhead does not fill the channel.
+    /// Returns true if there is room for `lines` more lines to each proxy under both limits. A message always has
+    /// room in the queue if nothing is unacknowledged; further messages are spaced so that overhead does not fill
+    /// the channel.
     pub(crate) fn has_channel_room(&self, lines: f64, priority: Priority) -> bool {
         let proxies = self.channel.recipients();
         let unacked = self.channel.unacked_lines(self.now);
@@ -45,7 +46,8 @@
         };
         let added = lines * proxies + overhead;
         let limit = self.deployment.queue_capacity_lines * QUEUE_SHARE;
-        // Twice, for a resend; but split into small messages what can't wait would come too late, mostly overhead.
+        // Room for two copies, in case of a resend. Not required for commands that can't wait: split into small
+        // messages, they would be late and consist mostly of overhead.
         let fits_twice = || unacked + self.channel.open_message_lines() + added + added <= limit;
         let fits = || unacked + added <= limit * share && (!can_wait || fits_twice());
         self.is_replying
@@ -53,7 +55,7 @@
             && (!opens_message || self.may_open_message(share, gap, priority))
     }
 
-    /// What a message to one proxy costs besides its commands, its version included, in lines.
+    /// Returns the overhead of a message to one proxy in lines, including the line of its version.
     pub(crate) fn message_overhead(&self) -> f64 {
         self.deployment.message_overhead_lines + 1.0
     }
@@ -66,7 +68,8 @@
         (fits || is_overdue) && self.remaining_messages(now, 1.0) >= 1.0
     }
 
-    /// How many messages each proxy may still get within the window, where this share of the limit is used.
+    /// Returns the number of messages that each proxy may still get within the window if this share of the limit
+    /// is used.
     fn remaining_messages(&self, now: Moment, share: f64) -> f64 {
         let limit = f64::from(self.deployment.message_limit);
         if limit == 0.0 {
@@ -79,8 +82,8 @@
         self.deployment.message_window + TICK_PERIOD
     }
 
-    /// The messages that may be opened where this share of the limit is used; none while the window is empty, or where there
-    /// is no limit.
+    /// Returns the messages that may be opened if this share of the limit is used; `None` if the window is empty
+    /// or there is no limit.
     fn openable_messages(&self, share: f64) -> Option<OpenableMessages> {
         let window = self.message_window();
         let oldest = self.channel.opened_messages.oldest_bucket_start(self.now, window)?;
@@ -90,7 +93,8 @@
             .then(|| OpenableMessages { remaining, next_available_in: window - (self.now - oldest) })
     }
 
-    /// Whether each message that is left could wait for its share of the grace until one is given back.
+    /// Returns true if each remaining message could wait for its share of the drain grace period until the window
+    /// permits another one.
     fn has_spare_messages(&self) -> bool {
         self.openable_messages(1.0).is_none_or(|openable| {
             let wait_share = MAX_WAIT_SHARE_OF_GRACE * (openable.remaining - 1.0);
@@ -98,8 +102,9 @@
         })
     }
 
-    /// Whether a message may be opened, so long after the one before. Those that are left are spread over the time until one
-    /// is given back, and what can wait leaves some of them. What can't wait goes at once while they are ample.
+    /// Returns true if a message may be opened, at least `gap` after the previous one. The remaining messages are
+    /// spread over the time until the window permits another one, and deferrable commands leave some of them
+    /// unused. Commands that can't wait are sent at once while there are spare messages.
     fn may_open_message(&self, share: f64, gap: Span, priority: Priority) -> bool {
         let can_wait = priority != Priority::NoEndpoint;
         let max_share = if can_wait { DEFERRABLE_MESSAGE_SHARE } else { 1.0 };
@@ -113,9 +118,10 @@
         has_waited && self.remaining_messages(self.now, share.min(max_share)) > 1.0
     }
 
-    /// Whether to ask for acknowledgements by a version alone: unacknowledged messages take the room of calm commands, and
-    /// their acknowledgements are lost or long overdue. A version by itself fits into the part of the queue that commands
-    /// leave; each proxy's acknowledgement shows that what it was sent before has left.
+    /// Returns true if acknowledgements should be requested by a message that consists of a version only. This is
+    /// the case if unacknowledged messages take the room of normal commands and their acknowledgements are lost or
+    /// overdue. Such a message fits into the part of the queue that commands leave free, and each proxy's
+    /// acknowledgement of it also covers everything sent before.
     pub(crate) fn needs_sync(&self) -> bool {
         let proxies = self.channel.recipients();
         let unacked = self.channel.unacked_lines(self.now);
--- a/crates/policy/src/rules/rebalance.rs
+++ b/crates/policy/src/rules/rebalance.rs
@@ -1,8 +1,9 @@
-//! The ordinary path: DDMC, the policy with a central controller of section 3.1 of Wang et al., *Dynamic Data Migration
-//! Policies for Query-Intensive Distributed Data Environments*. docs/design.md says what was changed and why.
+//! Regular rebalancing by DDMC, the policy with a central controller of section 3.1 of Wang et al., *Dynamic Data
+//! Migration Policies for Query-Intensive Distributed Data Environments*. docs/design.md describes the changes and
+//! the reasons for them.
 //!
-//! Guards against replicas that are overloaded while others idle, without moves that chase noise: only replicas outside the
-//! band for several rounds take part, and a slice that has moved often moves no more.
+//! This avoids overloaded replicas while others are idle, without moves that react to noise: only replicas that
+//! have been outside the band for several rounds take part, and a slice that has moved often is not moved again.
 
 use crate::api::{ReplicaId, ReportFlow};
 use crate::measure::admission::LOW_LATENCY_RATIO;
@@ -13,15 +14,15 @@
 use crate::state::routing_table::SliceMove;
 use crate::state::schedule::ROUND_PERIOD;
 
-/// omega of DDMC: each move of a slice weakens the case for the next by this factor (docs/design.md: with 0.5 a slice is held
-/// after two moves).
+/// omega of DDMC: each move of a slice multiplies the benefit of its next move by this factor. With 0.5 a slice
+/// would stay after two moves (docs/design.md).
 const MOVE_DAMPING: f64 = 0.8;
-/// Delta of DDMC: what the case for a move must exceed.
+/// Delta of DDMC: the threshold that the benefit of a move must exceed.
 const MOVE_THRESHOLD: f64 = 0.3;
-/// Rounds in a row outside the band before anything is done about a replica.
+/// The minimum number of consecutive rounds outside the band before a replica takes part.
 const MIN_ROUNDS_OUTSIDE_BAND: i32 = 3;
 
-/// A heavy replica and the light one that it may give slices to.
+/// A heavy replica and the light replica that it may transfer slices to.
 struct Transfer<'a> {
     source_id: ReplicaId,
     source: &'a Replica,
@@ -32,7 +33,7 @@
 }
 
 impl Transfer<'_> {
-    /// Condition 1 of DDMC: the slice has not moved too often already.
+    /// Condition 1 of DDMC: the slice has not moved too often.
     fn may_move_again(&self, slice: &MovableSlice) -> bool {
         let damping = MOVE_DAMPING.powi(slice.move_count as i32);
         damping * self.source.utilization() / self.highest_utilization > MOVE_THRESHOLD
@@ -48,7 +49,7 @@
 }
 
 impl ControllerState {
-    /// Opens a round once it is due, and counts for each replica how long it has been outside its band.
+    /// Opens a round once it is due, and updates each replica's count of rounds outside its band.
     pub(crate) fn open_round(&mut self) -> bool {
         if self.deadlines.round > self.now || self.reporting.flow == ReportFlow::Interrupted {
             return false;
@@ -68,7 +69,7 @@
         true
     }
 
-    /// Makes one move or swap; it is tried again until none is found.
+    /// Makes one move or swap. It runs again until none is found.
     pub(crate) fn rebalance(&mut self) -> bool {
         if !self.pending_work.rebalancing {
             return false;
@@ -87,12 +88,13 @@
         true
     }
 
-    /// The heaviest replica that can give a slice to the lightest one, alone or in a swap.
+    /// Returns the moves from the heaviest replica that can transfer a slice to the lightest one, alone or in a
+    /// swap.
     fn find_moves(&self) -> Option<Vec<SliceMove>> {
         let mut heavy = self.heavy_replicas();
         let (_, heaviest) = heavy.first()?;
         let highest_utilization = heaviest.utilization();
-        // One that operators made small is heavy though nobody is light.
+        // A replica whose weight an override reduced is heavy even if no other replica is light.
         let is_weight_reduced = heaviest.weight_factor < 1.0;
         if is_weight_reduced {
             heavy.truncate(1);
@@ -120,7 +122,7 @@
         })
     }
 
-    /// Condition 2 of DDMC: both replicas stay inside their bands when so much load moves on balance.
+    /// Condition 2 of DDMC: both replicas stay within their bands after the transfer of this net load.
     fn is_transferable(&self, transfer: &Transfer, net_load: f64) -> bool {
         let Transfer { source, destination, .. } = transfer;
         let source_after = source.utilization() - net_load / source.effective_capacity;
@@ -131,7 +133,8 @@
             && self.can_accept(destination, net_load)
     }
 
-    /// Replicas that have been above their bands for long enough, the heaviest first.
+    /// Returns the replicas that have been above their bands for at least `MIN_ROUNDS_OUTSIDE_BAND` rounds,
+    /// heaviest first.
     fn heavy_replicas(&self) -> Vec<(ReplicaId, &Replica)> {
         let is_heavy = |replica: &Replica| {
             replica.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND
@@ -148,8 +151,10 @@
         heavy
     }
 
-    /// The replica with most headroom of those below their bands for long enough, or anywhere below the upper limit where
-    /// the source was made small by operators. One that answers late is none: a low utilization may mean that it is weak.
+    /// Returns the replica with the most headroom among those that have been below their bands for at least
+    /// `MIN_ROUNDS_OUTSIDE_BAND` rounds; if an override reduced the source's weight, among all replicas below the
+    /// upper limit of their bands. A replica that answers late is not a candidate, because its low utilization may
+    /// mean that it is slow.
     fn lightest_replica(&self, source_weight_is_reduced: bool) -> Option<(ReplicaId, &Replica)> {
         let is_below_band = |replica: &Replica| {
             -replica.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND
--- a/crates/policy/src/rules/replication.rs
+++ b/crates/policy/src/rules/replication.rs
@@ -1,6 +1,6 @@
 //! Replication of hot slices, and standby endpoints.
 //!
-//! Guards against a slice that alone overloads its replica, which no move can mend, and against the seconds in which a
+//! This handles a slice that alone overloads its replica, which no move can solve, and the seconds in which a
 //! replica that has just failed is still an owner.
 
 use crate::api::{ReplicaId, SliceId};
@@ -13,15 +13,16 @@
 use crate::state::slice::Slice;
 use std::mem::take;
 
-/// Owners that a slice may have (docs/design.md, Replication).
+/// The maximum number of owners of a slice (docs/design.md, Replication).
 const MAX_OWNERS: usize = 4;
-/// A slice whose burst load is below this part of an even load is never hot.
+/// A slice with a burst load below this share of the mean load per replica is never hot.
 const MIN_HOT_SHARE: f64 = 0.5;
-/// A slice leaves an owner once its load is below this part of what the others may have (docs/design.md: six tenths).
+/// An owner is removed from a slice once the slice's load is below this share of what the other owners may have
+/// (docs/design.md: six tenths).
 const CONSOLIDATION_SHARE: f64 = 0.6;
 
 impl ControllerState {
-    /// Gives one hot slice one more owner, where tables may have several; it is tried again until none is found.
+    /// Adds an owner to one hot slice, if tables may have several. It runs again until no hot slice is found.
     pub(crate) fn replicate_hot_slices(&mut self) -> bool {
         let is_pending = take(&mut self.pending_work.replication);
         if !is_pending || self.deployment.single_writer || self.now - self.started_at < BURST_WINDOW {
@@ -33,7 +34,7 @@
         true
     }
 
-    /// A slice that alone is more than its owners' bands, and a replica with capacity for the excess.
+    /// Returns a slice whose load alone exceeds its owners' bands, and a replica with capacity for the excess.
     fn find_replication(&self) -> Option<(SliceId, ReplicaId)> {
         let may_be_hot = |slice: &Slice| {
             slice.awaited_version.is_none()
@@ -43,7 +44,8 @@
         let mut candidates =
             self.slices.iter().filter(|(id, slice)| may_be_hot(slice) && !self.is_at_pin(**id, slice));
         candidates.find_map(|(id, slice)| {
-            // Bands hold for loads over a longer time; a short time is judged by what came to all in it.
+            // Bands apply to loads over a longer window; for the short window they are scaled by the burst ratio
+            // of the whole load.
             let capacity: f64 = self.owners(slice).map(|(_, owner)| self.averages.band_capacity(owner)).sum();
             let excess = slice.burst_load - self.averages.burst_ratio * capacity;
             if excess <= 0.0 || slice.table.owners().count() >= MAX_OWNERS {
@@ -53,13 +55,14 @@
         })
     }
 
-    /// Takes the fullest owner from one slice that fits on the others again; it is tried again until none is found.
+    /// Removes the most utilized owner from one slice that fits on its other owners again. It runs again until no
+    /// such slice is found.
     pub(crate) fn consolidate_cooled_slices(&mut self) -> bool {
         if !take(&mut self.pending_work.consolidation) {
             return false;
         }
-        let Some((id, fullest)) = self.find_consolidation() else { return false };
-        self.replace_owner(id, Some(fullest), None, Priority::Normal);
+        let Some((id, most_utilized)) = self.find_consolidation() else { return false };
+        self.replace_owner(id, Some(most_utilized), None, Priority::Normal);
         self.pending_work.consolidation = true;
         true
     }
@@ -73,18 +76,18 @@
         };
         let mut candidates = self.slices.iter().filter(|(_, slice)| has_cooled(slice));
         candidates.find_map(|(id, slice)| {
-            let (fullest, _) = self
+            let (most_utilized, _) = self
                 .owners(slice)
                 .max_by(|(_, one), (_, other)| one.utilization().total_cmp(&other.utilization()))?;
-            let others = self.owners(slice).filter(|(owner, _)| *owner != fullest);
+            let others = self.owners(slice).filter(|(owner, _)| *owner != most_utilized);
             let capacity = others.map(|(_, owner)| self.averages.band_capacity(owner)).sum::<f64>();
             let fits = slice.load.max(slice.burst_load) < CONSOLIDATION_SHARE * capacity;
-            fits.then_some((*id, fullest))
+            fits.then_some((*id, most_utilized))
         })
     }
 
-    /// Gives each slice with one endpoint a standby: proxies retry there by themselves as soon as its owner rejects them,
-    /// long before the controller hears of it.
+    /// Adds a standby to each slice with a single endpoint. Proxies retry at the standby as soon as the owner
+    /// rejects a request, long before the controller learns of the failure.
     pub(crate) fn add_standbys(&mut self) -> bool {
         if !take(&mut self.pending_work.standbys) || self.deployment.single_writer {
             return false;
@@ -102,8 +105,9 @@
         true
     }
 
-    /// A warm replica, in another zone where there is one, with the fewest standby endpoints. Random tie breakers spread
-    /// them: the slices of one replica must not all have their standbys on one other.
+    /// Returns the warm replica with the fewest standby endpoints, in another zone if there is one. Random tie
+    /// breakers spread the standbys: the slices of one replica must not all have their standbys on the same other
+    /// replica.
     pub(crate) fn find_standby(&self, id: SliceId) -> Option<(ReplicaId, f64)> {
         let slice = &self.slices[&id];
         let owner_zone = self.owners(slice).next().map(|(_, owner)| owner.zone);
--- a/crates/policy/src/rules/shared_replicas.rs
+++ b/crates/policy/src/rules/shared_replicas.rs
@@ -1,8 +1,9 @@
 //! Rules for replicas that several controllers steer ([`SubsetMembership::Subset`]).
 //!
-//! Controllers that share a replica do not know each other's moves until reports show them. By claims
-//! ([`crate::claims`]) only one of them fills it at a time; by random draws, whose chances add up over all controllers to
-//! what is too much, they do not all leave it at once.
+//! Controllers that share a replica do not know each other's moves until reports show them. Claims
+//! ([`crate::claims`]) ensure that only one of them moves slices to it at a time. Random draws, whose
+//! probabilities add up to the excess over all controllers, ensure that they do not all move slices away from it
+//! at once.
 
 use crate::api::{ReplicaId, SliceId, SubsetMembership};
 use crate::state::controller::ControllerState;
@@ -10,13 +11,14 @@
 use crate::state::routing_table::SliceMove;
 use crate::state::slice::Slice;
 
-/// How many rounds it takes until a move shows in the reports: an excess is shed over so many of them
+/// The number of rounds until reports show a move. An excess is moved away over this number of rounds
 /// (docs/design/subsets-decisions.md).
 const ROUNDS_UNTIL_REPORTED: f64 = 3.0;
 
 impl ControllerState {
-    /// Whether it is this controller's turn, by draw, to take a slice from a replica above the average. Guards against all
-    /// controllers leaving a heavy replica at once. Others take part at any time.
+    /// Returns true if this controller may move a slice away from a replica. For a shared replica above the
+    /// average utilization this is decided by a random draw, so that not all controllers leave a heavy replica at
+    /// once. Other replicas may take part at any time.
     pub(crate) fn may_offload(&self, replica: &Replica) -> bool {
         let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
         let excess = 1.0 - self.averages.utilization / replica.utilization().max(f64::MIN_POSITIVE);
@@ -25,16 +27,17 @@
         excess <= 0.0 || replica.shared.round_draw < excess * own_slices / rounds_until_reported
     }
 
-    /// The same for a cold replica that is sent too much: one of its controllers is drawn, in proportion to what its own
-    /// slices bring.
+    /// Returns true if this controller may move a slice away from an overloaded cold replica. The probability is
+    /// proportional to the share of the load that comes from this controller's own slices.
     pub(crate) fn may_offload_cold_replica(&self, replica: &Replica) -> bool {
         let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
         let others_share = replica.shared.others_demand / replica.demand.max(f64::MIN_POSITIVE);
         replica.shared.round_draw < 1.0 - others_share
     }
 
-    /// A move of a slice from a replica of other controllers to a claimed one with room for it: one a replica and round.
-    /// Guards against slices that stay for good where an escape had brought them.
+    /// Returns a move of a slice from a replica of other controllers to a claimed replica with room for it; at
+    /// most one per replica and round. This prevents slices from staying permanently where an evacuation moved
+    /// them.
     pub(crate) fn find_return_move(&self) -> Option<SliceMove> {
         if !self.sharing.is_active {
             return None;
--- a/crates/policy/src/rules/tick.rs
+++ b/crates/policy/src/rules/tick.rs
@@ -1,4 +1,4 @@
-//! Ticks: what needs a look at the whole fleet is done once in each.
+//! Ticks: work that covers the whole fleet is done once per tick.
 
 use crate::api::Action;
 use crate::rules::rate_limit::ACK_TIMEOUT;
@@ -6,7 +6,7 @@
 use crate::state::schedule::TICK_PERIOD;
 
 impl ControllerState {
-    /// Starts a tick once it is due. Guards against the cost of a look at the whole fleet for each line of a report.
+    /// Starts a tick once it is due, so that the whole fleet is not processed for each report line.
     pub(crate) fn start_tick(&mut self) -> bool {
         if self.deadlines.tick > self.now {
             return false;
@@ -19,7 +19,7 @@
         true
     }
 
-    /// Asks for a timer where none is open. Guards against standing still while no event comes.
+    /// Starts a timer if none is pending, so that the rules also run if no event arrives.
     pub(crate) fn start_timer(&mut self) -> bool {
         if self.deadlines.timer.is_some() {
             return false;
--- a/crates/policy/src/state/admission.rs
+++ b/crates/policy/src/state/admission.rs
@@ -1,24 +1,24 @@
-//! Reductions: how far load is shed.
+//! Reductions, which state how much load is shed.
 //!
-//! A reduction is a number from 0 (everything is admitted, with retries) to 1 (each request class at its lowest admission
-//! rate). `measure::admission` says which admission rates it stands for.
+//! A reduction is a number from 0 (everything is admitted, with retries) to 1 (each request class at its lowest
+//! admission rate). `measure::admission` maps it to admission rates.
 
 use crate::time::Moment;
 
-/// A reduction so small that it stops retries and leaves admission rates whole.
+/// A reduction that stops retries but does not lower admission rates.
 pub(crate) const RETRIES_ONLY_REDUCTION: f64 = 0.001;
-/// Stands for a slice whose requests are all held back while its owner changes.
+/// Marks a slice whose requests are all held back while its owner changes.
 pub(crate) const HALTED_REDUCTION: f64 = 2.0;
-/// Stands for a reduction at the proxies that is not known: it differs from each other.
+/// Marks that the reduction applied by the proxies is unknown. It differs from every valid reduction.
 pub(crate) const UNKNOWN_REDUCTION: f64 = -1.0;
 
-/// The reduction that holds for all slices.
+/// The reduction that applies to all slices.
 pub(crate) struct GlobalAdmission {
-    /// The reduction that is to hold.
+    /// The desired reduction.
     pub reduction: f64,
-    /// When it last changed.
+    /// The time of the last change.
     pub changed_at: Moment,
-    /// The reduction that the proxies were sent, if any was.
+    /// The reduction that the proxies were sent, if any.
     pub applied: Option<f64>,
 }
 
@@ -27,7 +27,7 @@
         GlobalAdmission { reduction: 0.0, changed_at: now, applied: None }
     }
 
-    /// Whether the proxies were sent the reduction that is to hold.
+    /// Returns true if the proxies were sent the desired reduction.
     pub(crate) fn is_applied(&self) -> bool {
         self.applied == Some(self.reduction)
     }
--- a/crates/policy/src/state/command_channel.rs
+++ b/crates/policy/src/state/command_channel.rs
@@ -1,4 +1,4 @@
-//! The command channel to the proxies: who listens, and what has not been acknowledged.
+//! The command channel to the proxies: connected proxies and unacknowledged messages.
 
 use crate::api::ProxyId;
 use crate::state::sent_message::SentMessage;
@@ -6,16 +6,17 @@
 use crate::windowed_counter::WindowedCounter;
 use std::collections::BTreeMap;
 
-/// The resolution with which messages are counted against their limit.
+/// The resolution at which messages are counted against their limit.
 const MESSAGE_BUCKET_DURATION: Span = Span::ms(500);
-/// A proxy that acknowledges nothing for this long holds up no count but that of its own lines: it may be gone. A slow channel
-/// takes less for one message to all proxies.
+/// A proxy that acknowledges nothing for this time may be gone, so only its own lines still count as queued. A
+/// slow channel needs less than this to deliver one message to all proxies.
 const STALL_TIMEOUT: Span = Span::ms(8000);
 
-/// A proxy that is connected.
+/// A connected proxy.
 #[derive(Default)]
 pub(crate) struct ConnectedProxy {
-    /// Since when it has owed an acknowledgement; none while it owes none. Each acknowledgement begins it anew.
+    /// The time since which an acknowledgement has been pending; `None` if nothing is unacknowledged. Each
+    /// acknowledgement resets it.
     awaiting_ack_since: Option<Moment>,
 }
 
@@ -25,39 +26,40 @@
     }
 }
 
-/// The oldest message that waits, and how many of its copies.
+/// The oldest message that a responsive proxy has not acknowledged, with the number of its unacknowledged copies.
 #[derive(Clone, Copy)]
 struct OldestUnacked {
     sequence: u64,
     copies: u32,
 }
 
-/// The way to the proxies.
+/// The command channel to the proxies.
 pub(crate) struct CommandChannel {
-    /// The proxies that are connected.
+    /// The connected proxies.
     pub proxies: BTreeMap<ProxyId, ConnectedProxy>,
-    /// The number of proxies of the fleet, connected or not; 0 where that is not known.
+    /// The number of proxies of the fleet, connected or not; 0 if unknown.
     fleet_size: u32,
-    /// Messages that some proxy has not acknowledged, or that a slice waits for, by version.
+    /// Messages that a proxy has not acknowledged or that a slice waits for, by version.
     pub sent: BTreeMap<u16, SentMessage>,
-    /// The version of the reply that is being made, once it has a message.
+    /// The version of the reply in progress, once it has a message.
     pub open_version: Option<u16>,
     last_version: u16,
     last_sequence: u64,
-    /// When an acknowledgement last came, or a message was last sent.
+    /// The time at which an acknowledgement was last received or a message was last sent.
     last_activity_at: Moment,
-    /// Whether the relay's events arrive: without them no acknowledgement does, and silence shows nothing.
+    /// True while the relay's events arrive. Without them no acknowledgements arrive either, so a missing one
+    /// means nothing.
     acks_can_arrive: bool,
-    /// Whether acknowledgements may have been lost since then.
+    /// True if acknowledgements may have been lost since then.
     pub acks_lost: bool,
-    /// Messages opened, resent ones included.
+    /// The number of opened messages, including resent ones.
     pub opened_messages: WindowedCounter,
     pub last_opened_at: Moment,
 }
 
 impl CommandChannel {
-    /// A channel without proxies, of which the fleet has so many. Messages are counted over `message_window`; versions follow
-    /// `last_version`.
+    /// Creates a channel without connected proxies. Messages are counted over `message_window`; versions continue
+    /// after `last_version`.
     pub(crate) fn new(message_window: Span, fleet_size: u32, last_version: u16) -> Self {
         let buckets = message_window.as_ns().div_ceil(MESSAGE_BUCKET_DURATION.as_ns()) as usize + 1;
         CommandChannel {
@@ -75,23 +77,24 @@
         }
     }
 
-    /// Adds a proxy that has connected.
+    /// Adds a connected proxy.
     pub(crate) fn add_proxy(&mut self, proxy: ProxyId) {
         self.proxies.entry(proxy).or_default();
     }
 
-    /// The number of proxies that a message may reach. More may be connected than are known when it is made: it can wait for
-    /// the relay, and the relay's events can be late.
+    /// Returns the number of proxies that a message may reach. It may exceed the number of known connected
+    /// proxies, since a message can wait for the relay and the relay's events can be late.
     pub(crate) fn recipients(&self) -> f64 {
         f64::from(self.fleet_size).max(self.proxies.len() as f64)
     }
 
-    /// Notes that acknowledgements can't arrive for now.
+    /// Records that acknowledgements can't arrive until further notice.
     pub(crate) fn interrupt_acks(&mut self) {
         self.acks_can_arrive = false;
     }
 
-    /// Notes that acknowledgements arrive again, and that some may have been lost meanwhile. Waiting for them begins anew.
+    /// Records that acknowledgements arrive again, that some may have been lost meanwhile, and that waiting times
+    /// for them restart.
     pub(crate) fn resume_acks(&mut self, now: Moment) {
         self.acks_can_arrive = true;
         self.acks_lost = true;
@@ -101,7 +104,7 @@
         }
     }
 
-    /// For how long no acknowledgement has come that could have.
+    /// Returns the time since the last channel activity; zero while acknowledgements can't arrive.
     pub(crate) fn ack_silence(&self, now: Moment) -> Span {
         if self.acks_can_arrive {
             now - self.last_activity_at
@@ -110,13 +113,13 @@
         }
     }
 
-    /// Removes a proxy that has disconnected: nothing is on its way to it any more.
+    /// Removes a disconnected proxy, and with it all copies of messages to it.
     pub(crate) fn remove_proxy(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
         self.sent.values_mut().for_each(|message| message.remove_copies(proxy, u32::MAX));
     }
 
-    /// Notes that the message with this version was sent once more.
+    /// Records that the message with this version was sent again.
     pub(crate) fn record_resend(&mut self, now: Moment, version: u16) {
         if let Some(message) = self.sent.get_mut(&version) {
             message.add_copies(self.proxies.keys().copied());
@@ -125,7 +128,8 @@
         }
     }
 
-    /// Notes that the message with this version goes out as several: each has its overhead, and counts.
+    /// Records that the message with this version is sent as several messages. Each has its own overhead and
+    /// counts against the limit.
     pub(crate) fn record_split(&mut self, now: Moment, version: u16, additional: u32, overhead_lines: f64) {
         if let Some(message) = self.sent.get_mut(&version) {
             message.lines_per_proxy += f64::from(additional) * overhead_lines;
@@ -133,9 +137,9 @@
         }
     }
 
-    /// Notes that a proxy has applied everything up to this version, and returns when that was sent, if it is known. An
-    /// acknowledgement that was lost is made up for by the next one. Of a message that was sent more than once only one copy
-    /// has arrived so far.
+    /// Records that a proxy has applied everything up to this version. Returns the time at which that version was
+    /// sent, if known. An acknowledgement also covers earlier ones that were lost. If a message was sent several
+    /// times, one acknowledgement stands for one copy.
     pub(crate) fn record_ack(&mut self, now: Moment, proxy: ProxyId, version: u16) -> Option<Moment> {
         self.last_activity_at = now;
         self.acks_lost = false;
@@ -151,15 +155,16 @@
         Some(sent_at)
     }
 
-    /// Lines that may wait in the channel's queue: no fewer than those that do, however slow the channel is, and whichever proxy
-    /// lags. Messages leave in order, so that only acknowledgements of all proxies show that one has left, and what is behind
-    /// it waits as well, acknowledged or not: a proxy that has just connected gets and acknowledges new messages while others
-    /// are seconds behind (docs/incidents/incident-12041.md).
+    /// Returns an upper bound of the lines in the channel's queue, however slow the channel is and whichever proxy
+    /// lags. Messages leave the queue in order, so a message has left only once all proxies have acknowledged it,
+    /// and everything behind it is still queued, acknowledged or not: a proxy that has just connected gets and
+    /// acknowledges new messages while others are seconds behind (docs/incidents/incident-12041.md).
     pub(crate) fn unacked_lines(&self, now: Moment) -> f64 {
         let oldest = self.oldest_unacked(now);
         let lines = |message: &SentMessage| match oldest {
             Some(oldest) if message.sequence >= oldest.sequence => {
-                // Of the oldest, copies that all have acknowledged have left; what is behind it has not.
+                // Copies of the oldest message that all proxies have acknowledged have left the queue; the
+                // messages behind it have not.
                 let is_oldest = message.sequence == oldest.sequence;
                 let copies = if is_oldest { oldest.copies } else { message.send_count };
                 message.lines_per_proxy * f64::from(copies) * self.recipients()
@@ -169,13 +174,13 @@
         self.sent.values().map(lines).sum()
     }
 
-    /// The oldest message that a proxy which is not stalled has not acknowledged.
+    /// Returns the oldest message that a proxy which is not stalled has not acknowledged.
     fn oldest_unacked(&self, now: Moment) -> Option<OldestUnacked> {
         let is_responsive = |proxy: &ProxyId| self.is_responsive(now, *proxy);
         let is_unacked = |message: &&SentMessage| message.unacked_copies.keys().any(is_responsive);
         let oldest = self.sent.values().filter(is_unacked).min_by_key(|message| message.sequence)?;
         let unacked = oldest.unacked_copies.iter().filter(|(proxy, _)| is_responsive(proxy));
-        // Each call would look at all proxies, where nearly every message is sent once.
+        // Shortcut: nearly all messages are sent once, and the search covers all proxies at each call.
         let copies = if oldest.send_count == 1 { 1 } else { unacked.map(|(_, copies)| *copies).max()? };
         Some(OldestUnacked { sequence: oldest.sequence, copies })
     }
@@ -185,24 +190,25 @@
         self.proxies.get(&proxy).is_some_and(|proxy| !is_stalled(proxy))
     }
 
-    /// Drops the additional copies of resent messages: nothing has come for so long that only one attempt was carried out.
+    /// Drops the additional copies of resent messages. Called when acknowledgements have been missing for so long
+    /// that only one attempt can have been carried out.
     pub(crate) fn drop_extra_copies(&mut self) {
         let resent = self.sent.values_mut().filter(|message| message.send_count > 1);
         resent.for_each(SentMessage::keep_one_copy);
     }
 
-    /// The lines of the message with this version, sent once to all.
+    /// Returns the lines of one copy of the message with this version to all proxies.
     pub(crate) fn lines_of_version(&self, version: u16) -> f64 {
         let lines = |message: &SentMessage| message.lines_per_proxy * self.recipients();
         self.sent.get(&version).map_or(0.0, lines)
     }
 
-    /// The same of the message that is being made.
+    /// Returns the lines of the message in progress to all proxies.
     pub(crate) fn open_message_lines(&self) -> f64 {
         self.open_version.map_or(0.0, |version| self.lines_of_version(version))
     }
 
-    /// Adds lines to this reply's message, opens the message where there is none yet, and returns its version.
+    /// Adds lines to this reply's message, which is opened if necessary, and returns its version.
     pub(crate) fn add_lines(&mut self, now: Moment, overhead_lines: f64, lines: f64) -> u16 {
         let version = match self.open_version {
             Some(version) => version,
--- a/crates/policy/src/state/controller.rs
+++ b/crates/policy/src/state/controller.rs
@@ -1,4 +1,4 @@
-//! One controller's whole memory.
+//! The complete state of one controller.
 
 use crate::api::{Action, ProxyId, ReplicaId, SliceId};
 use crate::deployment::Deployment;
@@ -22,13 +22,13 @@
 use std::collections::BTreeMap;
 use std::mem::take;
 
-/// One controller's whole memory; it is lost when the controller is killed.
+/// The complete state of one controller. It is not persisted.
 pub(crate) struct ControllerState {
     pub deployment: Deployment,
     pub random: Random,
-    /// The time of the event that is being handled.
+    /// The time of the event being handled.
     pub now: Moment,
-    /// When this incarnation started.
+    /// The start time of this incarnation.
     pub started_at: Moment,
     pub replicas: BTreeMap<ReplicaId, Replica>,
     pub slices: BTreeMap<SliceId, Slice>,
@@ -36,17 +36,17 @@
     pub channel: CommandChannel,
     /// The actions of the next reply.
     pub actions: Vec<Action>,
-    /// Whether the batch of events is complete, so that commands may be added to the reply.
+    /// True once the batch of events is complete, so that commands may be added to the reply.
     pub is_replying: bool,
     pub deadlines: Deadlines,
     pub pending_work: PendingWork,
-    /// Whether the list, the slices or the overrides changed in this batch of events.
+    /// True if the list, the slices or the overrides changed in this batch of events.
     pub fleet_changed: bool,
-    /// Whether the list is more than what a former incarnation cached.
+    /// True if a list has been received other than the one cached by an earlier incarnation.
     pub has_fresh_list: bool,
     pub withdrawals: Withdrawals,
     pub pending_slices: PendingSlices,
-    /// By request class.
+    /// Request outcomes by request class.
     pub class_outcomes: Vec<ClassOutcomes>,
     pub global_admission: GlobalAdmission,
     pub reporting: Reporting,
@@ -59,29 +59,29 @@
     pub operator_overrides: OperatorOverrides,
 }
 
-/// Proxies that have joined since the start, whether they are connected or not.
+/// Proxies that have joined since the start, connected or not.
 pub(crate) struct ProxyHistory {
-    /// Until when each has applied what was sent.
+    /// The sending time of the newest message that each proxy has applied.
     pub applied_until: BTreeMap<ProxyId, Moment>,
-    /// When one last disconnected.
+    /// The time at which a proxy last disconnected.
     pub last_left_at: Moment,
 }
 
-/// What became of the requests of one class.
+/// The outcomes of the requests of one class.
 pub(crate) struct ClassOutcomes {
-    /// Requests that were received and admitted.
+    /// Requests received and admitted.
     pub admitted: WindowedCounter,
-    /// Those of them that failed.
+    /// Admitted requests that failed.
     pub failed: WindowedCounter,
 }
 
 impl ControllerState {
-    /// The memory of a controller that knows nothing yet.
+    /// Creates the state of a controller without any knowledge.
     pub(crate) fn new(deployment: Deployment, seed: u64, now: Moment) -> Self {
         let new_outcomes = |_| ClassOutcomes { admitted: recent_counter(), failed: recent_counter() };
         ControllerState {
-            // Versions begin elsewhere in each incarnation: else an acknowledgement from before a restart would pass for
-            // one of this incarnation's.
+            // Each incarnation starts at a different version, so that an acknowledgement from before a restart is
+            // not taken for one of this incarnation.
             channel: CommandChannel::new(deployment.message_window, deployment.fleet_size, seed as u16),
             class_outcomes: deployment.request_classes.iter().map(new_outcomes).collect(),
             deadlines: Deadlines::new(now, (!deployment.list_pushed).then_some(now)),
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Opens the reply to a batch of events: only now is it known which proxies get the message, as they may join with the
-    /// batch's last events.
+    /// Opens the reply to a batch of events. The recipients of the message are known only now, because proxies may
+    /// join with the batch's last events.
     pub(crate) fn open_reply(&mut self) {
         self.is_replying = true;
         if take(&mut self.fleet_changed) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Closes the reply and takes its actions; its version ends it.
+    /// Closes the reply and takes its actions. The reply ends with its version.
     pub(crate) fn close_reply(&mut self) -> Vec<Action> {
         let version = self.channel.open_version.take();
         self.actions.extend(version.map(|version| Action::Sync { version }));
@@ -129,8 +129,8 @@
         take(&mut self.actions)
     }
 
-    /// Drops replicas that have gone for good and that nothing names. Replicas are replaced for as long as the fleet runs:
-    /// else the map would grow for ever.
+    /// Removes the records of replicas that are permanently gone and that nothing refers to. Replicas are replaced
+    /// for as long as the fleet runs, so the map would otherwise grow without limit.
     pub(crate) fn remove_gone_replicas(&mut self) {
         let (now, withdrawals) = (self.now, &self.withdrawals);
         self.replicas.retain(|id, replica| {
@@ -138,7 +138,7 @@
         });
     }
 
-    /// Frees the slices that wait for a version, and forgets it where no acknowledgement is missing.
+    /// Releases the slices that wait for a version, and removes the version if it is fully acknowledged.
     pub(crate) fn finish_version(&mut self, version: u16) {
         let Some(sent) = self.channel.sent.get_mut(&version) else { return };
         for id in take(&mut sent.waiting_slices) {
@@ -153,14 +153,14 @@
         }
     }
 
-    /// Has a slice's differences sent, if the slice is this controller's.
+    /// Marks a slice's differences to be sent, if this controller owns the slice.
     pub(crate) fn mark_pending(&mut self, id: SliceId, priority: Priority) {
         if self.slices.contains_key(&id) {
             self.pending_slices.mark(id, priority, self.now);
         }
     }
 
-    /// Opens this reply's message if need be, and adds lines to it; its version.
+    /// Adds lines to this reply's message, which is opened if necessary, and returns its version.
     pub(crate) fn add_lines(&mut self, lines: f64) -> u16 {
         self.channel.add_lines(self.now, self.deployment.message_overhead_lines + 1.0, lines)
     }
--- a/crates/policy/src/state/fleet_averages.rs
+++ b/crates/policy/src/state/fleet_averages.rs
@@ -1,4 +1,4 @@
-//! Averages over the fleet, as last estimated.
+//! The last estimate of the averages over the fleet.
 
 use crate::state::replica::Replica;
 
@@ -9,15 +9,15 @@
     pub utilization: f64,
     /// phi of DDMC.
     pub band_half_width: f64,
-    /// Requests a second that a unit of service rate was seen to answer.
+    /// Requests per second that were answered per unit of service rate.
     pub observed_service_rate: f64,
-    /// The load over the shorter window against that over the longer one.
+    /// The ratio of the load over the shorter window to the load over the longer one.
     pub burst_ratio: f64,
-    /// An even part of the load over the shorter window, in requests a second.
+    /// The mean load per replica over the shorter window, in requests per second.
     pub mean_burst_load: f64,
 }
 
-/// The limits of utilization between which a replica is left alone.
+/// The range of utilization in which a replica is not rebalanced.
 #[derive(Clone, Copy)]
 pub(crate) struct Band {
     pub low: f64,
@@ -25,19 +25,20 @@
 }
 
 impl FleetAverages {
-    /// A replica's band. It is narrower the more of the replica is this controller's, as the deviations of other
-    /// controllers' parts count less.
+    /// Returns a replica's band. The larger this controller's part of the replica, the narrower the band, because
+    /// deviations in other controllers' parts have less weight.
     pub(crate) fn band(&self, replica: &Replica) -> Band {
         let half_width = self.band_half_width / replica.ownership.max(1.0).sqrt();
         Band { low: self.utilization - half_width, high: self.utilization + half_width }
     }
 
-    /// The load that a replica may have inside its band, in requests a second.
+    /// Returns the load that a replica may have within its band, in requests per second.
     pub(crate) fn band_capacity(&self, replica: &Replica) -> f64 {
         replica.effective_capacity * self.band(replica).high
     }
 
-    /// The load that a replica may get more inside its band, in requests a second; below 0 where it is overloaded.
+    /// Returns the additional load that a replica may get within its band, in requests per second; negative if it
+    /// is overloaded.
     pub(crate) fn headroom(&self, replica: &Replica) -> f64 {
         self.band_capacity(replica) - replica.load
     }
--- a/crates/policy/src/state/link_latency.rs
+++ b/crates/policy/src/state/link_latency.rs
@@ -6,7 +6,7 @@
 use crate::windowed_counter::WindowedCounter;
 use std::collections::BTreeMap;
 
-/// From the proxies' zone to the replica's zone.
+/// A link: the proxies' zone and the replica's zone.
 pub(crate) type Link = (ZoneId, ZoneId);
 
 /// The links between zones.
@@ -14,11 +14,11 @@
 pub(crate) struct Links {
     /// Latencies on each link.
     pub latencies: BTreeMap<Link, LinkLatency>,
-    /// How many seconds a link adds to a request, as last estimated.
+    /// The last estimate of the seconds that a link adds to a request.
     pub delays: BTreeMap<Link, f64>,
 }
 
-/// Requests on a link that succeeded, and the seconds they took.
+/// Successful requests on a link, and the sum of their latencies in seconds.
 pub(crate) struct LinkLatency {
     pub succeeded: WindowedCounter,
     pub latency_seconds: WindowedCounter,
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What a controller remembers. Nothing here knows measures or rules; each struct keeps its own invariants.
+//! The state of a controller. This module does not depend on measures or rules; each struct maintains its own
+//! invariants.
 
 pub(crate) mod admission;
 pub(crate) mod command_channel;
--- a/crates/policy/src/state/operator_overrides.rs
+++ b/crates/policy/src/state/operator_overrides.rs
@@ -6,23 +6,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::take;
 
-/// All overrides, by id, and the slices that they pin.
+/// All overrides by id, and the slices that they pin.
 #[derive(Default)]
 pub(crate) struct OperatorOverrides {
     pub entries: BTreeMap<OverrideNumber, OverrideEntry>,
     pub pins: SlicePins,
 }
 
-/// An override, and whether it is in force.
+/// An override and its status.
 pub(crate) struct OverrideEntry {
     pub spec: OverrideSpec,
     pub status: OverrideStatus,
-    /// When a rule last suspended it.
+    /// The time at which a rule last suspended the override.
     pub suspended_at: Option<Moment>,
 }
 
 impl OperatorOverrides {
-    /// Takes over all overrides, the oldest first. One that is known already keeps its status.
+    /// Replaces all overrides, given oldest first. Overrides that are already known keep their status.
     pub(crate) fn replace(&mut self, overrides: &[(OverrideNumber, OverrideSpec)]) {
         let mut previous = take(&mut self.entries);
         self.pins = SlicePins::default();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The replicas that overrides take out of service.
+    /// Returns the replicas that overrides take out of service.
     pub(crate) fn replicas_out_of_service(&self) -> BTreeSet<ReplicaId> {
         let out_of_service = |entry: &OverrideEntry| match entry.spec {
             OverrideSpec::OutOfService { replica } => Some(replica),
--- a/crates/policy/src/state/pending_slices.rs
+++ b/crates/policy/src/state/pending_slices.rs
@@ -4,20 +4,20 @@
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How soon a difference has to be sent.
+/// The urgency of a difference, most urgent first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Priority {
-    /// The table has no endpoint that may be used: it can't wait.
+    /// The table has no usable endpoint; the change can't wait.
     NoEndpoint,
-    /// An owner must be left.
+    /// An owner must be replaced.
     Urgent,
-    /// A move or an admission rate.
+    /// A slice is moved by rebalancing, or an admission rate changes.
     Normal,
-    /// Only a standby endpoint: it can wait for all else.
+    /// Only a standby endpoint changes; everything else is sent first.
     StandbyOnly,
 }
 
-/// Slices to be sent, the most urgent first, then the one that has waited longest. A slice is there at most once.
+/// Slices to be sent, in the order of urgency, then of waiting time. Each slice is contained at most once.
 #[derive(Default)]
 pub(crate) struct PendingSlices {
     order: BTreeSet<(Priority, Moment, SliceId)>,
@@ -25,7 +25,8 @@
 }
 
 impl PendingSlices {
-    /// Adds a slice. One that is there keeps its age, and gets the more urgent of both priorities.
+    /// Adds a slice. If it is already pending, it keeps its waiting time and gets the more urgent of both
+    /// priorities.
     pub(crate) fn mark(&mut self, slice: SliceId, priority: Priority, now: Moment) {
         let (previous, since) = self.by_slice.get(&slice).copied().unwrap_or((priority, now));
         let priority = previous.min(priority);
@@ -34,19 +35,19 @@
         self.by_slice.insert(slice, (priority, since));
     }
 
-    /// Removes a slice, if it is there.
+    /// Removes a slice, if it is pending.
     pub(crate) fn clear(&mut self, slice: SliceId) {
         if let Some((priority, since)) = self.by_slice.remove(&slice) {
             self.order.remove(&(priority, since, slice));
         }
     }
 
-    /// The slices in the order in which they are to be sent.
+    /// Returns the slices in the order in which they are to be sent.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (Priority, SliceId)> + '_ {
         self.order.iter().map(|(priority, _, slice)| (*priority, *slice))
     }
 
-    /// Whether a slice waits that is more urgent than this.
+    /// Returns true if a slice of a more urgent priority is pending.
     pub(crate) fn has_more_urgent_than(&self, priority: Priority) -> bool {
         self.order.first().is_some_and(|(first, ..)| *first < priority)
     }
--- a/crates/policy/src/state/ranking.rs
+++ b/crates/policy/src/state/ranking.rs
@@ -1,12 +1,13 @@
-//! Replicas in the order of a figure, so that a search for each of many slices need not go through all replicas.
+//! Replicas ordered by a value, so that the search for a destination of each of many slices does not have to scan
+//! all replicas.
 
 use crate::api::ReplicaId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica's place in a ranking: its figure, then its tie breaker, both as integers of the same order.
+/// A replica's position in a ranking: its value, then its tie breaker, both as integers of the same order.
 type Rank = (i64, i64);
 
-/// Replicas in the order of a figure, the least first; equal ones in the order of their tie breakers.
+/// Replicas in ascending order of a value, then of their tie breakers.
 #[derive(Default)]
 pub(crate) struct Ranking {
     order: BTreeSet<(i64, i64, ReplicaId)>,
@@ -14,7 +15,7 @@
 }
 
 impl Ranking {
-    /// Puts a replica where this figure has it.
+    /// Inserts a replica, or moves it to its new position.
     pub(crate) fn insert(&mut self, id: ReplicaId, figure: f64, tie_breaker: f64) {
         let rank = (order_preserving_bits(figure), order_preserving_bits(tie_breaker));
         if let Some((figure, tie_breaker)) = self.by_replica.insert(id, rank) {
@@ -23,13 +24,13 @@
         self.order.insert((rank.0, rank.1, id));
     }
 
-    /// The first replica that is accepted.
+    /// Returns the first replica that `accepts` returns true for.
     pub(crate) fn first(&self, accepts: impl Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
         self.order.iter().map(|(.., id)| id).find(|id| accepts(id)).copied()
     }
 }
 
-/// An integer that compares with others as the figure does with other figures.
+/// Returns an integer that has the same order as the floating point value.
 fn order_preserving_bits(figure: f64) -> i64 {
     let bits = figure.to_bits() as i64;
     bits ^ (((bits >> 63) as u64) >> 1) as i64
@@ -38,10 +39,10 @@
 /// The rankings of all replicas that may be chosen.
 #[derive(Default)]
 pub(crate) struct Rankings {
-    /// By headroom, the most first.
+    /// By headroom, highest first.
     pub by_headroom: Ranking,
-    /// By utilization, the least first.
+    /// By utilization, lowest first.
     pub by_utilization: Ranking,
-    /// By standby endpoints per capacity, the fewest first.
+    /// By standby endpoints per capacity, lowest first.
     pub by_standby_load: Ranking,
 }
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -1,4 +1,4 @@
-//! A replica as this controller knows it: what the list says, what was reported of it, and what was decided about it.
+//! A replica as known to this controller: its listed properties, its reports, and the decisions made about it.
 
 use crate::api::{ReplicaListing, ReplicaState, SliceId, SubsetMembership, ZoneId};
 use crate::random::Random;
@@ -10,70 +10,72 @@
 
 /// A replica.
 pub struct Replica {
-    /// The zone that it runs in.
+    /// The zone that the replica runs in.
     pub zone: ZoneId,
-    /// The kind of machine that it runs on.
+    /// The machine type that the replica runs on.
     pub machine: String,
-    /// What the list says of it.
+    /// The listed state.
     pub state: ReplicaState,
-    /// Its capacity against that of the others, as listed.
+    /// The listed weight: the replica's capacity relative to other replicas.
     pub weight: f64,
-    /// When its process started, if known.
+    /// The start time of the replica's process, if known.
     pub(crate) started: Option<Moment>,
-    /// Identifies it at all controllers alike.
+    /// A hash that identifies the replica identically at all controllers.
     pub(crate) stable_hash: u64,
-    /// Which controllers steer it.
+    /// The controllers that steer the replica.
     pub(crate) subset: SubsetMembership,
-    /// What other controllers bring, where several steer it.
+    /// The load from other controllers, if several steer the replica.
     pub(crate) shared: SharedLoad,
-    /// Whether the list names it and does not call it gone.
+    /// True if the replica is listed and not gone.
     pub(crate) listed: bool,
     pub(crate) reports: ReplicaReports,
-    /// Sums of the reports over the last seconds, as last estimated.
+    /// The last estimate of the report sums over the recent window.
     pub(crate) recent: RecentCounts,
-    /// Mean latency over the last seconds against the tightest target latency, as last estimated.
+    /// The last estimate of the ratio of its mean latency to the tightest target latency over the recent window.
     pub(crate) latency_ratio: f64,
-    /// Until when it is ejected as an outlier.
+    /// The time at which the ejection as an outlier ends.
     pub(crate) ejected_until: Option<Moment>,
-    /// How often it was ejected without having been well for long in between; each ejection is longer, up to a limit.
+    /// The number of ejections without a long healthy time in between. Each ejection is longer than the previous
+    /// one, up to a limit.
     pub(crate) ejection_count: u32,
-    /// How far the load of its slices is to be shed (see [`crate::state::admission`]).
+    /// The reduction of its slices' load (see [`crate::state::admission`]).
     pub(crate) reduction: f64,
-    /// When that last changed.
+    /// The time at which the reduction last changed.
     pub(crate) reduction_changed_at: Moment,
-    /// Rounds in a row above the band, or below it where negative.
+    /// The number of consecutive rounds above the band; negative for rounds below it.
     pub(crate) rounds_outside_band: i32,
-    /// Whether it was withdrawn from all tables; until proxies were sent its reinstatement it counts as withdrawn.
+    /// True if the replica is withdrawn from all tables. It stays true until the proxies have been sent the
+    /// reinstatement.
     pub(crate) withdrawn: bool,
-    /// Whether this controller ever withdrew or reinstated it.
+    /// True if this controller ever withdrew or reinstated the replica.
     pub(crate) was_ever_withdrawn: bool,
-    /// When proxies were last sent a withdrawal or reinstatement.
+    /// The time at which proxies were last sent a withdrawal or reinstatement.
     pub(crate) withdrawal_sent_at: Moment,
-    /// Whether it gave or took a slice in this round.
+    /// True if the replica was the source or destination of a move in this round.
     pub(crate) moved_this_round: bool,
-    /// Slices whose desired or applied table names it.
+    /// The slices whose desired or applied table names the replica.
     pub(crate) slices: BTreeSet<SliceId>,
-    /// For how many slices it is a standby.
+    /// The number of slices for which the replica is a standby.
     pub(crate) standby_count: f64,
-    /// The load of its slices in requests a second, as last estimated and corrected by each change of a table.
+    /// The last estimate of its slices' load in requests per second, corrected by each table change.
     pub(crate) load: f64,
-    /// The same with all retries.
+    /// The same, including all retries.
     pub(crate) demand: f64,
-    /// mu of DDMC without operators' factors: listed weight times relative speed.
+    /// mu of DDMC without operators' weight factors: listed weight times relative speed.
     pub(crate) service_rate: f64,
-    /// mu of DDMC: the service rate times operators' factor and ownership.
+    /// mu of DDMC: the service rate times the operators' weight factor and the ownership.
     pub(crate) effective_capacity: f64,
-    /// The factor that an override puts on its capacity.
+    /// The capacity factor set by an override.
     pub(crate) weight_factor: f64,
-    /// This controller's part of it, in multiples of an even part: 1 in general; of a replica that warms up the controller
-    /// that is drawn for it has all, and the others 0.
+    /// This controller's part of the replica, in multiples of an even part. It is normally 1. While the replica
+    /// warms up, the controller that is drawn for it owns all of it, and the others have 0.
     pub(crate) ownership: f64,
-    /// Whether an override takes it out of service.
+    /// True if an override takes the replica out of service.
     pub(crate) out_of_service: bool,
 }
 
 impl Replica {
-    /// A replica that a table or report names before the list does.
+    /// Creates the record of a replica that a table or report names before the list does.
     pub(crate) fn new_unlisted() -> Self {
         Replica {
             zone: ZoneId::MAX,
@@ -109,10 +111,10 @@
         }
     }
 
-    /// Takes over what the list says.
+    /// Updates the listed properties.
     pub(crate) fn update_listing(&mut self, listing: &ReplicaListing) {
         if self.started != listing.started && listing.state != ReplicaState::Gone {
-            // A restarted process is no outlier, and what was reported of the former one says nothing now.
+            // A restarted process is not an outlier, and reports on the previous process no longer apply.
             self.ejected_until = None;
             self.ejection_count = 0;
             self.clear_reports();
@@ -121,7 +123,8 @@
         self.started = listing.started;
         self.stable_hash = listing.stable_hash;
         self.subset = listing.subset;
-        // One that drained and then left the list has gone for good, whatever else a missing entry may mean.
+        // A draining replica that leaves the list is permanently gone, even if missing entries are advisory
+        // otherwise.
         let has_left = self.state == ReplicaState::Draining && listing.state == ReplicaState::Gone;
         self.state = if has_left { ReplicaState::Draining } else { listing.state };
         self.weight = listing.weight;
@@ -129,14 +132,14 @@
         self.listed = listing.state != ReplicaState::Gone;
     }
 
-    /// Drops all that was reported of it so far.
+    /// Clears all reports on the replica.
     pub(crate) fn clear_reports(&mut self) {
         self.reports.clear();
         self.recent = RecentCounts::default();
     }
 
-    /// Ejects it for `base`, or longer where that is a relapse: one that was well for as long as the longest ejection since
-    /// the last one has not relapsed.
+    /// Ejects the replica for `base`, or for a multiple of it after a relapse. It is not a relapse if the replica
+    /// was healthy for the duration of the longest ejection since the previous one.
     pub(crate) fn eject(&mut self, now: Moment, base: Span, max_multiple: u32) {
         let longest = base.times(f64::from(max_multiple));
         if self.ejected_until.is_none_or(|until| now - until > longest) {
@@ -148,37 +151,40 @@
         self.clear_reports();
     }
 
-    /// Whether it is not listed, in no table, and was not reported on for longer than any rule looks back.
+    /// Returns true if the replica is not listed, no table names it, and no report on it is recent enough for any
+    /// rule.
     pub(crate) fn is_removable(&self, now: Moment) -> bool {
         !self.listed
             && self.slices.is_empty()
             && now - self.reports.attempts.newest_bucket_end() > LONGEST_LOOKBACK
     }
 
-    /// Whether the list says that it serves.
+    /// Returns true if the replica is listed as ready.
     pub(crate) fn is_ready(&self) -> bool {
         self.listed && self.state == ReplicaState::Ready
     }
 
-    /// Whether other controllers steer it and this one does not.
+    /// Returns true if only other controllers steer the replica.
     pub(crate) fn is_steered_by_others(&self) -> bool {
         self.subset == SubsetMembership::OtherControllers
     }
 
-    /// Whether slices may move to it at all.
+    /// Returns true if slices may move to the replica at all.
     pub(crate) fn is_selectable(&self) -> bool {
         self.is_ready() && !self.withdrawn && !self.out_of_service && !self.is_steered_by_others()
     }
 
-    /// One of so many controllers, drawn from what all of them know alike of this start of the replica.
+    /// Draws one of the controllers. The draw depends only on the replica and its start time, so that it is the
+    /// same at all controllers.
     pub(crate) fn draw_controller(&self, controller_count: u32) -> u32 {
         let start = (self.started.unwrap_or_default() - Moment::default()).as_ns();
-        // Seeds that are near each other have near first numbers: they are parted by the golden ratio first.
+        // Similar seeds give similar first draws, so the seed is first multiplied by the golden ratio to spread
+        // the values.
         let seed = (self.stable_hash ^ start).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         (Random::from_seed(seed).draw() * f64::from(controller_count)) as u32
     }
 
-    /// The level of DDMC: load over effective capacity.
+    /// The level of DDMC: load divided by effective capacity.
     pub(crate) fn utilization(&self) -> f64 {
         self.load / self.effective_capacity
     }
--- a/crates/policy/src/state/replica_reports.rs
+++ b/crates/policy/src/state/replica_reports.rs
@@ -1,31 +1,31 @@
-//! What was reported of a replica.
+//! The reports on a replica.
 
 use crate::api::EndpointReport;
 use crate::state::recent_counter::recent_counter;
 use crate::time::{Moment, Span};
 use crate::windowed_counter::WindowedCounter;
 
-/// What was reported of a replica, by the time to which it belongs.
+/// The reports on a replica, by the time that they cover.
 pub(crate) struct ReplicaReports {
-    /// Requests sent to it, retries included.
+    /// Requests sent to the replica, including retries.
     pub attempts: WindowedCounter,
-    /// Those of them that failed.
+    /// Attempts that failed.
     pub failed: WindowedCounter,
-    /// Those of them that succeeded.
+    /// Attempts that succeeded.
     pub succeeded: WindowedCounter,
-    /// Seconds that the succeeded ones took, without the delay of the link between zones.
+    /// The sum of the latencies of successful attempts in seconds, without the delay of the link between zones.
     pub latency_seconds: WindowedCounter,
-    /// Requests that were expected to be sent to it, by the demand for its slices.
+    /// Requests expected at the replica according to the demand for its slices.
     pub expected: WindowedCounter,
-    /// When its reports were last known to be incomplete.
+    /// The last time at which the reports were known to be incomplete.
     pub incomplete_at: Option<Moment>,
-    /// Since when there are reports, where there were none before.
+    /// The time since which there are reports, if there were none before.
     pub observed_since: Moment,
-    /// Mean seconds that its newest succeeded requests took.
+    /// The mean latency of the newest successful requests, in seconds.
     pub last_latency_seconds: f64,
 }
 
-/// Sums of the reports on a replica over recent time.
+/// Sums of the reports on a replica over the recent window.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RecentCounts {
     pub attempts: f64,
@@ -36,7 +36,7 @@
 }
 
 impl RecentCounts {
-    /// The share of attempts that failed.
+    /// Returns the share of attempts that failed.
     pub(crate) fn failed_share(&self) -> f64 {
         self.failed / self.attempts.max(1.0)
     }
@@ -58,7 +58,7 @@
 }
 
 impl ReplicaReports {
-    /// Adds a report; `delay` is how many seconds of its latency are the link's.
+    /// Adds a report. `link_delay_seconds` is subtracted from its latency.
     pub(crate) fn record(
         &mut self,
         at: Moment,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sums over the last `window` before `end`.
+    /// Returns the sums over the `window` before `end`.
     pub(crate) fn recent_counts(&self, end: Moment, window: Span) -> RecentCounts {
         RecentCounts {
             attempts: self.attempts.sum(end, window),
@@ -88,13 +88,14 @@
         }
     }
 
-    /// The mean latency in seconds over the last `window` before `end`, where enough requests succeeded in it.
+    /// Returns the mean latency in seconds over the `window` before `end`, if at least `min_samples` requests
+    /// succeeded in it.
     pub(crate) fn mean_latency_seconds(&self, end: Moment, window: Span, min_samples: f64) -> Option<f64> {
         let succeeded = self.succeeded.sum(end, window);
         (succeeded >= min_samples).then(|| self.latency_seconds.sum(end, window) / succeeded)
     }
 
-    /// Drops all counts.
+    /// Clears all counts.
     pub(crate) fn clear(&mut self) {
         for counter in [
             &mut self.attempts,
--- a/crates/policy/src/state/replica_status.rs
+++ b/crates/policy/src/state/replica_status.rs
@@ -1,4 +1,4 @@
-//! What a replica's records, the list and the time together say of it.
+//! The status of a replica, derived from its record, the replica list and the time.
 
 use crate::api::{ReplicaId, ReplicaState, SliceId};
 use crate::state::controller::ControllerState;
@@ -6,12 +6,13 @@
 use crate::state::slice::Slice;
 use crate::time::Span;
 
-/// How long a list from a former incarnation is not held against replicas that it lacks (docs/design.md, Recovery).
+/// The time for which the list of an earlier incarnation does not count against replicas missing from it
+/// (docs/design.md, Recovery).
 const CACHED_LIST_GRACE: Span = Span::ms(5000);
 
 impl ControllerState {
-    /// Whether slices must leave it whatever it answers. Where the list is advisory, a missing entry may be wrong, and what
-    /// is reported of the replica counts.
+    /// Returns true if the replica's slices must move away even if it still answers. If the list is advisory, a
+    /// missing entry may be wrong, so the reports on the replica decide instead.
     pub(crate) fn must_be_evacuated(&self, replica: &Replica) -> bool {
         match replica.state {
             ReplicaState::Draining => true,
@@ -24,17 +25,17 @@
         }
     }
 
-    /// Whether its process started so recently that its caches are cold.
+    /// Returns true if the replica's process started so recently that its caches are cold.
     pub(crate) fn is_warming_up(&self, replica: &Replica) -> bool {
         replica.started.is_some_and(|at| self.now - at < self.deployment.warm_up)
     }
 
-    /// Whether it is ejected as an outlier.
+    /// Returns true if the replica is ejected as an outlier.
     pub(crate) fn is_ejected(&self, replica: &Replica) -> bool {
         replica.ejected_until.is_some_and(|until| until > self.now)
     }
 
-    /// Whether it may own slices of this controller, and so counts in the averages.
+    /// Returns true if the replica may own slices of this controller, and thus counts in the averages.
     pub(crate) fn is_usable(&self, replica: &Replica) -> bool {
         let answers_unlisted = self.deployment.delisting_is_advisory && replica.recent.succeeded > 0.0;
         (replica.listed || answers_unlisted)
@@ -45,17 +46,17 @@
             && !self.is_ejected(replica)
     }
 
-    /// Whether it is usable and does not warm up.
+    /// Returns true if the replica is usable and not warming up.
     pub(crate) fn is_usable_and_warm(&self, replica: &Replica) -> bool {
         self.is_usable(replica) && !self.is_warming_up(replica)
     }
 
-    /// How many replicas are counted.
+    /// Returns the number of replicas that `is_counted` returns true for.
     pub(crate) fn count_replicas(&self, is_counted: impl Fn(&Replica) -> bool) -> usize {
         self.replicas.values().filter(|replica| is_counted(replica)).count()
     }
 
-    /// The median of a figure over the usable replicas; 0 where there is none.
+    /// Returns the median of a value over the usable replicas; 0 if there are none.
     pub(crate) fn median_of_usable(&self, figure: impl Fn(&Replica) -> f64) -> f64 {
         let usable = self.replicas.values().filter(|replica| self.is_usable(replica));
         let mut figures: Vec<f64> = usable.map(figure).collect();
@@ -63,12 +64,12 @@
         figures.get(figures.len() / 2).copied().unwrap_or(0.0)
     }
 
-    /// A slice's owners, as far as they are known.
+    /// Returns the owners of a slice that have a record.
     pub(crate) fn owners<'a>(&'a self, slice: &'a Slice) -> impl Iterator<Item = (ReplicaId, &'a Replica)> {
         slice.table.owners().filter_map(|id| Some((id, self.replicas.get(&id)?)))
     }
 
-    /// Whether a slice is pinned and its replica is its only owner.
+    /// Returns true if the slice is pinned and the pin's replica is its only owner.
     pub(crate) fn is_at_pin(&self, id: SliceId, slice: &Slice) -> bool {
         self.operator_overrides
             .pins
@@ -76,7 +77,7 @@
             .is_some_and(|(replica, _)| slice.table.sole_owner() == Some(replica))
     }
 
-    /// The tightest target latency of all request classes, in seconds.
+    /// Returns the lowest target latency of all request classes, in seconds.
     pub(crate) fn tightest_target_seconds(&self) -> f64 {
         let targets = self.deployment.request_classes.iter().map(|class| class.target_latency.seconds());
         targets.fold(f64::INFINITY, f64::min)
--- a/crates/policy/src/state/replica_withdrawals.rs
+++ b/crates/policy/src/state/replica_withdrawals.rs
@@ -1,4 +1,4 @@
-//! Withdrawals and reinstatements of replicas, in the queue and in the replicas' records together.
+//! Withdrawals and reinstatements of replicas; keeps the queue and the replicas' records consistent.
 
 use crate::api::{Action, ReplicaId};
 use crate::state::controller::ControllerState;
@@ -6,8 +6,9 @@
 use crate::time::Moment;
 
 impl ControllerState {
-    /// The replica's record. One that is named for the first time, and that did not start during this incarnation, may still
-    /// be withdrawn by a former incarnation at proxies that joined before.
+    /// Returns the replica's record, creating it if necessary. A replica that is named for the first time and did
+    /// not start during this incarnation may still be withdrawn, by an earlier incarnation, at proxies that have
+    /// already joined.
     pub(crate) fn replica_entry(&mut self, id: ReplicaId, started: Option<Moment>) -> &mut Replica {
         let is_older = started.is_none_or(|at| at < self.started_at);
         let may_be_withdrawn =
@@ -20,19 +21,22 @@
         self.replicas.entry(id).or_insert_with(Replica::new_unlisted)
     }
 
-    /// Whether former incarnations may have withdrawn replicas; where slices have a single writer none does.
+    /// Returns true if earlier incarnations may have withdrawn replicas. Replicas are never withdrawn under single
+    /// writer.
     pub(crate) fn may_have_earlier_withdrawals(&self) -> bool {
         !self.deployment.single_writer
     }
 
-    /// Whether reinstatements may be sent: time has passed for proxies that join late; and where slices are shared out among
-    /// controllers, one is ours, as without a table of ours a reinstatement reaches no proxy and is never acknowledged.
+    /// Returns true if reinstatements may be sent. Proxies that join late must have had time to do so. If slices
+    /// are distributed among controllers, this controller must own one: without a table of its own its
+    /// reinstatements reach no proxy and are never acknowledged.
     pub(crate) fn reinstatements_are_due(&self) -> bool {
         let reaches_proxies = self.deployment.slice_count == 0 || !self.slices.is_empty();
         reaches_proxies && self.deadlines.reinstatement.is_none_or(|at| at <= self.now)
     }
 
-    /// Has a replica withdrawn from all tables. Where its reinstatement was not sent yet, that is dropped instead.
+    /// Schedules the withdrawal of a replica from all tables. If its reinstatement has not been sent yet, that is
+    /// cancelled instead.
     pub(crate) fn withdraw(&mut self, id: ReplicaId) {
         let Some(replica) = self.replicas.get_mut(&id) else { return };
         let is_still_withdrawn = self.withdrawals.reinstatements.remove(&id) && replica.withdrawn;
@@ -43,7 +47,8 @@
         }
     }
 
-    /// Has a replica's withdrawal ended. Until proxies were sent that, it counts as withdrawn.
+    /// Schedules the reinstatement of a replica. It counts as withdrawn until proxies have been sent the
+    /// reinstatement.
     pub(crate) fn reinstate(&mut self, id: ReplicaId) {
         let Some(replica) = self.replicas.get_mut(&id) else { return };
         replica.was_ever_withdrawn = true;
@@ -51,7 +56,7 @@
         self.withdrawals.reinstatements.insert(id);
     }
 
-    /// Notes a withdrawal or reinstatement that was sent; other actions change nothing.
+    /// Records that a withdrawal or reinstatement was sent. Ignores other actions.
     pub(crate) fn record_withdrawal(&mut self, action: &Action) {
         let (Action::Withdraw { replica: id } | Action::Reinstate { replica: id }) = action else { return };
         let is_reinstatement = matches!(action, Action::Reinstate { .. });
--- a/crates/policy/src/state/reporting.rs
+++ b/crates/policy/src/state/reporting.rs
@@ -1,19 +1,19 @@
-//! How load reports arrive.
+//! The path and the lag of load reports.
 
 use crate::api::ReportFlow;
 use crate::state::recent_counter::recent_counter;
 use crate::time::Span;
 use crate::windowed_counter::WindowedCounter;
 
-/// How load reports arrive, and how late.
+/// The path and the lag of load reports.
 pub(crate) struct Reporting {
-    /// From where.
+    /// The path on which reports arrive.
     pub flow: ReportFlow,
-    /// Seconds covered by the lines of reports.
+    /// The sum of the seconds covered by report lines.
     pub covered_seconds: WindowedCounter,
-    /// Lines of reports.
+    /// The number of report lines.
     pub lines: WindowedCounter,
-    /// How much more than a report period a line covers, where reports fall behind.
+    /// The time by which the window of a report line exceeds a report period when reports lag.
     pub lag: Span,
 }
 
--- a/crates/policy/src/state/schedule.rs
+++ b/crates/policy/src/state/schedule.rs
@@ -1,36 +1,36 @@
-//! When recurring work is due, and which of it is still to be done.
+//! Deadlines of recurring work, and the work that is still to be done.
 
 use crate::api::ReportFlow;
 use crate::time::{Moment, Span};
 
-/// The period of a tick, in which whatever needs a look at the whole fleet is done once.
+/// The period of a tick. Work that covers the whole fleet is done once per tick.
 pub(crate) const TICK_PERIOD: Span = Span::ms(250);
-/// The period of a rebalancing round (docs/design.md: reports come each second).
+/// The period of a rebalancing round. Reports arrive once a second (docs/design.md).
 pub(crate) const ROUND_PERIOD: Span = Span::ms(1000);
 
-/// When recurring work is next due.
+/// Deadlines of recurring work.
 #[derive(Default)]
 pub(crate) struct Deadlines {
-    /// The next request for the replica list; none while it is pushed or followed.
+    /// The next request for the replica list; `None` while the list is pushed or subscribed to.
     pub list_request: Option<Moment>,
-    /// The end of former incarnations' withdrawals.
+    /// The time at which withdrawals of earlier incarnations are ended.
     pub reinstatement: Option<Moment>,
     /// The next tick.
     pub tick: Moment,
     /// The next rebalancing round.
     pub round: Moment,
-    /// The timer that was asked for, while it has not fired.
+    /// The pending timer, if one has been requested.
     pub timer: Option<Moment>,
 }
 
 impl Deadlines {
-    /// Deadlines at the start: rounds begin once two of them have passed.
+    /// Deadlines at start-up. The first round opens after two round periods.
     pub(crate) fn new(now: Moment, list_request: Option<Moment>) -> Self {
         Deadlines { list_request, round: now + ROUND_PERIOD + ROUND_PERIOD, ..Deadlines::default() }
     }
 }
 
-/// Which rules have still to look at the whole fleet: a rule that is not named here costs nothing.
+/// The rules that still have to process the whole fleet. The other rules cost nothing.
 #[derive(Default)]
 pub(crate) struct PendingWork {
     pub load_estimates: bool,
@@ -47,7 +47,8 @@
 }
 
 impl PendingWork {
-    /// Has everything done that is done once a tick. Rules that rest on changes of the reports pause while none come.
+    /// Marks all work that is done once per tick. Rules that depend on changes in the reports pause while reports
+    /// are interrupted.
     pub(crate) fn start_tick(&mut self, flow: ReportFlow) {
         let reports_come = flow != ReportFlow::Interrupted;
         self.load_estimates = true;
--- a/crates/policy/src/state/sent_message.rs
+++ b/crates/policy/src/state/sent_message.rs
@@ -1,27 +1,27 @@
-//! One message to the proxies, until all have acknowledged it.
+//! A message to the proxies, kept until all of them have acknowledged it.
 
 use crate::api::{ProxyId, SliceId};
 use crate::time::Moment;
 use std::collections::BTreeMap;
 
-/// One message to each of the proxies, of which some have not acknowledged it.
+/// A message to each of the proxies that at least one of them has not acknowledged.
 pub(crate) struct SentMessage {
-    /// Messages leave in this order; versions wrap.
+    /// The order in which messages are sent. Versions wrap around and do not show it.
     pub sequence: u64,
-    /// How many copies may still be on their way to each proxy; each is above 0.
+    /// The number of unacknowledged copies per proxy; each is greater than 0.
     pub unacked_copies: BTreeMap<ProxyId, u32>,
-    /// The sum of these.
+    /// The sum of `unacked_copies`.
     copies: u32,
-    /// How often it was sent.
+    /// The number of times that the message was sent.
     pub send_count: u32,
     pub lines_per_proxy: f64,
     pub sent_at: Moment,
-    /// The slices that wait for its acknowledgements.
+    /// The slices that wait for the message's acknowledgements.
     pub waiting_slices: Vec<SliceId>,
 }
 
 impl SentMessage {
-    /// A message that is empty and goes to nobody yet.
+    /// Creates an empty message without recipients.
     pub(super) fn new(now: Moment, sequence: u64, overhead_lines: f64) -> Self {
         SentMessage {
             sequence,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Counts one more copy to each of the proxies.
+    /// Adds one copy to each of the proxies.
     pub(super) fn add_copies(&mut self, proxies: impl Iterator<Item = ProxyId>) {
         for proxy in proxies {
             *self.unacked_copies.entry(proxy).or_default() += 1;
@@ -43,7 +43,7 @@
         self.send_count += 1;
     }
 
-    /// Leaves one copy to each proxy that has acknowledged none.
+    /// Keeps one copy per proxy that has acknowledged none.
     pub(super) fn keep_one_copy(&mut self) {
         let send_count = std::mem::replace(&mut self.send_count, 1);
         self.unacked_copies.retain(|_, copies| *copies >= send_count);
@@ -51,7 +51,7 @@
         self.copies = self.unacked_copies.len() as u32;
     }
 
-    /// Notes that up to so many copies have reached the proxy, or never will.
+    /// Removes up to `max_copies` copies that have reached the proxy or never will.
     pub(super) fn remove_copies(&mut self, proxy: ProxyId, max_copies: u32) {
         let Some(copies) = self.unacked_copies.get_mut(&proxy) else { return };
         let removed = max_copies.min(*copies);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The lines of copies that are not acknowledged.
+    /// Returns the number of lines in all unacknowledged copies.
     pub(super) fn unacked_lines(&self) -> f64 {
         self.lines_per_proxy * f64::from(self.copies)
     }
--- a/crates/policy/src/state/shared_load.rs
+++ b/crates/policy/src/state/shared_load.rs
@@ -1,37 +1,38 @@
-//! What is remembered of replicas that several controllers steer.
+//! State about replicas that several controllers steer.
 
 use crate::time::{Moment, Span};
 use crate::windowed_counter::WindowedCounter;
 
-/// Reports of a moment are complete, and the sample of this controller's own load beside them, one bucket later.
+/// The duration of a sample bucket. Reports on a point in time, and the sample of this controller's own load at
+/// that time, are complete one bucket later.
 pub(crate) const SAMPLE_BUCKET_DURATION: Span = Span::ms(500);
-/// How many samples of this controller's own load are kept.
+/// The number of samples of this controller's own load that are kept.
 pub(crate) const SAMPLE_BUCKET_COUNT: usize = 40;
 
-/// What is remembered of sharing as a whole.
+/// State about sharing that does not belong to a single replica.
 #[derive(Default)]
 pub(crate) struct SharingState {
-    /// Whether some replica is not everyone's.
+    /// True if at least one replica is not steered by all controllers.
     pub is_active: bool,
-    /// How much more than a report period the longest of the replicas' reports covers.
+    /// The time by which the longest report window of the replicas exceeds a report period.
     pub window_excess: Span,
-    /// When the own load was last sampled.
+    /// The time at which this controller's own load was last sampled.
     pub sampled_at: Option<Moment>,
-    /// The number of the round for which draws were last made.
+    /// The number of the last round with random draws.
     pub drawn_round: u64,
 }
 
-/// The load of a replica that several controllers steer, own and others'.
+/// The load of a replica that several controllers steer, from this controller and from others.
 pub(crate) struct SharedLoad {
-    /// The length of the time window that the newest report on it covers.
+    /// The time window of the newest report on the replica.
     pub report_window: Span,
-    /// Requests that this controller's slices brought, by time.
+    /// Requests from this controller's slices, by time.
     pub own_requests: WindowedCounter,
-    /// Requests a second that other controllers' slices bring, without those that are taken for retries.
+    /// Requests per second from other controllers' slices, without the estimated retries.
     pub others_load: f64,
-    /// The same with all retries.
+    /// The same, including all retries.
     pub others_demand: f64,
-    /// This round's random draw, from 0 to 1.
+    /// The random draw of the current round, from 0 to 1.
     pub round_draw: f64,
 }
 
