--- a/crates/policy/src/state/slice.rs
+++ b/crates/policy/src/state/slice.rs
@@ -1,4 +1,4 @@
-//! A slice of the key space: its routing table, what was reported of it, and what was decided about it.
+//! A slice of the key space: its routing table, its reports, and the decisions made about it.
 
 use crate::api::{OverrideNumber, ReplicaId};
 use crate::state::recent_counter::recent_counter;
@@ -6,40 +6,40 @@
 use crate::time::Moment;
 use crate::windowed_counter::WindowedCounter;
 
-/// A slice that is this controller's.
+/// A slice that this controller owns.
 pub(crate) struct Slice {
     pub table: RoutingTable,
-    /// Requests that were received and admitted.
+    /// Requests received and admitted.
     pub admitted: WindowedCounter,
-    /// Those of them that failed.
+    /// Admitted requests that failed.
     pub failed: WindowedCounter,
-    /// Requests a second over the longer window, without those that are taken for retries, as last estimated.
+    /// The last estimate of requests per second over the longer window, without the estimated retries.
     pub load: f64,
     /// The same over the shorter window.
     pub burst_load: f64,
-    /// Requests a second with all retries, which is what a replica feels, as last estimated.
+    /// The last estimate of requests per second including all retries, which is the load on the replica.
     pub demand: f64,
-    /// Since when it is this controller's.
+    /// The time since which this controller has owned the slice.
     pub granted_at: Moment,
-    /// Since when reports on it are known, where they were not before.
+    /// The time since which there are reports on the slice, if there were none before.
     pub observed_since: Moment,
-    /// How often it has moved to another owner.
+    /// The number of moves to another owner.
     pub move_count: u32,
-    /// How far its load is to be shed (see [`crate::state::admission`]).
+    /// The desired reduction of the slice's load (see [`crate::state::admission`]).
     pub reduction: f64,
-    /// The same, as the proxies were sent it.
+    /// The reduction that the proxies were sent.
     pub applied_reduction: f64,
-    /// The version that its last change of table waits for.
+    /// The version whose acknowledgements the last table change waits for.
     pub awaited_version: Option<u16>,
-    /// When its table last changed, or the change was last acknowledged.
+    /// The time at which the table last changed, or at which that change was acknowledged.
     pub settled_at: Moment,
-    /// Moves to the replica that it is pinned to.
+    /// The moves to the replica that the slice is pinned to.
     pub pin_moves: PinMoves,
-    /// Since when its requests are held back for a change of owner, where it has a single writer.
+    /// The time since which requests are held back for a change of owner, under single writer.
     pub halted_at: Option<Moment>,
 }
 
-/// How often an override brought a slice to its replica.
+/// The number of moves of a slice to its pin that an override has caused.
 #[derive(Default)]
 pub(crate) struct PinMoves {
     by: OverrideNumber,
@@ -47,7 +47,7 @@
 }
 
 impl Slice {
-    /// A slice whose table is as the store has it.
+    /// Creates a slice with its stored table.
     pub(crate) fn new(endpoints: &[(ReplicaId, f64)], now: Moment) -> Self {
         Slice {
             table: RoutingTable::new(endpoints),
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Whether the proxies were sent its table and its reduction.
+    /// Returns true if the proxies were sent the slice's desired table and reduction.
     pub(crate) fn is_fully_applied(&self) -> bool {
         self.table.is_applied() && self.reduction == self.applied_reduction
     }
 }
 
 impl PinMoves {
-    /// Counts a move that this override caused.
+    /// Counts a move caused by this override.
     pub(crate) fn record(&mut self, by: OverrideNumber) {
         *self = PinMoves { by, count: self.count_by(by).saturating_add(1) };
     }
 
-    /// How often this override has caused a move.
+    /// Returns the number of moves caused by this override.
     pub(crate) fn count_by(&self, by: OverrideNumber) -> u32 {
         if self.by == by {
             self.count
--- a/crates/policy/src/state/slice_pins.rs
+++ b/crates/policy/src/state/slice_pins.rs
@@ -1,17 +1,18 @@
-//! Which replica each slice is pinned to: ranges of slices that do not overlap, each under the newest override.
+//! The replica that each slice is pinned to, as ranges of slices that do not overlap, each with its newest
+//! override.
 
 use crate::api::{OverrideNumber, ReplicaId, SliceId};
 use std::collections::BTreeMap;
 
-/// Where a range of slices belongs, and by which override.
+/// The replica that a range of slices is pinned to, and the override that pins it.
 type Pin = (ReplicaId, OverrideNumber);
 
-/// By the first slice of each range, its last one and its pin.
+/// The last slice and the pin of each range, by its first slice.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct SlicePins(BTreeMap<SliceId, (SliceId, Pin)>);
 
 impl SlicePins {
-    /// Puts a range over what is there; of ranges that it covers in part, the rest stays.
+    /// Inserts a range and replaces the overlapping parts of existing ranges.
     pub(crate) fn insert(&mut self, first: SliceId, last: SliceId, pin: Pin) {
         if first > last {
             return;
@@ -34,13 +35,13 @@
         self.0.insert(first, (last, pin));
     }
 
-    /// The pin of a slice, if it has one.
+    /// Returns the pin of a slice, if it has one.
     pub(crate) fn get(&self, slice: SliceId) -> Option<Pin> {
         let (_, (last, pin)) = self.0.range(..=slice).next_back()?;
         (slice <= *last).then_some(*pin)
     }
 
-    /// Each range: its first slice, its last one, and its pin.
+    /// Returns the first slice, the last slice and the pin of each range.
     pub(crate) fn ranges(&self) -> impl Iterator<Item = (SliceId, SliceId, Pin)> + '_ {
         self.0.iter().map(|(first, (last, pin))| (*first, *last, *pin))
     }
--- a/crates/policy/src/state/withdrawals.rs
+++ b/crates/policy/src/state/withdrawals.rs
@@ -1,32 +1,32 @@
-//! The queue of withdrawals of replicas from all routing tables, and of their ends.
+//! The queue of withdrawals of replicas from all routing tables, and of reinstatements.
 
 use crate::api::ReplicaId;
 use crate::time::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Withdrawals and reinstatements that are still to be sent.
+/// Withdrawals and reinstatements that have not been sent yet.
 #[derive(Default)]
 pub(crate) struct Withdrawals {
-    /// Replicas to be withdrawn, and from when on.
+    /// Replicas to be withdrawn, with the time at which the withdrawal is due.
     pub pending: BTreeMap<ReplicaId, Moment>,
     /// Replicas to be reinstated.
     pub reinstatements: BTreeSet<ReplicaId>,
 }
 
 impl Withdrawals {
-    /// Has a replica withdrawn; of two moments the earlier one counts.
+    /// Schedules a withdrawal. If one is already scheduled, the earlier time counts.
     pub(crate) fn schedule(&mut self, id: ReplicaId, at: Moment) {
         let due_at = self.pending.entry(id).or_insert(at);
         *due_at = at.min(*due_at);
     }
 
-    /// The withdrawal that has been due for longest.
+    /// Returns the withdrawal with the earliest due time, if it is due.
     pub(crate) fn next_due(&self, now: Moment) -> Option<ReplicaId> {
         let due = self.pending.iter().filter(|(_, at)| **at <= now);
         due.min_by_key(|(_, at)| **at).map(|(id, _)| *id)
     }
 
-    /// Whether a withdrawal or reinstatement of the replica is to be sent.
+    /// Returns true if a withdrawal or reinstatement of the replica is pending.
     pub(crate) fn concerns(&self, id: &ReplicaId) -> bool {
         self.pending.contains_key(id) || self.reinstatements.contains(id)
     }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and spans between them: two types, so that neither can stand in for the other.
+//! Points in time and durations, as two types so that they can't be confused.
 
 use std::ops::{Add, Sub};
 
@@ -6,50 +6,50 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(u64);
 
-/// A length of time, in nanoseconds.
+/// A duration, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(u64);
 
 impl Moment {
-    /// The point at which the clock shows so many nanoseconds.
+    /// The point in time at which the clock shows `ns` nanoseconds.
     pub const fn at_ns(ns: u64) -> Self {
         Moment(ns)
     }
 
-    /// The number of whole spans of this length that lie before this moment.
+    /// Returns the number of whole periods of this length between time zero and this point in time.
     pub fn elapsed_periods(self, length: Span) -> u64 {
         self.0 / length.0.max(1)
     }
 }
 
 impl Span {
-    /// A span of so many nanoseconds.
+    /// A duration in nanoseconds.
     pub const fn ns(ns: u64) -> Self {
         Span(ns)
     }
 
-    /// A span of so many milliseconds; the longest there is where that is too many, as times in settings may be absurd.
+    /// A duration in milliseconds. Values that are too large saturate, because times in settings are not limited.
     pub const fn ms(ms: u64) -> Self {
         Span(ms.saturating_mul(1_000_000))
     }
 
-    /// Its length in nanoseconds.
+    /// Returns the duration in nanoseconds.
     pub const fn as_ns(self) -> u64 {
         self.0
     }
 
-    /// Its length in seconds.
+    /// Returns the duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
-    /// A span so many times as long; nothing where the factor is below 0.
+    /// Returns the duration multiplied by a factor; zero if the factor is negative.
     pub fn times(self, factor: f64) -> Self {
         Span((self.0 as f64 * factor) as u64)
     }
 }
 
-/// Never before the start of time.
+/// Saturates at time zero.
 impl Sub<Span> for Moment {
     type Output = Moment;
     fn sub(self, span: Span) -> Moment {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Never below nothing: a report may carry a start that lies ahead of our clock.
+/// Saturates at zero, because a report may carry a start time that is ahead of this process's clock.
 impl Sub for Moment {
     type Output = Span;
     fn sub(self, earlier: Moment) -> Span {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Never below nothing.
+/// Saturates at zero.
 impl Sub for Span {
     type Output = Span;
     fn sub(self, shorter: Span) -> Span {
