--- a/crates/policy/tests/evacuation.rs
+++ b/crates/policy/tests/evacuation.rs
@@ -1,50 +1,54 @@
-//! Evacuation: where slices go, and who is sent withdrawals.
+//! Evacuation: destinations of slices, and recipients of withdrawals.
 
 mod fleet;
 mod reports;
 
-use fleet::{at, listing, site};
-use reports::{acked_reply, play_reports, policy_with_replicas, report};
+use fleet::{at, deployment, listing};
+use reports::{collect_acked_reply, policy_with_replicas, report_second, run_reports};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
 use whinwall_policy::time::Span;
 use whinwall_policy::Policy;
 
-/// Against a list that wrongly drops running replicas, where it is advisory; one that drained first is left (idd6c4b).
+/// An advisory list may wrongly drop running replicas, which must not be evacuated. A replica that was draining
+/// before it was dropped is evacuated (idd6c4b).
 #[test]
 fn advisory_list_that_drops_running_replicas_evacuates_none() {
-    let mut policy = policy_with_replicas(Deployment { delisting_is_advisory: true, ..site() }, 6);
-    let well = |_, _, _| (0.0, 100);
-    play_reports(&mut policy, 1..5, 1, 6, &well);
+    let mut policy = policy_with_replicas(Deployment { delisting_is_advisory: true, ..deployment() }, 6);
+    let healthy = |_, _, _| (0.0, 100);
+    run_reports(&mut policy, 1..5, 1, 6, &healthy);
     policy.replicas_listed(at(5000), ListScope::Changes, &[listing(5, ReplicaState::Draining, 0)]);
     let gone: Vec<_> = (2..6).map(|s| listing(s, ReplicaState::Gone, 0)).collect();
     policy.replicas_listed(at(6000), ListScope::Changes, &gone);
-    let actions = play_reports(&mut policy, 6..20, 1, 5, &well);
-    let leaves = |id: u32| move |s: &Action| matches!(s, Action::Withdraw { replica } if *replica == id);
-    assert!(actions.iter().any(leaves(5)) && (2..5).all(|id| !actions.iter().any(leaves(id))));
-    let back = |s: &Action| matches!(s, Action::SetEndpoint { replica: 5, weight, .. } if *weight > 0.0);
-    assert!(!actions.iter().any(|s| back(s) || matches!(s, Action::Reinstate { replica: 5 })));
+    let actions = run_reports(&mut policy, 6..20, 1, 5, &healthy);
+    let withdraws =
+        |id: u32| move |action: &Action| matches!(action, Action::Withdraw { replica } if *replica == id);
+    assert!(actions.iter().any(withdraws(5)) && (2..5).all(|id| !actions.iter().any(withdraws(id))));
+    let adds_endpoint =
+        |action: &Action| matches!(action, Action::SetEndpoint { replica: 5, weight, .. } if *weight > 0.0);
+    assert!(!actions.iter().any(|s| adds_endpoint(s) || matches!(s, Action::Reinstate { replica: 5 })));
 }
 
-/// Against a restart before the tables have caught up (h16e476): it is reinstated once no table names it.
+/// A replica that restarts before the tables have been updated is reinstated only once no table names it
+/// (h16e476).
 #[test]
 fn replica_that_returns_stays_withdrawn_until_no_table_names_it() {
-    let mut policy = policy_with_replicas(Deployment { queue_capacity_lines: 60.0, ..site() }, 6);
-    let well = |_, _, _| (0.0, 100);
+    let mut policy = policy_with_replicas(Deployment { queue_capacity_lines: 60.0, ..deployment() }, 6);
+    let healthy = |_, _, _| (0.0, 100);
     (50..80).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
-    play_reports(&mut policy, 1..15, 1, 6, &well);
+    run_reports(&mut policy, 1..15, 1, 6, &healthy);
     policy.replicas_listed(at(15_000), ListScope::Changes, &[listing(0, ReplicaState::Gone, 0)]);
     let mut actions = policy.collect_actions(at(15_000));
     policy.replicas_listed(at(15_010), ListScope::Changes, &[listing(0, ReplicaState::Ready, 15_005)]);
     actions.extend(policy.collect_actions(at(15_010)));
     (0..200).for_each(|version| policy.ack_received(at(16_000), 0, version));
-    actions.extend(play_reports(&mut policy, 16..30, 1, 6, &well));
-    let left = actions
-        .iter()
-        .rposition(|s| matches!(s, Action::SetEndpoint { replica: 0, weight, .. } if *weight == 0.0));
-    let withdrawn = |s: &Action| *s == Action::Withdraw { replica: 0 };
-    let reinstated = |s: &Action| *s == Action::Reinstate { replica: 0 };
+    actions.extend(run_reports(&mut policy, 16..30, 1, 6, &healthy));
+    let left = actions.iter().rposition(
+        |action| matches!(action, Action::SetEndpoint { replica: 0, weight, .. } if *weight == 0.0),
+    );
+    let withdrawn = |action: &Action| *action == Action::Withdraw { replica: 0 };
+    let reinstated = |action: &Action| *action == Action::Reinstate { replica: 0 };
     let (withdrawn, is_reinstated) =
         (actions.iter().position(withdrawn), actions.iter().position(reinstated));
     assert!(
@@ -53,12 +57,17 @@
     );
 }
 
-/// Sixty of a hundred replicas drain and are withdrawn; then one more drains, the last by number, while proxies
-/// join in each reply and have to be sent the sixty again (seen on `herd+mass`, seed 112).
+/// 60 of 100 replicas drain and are withdrawn. Then replica 99 drains while proxies join in each reply and must be
+/// sent the 60 withdrawals again, which must not delay the new withdrawal (`herd+mass`, seed 112).
 #[test]
 fn joining_proxies_do_not_starve_an_unsent_withdrawal() {
     let mut policy = policy_with_replicas(
-        Deployment { queue_capacity_lines: 1200.0, lines_per_second: 12_000.0, message_limit: 0, ..site() },
+        Deployment {
+            queue_capacity_lines: 1200.0,
+            lines_per_second: 12_000.0,
+            message_limit: 0,
+            ..deployment()
+        },
         100,
     );
     (100..900).for_each(|n| policy.slice_granted(at(0), n, &[(n % 100, 1.0)]));
@@ -93,30 +102,34 @@
     assert!(sent_at.is_some_and(|at| at < 6000), "{sent_at:?}");
 }
 
-/// A replica drains and is left by all of ours; a proxy joins, and only then comes a slice that names it.
+/// A draining replica has been evacuated and withdrawn. A proxy joins, and only afterwards a slice that names the
+/// replica is granted.
 #[test]
 fn granted_slice_that_names_a_withdrawn_replica_repeats_the_withdrawal() {
-    let mut policy = policy_with_replicas(site(), 6);
-    let well = |_, _, _| (0.0, 100);
-    play_reports(&mut policy, 1..5, 1, 6, &well);
+    let mut policy = policy_with_replicas(deployment(), 6);
+    let healthy = |_, _, _| (0.0, 100);
+    run_reports(&mut policy, 1..5, 1, 6, &healthy);
     policy.replicas_listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
-    let withdrawn = |s: &Action| *s == Action::Withdraw { replica: 0 };
-    assert!(play_reports(&mut policy, 5..12, 1, 6, &well).iter().any(withdrawn));
+    let withdrawn = |action: &Action| *action == Action::Withdraw { replica: 0 };
+    assert!(run_reports(&mut policy, 5..12, 1, 6, &healthy).iter().any(withdrawn));
     policy.proxy_joined(at(12_000), 1, ProxyTables::Retained);
-    assert!(!policy.collect_actions(at(12_000)).iter().any(withdrawn), "no table names it");
+    assert!(
+        !policy.collect_actions(at(12_000)).iter().any(withdrawn),
+        "withdrawal sent although no table names the replica"
+    );
     policy.slice_granted(at(12_500), 40, &[(0, 1.0), (1, 0.01)]);
     assert!(policy.collect_actions(at(12_500)).iter().any(withdrawn));
 }
 
-/// Six warm replicas carry all, and twelve new ones are unused (`join+mass`): what the six were seen to
-/// answer is what a replica can answer, and a slice that must leave goes to one that is cold and has room.
+/// Six warm replicas handle all requests, and twelve new ones are unused (`join+mass`). The observed service rate
+/// must be that of the six warm ones, so that a slice that must move goes to a cold replica with room.
 #[test]
 fn idle_cold_replicas_do_not_lower_the_proven_service_rate() {
-    let mut policy = policy_with_replicas(site(), 6);
+    let mut policy = policy_with_replicas(deployment(), 6);
     let mut actions = Vec::new();
     for second in 1..20 {
         let now = at(second * 1000);
-        report(&mut policy, now, |_| (20.0, 2.0));
+        report_second(&mut policy, now, |_| (20.0, 2.0));
         if second == 10 {
             let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, 10_000)).collect();
             policy.replicas_listed(now, ListScope::Changes, &new);
@@ -124,7 +137,7 @@
         if second == 17 {
             policy.replicas_listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
         }
-        let reply = acked_reply(&mut policy, now);
+        let reply = collect_acked_reply(&mut policy, now);
         actions.extend(reply.into_iter().filter(|_| second >= 17));
     }
     let chosen = |s: &Action| match s {
@@ -135,20 +148,20 @@
     assert!(chosen.is_some_and(|replica| replica >= 6), "{chosen:?}");
 }
 
-/// Five controllers that know nothing of each other, each with two slices a replica, and new replicas of which a
-/// fifth of a budget would not do for one slice (`join+vast`): each new one is used by one of them, and at once.
+/// Five independent controllers with two slices per replica each, and new replicas of which a fifth of the budget
+/// is not enough for one slice (`join+vast`): each new replica is used by exactly one controller, and at once.
 #[test]
 fn cold_replica_is_owned_by_exactly_one_controller() {
     let chosen = |number, slices, begins: u64| {
         let mut policy = policy_with_replicas(
-            Deployment { controller_count: 5, controller_index: number, slice_count: slices, ..site() },
+            Deployment { controller_count: 5, controller_index: number, slice_count: slices, ..deployment() },
             6,
         );
         (6..12).for_each(|n| policy.slice_granted(at(0), n, &[(n - 6, 1.0)]));
         let mut actions = Vec::new();
         for second in 1..12 {
             let now = at(second * 1000);
-            report(&mut policy, now, |_| (2.0, 1.0));
+            report_second(&mut policy, now, |_| (2.0, 1.0));
             let demand =
                 DemandReport { request_class: 0, window: Span::ms(1000), requests: 1.0, failed: 0.0 };
             (6..12).for_each(|n| policy.demand_reported(now, n, demand));
@@ -159,7 +172,7 @@
             if second == 11 {
                 policy.replicas_listed(now, ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
             }
-            actions = acked_reply(&mut policy, now);
+            actions = collect_acked_reply(&mut policy, now);
         }
         let chosen = |s: Action| match s {
             Action::SetEndpoint { slice: 0 | 6, replica, weight } if weight >= 1.0 && replica >= 6 => {
@@ -172,17 +185,19 @@
     let all: Vec<_> = (0..5).flat_map(|number| chosen(number, 60, 10)).collect();
     assert!(all.len() >= 4, "{all:?}");
     assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), all.len(), "{all:?}");
-    // Whoever has all slices, as when the others were killed, is alone, whatever its number.
+    // A controller that owns all slices, for example after the others were killed, uses the new replicas whatever
+    // its index.
     assert!((0..6).all(|number| !chosen(number, 12, 8).is_empty()));
 }
 
-/// What a proxy applied before it left it still holds; what it missed it has to be sent.
+/// A proxy that reconnects still holds what it applied before it disconnected, and must be sent only what it
+/// missed.
 #[test]
 fn returning_proxy_is_sent_only_the_withdrawals_that_it_missed() {
     for missed in [false, true] {
-        let mut policy = policy_with_replicas(site(), 6);
-        let withdrawn = |s: &Action| *s == Action::Withdraw { replica: 0 };
-        // Slices enough that some still name the replica when the proxy is back.
+        let mut policy = policy_with_replicas(deployment(), 6);
+        let withdrawn = |action: &Action| *action == Action::Withdraw { replica: 0 };
+        // Enough slices that some still name the replica when the proxy reconnects.
         (50..450).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
         policy.proxy_joined(at(0), 1, ProxyTables::Empty);
         policy.collect_actions(at(0));
@@ -190,7 +205,7 @@
         policy.replicas_listed(at(5000), ListScope::Changes, &[listing(0, ReplicaState::Draining, 0)]);
         let reply = policy.collect_actions(at(5000));
         assert!(reply.iter().any(withdrawn), "{reply:?}");
-        let Some(Action::Sync { version }) = reply.last() else { panic!("no mark: {reply:?}") };
+        let Some(Action::Sync { version }) = reply.last() else { panic!("reply without version: {reply:?}") };
         policy.ack_received(at(5300), 0, *version);
         if !missed {
             policy.ack_received(at(5300), 1, *version);
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A small fleet that follows a controller's commands, and panics as soon as one of the five rules is broken.
+//! A simulated small fleet that applies a controller's commands and panics as soon as one of the five rules is
+//! violated.
 #![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,7 +12,7 @@
 const MAX_MS_WITHOUT_ENDPOINT: u64 = 5000;
 const TICK_MS: u64 = 100;
 
-pub fn site() -> Deployment {
+pub fn deployment() -> Deployment {
     let request_class = |priority_weight| RequestClass { priority_weight, target_latency: Span::ms(1000) };
     Deployment {
         request_classes: vec![request_class(1.0), request_class(4.0)],
@@ -45,7 +46,7 @@
 
 pub fn listing(replica: ReplicaId, state: ReplicaState, started_ms: u64) -> ReplicaListing {
     let started = (started_ms > 0).then(|| at(started_ms));
-    let (zone, lot) = (replica as usize % 3, u64::from(replica));
+    let (zone, stable_hash) = (replica as usize % 3, u64::from(replica));
     ReplicaListing {
         replica,
         zone,
@@ -53,7 +54,7 @@
         state,
         weight: 1.0,
         started,
-        stable_hash: lot,
+        stable_hash,
         subset: SubsetMembership::AllControllers,
     }
 }
@@ -87,11 +88,12 @@
 
 pub struct Fleet {
     pub policy: Policy,
-    pub site: Deployment,
+    pub deployment: Deployment,
     pub now_ms: u64,
     pub nodes: BTreeMap<ReplicaId, Node>,
     pub request_rates: BTreeMap<SliceId, f64>,
-    /// How replicas are shared with other controllers, and requests a second of those; where not named, nobody else does.
+    /// The subset memberships of the replicas, and the requests per second from other controllers. Replicas that
+    /// are not named are not shared.
     pub subsets: BTreeMap<ReplicaId, SubsetMembership>,
     pub others_requests: BTreeMap<ReplicaId, f64>,
     pub store: BTreeMap<SliceId, BTreeMap<ReplicaId, f64>>,
@@ -105,11 +107,11 @@
 }
 
 impl Fleet {
-    pub fn new(site: Deployment, replicas: u32, slices: u32, proxies: u32) -> Self {
+    pub fn new(deployment: Deployment, replicas: u32, slices: u32, proxies: u32) -> Self {
         let node = Node { state: ReplicaState::Ready, started_ms: 0, answers: true, listed_ms: 0 };
         let mut fleet = Fleet {
-            policy: Policy::start(site.clone(), 7, at(1000)),
-            site,
+            policy: Policy::start(deployment.clone(), 7, at(1000)),
+            deployment,
             now_ms: 1000,
             nodes: (0..replicas).map(|s| (s, node.clone())).collect(),
             request_rates: (0..slices).map(|n| (n, 2.0 + f64::from(n % 3))).collect(),
@@ -128,10 +130,10 @@
         fleet
     }
 
-    /// A new incarnation of the controller: its last list, its slices, the proxies that are there.
+    /// Starts a new incarnation of the controller with its cached list, its slices and the connected proxies.
     pub fn start_incarnation(&mut self, seed: u64) {
         let now = at(self.now_ms);
-        self.policy = Policy::start(self.site.clone(), seed, now);
+        self.policy = Policy::start(self.deployment.clone(), seed, now);
         (self.queue, self.timers) = (VecDeque::new(), BTreeMap::new());
         let list: Vec<_> = self.nodes.keys().map(|id| self.entry(*id)).collect();
         self.policy.replicas_listed(now, ListScope::Cached, &list);
@@ -149,8 +151,8 @@
 
     fn entry(&self, replica: ReplicaId) -> ReplicaListing {
         let node = &self.nodes[&replica];
-        let share = self.subsets.get(&replica).copied().unwrap_or_default();
-        ReplicaListing { subset: share, ..listing(replica, node.state, node.started_ms) }
+        let subset = self.subsets.get(&replica).copied().unwrap_or_default();
+        ReplicaListing { subset, ..listing(replica, node.state, node.started_ms) }
     }
 
     pub fn connect(&mut self, proxy: ProxyId) {
@@ -168,14 +170,14 @@
     }
 
     pub fn list_replica(&mut self, replica: ReplicaId) {
-        let node = self.nodes.get_mut(&replica).expect("a known server");
+        let node = self.nodes.get_mut(&replica).expect("replica exists");
         node.listed_ms = self.now_ms;
         let entry = self.entry(replica);
         self.policy.replicas_listed(at(self.now_ms), ListScope::Changes, &[entry]);
         self.collect_reply();
     }
 
-    /// Takes the reply, in order, and puts it on the channel.
+    /// Collects the reply and queues its commands on the channel, in order.
     pub fn collect_reply(&mut self) {
         let actions = self.policy.collect_actions(at(self.now_ms));
         let versions: Vec<u16> = actions
@@ -186,17 +188,20 @@
         for action in &actions {
             match action {
                 Action::SetEndpoint { slice, replica, weight } => {
-                    let table = self.store.get_mut(slice).expect("rule: only slices that exist");
-                    if self.site.single_writer {
+                    let table = self.store.get_mut(slice).expect("command for a slice that does not exist");
+                    if self.deployment.single_writer {
                         table.clear();
                     }
                     table.insert(*replica, *weight);
                     table.retain(|_, w| *w > 0.0);
-                    assert!(!table.is_empty(), "rule 1: slice {slice} left without endpoint by {action:?}");
+                    assert!(
+                        !table.is_empty(),
+                        "rule 1: {action:?} removes the last endpoint of slice {slice}"
+                    );
                     commands.push(action.clone());
                 }
                 Action::SetAdmission { retries, .. } => {
-                    assert!(*retries <= 1, "rule 2: tries without proof");
+                    assert!(*retries <= 1, "rule 2: {retries} retries permitted, at most 1 allowed");
                     commands.push(action.clone());
                 }
                 Action::Withdraw { .. } | Action::Reinstate { .. } => commands.push(action.clone()),
@@ -208,7 +213,8 @@
         }
         if !commands.is_empty() {
             for (id, p) in self.proxies.iter_mut().filter(|(_, p)| p.joined) {
-                let lines = self.site.message_overhead_lines + commands.len() as f64 + versions.len() as f64;
+                let lines =
+                    self.deployment.message_overhead_lines + commands.len() as f64 + versions.len() as f64;
                 self.queue.push_back(Message {
                     proxy: *id,
                     lines,
@@ -217,24 +223,27 @@
                 });
                 p.sent_ms.push_back(self.now_ms);
                 p.sent_ms.retain(|ms| ms + 10_000 > self.now_ms);
-                assert!(p.sent_ms.len() <= self.site.message_limit as usize, "rule 5: too many messages");
+                assert!(
+                    p.sent_ms.len() <= self.deployment.message_limit as usize,
+                    "rule 5: more messages than the limit"
+                );
             }
         }
-        let waiting: f64 = self.queue.iter().map(|m| m.lines).sum();
-        assert!(waiting <= self.site.queue_capacity_lines, "rule 5: {waiting} lines wait");
+        let queued: f64 = self.queue.iter().map(|m| m.lines).sum();
+        assert!(queued <= self.deployment.queue_capacity_lines, "rule 5: {queued} lines queued");
         self.log.extend(actions);
     }
 
     fn transmit(&mut self) {
-        let mut left = self.lines_per_tick;
+        let mut remaining_lines = self.lines_per_tick;
         while let Some(message) = self.queue.front_mut() {
-            let sent = left.min(message.lines);
-            (message.lines, left) = (message.lines - sent, left - sent);
+            let sent = remaining_lines.min(message.lines);
+            (message.lines, remaining_lines) = (message.lines - sent, remaining_lines - sent);
             if message.lines > 0.0 {
                 return;
             }
-            let message = self.queue.pop_front().expect("looked at above");
-            let p = self.proxies.get_mut(&message.proxy).expect("a known proxy");
+            let message = self.queue.pop_front().expect("queue is not empty");
+            let p = self.proxies.get_mut(&message.proxy).expect("proxy exists");
             p.inbox.push_back((self.now_ms + TICK_MS * u64::from(message.proxy), message));
         }
     }
@@ -243,24 +252,24 @@
         let now_ms = self.now_ms;
         let due_message = |p: &mut Proxy| p.joined.then(|| p.inbox.pop_front_if(|(ms, _)| *ms <= now_ms))?;
         while let Some((_, message)) = self.proxies.values_mut().find_map(due_message) {
-            let single = self.site.single_writer;
+            let single_writer = self.deployment.single_writer;
             for action in &message.actions {
-                let p = self.proxies.get_mut(&message.proxy).expect("a known proxy");
+                let p = self.proxies.get_mut(&message.proxy).expect("proxy exists");
                 match action {
                     Action::SetEndpoint { slice, replica, weight } => {
                         let table = p.tables.entry(*slice).or_default();
-                        let new = !table.contains_key(replica);
-                        if single {
+                        let is_new = !table.contains_key(replica);
+                        if single_writer {
                             table.clear();
                         }
                         table.insert(*replica, *weight);
                         table.retain(|_, w| *w > 0.0);
-                        let held = |p: &Proxy| {
+                        let is_held_or_known = |p: &Proxy| {
                             !p.joined || p.halted.contains(slice) || p.tables[slice].contains_key(replica)
                         };
                         assert!(
-                            !single || !new || self.proxies.values().all(held),
-                            "rule 2: two owners write"
+                            !single_writer || !is_new || self.proxies.values().all(is_held_or_known),
+                            "rule 2: slice {slice} has two owners that are written to"
                         );
                     }
                     Action::Withdraw { replica } => _ = p.withdrawn.insert(*replica),
@@ -284,16 +293,16 @@
         let window = Span::ms(1000);
         for (n, requests) in &self.request_rates {
             let Some(table) = self.store.get(n) else { continue };
-            let whole: f64 = table.values().sum();
-            let dead = table.iter().filter(|(s, _)| self.nodes.get(s).is_none_or(|n| !n.answers));
-            let failed = requests * dead.map(|(_, weight)| weight).sum::<f64>() / whole;
+            let total_weight: f64 = table.values().sum();
+            let failing = table.iter().filter(|(s, _)| self.nodes.get(s).is_none_or(|n| !n.answers));
+            let failed = requests * failing.map(|(_, weight)| weight).sum::<f64>() / total_weight;
             self.policy.demand_reported(
                 now,
                 *n,
                 DemandReport { request_class: 0, window, requests: *requests, failed },
             );
             for (s, weight) in table {
-                *sent.entry(*s).or_default() += requests * weight / whole;
+                *sent.entry(*s).or_default() += requests * weight / total_weight;
             }
         }
         for (s, attempts) in sent {
@@ -327,7 +336,8 @@
         }
     }
 
-    /// What must hold at any time (rules 1, 3 and 4; the others are checked where they could break).
+    /// Checks the rules that must hold at any time (1, 3 and 4); the others are checked where they could be
+    /// violated.
     fn check_rules(&mut self) {
         let now_ms = self.now_ms;
         let usable = |n: &&Node| n.state == ReplicaState::Ready && n.answers;
@@ -346,7 +356,7 @@
                 let since = *p.without_endpoint_since.entry(n).or_insert(now_ms);
                 assert!(
                     !is_quiet || since + MAX_MS_WITHOUT_ENDPOINT >= now_ms,
-                    "rule 1: slice {n} bare since {since}, now {now_ms}"
+                    "rule 1: slice {n} without usable endpoint since {since} ms, now {now_ms} ms"
                 );
             }
         }
@@ -354,28 +364,34 @@
             return;
         }
         for (id, node) in &self.nodes {
-            let late = node.listed_ms + GRACE_MS < now_ms;
+            let grace_has_passed = node.listed_ms + GRACE_MS < now_ms;
             for p in self.proxies.values().filter(|p| p.joined && !p.withdrawn.contains(id)) {
-                let sends = p.tables.values().any(|t| t.contains_key(id));
-                let leaves = node.state != ReplicaState::Ready;
-                assert!(!(late && leaves && sends), "rule 3: {id} is {node:?} at {now_ms}");
+                let receives_requests = p.tables.values().any(|t| t.contains_key(id));
+                let must_be_evacuated = node.state != ReplicaState::Ready;
+                assert!(
+                    !(grace_has_passed && must_be_evacuated && receives_requests),
+                    "rule 3: replica {id} still receives requests at {now_ms} ms: {node:?}"
+                );
             }
-            let into = |(n, t): (&SliceId, &BTreeMap<ReplicaId, f64>)| {
+            let load_on_replica = |(n, t): (&SliceId, &BTreeMap<ReplicaId, f64>)| {
                 t.get(id).map_or(0.0, |weight| self.request_rates[n] * weight / t.values().sum::<f64>())
             };
-            let load: f64 = self.store.iter().map(into).sum();
+            let load: f64 = self.store.iter().map(load_on_replica).sum();
             let age = (now_ms - node.started_ms) as f64 / 10_000.0;
-            // Warm, a replica of this fleet does twice its even part of the usual load.
+            // A warm replica of this fleet can handle twice the mean load.
             let capacity = 2.0 * 3.0 * self.store.len() as f64 / self.nodes.len() as f64;
             let budget = 3.0 * capacity * (0.2 + 0.8 * age).min(1.0);
-            assert!(warm(node) || !late || load <= budget, "rule 4: {load} on cold {id}, budget {budget}");
+            assert!(
+                warm(node) || !grace_has_passed || load <= budget,
+                "rule 4: load {load} on cold replica {id}, budget {budget}"
+            );
         }
     }
 }
 
-/// A fleet whose replicas 0, 1, .. hold slices of these loads, numbered through.
+/// Creates a fleet whose replicas 0, 1, ... own slices of these loads; slices are numbered consecutively.
 pub fn fleet_with_loads(single_writer: bool, loads: &[&[f64]]) -> Fleet {
-    let mut fleet = Fleet::new(Deployment { single_writer, ..site() }, loads.len() as u32, 0, 2);
+    let mut fleet = Fleet::new(Deployment { single_writer, ..deployment() }, loads.len() as u32, 0, 2);
     let owners = loads.iter().enumerate().flat_map(|(s, own)| own.iter().map(move |load| (s as u32, *load)));
     for (n, (replica, load)) in owners.enumerate() {
         fleet.request_rates.insert(n as u32, load);
@@ -385,7 +401,7 @@
     fleet
 }
 
-/// The owners; standbys are left out.
+/// Returns the owners of a slice, without standbys.
 pub fn owners_of(fleet: &Fleet, slice: SliceId) -> Vec<ReplicaId> {
     fleet.store[&slice].iter().filter(|(_, weight)| **weight >= 1.0).map(|(s, _)| *s).collect()
 }
--- a/crates/policy/tests/overrides.rs
+++ b/crates/policy/tests/overrides.rs
@@ -1,8 +1,8 @@
-//! The operators' overrides, and the five rules, which come first.
+//! Operators' overrides, and the five rules that take precedence over them.
 
 mod fleet;
 
-use fleet::{at, owners_of, site, Fleet};
+use fleet::{at, deployment, owners_of, Fleet};
 use quickcheck::{Arbitrary, Gen};
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
@@ -10,9 +10,9 @@
 
 const REPLICA_0_OUT: [(OverrideNumber, OverrideSpec); 1] = [(1, OverrideSpec::OutOfService { replica: 0 })];
 
-/// Four even replicas and twelve slices, with these overrides.
+/// Creates four equal replicas and twelve slices, with these overrides.
 fn fleet_with_overrides(overrides: &[(OverrideNumber, OverrideSpec)]) -> Fleet {
-    let mut fleet = Fleet::new(site(), 4, 12, 3);
+    let mut fleet = Fleet::new(deployment(), 4, 12, 3);
     fleet.advance(2000);
     set_overrides(&mut fleet, overrides);
     fleet
@@ -38,26 +38,26 @@
     fleet.list_replica(replica);
 }
 
-/// Counts moves of a slice onto a replica.
+/// Counts the moves of a slice to a replica.
 fn moves_onto(fleet: &Fleet, slice: SliceId, replica: ReplicaId) -> usize {
-    let whole = |action: &&Action| matches!(action, Action::SetEndpoint { slice: n, replica: s, weight } if (*n, *s) == (slice, replica) && *weight >= 1.0);
-    fleet.log.iter().filter(whole).count()
+    let is_owner_added = |action: &&Action| matches!(action, Action::SetEndpoint { slice: n, replica: s, weight } if (*n, *s) == (slice, replica) && *weight >= 1.0);
+    fleet.log.iter().filter(is_owner_added).count()
 }
 
 #[test]
 fn replica_out_of_service_is_evacuated_like_a_draining_one() {
     let mut fleet = fleet_with_overrides(&REPLICA_0_OUT);
     let withdrawn = Action::Withdraw { replica: 0 };
-    assert!(fleet.log.contains(&withdrawn), "at once, as for a drain");
+    assert!(fleet.log.contains(&withdrawn), "not withdrawn at once");
     fleet.advance(fleet::GRACE_MS);
     assert_eq!(slices_naming(&fleet, 0), 0);
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
     set_overrides(&mut fleet, &[]);
     fleet.advance(500);
-    assert!(fleet.log.contains(&Action::Reinstate { replica: 0 }), "let in within a second");
+    assert!(fleet.log.contains(&Action::Reinstate { replica: 0 }), "not reinstated within 500 ms");
     fleet.request_rates.values_mut().for_each(|rate| *rate += 1.0);
     fleet.advance(30_000);
-    assert!(slices_naming(&fleet, 0) > 0, "used again");
+    assert!(slices_naming(&fleet, 0) > 0, "not used again");
 }
 
 #[test]
@@ -80,7 +80,8 @@
     fleet.advance(4000);
     let statuses = [1, 2, 3, 4].map(|id| fleet.policy.override_status(id).unwrap());
     assert!(matches!(statuses, [InForce, InForce, Suspended(_), Suspended(_)]), "{statuses:?}");
-    // One that ends makes room for the next, but not at once for one that was suspended before.
+    // An override that ends makes room for the next one, but a previously suspended override takes effect only
+    // after a delay.
     set_overrides(&mut fleet, &all_out[1..]);
     fleet.advance(4000);
     assert_eq!(fleet.policy.override_status(3), Some(InForce));
@@ -88,8 +89,8 @@
 }
 
 #[test]
-fn replica_out_of_service_returns_where_no_other_is_left() {
-    let mut fleet = Fleet::new(site(), 2, 6, 2);
+fn replica_out_of_service_returns_if_no_other_replica_is_usable() {
+    let mut fleet = Fleet::new(deployment(), 2, 6, 2);
     fleet.advance(2000);
     set_overrides(&mut fleet, &REPLICA_0_OUT);
     fleet.advance(3000);
@@ -98,7 +99,7 @@
     fleet.advance(3000);
     assert!(matches!(fleet.policy.override_status(1), Some(Suspended(why)) if why.starts_with("rule 1")));
     assert_eq!((slices_naming(&fleet, 0), slices_naming(&fleet, 1)), (6, 0));
-    // The other is back, as warm as ever: it comes into force again, but not at once.
+    // The other replica is back and warm: the override takes effect again after a delay.
     set_state(&mut fleet, 1, ReplicaState::Ready);
     fleet.advance(3000);
     assert_eq!(fleet.policy.override_status(1), Some(Suspended("rule 1: it stood back a moment ago")));
@@ -106,7 +107,7 @@
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
     set_state(&mut fleet, 1, ReplicaState::Draining);
     fleet.advance(3000);
-    // A cold one is no other one.
+    // A cold replica does not count as a remaining replica.
     restart(&mut fleet, 1);
     set_state(&mut fleet, 1, ReplicaState::Ready);
     fleet.advance(5000);
@@ -117,27 +118,27 @@
 
 #[test]
 fn weight_override_shifts_load_and_its_end_shifts_it_back() {
-    let mut fleet = Fleet::new(site(), 4, 40, 3);
+    let mut fleet = Fleet::new(deployment(), 4, 40, 3);
     fleet.advance(2000);
     set_overrides(&mut fleet, &[(1, OverrideSpec::Weight { replica: 0, factor: 0.25 })]);
     fleet.advance(60_000);
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
     let owned = |fleet: &Fleet| (0..40).filter(|n| owners_of(fleet, *n) == [0]).count();
     let light = owned(&fleet);
-    assert!(light < 6, "{light} of 40 slices at a quarter of the weight");
+    assert!(light < 6, "{light} of 40 slices at a weight factor of 0.25");
     set_overrides(&mut fleet, &[]);
-    // It is light now, and filled as others become heavy.
+    // The replica is light now and gets slices as others become heavy.
     for n in (0..40).filter(|n| owners_of(&fleet, *n) == [1]).collect::<Vec<_>>() {
         fleet.request_rates.insert(n, 7.0);
     }
     fleet.advance(60_000);
-    assert!(owned(&fleet) > light + 1, "{} slices once it has ended", owned(&fleet));
+    assert!(owned(&fleet) > light + 1, "{} slices after the override has ended", owned(&fleet));
 }
 
 #[test]
 fn weight_override_does_not_raise_a_cold_replicas_budget() {
-    // The rule checker of the fleet fails the test where too much goes to the cold replica.
-    let mut fleet = Fleet::new(site(), 4, 40, 3);
+    // The fleet's rule checker fails the test if the cold replica gets too much load.
+    let mut fleet = Fleet::new(deployment(), 4, 40, 3);
     fleet.advance(10_000);
     set_overrides(&mut fleet, &[(1, OverrideSpec::Weight { replica: 0, factor: 10.0 })]);
     restart(&mut fleet, 0);
@@ -149,11 +150,11 @@
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
 }
 
-/// 120 requests a second on four replicas: a fresh one may be sent 0.55 * 3 * 0.2 * 30, and a fifth more where it
-/// is there already, that is 11.9 of the 30 that it has.
+/// 120 requests per second on four replicas: a replica that has just started may be sent 0.55 * 3 * 0.2 * 30
+/// requests per second, and a fifth more if they are there already. That is 11.9 of its 30.
 #[test]
 fn small_weights_of_all_others_do_not_raise_a_cold_replicas_budget() {
-    let mut fleet = Fleet::new(site(), 4, 40, 3);
+    let mut fleet = Fleet::new(deployment(), 4, 40, 3);
     fleet.advance(10_000);
     set_overrides(
         &mut fleet,
@@ -162,7 +163,7 @@
     restart(&mut fleet, 0);
     fleet.advance(1500);
     let owned: f64 = (0..40).filter(|n| owners_of(&fleet, *n) == [0]).map(|n| fleet.request_rates[&n]).sum();
-    assert!(owned <= 12.0 && owned > 0.0, "{owned} ops a second");
+    assert!(owned <= 12.0 && owned > 0.0, "{owned} requests per second");
 }
 
 #[test]
@@ -171,13 +172,13 @@
     fleet.advance(4000);
     assert_eq!([4, 5, 6].map(|n| owners_of(&fleet, n)), [vec![3], vec![3], vec![3]]);
     assert_eq!(fleet.policy.override_status(7), Some(InForce));
-    // Hot or not, the ordinary path leaves them there.
+    // Regular rebalancing does not move them, even if they are hot.
     fleet.request_rates.extend((4..=6).map(|n| (n, 12.0)));
     fleet.advance(20_000);
     assert_eq!([4, 5, 6].map(|n| owners_of(&fleet, n)), [vec![3], vec![3], vec![3]]);
     set_overrides(&mut fleet, &[]);
     fleet.advance(40_000);
-    assert!((4..=6).any(|n| owners_of(&fleet, n) != [3]), "free again once the pin has ended");
+    assert!((4..=6).any(|n| owners_of(&fleet, n) != [3]), "no slice moved after the pin ended");
 }
 
 #[test]
@@ -226,10 +227,10 @@
     );
     fleet.advance(120_000);
     assert_eq!(count_at_pin(&fleet), 12);
-    assert!((0..12).all(|n| moves_onto(&fleet, n, 2) <= 1), "none had to leave again");
+    assert!((0..12).all(|n| moves_onto(&fleet, n, 2) <= 1), "a slice had to leave its pin again");
 }
 
-/// Ejected, back, ejected, back: each return waits longer than the one before.
+/// The replica is ejected and recovers repeatedly; the delay before each return of the slice grows.
 #[test]
 fn pin_backs_off_while_its_replica_flaps() {
     let mut fleet = fleet_with_overrides(&[(1, OverrideSpec::Pin { first: 4, last: 4, replica: 3 })]);
@@ -241,9 +242,9 @@
         fleet.advance(5000);
     }
     let moves_onto = moves_onto(&fleet, 4, 3);
-    assert!((2..=9).contains(&moves_onto), "brought there {moves_onto} times in 300 s");
+    assert!((2..=9).contains(&moves_onto), "moved to the pin {moves_onto} times in 300 s");
     fleet.advance(150_000);
-    assert_eq!(owners_of(&fleet, 4), [3], "and in the end it is there");
+    assert_eq!(owners_of(&fleet, 4), [3], "slice 4 is not at its pin in the end");
 }
 
 #[test]
@@ -259,7 +260,7 @@
     fleet.policy.slice_granted(at(fleet.now_ms), 4, &[(1, 1.0)]);
     fleet.advance(10_000);
     assert_eq!((owners_of(&fleet, 4), slices_naming(&fleet, 1)), (vec![3], 0));
-    // It leaves and rejoins; the fresh start is cold and out of service still.
+    // The replica leaves and rejoins. The new process is cold and still out of service.
     set_state(&mut fleet, 1, ReplicaState::Gone);
     fleet.advance(2000);
     restart(&mut fleet, 1);
@@ -269,9 +270,9 @@
 }
 
 #[test]
-fn overrides_of_single_writers_change_owners_in_stages() {
-    let site = Deployment { single_writer: true, ..site() };
-    let mut fleet = Fleet::new(site, 4, 12, 3);
+fn overrides_change_owners_in_stages_under_single_writer() {
+    let deployment = Deployment { single_writer: true, ..deployment() };
+    let mut fleet = Fleet::new(deployment, 4, 12, 3);
     fleet.advance(2000);
     set_overrides(
         &mut fleet,
@@ -285,7 +286,7 @@
 }
 
 #[test]
-fn pin_that_waits_for_the_channel_says_so() {
+fn pin_without_channel_room_reports_that_it_is_waiting() {
     let mut fleet = fleet_with_overrides(&[]);
     fleet.lines_per_tick = 0.0;
     for n in 0..12 {
@@ -304,7 +305,8 @@
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
 }
 
-/// Overrides come and go while replicas drain, vanish, return and fall silent: the checkers of the fleet look on.
+/// Overrides are set and cleared while replicas drain, disappear, return and stop answering. The fleet checks the
+/// rules.
 #[derive(Clone, Debug)]
 struct RandomRun(Vec<(u8, u32)>);
 
@@ -317,7 +319,7 @@
 #[test]
 fn rules_hold_whatever_overrides_are_set() {
     fn holds(run: RandomRun) -> bool {
-        let mut fleet = Fleet::new(site(), 8, 24, 3);
+        let mut fleet = Fleet::new(deployment(), 8, 24, 3);
         let mut overrides: Vec<(OverrideNumber, OverrideSpec)> = Vec::new();
         for (at, (kind, n)) in run.0.into_iter().enumerate() {
             let (replica, slice) = (n % 8, n / 8 % 24);
--- a/crates/policy/tests/random_runs.rs
+++ b/crates/policy/tests/random_runs.rs
@@ -1,14 +1,14 @@
-//! Seeded random runs: whatever happens, the five rules hold after every step.
+//! Seeded random runs: the five rules hold after every step of any sequence of events.
 
 mod fleet;
 
-use fleet::{at, listing, site, Fleet};
+use fleet::{at, deployment, listing, Fleet};
 use quickcheck::{Arbitrary, Gen};
 use whinwall_policy::api::*;
 use whinwall_policy::time::Span;
 use whinwall_policy::Policy;
 
-/// What happens in a random run.
+/// The kinds of events in a random run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventKind {
     Drain,
@@ -25,7 +25,7 @@
 }
 use EventKind::*;
 
-/// Kinds as often as they are to be drawn.
+/// The event kinds, repeated according to the probability with which they are drawn.
 const EVENT_KINDS: [EventKind; 13] = [
     Drain,
     Vanish,
@@ -42,7 +42,7 @@
     Wait,
 ];
 
-/// An event, drawn as a position among the kinds, and the number of the replica, proxy or slice that it concerns.
+/// An event: a random index into `EVENT_KINDS`, and the number of the replica, proxy or slice concerned.
 type Event = (u8, u32);
 
 fn event_kind(event: &Event) -> EventKind {
@@ -92,14 +92,14 @@
     let mut log = Vec::new();
     for seed in seeds {
         let mut events = Vec::<Event>::arbitrary(&mut Gen::from_size_and_seed(60, seed));
-        // A slice that is granted anew is another controller's doing, of which a single writer's test knows
-        // nothing.
+        // Excluded for a single writer: a slice that is granted again may have been changed by another controller,
+        // which this simulation does not model.
         events.retain(|event| {
             !(single_writer
                 && [RegrantSlice, NewIncarnation, Connect, Disconnect].contains(&event_kind(event)))
         });
         let mut fleet =
-            Fleet::new(whinwall_policy::deployment::Deployment { single_writer, ..site() }, 10, 40, 5);
+            Fleet::new(whinwall_policy::deployment::Deployment { single_writer, ..deployment() }, 10, 40, 5);
         fleet.advance(4000);
         events.iter().for_each(|event| apply_event(&mut fleet, event));
         log.extend(fleet.log);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn single_writer_never_shares_its_slice() {
+fn slice_never_has_two_writers_under_single_writer() {
     random_runs(true, 100..140);
 }
 
@@ -121,17 +121,17 @@
 fn same_calls_give_the_same_actions() {
     let first = random_runs(false, 200..204);
     assert!(
-        first.iter().any(|s| matches!(s, Action::SetEndpoint { .. }))
+        first.iter().any(|action| matches!(action, Action::SetEndpoint { .. }))
             && first == random_runs(false, 200..204)
     );
 }
 
-/// Calls in any order, with ids nobody has heard of: never a panic, never rules without end.
+/// Calls in any order, with unknown ids, must cause neither a panic nor an endless evaluation of the rules.
 #[test]
-fn random_calls_cause_no_panic_and_no_endless_rules() {
+fn random_calls_cause_no_panic_and_no_endless_evaluation() {
     for seed in 300..340 {
         let calls = Vec::<(u8, u32, u16)>::arbitrary(&mut Gen::from_size_and_seed(300, seed));
-        let mut policy = Policy::start(site(), seed, at(0));
+        let mut policy = Policy::start(deployment(), seed, at(0));
         for (i, (call, n, m)) in calls.iter().enumerate() {
             let (now, id, rate) = (at(i as u64 * 130), n % 7, f64::from(*m % 50));
             let state = [ReplicaState::Ready, ReplicaState::Draining, ReplicaState::Gone][usize::from(m % 3)];
--- a/crates/policy/tests/rebalancing.rs
+++ b/crates/policy/tests/rebalancing.rs
@@ -1,16 +1,16 @@
-//! Rebalancing by DDMC, with figures worked out by hand. phi is 0.35 of AvgL, omega 0.8, Delta 0.3.
+//! Rebalancing by DDMC, with values computed by hand. phi is 0.35 of AvgL, omega 0.8, Delta 0.3.
 
 mod fleet;
 mod reports;
 
-use fleet::{at, fleet_with_loads, listing, owners_of, site};
-use reports::{acked_reply, policy_with_replicas, report};
+use fleet::{at, deployment, fleet_with_loads, listing, owners_of};
+use reports::{collect_acked_reply, policy_with_replicas, report_second};
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
 use whinwall_policy::time::Span;
 
-/// AvgL 5.97, band 3.88 to 8.05. Replica 2 has 11.9, replica 1 has 2, and 0.14 where it may be a standby; the heaviest,
-/// 5.9, leaves 6 and makes 8.04.
+/// AvgL 5.97, band 3.88 to 8.05. Replica 2 has 11.9, replica 1 has 2, and 0.14 from slices for which it may be a
+/// standby. Moving the heaviest slice, 5.9, leaves 6 on the source and gives 8.04 on the destination.
 #[test]
 fn heaviest_slice_that_fits_moves_to_the_lightest_replica() {
     let mut fleet = fleet_with_loads(false, &[&[4.0], &[2.0], &[4.0, 2.0, 5.9]]);
@@ -24,7 +24,8 @@
     );
 }
 
-/// AvgL 8.17, band 5.31 to 11.03. A 7 would make 12 of the light 5; against the 1 that returns, 11.
+/// AvgL 8.17, band 5.31 to 11.03. A slice of 7 would raise the light replica from 5 to 12; in exchange for its
+/// slice of 1 it has 11.
 #[test]
 fn slices_are_swapped_where_no_single_move_fits() {
     let mut fleet = fleet_with_loads(false, &[&[7.0, 7.0], &[5.5], &[4.0, 1.0]]);
@@ -34,45 +35,48 @@
     assert_eq!(owners_of(&fleet, 3), [2]);
 }
 
-/// Slice 0, of 3.8, leaves whoever the ballast of 8.05 weighs down. 0.8^5 is 0.33, 0.8^6 is 0.26: six moves.
+/// Slice 0 (3.8) leaves the replica on which a second slice has a load of 8.05. 0.8^5 is 0.33 and 0.8^6 is 0.26,
+/// so six moves are permitted.
 #[test]
-fn slice_that_moved_often_moves_no_more() {
+fn slice_that_moved_often_is_not_moved_again() {
     let mut fleet = fleet_with_loads(true, &[&[3.8, 8.05], &[0.1]]);
     let mut moves = 0;
     for _ in 0..20 {
-        let on = owners_of(&fleet, 0);
+        let owners = owners_of(&fleet, 0);
         for ballast in 1..3 {
-            fleet.request_rates.insert(ballast, if owners_of(&fleet, ballast) == on { 8.05 } else { 0.1 });
+            fleet
+                .request_rates
+                .insert(ballast, if owners_of(&fleet, ballast) == owners { 8.05 } else { 0.1 });
         }
         fleet.advance(16_000);
-        moves += usize::from(owners_of(&fleet, 0) != on);
+        moves += usize::from(owners_of(&fleet, 0) != owners);
     }
     assert_eq!(moves, 6);
 }
 
-/// A new replica that is one controller's alone is filled as a whole one is: with the wide band of replicas that others fill
-/// too, it was no longer light with its second slice (`join+vast`: warm ones had ten times as much).
+/// A new replica that one controller owns alone has the band of a whole replica. With the wider band of replicas
+/// that other controllers fill too, it was no longer light after its second slice (`join+vast`: warm replicas had
+/// ten times as many).
 #[test]
 fn cold_replica_of_one_controller_has_the_band_of_a_whole_replica() {
     let endpoints_added = |number| {
         let mut policy = policy_with_replicas(
-            Deployment { controller_count: 5, controller_index: number, slice_count: 55, ..site() },
+            Deployment { controller_count: 5, controller_index: number, slice_count: 55, ..deployment() },
             6,
         );
         (6..11).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
         let mut endpoints_added = 0;
         for second in 1..15 {
             let now = at(second * 1000);
-            report(&mut policy, now, |s| (if s == 0 { 6.0 } else { 1.0 }, 1.0));
+            report_second(&mut policy, now, |s| (if s == 0 { 6.0 } else { 1.0 }, 1.0));
             let demand =
                 DemandReport { request_class: 0, window: Span::ms(1000), requests: 1.0, failed: 0.0 };
             (6..11).for_each(|n| policy.demand_reported(now, n, demand));
             if second == 5 {
                 policy.replicas_listed(now, ListScope::Changes, &[listing(6, ReplicaState::Ready, 5000)]);
             }
-            let owner_added =
-                |s: &&Action| matches!(s, Action::SetEndpoint { replica: 6, weight, .. } if *weight >= 1.0);
-            endpoints_added += acked_reply(&mut policy, now).iter().filter(owner_added).count();
+            let owner_added = |action: &&Action| matches!(action, Action::SetEndpoint { replica: 6, weight, .. } if *weight >= 1.0);
+            endpoints_added += collect_acked_reply(&mut policy, now).iter().filter(owner_added).count();
         }
         endpoints_added
     };
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -1,18 +1,18 @@
-//! Recovery after a restart, a failed request for the list, and commands of unknown outcome.
+//! Recovery after a restart, after a failed request for the list, and for commands with unknown outcome.
 
 mod fleet;
 mod reports;
 
-use fleet::{at, listing, site, Fleet};
-use reports::acked_reply;
+use fleet::{at, deployment, listing, Fleet};
+use reports::collect_acked_reply;
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
 use whinwall_policy::Policy;
 
-/// After a restart a table may name a replica that the old list lacks; the next list decides.
+/// After a restart a table may name a replica that is missing from the cached list; the next list decides.
 #[test]
 fn stored_table_is_repaired_once_the_list_is_fresh() {
-    let mut policy = Policy::start(site(), 1, at(0));
+    let mut policy = Policy::start(deployment(), 1, at(0));
     let list = [0, 1].map(|s| listing(s, ReplicaState::Ready, 0));
     policy.replicas_listed(at(0), ListScope::Cached, &list);
     policy.slice_granted(at(0), 5, &[(9, 1.0)]);
@@ -32,10 +32,11 @@
     assert!(line(&actions, 5, true).is_some() && line(&actions, 5, true) < line(&actions, 5, false));
 }
 
-/// Where the list must be requested: once at the start, again some time after a failure, and not in between.
+/// If the list must be requested: once at start-up, and again after a backoff when a request has failed, but not
+/// in between.
 #[test]
 fn failed_list_request_is_retried_after_a_backoff() {
-    let mut policy = Policy::start(Deployment { list_pushed: false, ..site() }, 3, at(0));
+    let mut policy = Policy::start(Deployment { list_pushed: false, ..deployment() }, 3, at(0));
     let mut requested_ms = Vec::new();
     for ms in (0..20_000).step_by(100) {
         if ms % 5000 == 0 && ms > 0 {
@@ -43,18 +44,23 @@
         }
         policy.timer_fired(at(ms), ms);
         requested_ms.extend(
-            policy.collect_actions(at(ms)).iter().filter(|s| **s == Action::RequestReplicaList).map(|_| ms),
+            policy
+                .collect_actions(at(ms))
+                .iter()
+                .filter(|action| **action == Action::RequestReplicaList)
+                .map(|_| ms),
         );
     }
     assert_eq!(requested_ms.len(), 4);
     assert!(requested_ms[0] == 0 && requested_ms[1] > 6000 && requested_ms[1] <= 8100);
 }
 
-/// 2 lines and 9 of overhead, to 3 proxies, none acknowledged: 33 of the 240 lines that may wait, or 264.
+/// 2 lines and 9 of overhead to each of 3 proxies, none acknowledged: 33 lines without resends, or 264 with seven
+/// resends, of the 240 that may be queued.
 #[test]
 fn resent_commands_count_against_the_queue_again() {
     for times in [0, 7] {
-        let mut policy = Policy::start(site(), 7, at(1000));
+        let mut policy = Policy::start(deployment(), 7, at(1000));
         let list = |draining| -> Vec<_> {
             let state = |s| if s == draining { ReplicaState::Draining } else { ReplicaState::Ready };
             (0..3).map(|s| listing(s, state(s), 0)).collect()
@@ -63,7 +69,7 @@
         (0..3).for_each(|n| policy.slice_granted(at(1000), n, &[(n, 1.0)]));
         (0..3).for_each(|proxy| policy.proxy_joined(at(1000), proxy, ProxyTables::Empty));
         let first = policy.collect_actions(at(1000));
-        let Some(Action::Sync { version }) = first.last() else { panic!("no mark: {first:?}") };
+        let Some(Action::Sync { version }) = first.last() else { panic!("reply without version: {first:?}") };
         (0..times).for_each(|_| policy.command_resent(at(1010), *version));
         policy.replicas_listed(at(2000), ListScope::Changes, &list(1)[1..2]);
         let withdrawn = policy.collect_actions(at(2000)).contains(&Action::Withdraw { replica: 1 });
@@ -71,11 +77,11 @@
     }
 }
 
-/// Else an acknowledgement on its way from before a restart would pass for one of this incarnation's.
+/// Otherwise an acknowledgement in flight from before a restart would be taken for one of this incarnation.
 #[test]
 fn incarnations_use_different_versions() {
     let versions = |seed| {
-        let mut fleet = Fleet::new(site(), 3, 6, 2);
+        let mut fleet = Fleet::new(deployment(), 3, 6, 2);
         fleet.start_incarnation(seed);
         fleet.log.clear();
         fleet.advance(3000);
@@ -87,12 +93,13 @@
     assert!(!one.is_empty() && one.iter().all(|version| !other.contains(version)), "{one:?} {other:?}");
 }
 
-/// A former incarnation may have withdrawn a replica that the list or store names only after proxies have
-/// joined (the emulator's seed 443 of 1,000 large days: rule 1, for it was never reinstated).
+/// An earlier incarnation may have withdrawn a replica that the list or the store names only after proxies have
+/// joined. Such a replica was never reinstated, which violated rule 1 (seed 443 of the emulator's 1,000 large
+/// scenarios).
 #[test]
 fn replica_listed_late_is_reinstated_where_a_former_incarnation_may_have_withdrawn_it() {
     for (by_store, started, is_reinstated) in [(false, 0, true), (false, 6000, false), (true, 0, true)] {
-        let mut policy = Policy::start(site(), 1, at(5000));
+        let mut policy = Policy::start(deployment(), 1, at(5000));
         policy.proxy_joined(at(5000), 0, ProxyTables::Retained);
         match by_store {
             true => policy.slice_granted(at(5100), 0, &[(3, 1.0)]),
@@ -105,8 +112,9 @@
             }
         }
         let reinstated = |action: &Action| *action == Action::Reinstate { replica: 3 };
-        let was_sent =
-            (5200..8000).step_by(100).any(|now| acked_reply(&mut policy, at(now)).iter().any(reinstated));
+        let was_sent = (5200..8000)
+            .step_by(100)
+            .any(|now| collect_acked_reply(&mut policy, at(now)).iter().any(reinstated));
         assert_eq!(was_sent, is_reinstated, "by store {by_store}, started {started}");
     }
 }
--- a/crates/policy/tests/replication.rs
+++ b/crates/policy/tests/replication.rs
@@ -3,27 +3,28 @@
 mod fleet;
 mod reports;
 
-use fleet::{at, owners_of, site, Fleet};
-use reports::{acked_reply, policy_with_replicas, report};
+use fleet::{at, deployment, owners_of, Fleet};
+use reports::{collect_acked_reply, policy_with_replicas, report_second};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
 
-/// Against one failure that doubles another replica's load.
+/// The failure of one replica must not double the load of another.
 #[test]
 fn standbys_of_one_replica_are_spread_over_several() {
-    let mut fleet = Fleet::new(site(), 10, 60, 5);
+    let mut fleet = Fleet::new(deployment(), 10, 60, 5);
     fleet.advance(8000);
     let own = fleet.store.values().filter(|t| t.get(&0) == Some(&1.0));
     let endpoints: BTreeSet<_> = own.flat_map(|t| t.keys().copied()).collect();
-    assert!(endpoints.len() > 3, "server 0 and those who stand by for it: {endpoints:?}");
+    assert!(endpoints.len() > 3, "replica 0 and its standbys: {endpoints:?}");
 }
 
-/// Against a key in demand: more owners while it is hot, one again when cooled; never where there is a single writer.
+/// A slice with a hot key gets more owners while it is hot and one owner again after it has cooled down; never
+/// under single writer.
 #[test]
 fn hot_slice_gets_more_owners_and_loses_them_when_it_cools() {
     for single_writer in [false, true] {
-        let mut fleet = Fleet::new(Deployment { single_writer, ..site() }, 10, 40, 5);
+        let mut fleet = Fleet::new(Deployment { single_writer, ..deployment() }, 10, 40, 5);
         fleet.request_rates.insert(0, 40.0);
         fleet.advance(15_000);
         assert_eq!(owners_of(&fleet, 0).len() > 1, !single_writer);
@@ -33,20 +34,19 @@
     }
 }
 
-/// Of five controllers each has one slice a replica (the fleet days): one slice of twice the others' load overfills
-/// the part of a replica that one controller sees, and no replica.
+/// Each of five controllers has one slice per replica (fleet scenarios). One slice with twice the load of the
+/// others overfills the part of a replica that one controller sees, but not the replica.
 #[test]
 fn bands_are_those_of_whole_replicas_where_other_controllers_fill_them_too() {
     for (slices, replicates) in [(0, true), (6, true), (30, false)] {
-        let mut policy = policy_with_replicas(Deployment { slice_count: slices, ..site() }, 6);
-        let mut whole_lines = 0;
+        let mut policy = policy_with_replicas(Deployment { slice_count: slices, ..deployment() }, 6);
+        let mut owners_added = 0;
         for second in 1..12 {
             let now = at(second * 1000);
-            report(&mut policy, now, |s| if s == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
-            let owner_added =
-                |s: &&Action| matches!(s, Action::SetEndpoint { slice: 0, weight, .. } if *weight >= 1.0);
-            whole_lines += acked_reply(&mut policy, now).iter().filter(owner_added).count();
+            report_second(&mut policy, now, |s| if s == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
+            let owner_added = |action: &&Action| matches!(action, Action::SetEndpoint { slice: 0, weight, .. } if *weight >= 1.0);
+            owners_added += collect_acked_reply(&mut policy, now).iter().filter(owner_added).count();
         }
-        assert_eq!(whole_lines > 0, replicates, "{slices} slices in all");
+        assert_eq!(owners_added > 0, replicates, "{slices} slices in total");
     }
 }
--- a/crates/policy/tests/reports/mod.rs
+++ b/crates/policy/tests/reports/mod.rs
@@ -1,16 +1,16 @@
-//! A policy with a few replicas whose load reports are scripted.
+//! A policy with a few replicas and scripted load reports.
 #![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
 
-use crate::fleet::{at, listing, site};
+use crate::fleet::{at, deployment, listing};
 use std::ops::Range;
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_policy::Policy;
 
-/// Replicas in three zones, each with a slice of its own number, and one proxy.
-pub fn policy_with_replicas(site: Deployment, replicas: u32) -> Policy {
-    let mut policy = Policy::start(site, 1, at(0));
+/// Creates a policy with replicas in three zones and one proxy. Replica n owns slice n.
+pub fn policy_with_replicas(deployment: Deployment, replicas: u32) -> Policy {
+    let mut policy = Policy::start(deployment, 1, at(0));
     let list: Vec<_> = (0..replicas).map(|s| listing(s, ReplicaState::Ready, 0)).collect();
     policy.replicas_listed(at(0), ListScope::Complete, &list);
     (0..replicas).for_each(|n| policy.slice_granted(at(0), n, &[(n, 1.0)]));
@@ -18,37 +18,39 @@
     policy
 }
 
-pub fn single_writer_site() -> Deployment {
-    Deployment { single_writer: true, ..site() }
+pub fn single_writer_deployment() -> Deployment {
+    Deployment { single_writer: true, ..deployment() }
 }
 
-/// At a second, a replica and a zone: how many of three attempts a second fail, and how many milliseconds others take.
+/// Maps a second, a replica and a zone to the number of failures among three attempts per second, and the latency
+/// of the other attempts in milliseconds.
 pub type Outcomes<'a> = &'a dyn Fn(u64, u32, usize) -> (f64, u64);
 
-pub fn play_reports(
+pub fn run_reports(
     policy: &mut Policy,
     seconds: Range<u64>,
-    every: u64,
+    period_seconds: u64,
     replicas: u32,
-    met: Outcomes,
+    outcomes: Outcomes,
 ) -> Vec<Action> {
     let mut actions = Vec::new();
-    let length = every as f64;
+    let requests_factor = period_seconds as f64;
     for second in seconds {
-        let (now, window) = (at(second * 1000), Span::ms(every * 1000));
+        let (now, window) = (at(second * 1000), Span::ms(period_seconds * 1000));
         for s in 0..replicas {
-            let since = (second + u64::from(s)) % every;
+            let since = (second + u64::from(s)) % period_seconds;
             for zone in (0..3).filter(|_| since == 0) {
-                let (failed, ms) = met(second, s, zone);
-                let (attempts, failed) = (3.0 * length, failed * length);
+                let (failed, ms) = outcomes(second, s, zone);
+                let (attempts, failed) = (3.0 * requests_factor, failed * requests_factor);
                 policy.endpoint_reported(
                     now,
                     s,
                     EndpointReport { zone, window, attempts, failed, mean_latency: Span::ms(ms) },
                 );
             }
-            let (requests, failed) = (9.0 * length, 3.0 * length * met(second, s, 0).0);
-            let classes = (0..2).filter(|_| since == every / 2);
+            let (requests, failed) =
+                (9.0 * requests_factor, 3.0 * requests_factor * outcomes(second, s, 0).0);
+            let classes = (0..2).filter(|_| since == period_seconds / 2);
             classes.for_each(|request_class| {
                 policy.demand_reported(now, s, DemandReport { request_class, window, requests, failed });
             });
@@ -66,7 +68,7 @@
 }
 
 pub fn count_ejections(actions: &[Action]) -> usize {
-    actions.iter().filter(|s| matches!(s, Action::ReplicaEjected { .. })).count()
+    actions.iter().filter(|action| matches!(action, Action::ReplicaEjected { .. })).count()
 }
 
 pub fn reduces_admission(action: &Action, of: Option<SliceId>, mask: u64) -> bool {
@@ -74,8 +76,9 @@
         if *slice == of && request_classes & mask > 0 && *admission_rate < 1.0)
 }
 
-/// Attempts at each of six replicas in a second, all answered in 100 ms, and requests for its slice.
-pub fn report(policy: &mut Policy, now: Moment, of: impl Fn(u32) -> (f64, f64)) {
+/// Reports one second: for each of six replicas the attempts, all answered in 100 ms, and the requests for its
+/// slice.
+pub fn report_second(policy: &mut Policy, now: Moment, of: impl Fn(u32) -> (f64, f64)) {
     for s in 0..6 {
         let ((attempts, requests), window, mean_latency) = (of(s), Span::ms(1000), Span::ms(100));
         policy.endpoint_reported(
@@ -87,8 +90,8 @@
     }
 }
 
-/// The reply of this second, its version acknowledged at once by the one proxy.
-pub fn acked_reply(policy: &mut Policy, now: Moment) -> Vec<Action> {
+/// Collects the reply of this second; the proxy acknowledges its version at once.
+pub fn collect_acked_reply(policy: &mut Policy, now: Moment) -> Vec<Action> {
     policy.timer_fired(now, 0);
     let reply = policy.collect_actions(now);
     if let Some(Action::Sync { version }) = reply.last() {
--- a/crates/policy/tests/shared_replicas.rs
+++ b/crates/policy/tests/shared_replicas.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{at, owners_of, site, Fleet};
+use fleet::{at, deployment, owners_of, Fleet};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
 use whinwall_policy::claims::{claim_holder, CLAIM_EPOCH};
@@ -13,12 +13,12 @@
     SubsetMembership::Subset { controllers, position }
 }
 
-/// One of so many controllers, with so many slices on replicas shared by 14 controllers each, on all of which others bring
-/// this much.
+/// Creates one of `controllers` controllers with `slices` slices each. Each replica is shared by 14 controllers,
+/// and `others` is the load from the other controllers.
 fn shared_fleet(controllers: u32, replicas: u32, slices: u32, others: impl Fn(ReplicaId) -> f64) -> Fleet {
     let all = controllers * slices;
     let mut fleet = Fleet::new(
-        Deployment { controller_count: controllers, slice_count: all, ..site() },
+        Deployment { controller_count: controllers, slice_count: all, ..deployment() },
         replicas,
         slices,
         3,
@@ -29,7 +29,7 @@
     fleet
 }
 
-/// Advances step by step for so long; for each slice that gets another owner: which, and when.
+/// Advances in steps of 100 ms; returns the slice, the new owner and the time of each change of owner.
 fn moves(fleet: &mut Fleet, ms: u64) -> Vec<(SliceId, ReplicaId, Moment)> {
     let all = |fleet: &Fleet| {
         let pairs = fleet.store.keys().flat_map(|n| owners_of(fleet, *n).into_iter().map(|s| (*n, s)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn exactly_one_controller_holds_a_claim_and_each_gets_its_turn() {
+fn exactly_one_controller_holds_a_claim_and_each_controller_holds_it_once() {
     for controllers in [1, 2, 3, 14, 80] {
         for stable_hash in [0, 1, 7, u64::MAX, u64::MAX - 1, 0x9e37_79b9_7f4a_7c15] {
             let mut turns = BTreeSet::new();
@@ -64,9 +64,10 @@
     }
 }
 
-/// The next claimant must see in the reports what the last one moved, also where they cover two seconds more.
+/// The next claim holder must see the moves of the previous one in the reports, even if these cover 2 s more than
+/// usual.
 #[test]
-fn claim_rests_before_it_passes_on_where_reports_are_late() {
+fn claim_holder_pauses_before_the_next_epoch_if_reports_are_late() {
     let last = Moment::at_ns(1001 * CLAIM_EPOCH.as_ns() - 1);
     let late = Span::ms(2000);
     assert_eq!(
@@ -74,15 +75,15 @@
         1
     );
     assert!((0..5).all(|position| !subset(5, position).is_claimed(3, last, late)));
-    assert!(subset(1, 0).is_claimed(3, last, late), "who shares with nobody need not wait");
+    assert!(subset(1, 0).is_claimed(3, last, late), "a sole controller has to wait");
     assert!(
         SubsetMembership::AllControllers.is_claimed(3, last, late)
             && !SubsetMembership::OtherControllers.is_claimed(3, last, late)
     );
 }
 
-/// Replicas 0 to 23 get 60 a second from others, the rest 25: AvgL 45, band 29 to 61. A slice of 30 makes replica 0
-/// heavy; on a light one it is inside the band.
+/// Replicas 0 to 23 get 60 requests per second from other controllers, the rest 25: AvgL 45, band 29 to 61. A
+/// slice of 30 makes replica 0 heavy, but fits within the band of a light replica.
 #[test]
 fn hot_slice_moves_to_a_light_replica_with_650_controllers() {
     let others = |s: ReplicaId| if s < 24 { 60.0 } else { 25.0 };
@@ -91,13 +92,14 @@
     fleet.request_rates.insert(0, 30.0);
     let moves = moves(&mut fleet, 120_000);
     let first = moves.iter().find(|(slice, ..)| *slice == 0);
-    let (_, to, when) = first.expect("the hot slice stays");
-    assert!(*to >= 24, "it went to server {to}, which is full");
+    let (_, to, when) = first.expect("the hot slice did not move");
+    assert!(*to >= 24, "moved to replica {to}, which is full");
     assert!(fleet.subsets[to].is_claimed(u64::from(*to), *when, Span::default()), "moved without the claim");
 }
 
-/// The same, seen without totals and with the band that grows with the root of the number of controllers: nothing is ever
-/// heavy, and all that acts is spreading, which leaves the slice where it is. It is why there are subsets.
+/// The same without subsets: the totals of other controllers are unknown and the band grows with the square root
+/// of the number of controllers, so no replica is ever heavy. Only replication acts, which leaves the slice where
+/// it is. This is the reason for subsets.
 #[test]
 fn hot_slice_stays_with_650_controllers_and_no_subsets() {
     let others = |s: ReplicaId| if s < 24 { 60.0 } else { 25.0 };
@@ -111,9 +113,9 @@
     assert!(owners_of(&fleet, 0).contains(&0), "{moves:?}");
 }
 
-/// To this controller the first 12 replicas look empty, but others fill them: AvgL is 44, the band ends at 59.
+/// The first 12 replicas look empty to this controller, but others fill them: AvgL is 44, the band ends at 59.
 #[test]
-fn evacuated_slices_go_where_all_controllers_leave_headroom() {
+fn evacuated_slices_move_to_replicas_with_headroom_across_all_controllers() {
     for seed in 1..6 {
         let mut fleet = shared_fleet(60, 36, 24, |s| if s < 12 { 80.0 } else { 20.0 });
         for n in 0..24 {
@@ -131,13 +133,14 @@
     }
 }
 
-/// Sixty controllers alike leave one replica at the same moment, each with one slice: they do not all choose the same.
+/// 60 identical controllers evacuate one replica at the same time, each with one slice. They must not all choose
+/// the same destination.
 #[test]
 fn controllers_that_evacuate_at_once_choose_different_replicas() {
     let mut chosen: Vec<ReplicaId> = Vec::new();
     for seed in 0..60 {
         let mut fleet = shared_fleet(60, 24, 1, |_| 40.0);
-        // No controller holds a claim here: all depends on the draw.
+        // No controller holds a claim here, so only the random draw decides.
         fleet.subsets = (0..24).map(|s| (s, subset(1000, 999))).collect();
         fleet.start_incarnation(1000 + seed * 7919);
         fleet.advance(6000);
@@ -153,9 +156,9 @@
     assert!(different.len() >= 15 && most <= Some(8), "{chosen:?}");
 }
 
-/// AvgL is 10, the band 7 to 14: replica 5 has 20, and the cold replica 3 nothing.
+/// AvgL is 10, the band 7 to 14: replica 5 has 20, and the cold replica 3 has no load.
 #[test]
-fn cold_replica_gets_slices_from_its_claimant_only_and_within_its_budget() {
+fn cold_replica_gets_slices_only_from_its_claim_holder_and_within_its_budget() {
     let others = |s| match s {
         3 => 0.0,
         5 => 12.0,
@@ -179,10 +182,10 @@
         onto_cold.iter().all(|(_, to, when)| fleet.subsets[to].is_claimed(3, *when, Span::default())),
         "{moves:?}"
     );
-    assert!(!onto_cold.is_empty(), "the claim holder did not use its budget: {moves:?}");
+    assert!(!onto_cold.is_empty(), "the claim holder did not use the budget: {moves:?}");
 }
 
-/// A cold replica that others push to its budget gets nothing more, even from who holds the claim.
+/// A cold replica whose budget is used up by other controllers gets no slice, even from the claim holder.
 #[test]
 fn demand_of_other_controllers_counts_against_a_cold_replicas_budget() {
     let mut fleet = shared_fleet(60, 12, 12, |s| if s == 3 { 200.0 } else { 30.0 });
@@ -196,9 +199,9 @@
     assert!(moves.iter().all(|(_, to, _)| *to != 3), "{moves:?}");
 }
 
-/// Slices that sit on replicas of other controllers go home one by one; nothing goes there.
+/// Slices on replicas of other controllers return one by one; none moves there.
 #[test]
-fn slices_leave_replicas_of_other_controllers_one_by_one_and_none_goes_there() {
+fn slices_leave_replicas_of_other_controllers_one_by_one_and_none_moves_there() {
     for seed in 1..6 {
         let mut fleet = shared_fleet(60, 24, 24, |_| 30.0);
         for replica in 12..24 {
@@ -207,7 +210,7 @@
         }
         fleet.start_incarnation(seed);
         let first = moves(&mut fleet, 4000);
-        assert!(first.len() < 12, "all left at once: {first:?}");
+        assert!(first.len() < 12, "all slices moved at once: {first:?}");
         fleet.nodes.get_mut(&1).unwrap().state = ReplicaState::Draining;
         fleet.list_replica(1);
         let rest = moves(&mut fleet, 200_000);
@@ -216,7 +219,8 @@
     }
 }
 
-/// Rule 1 goes before subsets: where all that is in the subset drains, a warm replica of others is better than none.
+/// Rule 1 takes precedence over subsets: if all replicas of the subset drain, a warm replica of other controllers
+/// is used.
 #[test]
 fn lost_subset_is_evacuated_to_a_replica_of_other_controllers() {
     let mut fleet = shared_fleet(60, 8, 6, |_| 10.0);
