--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -1,14 +1,14 @@
-//! The policy's actions in the simulator's form.
+//! Encodes the policy's actions in the simulator's format.
 
 use serde_json::{json, Value};
 use whinwall_policy::api::Action;
 
 /// The table number that stands for all tables.
-const EVERY_TABLE: u64 = 65535;
+const ALL_TABLES: u64 = 65535;
 
 /// Encodes the actions of one reply, in order.
 pub fn encode_all(actions: Vec<Action>) -> impl Iterator<Item = Value> {
-    // A sync by itself reaches no proxy, unless all are asked.
+    // A sync without other commands reaches proxies only if it is addressed to all of them.
     let sync_all = !actions.iter().any(Action::reaches_proxies);
     actions.into_iter().map(move |action| encode(action, sync_all))
 }
@@ -19,7 +19,7 @@
         Action::Withdraw { replica } => json!(["takeOut", true, replica]),
         Action::Reinstate { replica } => json!(["takeOut", false, replica]),
         Action::SetAdmission { slice, request_classes, admission_rate, retries } => {
-            let table = slice.map_or(EVERY_TABLE, u64::from);
+            let table = slice.map_or(ALL_TABLES, u64::from);
             json!(["ration", admission_rate, retries, request_classes, table])
         }
         Action::Sync { version } => json!(["barrier", version, sync_all]),
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! One batch in, one reply out: all instances of the policy that the simulator has started.
+//! Processes batches: one reply per batch, from all policy instances that the simulator has started.
 
 use crate::action;
 use crate::event::{Event, EventError};
@@ -12,57 +12,58 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_policy::Policy;
 
-/// Why a line is not a batch.
+/// The reason why a line is not a valid batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// It is no JSON.
-    #[error("no JSON: {0}")]
-    NotJson(#[from] serde_json::Error),
-    /// It does not say when it is.
-    #[error("nowNs is missing or no whole number")]
-    NoTime,
-    /// It has no parts.
-    #[error("parts is missing or no array")]
-    NoParts,
+    /// The line is not valid JSON.
+    #[error("invalid JSON: {0}")]
+    InvalidJson(#[from] serde_json::Error),
+    /// The time is missing or invalid.
+    #[error("nowNs is missing or not a non-negative integer")]
+    MissingTime,
+    /// The list of parts is missing or invalid.
+    #[error("parts is missing or not an array")]
+    MissingParts,
     /// A part does not name its instance.
-    #[error("a part has no governorId")]
-    NoInstance,
-    /// A part has no events.
-    #[error("the part of instance {0} has no input")]
-    NoInput(u64),
+    #[error("governorId of a part is missing or not a non-negative integer")]
+    MissingInstance,
+    /// A part has no list of events.
+    #[error("input of the part of instance {0} is missing or not an array")]
+    MissingInput(u64),
 }
 
-/// One started instance.
+/// A started policy instance.
 struct Instance {
     policy: Policy,
-    /// The names of the request classes and zones, in order: the policy knows their positions only.
+    /// The names of the request classes and zones, in order. The policy knows only their indices.
     request_classes: Vec<String>,
     zones: Vec<String>,
 }
 
 impl Instance {
-    fn zone(&self, name: &str) -> ZoneId {
+    fn zone_id(&self, name: &str) -> ZoneId {
         self.zones.iter().position(|known| known == name).unwrap_or(ZoneId::MAX)
     }
 }
 
-/// All instances, by the simulator's ids.
+/// All started instances, by the simulator's ids.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    /// The numbered replica lists as they stand at this point of the stream: each instance reads them with its own
-    /// names of zones.
-    sheets: BTreeMap<u64, Value>,
+    /// The current replica lists by number. They are kept undecoded because each instance decodes them with its
+    /// own zone names.
+    replica_lists: BTreeMap<u64, Value>,
 }
 
 impl Adapter {
-    /// Answers one line. An event that can't be carried out is reported on standard error and left out.
-    pub fn batch(&mut self, line: &str) -> Result<String, BatchError> {
+    /// Processes one line and returns the reply. An event that can't be carried out is reported on standard error
+    /// and skipped.
+    pub fn process_batch(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Value = serde_json::from_str(line)?;
-        let now = batch.get("nowNs").and_then(Value::as_u64).ok_or(BatchError::NoTime)?;
+        let now = batch.get("nowNs").and_then(Value::as_u64).ok_or(BatchError::MissingTime)?;
         let now = Moment::at_ns(now);
-        let parts = batch.get("parts").and_then(Value::as_array).ok_or(BatchError::NoParts)?;
-        let inputs = parts.iter().map(input_of).collect::<Result<Vec<_>, _>>()?;
+        let parts = batch.get("parts").and_then(Value::as_array).ok_or(BatchError::MissingParts)?;
+        let inputs = parts.iter().map(decode_part).collect::<Result<Vec<_>, _>>()?;
         let mut replies = Vec::new();
         for (id, input) in inputs {
             let mut output = self.apply_all(now, id, input);
@@ -103,13 +104,13 @@
     ) -> Result<(), EventError> {
         match event.name {
             "powerOn" => output.extend(self.start(now, id, event)?),
-            "list" => _ = self.sheets.insert(event.whole(0, "sheet")?, event.value(1).clone()),
+            "list" => _ = self.replica_lists.insert(event.unsigned(0, "sheet")?, event.value(1).clone()),
             "killed" => _ = self.instances.remove(&id),
             name => {
                 let not_started = || EventError::NotStarted(name.into());
                 let instance = self.instances.get_mut(&id).ok_or_else(not_started)?;
                 match name {
-                    "members" => replicas_listed(instance, &self.sheets, now, event)?,
+                    "members" => replicas_listed(instance, &self.replica_lists, now, event)?,
                     _ => instance.apply(now, event, table_lines)?,
                 }
             }
@@ -117,9 +118,9 @@
         Ok(())
     }
 
-    /// Starts an instance; the action to return says why its settings can't be used.
+    /// Starts an instance. If its settings are invalid, returns an action that reports the error.
     fn start(&mut self, now: Moment, id: u64, event: &Event) -> Result<Option<Value>, EventError> {
-        let seed = event.whole(0, "rngSeed")?;
+        let seed = event.unsigned(0, "rngSeed")?;
         let settings = match whinwall_settings::parse_settings(event.value(1)) {
             Ok(settings) => settings,
             Err(error) => return Ok(Some(json!(["fault", format!("config: {error}")]))),
@@ -134,14 +135,14 @@
     }
 }
 
-fn input_of(part: &Value) -> Result<(u64, &[Value]), BatchError> {
-    let id = part.get("governorId").and_then(Value::as_u64).ok_or(BatchError::NoInstance)?;
-    let input = part.get("input").and_then(Value::as_array).ok_or(BatchError::NoInput(id))?;
+fn decode_part(part: &Value) -> Result<(u64, &[Value]), BatchError> {
+    let id = part.get("governorId").and_then(Value::as_u64).ok_or(BatchError::MissingInstance)?;
+    let input = part.get("input").and_then(Value::as_array).ok_or(BatchError::MissingInput(id))?;
     Ok((id, input))
 }
 
-/// How many of the events that follow are lines of the table of the slice that this one grants: the policy gets both
-/// in one call.
+/// Returns the number of following events that are table lines of the slice that this event grants. The policy
+/// gets them in the same call.
 fn count_table_lines(event: &Result<Event, EventError>, following: &[Value]) -> usize {
     match event {
         Ok(event) if event.name == "charge" => {
@@ -154,7 +155,7 @@
 
 fn replicas_listed(
     instance: &mut Instance,
-    sheets: &BTreeMap<u64, Value>,
+    replica_lists: &BTreeMap<u64, Value>,
     now: Moment,
     event: &Event,
 ) -> Result<(), EventError> {
@@ -168,30 +169,30 @@
         }
         other => return Err(EventError::UnknownMode(other.into())),
     };
-    let sheet = sheets.get(&event.whole(2, "sheet")?).and_then(Value::as_array);
-    let entries = event.require("sheet", sheet)?.iter();
-    let listings: Option<Vec<_>> = entries.map(|entry| listing(instance, entry)).collect();
+    let list = replica_lists.get(&event.unsigned(2, "sheet")?).and_then(Value::as_array);
+    let entries = event.require("sheet", list)?.iter();
+    let listings: Option<Vec<_>> = entries.map(|entry| decode_listing(instance, entry)).collect();
     let listings = event.require("sheet", listings)?;
     instance.policy.replicas_listed(now, scope, &listings);
     Ok(())
 }
 
-fn listing(instance: &Instance, entry: &Value) -> Option<ReplicaListing> {
+fn decode_listing(instance: &Instance, entry: &Value) -> Option<ReplicaListing> {
     let replica = ReplicaId::try_from(entry.get(0)?.as_u64()?).ok()?;
     let started = entry.get(6).and_then(Value::as_u64).filter(|ns| *ns > 0);
     Some(ReplicaListing {
         replica,
         stable_hash: u64::from(replica),
         subset: SubsetMembership::AllControllers,
-        zone: instance.zone(entry.get(1)?.as_str()?),
+        zone: instance.zone_id(entry.get(1)?.as_str()?),
         machine: entry.get(2)?.as_str()?.to_string(),
-        state: state(entry.get(4)?.as_str()?)?,
+        state: decode_state(entry.get(4)?.as_str()?)?,
         weight: entry.get(5).and_then(Value::as_f64).unwrap_or(1.0),
         started: started.map(Moment::at_ns),
     })
 }
 
-fn state(name: &str) -> Option<ReplicaState> {
+fn decode_state(name: &str) -> Option<ReplicaState> {
     match name {
         "live" => Some(ReplicaState::Ready),
         "quiescing" => Some(ReplicaState::Draining),
@@ -203,10 +204,10 @@
 impl Instance {
     fn apply(&mut self, now: Moment, event: &Event, table_lines: &[Value]) -> Result<(), EventError> {
         match event.name {
-            "bell" => self.policy.timer_fired(now, event.whole(0, "name")?),
+            "bell" => self.policy.timer_fired(now, event.unsigned(0, "name")?),
             "connected" => {
                 let proxy = event.id(0, "clientLb")?;
-                let tables = match event.flag(3, "set")? {
+                let tables = match event.boolean(3, "set")? {
                     true => ProxyTables::Empty,
                     false => ProxyTables::Retained,
                 };
@@ -217,24 +218,24 @@
             "sliceLoad" => self.demand_reported(now, event)?,
             "charge" => self.slice_assigned(now, event, table_lines)?,
             "installed" => {
-                let version = u16::try_from(event.whole(1, "number")?).ok();
+                let version = u16::try_from(event.unsigned(1, "number")?).ok();
                 let version = event.require("number", version)?;
                 self.policy.ack_received(now, event.id(0, "clientLb")?, version);
             }
             "usage" | "datagram" | "pong" => {}
             "recorded" => return Err(EventError::StrayTableLine),
-            other => return Err(EventError::Unknown(other.into())),
+            other => return Err(EventError::UnknownEvent(other.into())),
         }
         Ok(())
     }
 
     fn endpoint_reported(&mut self, now: Moment, event: &Event) -> Result<(), EventError> {
         let report = EndpointReport {
-            zone: self.zone(event.text(2, "hall")?),
-            window: Span::ns(event.whole(0, "periodLenNs")?),
+            zone: self.zone_id(event.text(2, "hall")?),
+            window: Span::ns(event.unsigned(0, "periodLenNs")?),
             failed: event.number(1, "bad")?,
             attempts: event.number(3, "many")?,
-            mean_latency: Span::ns(event.whole(4, "latencyNs")?),
+            mean_latency: Span::ns(event.unsigned(4, "latencyNs")?),
         };
         self.policy.endpoint_reported(now, event.id(5, "replica")?, report);
         Ok(())
@@ -245,7 +246,7 @@
         let request_class = self.request_classes.iter().position(|known| known == name);
         let report = DemandReport {
             request_class: event.require("category", request_class)?,
-            window: Span::ns(event.whole(4, "periodLenNs")?),
+            window: Span::ns(event.unsigned(4, "periodLenNs")?),
             requests: event.number(2, "many")?,
             failed: event.number(3, "bad")?,
         };
@@ -259,7 +260,7 @@
         event: &Event,
         table_lines: &[Value],
     ) -> Result<(), EventError> {
-        if !event.flag(0, "set")? {
+        if !event.boolean(0, "set")? {
             self.policy.slice_revoked(now, event.id(1, "mapId")?);
             return Ok(());
         }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,16 +1,16 @@
-//! One event of a batch: an array of its name and its values, in a fixed order.
+//! An event of a batch: an array of its name and its values, in a fixed order.
 
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why an event is not carried out.
+/// The reason why an event can't be carried out.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum EventError {
-    /// It is no array.
-    #[error("an event is not an array")]
+    /// The event is not an array.
+    #[error("event is not an array")]
     NotAnArray,
-    /// It does not begin with a name.
-    #[error("an event has no name")]
+    /// The event does not begin with a name.
+    #[error("event has no name")]
     NoName,
     /// A field is missing or has the wrong type.
     #[error("event {event}: field {field} is missing or malformed")]
@@ -21,20 +21,20 @@
         field: &'static str,
     },
     /// The instance has not been started.
-    #[error("event {0}: this instance has not been started")]
+    #[error("event {0}: instance has not been started")]
     NotStarted(String),
-    /// The scope of a list is not known.
-    #[error("event members: field mode is unknown: {0}")]
+    /// The scope of a list is unknown.
+    #[error("event members: unknown value of field mode: {0}")]
     UnknownMode(String),
-    /// A line of a table without the event that grants the slice.
-    #[error("event recorded: it follows no charge")]
+    /// A table line without a preceding event that grants the slice.
+    #[error("event recorded: no charge event before it")]
     StrayTableLine,
-    /// An event of an unknown name.
-    #[error("event {0}: it is not known")]
-    Unknown(String),
+    /// The event's name is unknown.
+    #[error("event {0}: unknown event")]
+    UnknownEvent(String),
 }
 
-/// The name and the values of one event.
+/// The name and the values of an event.
 pub struct Event<'a> {
     pub name: &'a str,
     values: &'a [Value],
@@ -47,34 +47,34 @@
         Ok(Event { name, values: &items[1..] })
     }
 
-    /// The value, or the error that names its field.
+    /// Returns the value, or an error that names its field.
     pub fn require<T>(&self, field: &'static str, value: Option<T>) -> Result<T, EventError> {
         value.ok_or_else(|| EventError::InvalidField { event: self.name.into(), field })
     }
 
-    /// The value at a position; null where there is none.
+    /// Returns the value at an index; null if there is none.
     pub fn value(&self, index: usize) -> &'a Value {
         self.values.get(index).unwrap_or(&Value::Null)
     }
 
-    /// A whole number from 0 on.
-    pub fn whole(&self, index: usize, field: &'static str) -> Result<u64, EventError> {
+    /// Returns a non-negative integer.
+    pub fn unsigned(&self, index: usize, field: &'static str) -> Result<u64, EventError> {
         self.require(field, self.value(index).as_u64())
     }
 
-    /// An id of a replica, slice or proxy.
+    /// Returns the id of a replica, slice or proxy.
     pub fn id(&self, index: usize, field: &'static str) -> Result<u32, EventError> {
         let id = self.value(index).as_u64().and_then(|id| u32::try_from(id).ok());
         self.require(field, id)
     }
 
-    /// A finite number from 0 on.
+    /// Returns a finite non-negative number.
     pub fn number(&self, index: usize, field: &'static str) -> Result<f64, EventError> {
         let number = self.value(index).as_f64().filter(|number| number.is_finite() && *number >= 0.0);
         self.require(field, number)
     }
 
-    pub fn flag(&self, index: usize, field: &'static str) -> Result<bool, EventError> {
+    pub fn boolean(&self, index: usize, field: &'static str) -> Result<bool, EventError> {
         self.require(field, self.value(index).as_bool())
     }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! The policy on the simulator's wire format: batches of events on standard input, replies on standard output.
-//! Decodes and encodes; decides nothing.
+//! Runs the policy with the simulator's wire format: batches of events on standard input, replies on standard
+//! output. It only decodes and encodes; all decisions are made by the policy.
 #![warn(clippy::unwrap_used)]
 
 mod action;
@@ -13,7 +13,7 @@
     let mut adapter = Adapter::default();
     let mut output = io::BufWriter::new(io::stdout().lock());
     for (index, line) in io::stdin().lock().lines().enumerate() {
-        let reply = adapter.batch(&line?).map_err(|error| {
+        let reply = adapter.process_batch(&line?).map_err(|error| {
             io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {error}", index + 1))
         })?;
         writeln!(output, "{reply}")?;
--- a/crates/simulator-adapter/tests/batch_lines.rs
+++ b/crates/simulator-adapter/tests/batch_lines.rs
@@ -1,6 +1,6 @@
-//! The exact text between the simulator and the adapter: batches with every kind of part in, reply lines out. The
-//! replies hold decisions too, which are the same for the same seed: a change of decisions on purpose changes the
-//! fixture of replies, and only its figures.
+//! The exact text exchanged between the simulator and the adapter: batches with every kind of event, and the reply
+//! lines. Replies contain decisions, which are the same for the same seed: an intended change of decisions changes
+//! only figures in the fixture of replies.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 
 const ADAPTER: &str = env!("CARGO_BIN_EXE_whinwall-simulator-adapter");
 
-/// What the adapter writes to its output and to its log when these lines are its input.
+/// Returns the adapter's standard output and standard error for these input lines.
 fn run(batches: &str) -> (String, String) {
     let mut adapter = Command::new(ADAPTER)
         .stdin(Stdio::piped())
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn batches_with_every_event_are_answered_to_the_letter() {
+fn batches_with_every_event_give_the_exact_replies() {
     let (replies, log) = run(&fixture("batches.jsonl"));
     assert_eq!(log, "");
     assert_eq!(replies, fixture("replies.jsonl"));
 }
 
-/// The log of one instance that is given this event once it has been started.
+/// Returns the log for this event, sent to an instance that has just been started.
 fn log_of(event: &str) -> String {
     let start = fixture("batches.jsonl").lines().next().unwrap().to_string();
     let (_, log) =
@@ -42,18 +42,18 @@
 }
 
 #[test]
-fn an_event_that_is_not_known_is_logged_by_its_name() {
-    assert_eq!(log_of(r#"["what"]"#), "instance 1: event what: it is not known\n");
+fn unknown_event_is_logged_with_its_name() {
+    assert_eq!(log_of(r#"["what"]"#), "instance 1: event what: unknown event\n");
 }
 
 #[test]
-fn an_event_of_an_instance_that_is_not_there_is_logged() {
+fn event_of_an_unknown_instance_is_logged() {
     let (_, log) = run("{\"nowNs\":1,\"parts\":[{\"governorId\":9,\"input\":[[\"parted\",1]]}]}\n");
-    assert_eq!(log, "instance 9: event parted: this instance has not been started\n");
+    assert_eq!(log, "instance 9: event parted: instance has not been started\n");
 }
 
 #[test]
-fn malformed_values_are_logged_by_the_names_of_their_fields() {
+fn malformed_values_are_logged_with_their_field_names() {
     let malformed = [
         (r#"["powerOn"]"#, "powerOn", "rngSeed"),
         (r#"["list"]"#, "list", "sheet"),
@@ -93,24 +93,30 @@
 }
 
 #[test]
-fn a_line_that_is_no_batch_ends_the_adapter_with_the_key_that_it_lacks() {
-    let why = |line: &str| run(&format!("{line}\n")).1;
-    let lacks = |line: &str, expected: &str| {
-        let log = why(line);
+fn malformed_batch_ends_the_adapter_with_an_error_that_names_the_key() {
+    let log_of_line = |line: &str| run(&format!("{line}\n")).1;
+    let assert_error = |line: &str, expected: &str| {
+        let log = log_of_line(line);
         assert!(log.contains(&format!("\"line 1: {expected}\"")), "{log}");
     };
-    lacks(r#"{"parts":[]}"#, "nowNs is missing or no whole number");
-    lacks(r#"{"nowNs":1}"#, "parts is missing or no array");
-    lacks(r#"{"nowNs":1,"parts":[{}]}"#, "a part has no governorId");
-    lacks(r#"{"nowNs":1,"parts":[{"governorId":3}]}"#, "the part of instance 3 has no input");
-    lacks("x", "no JSON: expected value at line 1 column 1");
+    assert_error(r#"{"parts":[]}"#, "nowNs is missing or not a non-negative integer");
+    assert_error(r#"{"nowNs":1}"#, "parts is missing or not an array");
+    assert_error(
+        r#"{"nowNs":1,"parts":[{}]}"#,
+        "governorId of a part is missing or not a non-negative integer",
+    );
+    assert_error(
+        r#"{"nowNs":1,"parts":[{"governorId":3}]}"#,
+        "input of the part of instance 3 is missing or not an array",
+    );
+    assert_error("x", "invalid JSON: expected value at line 1 column 1");
 }
 
 #[test]
-fn events_without_their_form_are_logged() {
-    assert_eq!(log_of("1"), "instance 1: an event is not an array\n");
-    assert_eq!(log_of("[]"), "instance 1: an event has no name\n");
-    let unknown_mode = "instance 1: event members: field mode is unknown: part\n";
+fn malformed_events_are_logged() {
+    assert_eq!(log_of("1"), "instance 1: event is not an array\n");
+    assert_eq!(log_of("[]"), "instance 1: event has no name\n");
+    let unknown_mode = "instance 1: event members: unknown value of field mode: part\n";
     assert_eq!(log_of(r#"["members","part",1,1]"#), unknown_mode);
-    assert_eq!(log_of(r#"["recorded",1,1,1]"#), "instance 1: event recorded: it follows no charge\n");
+    assert_eq!(log_of(r#"["recorded",1,1,1]"#), "instance 1: event recorded: no charge event before it\n");
 }
