--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -11,11 +11,14 @@
 //!
 //! Modules; each uses only the ones above it:
 //!
-//! | module | content | | --- | --- | | [`time`], [`random`], [`windowed_counter`], [`api`], [`deployment`],
-//! [`claims`] | types without decisions | | `state` | what a controller stores; each struct maintains its own
-//! invariants | | `measure` | values computed from the state: load estimates, averages, slow-start budgets,
-//! rankings | | `rules` | decisions based on state and measures | | `dispatch` | commands for the difference
-//! between desired and applied tables | | `events` | application of events to the state |
+//! | module | content |
+//! | --- | --- |
+//! | [`time`], [`random`], [`windowed_counter`], [`api`], [`deployment`], [`claims`] | types without decisions |
+//! | `state` | what a controller stores; each struct maintains its own invariants |
+//! | `measure` | values computed from the state: load estimates, averages, slow-start budgets, rankings |
+//! | `rules` | decisions based on state and measures |
+//! | `dispatch` | commands for the difference between desired and applied tables |
+//! | `events` | application of events to the state |
 //!
 //! Regular rebalancing is DDMC (docs/design.md): load estimates are refreshed, a rebalancing round is opened,
 //! slices are moved. Operators' overrides are applied before it. Six further mechanisms run beside it:
@@ -261,8 +264,8 @@
 /// Queries.
 impl Policy {
     /// Returns true if the reply with this version may be sent again. It must fit into the queue in addition to
-    /// its first copy, unless acknowledgements have been missing for so long that nothing can be queued any more.
-    /// The message limit must also allow another message, because each attempt may have been applied.
+    /// its first copy, unless acknowledgements are overdue, in which case nothing can still be queued. The message
+    /// limit must also allow another message, because each attempt may have been applied.
     pub fn may_resend(&self, now: Moment, version: u16) -> bool {
         self.state.may_resend(now, version)
     }
--- a/crates/policy/src/rules/load_shedding.rs
+++ b/crates/policy/src/rules/load_shedding.rs
@@ -18,10 +18,10 @@
 const REDUCTION_STEP: f64 = 0.15;
 /// The weight of the answered share in the growth of a reduction: per step, a reduction grows by (1 - this *
 /// answered share) of what is left up to 1.
-const REDUCTION_GAIN: f64 = 0.85;
+const ANSWERED_SHARE_WEIGHT: f64 = 0.85;
 /// The lower bound applied to the share of answered requests.
 const MIN_ANSWERED_SHARE: f64 = 0.5;
-/// If commands for each slice would take more than this many seconds of the channel, a single reduction for all
+/// If commands for each slice would take more channel time than this, in seconds, a single reduction for all
 /// slices may be used.
 const MAX_SECONDS_FOR_SLICE_COMMANDS: f64 = 2.0;
 /// The minimum change of a slice's reduction that is worth a line to each proxy.
@@ -31,7 +31,7 @@
 /// and shrinks where they are fast.
 fn next_reduction(reduction: f64, latency_ratio: f64, answered_share: f64) -> f64 {
     let step = if latency_ratio > HIGH_LATENCY_RATIO {
-        (1.0 - reduction) * (1.0 - REDUCTION_GAIN * answered_share.max(MIN_ANSWERED_SHARE))
+        (1.0 - reduction) * (1.0 - ANSWERED_SHARE_WEIGHT * answered_share.max(MIN_ANSWERED_SHARE))
     } else if latency_ratio < LOW_LATENCY_RATIO {
         REDUCTION_STEP * (latency_ratio / LOW_LATENCY_RATIO - 2.0)
     } else {
--- a/crates/policy/src/rules/rate_limit.rs
+++ b/crates/policy/src/rules/rate_limit.rs
@@ -9,13 +9,13 @@
 use crate::time::{Moment, Span};
 
 /// The share of the queue's capacity that commands may use (docs/design.md, Rate limiting).
-const QUEUE_SHARE: f64 = 0.9;
-/// The share of that which commands of normal priority may use.
+const USABLE_QUEUE_SHARE: f64 = 0.9;
+/// The share of `USABLE_QUEUE_SHARE` that commands of normal priority may use.
 const NORMAL_QUEUE_SHARE: f64 = 0.55;
 /// The share of the message limit that deferrable commands may use.
 const DEFERRABLE_MESSAGE_SHARE: f64 = 0.75;
 /// The share of the channel's throughput that message overhead may use.
-const OVERHEAD_SHARE: f64 = 0.25;
+const MAX_OVERHEAD_SHARE: f64 = 0.25;
 /// Acknowledgements are overdue if none has arrived for this time since the last channel activity.
 pub(crate) const ACK_TIMEOUT: Span = Span::ms(3000);
 /// The share of the drain grace period for which an urgent command may wait for its message.
@@ -38,14 +38,14 @@
         let can_wait = priority != Priority::NoEndpoint;
         let overhead = if opens_message { self.message_overhead() * proxies } else { 0.0 };
         let overhead_time =
-            Span::ms(1000).times(overhead / self.deployment.lines_per_second.max(1.0) / OVERHEAD_SHARE);
+            Span::ms(1000).times(overhead / self.deployment.lines_per_second.max(1.0) / MAX_OVERHEAD_SHARE);
         let (share, gap) = match priority {
             Priority::Normal | Priority::StandbyOnly => (NORMAL_QUEUE_SHARE, overhead_time + overhead_time),
             Priority::NoEndpoint | Priority::Urgent if unacked == 0.0 => (1.0, Span::default()),
             Priority::NoEndpoint | Priority::Urgent => (1.0, overhead_time),
         };
         let added = lines * proxies + overhead;
-        let limit = self.deployment.queue_capacity_lines * QUEUE_SHARE;
+        let limit = self.deployment.queue_capacity_lines * USABLE_QUEUE_SHARE;
         // Room for two copies, in case of a resend. Not required for commands that can't wait: split into small
         // messages, they would be late and consist mostly of overhead.
         let fits_twice = || unacked + self.channel.open_message_lines() + added + added <= limit;
@@ -63,7 +63,7 @@
     /// See [`crate::Policy::may_resend`].
     pub(crate) fn may_resend(&self, now: Moment, version: u16) -> bool {
         let lines = self.channel.unacked_lines(now) + self.channel.lines_of_version(version);
-        let fits = lines <= self.deployment.queue_capacity_lines * QUEUE_SHARE;
+        let fits = lines <= self.deployment.queue_capacity_lines * USABLE_QUEUE_SHARE;
         let is_overdue = self.channel.ack_silence(now) > ACK_TIMEOUT;
         (fits || is_overdue) && self.remaining_messages(now, 1.0) >= 1.0
     }
@@ -129,7 +129,7 @@
         let capacity = self.deployment.queue_capacity_lines;
         let is_overdue = self.channel.acks_lost || self.channel.ack_silence(self.now) > ACK_TIMEOUT;
         let blocks_normal_commands =
-            unacked + overhead + proxies > capacity * QUEUE_SHARE * NORMAL_QUEUE_SHARE;
+            unacked + overhead + proxies > capacity * USABLE_QUEUE_SHARE * NORMAL_QUEUE_SHARE;
         let fits = unacked + overhead <= capacity && self.remaining_messages(self.now, 1.0) > 1.0;
         is_overdue && blocks_normal_commands && fits && unacked > 0.0 && self.channel.open_version.is_none()
     }
--- a/crates/policy/src/rules/replication.rs
+++ b/crates/policy/src/rules/replication.rs
@@ -16,10 +16,10 @@
 /// The maximum number of owners of a slice (docs/design.md, Replication).
 const MAX_OWNERS: usize = 4;
 /// A slice with a burst load below this share of the mean load per replica is never hot.
-const MIN_HOT_SHARE: f64 = 0.5;
+const MIN_HOT_LOAD_SHARE: f64 = 0.5;
 /// An owner is removed from a slice once the slice's load is below this share of what the other owners may have
 /// (docs/design.md: six tenths).
-const CONSOLIDATION_SHARE: f64 = 0.6;
+const CONSOLIDATION_CAPACITY_SHARE: f64 = 0.6;
 
 impl ControllerState {
     /// Adds an owner to one hot slice, if tables may have several. It runs again until no hot slice is found.
@@ -39,7 +39,7 @@
         let may_be_hot = |slice: &Slice| {
             slice.awaited_version.is_none()
                 && slice.is_fully_applied()
-                && slice.burst_load > self.averages.mean_burst_load * MIN_HOT_SHARE
+                && slice.burst_load > self.averages.mean_burst_load * MIN_HOT_LOAD_SHARE
         };
         let mut candidates =
             self.slices.iter().filter(|(id, slice)| may_be_hot(slice) && !self.is_at_pin(**id, slice));
@@ -81,7 +81,7 @@
                 .max_by(|(_, one), (_, other)| one.utilization().total_cmp(&other.utilization()))?;
             let others = self.owners(slice).filter(|(owner, _)| *owner != most_utilized);
             let capacity = others.map(|(_, owner)| self.averages.band_capacity(owner)).sum::<f64>();
-            let fits = slice.load.max(slice.burst_load) < CONSOLIDATION_SHARE * capacity;
+            let fits = slice.load.max(slice.burst_load) < CONSOLIDATION_CAPACITY_SHARE * capacity;
             fits.then_some((*id, most_utilized))
         })
     }
--- a/crates/policy/src/state/command_channel.rs
+++ b/crates/policy/src/state/command_channel.rs
@@ -50,7 +50,8 @@
     /// True while the relay's events arrive. Without them no acknowledgements arrive either, so a missing one
     /// means nothing.
     acks_can_arrive: bool,
-    /// True if acknowledgements may have been lost since then.
+    /// True if acknowledgements may have been lost since the last one that was received or the last message that
+    /// was sent.
     pub acks_lost: bool,
     /// The number of opened messages, including resent ones.
     pub opened_messages: WindowedCounter,
@@ -190,8 +191,8 @@
         self.proxies.get(&proxy).is_some_and(|proxy| !is_stalled(proxy))
     }
 
-    /// Drops the additional copies of resent messages. Called when acknowledgements have been missing for so long
-    /// that only one attempt can have been carried out.
+    /// Drops the additional copies of resent messages. Called once acknowledgements are overdue, which shows that
+    /// only one attempt was carried out.
     pub(crate) fn drop_extra_copies(&mut self) {
         let resent = self.sent.values_mut().filter(|message| message.send_count > 1);
         resent.for_each(SentMessage::keep_one_copy);
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -59,7 +59,7 @@
     pub(crate) standby_count: f64,
     /// The last estimate of its slices' load in requests per second, corrected by each table change.
     pub(crate) load: f64,
-    /// The same, including all retries.
+    /// The requests per second for its slices, including all retries.
     pub(crate) demand: f64,
     /// mu of DDMC without operators' weight factors: listed weight times relative speed.
     pub(crate) service_rate: f64,
--- a/crates/policy/src/state/replica_status.rs
+++ b/crates/policy/src/state/replica_status.rs
@@ -8,7 +8,7 @@
 
 /// The time for which the list of an earlier incarnation does not count against replicas missing from it
 /// (docs/design.md, Recovery).
-const CACHED_LIST_GRACE: Span = Span::ms(5000);
+const CACHED_LIST_GRACE_PERIOD: Span = Span::ms(5000);
 
 impl ControllerState {
     /// Returns true if the replica's slices must move away even if it still answers. If the list is advisory, a
@@ -19,7 +19,8 @@
             _ if replica.out_of_service => true,
             ReplicaState::Ready if replica.listed => false,
             _ => {
-                let list_counts = self.has_fresh_list || self.now - self.started_at > CACHED_LIST_GRACE;
+                let list_counts =
+                    self.has_fresh_list || self.now - self.started_at > CACHED_LIST_GRACE_PERIOD;
                 list_counts && !self.deployment.delisting_is_advisory
             }
         }
--- a/crates/policy/src/state/shared_load.rs
+++ b/crates/policy/src/state/shared_load.rs
@@ -30,7 +30,7 @@
     pub own_requests: WindowedCounter,
     /// Requests per second from other controllers' slices, without the estimated retries.
     pub others_load: f64,
-    /// The same, including all retries.
+    /// Requests per second from other controllers' slices, including all retries.
     pub others_demand: f64,
     /// The random draw of the current round, from 0 to 1.
     pub round_draw: f64,
--- a/crates/policy/src/state/slice.rs
+++ b/crates/policy/src/state/slice.rs
@@ -15,7 +15,7 @@
     pub failed: WindowedCounter,
     /// The last estimate of requests per second over the longer window, without the estimated retries.
     pub load: f64,
-    /// The same over the shorter window.
+    /// The last estimate of requests per second over the shorter window, without the estimated retries.
     pub burst_load: f64,
     /// The last estimate of requests per second including all retries, which is the load on the replica.
     pub demand: f64,
--- a/crates/policy/tests/overrides.rs
+++ b/crates/policy/tests/overrides.rs
@@ -40,7 +40,10 @@
 
 /// Counts the moves of a slice to a replica.
 fn moves_onto(fleet: &Fleet, slice: SliceId, replica: ReplicaId) -> usize {
-    let is_owner_added = |action: &&Action| matches!(action, Action::SetEndpoint { slice: n, replica: s, weight } if (*n, *s) == (slice, replica) && *weight >= 1.0);
+    let is_owner_added = |action: &&Action| {
+        matches!(action, Action::SetEndpoint { slice: n, replica: s, weight }
+            if (*n, *s) == (slice, replica) && *weight >= 1.0)
+    };
     fleet.log.iter().filter(is_owner_added).count()
 }
 
--- a/crates/policy/tests/rebalancing.rs
+++ b/crates/policy/tests/rebalancing.rs
@@ -75,7 +75,10 @@
             if second == 5 {
                 policy.replicas_listed(now, ListScope::Changes, &[listing(6, ReplicaState::Ready, 5000)]);
             }
-            let owner_added = |action: &&Action| matches!(action, Action::SetEndpoint { replica: 6, weight, .. } if *weight >= 1.0);
+            let owner_added = |action: &&Action| {
+                matches!(action, Action::SetEndpoint { replica: 6, weight, .. }
+                    if *weight >= 1.0)
+            };
             endpoints_added += collect_acked_reply(&mut policy, now).iter().filter(owner_added).count();
         }
         endpoints_added
--- a/crates/policy/tests/replication.rs
+++ b/crates/policy/tests/replication.rs
@@ -44,7 +44,10 @@
         for second in 1..12 {
             let now = at(second * 1000);
             report_second(&mut policy, now, |s| if s == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
-            let owner_added = |action: &&Action| matches!(action, Action::SetEndpoint { slice: 0, weight, .. } if *weight >= 1.0);
+            let owner_added = |action: &&Action| {
+                matches!(action, Action::SetEndpoint { slice: 0, weight, .. }
+                    if *weight >= 1.0)
+            };
             owners_added += collect_acked_reply(&mut policy, now).iter().filter(owner_added).count();
         }
         assert_eq!(owners_added > 0, replicates, "{slices} slices in total");
