--- a/crates/policy/tests/evacuation.rs
+++ b/crates/policy/tests/evacuation.rs
@@ -19,7 +19,7 @@
     let healthy = |_, _, _| (0.0, 100);
     run_reports(&mut policy, 1..5, 1, 6, &healthy);
     policy.replicas_listed(at(5000), ListScope::Changes, &[listing(5, ReplicaState::Draining, 0)]);
-    let gone: Vec<_> = (2..6).map(|s| listing(s, ReplicaState::Gone, 0)).collect();
+    let gone: Vec<_> = (2..6).map(|replica| listing(replica, ReplicaState::Gone, 0)).collect();
     policy.replicas_listed(at(6000), ListScope::Changes, &gone);
     let actions = run_reports(&mut policy, 6..20, 1, 5, &healthy);
     let withdraws =
@@ -27,7 +27,9 @@
     assert!(actions.iter().any(withdraws(5)) && (2..5).all(|id| !actions.iter().any(withdraws(id))));
     let adds_endpoint =
         |action: &Action| matches!(action, Action::SetEndpoint { replica: 5, weight, .. } if *weight > 0.0);
-    assert!(!actions.iter().any(|s| adds_endpoint(s) || matches!(s, Action::Reinstate { replica: 5 })));
+    assert!(!actions
+        .iter()
+        .any(|action| adds_endpoint(action) || matches!(action, Action::Reinstate { replica: 5 })));
 }
 
 /// A replica that restarts before the tables have been updated is reinstated only once no table names it
@@ -36,7 +38,7 @@
 fn replica_that_returns_stays_withdrawn_until_no_table_names_it() {
     let mut policy = policy_with_replicas(Deployment { queue_capacity_lines: 60.0, ..deployment() }, 6);
     let healthy = |_, _, _| (0.0, 100);
-    (50..80).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
+    (50..80).for_each(|slice| policy.slice_granted(at(0), slice, &[(0, 1.0)]));
     run_reports(&mut policy, 1..15, 1, 6, &healthy);
     policy.replicas_listed(at(15_000), ListScope::Changes, &[listing(0, ReplicaState::Gone, 0)]);
     let mut actions = policy.collect_actions(at(15_000));
@@ -70,7 +72,7 @@
         },
         100,
     );
-    (100..900).for_each(|n| policy.slice_granted(at(0), n, &[(n % 100, 1.0)]));
+    (100..900).for_each(|slice| policy.slice_granted(at(0), slice, &[(slice % 100, 1.0)]));
     (1..30).for_each(|proxy| policy.proxy_joined(at(0), proxy, ProxyTables::Empty));
     let mut proxies = 30;
     let mut replies = |policy: &mut Policy, times: std::ops::Range<u64>, joins: bool| {
@@ -93,7 +95,7 @@
     };
     replies(&mut policy, 1000..2000, true);
     let drain = |ids: std::ops::Range<u32>| -> Vec<_> {
-        ids.map(|s| listing(s, ReplicaState::Draining, 0)).collect()
+        ids.map(|replica| listing(replica, ReplicaState::Draining, 0)).collect()
     };
     policy.replicas_listed(at(2000), ListScope::Changes, &drain(0..60));
     replies(&mut policy, 2000..5000, false);
@@ -131,7 +133,7 @@
         let now = at(second * 1000);
         report_second(&mut policy, now, |_| (20.0, 2.0));
         if second == 10 {
-            let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, 10_000)).collect();
+            let new: Vec<_> = (6..18).map(|replica| listing(replica, ReplicaState::Ready, 10_000)).collect();
             policy.replicas_listed(now, ListScope::Changes, &new);
         }
         if second == 17 {
@@ -140,7 +142,7 @@
         let reply = collect_acked_reply(&mut policy, now);
         actions.extend(reply.into_iter().filter(|_| second >= 17));
     }
-    let chosen = |s: &Action| match s {
+    let chosen = |action: &Action| match action {
         Action::SetEndpoint { slice: 0, replica, weight } if *weight >= 1.0 => Some(*replica),
         _ => None,
     };
@@ -157,16 +159,17 @@
             Deployment { controller_count: 5, controller_index: number, slice_count: slices, ..deployment() },
             6,
         );
-        (6..12).for_each(|n| policy.slice_granted(at(0), n, &[(n - 6, 1.0)]));
+        (6..12).for_each(|slice| policy.slice_granted(at(0), slice, &[(slice - 6, 1.0)]));
         let mut actions = Vec::new();
         for second in 1..12 {
             let now = at(second * 1000);
             report_second(&mut policy, now, |_| (2.0, 1.0));
             let demand =
                 DemandReport { request_class: 0, window: Span::ms(1000), requests: 1.0, failed: 0.0 };
-            (6..12).for_each(|n| policy.demand_reported(now, n, demand));
+            (6..12).for_each(|slice| policy.demand_reported(now, slice, demand));
             if second == begins {
-                let new: Vec<_> = (6..18).map(|s| listing(s, ReplicaState::Ready, begins * 1000)).collect();
+                let new: Vec<_> =
+                    (6..18).map(|replica| listing(replica, ReplicaState::Ready, begins * 1000)).collect();
                 policy.replicas_listed(now, ListScope::Changes, &new);
             }
             if second == 11 {
@@ -174,7 +177,7 @@
             }
             actions = collect_acked_reply(&mut policy, now);
         }
-        let chosen = |s: Action| match s {
+        let chosen = |action: Action| match action {
             Action::SetEndpoint { slice: 0 | 6, replica, weight } if weight >= 1.0 && replica >= 6 => {
                 Some(replica)
             }
@@ -198,7 +201,7 @@
         let mut policy = policy_with_replicas(deployment(), 6);
         let withdrawn = |action: &Action| *action == Action::Withdraw { replica: 0 };
         // Enough slices that some still name the replica when the proxy reconnects.
-        (50..450).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
+        (50..450).for_each(|slice| policy.slice_granted(at(0), slice, &[(0, 1.0)]));
         policy.proxy_joined(at(0), 1, ProxyTables::Empty);
         policy.collect_actions(at(0));
         (0..200).for_each(|version| (0..2).for_each(|proxy| policy.ack_received(at(500), proxy, version)));
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! A simulated small fleet that applies a controller's commands and panics as soon as one of the five rules is
 //! violated.
-#![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
+#![allow(dead_code)] // each test file compiles this module separately and uses a part of it
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use whinwall_policy::api::*;
@@ -113,15 +113,15 @@
             policy: Policy::start(deployment.clone(), 7, at(1000)),
             deployment,
             now_ms: 1000,
-            nodes: (0..replicas).map(|s| (s, node.clone())).collect(),
-            request_rates: (0..slices).map(|n| (n, 2.0 + f64::from(n % 3))).collect(),
+            nodes: (0..replicas).map(|id| (id, node.clone())).collect(),
+            request_rates: (0..slices).map(|slice| (slice, 2.0 + f64::from(slice % 3))).collect(),
             subsets: BTreeMap::new(),
             others_requests: BTreeMap::new(),
-            store: (0..slices).map(|n| (n, BTreeMap::from([(n % replicas, 1.0)]))).collect(),
+            store: (0..slices).map(|slice| (slice, BTreeMap::from([(slice % replicas, 1.0)]))).collect(),
             lines_per_tick: 150.0,
             slow_since_ms: 0,
             log: Vec::new(),
-            proxies: (0..proxies).map(|p| (p, Proxy::default())).collect(),
+            proxies: (0..proxies).map(|id| (id, Proxy::default())).collect(),
             queue: VecDeque::new(),
             timers: BTreeMap::new(),
             last_left_ms: 0,
@@ -138,13 +138,13 @@
         let list: Vec<_> = self.nodes.keys().map(|id| self.entry(*id)).collect();
         self.policy.replicas_listed(now, ListScope::Cached, &list);
         self.policy.replicas_listed(now, ListScope::Complete, &list);
-        self.nodes.values_mut().for_each(|n| n.listed_ms = self.now_ms);
-        for (n, table) in &self.store {
-            let table: Vec<_> = table.iter().map(|(s, w)| (*s, *w)).collect();
-            self.policy.slice_granted(now, *n, &table);
+        self.nodes.values_mut().for_each(|node| node.listed_ms = self.now_ms);
+        for (slice, table) in &self.store {
+            let table: Vec<_> = table.iter().map(|(replica, weight)| (*replica, *weight)).collect();
+            self.policy.slice_granted(now, *slice, &table);
         }
-        for p in self.proxies.keys().copied().collect::<Vec<_>>() {
-            self.connect(p);
+        for proxy in self.proxies.keys().copied().collect::<Vec<_>>() {
+            self.connect(proxy);
         }
         self.collect_reply();
     }
@@ -156,15 +156,15 @@
     }
 
     pub fn connect(&mut self, proxy: ProxyId) {
-        let Some(p) = self.proxies.get_mut(&proxy) else { return };
-        let withdrawn = std::mem::take(&mut p.withdrawn);
-        *p = Proxy { joined: true, tables: self.store.clone(), withdrawn, ..Proxy::default() };
+        let Some(proxy_state) = self.proxies.get_mut(&proxy) else { return };
+        let withdrawn = std::mem::take(&mut proxy_state.withdrawn);
+        *proxy_state = Proxy { joined: true, tables: self.store.clone(), withdrawn, ..Proxy::default() };
         self.policy.proxy_joined(at(self.now_ms), proxy, ProxyTables::Retained);
     }
 
     pub fn disconnect(&mut self, proxy: ProxyId) {
         self.proxies.entry(proxy).or_default().joined = false;
-        self.queue.retain(|m| m.proxy != proxy);
+        self.queue.retain(|message| message.proxy != proxy);
         self.last_left_ms = self.now_ms;
         self.policy.proxy_left(at(self.now_ms), proxy);
     }
@@ -182,7 +182,7 @@
         let actions = self.policy.collect_actions(at(self.now_ms));
         let versions: Vec<u16> = actions
             .iter()
-            .filter_map(|s| if let Action::Sync { version } = s { Some(*version) } else { None })
+            .filter_map(|action| if let Action::Sync { version } = action { Some(*version) } else { None })
             .collect();
         let mut commands = Vec::new();
         for action in &actions {
@@ -193,7 +193,7 @@
                         table.clear();
                     }
                     table.insert(*replica, *weight);
-                    table.retain(|_, w| *w > 0.0);
+                    table.retain(|_, weight| *weight > 0.0);
                     assert!(
                         !table.is_empty(),
                         "rule 1: {action:?} removes the last endpoint of slice {slice}"
@@ -212,7 +212,7 @@
             }
         }
         if !commands.is_empty() {
-            for (id, p) in self.proxies.iter_mut().filter(|(_, p)| p.joined) {
+            for (id, proxy_state) in self.proxies.iter_mut().filter(|(_, proxy_state)| proxy_state.joined) {
                 let lines =
                     self.deployment.message_overhead_lines + commands.len() as f64 + versions.len() as f64;
                 self.queue.push_back(Message {
@@ -221,15 +221,15 @@
                     versions: versions.clone(),
                     actions: commands.clone(),
                 });
-                p.sent_ms.push_back(self.now_ms);
-                p.sent_ms.retain(|ms| ms + 10_000 > self.now_ms);
+                proxy_state.sent_ms.push_back(self.now_ms);
+                proxy_state.sent_ms.retain(|ms| ms + 10_000 > self.now_ms);
                 assert!(
-                    p.sent_ms.len() <= self.deployment.message_limit as usize,
+                    proxy_state.sent_ms.len() <= self.deployment.message_limit as usize,
                     "rule 5: more messages than the limit"
                 );
             }
         }
-        let queued: f64 = self.queue.iter().map(|m| m.lines).sum();
+        let queued: f64 = self.queue.iter().map(|message| message.lines).sum();
         assert!(queued <= self.deployment.queue_capacity_lines, "rule 5: {queued} lines queued");
         self.log.extend(actions);
     }
@@ -243,39 +243,47 @@
                 return;
             }
             let message = self.queue.pop_front().expect("queue is not empty");
-            let p = self.proxies.get_mut(&message.proxy).expect("proxy exists");
-            p.inbox.push_back((self.now_ms + TICK_MS * u64::from(message.proxy), message));
+            let proxy_state = self.proxies.get_mut(&message.proxy).expect("proxy exists");
+            proxy_state.inbox.push_back((self.now_ms + TICK_MS * u64::from(message.proxy), message));
         }
     }
 
     fn apply_messages(&mut self) {
         let now_ms = self.now_ms;
-        let due_message = |p: &mut Proxy| p.joined.then(|| p.inbox.pop_front_if(|(ms, _)| *ms <= now_ms))?;
+        let due_message = |proxy_state: &mut Proxy| {
+            proxy_state.joined.then(|| proxy_state.inbox.pop_front_if(|(ms, _)| *ms <= now_ms))?
+        };
         while let Some((_, message)) = self.proxies.values_mut().find_map(due_message) {
             let single_writer = self.deployment.single_writer;
             for action in &message.actions {
-                let p = self.proxies.get_mut(&message.proxy).expect("proxy exists");
+                let proxy_state = self.proxies.get_mut(&message.proxy).expect("proxy exists");
                 match action {
                     Action::SetEndpoint { slice, replica, weight } => {
-                        let table = p.tables.entry(*slice).or_default();
+                        let table = proxy_state.tables.entry(*slice).or_default();
                         let is_new = !table.contains_key(replica);
                         if single_writer {
                             table.clear();
                         }
                         table.insert(*replica, *weight);
-                        table.retain(|_, w| *w > 0.0);
-                        let is_held_or_known = |p: &Proxy| {
-                            !p.joined || p.halted.contains(slice) || p.tables[slice].contains_key(replica)
+                        table.retain(|_, weight| *weight > 0.0);
+                        let is_held_or_known = |proxy_state: &Proxy| {
+                            !proxy_state.joined
+                                || proxy_state.halted.contains(slice)
+                                || proxy_state.tables[slice].contains_key(replica)
                         };
                         assert!(
                             !single_writer || !is_new || self.proxies.values().all(is_held_or_known),
                             "rule 2: slice {slice} has two owners that are written to"
                         );
                     }
-                    Action::Withdraw { replica } => _ = p.withdrawn.insert(*replica),
-                    Action::Reinstate { replica } => _ = p.withdrawn.remove(replica),
-                    Action::SetAdmission { slice: Some(n), admission_rate, .. } => {
-                        _ = if *admission_rate == 0.0 { p.halted.insert(*n) } else { p.halted.remove(n) };
+                    Action::Withdraw { replica } => _ = proxy_state.withdrawn.insert(*replica),
+                    Action::Reinstate { replica } => _ = proxy_state.withdrawn.remove(replica),
+                    Action::SetAdmission { slice: Some(slice), admission_rate, .. } => {
+                        _ = if *admission_rate == 0.0 {
+                            proxy_state.halted.insert(*slice)
+                        } else {
+                            proxy_state.halted.remove(slice)
+                        };
                     }
                     _ => {}
                 }
@@ -291,22 +299,24 @@
         let mut sent = self.others_requests.clone();
         let now = at(self.now_ms);
         let window = Span::ms(1000);
-        for (n, requests) in &self.request_rates {
-            let Some(table) = self.store.get(n) else { continue };
+        for (slice, requests) in &self.request_rates {
+            let Some(table) = self.store.get(slice) else { continue };
             let total_weight: f64 = table.values().sum();
-            let failing = table.iter().filter(|(s, _)| self.nodes.get(s).is_none_or(|n| !n.answers));
+            let failing =
+                table.iter().filter(|(replica, _)| self.nodes.get(replica).is_none_or(|node| !node.answers));
             let failed = requests * failing.map(|(_, weight)| weight).sum::<f64>() / total_weight;
             self.policy.demand_reported(
                 now,
-                *n,
+                *slice,
                 DemandReport { request_class: 0, window, requests: *requests, failed },
             );
-            for (s, weight) in table {
-                *sent.entry(*s).or_default() += requests * weight / total_weight;
+            for (replica, weight) in table {
+                *sent.entry(*replica).or_default() += requests * weight / total_weight;
             }
         }
-        for (s, attempts) in sent {
-            let failed = if self.nodes.get(&s).is_some_and(|n| n.answers) { 0.0 } else { attempts };
+        for (replica, attempts) in sent {
+            let failed =
+                if self.nodes.get(&replica).is_some_and(|node| node.answers) { 0.0 } else { attempts };
             let report = EndpointReport {
                 attempts,
                 failed,
@@ -314,7 +324,7 @@
                 mean_latency: Span::ms(200),
                 ..EndpointReport::default()
             };
-            self.policy.endpoint_reported(now, s, report);
+            self.policy.endpoint_reported(now, replica, report);
         }
         self.collect_reply();
     }
@@ -340,23 +350,28 @@
     /// violated.
     fn check_rules(&mut self) {
         let now_ms = self.now_ms;
-        let usable = |n: &&Node| n.state == ReplicaState::Ready && n.answers;
-        let warm = |n: &Node| n.started_ms == 0 || n.started_ms + 10_000 < now_ms;
+        let usable = |node: &&Node| node.state == ReplicaState::Ready && node.answers;
+        let warm = |node: &Node| node.started_ms == 0 || node.started_ms + 10_000 < now_ms;
         let is_quiet = now_ms > self.slow_since_ms + 8000 && now_ms > self.last_left_ms + GRACE_MS;
-        let usable_count = self.nodes.values().filter(usable).filter(|n| warm(n)).count();
-        for p in self.proxies.values_mut() {
-            let withdrawn = &p.withdrawn;
+        let usable_count = self.nodes.values().filter(usable).filter(|node| warm(node)).count();
+        for proxy_state in self.proxies.values_mut() {
+            let withdrawn = &proxy_state.withdrawn;
             let lacks_usable_endpoint =
-                |t: &BTreeMap<ReplicaId, f64>| t.keys().all(|s| withdrawn.contains(s));
-            let now_without_endpoint: Vec<_> =
-                p.tables.iter().filter(|(_, t)| lacks_usable_endpoint(t)).map(|(n, _)| *n).collect();
-            p.without_endpoint_since
-                .retain(|n, _| p.joined && usable_count > 0 && now_without_endpoint.contains(n));
-            for n in now_without_endpoint {
-                let since = *p.without_endpoint_since.entry(n).or_insert(now_ms);
+                |table: &BTreeMap<ReplicaId, f64>| table.keys().all(|replica| withdrawn.contains(replica));
+            let now_without_endpoint: Vec<_> = proxy_state
+                .tables
+                .iter()
+                .filter(|(_, table)| lacks_usable_endpoint(table))
+                .map(|(slice, _)| *slice)
+                .collect();
+            proxy_state.without_endpoint_since.retain(|slice, _| {
+                proxy_state.joined && usable_count > 0 && now_without_endpoint.contains(slice)
+            });
+            for slice in now_without_endpoint {
+                let since = *proxy_state.without_endpoint_since.entry(slice).or_insert(now_ms);
                 assert!(
                     !is_quiet || since + MAX_MS_WITHOUT_ENDPOINT >= now_ms,
-                    "rule 1: slice {n} without usable endpoint since {since} ms, now {now_ms} ms"
+                    "rule 1: slice {slice} without usable endpoint since {since} ms, now {now_ms} ms"
                 );
             }
         }
@@ -365,16 +380,22 @@
         }
         for (id, node) in &self.nodes {
             let grace_has_passed = node.listed_ms + GRACE_MS < now_ms;
-            for p in self.proxies.values().filter(|p| p.joined && !p.withdrawn.contains(id)) {
-                let receives_requests = p.tables.values().any(|t| t.contains_key(id));
+            for proxy_state in self
+                .proxies
+                .values()
+                .filter(|proxy_state| proxy_state.joined && !proxy_state.withdrawn.contains(id))
+            {
+                let receives_requests = proxy_state.tables.values().any(|table| table.contains_key(id));
                 let must_be_evacuated = node.state != ReplicaState::Ready;
                 assert!(
                     !(grace_has_passed && must_be_evacuated && receives_requests),
                     "rule 3: replica {id} still receives requests at {now_ms} ms: {node:?}"
                 );
             }
-            let load_on_replica = |(n, t): (&SliceId, &BTreeMap<ReplicaId, f64>)| {
-                t.get(id).map_or(0.0, |weight| self.request_rates[n] * weight / t.values().sum::<f64>())
+            let load_on_replica = |(slice, table): (&SliceId, &BTreeMap<ReplicaId, f64>)| {
+                table
+                    .get(id)
+                    .map_or(0.0, |weight| self.request_rates[slice] * weight / table.values().sum::<f64>())
             };
             let load: f64 = self.store.iter().map(load_on_replica).sum();
             let age = (now_ms - node.started_ms) as f64 / 10_000.0;
@@ -392,10 +413,13 @@
 /// Creates a fleet whose replicas 0, 1, ... own slices of these loads; slices are numbered consecutively.
 pub fn fleet_with_loads(single_writer: bool, loads: &[&[f64]]) -> Fleet {
     let mut fleet = Fleet::new(Deployment { single_writer, ..deployment() }, loads.len() as u32, 0, 2);
-    let owners = loads.iter().enumerate().flat_map(|(s, own)| own.iter().map(move |load| (s as u32, *load)));
-    for (n, (replica, load)) in owners.enumerate() {
-        fleet.request_rates.insert(n as u32, load);
-        fleet.store.insert(n as u32, [(replica, 1.0)].into());
+    let owners = loads
+        .iter()
+        .enumerate()
+        .flat_map(|(replica, own)| own.iter().map(move |load| (replica as u32, *load)));
+    for (slice, (replica, load)) in owners.enumerate() {
+        fleet.request_rates.insert(slice as u32, load);
+        fleet.store.insert(slice as u32, [(replica, 1.0)].into());
     }
     fleet.start_incarnation(1);
     fleet
@@ -403,5 +427,5 @@
 
 /// Returns the owners of a slice, without standbys.
 pub fn owners_of(fleet: &Fleet, slice: SliceId) -> Vec<ReplicaId> {
-    fleet.store[&slice].iter().filter(|(_, weight)| **weight >= 1.0).map(|(s, _)| *s).collect()
+    fleet.store[&slice].iter().filter(|(_, weight)| **weight >= 1.0).map(|(replica, _)| *replica).collect()
 }
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -22,20 +22,23 @@
             .filter(|action| reduces_admission(action, Some(0), 3))
             .count()
     };
-    let is_slow_link = |second, s, zone| second > 5 && s % 3 == 0 && zone != 0;
+    let is_slow_link = |second, replica, zone| second > 5 && replica % 3 == 0 && zone != 0;
     assert_eq!(
-        count_reductions(&|second, s, zone| (0.0, if is_slow_link(second, s, zone) { 1300 } else { 100 })),
+        count_reductions(&|second, replica, zone| (
+            0.0,
+            if is_slow_link(second, replica, zone) { 1300 } else { 100 }
+        )),
         0
     );
-    assert!(count_reductions(&|_, s, _| (0.0, if s == 0 { 900 } else { 100 })) > 0);
+    assert!(count_reductions(&|_, replica, _| (0.0, if replica == 0 { 900 } else { 100 })) > 0);
 }
 
 /// If a large fleet is overloaded, one reduction is sent for all slices, even if answers are missing altogether
 /// (i8e8ff8).
 #[test]
 fn overload_of_the_usual_replica_is_shed_by_one_command_for_all_slices() {
-    let failed_attempts = |s| if s == 0 { 3.0 } else { 1.5 };
-    let failing = |second, s, _| (if second > 5 { failed_attempts(s) } else { 0.0 }, 300);
+    let failed_attempts = |replica| if replica == 0 { 3.0 } else { 1.5 };
+    let failing = |second, replica, _| (if second > 5 { failed_attempts(replica) } else { 0.0 }, 300);
     let actions = run_reports(
         &mut policy_with_replicas(Deployment { lines_per_second: 5.0, ..deployment() }, 6),
         1..20,
--- a/crates/policy/tests/outlier_ejection.rs
+++ b/crates/policy/tests/outlier_ejection.rs
@@ -18,21 +18,28 @@
     let mut fleet = Fleet::new(deployment(), 10, 40, 5);
     fleet.advance(8000);
     let before = fleet.store.clone();
-    (1..10).for_each(|s| fleet.nodes.get_mut(&s).unwrap().answers = false);
+    (1..10).for_each(|replica| fleet.nodes.get_mut(&replica).unwrap().answers = false);
     fleet.advance(6000);
-    let keeps_endpoints =
-        |(n, t): (&SliceId, &BTreeMap<ReplicaId, f64>)| t.keys().all(|s| fleet.store[n].contains_key(s));
+    let keeps_endpoints = |(slice, table): (&SliceId, &BTreeMap<ReplicaId, f64>)| {
+        table.keys().all(|replica| fleet.store[slice].contains_key(replica))
+    };
     assert!(before.iter().all(keeps_endpoints));
-    (3..10).for_each(|s| fleet.nodes.get_mut(&s).unwrap().answers = true);
+    (3..10).for_each(|replica| fleet.nodes.get_mut(&replica).unwrap().answers = true);
     fleet.advance(6000);
-    assert!(fleet.store.values().all(|t| !t.contains_key(&1) && !t.contains_key(&2)));
+    assert!(fleet.store.values().all(|table| !table.contains_key(&1) && !table.contains_key(&2)));
 }
 
 /// An overloaded replica must not be mistaken for a dead one: its load is shed and it is not evacuated (hot key
 /// scenario of turnolar).
 #[test]
 fn replica_that_was_late_before_it_fell_silent_is_shed_not_ejected() {
-    let late = |second, s, _| if s == 0 { (if second > 12 { 3.0 } else { 0.0 }, 900) } else { (0.0, 100) };
+    let late = |second, replica, _| {
+        if replica == 0 {
+            (if second > 12 { 3.0 } else { 0.0 }, 900)
+        } else {
+            (0.0, 100)
+        }
+    };
     let actions = run_reports(&mut policy_with_replicas(single_writer_deployment(), 6), 1..16, 1, 6, &late);
     assert_eq!(count_ejections(&actions), 0);
     let first = |mask| actions.iter().position(|action| reduces_admission(action, Some(0), mask));
@@ -47,7 +54,7 @@
         count_ejections(&run_reports(&mut policy_with_replicas(deployment(), 6), 1..40, 4, 6, &healthy)),
         0
     );
-    let one_failing = |second, s, _| if s == 0 && second > 20 { (3.0, 0) } else { (0.0, 100) };
+    let one_failing = |second, replica, _| if replica == 0 && second > 20 { (3.0, 0) } else { (0.0, 100) };
     assert_eq!(
         count_ejections(&run_reports(&mut policy_with_replicas(deployment(), 6), 1..32, 4, 6, &one_failing)),
         1
@@ -56,7 +63,7 @@
 
 /// Returns the seconds in which replica 0 is ejected. It fails all the time and gets a new slice each second.
 fn ejections_of_failing_replica(policy: &mut Policy, seconds: std::ops::Range<u64>) -> Vec<u64> {
-    let failing = |_, s, _| if s == 0 { (3.0, 0) } else { (0.0, 100) };
+    let failing = |_, replica, _| if replica == 0 { (3.0, 0) } else { (0.0, 100) };
     let mut ejected = Vec::new();
     for second in seconds {
         policy.slice_granted(at(second * 1000), 100 + second as SliceId, &[(0, 1.0)]);
--- a/crates/policy/tests/overrides.rs
+++ b/crates/policy/tests/overrides.rs
@@ -41,8 +41,8 @@
 /// Counts the moves of a slice to a replica.
 fn moves_onto(fleet: &Fleet, slice: SliceId, replica: ReplicaId) -> usize {
     let is_owner_added = |action: &&Action| {
-        matches!(action, Action::SetEndpoint { slice: n, replica: s, weight }
-            if (*n, *s) == (slice, replica) && *weight >= 1.0)
+        matches!(action, Action::SetEndpoint { slice: moved_slice, replica: owner, weight }
+            if (*moved_slice, *owner) == (slice, replica) && *weight >= 1.0)
     };
     fleet.log.iter().filter(is_owner_added).count()
 }
@@ -126,13 +126,13 @@
     set_overrides(&mut fleet, &[(1, OverrideSpec::Weight { replica: 0, factor: 0.25 })]);
     fleet.advance(60_000);
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
-    let owned = |fleet: &Fleet| (0..40).filter(|n| owners_of(fleet, *n) == [0]).count();
+    let owned = |fleet: &Fleet| (0..40).filter(|slice| owners_of(fleet, *slice) == [0]).count();
     let light = owned(&fleet);
     assert!(light < 6, "{light} of 40 slices at a weight factor of 0.25");
     set_overrides(&mut fleet, &[]);
     // The replica is light now and gets slices as others become heavy.
-    for n in (0..40).filter(|n| owners_of(&fleet, *n) == [1]).collect::<Vec<_>>() {
-        fleet.request_rates.insert(n, 7.0);
+    for slice in (0..40).filter(|slice| owners_of(&fleet, *slice) == [1]).collect::<Vec<_>>() {
+        fleet.request_rates.insert(slice, 7.0);
     }
     fleet.advance(60_000);
     assert!(owned(&fleet) > light + 1, "{} slices after the override has ended", owned(&fleet));
@@ -165,7 +165,10 @@
     );
     restart(&mut fleet, 0);
     fleet.advance(1500);
-    let owned: f64 = (0..40).filter(|n| owners_of(&fleet, *n) == [0]).map(|n| fleet.request_rates[&n]).sum();
+    let owned: f64 = (0..40)
+        .filter(|slice| owners_of(&fleet, *slice) == [0])
+        .map(|slice| fleet.request_rates[&slice])
+        .sum();
     assert!(owned <= 12.0 && owned > 0.0, "{owned} requests per second");
 }
 
@@ -173,15 +176,15 @@
 fn pinned_slices_move_to_their_replica_and_stay() {
     let mut fleet = fleet_with_overrides(&[(7, OverrideSpec::Pin { first: 4, last: 6, replica: 3 })]);
     fleet.advance(4000);
-    assert_eq!([4, 5, 6].map(|n| owners_of(&fleet, n)), [vec![3], vec![3], vec![3]]);
+    assert_eq!([4, 5, 6].map(|slice| owners_of(&fleet, slice)), [vec![3], vec![3], vec![3]]);
     assert_eq!(fleet.policy.override_status(7), Some(InForce));
     // Regular rebalancing does not move them, even if they are hot.
-    fleet.request_rates.extend((4..=6).map(|n| (n, 12.0)));
+    fleet.request_rates.extend((4..=6).map(|slice| (slice, 12.0)));
     fleet.advance(20_000);
-    assert_eq!([4, 5, 6].map(|n| owners_of(&fleet, n)), [vec![3], vec![3], vec![3]]);
+    assert_eq!([4, 5, 6].map(|slice| owners_of(&fleet, slice)), [vec![3], vec![3], vec![3]]);
     set_overrides(&mut fleet, &[]);
     fleet.advance(40_000);
-    assert!((4..=6).any(|n| owners_of(&fleet, n) != [3]), "no slice moved after the pin ended");
+    assert!((4..=6).any(|slice| owners_of(&fleet, slice) != [3]), "no slice moved after the pin ended");
 }
 
 #[test]
@@ -190,7 +193,7 @@
     let newer = (2, OverrideSpec::Pin { first: 4, last: 5, replica: 2 });
     let mut fleet = fleet_with_overrides(&[older, newer]);
     fleet.advance(8000);
-    assert_eq!([3, 4, 5, 6].map(|n| owners_of(&fleet, n)), [vec![1], vec![2], vec![2], vec![1]]);
+    assert_eq!([3, 4, 5, 6].map(|slice| owners_of(&fleet, slice)), [vec![1], vec![2], vec![2], vec![1]]);
     set_overrides(&mut fleet, &[older]);
     fleet.advance(8000);
     assert_eq!(owners_of(&fleet, 4), [1]);
@@ -222,7 +225,7 @@
     restart(&mut fleet, 2);
     set_overrides(&mut fleet, &[(1, OverrideSpec::Pin { first: 0, last: 11, replica: 2 })]);
     fleet.advance(5000);
-    let count_at_pin = |fleet: &Fleet| (0..12).filter(|n| owners_of(fleet, *n) == [2]).count();
+    let count_at_pin = |fleet: &Fleet| (0..12).filter(|slice| owners_of(fleet, *slice) == [2]).count();
     assert!(
         count_at_pin(&fleet) < 12 && !matches!(fleet.policy.override_status(1), Some(InForce)),
         "{}",
@@ -230,7 +233,7 @@
     );
     fleet.advance(120_000);
     assert_eq!(count_at_pin(&fleet), 12);
-    assert!((0..12).all(|n| moves_onto(&fleet, n, 2) <= 1), "a slice had to leave its pin again");
+    assert!((0..12).all(|slice| moves_onto(&fleet, slice, 2) <= 1), "a slice had to leave its pin again");
 }
 
 /// The replica is ejected and recovers repeatedly; the delay before each return of the slice grows.
@@ -292,8 +295,8 @@
 fn pin_without_channel_room_reports_that_it_is_waiting() {
     let mut fleet = fleet_with_overrides(&[]);
     fleet.lines_per_tick = 0.0;
-    for n in 0..12 {
-        fleet.request_rates.insert(n, 2.0);
+    for slice in 0..12 {
+        fleet.request_rates.insert(slice, 2.0);
     }
     fleet.advance(3000);
     set_overrides(&mut fleet, &[(1, OverrideSpec::Pin { first: 0, last: 11, replica: 2 })]);
@@ -324,14 +327,16 @@
     fn holds(run: RandomRun) -> bool {
         let mut fleet = Fleet::new(deployment(), 8, 24, 3);
         let mut overrides: Vec<(OverrideNumber, OverrideSpec)> = Vec::new();
-        for (at, (kind, n)) in run.0.into_iter().enumerate() {
-            let (replica, slice) = (n % 8, n / 8 % 24);
+        for (at, (kind, number)) in run.0.into_iter().enumerate() {
+            let (replica, slice) = (number % 8, number / 8 % 24);
             match kind % 10 {
                 0 => overrides.push((at as u64, OverrideSpec::OutOfService { replica })),
-                1 => overrides
-                    .push((at as u64, OverrideSpec::Weight { replica, factor: f64::from(n % 100) / 10.0 })),
+                1 => overrides.push((
+                    at as u64,
+                    OverrideSpec::Weight { replica, factor: f64::from(number % 100) / 10.0 },
+                )),
                 2 | 3 => overrides
-                    .push((at as u64, OverrideSpec::Pin { first: slice, last: slice + n % 7, replica })),
+                    .push((at as u64, OverrideSpec::Pin { first: slice, last: slice + number % 7, replica })),
                 4 => overrides.truncate(overrides.len() / 2),
                 5 => set_state(&mut fleet, replica, ReplicaState::Draining),
                 6 => {
@@ -341,9 +346,9 @@
                 }
                 7 => fleet.nodes.get_mut(&replica).unwrap().answers = false,
                 8 => {
-                    fleet.start_incarnation(u64::from(n));
+                    fleet.start_incarnation(u64::from(number));
                 }
-                _ => fleet.lines_per_tick = 60.0 + f64::from(n % 100),
+                _ => fleet.lines_per_tick = 60.0 + f64::from(number % 100),
             }
             set_overrides(&mut fleet, &overrides);
             fleet.advance(1500);
--- a/crates/policy/tests/random_runs.rs
+++ b/crates/policy/tests/random_runs.rs
@@ -52,8 +52,8 @@
 fn apply_event(fleet: &mut Fleet, event: &Event) {
     let replicas = fleet.nodes.len() as u32;
     let now = fleet.now_ms;
-    let set = |fleet: &mut Fleet, n: u32, state, answers, restarted: bool| {
-        let node = fleet.nodes.get_mut(&(n % replicas)).unwrap();
+    let set = |fleet: &mut Fleet, number: u32, state, answers, restarted: bool| {
+        let node = fleet.nodes.get_mut(&(number % replicas)).unwrap();
         if restarted && node.answers && node.state == ReplicaState::Ready {
             return;
         }
@@ -61,27 +61,28 @@
         if restarted {
             node.started_ms = now;
         }
-        fleet.list_replica(n % replicas);
+        fleet.list_replica(number % replicas);
     };
-    let n = event.1;
+    let number = event.1;
     match event_kind(event) {
-        Drain => set(fleet, n, ReplicaState::Draining, true, false),
-        Vanish => set(fleet, n, ReplicaState::Gone, false, false),
-        Restart => set(fleet, n, ReplicaState::Ready, true, true),
-        FallSilent => fleet.nodes.get_mut(&(n % replicas)).unwrap().answers = false,
-        Disconnect => fleet.disconnect(n % 5),
-        Connect => fleet.connect(n % 5),
-        HeatSlice => _ = fleet.request_rates.insert(n % 40, 20.0),
+        Drain => set(fleet, number, ReplicaState::Draining, true, false),
+        Vanish => set(fleet, number, ReplicaState::Gone, false, false),
+        Restart => set(fleet, number, ReplicaState::Ready, true, true),
+        FallSilent => fleet.nodes.get_mut(&(number % replicas)).unwrap().answers = false,
+        Disconnect => fleet.disconnect(number % 5),
+        Connect => fleet.connect(number % 5),
+        HeatSlice => _ = fleet.request_rates.insert(number % 40, 20.0),
         ThrottleChannel => {
-            let speed = f64::from(n % 4);
+            let speed = f64::from(number % 4);
             fleet.lines_per_tick = 10.0 + 60.0 * speed;
             fleet.slow_since_ms = if speed < 2.0 { u64::MAX / 2 } else { now };
         }
-        NewIncarnation => fleet.start_incarnation(u64::from(n)),
+        NewIncarnation => fleet.start_incarnation(u64::from(number)),
         RegrantSlice => {
-            fleet.policy.slice_revoked(at(now), n % 40);
-            let table: Vec<_> = fleet.store[&(n % 40)].iter().map(|(s, w)| (*s, *w)).collect();
-            fleet.policy.slice_granted(at(now), n % 40, &table);
+            fleet.policy.slice_revoked(at(now), number % 40);
+            let table: Vec<_> =
+                fleet.store[&(number % 40)].iter().map(|(replica, weight)| (*replica, *weight)).collect();
+            fleet.policy.slice_granted(at(now), number % 40, &table);
         }
         Wait => fleet.advance(3000),
     }
@@ -132,30 +133,31 @@
     for seed in 300..340 {
         let calls = Vec::<(u8, u32, u16)>::arbitrary(&mut Gen::from_size_and_seed(300, seed));
         let mut policy = Policy::start(deployment(), seed, at(0));
-        for (i, (call, n, m)) in calls.iter().enumerate() {
-            let (now, id, rate) = (at(i as u64 * 130), n % 7, f64::from(*m % 50));
-            let state = [ReplicaState::Ready, ReplicaState::Draining, ReplicaState::Gone][usize::from(m % 3)];
-            let scope = [ListScope::Changes, ListScope::Complete, ListScope::Cached][(n % 3) as usize];
-            let (window, request_class) = (Span::ms(u64::from(n % 5) * 900), usize::from(m % 4));
-            let (failed, mean_latency) = (f64::from(n % 50), Span::ms(900));
-            let table = [listing(id, state, u64::from(m % 2) * i as u64 * 120)];
+        for (index, (call, first, second)) in calls.iter().enumerate() {
+            let (now, id, rate) = (at(index as u64 * 130), first % 7, f64::from(*second % 50));
+            let state =
+                [ReplicaState::Ready, ReplicaState::Draining, ReplicaState::Gone][usize::from(second % 3)];
+            let scope = [ListScope::Changes, ListScope::Complete, ListScope::Cached][(first % 3) as usize];
+            let (window, request_class) = (Span::ms(u64::from(first % 5) * 900), usize::from(second % 4));
+            let (failed, mean_latency) = (f64::from(first % 50), Span::ms(900));
+            let table = [listing(id, state, u64::from(second % 2) * index as u64 * 120)];
             match call % 11 {
                 0 | 1 => policy.replicas_listed(now, scope, &table),
-                2 => policy.slice_granted(now, id, &[(n % 9, rate)]),
+                2 => policy.slice_granted(now, id, &[(first % 9, rate)]),
                 3 => policy.slice_revoked(now, id),
                 4 => policy.proxy_joined(
                     now,
                     id,
-                    [ProxyTables::Empty, ProxyTables::Retained][usize::from(m % 2)],
+                    [ProxyTables::Empty, ProxyTables::Retained][usize::from(second % 2)],
                 ),
                 5 => policy.proxy_left(now, id),
-                6 => policy.ack_received(now, id, *m % 20),
+                6 => policy.ack_received(now, id, *second % 20),
                 7 => policy.demand_reported(
                     now,
                     id,
                     DemandReport { request_class, window, requests: rate, failed: rate / 2.0 },
                 ),
-                8 => policy.timer_fired(now, u64::from(*n)),
+                8 => policy.timer_fired(now, u64::from(*first)),
                 9 => policy.list_request_failed(now),
                 _ => policy.endpoint_reported(
                     now,
--- a/crates/policy/tests/rebalancing.rs
+++ b/crates/policy/tests/rebalancing.rs
@@ -64,14 +64,14 @@
             Deployment { controller_count: 5, controller_index: number, slice_count: 55, ..deployment() },
             6,
         );
-        (6..11).for_each(|n| policy.slice_granted(at(0), n, &[(0, 1.0)]));
+        (6..11).for_each(|slice| policy.slice_granted(at(0), slice, &[(0, 1.0)]));
         let mut endpoints_added = 0;
         for second in 1..15 {
             let now = at(second * 1000);
-            report_second(&mut policy, now, |s| (if s == 0 { 6.0 } else { 1.0 }, 1.0));
+            report_second(&mut policy, now, |replica| (if replica == 0 { 6.0 } else { 1.0 }, 1.0));
             let demand =
                 DemandReport { request_class: 0, window: Span::ms(1000), requests: 1.0, failed: 0.0 };
-            (6..11).for_each(|n| policy.demand_reported(now, n, demand));
+            (6..11).for_each(|slice| policy.demand_reported(now, slice, demand));
             if second == 5 {
                 policy.replicas_listed(now, ListScope::Changes, &[listing(6, ReplicaState::Ready, 5000)]);
             }
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -13,18 +13,20 @@
 #[test]
 fn stored_table_is_repaired_once_the_list_is_fresh() {
     let mut policy = Policy::start(deployment(), 1, at(0));
-    let list = [0, 1].map(|s| listing(s, ReplicaState::Ready, 0));
+    let list = [0, 1].map(|replica| listing(replica, ReplicaState::Ready, 0));
     policy.replicas_listed(at(0), ListScope::Cached, &list);
     policy.slice_granted(at(0), 5, &[(9, 1.0)]);
     policy.slice_granted(at(0), 6, &[]);
-    let of = |s: &Action| {
-        if let Action::SetEndpoint { slice, weight, .. } = s {
+    let changed_slice = |action: &Action| {
+        if let Action::SetEndpoint { slice, weight, .. } = action {
             Some((*slice, *weight > 0.0))
         } else {
             None
         }
     };
-    let line = |actions: &[Action], n: u32, add: bool| actions.iter().position(|s| of(s) == Some((n, add)));
+    let line = |actions: &[Action], slice: u32, add: bool| {
+        actions.iter().position(|action| changed_slice(action) == Some((slice, add)))
+    };
     let actions = policy.collect_actions(at(0));
     assert!(line(&actions, 6, true).is_some() && line(&actions, 5, true).is_none());
     policy.replicas_listed(at(100), ListScope::Complete, &list);
@@ -62,11 +64,12 @@
     for times in [0, 7] {
         let mut policy = Policy::start(deployment(), 7, at(1000));
         let list = |draining| -> Vec<_> {
-            let state = |s| if s == draining { ReplicaState::Draining } else { ReplicaState::Ready };
-            (0..3).map(|s| listing(s, state(s), 0)).collect()
+            let state =
+                |replica| if replica == draining { ReplicaState::Draining } else { ReplicaState::Ready };
+            (0..3).map(|replica| listing(replica, state(replica), 0)).collect()
         };
         policy.replicas_listed(at(1000), ListScope::Complete, &list(9));
-        (0..3).for_each(|n| policy.slice_granted(at(1000), n, &[(n, 1.0)]));
+        (0..3).for_each(|slice| policy.slice_granted(at(1000), slice, &[(slice, 1.0)]));
         (0..3).for_each(|proxy| policy.proxy_joined(at(1000), proxy, ProxyTables::Empty));
         let first = policy.collect_actions(at(1000));
         let Some(Action::Sync { version }) = first.last() else { panic!("reply without version: {first:?}") };
--- a/crates/policy/tests/replication.rs
+++ b/crates/policy/tests/replication.rs
@@ -14,8 +14,8 @@
 fn standbys_of_one_replica_are_spread_over_several() {
     let mut fleet = Fleet::new(deployment(), 10, 60, 5);
     fleet.advance(8000);
-    let own = fleet.store.values().filter(|t| t.get(&0) == Some(&1.0));
-    let endpoints: BTreeSet<_> = own.flat_map(|t| t.keys().copied()).collect();
+    let own = fleet.store.values().filter(|table| table.get(&0) == Some(&1.0));
+    let endpoints: BTreeSet<_> = own.flat_map(|table| table.keys().copied()).collect();
     assert!(endpoints.len() > 3, "replica 0 and its standbys: {endpoints:?}");
 }
 
@@ -43,7 +43,7 @@
         let mut owners_added = 0;
         for second in 1..12 {
             let now = at(second * 1000);
-            report_second(&mut policy, now, |s| if s == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
+            report_second(&mut policy, now, |replica| if replica == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
             let owner_added = |action: &&Action| {
                 matches!(action, Action::SetEndpoint { slice: 0, weight, .. }
                     if *weight >= 1.0)
--- a/crates/policy/tests/reports/mod.rs
+++ b/crates/policy/tests/reports/mod.rs
@@ -1,5 +1,5 @@
 //! A policy with a few replicas and scripted load reports.
-#![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
+#![allow(dead_code)] // each test file compiles this module separately and uses a part of it
 
 use crate::fleet::{at, deployment, listing};
 use std::ops::Range;
@@ -11,9 +11,9 @@
 /// Creates a policy with replicas in three zones and one proxy. Replica n owns slice n.
 pub fn policy_with_replicas(deployment: Deployment, replicas: u32) -> Policy {
     let mut policy = Policy::start(deployment, 1, at(0));
-    let list: Vec<_> = (0..replicas).map(|s| listing(s, ReplicaState::Ready, 0)).collect();
+    let list: Vec<_> = (0..replicas).map(|replica| listing(replica, ReplicaState::Ready, 0)).collect();
     policy.replicas_listed(at(0), ListScope::Complete, &list);
-    (0..replicas).for_each(|n| policy.slice_granted(at(0), n, &[(n, 1.0)]));
+    (0..replicas).for_each(|id| policy.slice_granted(at(0), id, &[(id, 1.0)]));
     policy.proxy_joined(at(0), 0, ProxyTables::Empty);
     policy
 }
@@ -37,22 +37,26 @@
     let requests_factor = period_seconds as f64;
     for second in seconds {
         let (now, window) = (at(second * 1000), Span::ms(period_seconds * 1000));
-        for s in 0..replicas {
-            let since = (second + u64::from(s)) % period_seconds;
+        for replica in 0..replicas {
+            let since = (second + u64::from(replica)) % period_seconds;
             for zone in (0..3).filter(|_| since == 0) {
-                let (failed, ms) = outcomes(second, s, zone);
+                let (failed, ms) = outcomes(second, replica, zone);
                 let (attempts, failed) = (3.0 * requests_factor, failed * requests_factor);
                 policy.endpoint_reported(
                     now,
-                    s,
+                    replica,
                     EndpointReport { zone, window, attempts, failed, mean_latency: Span::ms(ms) },
                 );
             }
             let (requests, failed) =
-                (9.0 * requests_factor, 3.0 * requests_factor * outcomes(second, s, 0).0);
+                (9.0 * requests_factor, 3.0 * requests_factor * outcomes(second, replica, 0).0);
             let classes = (0..2).filter(|_| since == period_seconds / 2);
             classes.for_each(|request_class| {
-                policy.demand_reported(now, s, DemandReport { request_class, window, requests, failed });
+                policy.demand_reported(
+                    now,
+                    replica,
+                    DemandReport { request_class, window, requests, failed },
+                );
             });
         }
         policy.timer_fired(now, second);
@@ -71,22 +75,27 @@
     actions.iter().filter(|action| matches!(action, Action::ReplicaEjected { .. })).count()
 }
 
-pub fn reduces_admission(action: &Action, of: Option<SliceId>, mask: u64) -> bool {
+pub fn reduces_admission(action: &Action, slice_filter: Option<SliceId>, mask: u64) -> bool {
     matches!(action, Action::SetAdmission { slice, request_classes, admission_rate, .. }
-        if *slice == of && request_classes & mask > 0 && *admission_rate < 1.0)
+        if *slice == slice_filter && request_classes & mask > 0 && *admission_rate < 1.0)
 }
 
 /// Reports one second: for each of six replicas the attempts, all answered in 100 ms, and the requests for its
 /// slice.
-pub fn report_second(policy: &mut Policy, now: Moment, of: impl Fn(u32) -> (f64, f64)) {
-    for s in 0..6 {
-        let ((attempts, requests), window, mean_latency) = (of(s), Span::ms(1000), Span::ms(100));
+pub fn report_second(policy: &mut Policy, now: Moment, attempts_and_requests: impl Fn(u32) -> (f64, f64)) {
+    for replica in 0..6 {
+        let ((attempts, requests), window, mean_latency) =
+            (attempts_and_requests(replica), Span::ms(1000), Span::ms(100));
         policy.endpoint_reported(
             now,
-            s,
+            replica,
             EndpointReport { zone: 0, window, attempts, failed: 0.0, mean_latency },
         );
-        policy.demand_reported(now, s, DemandReport { request_class: 0, window, requests, failed: 0.0 });
+        policy.demand_reported(
+            now,
+            replica,
+            DemandReport { request_class: 0, window, requests, failed: 0.0 },
+        );
     }
 }
 
--- a/crates/policy/tests/shared_replicas.rs
+++ b/crates/policy/tests/shared_replicas.rs
@@ -23,8 +23,8 @@
         slices,
         3,
     );
-    fleet.subsets = (0..replicas).map(|s| (s, subset(14, (s * 5 + 3) % 14))).collect();
-    fleet.others_requests = (0..replicas).map(|s| (s, others(s))).collect();
+    fleet.subsets = (0..replicas).map(|replica| (replica, subset(14, (replica * 5 + 3) % 14))).collect();
+    fleet.others_requests = (0..replicas).map(|replica| (replica, others(replica))).collect();
     fleet.start_incarnation(5);
     fleet
 }
@@ -32,14 +32,17 @@
 /// Advances in steps of 100 ms; returns the slice, the new owner and the time of each change of owner.
 fn moves(fleet: &mut Fleet, ms: u64) -> Vec<(SliceId, ReplicaId, Moment)> {
     let all = |fleet: &Fleet| {
-        let pairs = fleet.store.keys().flat_map(|n| owners_of(fleet, *n).into_iter().map(|s| (*n, s)));
+        let pairs = fleet
+            .store
+            .keys()
+            .flat_map(|slice| owners_of(fleet, *slice).into_iter().map(|replica| (*slice, replica)));
         pairs.collect::<BTreeSet<_>>()
     };
     let (mut moves, mut before) = (Vec::new(), all(fleet));
     for _ in 0..ms / 100 {
         fleet.advance(100);
         let after = all(fleet);
-        moves.extend(after.difference(&before).map(|(n, s)| (*n, *s, at(fleet.now_ms))));
+        moves.extend(after.difference(&before).map(|(slice, replica)| (*slice, *replica, at(fleet.now_ms))));
         before = after;
     }
     moves
@@ -86,7 +89,7 @@
 /// slice of 30 makes replica 0 heavy, but fits within the band of a light replica.
 #[test]
 fn hot_slice_moves_to_a_light_replica_with_650_controllers() {
-    let others = |s: ReplicaId| if s < 24 { 60.0 } else { 25.0 };
+    let others = |replica: ReplicaId| if replica < 24 { 60.0 } else { 25.0 };
     let mut fleet = shared_fleet(650, 48, 20, others);
     fleet.advance(12_000);
     fleet.request_rates.insert(0, 30.0);
@@ -102,7 +105,7 @@
 /// it is. This is the reason for subsets.
 #[test]
 fn hot_slice_stays_with_650_controllers_and_no_subsets() {
-    let others = |s: ReplicaId| if s < 24 { 60.0 } else { 25.0 };
+    let others = |replica: ReplicaId| if replica < 24 { 60.0 } else { 25.0 };
     let mut fleet = shared_fleet(650, 48, 20, others);
     fleet.subsets.clear();
     fleet.start_incarnation(5);
@@ -117,9 +120,9 @@
 #[test]
 fn evacuated_slices_move_to_replicas_with_headroom_across_all_controllers() {
     for seed in 1..6 {
-        let mut fleet = shared_fleet(60, 36, 24, |s| if s < 12 { 80.0 } else { 20.0 });
-        for n in 0..24 {
-            fleet.store.insert(n, [(12 + n % 12, 1.0)].into());
+        let mut fleet = shared_fleet(60, 36, 24, |replica| if replica < 12 { 80.0 } else { 20.0 });
+        for slice in 0..24 {
+            fleet.store.insert(slice, [(12 + slice % 12, 1.0)].into());
         }
         fleet.start_incarnation(seed);
         fleet.advance(9000);
@@ -128,8 +131,8 @@
             fleet.list_replica(replica);
         }
         fleet.advance(4000);
-        let chosen: Vec<_> = [0, 1, 12, 13].iter().flat_map(|n| owners_of(&fleet, *n)).collect();
-        assert!(chosen.len() >= 4 && chosen.iter().all(|s| *s >= 14), "{chosen:?}");
+        let chosen: Vec<_> = [0, 1, 12, 13].iter().flat_map(|slice| owners_of(&fleet, *slice)).collect();
+        assert!(chosen.len() >= 4 && chosen.iter().all(|replica| *replica >= 14), "{chosen:?}");
     }
 }
 
@@ -141,7 +144,7 @@
     for seed in 0..60 {
         let mut fleet = shared_fleet(60, 24, 1, |_| 40.0);
         // No controller holds a claim here, so only the random draw decides.
-        fleet.subsets = (0..24).map(|s| (s, subset(1000, 999))).collect();
+        fleet.subsets = (0..24).map(|replica| (replica, subset(1000, 999))).collect();
         fleet.start_incarnation(1000 + seed * 7919);
         fleet.advance(6000);
         fleet.nodes.get_mut(&0).unwrap().state = ReplicaState::Draining;
@@ -151,7 +154,7 @@
         assert!(!to.contains(&0));
         chosen.extend(to);
     }
-    let most = (0..24).map(|s| chosen.iter().filter(|to| **to == s).count()).max();
+    let most = (0..24).map(|replica| chosen.iter().filter(|to| **to == replica).count()).max();
     let different: BTreeSet<_> = chosen.iter().collect();
     assert!(different.len() >= 15 && most <= Some(8), "{chosen:?}");
 }
@@ -159,15 +162,15 @@
 /// AvgL is 10, the band 7 to 14: replica 5 has 20, and the cold replica 3 has no load.
 #[test]
 fn cold_replica_gets_slices_only_from_its_claim_holder_and_within_its_budget() {
-    let others = |s| match s {
+    let others = |replica| match replica {
         3 => 0.0,
         5 => 12.0,
         _ => 4.0,
     };
     let mut fleet = shared_fleet(60, 12, 24, others);
     fleet.subsets.insert(3, subset(3, 1));
-    for n in [3, 15] {
-        fleet.store.insert(n, [(4, 1.0)].into());
+    for slice in [3, 15] {
+        fleet.store.insert(slice, [(4, 1.0)].into());
     }
     fleet.start_incarnation(9);
     fleet.advance(9000);
@@ -188,7 +191,7 @@
 /// A cold replica whose budget is used up by other controllers gets no slice, even from the claim holder.
 #[test]
 fn demand_of_other_controllers_counts_against_a_cold_replicas_budget() {
-    let mut fleet = shared_fleet(60, 12, 12, |s| if s == 3 { 200.0 } else { 30.0 });
+    let mut fleet = shared_fleet(60, 12, 12, |replica| if replica == 3 { 200.0 } else { 30.0 });
     fleet.subsets.insert(3, subset(1, 0));
     fleet.store.insert(3, [(4, 1.0)].into());
     fleet.start_incarnation(9);
@@ -215,7 +218,8 @@
         fleet.list_replica(1);
         let rest = moves(&mut fleet, 200_000);
         assert!(first.iter().chain(&rest).all(|(_, to, _)| *to < 12), "{first:?} {rest:?}");
-        assert!((0..24).all(|n| owners_of(&fleet, n).iter().all(|s| *s < 12 && *s != 1)));
+        assert!((0..24)
+            .all(|slice| owners_of(&fleet, slice).iter().all(|replica| *replica < 12 && *replica != 1)));
     }
 }
 
@@ -224,10 +228,10 @@
 #[test]
 fn lost_subset_is_evacuated_to_a_replica_of_other_controllers() {
     let mut fleet = shared_fleet(60, 8, 6, |_| 10.0);
-    for n in 0..6 {
-        fleet.store.insert(n, [(n % 3, 1.0)].into());
+    for slice in 0..6 {
+        fleet.store.insert(slice, [(slice % 3, 1.0)].into());
     }
-    (3..8).for_each(|s| _ = fleet.subsets.insert(s, SubsetMembership::OtherControllers));
+    (3..8).for_each(|replica| _ = fleet.subsets.insert(replica, SubsetMembership::OtherControllers));
     fleet.start_incarnation(5);
     fleet.advance(6000);
     for replica in 0..3 {
@@ -235,5 +239,9 @@
         fleet.list_replica(replica);
     }
     fleet.advance(8000);
-    assert!((0..6).all(|n| owners_of(&fleet, n).iter().all(|s| *s >= 3)), "{:?}", fleet.store);
+    assert!(
+        (0..6).all(|slice| owners_of(&fleet, slice).iter().all(|replica| *replica >= 3)),
+        "{:?}",
+        fleet.store
+    );
 }
