--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,4 +1,4 @@
-//! How events are taken into the state. Nothing is decided here: the rules run afterwards.
+//! Applies events to the state. Decisions are made by the rules, which run afterwards.
 
 use crate::api::{
     DemandReport, EndpointReport, ListScope, OverrideNumber, OverrideSpec, ProxyId, ProxyTables, ReplicaId,
@@ -10,7 +10,7 @@
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
 use crate::state::routing_table::RoutingTable;
-use crate::state::schedule::ROUND;
+use crate::state::schedule::ROUND_PERIOD;
 use crate::state::slice::Slice;
 use crate::time::{Moment, Span};
 use std::mem::replace;
@@ -57,22 +57,23 @@
 
 /// Proxies, their acknowledgements, and slices.
 impl ControllerState {
-    /// Notes which withdrawals the proxy has to be sent again, and which of a former incarnation it may still hold. What it
-    /// applied before it left it still holds, unless its tables are empty.
+    /// Schedules the withdrawals that must be sent to the proxy again, and reinstatements of replicas that an
+    /// earlier incarnation may have withdrawn. A proxy still holds what it applied before it disconnected, unless
+    /// its tables are empty.
     pub(crate) fn record_proxy_joined(&mut self, now: Moment, proxy: ProxyId, tables: ProxyTables) {
         self.channel.add_proxy(proxy);
         let applied_until = self.proxies.applied_until.get(&proxy).copied();
         let is_empty = tables == ProxyTables::Empty;
         let holds_until = if is_empty { Moment::default() } else { applied_until.unwrap_or_default() };
         self.proxies.applied_until.insert(proxy, holds_until);
-        let may_hold_former = self.may_have_former_withdrawals() && !is_empty;
+        let may_hold_earlier_withdrawals = self.may_have_earlier_withdrawals() && !is_empty;
         let mut missed = Vec::new();
         for (id, replica) in &self.replicas {
             let has_missed_change = applied_until.is_none_or(|until| until < replica.withdrawal_sent_at);
             let has_missed_reinstatement = replica.was_ever_withdrawn && has_missed_change;
             if replica.withdrawn && !replica.slices.is_empty() && (is_empty || has_missed_change) {
                 missed.push(*id);
-            } else if may_hold_former
+            } else if may_hold_earlier_withdrawals
                 && !replica.withdrawn
                 && (applied_until.is_none() || has_missed_reinstatement)
             {
@@ -100,7 +101,7 @@
     pub(crate) fn add_slice(&mut self, now: Moment, id: SliceId, table: &[(ReplicaId, f64)]) {
         self.slices.insert(id, Slice::new(table, now));
         self.change_table(id, |_| {});
-        // Proxies that joined while no table of ours named it have not been sent its withdrawal.
+        // Withdrawals are not sent to proxies that join while no table of this controller names the replica.
         let is_withdrawn = |id: &ReplicaId| self.replicas.get(id).is_some_and(|replica| replica.withdrawn);
         let stays_withdrawn =
             |id: &ReplicaId| is_withdrawn(id) && !self.withdrawals.reinstatements.contains(id);
@@ -109,11 +110,11 @@
         self.fleet_changed = true;
     }
 
-    pub(crate) fn forget_applied_admission(&mut self, id: SliceId) {
+    pub(crate) fn invalidate_applied_admission(&mut self, id: SliceId) {
         if let Some(slice) = self.slices.get_mut(&id) {
             slice.applied_reduction = UNKNOWN_REDUCTION;
         }
-        self.mark_pending(id, Priority::Calm);
+        self.mark_pending(id, Priority::Normal);
     }
 
     pub(crate) fn remove_slice(&mut self, id: SliceId) {
@@ -147,10 +148,11 @@
     fn record_endpoint(&mut self, at: Moment, id: ReplicaId, report: &EndpointReport, latest_latency: Span) {
         if let Some(replica) = self.replicas.get_mut(&id) {
             let link = (report.zone, replica.zone);
-            // What the link adds is no fault of the replica: else a slow link would look like an overloaded zone.
-            let delay = self.links.delays.get(&link).copied().unwrap_or(0.0);
+            // The delay of the link is not the replica's; without the correction a slow link would look like an
+            // overloaded zone.
+            let link_delay_seconds = self.links.delays.get(&link).copied().unwrap_or(0.0);
             replica.shared.report_window = report.window;
-            replica.reports.record(at, report, latest_latency, delay);
+            replica.reports.record(at, report, latest_latency, link_delay_seconds);
             self.links.latencies.entry(link).or_default().record(at, report);
         }
     }
@@ -159,7 +161,7 @@
         let slice_reduction = self.slices.get(&id).map_or(0.0, |slice| slice.applied_reduction);
         let reduction = slice_reduction.max(self.global_admission.applied.unwrap_or(0.0));
         let admitted = report.requests * self.admission_rate(reduction, report.request_class);
-        let has_stood = self.slices.get(&id).is_some_and(|slice| self.has_stood(slice));
+        let is_table_settled = self.slices.get(&id).is_some_and(|slice| self.is_table_settled(slice));
         if let Some(class) = self.class_outcomes.get_mut(report.request_class) {
             class.admitted.add_over(at, report.window, admitted);
             class.failed.add_over(at, report.window, report.failed);
@@ -167,22 +169,22 @@
         let Some(slice) = self.slices.get_mut(&id) else { return };
         slice.admitted.add_over(at, report.window, admitted);
         slice.failed.add_over(at, report.window, report.failed);
-        // Requests are expected at a replica only where all proxies have known its endpoint for a while.
-        for (replica, share) in slice.table.request_shares().filter(|_| has_stood) {
+        // Requests are expected at a replica only if all proxies have known its endpoint for a while.
+        for (replica, share) in slice.table.request_shares().filter(|_| is_table_settled) {
             if let Some(replica) = self.replicas.get_mut(&replica) {
                 replica.reports.expected.add_over(at, report.window, admitted * share);
             }
         }
     }
 
-    /// Where reports were or are interrupted, rounds outside the band are counted anew: those before rest on what was
-    /// known then.
+    /// Records the report flow. When an interruption begins or ends, the count of rounds outside the band
+    /// restarts, because earlier rounds were based on outdated reports.
     pub(crate) fn record_report_flow(&mut self, now: Moment, flow: ReportFlow) {
-        let former = replace(&mut self.reporting.flow, flow);
-        if former != flow && [former, flow].contains(&ReportFlow::Interrupted) {
+        let previous = replace(&mut self.reporting.flow, flow);
+        if previous != flow && [previous, flow].contains(&ReportFlow::Interrupted) {
             self.replicas.values_mut().for_each(|replica| replica.rounds_outside_band = 0);
             (self.pending_work.rebalancing, self.pending_work.load_shedding) = (false, false);
-            self.deadlines.round = now + ROUND;
+            self.deadlines.round = now + ROUND_PERIOD;
         }
         if matches!(flow, ReportFlow::Aggregated { .. }) {
             self.reporting.lag = self.measure_report_lag(RECENT_WINDOW);
--- a/crates/policy/src/rules/placement.rs
+++ b/crates/policy/src/rules/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which replica a slice may move to. All rules that move slices ask here.
+//! Placement: selects the replica that a slice moves to. All rules that move slices use it.
 
 use crate::api::ReplicaId;
 use crate::state::controller::ControllerState;
@@ -9,62 +9,69 @@
 use crate::state::slice::Slice;
 use crate::time::Span;
 
-/// A replica that started less than this ago takes one slice a round (docs/design.md, The ordinary path).
-const FRESH_PERIOD: Span = Span::ms(30_000);
-/// The least slow-start budget that is divided by, in requests a second.
+/// A replica that started less than this ago accepts one slice per round (docs/design.md, The ordinary path).
+const RECENT_START_PERIOD: Span = Span::ms(30_000);
+/// Lower bound of a slow-start budget used as a divisor, in requests per second.
 const MIN_BUDGET: f64 = 0.001;
 
-/// How far a search for another replica may go.
+/// The replicas that are permitted as destinations.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RefugeScope {
-    /// To usable replicas inside their slow-start budgets.
+pub(crate) enum DestinationScope {
+    /// Usable replicas within their slow-start budgets.
     WithCapacity,
-    /// Where there is none, to full warm ones too.
+    /// If there are none, warm replicas that are overloaded as well.
     AnyWarm,
-    /// Where there is none, to ejected or cold ones too: anything is better than what must be left.
+    /// If there are none, ejected or cold replicas as well, since any replica is better than one that must be
+    /// evacuated.
     Any,
 }
 
 impl ControllerState {
-    /// Whether a replica may get so many requests a second more. Guards against a cold replica that collapses, and against
-    /// filling a fresh one before its load shows.
-    pub(crate) fn may_take(&self, replica: &Replica, demand: f64) -> bool {
-        let is_fresh = replica.started.is_some_and(|at| self.now - at < FRESH_PERIOD);
+    /// Returns true if a replica may get `demand` more requests per second. This prevents a cold replica from
+    /// collapsing, and a recently started one from being overfilled before reports show its load.
+    pub(crate) fn can_accept(&self, replica: &Replica, demand: f64) -> bool {
+        let started_recently = replica.started.is_some_and(|at| self.now - at < RECENT_START_PERIOD);
         self.is_usable(replica)
             && self.holds_claim(replica)
-            && !(is_fresh && replica.moved_this_round)
+            && !(started_recently && replica.moved_this_round)
             && replica.demand + demand <= self.slow_start_budget(replica)
     }
 
-    /// The replica for a slice that leaves another one, of which so much load has to find a place: the one with most
-    /// headroom, else the least utilized; an unusable one only where there is no usable one.
-    pub(crate) fn find_refuge(&self, slice: &Slice, load: f64, scope: RefugeScope) -> Option<ReplicaId> {
+    /// Returns the destination for a slice that leaves another replica, for which `load` must be placed: the
+    /// replica with the most headroom, otherwise the least utilized one. Unusable replicas are selected only if
+    /// there is no usable one.
+    pub(crate) fn find_destination(
+        &self,
+        slice: &Slice,
+        load: f64,
+        scope: DestinationScope,
+    ) -> Option<ReplicaId> {
         let owns = |id: &ReplicaId| slice.table.desired.contains_key(id) && !slice.table.is_standby(id);
         let first = |ranking: &Ranking, accepts: &dyn Fn(&Replica) -> bool| {
             ranking.first(|id| !owns(id) && self.replicas.get(id).is_some_and(accepts))
         };
-        // What comes with retries, not the load alone, is what would push a cold one over.
+        // A cold replica has to handle retries too, so the demand counts, not only the load.
         let demand = load.max(slice.demand);
-        let takes = |replica: &Replica| self.may_take(replica, demand);
+        let accepts_slice = |replica: &Replica| self.can_accept(replica, demand);
         let with_headroom = first(&self.rankings.by_headroom, &|replica| {
-            takes(replica) && self.has_headroom_if_shared(scope, replica, load)
+            accepts_slice(replica) && self.is_preferred_if_shared(scope, replica, load)
         });
         if with_headroom.is_some_and(|id| self.averages.headroom(&self.replicas[&id]) >= load) {
             return with_headroom;
         }
-        let least_utilized = first(&self.rankings.by_utilization, &takes);
-        let usable = self.usable_or_escape(scope, least_utilized, load, &owns);
-        // With no usable one, a full warm replica still beats a cold one, which would collapse.
+        let least_utilized = first(&self.rankings.by_utilization, &accepts_slice);
+        let usable = self.usable_or_shared_destination(scope, least_utilized, load, &owns);
+        // If no replica is usable, an overloaded warm replica is better than a cold one, which would collapse.
         let warm = || first(&self.rankings.by_utilization, &|replica| self.is_usable_and_warm(replica));
         match scope {
-            RefugeScope::WithCapacity => usable,
-            RefugeScope::AnyWarm => usable.or_else(warm),
-            RefugeScope::Any => usable.or_else(warm).or_else(|| self.least_overloaded(demand, &owns)),
+            DestinationScope::WithCapacity => usable,
+            DestinationScope::AnyWarm => usable.or_else(warm),
+            DestinationScope::Any => usable.or_else(warm).or_else(|| self.least_over_budget(demand, &owns)),
         }
     }
 
-    /// Of the replicas that the list calls ready, the one whose slow-start budget is exceeded least.
-    fn least_overloaded(&self, demand: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+    /// Returns the replica whose slow-start budget is exceeded least, of those that are listed as ready.
+    fn least_over_budget(&self, demand: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
         let selectable = self.replicas.iter().filter(|(id, replica)| !owns(id) && replica.is_selectable());
         let overload =
             |replica: &Replica| (replica.demand + demand) / self.slow_start_budget(replica).max(MIN_BUDGET);
@@ -83,46 +90,52 @@
         }
     }
 
-    /// Where replicas are shared, whether a claimed replica has room for all of it; escapes prefer it up to the average
-    /// only, lest replicas whose claimants have much to place are filled before the others.
-    fn has_headroom_if_shared(&self, scope: RefugeScope, replica: &Replica, load: f64) -> bool {
+    /// Returns true if replicas are not shared, or if a claimed replica has room for all of the load. Evacuations
+    /// prefer a claimed replica only up to the average utilization, so that replicas whose claim holders have much
+    /// to place are not filled before others.
+    fn is_preferred_if_shared(&self, scope: DestinationScope, replica: &Replica, load: f64) -> bool {
         if !self.sharing.is_active {
             return true;
         }
         let is_preferred =
-            scope == RefugeScope::WithCapacity || replica.utilization() < self.averages.utilization;
+            scope == DestinationScope::WithCapacity || replica.utilization() < self.averages.utilization;
         self.averages.headroom(replica) >= load && is_preferred
     }
 
-    /// The usable replica that was found, or, where a slice must leave one that is shared, a better escape.
-    fn usable_or_escape(
+    /// Returns the usable replica that was found, or a better destination if a slice must leave a shared replica.
+    fn usable_or_shared_destination(
         &self,
-        scope: RefugeScope,
+        scope: DestinationScope,
         usable: Option<ReplicaId>,
         load: f64,
         owns: &dyn Fn(&ReplicaId) -> bool,
     ) -> Option<ReplicaId> {
-        if self.sharing.is_active && scope != RefugeScope::WithCapacity {
-            self.find_shared_escape(load, owns).or(usable)
+        if self.sharing.is_active && scope != DestinationScope::WithCapacity {
+            self.find_shared_evacuation_destination(load, owns).or(usable)
         } else {
             usable
         }
     }
 
-    /// A warm replica of the subset with room, or the least utilized by draw, whoever holds the claim on it: escapes can't
-    /// wait for a claim. Where the subset has no usable warm one, a warm one of other controllers.
-    fn find_shared_escape(&self, load: f64, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+    /// Returns a warm replica of the subset with room, otherwise the least utilized one with ties broken by a
+    /// random draw. The claim does not matter, because an evacuation can't wait for one. If the subset has no
+    /// usable warm replica, returns a warm replica of other controllers.
+    fn find_shared_evacuation_destination(
+        &self,
+        load: f64,
+        owns: &dyn Fn(&ReplicaId) -> bool,
+    ) -> Option<ReplicaId> {
         let is_warm = |id: &ReplicaId| {
             !owns(id) && self.replicas.get(id).is_some_and(|replica| self.is_usable_and_warm(replica))
         };
         let has_room = |id: &ReplicaId| is_warm(id) && self.averages.headroom(&self.replicas[id]) >= load;
         let with_room = self.rankings.by_headroom.first(has_room);
         let of_subset = with_room.or_else(|| self.rankings.by_utilization.first(is_warm));
-        of_subset.or_else(|| self.find_foreign_escape(owns))
+        of_subset.or_else(|| self.find_destination_outside_subset(owns))
     }
 
-    fn find_foreign_escape(&self, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
-        let is_well = |replica: &Replica| {
+    fn find_destination_outside_subset(&self, owns: &dyn Fn(&ReplicaId) -> bool) -> Option<ReplicaId> {
+        let is_healthy = |replica: &Replica| {
             replica.is_steered_by_others()
                 && replica.is_ready()
                 && !replica.withdrawn
@@ -130,7 +143,7 @@
                 && !self.is_ejected(replica)
                 && !self.is_warming_up(replica)
         };
-        let candidates = self.replicas.iter().filter(|(id, replica)| is_well(replica) && !owns(id));
+        let candidates = self.replicas.iter().filter(|(id, replica)| is_healthy(replica) && !owns(id));
         let drawn = candidates
             .min_by(|(_, one), (_, other)| one.shared.round_draw.total_cmp(&other.shared.round_draw));
         drawn.map(|(id, _)| *id)
--- a/crates/policy/src/rules/rate_limit.rs
+++ b/crates/policy/src/rules/rate_limit.rs
@@ -1,35 +1,36 @@
-//! Rate limiting of commands: unacknowledged lines stay under the queue's capacity, messages under their limit.
+//! Rate limiting of commands: unacknowledged lines stay below the queue's capacity, messages below their limit.
 //!
-//! Guards against a queue that overflows, against overhead that fills the channel, and against messages used up when an
-//! urgent command needs one.
+//! This prevents a queue overflow, a channel filled with message overhead, and a used-up message limit when an
+//! urgent command has to be sent.
 
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
-use crate::state::schedule::TICK;
+use crate::state::schedule::TICK_PERIOD;
 use crate::time::{Moment, Span};
 
-/// The share of the queue's capacity that commands use (docs/design.md, Rate limiting).
-const QUEUE_SHARE: f64 = 0.9;
-/// The share of that which calm commands use.
-const CALM_QUEUE_SHARE: f64 = 0.55;
-/// The share of the message limit that is used by what can wait.
+/// The share of the queue's capacity that commands may use (docs/design.md, Rate limiting).
+const USABLE_QUEUE_SHARE: f64 = 0.9;
+/// The share of `USABLE_QUEUE_SHARE` that commands of normal priority may use.
+const NORMAL_QUEUE_SHARE: f64 = 0.55;
+/// The share of the message limit that deferrable commands may use.
 const DEFERRABLE_MESSAGE_SHARE: f64 = 0.75;
-/// The share of the channel that the overhead of messages may take.
-const OVERHEAD_SHARE: f64 = 0.25;
-/// Acknowledgements that come no sooner than this after the last activity are overdue.
+/// The share of the channel's throughput that message overhead may use.
+const MAX_OVERHEAD_SHARE: f64 = 0.25;
+/// Acknowledgements are overdue if none has arrived for this time since the last channel activity.
 pub(crate) const ACK_TIMEOUT: Span = Span::ms(3000);
-/// The share of the drain grace that an urgent command may wait for its message.
-const MAX_GRACE_SHARE_WAITED: f64 = 0.75;
+/// The share of the drain grace period for which an urgent command may wait for its message.
+const MAX_WAIT_SHARE_OF_GRACE: f64 = 0.75;
 
-/// Messages that may still be opened, and how long until the window gives one back.
+/// The number of messages that may still be opened, and the time until the window permits another one.
 struct OpenableMessages {
-    left: f64,
-    next_in: Span,
+    remaining: f64,
+    next_available_in: Span,
 }
 
 impl ControllerState {
-    /// Room for so many more lines to each proxy, under both limits. A first message always has room; others come so far
-    /// apart that overhead does not fill the channel.
+    /// Returns true if there is room for `lines` more lines to each proxy under both limits. A message always has
+    /// room in the queue if nothing is unacknowledged; further messages are spaced so that overhead does not fill
+    /// the channel.
     pub(crate) fn has_channel_room(&self, lines: f64, priority: Priority) -> bool {
         let proxies = self.channel.recipients();
         let unacked = self.channel.unacked_lines(self.now);
@@ -37,15 +38,16 @@
         let can_wait = priority != Priority::NoEndpoint;
         let overhead = if opens_message { self.message_overhead() * proxies } else { 0.0 };
         let overhead_time =
-            Span::ms(1000).times(overhead / self.deployment.lines_per_second.max(1.0) / OVERHEAD_SHARE);
+            Span::ms(1000).times(overhead / self.deployment.lines_per_second.max(1.0) / MAX_OVERHEAD_SHARE);
         let (share, gap) = match priority {
-            Priority::Calm | Priority::Standby => (CALM_QUEUE_SHARE, overhead_time + overhead_time),
+            Priority::Normal | Priority::StandbyOnly => (NORMAL_QUEUE_SHARE, overhead_time + overhead_time),
             Priority::NoEndpoint | Priority::Urgent if unacked == 0.0 => (1.0, Span::default()),
             Priority::NoEndpoint | Priority::Urgent => (1.0, overhead_time),
         };
         let added = lines * proxies + overhead;
-        let limit = self.deployment.queue_capacity_lines * QUEUE_SHARE;
-        // Twice, for a resend; but split into small messages what can't wait would come too late, mostly overhead.
+        let limit = self.deployment.queue_capacity_lines * USABLE_QUEUE_SHARE;
+        // Room for two copies, in case of a resend. Not required for commands that can't wait: split into small
+        // messages, they would be late and consist mostly of overhead.
         let fits_twice = || unacked + self.channel.open_message_lines() + added + added <= limit;
         let fits = || unacked + added <= limit * share && (!can_wait || fits_twice());
         self.is_replying
@@ -53,7 +55,7 @@
             && (!opens_message || self.may_open_message(share, gap, priority))
     }
 
-    /// What a message to one proxy costs besides its commands, its version included, in lines.
+    /// Returns the overhead of a message to one proxy in lines, including the line of its version.
     pub(crate) fn message_overhead(&self) -> f64 {
         self.deployment.message_overhead_lines + 1.0
     }
@@ -61,13 +63,14 @@
     /// See [`crate::Policy::may_resend`].
     pub(crate) fn may_resend(&self, now: Moment, version: u16) -> bool {
         let lines = self.channel.unacked_lines(now) + self.channel.lines_of_version(version);
-        let fits = lines <= self.deployment.queue_capacity_lines * QUEUE_SHARE;
+        let fits = lines <= self.deployment.queue_capacity_lines * USABLE_QUEUE_SHARE;
         let is_overdue = self.channel.ack_silence(now) > ACK_TIMEOUT;
-        (fits || is_overdue) && self.messages_left(now, 1.0) >= 1.0
+        (fits || is_overdue) && self.remaining_messages(now, 1.0) >= 1.0
     }
 
-    /// How many messages each proxy may still get within the window, where this share of the limit is used.
-    fn messages_left(&self, now: Moment, share: f64) -> f64 {
+    /// Returns the number of messages that each proxy may still get within the window if this share of the limit
+    /// is used.
+    fn remaining_messages(&self, now: Moment, share: f64) -> f64 {
         let limit = f64::from(self.deployment.message_limit);
         if limit == 0.0 {
             return f64::INFINITY;
@@ -76,52 +79,58 @@
     }
 
     fn message_window(&self) -> Span {
-        self.deployment.message_window + TICK
+        self.deployment.message_window + TICK_PERIOD
     }
 
-    /// The messages that may be opened where this share of the limit is used; none while the window is empty, or where there
-    /// is no limit.
+    /// Returns the messages that may be opened if this share of the limit is used; `None` if the window is empty
+    /// or there is no limit.
     fn openable_messages(&self, share: f64) -> Option<OpenableMessages> {
         let window = self.message_window();
-        let oldest = self.channel.opened_messages.oldest(self.now, window)?;
-        let left = self.messages_left(self.now, share) - 1.0;
-        left.is_finite().then(|| OpenableMessages { left, next_in: window - (self.now - oldest) })
+        let oldest = self.channel.opened_messages.oldest_bucket_start(self.now, window)?;
+        let remaining = self.remaining_messages(self.now, share) - 1.0;
+        remaining
+            .is_finite()
+            .then(|| OpenableMessages { remaining, next_available_in: window - (self.now - oldest) })
     }
 
-    /// Whether each message that is left could wait for its share of the grace until one is given back.
-    fn messages_are_ample(&self) -> bool {
+    /// Returns true if each remaining message could wait for its share of the drain grace period until the window
+    /// permits another one.
+    fn has_spare_messages(&self) -> bool {
         self.openable_messages(1.0).is_none_or(|openable| {
-            let may_wait = MAX_GRACE_SHARE_WAITED * (openable.left - 1.0);
-            self.deployment.drain_grace.times(may_wait) >= openable.next_in
+            let wait_share = MAX_WAIT_SHARE_OF_GRACE * (openable.remaining - 1.0);
+            self.deployment.drain_grace.times(wait_share) >= openable.next_available_in
         })
     }
 
-    /// Whether a message may be opened, so long after the one before. Those that are left are spread over the time until one
-    /// is given back, and what can wait leaves some of them. What can't wait goes at once while they are ample.
+    /// Returns true if a message may be opened, at least `gap` after the previous one. The remaining messages are
+    /// spread over the time until the window permits another one, and deferrable commands leave some of them
+    /// unused. Commands that can't wait are sent at once while there are spare messages.
     fn may_open_message(&self, share: f64, gap: Span, priority: Priority) -> bool {
         let can_wait = priority != Priority::NoEndpoint;
-        let most = if can_wait { DEFERRABLE_MESSAGE_SHARE } else { 1.0 };
-        let spread = match self.openable_messages(most) {
-            Some(openable) if can_wait || !self.messages_are_ample() => {
-                openable.next_in.times(1.0 / openable.left.max(1.0))
+        let max_share = if can_wait { DEFERRABLE_MESSAGE_SHARE } else { 1.0 };
+        let spacing = match self.openable_messages(max_share) {
+            Some(openable) if can_wait || !self.has_spare_messages() => {
+                openable.next_available_in.times(1.0 / openable.remaining.max(1.0))
             }
             _ => Span::default(),
         };
-        let has_waited = self.now - self.channel.last_opened_at >= gap.max(spread);
-        has_waited && self.messages_left(self.now, share.min(most)) > 1.0
+        let has_waited = self.now - self.channel.last_opened_at >= gap.max(spacing);
+        has_waited && self.remaining_messages(self.now, share.min(max_share)) > 1.0
     }
 
-    /// Whether to ask for acknowledgements by a version alone: unacknowledged messages take the room of calm commands, and
-    /// their acknowledgements are lost or long overdue. A version by itself fits into the part of the queue that commands
-    /// leave; each proxy's acknowledgement shows that what it was sent before has left.
+    /// Returns true if acknowledgements should be requested by a message that consists of a version only. This is
+    /// the case if unacknowledged messages take the room of normal commands and their acknowledgements are lost or
+    /// overdue. Such a message fits into the part of the queue that commands leave free, and each proxy's
+    /// acknowledgement of it also covers everything sent before.
     pub(crate) fn needs_sync(&self) -> bool {
         let proxies = self.channel.recipients();
         let unacked = self.channel.unacked_lines(self.now);
         let overhead = self.message_overhead() * proxies;
         let capacity = self.deployment.queue_capacity_lines;
         let is_overdue = self.channel.acks_lost || self.channel.ack_silence(self.now) > ACK_TIMEOUT;
-        let is_in_the_way = unacked + overhead + proxies > capacity * QUEUE_SHARE * CALM_QUEUE_SHARE;
-        let fits = unacked + overhead <= capacity && self.messages_left(self.now, 1.0) > 1.0;
-        is_overdue && is_in_the_way && fits && unacked > 0.0 && self.channel.open_version.is_none()
+        let blocks_normal_commands =
+            unacked + overhead + proxies > capacity * USABLE_QUEUE_SHARE * NORMAL_QUEUE_SHARE;
+        let fits = unacked + overhead <= capacity && self.remaining_messages(self.now, 1.0) > 1.0;
+        is_overdue && blocks_normal_commands && fits && unacked > 0.0 && self.channel.open_version.is_none()
     }
 }
--- a/crates/policy/src/rules/tick.rs
+++ b/crates/policy/src/rules/tick.rs
@@ -1,17 +1,17 @@
-//! Ticks: what needs a look at the whole fleet is done once in each.
+//! Ticks: work that covers the whole fleet is done once per tick.
 
 use crate::api::Action;
 use crate::rules::rate_limit::ACK_TIMEOUT;
 use crate::state::controller::ControllerState;
-use crate::state::schedule::TICK;
+use crate::state::schedule::TICK_PERIOD;
 
 impl ControllerState {
-    /// Starts a tick once it is due. Guards against the cost of a look at the whole fleet for each line of a report.
+    /// Starts a tick once it is due, so that the whole fleet is not processed for each report line.
     pub(crate) fn start_tick(&mut self) -> bool {
         if self.deadlines.tick > self.now {
             return false;
         }
-        self.deadlines.tick = self.now + TICK;
+        self.deadlines.tick = self.now + TICK_PERIOD;
         if self.channel.ack_silence(self.now) > ACK_TIMEOUT {
             self.channel.drop_extra_copies();
         }
@@ -19,14 +19,14 @@
         true
     }
 
-    /// Asks for a timer where none is open. Guards against standing still while no event comes.
+    /// Starts a timer if none is pending, so that the rules also run if no event arrives.
     pub(crate) fn start_timer(&mut self) -> bool {
         if self.deadlines.timer.is_some() {
             return false;
         }
         self.timer_token += 1;
-        self.deadlines.timer = Some(self.now + TICK);
-        self.actions.push(Action::StartTimer { token: self.timer_token, after: TICK });
+        self.deadlines.timer = Some(self.now + TICK_PERIOD);
+        self.actions.push(Action::StartTimer { token: self.timer_token, after: TICK_PERIOD });
         true
     }
 }
