--- a/crates/experiments/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -64,7 +64,7 @@
     for (from, to, expected) in [
         ("kind=\"crash\"", "kind=\"crush\"", "line 6, column 22: <trouble>: kind: \"crush\" is none of"),
         ("server=\"3\"", "server=\"12\"", "12 is not below 12"),
-        ("server=\"3\"", "slice=\"3\"", "no attribute \"slice\""),
+        ("server=\"3\"", "slice=\"3\"", "unknown attribute \"slice\""),
         ("governed", "guided", "line 4, column 3: <way>"),
         ("from=\"1\" to=\"3\"", "from=\"3\" to=\"1\"", "<seeds>"),
         ("drawn=\"2\"/>", "drawn=\"2\"><trouble/></case>", "either drawn or given"),
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,5 +1,6 @@
-//! Why a file cannot be used, and where.
+//! Errors of the operators' file, with their location.
 
+use crate::xml::MAX_DEPTH;
 use std::fmt;
 
 /// A position in the text of a file.
@@ -11,15 +12,15 @@
     pub column: usize,
 }
 
-/// What is wrong in a file, for whoever edits it.
+/// An error in the file, as shown to the operator who edits it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct ConfigError {
-    /// The name of the element; empty where the text is not XML.
+    /// The name of the element; empty if the error lies outside of any element.
     pub element: String,
-    /// Where the element begins.
+    /// The position at which the element begins.
     pub location: Location,
-    /// What is wrong: the text of a [`StructureError`], of a [`ValueError`](crate::values::ValueError), or of
-    /// another package's error.
+    /// The message: the text of a [`StructureError`], of a [`ValueError`](crate::values::ValueError) or of an error
+    /// of another package.
     pub reason: String,
 }
 
@@ -34,87 +35,87 @@
     }
 }
 
-/// What is wrong with the structure of a file. The messages are shown to operators.
+/// An error in the structure of a file. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StructureError {
     /// The text is not XML.
-    #[error("no well-formed XML: {0}")]
+    #[error("malformed XML: {0}")]
     NotWellFormed(String),
     /// An end tag without a start tag.
-    #[error("an end without a start")]
+    #[error("end tag without a start tag")]
     EndWithoutStart,
     /// A start tag without an end tag.
-    #[error("it lacks its end")]
+    #[error("missing end tag")]
     Unclosed,
     /// Text between tags.
-    #[error("text has no meaning here; all is said in attributes")]
+    #[error("text is not allowed; values are given in attributes")]
     Text,
     /// A processing instruction.
-    #[error("instructions have no meaning here")]
+    #[error("processing instructions are not allowed")]
     ProcessingInstruction,
     /// A document type declaration.
-    #[error("a document type is not taken")]
+    #[error("document type declarations are not allowed")]
     DocumentType,
     /// A second root element.
-    #[error("more than one outermost element")]
+    #[error("more than one root element")]
     SecondRoot,
     /// No root element.
-    #[error("no element at all")]
+    #[error("missing root element")]
     NoElement,
-    /// Another root element than the file has to have.
-    #[error("the outermost element must be <{0}>")]
+    /// The root element has the wrong name.
+    #[error("the root element must be <{0}>")]
     WrongRoot(&'static str),
-    /// More levels of elements than any file has.
-    #[error("nested too deep")]
+    /// Elements that are nested too deep.
+    #[error("elements are nested more than {MAX_DEPTH} levels deep")]
     TooDeep,
     /// An unknown attribute.
-    #[error("it has no attribute {0:?}")]
+    #[error("unknown attribute {0:?}")]
     UnknownAttribute(String),
     /// A missing attribute.
-    #[error("it lacks {0:?}")]
+    #[error("missing attribute {0:?}")]
     MissingAttribute(String),
-    /// An unknown element.
-    #[error("it has no place in <{parent}>")]
+    /// An element that its parent may not contain.
+    #[error("element not allowed in <{parent}>")]
     UnknownElement {
-        /// The element that it is in.
+        /// The name of the parent element.
         parent: String,
     },
-    /// A second element of a name that may be there once.
-    #[error("it is there twice")]
+    /// A second element with a name that may occur only once.
+    #[error("duplicate element")]
     DuplicateElement,
-    /// No element of a name that has to be there.
-    #[error("no <{0}> is named")]
+    /// A missing element.
+    #[error("missing element <{0}>")]
     MissingElement(String),
-    /// More elements of a name than may be there.
-    #[error("{count} times <{name}> are more than {max}")]
+    /// More elements of one name than allowed.
+    #[error("{count} <{name}> elements, at most {max} allowed")]
     TooManyElements {
-        /// How many there are.
+        /// The number of elements in the file.
         count: usize,
-        /// Their name.
+        /// The name of the elements.
         name: String,
-        /// How many there may be.
+        /// The largest allowed number.
         max: usize,
     },
-    /// A value that has to be unique, and is not.
-    #[error("{attribute}: {value} is there twice")]
+    /// A value that has to be unique but occurs more than once.
+    #[error("{attribute}: duplicate value {value}")]
     DuplicateValue {
-        /// The attribute's name.
+        /// The name of the attribute.
         attribute: String,
-        /// The value as it is shown.
+        /// The value as it is displayed.
         value: String,
     },
-    /// More overrides than the file itself permits.
-    #[error("{count} overrides are more than the most, {max}")]
+    /// More overrides than the `most` attribute of the file allows.
+    #[error("{count} overrides, at most {max} allowed by \"most\"")]
     TooManyOverrides {
-        /// How many there are.
+        /// The number of overrides in the file.
         count: usize,
-        /// How many there may be.
+        /// The largest allowed number.
         max: usize,
     },
-    /// A token file for a socket.
-    #[error("a socket is for its owner alone and takes no \"token-file\"")]
+    /// A token file given for a Unix socket, which needs no token as only its owner can connect.
+    #[error("\"token-file\" is not allowed with \"socket\": only the socket's owner can connect")]
     TokenForSocket,
-    /// Both a socket and an address, or neither.
-    #[error("it must have either \"socket\" or \"address\"")]
+    /// Both a socket and an address, or neither of them.
+    #[error("either \"socket\" or \"address\" is required")]
     SocketOrAddress,
 }
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,68 +1,68 @@
-//! The contents of the operators' file. Each part is off where it is not named.
+//! The contents of the operators' file. A feature whose element is absent is disabled.
 
 use crate::error::{ConfigError, StructureError};
 use crate::overrides::{parse_overrides, OverridesElement};
 use crate::subsetting::{parse_subsetting, SubsettingConfig};
-use crate::values::{parse_absolute_path, parse_loopback_address, parse_whole_number, ValueError};
+use crate::values::{parse_absolute_path, parse_loopback_address, parse_positive_integer, ValueError};
 use crate::xml::{self, Element};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use whinwall_overrides::{ConfiguredOverride, OverrideLimits};
 
-/// The largest file; a larger one is a mistake.
+/// The largest accepted file. Real files are far smaller, so a larger one is a mistake.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
-/// The most reader threads: more would only wait for the reducer.
+/// The largest number of cores: reader threads beyond it would only wait for the reducer.
 const MAX_CORES: usize = 64;
-/// The version of the file's format.
+/// The supported version of the file format.
 const VERSION: &str = "1";
 
-/// The operators' file.
+/// The parsed operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorsFile {
     /// The format of the log.
     pub log_format: LogFormat,
-    /// The folder of the override store; without one overrides are lost with the program.
+    /// The folder of the override store. Without a store, overrides are lost when the program ends.
     pub store_folder: Option<PathBuf>,
-    /// The management API.
+    /// The endpoint of the management API.
     pub management: Option<ManagementEndpoint>,
-    /// How many cores the program may use; one where nothing is said.
+    /// The number of cores that the program may use; one if absent.
     pub max_cores: Option<usize>,
     /// The limits on overrides.
     pub override_limits: OverrideLimits,
-    /// The overrides that the file sets.
+    /// The overrides defined in the file.
     pub overrides: Vec<ConfiguredOverride>,
-    /// The fleet in which each controller steers a subset of the replicas, with reports from aggregators.
+    /// The fleet in which each controller controls a subset of the replicas and receives reports from aggregators.
     pub subsetting: Option<SubsettingConfig>,
 }
 
 /// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines of text.
+    /// Plain text lines.
     #[default]
     Text,
-    /// A JSON object per line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Where the management API listens.
+/// The endpoint on which the management API listens.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ManagementEndpoint {
-    /// A Unix socket, for its owner alone.
+    /// A Unix socket to which only its owner can connect.
     Socket(PathBuf),
-    /// A loopback address, for clients that send the token.
+    /// A loopback address, for clients that authenticate with the token.
     Address {
         /// The address.
         address: SocketAddr,
-        /// The file with the token.
+        /// The path of the file that contains the token.
         token_file: PathBuf,
     },
 }
 
-/// Reads the operators' file.
+/// Parses the operators' file.
 ///
 /// # Errors
-/// The first thing that is wrong with it, and where.
+/// The first error in the file, with its location.
 pub fn parse(text: &str) -> Result<OperatorsFile, ConfigError> {
     let root = xml::parse(text)?;
     if root.name != "operators" {
@@ -126,5 +126,5 @@
 
 fn parse_cores(element: &Element) -> Result<usize, ConfigError> {
     element.allow_only(&["most"], &[])?;
-    element.required("most", |text| parse_whole_number(text, MAX_CORES))
+    element.required("most", |text| parse_positive_integer(text, MAX_CORES))
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,5 +1,6 @@
-//! The operators' XML file: [`xml`] reads elements with their locations, [`mod@file`] and [`subsetting`] take them apart,
-//! [`values`] reads the values of attributes. The schema is `deploy/operators.xsd`.
+//! Parser of the operators' XML configuration file. [`xml`] parses elements and records their locations,
+//! [`mod@file`] and [`subsetting`] interpret them, and [`values`] parses attribute values. The schema is
+//! `deploy/operators.xsd`.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/operator-config/src/overrides.rs
+++ b/crates/operator-config/src/overrides.rs
@@ -1,19 +1,19 @@
-//! The element `<overrides>`: limits, and overrides that expire at a wall time.
+//! The element `<overrides>`: limits, and overrides that expire at a wall-clock time.
 
 use crate::error::{ConfigError, StructureError};
-use crate::values::{parse_number, parse_whole_number};
+use crate::values::{parse_number, parse_positive_integer};
 use crate::xml::Element;
 use std::collections::BTreeSet;
 use whinwall_overrides::text::{parse_duration, parse_slices, parse_wall_time};
 use whinwall_overrides::validation::validate;
 use whinwall_overrides::{ConfiguredOverride, OverrideKind, OverrideLimits};
 
-/// The most active overrides that a file may permit: each costs a little in every turn.
+/// The upper bound of [`OverrideLimits::max_active`]: each active override costs time in every tick.
 const MAX_ACTIVE_LIMIT: usize = 10_000;
-/// The attributes of every override.
+/// The attributes that all kinds of override have.
 const COMMON_ATTRIBUTES: [&str; 5] = ["id", "server", "author", "reason", "until"];
 
-/// The element's contents.
+/// The contents of the `<overrides>` element.
 #[derive(Default)]
 pub(crate) struct OverridesElement {
     pub limits: OverrideLimits,
@@ -42,7 +42,7 @@
 
 fn parse_limits(element: &Element) -> Result<OverrideLimits, ConfigError> {
     let defaults = OverrideLimits::default();
-    let parse_limit = |text: &str| parse_whole_number(text, MAX_ACTIVE_LIMIT);
+    let parse_limit = |text: &str| parse_positive_integer(text, MAX_ACTIVE_LIMIT);
     Ok(OverrideLimits {
         max_duration: element.optional("longest", parse_duration)?.unwrap_or(defaults.max_duration),
         max_active: element.optional("most", parse_limit)?.unwrap_or(defaults.max_active),
--- a/crates/operator-config/src/subsetting.rs
+++ b/crates/operator-config/src/subsetting.rs
@@ -1,70 +1,70 @@
-//! The element `<subsetting>`: the controllers of the fleet, the aggregators that report to them, the size of subsets
-//! and the budget of reports.
+//! The element `<subsetting>`: the controllers of the fleet, the aggregators that report to them, the subset size and
+//! the budget of report bytes.
 
 use crate::error::{ConfigError, StructureError};
 use crate::values::{
-    parse_address_with_port, parse_name, parse_slice_ranges, parse_whole_number, SliceRange, ValueError,
+    parse_address_with_port, parse_name, parse_positive_integer, parse_slice_ranges, SliceRange, ValueError,
 };
 use crate::xml::Element;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use whinwall_subsetting::{Membership, MembershipError, Parameters, MAX_CONTROLLERS};
 
-/// The most aggregators of a fleet; more are a mistake.
+/// The largest number of aggregators in a fleet. Real fleets have far fewer, so more are a mistake.
 pub const MAX_AGGREGATORS: usize = 64;
-/// The smallest budget of a controller's reports: one report line of the longest names per second.
+/// The smallest report budget of a controller: one report line with the longest names per second.
 pub const MIN_BYTES_PER_SECOND: u64 = 512;
-/// The largest budget of a controller's reports.
+/// The largest report budget of a controller.
 pub const MAX_BYTES_PER_SECOND: u64 = 1_000_000_000;
-/// The largest desired size of a subset, more than any registry has replicas.
+/// The largest subset size, which exceeds the number of replicas in any registry.
 pub const MAX_SUBSET_SIZE: usize = 100_000;
 
-/// The element `<subsetting>`, checked.
+/// The validated contents of the `<subsetting>` element.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubsettingConfig {
     /// The desired number of replicas per controller.
     pub subset_size: usize,
-    /// The budget of the reports to one controller, in bytes per second.
+    /// The budget of report bytes sent to one controller, in bytes per second.
     pub bytes_per_second: u64,
-    /// The whole fleet, in the file's order.
+    /// All controllers of the fleet, in file order.
     pub controllers: Vec<ControllerMember>,
-    /// The aggregators that sum up reports for the fleet, in the file's order.
+    /// The aggregators that sum up reports for the fleet, in file order.
     pub aggregators: Vec<AggregatorMember>,
 }
 
 /// A controller of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerMember {
-    /// As in the controller's own configuration.
+    /// The name in the controller's own configuration.
     pub name: String,
-    /// Where it listens; aggregators do not report to a controller without an address.
+    /// The address on which it listens. Aggregators do not report to a controller without an address.
     pub address: Option<SocketAddr>,
-    /// The slices that it owns; none where nothing is said, which means all that it may own.
+    /// The slices that it owns. Empty if the attribute is absent, which means all slices that it may own.
     pub slices: Vec<SliceRange>,
 }
 
 /// An aggregator of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AggregatorMember {
-    /// Unique among the aggregators.
+    /// The name, unique among the aggregators.
     pub name: String,
-    /// Where it listens, for collectors and the other aggregators.
+    /// The address on which it listens for collectors and other aggregators.
     pub address: SocketAddr,
 }
 
-/// A name that is not among the members it should be among.
+/// A lookup by a name that no member of the fleet has.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownMember {
     /// No controller of the file has this name.
     #[error("<subsetting>: this governor's own name, {0:?}, is not among its governors")]
     Controller(String),
     /// No aggregator of the file has this name.
-    #[error("<subsetting>: {0:?} is not among its aggregators")]
+    #[error("<subsetting>: no aggregator is named {0:?}")]
     Aggregator(String),
 }
 
 impl SubsettingConfig {
-    /// The controller of this name.
+    /// Returns the controller with this name.
     ///
     /// # Errors
     /// [`UnknownMember::Controller`].
@@ -73,7 +73,7 @@
         found.ok_or_else(|| UnknownMember::Controller(name.to_string()))
     }
 
-    /// The aggregator of this name.
+    /// Returns the aggregator with this name.
     ///
     /// # Errors
     /// [`UnknownMember::Aggregator`].
@@ -82,15 +82,15 @@
         found.ok_or_else(|| UnknownMember::Aggregator(name.to_string()))
     }
 
-    /// The controllers' names, for computing subsets.
+    /// Returns the names of the controllers, from which subsets are computed.
     ///
     /// # Errors
-    /// Names that are not a fleet; those of a file always are.
+    /// The names do not form a valid fleet, which cannot happen with names from a parsed file.
     pub fn membership(&self) -> Result<Membership, MembershipError> {
         Membership::new(self.controllers.iter().map(|controller| controller.name.clone()))
     }
 
-    /// The parameters for computing subsets.
+    /// Returns the parameters from which subsets are computed.
     pub fn parameters(&self) -> Parameters {
         Parameters { subset_size: self.subset_size }
     }
@@ -98,7 +98,7 @@
 
 pub(crate) fn parse_subsetting(element: &Element) -> Result<SubsettingConfig, ConfigError> {
     element.allow_only(&["subset", "bytes-per-second"], &["governor", "aggregator"])?;
-    let subset_size = element.required("subset", |text| parse_whole_number(text, MAX_SUBSET_SIZE))?;
+    let subset_size = element.required("subset", |text| parse_positive_integer(text, MAX_SUBSET_SIZE))?;
     let bytes_per_second = element.required("bytes-per-second", parse_bytes_per_second)?;
     let controllers = parse_members(element, "governor", MAX_CONTROLLERS, parse_controller)?;
     require_unique(&controllers, "name", |controller| Some(&controller.name))?;
@@ -114,13 +114,13 @@
     })
 }
 
-/// A member with its element, which an error about it names.
+/// A member with its element, which errors about the member name.
 struct Located<'a, T> {
     element: &'a Element,
     value: T,
 }
 
-/// All members of one kind, of which there is at least one.
+/// Parses all members of one kind; at least one is required.
 fn parse_members<'a, T>(
     element: &'a Element,
     name: &str,
@@ -177,7 +177,7 @@
 }
 
 fn parse_bytes_per_second(text: &str) -> Result<u64, ValueError> {
-    let found: u64 = text.parse().map_err(|_| ValueError::NotWholeNumber(text.into()))?;
+    let found: u64 = text.parse().map_err(|_| ValueError::NotInteger(text.into()))?;
     if found < MIN_BYTES_PER_SECOND {
         return Err(ValueError::BudgetTooSmall { found, min: MIN_BYTES_PER_SECOND });
     }
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -1,108 +1,108 @@
-//! Values of attributes.
+//! Parsers of attribute values.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::num::ParseFloatError;
 use std::path::PathBuf;
 use whinwall_overrides::text::{parse_slices, TextError};
 
-/// The longest name of a member of the fleet.
+/// The longest name of a fleet member.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The most ranges of slices of one controller.
+/// The largest number of slice ranges of one controller.
 const MAX_SLICE_RANGES: usize = 256;
 
-/// A range of slices; both ends are included.
+/// A range of slices, from the first to the last, both included.
 pub type SliceRange = (u32, u32);
 
-/// Why a value is invalid. The messages are shown to operators.
+/// An invalid attribute value. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ValueError {
-    /// Not the version of the file's format.
-    #[error("{found:?} is not {expected:?}")]
+    /// An unsupported version of the file format.
+    #[error("unsupported version {found:?}, expected {expected:?}")]
     WrongVersion {
-        /// What was read.
+        /// The value in the file.
         found: String,
-        /// The version that is supported.
+        /// The supported version.
         expected: &'static str,
     },
     /// Not a log format.
-    #[error("{0:?} is neither \"text\" nor \"json\"")]
+    #[error("invalid log format {0:?}, expected \"text\" or \"json\"")]
     NotLogFormat(String),
     /// Not an absolute path.
-    #[error("{0:?} is no absolute path")]
+    #[error("{0:?} is not an absolute path")]
     NotAbsolutePath(String),
     /// Not a socket address.
-    #[error("{text:?} is no address: {source}")]
+    #[error("invalid address {text:?}: {source}")]
     NotAddress {
-        /// What was read.
+        /// The value in the file.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
     /// An address that other machines could reach.
-    #[error("{0:?} is no loopback address")]
+    #[error("{0:?} is not a loopback address")]
     NotLoopback(String),
     /// An address with port 0.
-    #[error("{0:?} lacks a port")]
+    #[error("{0:?} has port 0; a port from 1 to 65535 is required")]
     NoPort(String),
     /// Not a number.
-    #[error("{text:?} is no number")]
+    #[error("invalid number {text:?}")]
     NotNumber {
-        /// What was read.
+        /// The value in the file.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: ParseFloatError,
     },
-    /// Not a whole number.
-    #[error("{0:?} is no whole number")]
-    NotWholeNumber(String),
-    /// Not a whole number of a range.
-    #[error("{text:?} is no whole number from 1 to {max}")]
+    /// Not an integer.
+    #[error("invalid integer {0:?}")]
+    NotInteger(String),
+    /// Not an integer, or one outside the allowed range.
+    #[error("{text:?} is not an integer from 1 to {max}")]
     OutOfRange {
-        /// What was read.
+        /// The value in the file.
         text: String,
-        /// The largest number.
+        /// The largest allowed number.
         max: usize,
     },
-    /// Not a name of a member of the fleet.
-    #[error("{0:?} is no name: 1 to {MAX_NAME_BYTES} letters, digits, dots, colons, dashes or underscores")]
+    /// Not a valid name of a fleet member.
+    #[error("invalid name {0:?}, expected 1 to {MAX_NAME_BYTES} letters, digits, dots, colons, dashes or underscores")]
     NotName(String),
-    /// Not slices.
+    /// Not a slice or a range of slices.
     #[error(transparent)]
     NotSlices(#[from] TextError),
-    /// More ranges than a controller may own.
-    #[error("{0} ranges are more than {MAX_SLICE_RANGES}")]
+    /// More slice ranges than one controller may have.
+    #[error("{0} slice ranges, at most {MAX_SLICE_RANGES} allowed")]
     TooManySliceRanges(usize),
-    /// Ranges that overlap.
-    #[error("slice {0} is there twice")]
+    /// Slice ranges that overlap.
+    #[error("duplicate slice {0}")]
     DuplicateSlice(u32),
-    /// A budget that is too small.
-    #[error("{found} bytes a second are too few for one report line, which needs up to {min}")]
+    /// A report budget that is too small for one report line.
+    #[error("budget of {found} bytes per second, at least {min} needed for one report line")]
     BudgetTooSmall {
-        /// What was read.
+        /// The value in the file, in bytes per second.
         found: u64,
-        /// The smallest budget.
+        /// The smallest allowed budget, in bytes per second.
         min: u64,
     },
-    /// A budget that is too large.
-    #[error("{found} is more than {max}")]
+    /// A report budget that is too large.
+    #[error("budget of {found} bytes per second, at most {max} allowed")]
     BudgetTooLarge {
-        /// What was read.
+        /// The value in the file, in bytes per second.
         found: u64,
-        /// The largest budget.
+        /// The largest allowed budget, in bytes per second.
         max: u64,
     },
 }
 
-/// A whole number from 1 to `max`.
+/// Parses an integer from 1 to `max`.
 ///
 /// # Errors
 /// [`ValueError::OutOfRange`].
-pub fn parse_whole_number(text: &str, max: usize) -> Result<usize, ValueError> {
+pub fn parse_positive_integer(text: &str, max: usize) -> Result<usize, ValueError> {
     let number = text.parse().ok().filter(|number| (1..=max).contains(number));
     number.ok_or_else(|| ValueError::OutOfRange { text: text.into(), max })
 }
 
-/// A number.
+/// Parses a floating-point number.
 ///
 /// # Errors
 /// [`ValueError::NotNumber`].
@@ -110,7 +110,7 @@
     text.parse().map_err(|source| ValueError::NotNumber { text: text.into(), source })
 }
 
-/// An absolute path.
+/// Parses an absolute path.
 ///
 /// # Errors
 /// [`ValueError::NotAbsolutePath`].
@@ -127,7 +127,7 @@
     text.parse().map_err(|source| ValueError::NotAddress { text: text.into(), source })
 }
 
-/// A loopback address.
+/// Parses a loopback address with its port.
 ///
 /// # Errors
 /// [`ValueError::NotAddress`] or [`ValueError::NotLoopback`].
@@ -140,7 +140,7 @@
     }
 }
 
-/// An address with a port other than 0.
+/// Parses an address with a port other than 0.
 ///
 /// # Errors
 /// [`ValueError::NotAddress`] or [`ValueError::NoPort`].
@@ -153,7 +153,7 @@
     }
 }
 
-/// The name of a member of the fleet.
+/// Parses the name of a fleet member.
 ///
 /// # Errors
 /// [`ValueError::NotName`].
@@ -166,10 +166,10 @@
     }
 }
 
-/// Ranges of slices, separated by commas, none of which overlaps another; sorted.
+/// Parses slice ranges that are separated by commas and do not overlap. Returns them sorted.
 ///
 /// # Errors
-/// Text that is no range, too many ranges, and ranges that overlap.
+/// [`ValueError::NotSlices`], [`ValueError::TooManySliceRanges`] or [`ValueError::DuplicateSlice`].
 pub fn parse_slice_ranges(text: &str) -> Result<Vec<SliceRange>, ValueError> {
     let mut ranges = text.split(',').map(parse_slices).collect::<Result<Vec<SliceRange>, _>>()?;
     if ranges.len() > MAX_SLICE_RANGES {
--- a/crates/operator-config/src/xml.rs
+++ b/crates/operator-config/src/xml.rs
@@ -1,30 +1,31 @@
-//! XML as elements with their locations, for errors that name them.
+//! Parses XML into elements that keep their location for error messages.
 
 use crate::error::{ConfigError, Location, StructureError};
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::{Reader, XmlVersion};
 use std::fmt;
 
-/// The most levels of elements: no file needs more, and a deeper one could overflow the stack.
-const MAX_DEPTH: usize = 8;
+/// The largest nesting depth of elements. No file needs more, and deeper nesting could overflow the stack.
+pub(crate) const MAX_DEPTH: usize = 8;
 
-/// An element with all that it contains.
+/// An XML element with its contents.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Element {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it begins.
+    /// The position at which it begins.
     pub location: Location,
-    /// Its attributes, names and values, in the file's order.
+    /// The attributes as names and values, in file order.
     pub attributes: Vec<(String, String)>,
-    /// The elements in it, in the file's order.
+    /// The child elements, in file order.
     pub children: Vec<Element>,
 }
 
-/// Reads a text as one element. Only elements and attributes have a meaning; comments are ignored.
+/// Parses a text that consists of one root element. Comments are ignored; any content other than elements and
+/// attributes is rejected.
 ///
 /// # Errors
-/// Text that is not XML, and XML that is not one element.
+/// The text is not well-formed XML, has no or several root elements, or has content that is not allowed.
 pub fn parse(text: &str) -> Result<Element, ConfigError> {
     Parser { text, reader: Reader::from_str(text), open: Vec::new(), root: None }.parse()
 }
@@ -32,12 +33,12 @@
 struct Parser<'a> {
     text: &'a str,
     reader: Reader<&'a [u8]>,
-    /// The elements that are not closed yet, the outermost first.
+    /// The elements whose end tag was not read yet, outermost first.
     open: Vec<Element>,
     root: Option<Element>,
 }
 
-/// Whether a start tag is its element's end tag too.
+/// The kinds of tag that begin an element: `<name>`, or `<name/>`, which ends it as well.
 #[derive(Clone, Copy, PartialEq)]
 enum Tag {
     Start,
@@ -116,7 +117,7 @@
         })
     }
 
-    /// An error about the innermost open element.
+    /// Returns an error about the innermost open element.
     fn error(&self, location: Location, reason: &StructureError) -> ConfigError {
         let element = self.open.last().map_or(String::new(), |element| element.name.clone());
         ConfigError { element, location, reason: reason.to_string() }
@@ -142,15 +143,16 @@
         Ok(element)
     }
 
-    /// An error about this element.
+    /// Returns an error about this element.
     pub fn error(&self, reason: impl fmt::Display) -> ConfigError {
         ConfigError { element: self.name.clone(), location: self.location, reason: reason.to_string() }
     }
 
-    /// Rejects all attributes and children but these, lest a misspelled one count as a default.
+    /// Rejects all attributes and children except these. Otherwise a misspelled one would be ignored and its default
+    /// used silently.
     ///
     /// # Errors
-    /// The first that is unknown.
+    /// The first unknown attribute or child.
     pub fn allow_only(&self, attributes: &[&str], children: &[&str]) -> Result<(), ConfigError> {
         for (name, _) in &self.attributes {
             if !attributes.contains(&name.as_str()) {
@@ -165,12 +167,12 @@
         Ok(())
     }
 
-    /// The text of an attribute.
+    /// Returns the text of an attribute.
     pub fn attribute(&self, name: &str) -> Option<&str> {
         self.attributes.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The value of an attribute that may be missing.
+    /// Parses an optional attribute.
     ///
     /// # Errors
     /// The value is invalid.
@@ -183,10 +185,10 @@
         value.map_err(|error| self.error(format!("{name}: {error}")))
     }
 
-    /// The value of an attribute that has to be there.
+    /// Parses a required attribute.
     ///
     /// # Errors
-    /// The attribute is missing, or its value invalid.
+    /// The attribute is missing, or its value is invalid.
     pub fn required<T, E: fmt::Display>(
         &self,
         name: &str,
@@ -196,7 +198,7 @@
         value.ok_or_else(|| self.error(StructureError::MissingAttribute(name.into())))
     }
 
-    /// The text of an attribute that has to be there.
+    /// Returns the text of a required attribute.
     ///
     /// # Errors
     /// The attribute is missing.
@@ -205,10 +207,10 @@
         text.ok_or_else(|| self.error(StructureError::MissingAttribute(name.into())))
     }
 
-    /// The child of this name, which may be there once.
+    /// Returns the child with this name, which may occur at most once.
     ///
     /// # Errors
-    /// It is there twice.
+    /// There is more than one.
     pub fn optional_child(&self, name: &str) -> Result<Option<&Element>, ConfigError> {
         let mut children = self.children.iter().filter(|child| child.name == name);
         let first = children.next();
--- a/crates/operator-config/tests/every_part.rs
+++ b/crates/operator-config/tests/every_part.rs
@@ -1,5 +1,5 @@
-//! A file with every element and attribute that the operators' file may have, the values that have to be read
-//! from it, and what happens when a name is spelt differently.
+//! A file with every element and attribute of the operators' file: the values parsed from it, and the errors for
+//! misspelled names and invalid values.
 
 use std::path::PathBuf;
 use whinwall_operator_config::file::{self, LogFormat, ManagementEndpoint, OperatorsFile};
@@ -11,10 +11,10 @@
 
 const HOUR_MS: u64 = 3_600_000;
 /// 2026-12-01T22:00:00Z, in seconds since the epoch.
-const FIRST_END_S: u64 = 1_796_162_400;
+const FIRST_EXPIRY_S: u64 = 1_796_162_400;
 const DAY_S: u64 = 86_400;
 
-/// The start of each element, as it stands in the file, with all of its attributes.
+/// All elements in file order, each with all of its attributes.
 const ELEMENTS: [(&str, &[&str]); 12] = [
     ("operators", &["version"]),
     ("log", &["form"]),
@@ -30,8 +30,14 @@
     ("aggregator", &["name", "address"]),
 ];
 
-fn configured(id: &str, kind: OverrideKind, author: &str, reason: &str, until_s: u64) -> ConfiguredOverride {
-    let expires_at = Moment::at_ns(until_s * 1_000_000_000);
+fn configured(
+    id: &str,
+    kind: OverrideKind,
+    author: &str,
+    reason: &str,
+    expires_at_s: u64,
+) -> ConfiguredOverride {
+    let expires_at = Moment::at_ns(expires_at_s * 1_000_000_000);
     ConfiguredOverride { id: id.into(), kind, author: author.into(), reason: reason.into(), expires_at }
 }
 
@@ -53,9 +59,9 @@
             ended_retention: Span::ms(48 * HOUR_MS),
         },
         overrides: vec![
-            configured("w-1", weight, "ann", "half its memory", FIRST_END_S),
-            configured("o-1", out, "bob", "disk is failing", FIRST_END_S + DAY_S),
-            configured("p-1", pin, "eve", "audit", FIRST_END_S + 2 * DAY_S),
+            configured("w-1", weight, "ann", "half its memory", FIRST_EXPIRY_S),
+            configured("o-1", out, "bob", "disk is failing", FIRST_EXPIRY_S + DAY_S),
+            configured("p-1", pin, "eve", "audit", FIRST_EXPIRY_S + 2 * DAY_S),
         ],
         subsetting: Some(SubsettingConfig {
             subset_size: 48,
@@ -73,37 +79,37 @@
     }
 }
 
-/// The file with `name` in the start of `element` (its first one) spelt `misspelt`.
-fn with_misspelt_attribute(element: &str, name: &str, misspelt: &str) -> String {
+/// Returns the file with attribute `name` of the first `element` renamed to `misspelled`.
+fn with_misspelled_attribute(element: &str, name: &str, misspelled: &str) -> String {
     let start = EVERY_PART.find(&format!("<{element} ")).unwrap();
     let (before, after) = EVERY_PART.split_at(start);
-    before.to_string() + &after.replacen(&format!(" {name}=\""), &format!(" {misspelt}=\""), 1)
+    before.to_string() + &after.replacen(&format!(" {name}=\""), &format!(" {misspelled}=\""), 1)
 }
 
-/// The error without its location.
-fn message(text: &str) -> String {
+/// Returns the message of the parse error, without its location.
+fn error_message(text: &str) -> String {
     let error = file::parse(text).unwrap_err();
     format!("<{}>: {}", error.element, error.reason)
 }
 
 #[test]
-fn file_with_every_part_is_read() {
+fn file_with_every_part_is_parsed() {
     assert_eq!(file::parse(EVERY_PART), Ok(expected()));
 }
 
 #[test]
-fn every_attribute_counts_only_as_it_is_spelt() {
+fn misspelled_attribute_is_rejected() {
     for (element, attributes) in ELEMENTS {
         for attribute in attributes {
-            let misspelt = format!("{attribute}s");
-            let text = with_misspelt_attribute(element, attribute, &misspelt);
-            assert_eq!(message(&text), format!("<{element}>: it has no attribute \"{misspelt}\""));
+            let misspelled = format!("{attribute}s");
+            let text = with_misspelled_attribute(element, attribute, &misspelled);
+            assert_eq!(error_message(&text), format!("<{element}>: unknown attribute \"{misspelled}\""));
         }
     }
 }
 
 #[test]
-fn every_required_attribute_has_to_be_there() {
+fn missing_required_attribute_is_rejected() {
     let optional = [
         ("overrides", "longest"),
         ("overrides", "most"),
@@ -119,36 +125,36 @@
             let end = value + EVERY_PART[value..].find('"').unwrap() + 1;
             let without = format!("{}{}", &EVERY_PART[..begin], &EVERY_PART[end..]);
             let expected = match (element, *attribute) {
-                ("management", "address") => "it must have either \"socket\" or \"address\"".to_string(),
-                _ => format!("it lacks {attribute:?}"),
+                ("management", "address") => "either \"socket\" or \"address\" is required".to_string(),
+                _ => format!("missing attribute {attribute:?}"),
             };
-            assert_eq!(message(&without), format!("<{element}>: {expected}"));
+            assert_eq!(error_message(&without), format!("<{element}>: {expected}"));
         }
     }
 }
 
 #[test]
-fn every_element_counts_only_as_it_is_spelt() {
+fn misspelled_element_is_rejected() {
     for (element, _) in ELEMENTS {
-        let misspelt = format!("{element}x");
+        let misspelled = format!("{element}x");
         let text = EVERY_PART
-            .replace(&format!("<{element} "), &format!("<{misspelt} "))
-            .replace(&format!("</{element}>"), &format!("</{misspelt}>"));
-        let within = match element {
+            .replace(&format!("<{element} "), &format!("<{misspelled} "))
+            .replace(&format!("</{element}>"), &format!("</{misspelled}>"));
+        let parent = match element {
             "operators" => {
-                assert_eq!(message(&text), "<operatorsx>: the outermost element must be <operators>");
+                assert_eq!(error_message(&text), "<operatorsx>: the root element must be <operators>");
                 continue;
             }
             "weight" | "out" | "pin" => "overrides",
             "governor" | "aggregator" => "subsetting",
             _ => "operators",
         };
-        assert_eq!(message(&text), format!("<{misspelt}>: it has no place in <{within}>"));
+        assert_eq!(error_message(&text), format!("<{misspelled}>: element not allowed in <{parent}>"));
     }
 }
 
 #[test]
-fn management_by_a_socket_is_read() {
+fn management_socket_is_parsed() {
     let address = "address=\"127.0.0.1:8600\" token-file=\"/etc/fleet/token\"";
     let text = EVERY_PART.replace(address, "socket=\"/run/fleet.sock\"");
     let socket = ManagementEndpoint::Socket(PathBuf::from("/run/fleet.sock"));
@@ -156,19 +162,19 @@
 }
 
 #[test]
-fn log_in_text_form_is_read() {
+fn text_log_format_is_parsed() {
     let text = EVERY_PART.replace("form=\"json\"", "form=\"text\"");
     assert_eq!(file::parse(&text), Ok(OperatorsFile { log_format: LogFormat::Text, ..expected() }));
 }
 
 #[test]
-fn parts_that_are_not_named_have_their_defaults() {
-    let read = file::parse("<operators version=\"1\"/>").unwrap();
+fn absent_elements_have_their_defaults() {
+    let parsed = file::parse("<operators version=\"1\"/>").unwrap();
     let day = Span::ms(24 * HOUR_MS);
     let override_limits = OverrideLimits { max_duration: day, max_active: 1000, ended_retention: day };
-    assert_eq!(read, OperatorsFile { override_limits, ..OperatorsFile::default() });
+    assert_eq!(parsed, OperatorsFile { override_limits, ..OperatorsFile::default() });
     assert_eq!(
-        (read.log_format, read.store_folder, read.management, read.max_cores, read.subsetting),
+        (parsed.log_format, parsed.store_folder, parsed.management, parsed.max_cores, parsed.subsetting),
         (LogFormat::Text, None, None, None, None)
     );
 }
@@ -176,40 +182,48 @@
 #[test]
 fn invalid_values_are_rejected_with_their_messages() {
     for (valid, invalid, expected) in [
-        ("version=\"1\"", "version=\"2\"", "<operators>: version: \"2\" is not \"1\""),
-        ("form=\"json\"", "form=\"xml\"", "<log>: form: \"xml\" is neither \"text\" nor \"json\""),
-        ("\"/var/lib/fleet\"", "\"fleet\"", "<store>: folder: \"fleet\" is no absolute path"),
-        ("127.0.0.1:8600", "10.0.0.1:8600", "<management>: address: \"10.0.0.1:8600\" is no loopback address"),
-        ("<cores most=\"3\"", "<cores most=\"65\"", "<cores>: most: \"65\" is no whole number from 1 to 64"),
-        ("most=\"500\"", "most=\"0\"", "<overrides>: most: \"0\" is no whole number from 1 to 10000"),
-        ("most=\"500\"", "most=\"2\"", "<overrides>: 3 overrides are more than the most, 2"),
-        ("id=\"o-1\"", "id=\"w-1\"", "<out>: id: \"w-1\" is there twice"),
-        ("factor=\"0.5\"", "factor=\"half\"", "<weight>: factor: \"half\" is no number"),
-        ("subset=\"48\"", "subset=\"0\"", "<subsetting>: subset: \"0\" is no whole number from 1 to 100000"),
+        ("version=\"1\"", "version=\"2\"", "<operators>: version: unsupported version \"2\", expected \"1\""),
+        ("form=\"json\"", "form=\"xml\"", "<log>: form: invalid log format \"xml\", expected \"text\" or \"json\""),
+        ("\"/var/lib/fleet\"", "\"fleet\"", "<store>: folder: \"fleet\" is not an absolute path"),
+        ("127.0.0.1:8600", "10.0.0.1:8600", "<management>: address: \"10.0.0.1:8600\" is not a loopback address"),
+        ("<cores most=\"3\"", "<cores most=\"65\"", "<cores>: most: \"65\" is not an integer from 1 to 64"),
+        ("most=\"500\"", "most=\"0\"", "<overrides>: most: \"0\" is not an integer from 1 to 10000"),
+        ("most=\"500\"", "most=\"2\"", "<overrides>: 3 overrides, at most 2 allowed by \"most\""),
+        ("id=\"o-1\"", "id=\"w-1\"", "<out>: id: duplicate value \"w-1\""),
+        ("factor=\"0.5\"", "factor=\"half\"", "<weight>: factor: invalid number \"half\""),
+        ("subset=\"48\"", "subset=\"0\"", "<subsetting>: subset: \"0\" is not an integer from 1 to 100000"),
         (
             "\"27000\"",
             "\"511\"",
-            "<subsetting>: bytes-per-second: 511 bytes a second are too few for one report line, which needs \
-             up to 512",
+            "<subsetting>: bytes-per-second: budget of 511 bytes per second, at least 512 needed for one report \
+             line",
+        ),
+        (
+            "\"27000\"",
+            "\"1000000001\"",
+            "<subsetting>: bytes-per-second: budget of 1000000001 bytes per second, at most 1000000000 allowed",
+        ),
+        ("0-19,30", "0-19,19", "<governor>: slices: duplicate slice 19"),
+        (
+            "127.0.0.1:7001",
+            "127.0.0.1:0",
+            "<aggregator>: address: \"127.0.0.1:0\" has port 0; a port from 1 to 65535 is required",
         ),
-        ("\"27000\"", "\"1000000001\"", "<subsetting>: bytes-per-second: 1000000001 is more than 1000000000"),
-        ("0-19,30", "0-19,19", "<governor>: slices: slice 19 is there twice"),
-        ("127.0.0.1:7001", "127.0.0.1:0", "<aggregator>: address: \"127.0.0.1:0\" lacks a port"),
         (
             "name=\"m0\"",
             "name=\"m 0\"",
-            "<aggregator>: name: \"m 0\" is no name: 1 to 64 letters, digits, dots, colons, dashes or \
+            "<aggregator>: name: invalid name \"m 0\", expected 1 to 64 letters, digits, dots, colons, dashes or \
              underscores",
         ),
     ] {
         let text = EVERY_PART.replace(valid, invalid);
         assert_ne!(text, EVERY_PART, "{valid} is not in the file");
-        assert_eq!(message(&text), expected);
+        assert_eq!(error_message(&text), expected);
     }
 }
 
 #[test]
-fn message_names_line_column_and_element() {
+fn error_message_names_line_column_and_element() {
     let error = file::parse(&EVERY_PART.replace("form=\"json\"", "forms=\"json\"")).unwrap_err();
-    assert_eq!(error.to_string(), "line 3, column 3: <log>: it has no attribute \"forms\"");
+    assert_eq!(error.to_string(), "line 3, column 3: <log>: unknown attribute \"forms\"");
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,4 +1,4 @@
-//! The reader and the schema agree on the same samples, and errors name the location.
+//! The parser and the schema accept and reject the same samples, and errors name the location.
 
 use quickcheck::{Arbitrary, Gen};
 use regex::Regex;
@@ -9,29 +9,32 @@
 const SCHEMA: &str = include_str!("../../../deploy/operators.xsd");
 const EXAMPLE: &str = include_str!("../../../deploy/operators.xml");
 
-/// The part of XML Schema that the schema is written in.
+/// An evaluator of the subset of XML Schema that `operators.xsd` uses.
 struct Schema(Element);
 
 impl Schema {
-    fn allows(&self, text: &str) -> bool {
+    fn accepts(&self, text: &str) -> bool {
         let Ok(root) = xml::parse(text) else { return false };
-        let outermost = self.0.children.iter().find(|child| child.name == "xs:element").unwrap();
-        outermost.attribute("name") == Some(&root.name) && self.fits(&outermost.children[0], &root)
+        let root_declaration = self.0.children.iter().find(|child| child.name == "xs:element").unwrap();
+        root_declaration.attribute("name") == Some(&root.name)
+            && self.matches_type(&root_declaration.children[0], &root)
     }
 
-    fn named(&self, name: &str) -> &Element {
+    fn type_named(&self, name: &str) -> &Element {
         self.0.children.iter().find(|child| child.attribute("name") == Some(name)).expect(name)
     }
 
-    fn fits(&self, complex: &Element, element: &Element) -> bool {
-        let own: Vec<_> = complex.children.iter().filter(|child| child.name == "xs:attribute").collect();
-        let known = |name: &str| own.iter().find(|attribute| attribute.attribute("name") == Some(name));
+    fn matches_type(&self, complex: &Element, element: &Element) -> bool {
+        let declared: Vec<_> = complex.children.iter().filter(|child| child.name == "xs:attribute").collect();
+        let declaration =
+            |name: &str| declared.iter().find(|attribute| attribute.attribute("name") == Some(name));
         let attributes = element.attributes.iter().all(|(name, value)| {
-            known(name)
-                .is_some_and(|known| self.is_value(self.named(known.attribute("type").unwrap()), value))
+            declaration(name).is_some_and(|found| {
+                self.matches_simple_type(self.type_named(found.attribute("type").unwrap()), value)
+            })
         });
-        let required = own.iter().filter(|attribute| attribute.attribute("use") == Some("required"));
-        let all_there = required
+        let required = declared.iter().filter(|attribute| attribute.attribute("use") == Some("required"));
+        let has_required = required
             .map(|attribute| attribute.attribute("name").unwrap())
             .all(|name| element.attribute(name).is_some());
         let group =
@@ -40,26 +43,27 @@
             let found = group.and_then(|group| {
                 group.children.iter().find(|entry| entry.attribute("name") == Some(&child.name))
             });
-            let once = || element.children.iter().filter(|other| other.name == child.name).count() == 1;
+            let occurs_once =
+                || element.children.iter().filter(|other| other.name == child.name).count() == 1;
             found.is_some_and(|found| {
-                (group.unwrap().name == "xs:choice" || once())
-                    && self.fits(self.named(found.attribute("type").unwrap()), child)
+                (group.unwrap().name == "xs:choice" || occurs_once())
+                    && self.matches_type(self.type_named(found.attribute("type").unwrap()), child)
             })
         });
-        attributes && all_there && children
+        attributes && has_required && children
     }
 
-    fn is_value(&self, simple: &Element, value: &str) -> bool {
+    fn matches_simple_type(&self, simple: &Element, value: &str) -> bool {
         let facets = &simple.children[0].children;
-        let of = |name: &'static str| facets.iter().filter(move |facet| facet.name == name);
-        let figure = |facet: &Element| facet.attribute("value").unwrap().parse::<usize>().unwrap();
-        let mut listed = of("xs:enumeration").peekable();
-        (listed.peek().is_none() || listed.any(|facet| facet.attribute("value") == Some(value)))
-            && of("xs:pattern").all(|facet| {
+        let facets_named = |name: &'static str| facets.iter().filter(move |facet| facet.name == name);
+        let limit = |facet: &Element| facet.attribute("value").unwrap().parse::<usize>().unwrap();
+        let mut enumeration = facets_named("xs:enumeration").peekable();
+        (enumeration.peek().is_none() || enumeration.any(|facet| facet.attribute("value") == Some(value)))
+            && facets_named("xs:pattern").all(|facet| {
                 Regex::new(&format!("^(?:{})$", facet.attribute("value").unwrap())).unwrap().is_match(value)
             })
-            && of("xs:minLength").all(|facet| value.len() >= figure(facet))
-            && of("xs:maxLength").all(|facet| value.len() <= figure(facet))
+            && facets_named("xs:minLength").all(|facet| value.len() >= limit(facet))
+            && facets_named("xs:maxLength").all(|facet| value.len() <= limit(facet))
     }
 }
 
@@ -69,17 +73,17 @@
 
 const OUT: &str = r#"<out id="f-1" server="s-3" author="mb" reason="disk" until="2026-12-01T22:00:00Z"/>"#;
 
-fn within(overrides: &str) -> String {
+fn with_overrides(overrides: &str) -> String {
     document(&format!("<overrides longest=\"12h\">{overrides}</overrides>"))
 }
 
-fn subsetting(attributes: &str, more: &str) -> String {
+fn with_subsetting(attributes: &str, extra_members: &str) -> String {
     let members =
         r#"<governor name="n1" address="127.0.0.1:8443"/><aggregator name="m1" address="127.0.0.1:7001"/>"#;
-    document(&format!("<subsetting {attributes}>{members}{more}</subsetting>"))
+    document(&format!("<subsetting {attributes}>{members}{extra_members}</subsetting>"))
 }
 
-/// Files that the schema and the reader accept.
+/// Files that the schema and the parser accept.
 fn valid_files() -> Vec<String> {
     let without_subsetting = [
         EXAMPLE.to_string(),
@@ -88,19 +92,22 @@
         document("<management address=\"127.0.0.1:8600\" token-file=\"/etc/token\"/>"),
         document("<cores most=\"4\"/>"),
         document("<management socket=\"/run/a&amp;b.sock\"/><store folder=\"/var/lib/w\"/>"),
-        within(OUT),
-        within(&format!("{OUT}{}", OUT.replace("f-1", "f-2"))),
-        within(
+        with_overrides(OUT),
+        with_overrides(&format!("{OUT}{}", OUT.replace("f-1", "f-2"))),
+        with_overrides(
             r#"<pin id="a" slices="4-9" server="s" author="m" reason="r" until="2026-12-01T22:00:00+01:00"/>"#,
         ),
-        within(
+        with_overrides(
             r#"<weight id="a" factor="0.5" server="s" author="m" reason="r" until="2026-12-01T22:00:00Z"/>"#,
         ),
     ];
     let with_subsetting = [
-        subsetting(r#"subset="48" bytes-per-second="27000""#, ""),
-        subsetting(r#"subset="100000" bytes-per-second="512""#, r#"<governor name="n2" slices="0-19,40"/>"#),
-        subsetting(
+        with_subsetting(r#"subset="48" bytes-per-second="27000""#, ""),
+        with_subsetting(
+            r#"subset="100000" bytes-per-second="512""#,
+            r#"<governor name="n2" slices="0-19,40"/>"#,
+        ),
+        with_subsetting(
             r#"subset="1" bytes-per-second="1000000000""#,
             r#"<aggregator name="m:2" address="[::1]:7"/>"#,
         ),
@@ -108,7 +115,7 @@
     without_subsetting.into_iter().chain(with_subsetting).collect()
 }
 
-/// Files that the schema and the reader reject.
+/// Files that the schema and the parser reject.
 fn invalid_files() -> Vec<String> {
     let without_subsetting = [
         "<operators/>".to_string(),
@@ -126,75 +133,77 @@
         document("<cores most=\"65\"/>"),
         document("<cores most=\"0\"/>"),
         document("<cores/>"),
-        within("<drain id=\"a\"/>"),
-        within(&OUT.replace("author=\"mb\"", "")),
-        within(&OUT.replace("f-1", "f 1")),
-        within(&OUT.replace("author=\"mb\"", "author=\"mb\" factor=\"2\"")),
-        within(&OUT.replace("2026-12-01T22:00:00Z", "tonight")),
-        within(&OUT.replace("reason=\"disk\"", "reason=\"\"")),
-        within(r#"<pin id="a" slices="4-" server="s" author="m" reason="r" until="2026-12-01T22:00:00Z"/>"#),
-        within(
+        with_overrides("<drain id=\"a\"/>"),
+        with_overrides(&OUT.replace("author=\"mb\"", "")),
+        with_overrides(&OUT.replace("f-1", "f 1")),
+        with_overrides(&OUT.replace("author=\"mb\"", "author=\"mb\" factor=\"2\"")),
+        with_overrides(&OUT.replace("2026-12-01T22:00:00Z", "tonight")),
+        with_overrides(&OUT.replace("reason=\"disk\"", "reason=\"\"")),
+        with_overrides(
+            r#"<pin id="a" slices="4-" server="s" author="m" reason="r" until="2026-12-01T22:00:00Z"/>"#,
+        ),
+        with_overrides(
             r#"<weight id="a" factor="much" server="s" author="m" reason="r" until="2026-12-01T22:00:00Z"/>"#,
         ),
     ];
     let with_subsetting = [
-        subsetting(r#"subset="0" bytes-per-second="27000""#, ""),
-        subsetting(r#"subset="100001" bytes-per-second="27000""#, ""),
-        subsetting(r#"subset="48" bytes-per-second="511""#, ""),
-        subsetting(r#"subset="48" bytes-per-second="1000000001""#, ""),
-        subsetting(r#"subset="48""#, ""),
-        subsetting(r#"subset="48" bytes-per-second="27000" zone="a""#, ""),
-        subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<governor name="n 2"/>"#),
-        subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<governor name="n2" slices="0-"/>"#),
-        subsetting(
+        with_subsetting(r#"subset="0" bytes-per-second="27000""#, ""),
+        with_subsetting(r#"subset="100001" bytes-per-second="27000""#, ""),
+        with_subsetting(r#"subset="48" bytes-per-second="511""#, ""),
+        with_subsetting(r#"subset="48" bytes-per-second="1000000001""#, ""),
+        with_subsetting(r#"subset="48""#, ""),
+        with_subsetting(r#"subset="48" bytes-per-second="27000" zone="a""#, ""),
+        with_subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<governor name="n 2"/>"#),
+        with_subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<governor name="n2" slices="0-"/>"#),
+        with_subsetting(
             r#"subset="48" bytes-per-second="27000""#,
             r#"<governor name="n2" address="127.0.0.1:0"/>"#,
         ),
-        subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<aggregator name="m2"/>"#),
-        subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<proxy name="p2"/>"#),
+        with_subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<aggregator name="m2"/>"#),
+        with_subsetting(r#"subset="48" bytes-per-second="27000""#, r#"<proxy name="p2"/>"#),
     ];
     without_subsetting.into_iter().chain(with_subsetting).collect()
 }
 
 #[test]
-fn schema_and_reader_agree() {
+fn schema_and_parser_agree() {
     let schema = Schema(xml::parse(SCHEMA).unwrap());
     for text in valid_files() {
-        assert!(schema.allows(&text), "the schema rejects {text}");
+        assert!(schema.accepts(&text), "the schema rejects {text}");
         file::parse(&text).unwrap_or_else(|error| panic!("{error} in {text}"));
     }
     for text in invalid_files() {
-        assert!(!schema.allows(&text), "the schema accepts {text}");
-        assert!(file::parse(&text).is_err(), "the reader accepts {text}");
+        assert!(!schema.accepts(&text), "the schema accepts {text}");
+        assert!(file::parse(&text).is_err(), "the parser accepts {text}");
     }
 }
 
 #[test]
-fn what_the_schema_cannot_express_is_rejected() {
+fn violations_that_the_schema_cannot_express_are_rejected() {
     for (text, expected) in [
         (document("<management/>"), "either"),
         (document("<management socket=\"/a\" address=\"127.0.0.1:1\"/>"), "either"),
         (document("<management socket=\"/a\" token-file=\"/t\"/>"), "token-file"),
         (document("<management address=\"127.0.0.1:1\"/>"), "token-file"),
-        (within(&format!("{OUT}{OUT}")), "twice"),
-        (within(&OUT.replace("2026-12-01", "2026-13-01")), "until"),
+        (with_overrides(&format!("{OUT}{OUT}")), "duplicate value"),
+        (with_overrides(&OUT.replace("2026-12-01", "2026-13-01")), "until"),
         (document(&format!("<overrides most=\"1\">{OUT}{}</overrides>", OUT.replace("f-1", "f-2"))), "most"),
         (document("text"), "text"),
-        (format!("{}<more/>", document("")), "outermost"),
+        (format!("{}<more/>", document("")), "more than one root element"),
         (document("<!DOCTYPE x>"), "type"),
-        ("<operators version='1'><overrides>".into(), "lacks its end"),
+        ("<operators version='1'><overrides>".into(), "missing end tag"),
         ("<a>".repeat(100), "deep"),
-        (String::new(), "no element"),
+        (String::new(), "missing root element"),
         ("<operators version='1' version='1'/>".into(), "uplicate"),
     ] {
         let error = file::parse(&text).unwrap_err().to_string();
-        assert!(error.contains(expected), "{error:?} lacks {expected:?} for {text}");
+        assert!(error.contains(expected), "{error:?} does not contain {expected:?} for {text}");
     }
 }
 
 #[test]
 fn error_names_element_line_and_column() {
-    let text = within(&format!("\n    {}", OUT.replace("mb", "").replace("disk", "é")));
+    let text = with_overrides(&format!("\n    {}", OUT.replace("mb", "").replace("disk", "é")));
     let error = file::parse(&text).unwrap_err();
     assert_eq!((error.element.as_str(), error.location.line, error.location.column), ("out", 3, 5));
     assert!(error.to_string().starts_with("line 3, column 5: <out>: author: "), "{error}");
@@ -203,31 +212,31 @@
 }
 
 #[test]
-fn attributes_are_read() {
+fn attributes_are_parsed() {
     let pin = r#"<pin id="a" slices="4-9" server="s &quot;1&quot;" author="m" reason="r" until="2026-12-01T22:00:00Z"/>"#;
     let text = document(&format!(
         "<log form=\"json\"/><management address=\"[::1]:8600\" token-file=\"/t\"/>
          <overrides most=\"7\">{OUT}{pin}</overrides>"
     ));
-    let read = file::parse(&text).unwrap();
+    let parsed = file::parse(&text).unwrap();
     assert_eq!(
-        (read.log_format, read.override_limits.max_active, read.store_folder),
+        (parsed.log_format, parsed.override_limits.max_active, parsed.store_folder),
         (LogFormat::Json, 7, None)
     );
     assert!(
-        matches!(read.management, Some(ManagementEndpoint::Address { address, .. }) if address.port() == 8600)
+        matches!(parsed.management, Some(ManagementEndpoint::Address { address, .. }) if address.port() == 8600)
     );
     let replica = "s \"1\"".to_string();
-    assert_eq!(read.overrides[1].kind, OverrideKind::Pin { first: 4, last: 9, replica });
+    assert_eq!(parsed.overrides[1].kind, OverrideKind::Pin { first: 4, last: 9, replica });
 }
 
-/// The example with some of its bytes lost, doubled or changed.
+/// A valid file with up to three bytes removed, duplicated or replaced.
 #[derive(Clone, Debug)]
-struct Garbled(String);
+struct CorruptFile(String);
 
-impl Arbitrary for Garbled {
+impl Arbitrary for CorruptFile {
     fn arbitrary(gen: &mut Gen) -> Self {
-        let mut bytes = within(OUT).into_bytes();
+        let mut bytes = with_overrides(OUT).into_bytes();
         for _ in 0..u8::arbitrary(gen) % 4 {
             let at = usize::arbitrary(gen) % bytes.len();
             match u8::arbitrary(gen) % 3 {
@@ -236,15 +245,15 @@
                 _ => bytes[at] = u8::arbitrary(gen),
             }
         }
-        Garbled(String::from_utf8_lossy(&bytes).into_owned())
+        CorruptFile(String::from_utf8_lossy(&bytes).into_owned())
     }
 }
 
 #[test]
-fn garbled_files_are_read_or_rejected() {
-    fn holds(text: Garbled) -> bool {
-        // What is accepted is complete: never an override without its expiry.
+fn corrupt_files_are_parsed_or_rejected() {
+    fn is_complete_or_rejected(text: CorruptFile) -> bool {
+        // An accepted file has at most the override of the original, never a partial one.
         file::parse(&text.0).map_or(true, |file| file.overrides.len() <= 1)
     }
-    quickcheck::QuickCheck::new().tests(3000).quickcheck(holds as fn(Garbled) -> bool);
+    quickcheck::QuickCheck::new().tests(3000).quickcheck(is_complete_or_rejected as fn(CorruptFile) -> bool);
 }
