--- a/crates/override-store/src/database.rs
+++ b/crates/override-store/src/database.rs
@@ -1,25 +1,25 @@
-//! The tables of the database file, and reading and writing them in transactions.
+//! The tables of the database file, which are read and written in transactions.
 
 use crate::error::StoreError;
 use crate::store::{StoreContents, WriteBatch};
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
 use std::io::ErrorKind;
 
-/// The version of the file's format. A file of a later version is left alone.
+/// The version of the file format. A file with a later version is not opened and stays unchanged.
 pub const FORMAT_VERSION: u64 = 1;
 
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// Key of the format version in [`META`], a big-endian `u64`.
+/// Key of the format version in [`META`], whose value is a big-endian `u64`.
 const FORMAT_VERSION_KEY: &str = "form";
 /// Key of the clock stamp in [`META`].
 const STAMP_KEY: &str = "stamp";
 
-/// Why a file cannot be used.
+/// The reason why a file cannot be used.
 pub enum OpenError {
-    /// Another program uses it, it cannot be reached, or a later version wrote it: it has to stay as it is.
+    /// Another program uses the file, it cannot be accessed, or a later version wrote it. The file must not be changed.
     Unavailable(StoreError),
-    /// It is not a database, or a damaged one.
+    /// The file is not a database, or is damaged.
     Corrupt(StoreError),
 }
 
@@ -50,16 +50,16 @@
 }
 
 struct FileContents {
-    /// None in a file that was never written to.
+    /// `None` if no batch was ever written to the file.
     format_version: Option<u64>,
     contents: StoreContents,
 }
 
-/// Reads all that the database holds. A file without tables gets them; any other is only read, as the disk may be
-/// full.
+/// Reads the contents of the database. Creates the tables if the file has none; otherwise writes nothing, as the disk
+/// may be full.
 ///
 /// # Errors
-/// A database that is damaged, cannot be read now, or is of a later version.
+/// The database is damaged, cannot be read at present, or has a later format version.
 pub fn read_contents(database: &Database) -> Result<StoreContents, OpenError> {
     let file = match read_tables(database) {
         Err(redb::Error::TableDoesNotExist(_)) => {
@@ -80,7 +80,7 @@
     let transaction = database.begin_read()?;
     let records = transaction.open_table(RECORDS)?;
     let meta = transaction.open_table(META)?;
-    // A version of another length is one that this version does not know.
+    // A value of another length comes from an unknown later version.
     let format_version = meta
         .get(FORMAT_VERSION_KEY)?
         .map(|bytes| bytes.value().try_into().map_or(u64::MAX, u64::from_be_bytes));
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-/// Writes a batch, all of it or nothing.
+/// Writes a batch in one transaction.
 ///
 /// # Errors
 /// The transaction failed.
--- a/crates/override-store/src/error.rs
+++ b/crates/override-store/src/error.rs
@@ -1,18 +1,18 @@
-//! Why the store cannot be used.
+//! Errors of the override store.
 
 use crate::database::FORMAT_VERSION;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Why the store cannot be opened, read or written now; a retry may succeed. The messages are shown to operators.
+/// The store cannot be opened, read or written at present; a retry may succeed. The messages are shown to operators.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The store's folder cannot be created.
-    #[error("{}: {source}", folder.display())]
+    /// The folder of the store cannot be created.
+    #[error("cannot create folder {}: {source}", folder.display())]
     CreateFolder {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: Arc<std::io::Error>,
     },
     /// The database file cannot be opened.
@@ -21,29 +21,29 @@
     /// The database cannot be read or written.
     #[error(transparent)]
     Access(Arc<redb::Error>),
-    /// The file was written by a later version.
-    #[error("it has form {found}, this version reads up to {FORMAT_VERSION}")]
+    /// The file was written by a later version of the program.
+    #[error("file format {found}, this version reads up to {FORMAT_VERSION}")]
     NewerFormat {
-        /// The file's format version.
+        /// The format version of the file.
         found: u64,
     },
-    /// The database panicked over the bytes of the file.
-    #[error("it can't be read")]
+    /// The database panicked while it read the file.
+    #[error("the database panicked while reading the file")]
     ReadPanicked,
     /// The database panicked during a write.
-    #[error("it panicked")]
+    #[error("the database panicked during a write")]
     WritePanicked,
     /// The file is corrupt and cannot be renamed.
-    #[error("{corruption}; {source}")]
+    #[error("corrupt file ({corruption}) cannot be renamed: {source}")]
     SetAside {
-        /// Why it is corrupt.
+        /// The error that showed the file to be corrupt.
         corruption: Box<StoreError>,
-        /// Why it cannot be renamed.
+        /// The error of the renaming.
         source: Arc<std::io::Error>,
     },
 }
 
-/// Errors are the same where operators are shown the same; the sources of the database cannot be compared.
+/// Errors are equal if their messages are equal, as the database's error types cannot be compared.
 impl PartialEq for StoreError {
     fn eq(&self, other: &Self) -> bool {
         self.to_string() == other.to_string()
--- a/crates/override-store/src/lib.rs
+++ b/crates/override-store/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stores records by number, and a clock stamp, in one file of an embedded database.
 //!
-//! What [`OverrideStore::write`] has returned for is on disk, whatever ends the program; a write that it rejects
-//! may be there in the rare case that only its last flush failed. All calls block, so the store has a thread of
-//! its own ([`storage_thread`]). The contents of the records are opaque here.
+//! A batch is durable once [`OverrideStore::write`] has returned successfully, even if the program is killed. A
+//! failed write may still be on disk in the rare case that only its last flush failed. All calls block, so the
+//! store runs on a thread of its own ([`storage_thread`]). The contents of the records are opaque to this package.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/override-store/src/storage_thread.rs
+++ b/crates/override-store/src/storage_thread.rs
@@ -1,34 +1,34 @@
-//! The override store on a thread of its own, as it blocks: requests are queued, and each has a reply.
+//! Runs the override store on a thread of its own, as its calls block. Requests are queued, and each gets a reply.
 
 use crate::{OverrideStore, StoreContents, StoreError, WriteBatch};
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender, TrySendError};
 use std::time::Duration;
 
-/// The most requests that wait. The caller has one write in flight at a time, so a full queue is an error.
+/// The capacity of the request queue. The caller has one write in flight at a time, so a full queue is an error.
 const MAX_QUEUED_REQUESTS: usize = 4;
-/// How often opening the store is retried after a failure.
+/// The time between retries to open the store after a failure.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 const THREAD_NAME: &str = "override-store";
 
-/// What the storage thread replies.
+/// A reply of the storage thread.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// The store is open, and holds this.
+    /// The store is open and has these contents.
     Opened(StoreContents),
     /// The store cannot be opened; the thread retries.
     Unavailable(StoreError),
-    /// A write has ended.
+    /// A write has finished.
     Written {
         /// The serial number of the write.
         serial: u64,
-        /// Whether it succeeded.
+        /// `Ok` if the batch is on disk.
         outcome: Result<(), StoreError>,
     },
 }
 
-/// The request was not queued: too many wait, or the thread has ended.
+/// The request was not queued, as the queue is full or the thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the override store's queue is full")]
+#[error("override store queue is full or its thread has ended")]
 pub struct QueueFull;
 
 enum StoreRequest {
@@ -36,15 +36,15 @@
     Write { serial: u64, batch: WriteBatch },
 }
 
-/// The sender of requests to the storage thread, which ends when all senders are dropped.
+/// Sends requests to the storage thread, which ends when all senders are dropped.
 #[derive(Clone)]
 pub struct StorageThread(SyncSender<StoreRequest>);
 
 impl StorageThread {
-    /// Starts the thread. `on_reply` is called on it and delays it for as long as it blocks.
+    /// Starts the thread. It calls `on_reply` for each reply and serves no other request until that call returns.
     ///
     /// # Errors
-    /// The system cannot start a thread.
+    /// The operating system cannot start a thread.
     pub fn spawn(
         store: OverrideStore,
         on_reply: impl Fn(StoreReply) + Send + 'static,
@@ -56,7 +56,7 @@
         Ok(StorageThread(sender))
     }
 
-    /// Requests the contents of the store. They are sent once the store can be opened.
+    /// Requests the contents of the store. The reply with the contents is sent once the store can be opened.
     ///
     /// # Errors
     /// [`QueueFull`].
@@ -64,10 +64,10 @@
         self.send(StoreRequest::Open)
     }
 
-    /// Requests a write; its reply has this serial number.
+    /// Requests a write. Its reply carries `serial`.
     ///
     /// # Errors
-    /// [`QueueFull`]; there will be no reply.
+    /// [`QueueFull`]; no reply is sent.
     pub fn request_write(&self, serial: u64, batch: WriteBatch) -> Result<(), QueueFull> {
         self.send(StoreRequest::Write { serial, batch })
     }
--- a/crates/override-store/src/store.rs
+++ b/crates/override-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: opens the file, sets a corrupt one aside, and reopens it after a failed write.
+//! The store: opens the file, sets a corrupt file aside, and reopens the file after a failed write.
 
 use crate::database::{read_contents, write_batch, OpenError};
 use crate::error::StoreError;
@@ -9,55 +9,55 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The name of the store's file within its folder.
+/// The name of the database file in the store's folder.
 const FILE_NAME: &str = "overrides.redb";
-/// The database's cache: all records together take a few hundred kilobytes.
+/// The cache size of the database. All records together take a few hundred kilobytes.
 const CACHE_BYTES: usize = 1 << 20;
-/// Only the user that runs the program may use the store.
+/// Access to the file and the folder is limited to the user that runs the program.
 const FILE_MODE: u32 = 0o600;
 const FOLDER_MODE: u32 = 0o700;
 
-/// What the store holds.
+/// The contents of the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreContents {
-    /// The records with their numbers, ascending.
+    /// The records with their numbers, in ascending order.
     pub records: Vec<(u64, Vec<u8>)>,
     /// The clock stamp of the last write.
     pub stamp: Option<Vec<u8>>,
-    /// The corrupt file that was set aside, where there was one.
+    /// The corrupt file that was set aside when the store was opened, if any.
     pub set_aside: Option<SetAsideFile>,
 }
 
-/// A corrupt file that was renamed, so that a new store could be created in its place.
+/// A corrupt file that was renamed, so that a new database could be created under its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetAsideFile {
-    /// Its present path.
+    /// The path after the renaming.
     pub path: PathBuf,
-    /// Why it cannot be read.
+    /// The reason why the file cannot be read.
     pub reason: StoreError,
 }
 
 impl fmt::Display for SetAsideFile {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{FILE_NAME} is now {}: {}", self.path.display(), self.reason)
+        write!(f, "{FILE_NAME} renamed to {}: {}", self.path.display(), self.reason)
     }
 }
 
-/// A change of the store, written atomically.
+/// A change of the store that is written atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WriteBatch {
     /// Records to write, with their numbers.
     pub writes: Vec<(u64, Vec<u8>)>,
-    /// Numbers of the records to remove.
+    /// The numbers of the records to remove.
     pub removals: Vec<u64>,
-    /// The clock stamp.
+    /// The clock stamp of this write.
     pub stamp: Vec<u8>,
 }
 
-/// Opens the database at a path; tests replace it to simulate a failing disk.
+/// Opens the database at a path. Tests replace it to simulate a failing disk.
 pub type DatabaseOpener = Box<dyn FnMut(&Path) -> Result<Database, DatabaseError> + Send>;
 
-/// The store of one controller's overrides.
+/// The override store of one controller.
 pub struct OverrideStore {
     folder: PathBuf,
     opener: DatabaseOpener,
@@ -65,20 +65,20 @@
 }
 
 impl OverrideStore {
-    /// A store in this folder, which is created when the store is opened.
+    /// Returns a store in this folder, which is created when the store is opened.
     pub fn new(folder: PathBuf) -> Self {
         OverrideStore::with_opener(folder, Box::new(create_database))
     }
 
-    /// A store whose database is opened in another way.
+    /// Returns a store whose database is opened by `opener`.
     pub fn with_opener(folder: PathBuf, opener: DatabaseOpener) -> Self {
         OverrideStore { folder, opener, database: None }
     }
 
-    /// Opens the store and reads all that it holds. A corrupt file is renamed and a new one created.
+    /// Opens the store and reads its contents. Renames a corrupt file and creates a new one.
     ///
     /// # Errors
-    /// The folder or the file cannot be used now, or a later version wrote the file; it stays as it is.
+    /// The folder or the file cannot be used at present, or a later version wrote the file, which then stays unchanged.
     pub fn open(&mut self) -> Result<StoreContents, StoreError> {
         std::fs::DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(&self.folder).map_err(
             |source| StoreError::CreateFolder { folder: self.folder.clone(), source: Arc::new(source) },
@@ -93,7 +93,7 @@
     fn try_open(&mut self) -> Result<StoreContents, OpenError> {
         self.database = None;
         let path = self.file_path();
-        // The database may panic over bytes that it never wrote: such a file is corrupt.
+        // The database may panic on bytes that it never wrote. Such a file is treated as corrupt.
         let opened = catch_unwind(AssertUnwindSafe(|| {
             let database = (self.opener)(&path)?;
             let contents = read_contents(&database)?;
@@ -120,7 +120,7 @@
         Ok(contents)
     }
 
-    /// Renames the file to the first free name; returns that path.
+    /// Renames the file to the first unused name and returns the new path.
     fn set_file_aside(&self) -> std::io::Result<PathBuf> {
         let candidate = |n: u32| self.folder.join(format!("{FILE_NAME}.spoilt-{n}"));
         let path = candidate((1..).find(|n| !candidate(*n).exists()).unwrap_or_default());
@@ -132,8 +132,8 @@
         self.folder.join(FILE_NAME)
     }
 
-    /// Writes a batch, which is on disk when this returns. After a failure the next write reopens the file, which
-    /// rolls back what was written in part.
+    /// Writes a batch, which is on disk when this returns `Ok`. After a failure the next write reopens the file, which
+    /// rolls back a partial write.
     ///
     /// # Errors
     /// The file cannot be opened or written to.
@@ -149,7 +149,7 @@
         };
         if outcome.is_err() {
             let failed = self.database.take();
-            // Closing may write once more, and panic once more.
+            // Closing the database may write, and panic, again.
             _ = catch_unwind(AssertUnwindSafe(|| drop(failed)));
         }
         outcome
