--- a/crates/override-store/tests/override_store.rs
+++ b/crates/override-store/tests/override_store.rs
@@ -147,7 +147,8 @@
 }
 
 /// Lets the disk fail at the first write, the second write and so on, until a batch succeeds. Acknowledged batches have
-/// to be on disk and rejected ones not, and the store has to work again once the disk has space.
+/// to be on disk, rejected ones not (unless only the last flush failed), and the store has to work again once the disk
+/// has space.
 #[test]
 fn full_disk_rejects_writes_and_keeps_acknowledged_ones() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/overrides/src/encoding.rs
+++ b/crates/overrides/src/encoding.rs
@@ -1,5 +1,5 @@
-//! The stored form of overrides and of the clock stamp: a protobuf message behind its CRC-32. Fields are only
-//! ever added, and unknown fields are ignored. All times are in nanoseconds on the persistent timeline.
+//! The stored format of overrides and of the clock stamp: a CRC-32 followed by a protobuf message. Later versions only
+//! add fields, and unknown fields are ignored. All times are in nanoseconds on the persistent timeline.
 
 use crate::record::{EndCause, Ending, Origin, Override, OverrideKind};
 use crate::timeline::{ClockReading, ClockStamp, Timeline};
@@ -7,29 +7,29 @@
 use prost::Message;
 use whinwall_policy::time::{Moment, Span};
 
-/// The version of the store file's format; a file of a later version is not read.
+/// The version of the store's file format. A file with a later version is not read.
 pub const FORMAT_VERSION: u64 = 1;
 
-/// The length of the checksum before each message.
+/// The length of the checksum that precedes each message.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Why stored bytes cannot be read. The messages are shown to operators.
+/// Stored bytes that cannot be decoded. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes end within the checksum.
-    #[error("it is cut off")]
+    /// There are fewer bytes than the checksum has.
+    #[error("truncated within the checksum of {CHECKSUM_BYTES} bytes")]
     Truncated,
-    /// The checksum is not that of the message.
-    #[error("its checksum is wrong")]
+    /// The checksum does not match the message.
+    #[error("checksum mismatch")]
     ChecksumMismatch,
     /// The message is not valid protobuf.
     #[error(transparent)]
     Malformed(#[from] prost::DecodeError),
-    /// The override is of a kind that a later version has added.
-    #[error("it is of a kind that this version does not know")]
+    /// The kind of the override is unknown, as a later version added it.
+    #[error("unknown override kind, added by a later version")]
     UnknownKind,
-    /// The override has ended for a reason that a later version has added.
-    #[error("it ended for a reason that this version does not know")]
+    /// The end cause of the override is unknown, as a later version added it.
+    #[error("unknown end cause, added by a later version")]
     UnknownEndCause,
     /// A field is outside its limits.
     #[error(transparent)]
@@ -56,7 +56,7 @@
     set_at_ns: u64,
     #[prost(uint64, tag = "11")]
     expires_at_ns: u64,
-    /// Of the wall clock.
+    /// Unlike the other times, a time of the wall clock.
     #[prost(uint64, optional, tag = "12")]
     expires_at_wall_ns: Option<u64>,
     #[prost(uint64, optional, tag = "13")]
@@ -151,7 +151,7 @@
     }
 }
 
-fn nanoseconds(at: Moment) -> u64 {
+fn nanoseconds_since_epoch(at: Moment) -> u64 {
     (at - Moment::default()).as_ns()
 }
 
@@ -170,9 +170,9 @@
     Ok(M::decode(body)?)
 }
 
-/// The record of an override, with its times on the persistent timeline.
+/// Encodes an override, with its times converted to the persistent timeline.
 pub fn encode_override(entry: &Override, timeline: &Timeline) -> Vec<u8> {
-    let persistent_ns = |at| nanoseconds(timeline.to_persistent(at));
+    let persistent_ns = |at| nanoseconds_since_epoch(timeline.to_persistent(at));
     encode_with_checksum(&Record {
         number: entry.number,
         id: entry.id.clone(),
@@ -183,16 +183,17 @@
         is_from_file: entry.origin == Origin::File,
         set_at_ns: persistent_ns(entry.set_at),
         expires_at_ns: persistent_ns(entry.expires_at),
-        expires_at_wall_ns: entry.expires_at_wall_time.map(nanoseconds),
+        expires_at_wall_ns: entry.expires_at_wall_time.map(nanoseconds_since_epoch),
         ended_at_ns: entry.ended.as_ref().map(|ending| persistent_ns(ending.at)),
         end_cause: entry.ended.as_ref().map(|ending| RecordEndCause::from(&ending.cause)),
     })
 }
 
-/// Reads a record, with its times in process time.
+/// Decodes an override, with its times converted to process time.
 ///
 /// # Errors
-/// Any part that is not understood: an override that is read in part would be another override.
+/// Any part of the record is corrupt or unknown. A partly decoded override would be a different override, so it is
+/// rejected as a whole.
 pub fn decode_override(bytes: &[u8], timeline: &Timeline) -> Result<Override, DecodeError> {
     let record: Record = decode_with_checksum(bytes)?;
     let kind = record.kind.ok_or(DecodeError::UnknownKind)?.into_kind(record.replica);
@@ -217,20 +218,20 @@
     })
 }
 
-/// The record of a clock stamp.
+/// Encodes a clock stamp.
 pub fn encode_stamp(stamp: &ClockStamp) -> Vec<u8> {
     encode_with_checksum(&StampRecord {
         boot_id: stamp.reading.boot_id.clone(),
         uptime_ns: stamp.reading.uptime.as_ns(),
-        wall_time_ns: nanoseconds(stamp.reading.wall_time),
-        position_ns: nanoseconds(stamp.position),
+        wall_time_ns: nanoseconds_since_epoch(stamp.reading.wall_time),
+        position_ns: nanoseconds_since_epoch(stamp.position),
     })
 }
 
-/// Reads a clock stamp.
+/// Decodes a clock stamp.
 ///
 /// # Errors
-/// Bytes that are truncated, corrupt or malformed.
+/// The bytes are truncated, corrupt or malformed.
 pub fn decode_stamp(bytes: &[u8]) -> Result<ClockStamp, DecodeError> {
     let record: StampRecord = decode_with_checksum(bytes)?;
     let reading = ClockReading {
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -1,9 +1,9 @@
-//! Operator overrides that expire: what is requested, which overrides are active, and how they are stored.
+//! Operator overrides with an expiry time: requests to change them, the registry of overrides, and their storage.
 //!
-//! The package has no I/O and reads no clock; callers pass the time and carry out [`OverrideEffect`]s.
-//! [`manager`] handles requests and the store, [`registry`] holds all overrides, [`record`] defines one
-//! override, [`validation`] its limits, [`timeline`] how expiry times outlive a restart, [`encoding`] the
-//! stored form and [`text`] the form that people write.
+//! The package performs no I/O and reads no clock; callers pass the time and carry out [`OverrideEffect`]s.
+//! [`manager`] handles requests and the store, [`registry`] holds all overrides, [`record`] defines one override,
+//! [`validation`] checks its fields, [`timeline`] preserves expiry times across restarts, [`encoding`] defines the
+//! stored format and [`text`] the formats that operators write.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/overrides/src/manager/messages.rs
+++ b/crates/overrides/src/manager/messages.rs
@@ -1,4 +1,4 @@
-//! Requests to the override manager, its replies, and the effects that its caller carries out.
+//! Requests to the override manager, its replies, and the effects that its caller has to carry out.
 
 use crate::error::OverrideError;
 use crate::record::{NewOverride, StoredRecord};
@@ -6,7 +6,7 @@
 use std::fmt;
 use whinwall_policy::api::OverrideNumber;
 
-/// Identifies the reply to a request.
+/// Identifies a request and its reply.
 pub type RequestId = u64;
 
 /// A request to change the overrides.
@@ -14,73 +14,73 @@
 pub enum ChangeRequest {
     /// Set an override.
     Set(NewOverride),
-    /// End an override.
+    /// Clear an override.
     Clear {
-        /// Its id.
+        /// The id of the override.
         id: String,
-        /// Who ends it.
+        /// The operator who clears it.
         by: String,
     },
 }
 
-/// Whether a change outlives the program.
+/// The durability of a change: whether it survives a restart of the program.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Durability {
-    /// It is stored.
+    /// The change is on disk.
     OnDisk,
-    /// No store is configured.
+    /// The change is in memory only, as no store is configured.
     InMemory,
-    /// The store cannot be written to now, for this reason; the write is retried.
+    /// The change is in memory and not on disk yet, for this reason. The write is retried.
     Pending(String),
 }
 
 /// The reply to a [`ChangeRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeReply {
-    /// The override is set.
+    /// The override was set.
     Set {
-        /// Its number.
+        /// The number of the override.
         number: OverrideNumber,
-        /// Whether an earlier request had set it.
+        /// True if an earlier request had set it.
         is_repeat: bool,
-        /// Whether it outlives the program.
+        /// The durability of the override.
         durability: Durability,
     },
     /// The override has ended.
     Cleared {
-        /// Its number.
+        /// The number of the override.
         number: OverrideNumber,
-        /// Whether it had ended before.
+        /// True if it had ended before the request.
         is_repeat: bool,
-        /// Whether the end outlives the program.
+        /// The durability of the end.
         durability: Durability,
     },
     /// The request is rejected; nothing has changed.
     Rejected(OverrideError),
-    /// The store cannot be written to, for this reason; nothing has changed.
+    /// The change could not be stored, for this reason; nothing has changed.
     NotStored(String),
-    /// Too many requests are queued; nothing has changed.
+    /// The request queue is full; nothing has changed.
     Busy,
 }
 
-/// What the caller of the override manager has to do.
+/// An action that the caller of the override manager has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverrideEffect {
-    /// Write to the store, atomically, with a clock stamp on this timeline, and pass the outcome to
+    /// Write to the store atomically, together with a clock stamp on this timeline, and pass the outcome to
     /// [`OverrideManager::handle_save_outcome`](super::OverrideManager::handle_save_outcome).
     Save {
-        /// Identifies the outcome.
+        /// The serial number of the write, which identifies its outcome.
         serial: u64,
         /// Records to write.
         writes: Vec<StoredRecord>,
-        /// Numbers of the records to remove.
+        /// The numbers of the records to remove.
         removals: Vec<OverrideNumber>,
-        /// The timeline to stamp the store with.
+        /// The timeline of the clock stamp.
         timeline: Timeline,
     },
     /// Reply to a request.
     Reply {
-        /// The request.
+        /// The id of the request.
         request_id: RequestId,
         /// The reply.
         reply: ChangeReply,
@@ -89,47 +89,47 @@
     Log(StoreEvent),
 }
 
-/// An event of the override store, for the log. The text is the message with its fields.
+/// An event of the override store for the log. Its text is the message followed by its fields.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreEvent {
     /// The store was read.
     Read {
-        /// How many overrides are active.
+        /// The number of active overrides.
         active: usize,
-        /// How many listed overrides have ended.
+        /// The number of listed overrides that have ended.
         ended: usize,
     },
-    /// The store cannot be opened or read; requests to set an override are rejected until it can.
+    /// The store cannot be opened or read. Requests to set an override are rejected until the store is read.
     Unavailable {
-        /// Why.
+        /// The reason.
         reason: String,
     },
     /// A write failed; it is retried.
     WriteFailed {
-        /// Why.
+        /// The reason.
         reason: String,
     },
     /// A write succeeded after failures.
     Recovered,
-    /// A record cannot be read and was left out.
+    /// A record cannot be decoded and was skipped.
     RecordUnreadable {
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// The clock stamp cannot be read; expiry times follow the wall clock.
+    /// The clock stamp cannot be decoded. Expiry times follow the wall clock instead.
     StampUnreadable {
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// The overrides of the operators' file contradict those of the store; none of the file's is active.
+    /// The overrides of the operators' file conflict with those in the store. None of the file's overrides is active.
     ConfigurationRejected {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
 impl StoreEvent {
-    /// The constant part of the text.
+    /// Returns the constant part of the text.
     pub fn message(&self) -> &'static str {
         match self {
             StoreEvent::Read { .. } => "override store read",
--- a/crates/overrides/src/manager/mod.rs
+++ b/crates/overrides/src/manager/mod.rs
@@ -1,5 +1,6 @@
-//! Carries out requests to change overrides: queues them, has each change stored before it takes effect, and
-//! replies. One write to the store is in flight at a time. The end of an override never waits for the store.
+//! Handles requests to change overrides. With a store, a new override is stored before it takes effect; further
+//! requests are queued meanwhile, as one write to the store is in flight at a time. The end of an override takes effect
+//! without waiting for the store.
 
 mod messages;
 mod saving;
@@ -17,36 +18,38 @@
 use whinwall_policy::api::OverrideNumber;
 use whinwall_policy::time::Moment;
 
-/// The most requests that wait for the store, of each kind; more are rejected, or not waited for.
+/// The limit on requests of each kind that wait for the store. Beyond it, requests to set an override are rejected, and
+/// requests to clear one are answered before the end is on disk.
 const MAX_QUEUED_REQUESTS: usize = 256;
 
-/// The store, as far as the manager knows.
+/// The state of the store.
 enum StoreState {
-    /// Overrides are lost with the program.
+    /// There is no store: overrides are lost when the program ends.
     NotConfigured,
-    /// The store was not read yet, for this reason.
+    /// The store has not been read yet, for this reason.
     Unavailable(String),
-    /// The store was read.
+    /// The store has been read.
     Open,
 }
 
-/// A request to set an override that waits for the store.
+/// A request to set an override that waits for an earlier write.
 struct QueuedSet {
     request_id: RequestId,
     request: NewOverride,
 }
 
-/// The overrides of a controller with their requests and their store.
+/// Manages the overrides of a controller: the registry, the requests to change it, and the writes to the store.
 pub struct OverrideManager {
     registry: OverrideRegistry,
     store: StoreState,
     queued_sets: VecDeque<QueuedSet>,
     pending_clears: Vec<PendingClear>,
     pending_save: Option<PendingSave>,
-    /// Who cleared which override of the operators' file before the store was read; bounded by that file.
+    /// The overrides of the operators' file that were cleared before the store was read, by id, with the operator who
+    /// cleared each. At most as many as the file has.
     early_clears: BTreeMap<String, String>,
     last_serial: u64,
-    /// The overrides of the operators' file, once it was read.
+    /// The overrides of the operators' file; `None` until it is read.
     configured: Option<Vec<ConfiguredOverride>>,
     retry_at: Option<Moment>,
     stamp_due_at: Moment,
@@ -56,12 +59,12 @@
 }
 
 impl OverrideManager {
-    /// A controller without a store: all overrides are lost with the program.
+    /// Returns a manager without a store: all overrides are lost when the program ends.
     pub fn in_memory(now: Moment, reading: &ClockReading, limits: OverrideLimits) -> Self {
         Self::new(now, reading, limits, StoreState::NotConfigured)
     }
 
-    /// A controller with a store. Requests to set an override are rejected until the store was read.
+    /// Returns a manager with a store. Requests to set an override are rejected until the store has been read.
     pub fn with_store(now: Moment, reading: &ClockReading, limits: OverrideLimits) -> Self {
         Self::new(now, reading, limits, StoreState::Unavailable("it is not read yet".into()))
     }
@@ -84,22 +87,22 @@
         }
     }
 
-    /// The overrides.
+    /// Returns the registry of overrides.
     pub fn registry(&self) -> &OverrideRegistry {
         &self.registry
     }
 
-    /// Whether the active overrides may have changed since the last call.
+    /// Returns true if the active overrides may have changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         take(&mut self.has_changed)
     }
 
-    /// The effects that have come up since the last call, in order.
+    /// Returns the effects since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<OverrideEffect> {
         take(&mut self.effects)
     }
 
-    /// Handles a request; the reply is an effect, now or later.
+    /// Handles a request. The reply is an effect, of this call or of a later one.
     pub fn handle_request(&mut self, now: Moment, request_id: RequestId, request: ChangeRequest) {
         match request {
             ChangeRequest::Set(_) if self.queued_sets.len() >= MAX_QUEUED_REQUESTS => {
@@ -136,7 +139,7 @@
                 self.early_clears.insert(id.into(), by.into());
                 Durability::Pending(reason)
             }
-            // An end that is in memory only would be undone by a restart.
+            // A repeated clear is on disk only if the end is. An end in memory only would be undone by a restart.
             StoreState::Open if is_repeat && !self.registry.is_unsaved(number) => Durability::OnDisk,
             StoreState::Open if self.pending_clears.len() < MAX_QUEUED_REQUESTS => {
                 return self.pending_clears.push(PendingClear { request_id, number, is_repeat });
@@ -146,7 +149,8 @@
         self.reply(request_id, ChangeReply::Cleared { number, is_repeat, durability });
     }
 
-    /// An id that is unknown before the store was read may be that of a stored override.
+    /// Returns the reply to a rejected clear. Before the store has been read, an unknown id may belong to a stored
+    /// override.
     fn clear_rejection(&self, error: OverrideError) -> ChangeReply {
         match (error, &self.store) {
             (OverrideError::UnknownId { .. }, StoreState::Unavailable(reason)) => {
@@ -161,8 +165,8 @@
         self.has_changed = true;
     }
 
-    /// Takes over what the store holds. The overrides of the operators' file are then set again, beside those of
-    /// the store.
+    /// Replaces the registry by the contents of the store, then sets the overrides of the operators' file again in
+    /// addition.
     pub fn handle_store_read(
         &mut self,
         now: Moment,
@@ -193,7 +197,7 @@
         self.process_queues(now);
     }
 
-    /// Clears anew what was cleared before the store was read: the registry that was read does not know of it.
+    /// Repeats the clears from before the store was read, as the registry restored from the store lacks them.
     fn repeat_early_clears(&mut self, now: Moment) {
         for (id, by) in take(&mut self.early_clears) {
             if let Ok(Proposal::Change(change)) = self.registry.propose_clear(now, &id, &by) {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Why the overrides of the store are not known yet; none where they are, or where there is no store.
+    /// Returns the reason why the store has not been read yet; `None` if it has been read or if there is no store.
     pub fn store_unavailable_reason(&self) -> Option<&str> {
         match &self.store {
             StoreState::Unavailable(reason) => Some(reason),
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Notes that the store cannot be read, for this reason. Each reason is logged once.
+    /// Handles a failure to read the store. A reason that repeats the last one is not logged again.
     pub fn handle_store_unavailable(&mut self, reason: &str) {
         let is_known = matches!(&self.store, StoreState::Unavailable(known) if known == reason);
         if !is_known {
@@ -229,10 +233,10 @@
         self.store = StoreState::Unavailable(reason.into());
     }
 
-    /// Follows the operators' file.
+    /// Applies the limits and overrides of the operators' file.
     ///
     /// # Errors
-    /// The first override that cannot be set; then all stays as it was.
+    /// The first override that cannot be set. In this case nothing changes.
     pub fn apply_configuration(
         &mut self,
         now: Moment,
@@ -240,7 +244,7 @@
         limits: OverrideLimits,
         configured: Vec<ConfiguredOverride>,
     ) -> Result<(), OverrideError> {
-        let former_limits = self.registry.limits().clone();
+        let previous_limits = self.registry.limits().clone();
         self.registry.set_limits(limits);
         match self.registry.propose_configured(now, wall_time, &configured) {
             Ok(change) => {
@@ -251,20 +255,20 @@
                 Ok(())
             }
             Err(error) => {
-                self.registry.set_limits(former_limits);
+                self.registry.set_limits(previous_limits);
                 Err(error)
             }
         }
     }
 
-    /// Follows a step of the wall clock, and has it stored in a new clock stamp.
+    /// Adjusts expiry times to a step of the wall clock and schedules a write of a new clock stamp.
     pub fn handle_wall_clock_step(&mut self, now: Moment, wall_time: Moment) {
         self.registry.adjust_to_wall_clock(now, wall_time);
         self.stamp_due_at = now;
         self.tick(now);
     }
 
-    /// Ends overrides whose time is over, and begins writes that are due.
+    /// Ends overrides that have expired, and starts a write if one is due.
     pub fn tick(&mut self, now: Moment) {
         if self.registry.expire_due(now) {
             self.has_changed = true;
@@ -273,7 +277,7 @@
         self.process_queues(now);
     }
 
-    /// When [`Self::tick`] has to be called next.
+    /// Returns the time at which [`Self::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Option<Moment> {
         let expiry = self.registry.next_expiry();
         if !matches!(self.store, StoreState::Open) || self.pending_save.is_some() {
@@ -327,7 +331,7 @@
     }
 }
 
-/// The number of the override that a request sets: the last one, after those that it replaces.
+/// Returns the number of the override that a request sets. It is the last write, after the overrides that it replaces.
 fn new_override_number(change: &RegistryChange) -> OverrideNumber {
     change.writes.last().map_or(0, |entry| entry.number)
 }
--- a/crates/overrides/src/manager/saving.rs
+++ b/crates/overrides/src/manager/saving.rs
@@ -1,4 +1,4 @@
-//! Writes to the store, one at a time, and what follows from their outcomes.
+//! Writes to the store, one at a time, and the handling of their outcomes.
 
 use super::{
     new_override_number, ChangeReply, Durability, OverrideEffect, OverrideManager, RequestId, StoreEvent,
@@ -9,23 +9,23 @@
 use whinwall_policy::api::OverrideNumber;
 use whinwall_policy::time::{Moment, Span};
 
-/// The time until a failed write is retried.
+/// The delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Span = Span::ms(5000);
-/// How often the clock stamp is stored: a step of the wall clock that nobody noticed prolongs an override by this
-/// much at the most.
+/// The interval at which the clock stamp is stored. An undetected step of the wall clock prolongs an override by at
+/// most this interval.
 const STAMP_INTERVAL: Span = Span::ms(60_000);
 
-/// A new override that is being stored.
+/// A request to set an override whose write is in flight.
 pub(super) struct PendingSet {
     pub request_id: RequestId,
     pub change: RegistryChange,
 }
 
-/// A request to clear an override, which has ended, and is replied to once a write with that end has its outcome.
+/// A request to clear an override that waits for the write of the end. The override itself has ended already.
 pub(super) struct PendingClear {
     pub request_id: RequestId,
     pub number: OverrideNumber,
-    /// Whether the override had ended before the request.
+    /// True if the override had ended before the request.
     pub is_repeat: bool,
 }
 
@@ -33,7 +33,7 @@
 pub(super) struct PendingSave {
     pub serial: u64,
     pub set: Option<PendingSet>,
-    /// Changes that have taken effect already.
+    /// Changes that have already taken effect.
     pub unsaved: RegistryChange,
     pub clears: Vec<PendingClear>,
 }
@@ -66,18 +66,17 @@
         self.pending_save = Some(PendingSave { serial, set, unsaved, clears });
     }
 
-    /// Takes in the outcome of a write, with the reason why it failed. The outcome of a write that is not in
-    /// flight any more is ignored.
+    /// Handles the outcome of a write. The outcome of a write that is no longer in flight is ignored.
     pub fn handle_save_outcome(&mut self, now: Moment, serial: u64, outcome: Result<(), String>) {
         let Some(save) = self.pending_save.take_if(|save| save.serial == serial) else { return };
         let durability = match &outcome {
             Ok(()) => {
                 self.registry.mark_saved(&save.unsaved);
-                self.note_successful_write(now);
+                self.record_successful_write(now);
                 Durability::OnDisk
             }
             Err(reason) => {
-                self.note_failed_write(now, reason);
+                self.record_failed_write(now, reason);
                 Durability::Pending(reason.clone())
             }
         };
@@ -91,7 +90,7 @@
         self.tick(now);
     }
 
-    fn note_successful_write(&mut self, now: Moment) {
+    fn record_successful_write(&mut self, now: Moment) {
         self.retry_at = None;
         self.stamp_due_at = now + STAMP_INTERVAL;
         if take(&mut self.has_write_failed) {
@@ -99,7 +98,7 @@
         }
     }
 
-    fn note_failed_write(&mut self, now: Moment, reason: &str) {
+    fn record_failed_write(&mut self, now: Moment, reason: &str) {
         self.retry_at = Some(now + WRITE_RETRY_DELAY);
         if !replace(&mut self.has_write_failed, true) {
             self.log(StoreEvent::WriteFailed { reason: reason.into() });
--- a/crates/overrides/src/record.rs
+++ b/crates/overrides/src/record.rs
@@ -1,16 +1,16 @@
-//! One override, and the requests that create one.
+//! An override, and the requests that create one.
 
 use std::fmt;
 use whinwall_policy::api::{OverrideNumber, SliceId};
 use whinwall_policy::time::{Moment, Span};
 
-/// An override as the store holds it: its number and its encoded record.
+/// An override as stored: its number and its encoded record.
 pub type StoredRecord = (OverrideNumber, Vec<u8>);
 
-/// The effect of an override. Replicas are named, as their numbers are internal to a program and may change.
+/// The effect of an override. It refers to replicas by name, as their numbers are internal to a process and may change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverrideKind {
-    /// Multiplies the weight that the endpoint list gives a replica.
+    /// Multiplies the weight of a replica in the endpoint list.
     Weight {
         /// The replica's name.
         replica: String,
@@ -22,11 +22,11 @@
         /// The replica's name.
         replica: String,
     },
-    /// Makes a range of slices sticky to a replica.
+    /// Pins a range of slices to a replica.
     Pin {
         /// The first slice of the range.
         first: SliceId,
-        /// The last slice of the range, included.
+        /// The last slice of the range, which is included.
         last: SliceId,
         /// The replica's name.
         replica: String,
@@ -34,7 +34,7 @@
 }
 
 impl OverrideKind {
-    /// The name of the replica that it is about.
+    /// Returns the name of the affected replica.
     pub fn replica(&self) -> &str {
         match self {
             OverrideKind::Weight { replica, .. }
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Whether it supersedes an earlier override: both cannot hold for the same replica or slices.
+    /// Returns true if a new override of this kind replaces `earlier`, as both cannot apply to the same replica or the
+    /// same slices.
     pub fn replaces(&self, earlier: &OverrideKind) -> bool {
         match (self, earlier) {
             (OverrideKind::Weight { replica, .. }, OverrideKind::Weight { replica: other, .. })
@@ -69,7 +70,7 @@
     }
 }
 
-/// Where an override comes from. One of the operators' file ends when the file no longer names it.
+/// The source of an override. An override from the operators' file ends when it is removed from the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The management API.
@@ -78,23 +79,23 @@
     File,
 }
 
-/// Why an override has ended.
+/// The reason why an override has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndCause {
-    /// Its time was over.
+    /// Its expiry time has passed.
     Expired,
-    /// An operator, or the operators' file, ended it.
+    /// An operator cleared it, or it was removed from the operators' file.
     Cleared {
-        /// Who did.
+        /// The operator who cleared it, or `the operators' file`.
         by: String,
     },
-    /// A newer override superseded it.
+    /// A newer override replaced it.
     Replaced {
-        /// The newer one's id.
+        /// The id of the newer override.
         by: String,
     },
-    /// The wall clock went back while the program was down: the remaining time is unknown, and an override
-    /// must not be prolonged.
+    /// The wall clock was set back while the program was down. The remaining time is then unknown, and the override
+    /// ends as it must not be prolonged.
     ClockWentBack,
 }
 
@@ -118,74 +119,75 @@
     pub cause: EndCause,
 }
 
-/// A request to set an override. The client chooses the id, and sends the same id to all controllers: it is an
-/// idempotency key, so that a retry after an unknown outcome sets nothing twice.
+/// A request to set an override. The client chooses the id and sends the same id to all controllers. The id is an
+/// idempotency key: a retry after an unknown outcome does not set a second override.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewOverride {
-    /// The idempotency key.
+    /// The id, which is the idempotency key.
     pub id: String,
     /// The effect.
     pub kind: OverrideKind,
-    /// Who requests it.
+    /// The operator who requests it.
     pub author: String,
-    /// Why, for other operators.
+    /// The reason, as information for other operators.
     pub reason: String,
-    /// How long it holds from when it is set.
+    /// The time from setting the override until it expires.
     pub duration: Span,
 }
 
 /// An override of the operators' file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredOverride {
-    /// Unique in the file.
+    /// The id, unique within the file.
     pub id: String,
     /// The effect.
     pub kind: OverrideKind,
-    /// Who wrote it.
+    /// The operator who wrote it.
     pub author: String,
-    /// Why, for other operators.
+    /// The reason, as information for other operators.
     pub reason: String,
-    /// When it expires, by the wall clock.
+    /// The expiry time by the wall clock.
     pub expires_at: Moment,
 }
 
-/// An override that was set, active or ended. Times are of the process clock unless said otherwise.
+/// An override that was set, either active or ended. Times are process times unless stated otherwise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// Ascending in the order in which overrides were set; identifies the override to the policy and the store.
+    /// The number, which identifies the override to the policy and the store. Numbers ascend in the order in which
+    /// overrides were set.
     pub number: OverrideNumber,
-    /// The id that its client or the operators' file chose.
+    /// The id chosen by the client or in the operators' file.
     pub id: String,
     /// The effect.
     pub kind: OverrideKind,
-    /// Who set it.
+    /// The operator who set it.
     pub author: String,
-    /// Why, for other operators.
+    /// The reason, as information for other operators.
     pub reason: String,
-    /// Where it comes from.
+    /// The source of the override.
     pub origin: Origin,
-    /// When it was set.
+    /// The time at which it was set.
     pub set_at: Moment,
-    /// When it expires.
+    /// The time at which it expires.
     pub expires_at: Moment,
-    /// When it expires by the wall clock, for overrides of the operators' file.
+    /// The expiry time by the wall clock, for overrides from the operators' file.
     pub expires_at_wall_time: Option<Moment>,
-    /// Its end; none while it is active.
+    /// The end of the override; `None` while it is active.
     pub ended: Option<Ending>,
 }
 
 impl Override {
-    /// Whether it has not ended.
+    /// Returns true if the override has not ended.
     pub fn is_active(&self) -> bool {
         self.ended.is_none()
     }
 
-    /// Whether it has these contents. The duration is left out, as a retry may arrive late.
+    /// Returns true if the override has these contents. The duration is not compared, as a retry may arrive late.
     pub fn has_contents(&self, kind: &OverrideKind, author: &str, reason: &str) -> bool {
         self.kind == *kind && self.author == author && self.reason == reason
     }
 
-    /// The same override, ended.
+    /// Returns a copy of the override that ended at this time.
     pub(crate) fn ended(&self, at: Moment, cause: EndCause) -> Override {
         Override { ended: Some(Ending { at, cause }), ..self.clone() }
     }
--- a/crates/overrides/src/registry/configured.rs
+++ b/crates/overrides/src/registry/configured.rs
@@ -1,4 +1,4 @@
-//! What the overrides of the operators' file would change.
+//! Proposals for the overrides of the operators' file.
 
 use super::{OverrideLimits, OverrideRegistry, RegistryChange};
 use crate::error::OverrideError;
@@ -8,10 +8,10 @@
 use std::collections::BTreeSet;
 use whinwall_policy::time::{Moment, Span};
 
-/// Who ends an override that the file no longer names, as shown to operators.
+/// The author shown to operators for the end of an override that was removed from the file.
 const FILE_AUTHOR: &str = "the operators' file";
 
-/// The process time and the wall time of one moment.
+/// The process time and the wall-clock time at the same point in time.
 #[derive(Clone, Copy)]
 struct Clocks {
     now: Moment,
@@ -19,12 +19,12 @@
 }
 
 impl OverrideRegistry {
-    /// What following the operators' file would change: new overrides are set, changed ones replace their former
-    /// selves, and those that the file no longer names end. An override that was cleared stays so for as long as
-    /// the file has it unchanged.
+    /// Returns the change that applying the operators' file would make. New overrides are set, changed ones replace
+    /// their previous version, and those removed from the file end. An override that was cleared stays cleared until
+    /// its entry in the file changes.
     ///
     /// # Errors
-    /// The first override that cannot be set; then none of them is.
+    /// The first override that cannot be set. In this case no override is set.
     pub fn propose_configured(
         &self,
         now: Moment,
@@ -33,14 +33,14 @@
     ) -> Result<RegistryChange, OverrideError> {
         let clocks = Clocks { now, wall_time };
         let mut draft = Draft::new(self);
-        draft.end_absent(now, configured);
+        draft.end_removed(now, configured);
         for entry in configured {
             draft.set(clocks, entry)?;
         }
         Ok(draft.change)
     }
 
-    /// A copy of the overrides, without what is to be stored.
+    /// Returns a copy of the registry without its pending writes and removals.
     fn copy_overrides(&self) -> OverrideRegistry {
         let mut copy = OverrideRegistry {
             limits: self.limits.clone(),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A copy of the registry to which the file's overrides are applied one by one, as one may replace another.
+/// A copy of the registry to which the overrides of the file are applied one by one, as one may replace another.
 struct Draft {
     registry: OverrideRegistry,
     change: RegistryChange,
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Ends the file's overrides that it no longer names.
-    fn end_absent(&mut self, now: Moment, configured: &[ConfiguredOverride]) {
-        let named: BTreeSet<&str> = configured.iter().map(|entry| entry.id.as_str()).collect();
-        let is_absent =
-            |entry: &&Override| entry.origin == Origin::File && !named.contains(entry.id.as_str());
-        let ended = self.registry.active().filter(is_absent);
+    /// Ends the overrides that were removed from the file.
+    fn end_removed(&mut self, now: Moment, configured: &[ConfiguredOverride]) {
+        let configured_ids: BTreeSet<&str> = configured.iter().map(|entry| entry.id.as_str()).collect();
+        let is_removed =
+            |entry: &&Override| entry.origin == Origin::File && !configured_ids.contains(entry.id.as_str());
+        let ended = self.registry.active().filter(is_removed);
         let ended =
             ended.map(|entry| entry.ended(now, EndCause::Cleared { by: FILE_AUTHOR.into() })).collect();
         self.write(ended);
@@ -97,14 +97,14 @@
             }
         }
         let remaining = *expires_at - clocks.wall_time;
-        // One that was over before the file was read is never set.
+        // An override that had expired before the file was read is never set.
         if remaining == Span::default() {
             return Ok(());
         }
         let max_duration = self.registry.limits.max_duration;
         if remaining > max_duration {
             let longest = format_duration(max_duration);
-            let reason = format!("{id} ends later than {longest} from now, the longest");
+            let reason = format!("{id} expires more than {longest} from now, the longest duration allowed");
             return Err(InvalidField::new("until", reason).into());
         }
         let request = NewOverride {
--- a/crates/overrides/src/registry/mod.rs
+++ b/crates/overrides/src/registry/mod.rs
@@ -1,5 +1,5 @@
-//! All overrides of a controller, active and ended. A change is proposed, stored by the caller, and only then
-//! applied; a proposal alone changes nothing. Expiry needs no store.
+//! The registry of all overrides of a controller, active and ended. A change is first proposed, then stored by the
+//! caller, and then applied; a proposal alone changes nothing. Expiry takes effect without being stored first.
 
 mod configured;
 mod proposals;
@@ -15,14 +15,14 @@
 /// Default of [`OverrideLimits::max_active`].
 const DEFAULT_MAX_ACTIVE: usize = 1000;
 
-/// Limits on overrides; the operators' file can set them.
+/// Limits on overrides, which the operators' file can set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverrideLimits {
     /// The longest duration of an override.
     pub max_duration: Span,
-    /// How many overrides may be active, and how many ended ones are listed.
+    /// The largest number of active overrides, and the largest number of ended overrides that are listed.
     pub max_active: usize,
-    /// How long an ended override stays listed.
+    /// The time for which an ended override stays listed.
     pub ended_retention: Span,
 }
 
@@ -35,40 +35,40 @@
 /// Overrides to write and to remove, in the store and then in the registry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegistryChange {
-    /// Overrides to write, new or replaced.
+    /// Overrides to write, new or with a changed state.
     pub writes: Vec<Override>,
-    /// Overrides to remove.
+    /// The numbers of the overrides to remove.
     pub removals: Vec<OverrideNumber>,
 }
 
 impl RegistryChange {
-    /// A change that only writes.
+    /// Returns a change without removals.
     fn of_writes(writes: Vec<Override>) -> Self {
         RegistryChange { writes, removals: Vec::new() }
     }
 
-    /// Whether it changes nothing.
+    /// Returns true if the change has neither writes nor removals.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty() && self.removals.is_empty()
     }
 }
 
-/// What a request would change.
+/// The change that a request would make.
 #[derive(Debug, PartialEq)]
 pub enum Proposal {
-    /// Nothing: the request was carried out before, on this override, which may have ended since.
+    /// No change, as the request was already carried out on this override, which may have ended since.
     Unchanged(OverrideNumber),
-    /// This change has to be stored and applied.
+    /// A change that has to be stored and applied.
     Change(RegistryChange),
 }
 
-/// A stored record that was left out.
+/// A stored record that was skipped.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecordError {
-    /// The record is stored under a number that is not its own.
-    #[error("record {key} says that it is {number}")]
+    /// The record is stored under another number than it contains.
+    #[error("record {key} contains number {number}")]
     WrongNumber {
-        /// The number that it is stored under.
+        /// The number under which it is stored.
         key: OverrideNumber,
         /// The number that it contains.
         number: OverrideNumber,
@@ -76,18 +76,18 @@
     /// The record cannot be decoded.
     #[error("record {key}: {source}")]
     Undecodable {
-        /// The number that it is stored under.
+        /// The number under which it is stored.
         key: OverrideNumber,
-        /// What is wrong with it.
+        /// The decoding error.
         source: DecodeError,
     },
 }
 
-/// A registry that was read from the store.
+/// A registry restored from the store.
 pub struct RestoredRegistry {
-    /// The registry, without the records that cannot be read.
+    /// The registry, without the unreadable records.
     pub registry: OverrideRegistry,
-    /// The records that were left out.
+    /// The errors of the records that were skipped.
     pub unreadable: Vec<RecordError>,
 }
 
@@ -96,19 +96,19 @@
     limits: OverrideLimits,
     timeline: Timeline,
     overrides: BTreeMap<OverrideNumber, Override>,
-    /// The newest override of each id.
+    /// The number of the newest override with each id.
     newest_by_id: BTreeMap<String, OverrideNumber>,
-    /// The active overrides by expiry time.
+    /// The active overrides, ordered by expiry time.
     expiries: BTreeSet<(Moment, OverrideNumber)>,
     next_number: OverrideNumber,
-    /// Overrides that are not listed any more and still stored.
+    /// Overrides that are no longer listed but still stored.
     pending_removals: Vec<OverrideNumber>,
-    /// Overrides whose present state is not stored yet.
+    /// Overrides whose current state is not stored yet.
     pending_writes: BTreeSet<OverrideNumber>,
 }
 
 impl OverrideRegistry {
-    /// An empty registry on this timeline.
+    /// Returns an empty registry on this timeline.
     pub fn new(limits: OverrideLimits, timeline: Timeline) -> Self {
         OverrideRegistry {
             limits,
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Restores a registry from the store after a restart. What expired meanwhile has ended; where the clocks
-    /// do not show how long the program was down, all overrides have.
+    /// Restores a registry from the store after a restart. Ends the overrides that expired meanwhile, and ends all
+    /// overrides if the downtime of the program is unknown.
     pub fn restore(
         limits: OverrideLimits,
         now: Moment,
@@ -146,7 +146,7 @@
     }
 
     fn restore_record(&mut self, (key, bytes): &StoredRecord) -> Result<(), RecordError> {
-        // The number of an unreadable record is not used again either.
+        // The number of an unreadable record must not be reused either.
         self.reserve_number(*key);
         let entry = encoding::decode_override(bytes, &self.timeline)
             .map_err(|source| RecordError::Undecodable { key: *key, source })?;
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// The limits on new overrides.
+    /// Returns the limits on new overrides.
     pub fn limits(&self) -> &OverrideLimits {
         &self.limits
     }
@@ -167,32 +167,32 @@
         self.limits = limits;
     }
 
-    /// The timeline on which overrides are stored.
+    /// Returns the timeline on which overrides are stored.
     pub fn timeline(&self) -> &Timeline {
         &self.timeline
     }
 
-    /// The active overrides, the oldest first.
+    /// Returns the active overrides, oldest first.
     pub fn active(&self) -> impl Iterator<Item = &Override> {
         self.overrides.values().filter(|entry| entry.is_active())
     }
 
-    /// All overrides, ended ones included, the oldest first.
+    /// Returns all overrides, including ended ones, oldest first.
     pub fn listed(&self) -> impl Iterator<Item = &Override> {
         self.overrides.values()
     }
 
-    /// The newest override of this id.
+    /// Returns the newest override with this id.
     pub fn get_by_id(&self, id: &str) -> Option<&Override> {
         self.overrides.get(self.newest_by_id.get(id)?)
     }
 
-    /// The override of this number.
+    /// Returns the override with this number.
     pub fn get_by_number(&self, number: OverrideNumber) -> Option<&Override> {
         self.overrides.get(&number)
     }
 
-    /// When the next override expires.
+    /// Returns the time at which the next override expires.
     pub fn next_expiry(&self) -> Option<Moment> {
         self.expiries.first().map(|(at, _)| *at)
     }
@@ -204,8 +204,8 @@
     fn insert(&mut self, entry: Override) {
         let number = entry.number;
         self.reserve_number(number);
-        if let Some(former) = self.overrides.get(&number) {
-            self.expiries.remove(&(former.expires_at, number));
+        if let Some(previous) = self.overrides.get(&number) {
+            self.expiries.remove(&(previous.expires_at, number));
         }
         if entry.is_active() {
             self.expiries.insert((entry.expires_at, number));
@@ -222,8 +222,8 @@
         self.pending_writes.insert(number);
     }
 
-    /// Ends the overrides whose time is over; true where there was one. The end is recorded at the expiry
-    /// time, however late it is noticed.
+    /// Ends the overrides that have expired and returns true if there were any. The recorded end is the expiry time,
+    /// even if this method is called later.
     pub fn expire_due(&mut self, now: Moment) -> bool {
         let mut has_expired = false;
         while let Some((at, number)) = self.expiries.first().copied().filter(|(at, _)| *at <= now) {
@@ -233,7 +233,7 @@
         has_expired
     }
 
-    /// Removes ended overrides that are past their retention, and the oldest of them beyond the limit.
+    /// Removes ended overrides that are past their retention, and the oldest of those that exceed the limit.
     pub fn prune_ended(&mut self, now: Moment) {
         let mut ended: Vec<(Moment, OverrideNumber)> = self
             .overrides
@@ -243,7 +243,8 @@
         ended.sort_unstable();
         let excess = ended.len().saturating_sub(self.limits.max_active);
         for (rank, (at, number)) in ended.into_iter().enumerate() {
-            // An override of the file has to be known for as long as the file has it, or it would be set again.
+            // An override from the operators' file is kept past its retention. The file may still contain it and would
+            // set it again otherwise.
             let is_from_file = self.overrides[&number].origin == Origin::File;
             if rank < excess || (now - at > self.limits.ended_retention && !is_from_file) {
                 self.remove(number);
@@ -261,10 +262,10 @@
         }
     }
 
-    /// Applies a change; [`Self::mark_saved`] says that it is stored too.
+    /// Applies a change. A change that is also stored has to be passed to [`Self::mark_saved`].
     pub fn apply(&mut self, change: RegistryChange) {
         for entry in change.writes {
-            // It may have expired while it was being stored.
+            // The override may have expired while it was being stored.
             let has_ended = self.overrides.get(&entry.number).is_some_and(|known| !known.is_active());
             if !has_ended {
                 self.pending_writes.insert(entry.number);
@@ -273,8 +274,8 @@
         }
     }
 
-    /// Gives up a change that could not be stored. Its new records may be in the store all the same, and must
-    /// not be restored after a restart, so they are removed with the next write.
+    /// Discards a change that could not be stored. Its new records may nevertheless be in the store and must not be
+    /// restored after a restart, so the next write removes them.
     pub fn abandon(&mut self, change: &RegistryChange) {
         for entry in &change.writes {
             if !self.overrides.contains_key(&entry.number) {
@@ -284,28 +285,28 @@
         }
     }
 
-    /// Whether the present state of this override is not stored yet.
+    /// Returns true if the current state of this override is not stored yet.
     pub fn is_unsaved(&self, number: OverrideNumber) -> bool {
         self.pending_writes.contains(&number)
     }
 
-    /// What the store lacks: changes that were applied before they were stored, ends, and removals.
+    /// Returns all changes that are not stored yet: changes that were applied before being stored, ends, and removals.
     pub fn unsaved(&self) -> RegistryChange {
         let writes = self.pending_writes.iter().filter_map(|number| self.overrides.get(number));
         RegistryChange { writes: writes.cloned().collect(), removals: self.pending_removals.clone() }
     }
 
-    /// Notes that a change is stored.
+    /// Marks a change as stored.
     pub fn mark_saved(&mut self, change: &RegistryChange) {
-        // An override that has changed again meanwhile still has to be written.
+        // An override that has changed again since still has to be written.
         for entry in change.writes.iter().filter(|entry| self.overrides.get(&entry.number) == Some(*entry)) {
             self.pending_writes.remove(&entry.number);
         }
         self.pending_removals.retain(|number| !change.removals.contains(number));
     }
 
-    /// Follows a step of the wall clock. An override that expires by the wall clock does so no later than that
-    /// clock says and no later than before: a step back prolongs nothing.
+    /// Adjusts expiry times to a step of the wall clock. An override with a wall-clock expiry time then expires at that
+    /// time, but never later than before the step: setting the clock back does not prolong overrides.
     pub fn adjust_to_wall_clock(&mut self, now: Moment, wall_time: Moment) {
         let earlier_expiry = |entry: &Override| {
             let expires_at = now + (entry.expires_at_wall_time? - wall_time);
--- a/crates/overrides/src/registry/proposals.rs
+++ b/crates/overrides/src/registry/proposals.rs
@@ -1,4 +1,4 @@
-//! What a request to set or to clear an override would change.
+//! Proposals for requests to set or to clear an override.
 
 use super::{OverrideRegistry, Proposal, RegistryChange};
 use crate::error::OverrideError;
@@ -7,14 +7,14 @@
 use crate::validation::{validate, InvalidField};
 use whinwall_policy::time::{Moment, Span};
 
-/// A shorter override would be over before all proxies have received it.
+/// The shortest duration. A shorter override would expire before all proxies have received it.
 const MIN_DURATION: Span = Span::ms(1000);
 
 impl OverrideRegistry {
-    /// What setting this override would change.
+    /// Returns the change that setting this override would make.
     ///
     /// # Errors
-    /// Invalid fields, an id that another override has, and too many active overrides.
+    /// A field is invalid, another override has the id, or too many overrides are active.
     pub fn propose_set(&self, now: Moment, request: &NewOverride) -> Result<Proposal, OverrideError> {
         let NewOverride { id, kind, author, reason, duration } = request;
         validate(id, kind, author, reason)?;
@@ -30,7 +30,7 @@
         self.with_replaced(now, entry).map(Proposal::Change)
     }
 
-    /// An active override with the next number.
+    /// Returns an active override with the next number.
     pub(super) fn new_entry(
         &self,
         now: Moment,
@@ -65,7 +65,7 @@
         Ok(())
     }
 
-    /// A new override together with the ends of those that it replaces.
+    /// Returns the change that sets `entry` and ends the overrides that it replaces.
     pub(super) fn with_replaced(
         &self,
         now: Moment,
@@ -85,7 +85,7 @@
         Ok(RegistryChange::of_writes(writes))
     }
 
-    /// What clearing an override would change: nothing where it has ended.
+    /// Returns the change that clearing an override would make; no change if it has ended.
     ///
     /// # Errors
     /// [`OverrideError::UnknownId`].
--- a/crates/overrides/src/text.rs
+++ b/crates/overrides/src/text.rs
@@ -1,5 +1,4 @@
-//! How people write durations, ranges of slices and points in time: in files, on the command line and in
-//! requests.
+//! Text formats of durations, ranges of slices and wall-clock times in files, on the command line and in requests.
 
 use std::fmt::Write;
 use time::format_description::well_known::Rfc3339;
@@ -13,11 +12,11 @@
 use winnow::token::one_of;
 
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
-/// The letters of a duration with their length in seconds, the longest first. A duration has each at most once,
-/// in this order.
+/// The unit letters of a duration with their length in seconds, longest first. A duration contains each unit at most
+/// once, in this order.
 const UNITS: [(char, u64); 4] = [('d', 86_400), ('h', 3600), ('m', 60), ('s', 1)];
 
-/// Why a text is not what it should be. The messages are shown to operators.
+/// Text that cannot be parsed. The messages are shown to operators and are part of the management API.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TextError {
     /// Not a duration.
@@ -26,23 +25,23 @@
     /// Not a slice or a range of slices.
     #[error("{0:?} is no slice or range of slices; write it like 17 or 4-9")]
     NotSlices(String),
-    /// A range of slices with its ends exchanged.
+    /// A range of slices whose last slice precedes its first.
     #[error("{0:?} ends before it begins")]
     ReversedSlices(String),
-    /// Not a time of RFC 3339.
-    #[error("{text:?} is no point in time like 2026-12-01T22:00:00Z: {source}")]
+    /// Not an RFC 3339 time.
+    #[error("invalid time {text:?}, expected a time like 2026-12-01T22:00:00Z: {source}")]
     NotWallTime {
-        /// What was read.
+        /// The text.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: time::error::Parse,
     },
-    /// A time before 1970 or too far in the future.
-    #[error("{0:?} is out of range")]
+    /// A time before 1970, or one whose nanoseconds since 1970 exceed 64 bits.
+    #[error("time {0:?} is out of range, expected 1970-01-01 to 2554-07-21")]
     WallTimeOutOfRange(String),
 }
 
-/// Reads a duration such as `30m`, `1h30m`, `90s` or `2d`.
+/// Parses a duration such as `30m`, `1h30m`, `90s` or `2d`.
 ///
 /// # Errors
 /// [`TextError::NotDuration`].
@@ -52,10 +51,10 @@
     let parts: Result<Vec<(u64, char)>, ParseError<&str, ContextError>> =
         terminated(repeat(1.., part), eof).parse(text);
     let mut seconds = 0u64;
-    let mut smaller_units = UNITS.iter();
+    let mut remaining_units = UNITS.iter();
     for (count, letter) in parts.map_err(|_| not_duration())? {
-        // `find` goes on where it stopped, so that repeated units and those out of order are not found.
-        let (_, unit_s) = smaller_units.find(|(unit, _)| *unit == letter).ok_or_else(not_duration)?;
+        // `find` continues after the last unit found, so repeated units and units out of order are not found.
+        let (_, unit_s) = remaining_units.find(|(unit, _)| *unit == letter).ok_or_else(not_duration)?;
         seconds = count
             .checked_mul(*unit_s)
             .and_then(|part_s| seconds.checked_add(part_s))
@@ -65,7 +64,7 @@
     Ok(Span::ns(seconds * NANOSECONDS_PER_SECOND))
 }
 
-/// Writes a duration as [`parse_duration`] reads it, rounded down to the second.
+/// Formats a duration in the format of [`parse_duration`], rounded down to the second.
 pub fn format_duration(duration: Span) -> String {
     let mut remaining_s = duration.as_ns() / NANOSECONDS_PER_SECOND;
     let mut text = String::new();
@@ -81,7 +80,7 @@
     text
 }
 
-/// Reads a slice such as `17`, or a range such as `4-9` with both ends included.
+/// Parses a slice such as `17`, or a range such as `4-9` that includes both ends.
 ///
 /// # Errors
 /// [`TextError::NotSlices`] or [`TextError::ReversedSlices`].
@@ -95,7 +94,7 @@
     Ok((first, last))
 }
 
-/// Writes a range of slices as [`parse_slices`] reads it.
+/// Formats a range of slices in the format of [`parse_slices`].
 pub fn format_slices(first: SliceId, last: SliceId) -> String {
     if first == last {
         first.to_string()
@@ -104,7 +103,7 @@
     }
 }
 
-/// Reads a wall time in the format of RFC 3339.
+/// Parses a wall-clock time in RFC 3339 format.
 ///
 /// # Errors
 /// [`TextError::NotWallTime`] or [`TextError::WallTimeOutOfRange`].
@@ -116,7 +115,7 @@
     Ok(Moment::at_ns(nanoseconds))
 }
 
-/// Writes a wall time in UTC, rounded down to the second, in the format of RFC 3339.
+/// Formats a wall-clock time in RFC 3339 format, in UTC and rounded down to the second.
 pub fn format_wall_time(at: Moment) -> String {
     let seconds = (at - Moment::default()).as_ns() / NANOSECONDS_PER_SECOND;
     let at = OffsetDateTime::from_unix_timestamp(seconds as i64).ok();
--- a/crates/overrides/src/timeline.rs
+++ b/crates/overrides/src/timeline.rs
@@ -1,23 +1,23 @@
-//! A persistent timeline that continues over restarts of the program and steps of the wall clock. Expiry times
-//! are stored on it, as neither may prolong an override.
+//! A persistent timeline that continues across restarts of the program and steps of the wall clock. Expiry times are
+//! stored on it, as neither a restart nor a clock step may prolong an override.
 
 use whinwall_policy::time::{Moment, Span};
 
-/// What the machine's clocks show at one moment.
+/// The readings of the machine's clocks at one point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClockReading {
-    /// Identifies the boot of the machine; empty where the machine has no such id.
+    /// Identifies the boot of the machine; empty if the machine provides no such id.
     pub boot_id: String,
-    /// The time since that boot, sleep included.
+    /// The time since that boot, including suspend.
     pub uptime: Span,
-    /// The wall clock.
+    /// The wall-clock time.
     pub wall_time: Moment,
 }
 
-/// A clock reading with the position on the persistent timeline at that moment.
+/// A clock reading with the position on the persistent timeline at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClockStamp {
-    /// The machine's clocks.
+    /// The readings of the machine's clocks.
     pub reading: ClockReading,
     /// The position on the persistent timeline.
     pub position: Moment,
@@ -35,43 +35,43 @@
 pub struct ResumedTimeline {
     /// The timeline.
     pub timeline: Timeline,
-    /// False where no clock shows how long the program was down, as the wall clock went back over a reboot.
+    /// False if the downtime of the program is unknown, as the wall clock went back across a reboot.
     pub is_reliable: bool,
 }
 
 impl Timeline {
-    /// Continues from the last stamp, or begins at the wall time where there is none. Within one boot the
-    /// uptime shows how long the program was down, whatever happened to the wall clock; over a reboot the wall
-    /// clock does, unless it went back.
+    /// Continues from the last stamp, or starts at the wall-clock time if there is none. Within one boot the uptime
+    /// determines the downtime of the program, regardless of the wall clock. Across a reboot the wall clock determines
+    /// it, unless it went back.
     pub fn resume(now: Moment, reading: &ClockReading, last: Option<&ClockStamp>) -> ResumedTimeline {
         let Some(stamp) = last else {
             let timeline = Timeline { process_start: now, persistent_start: reading.wall_time };
             return ResumedTimeline { timeline, is_reliable: true };
         };
-        let former = &stamp.reading;
-        let is_same_boot = !reading.boot_id.is_empty() && reading.boot_id == former.boot_id;
-        let (downtime, is_reliable) = if is_same_boot && reading.uptime >= former.uptime {
-            (reading.uptime - former.uptime, true)
+        let previous = &stamp.reading;
+        let is_same_boot = !reading.boot_id.is_empty() && reading.boot_id == previous.boot_id;
+        let (downtime, is_reliable) = if is_same_boot && reading.uptime >= previous.uptime {
+            (reading.uptime - previous.uptime, true)
         } else {
-            (reading.wall_time - former.wall_time, reading.wall_time >= former.wall_time)
+            (reading.wall_time - previous.wall_time, reading.wall_time >= previous.wall_time)
         };
         let timeline = Timeline { process_start: now, persistent_start: stamp.position + downtime };
         ResumedTimeline { timeline, is_reliable }
     }
 
-    /// The position on the persistent timeline of a process time.
+    /// Converts a process time to a position on the persistent timeline.
     pub fn to_persistent(&self, process_time: Moment) -> Moment {
         translate(process_time, self.process_start, self.persistent_start)
     }
 
-    /// The process time of a position on the persistent timeline.
+    /// Converts a position on the persistent timeline to a process time.
     pub fn to_process(&self, position: Moment) -> Moment {
         translate(position, self.persistent_start, self.process_start)
     }
 }
 
-/// The time that is as far from `to` as `at` is from `from`. The difference of times is never negative, so the
-/// direction decides between adding and subtracting.
+/// Returns the time whose distance from `to` equals the distance of `at` from `from`. The difference of two times is
+/// never negative, so the direction decides between addition and subtraction.
 fn translate(at: Moment, from: Moment, to: Moment) -> Moment {
     if at >= from {
         to + (at - from)
@@ -80,26 +80,26 @@
     }
 }
 
-/// A smaller change of the wall clock is drift; expiry has to be exact to a second.
+/// Smaller changes of the wall clock count as drift. Expiry has to be accurate to one second.
 const WALL_CLOCK_STEP_THRESHOLD: Span = Span::ms(250);
 
 /// Detects steps of the wall clock against a monotonic clock.
 #[derive(Default)]
 pub struct WallClockMonitor {
-    /// How far the wall clock is ahead of the monotonic one, in nanoseconds, when it was last compared.
+    /// How far the wall clock was ahead of the monotonic clock at the last step or at the first call, in nanoseconds.
     lead_ns: Option<i128>,
 }
 
 impl WallClockMonitor {
-    /// Whether the wall clock was stepped since the last step, or the first call.
+    /// Returns true if the wall clock was stepped since the last detected step or the first call.
     pub fn has_stepped(&mut self, now: Moment, wall_time: Moment) -> bool {
         let nanoseconds = |at: Moment| i128::from((at - Moment::default()).as_ns());
         let lead_ns = nanoseconds(wall_time) - nanoseconds(now);
-        let Some(former_lead_ns) = self.lead_ns else {
+        let Some(previous_lead_ns) = self.lead_ns else {
             self.lead_ns = Some(lead_ns);
             return false;
         };
-        let change_ns = (lead_ns - former_lead_ns).unsigned_abs();
+        let change_ns = (lead_ns - previous_lead_ns).unsigned_abs();
         let has_stepped = change_ns > u128::from(WALL_CLOCK_STEP_THRESHOLD.as_ns());
         if has_stepped {
             self.lead_ns = Some(lead_ns);
--- a/crates/overrides/src/validation.rs
+++ b/crates/overrides/src/validation.rs
@@ -1,4 +1,4 @@
-//! Limits on the fields of an override, wherever it comes from: a request, the operators' file or the store.
+//! Limits on the fields of an override. They apply to requests, the operators' file and the store alike.
 
 use crate::record::OverrideKind;
 use std::ops::RangeInclusive;
@@ -11,27 +11,27 @@
 pub const MAX_AUTHOR_BYTES: usize = 64;
 /// The longest reason, in bytes.
 const MAX_REASON_BYTES: usize = 200;
-/// Weight factors outside of it are mistakes: to give a replica no load it is taken out of service.
+/// The allowed weight factors. A factor outside is a mistake: to remove all load, a replica is taken out of service.
 const WEIGHT_FACTORS: RangeInclusive<f64> = 0.01..=100.0;
 
-/// A field that is outside its limits. Fields have the names of the management API and the operators' file.
+/// A field that is outside its limits. Field names are those of the management API and the operators' file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidField {
     /// The field's name.
     pub field: &'static str,
-    /// What is wrong with its value.
+    /// The reason why its value is invalid.
     pub reason: String,
 }
 
 impl InvalidField {
-    /// A field with the reason why it is invalid.
+    /// Returns an error for this field.
     pub fn new(field: &'static str, reason: impl Into<String>) -> Self {
         InvalidField { field, reason: reason.into() }
     }
 }
 
-/// Checks the fields that all overrides share.
+/// Checks the fields that requests, the operators' file and the store have in common.
 ///
 /// # Errors
 /// The first field that is outside its limits.
@@ -62,10 +62,10 @@
     Ok(())
 }
 
-/// Checks a text that is shown to operators: not blank, without control characters, bounded.
+/// Checks a text that is shown to operators: it must not be blank, contain control characters or exceed `max_bytes`.
 ///
 /// # Errors
-/// The field, where its text is outside these limits.
+/// The field, if its text violates one of these limits.
 pub fn validate_text(field: &'static str, text: &str, max_bytes: usize) -> Result<(), InvalidField> {
     let is_valid = !text.trim().is_empty() && text.len() <= max_bytes && !text.chars().any(char::is_control);
     if is_valid {
--- a/crates/overrides/tests/manager.rs
+++ b/crates/overrides/tests/manager.rs
@@ -1,4 +1,4 @@
-//! The override manager: requests, writes to the store and their failures, clears meanwhile, restarts, retries.
+//! The override manager: requests, writes to the store and their failures, clears during a write, restarts, retries.
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
     OverrideLimits { max_active: 300, ..OverrideLimits::default() }
 }
 
-/// A manager with a store whose writes succeed or fail as the test says.
+/// A manager with a simulated store. Tests decide whether each write succeeds or fails.
 struct Harness {
     manager: OverrideManager,
     stored: BTreeMap<u64, Vec<u8>>,
@@ -78,10 +78,10 @@
         self.take_effects();
     }
 
-    /// Kills the program and starts it again with what is stored.
+    /// Replaces the manager by a new one that reads the stored records, as after a kill and restart of the program.
     fn restart(&mut self) {
-        let fresh = Harness::with_unread_store();
-        (self.manager, self.pending_save) = (fresh.manager, None);
+        let restarted = Harness::with_unread_store();
+        (self.manager, self.pending_save) = (restarted.manager, None);
         self.read_store();
     }
 
@@ -104,10 +104,10 @@
         self.take_effects();
     }
 
-    /// Stores the pending write without an outcome; returns its serial number.
+    /// Stores the pending write without reporting an outcome. Returns its serial number.
     fn store_pending(&mut self) -> Option<u64> {
         let (serial, effect) = self.pending_save.take()?;
-        let OverrideEffect::Save { writes, removals, timeline, .. } = effect else { panic!("a write") };
+        let OverrideEffect::Save { writes, removals, timeline, .. } = effect else { panic!("not a write") };
         self.stored.extend(writes);
         self.stored.retain(|number, _| !removals.contains(number));
         let stamp =
@@ -116,13 +116,13 @@
         Some(serial)
     }
 
-    /// The pending write succeeds; false where there is none.
+    /// Lets the pending write succeed. Returns false if there is none.
     fn complete_save(&mut self) -> bool {
         let serial = self.store_pending();
         self.report_outcome(serial, Ok(()))
     }
 
-    /// The pending write fails and stores nothing; false where there is none.
+    /// Lets the pending write fail without storing anything. Returns false if there is none.
     fn fail_save(&mut self) -> bool {
         let serial = self.pending_save.take().map(|(serial, _)| serial);
         self.report_outcome(serial, Err("full".into()))
@@ -144,15 +144,16 @@
     }
 
     fn active_ids(&self) -> Vec<&str> {
-        self.manager.registry().active().map(|one| one.id.as_str()).collect()
+        self.manager.registry().active().map(|entry| entry.id.as_str()).collect()
     }
 
-    /// The active overrides that a restart would find.
+    /// Returns the ids of the overrides that would be active after a restart.
     fn stored_ids(&self) -> Vec<String> {
-        let mut other = Harness::with_unread_store();
-        (other.stored, other.stamp, other.now_ms) = (self.stored.clone(), self.stamp.clone(), self.now_ms);
-        other.read_store();
-        other.active_ids().into_iter().map(str::to_string).collect()
+        let mut restarted = Harness::with_unread_store();
+        (restarted.stored, restarted.stamp, restarted.now_ms) =
+            (self.stored.clone(), self.stamp.clone(), self.now_ms);
+        restarted.read_store();
+        restarted.active_ids().into_iter().map(str::to_string).collect()
     }
 }
 
@@ -176,20 +177,20 @@
 }
 
 #[test]
-fn failed_write_changes_nothing_even_if_it_was_stored() {
+fn failed_write_is_discarded_even_if_it_was_stored() {
     let mut harness = Harness::with_store_read();
     harness.request(1, set("a"));
     harness.fail_save();
     assert_eq!(harness.replies[&1], ChangeReply::NotStored("full".into()));
     assert!(harness.active_ids().is_empty());
-    // Stored although the write failed: the next write removes it.
+    // The record is stored although the write fails. The next write removes it.
     harness.request(2, set("b"));
     let serial = harness.store_pending().unwrap();
     harness.manager.handle_save_outcome(at(harness.now_ms), serial, Err("flush".into()));
     harness.take_effects();
-    assert_eq!(harness.stored_ids(), ["b"], "stored until then");
+    assert_eq!(harness.stored_ids(), ["b"], "stored until the next write");
     harness.advance(5000);
-    assert!(harness.complete_save(), "retried without a request");
+    assert!(harness.complete_save(), "the write is retried without a request");
     assert!(harness.stored_ids().is_empty() && harness.active_ids().is_empty());
     assert!(harness.logged.iter().any(|line| line.contains("override store recovered")));
     harness.request(3, set("b"));
@@ -204,12 +205,12 @@
         harness.request(request_id, set(id));
         harness.complete_save();
     }
-    // The write of a third override hangs.
+    // The write of a third override stays in flight.
     harness.request(3, set("c"));
     harness.request(4, ChangeRequest::Clear { id: "a".into(), by: "mb".into() });
-    assert_eq!(harness.active_ids(), ["b"], "at once");
+    assert_eq!(harness.active_ids(), ["b"], "cleared while the write is in flight");
     harness.advance(60_000);
-    assert!(harness.active_ids().is_empty(), "expired while the write hangs");
+    assert!(harness.active_ids().is_empty(), "expired while the write is in flight");
     assert!(!harness.replies.contains_key(&4), "no reply before the end is stored");
     harness.fail_save();
     assert!(matches!(harness.replies[&3], ChangeReply::NotStored(_)));
@@ -221,10 +222,10 @@
 }
 
 #[test]
-fn requests_are_rejected_before_the_store_is_read_and_beyond_the_queue() {
+fn requests_are_rejected_before_the_store_is_read_and_when_the_queue_is_full() {
     let mut harness = Harness::with_unread_store();
     harness.request(1, set("a"));
-    assert!(matches!(harness.replies[&1], ChangeReply::NotStored(_)), "not read yet");
+    assert!(matches!(harness.replies[&1], ChangeReply::NotStored(_)), "the store is not read yet");
     harness.manager.handle_store_unavailable("in use");
     harness.manager.handle_store_unavailable("in use");
     harness.take_effects();
@@ -234,13 +235,13 @@
         harness.request(request_id, set(&request_id.to_string()));
     }
     let busy = harness.replies.values().filter(|reply| **reply == ChangeReply::Busy).count();
-    assert_eq!(busy, 290 - 256 - 1, "one is being written, 256 are queued");
+    assert_eq!(busy, 290 - 256 - 1, "one request is being written and 256 are queued");
     while harness.complete_save() {}
     assert_eq!(harness.active_ids().len(), 257);
 }
 
 #[test]
-fn expiries_of_many_overrides_are_one_write() {
+fn simultaneous_expiries_are_stored_in_one_write() {
     let mut harness = Harness::with_store_read();
     for n in 0..300 {
         harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), &format!("s-{n}"), 60_000)));
@@ -250,7 +251,7 @@
     assert!(harness.active_ids().is_empty());
     assert!(harness.complete_save());
     assert!(!harness.complete_save(), "no second write");
-    assert_eq!(harness.manager.next_tick_at(), None, "nothing more to do");
+    assert_eq!(harness.manager.next_tick_at(), None, "no tick is due");
 }
 
 #[test]
@@ -263,23 +264,23 @@
         let NewOverride { id, kind, author, reason, .. } = out("f-1", "s-9", 0);
         vec![ConfiguredOverride { id, kind, author, reason, expires_at: at(expires_at_ms) }]
     };
-    let mut fresh = Harness::with_unread_store();
-    (fresh.stored, fresh.stamp) = (harness.stored.clone(), harness.stamp.clone());
-    fresh.manager.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
-    assert_eq!(fresh.active_ids(), ["f-1"]);
-    fresh.manager.handle_store_unavailable("in use");
-    fresh.read_store();
-    assert_eq!(fresh.active_ids(), ["a", "f-1"], "{:?}", fresh.logged);
-    while fresh.complete_save() {}
-    assert_eq!(fresh.stored_ids(), ["a", "f-1"]);
-    // The wall clock went forward by 20 s: the file's override expires in 10 s, the other one in 60 s.
-    fresh.manager.handle_wall_clock_step(at(0), at(20_000));
-    fresh.advance(10_000);
-    assert_eq!(fresh.active_ids(), ["a"]);
+    let mut restarted = Harness::with_unread_store();
+    (restarted.stored, restarted.stamp) = (harness.stored.clone(), harness.stamp.clone());
+    restarted.manager.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
+    assert_eq!(restarted.active_ids(), ["f-1"]);
+    restarted.manager.handle_store_unavailable("in use");
+    restarted.read_store();
+    assert_eq!(restarted.active_ids(), ["a", "f-1"], "{:?}", restarted.logged);
+    while restarted.complete_save() {}
+    assert_eq!(restarted.stored_ids(), ["a", "f-1"]);
+    // The wall clock is set forward by 20 s: the file's override then expires in 10 s, the other one in 60 s.
+    restarted.manager.handle_wall_clock_step(at(0), at(20_000));
+    restarted.advance(10_000);
+    assert_eq!(restarted.active_ids(), ["a"]);
 }
 
 #[test]
-fn without_a_store_requests_are_carried_out_at_once_and_nothing_accumulates() {
+fn without_a_store_requests_take_effect_immediately_and_ended_overrides_are_pruned() {
     let mut harness = Harness::in_memory();
     for n in 0..500 {
         harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), "s-1", 1000)));
@@ -290,7 +291,8 @@
     assert!(harness.manager.registry().listed().count() <= 301);
 }
 
-/// A random history of requests, writes that succeed, fail or fail after they were stored, time, and restarts.
+/// A random history of requests, write outcomes (success, failure, failure of a stored write), elapsed time and
+/// restarts. Each step is the choice of an action, and its parameter.
 #[derive(Clone, Debug)]
 struct History(Vec<(u8, u8)>);
 
@@ -301,21 +303,21 @@
 }
 
 #[test]
-fn active_overrides_are_stored_and_failed_ones_are_not_restored() {
-    fn holds(history: History) -> bool {
+fn active_overrides_are_stored_and_rejected_ones_are_not_restored() {
+    fn stored_ids_match_active_ids(history: History) -> bool {
         let mut harness = Harness::with_store_read();
-        for (n, (choice, figure)) in history.0.into_iter().enumerate() {
+        for (n, (choice, parameter)) in history.0.into_iter().enumerate() {
             let request_id = n as u64;
             match choice % 8 {
                 0..=2 => {
-                    harness.request(request_id, set(&format!("o{}", figure % 12)));
+                    harness.request(request_id, set(&format!("o{}", parameter % 12)));
                 }
                 3 => {
-                    let id = format!("o{}", figure % 12);
+                    let id = format!("o{}", parameter % 12);
                     harness.request(request_id, ChangeRequest::Clear { id, by: "mb".into() });
                 }
                 4 | 5 => _ = harness.complete_save(),
-                6 => match figure % 3 {
+                6 => match parameter % 3 {
                     0 => _ = harness.fail_save(),
                     1 => {
                         if let Some(serial) = harness.store_pending() {
@@ -327,7 +329,7 @@
                             harness.take_effects();
                         }
                     }
-                    _ => harness.advance(u64::from(figure) * 100),
+                    _ => harness.advance(u64::from(parameter) * 100),
                 },
                 _ => harness.restart(),
             }
@@ -345,13 +347,13 @@
         while harness.complete_save() {}
         harness.stored_ids() == harness.active_ids()
     }
-    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(History) -> bool);
+    quickcheck::QuickCheck::new().tests(300).quickcheck(stored_ids_match_active_ids as fn(History) -> bool);
 }
 
-/// An operator cleared an override on a full disk and was told that it was done; asked again, the manager even said that
-/// the end was on disk. The program was killed before the next write, and the override was active again after the start.
-/// The cause: a repeated clear was answered from memory as stored, while its record was still among `unsaved`. In the log
-/// `override store write failed` had no `override store recovered` before the kill.
+/// Guards against a repeated clear that is acknowledged as on disk while the end is only in memory. The first clear
+/// could not be stored, as the disk was full, and the second was answered from memory although the record was still
+/// among `unsaved`. If the program was killed before the next write, the override was active again after the restart.
+/// The log then had `override store write failed` without a later `override store recovered`.
 #[test]
 fn repeated_clear_is_on_disk_only_once_its_end_is_stored() {
     let mut harness = Harness::with_store_read();
@@ -362,7 +364,11 @@
     harness.fail_save();
     assert!(matches!(harness.replies[&2], ChangeReply::Cleared { durability: Durability::Pending(_), .. }));
     harness.request(3, clear());
-    assert!(!harness.replies.contains_key(&3), "not before the write that stores it: {:?}", harness.replies);
+    assert!(
+        !harness.replies.contains_key(&3),
+        "replied before the write that stores the end: {:?}",
+        harness.replies
+    );
     harness.fail_save();
     assert!(matches!(
         harness.replies[&3],
@@ -377,7 +383,8 @@
     assert!(harness.stored_ids().is_empty());
 }
 
-/// An override that expired or was replaced while writes failed is ended in memory only, too.
+/// An override that expired or was replaced while writes failed has ended in memory only. Clearing it must not be
+/// acknowledged as on disk before its end is stored.
 #[test]
 fn clear_of_an_expired_override_waits_for_its_stored_end() {
     let mut harness = Harness::with_store_read();
@@ -394,10 +401,11 @@
     ));
 }
 
-/// Before the store was read a clear of an override of the operators' file was acknowledged and then forgotten, as the
-/// registry that is read takes the place of the former; an id of the store was rejected as unknown, for good.
+/// Guards against two faults of a clear that arrives before the store is read. The clear of an override of the
+/// operators' file was acknowledged and then lost, as the restored registry replaces the previous one. The clear of a
+/// stored override was rejected permanently as unknown.
 #[test]
-fn clear_before_the_store_is_read_outlives_reading_it() {
+fn clear_before_the_store_is_read_stays_in_effect_afterwards() {
     let mut harness = Harness::with_unread_store();
     let NewOverride { id, kind, author, reason, .. } = out("f-1", "s-9", 0);
     let configured = ConfiguredOverride { id, kind, author, reason, expires_at: at(30_000) };
--- a/crates/overrides/tests/record_encoding.rs
+++ b/crates/overrides/tests/record_encoding.rs
@@ -1,12 +1,12 @@
-//! The encoded form of each record and of the stamp, byte for byte: a checksum, then a protobuf message. Stores
-//! of installed releases hold these bytes.
+//! The exact bytes of each encoded record and of the clock stamp: a checksum followed by a protobuf message. The stores
+//! of installed releases contain such bytes, so the encoding must not change.
 
 use whinwall_overrides::{
     encoding, ClockReading, ClockStamp, EndCause, Ending, Origin, Override, OverrideKind, Timeline,
 };
 use whinwall_policy::time::{Moment, Span};
 
-/// Process time and persistent timeline are the same here.
+/// Returns a timeline on which process time and persistent time are equal.
 fn timeline() -> Timeline {
     let epoch = Moment::default();
     let reading = ClockReading { boot_id: String::new(), uptime: Span::ns(0), wall_time: epoch };
@@ -45,14 +45,14 @@
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-/// The record is written as these bytes, and these bytes are read as the record.
+/// Asserts that the record is encoded as these bytes, and that these bytes are decoded as the record.
 fn assert_encoding(record: &Override, expected: &str) {
     assert_eq!(hex(&encoding::encode_override(record, &timeline())), expected);
     assert_eq!(encoding::decode_override(&bytes(expected), &timeline()).as_ref(), Ok(record));
 }
 
 #[test]
-fn weight_factor_has_its_bytes() {
+fn weight_record_has_stable_encoding() {
     assert_encoding(
         &record(OverrideKind::Weight { replica: "s-3".into(), factor: 0.5 }),
         "cc8cd23e08071203612d311a03732d3321000000000000e03f3a026d6242046469736b50e80758d00f",
@@ -60,12 +60,12 @@
 }
 
 #[test]
-fn out_of_service_has_its_bytes() {
+fn out_of_service_record_has_stable_encoding() {
     assert_encoding(&record(out()), "93043ccb08071203612d311a03732d3328013a026d6242046469736b50e80758d00f");
 }
 
 #[test]
-fn pin_has_its_bytes() {
+fn pin_record_has_stable_encoding() {
     assert_encoding(
         &record(OverrideKind::Pin { first: 4, last: 9, replica: "s-3".into() }),
         "02fc37e608071203612d311a03732d333204080410093a026d6242046469736b50e80758d00f",
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn record_of_the_operators_file_has_its_bytes() {
+fn configured_record_has_stable_encoding() {
     let expires_at_wall_time = Some(Moment::at_ns(3_000));
     assert_encoding(
         &Override { origin: Origin::File, expires_at_wall_time, ..record(out()) },
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn expired_record_has_its_bytes() {
+fn expired_record_has_stable_encoding() {
     assert_encoding(
         &ended(EndCause::Expired),
         "2ed284e708071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b7001",
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn cleared_record_has_its_bytes() {
+fn cleared_record_has_stable_encoding() {
     assert_encoding(
         &ended(EndCause::Cleared { by: "jo".into() }),
         "95d7bfe608071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b7a026a6f",
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn replaced_record_has_its_bytes() {
+fn replaced_record_has_stable_encoding() {
     assert_encoding(
         &ended(EndCause::Replaced { by: "b-2".into() }),
         "0a49bc4e08071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b820103622d32",
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn record_that_ended_as_the_clock_went_back_has_its_bytes() {
+fn clock_went_back_record_has_stable_encoding() {
     assert_encoding(
         &ended(EndCause::ClockWentBack),
         "2092582c08071203612d311a03732d3328013a026d6242046469736b50e80758d00f68dc0b880101",
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn stamp_has_its_bytes() {
+fn stamp_has_stable_encoding() {
     let reading =
         ClockReading { boot_id: "b".into(), uptime: Span::ns(1_000), wall_time: Moment::at_ns(2_000) };
     let stamp = ClockStamp { reading, position: Moment::at_ns(3_000) };
--- a/crates/overrides/tests/registry.rs
+++ b/crates/overrides/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: expiry, retries, replacement, restarts, clock steps, and what is stored.
+//! The registry: expiry, retries, replacement, restarts, clock steps and stored records.
 
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -11,13 +11,13 @@
 
 const START_S: u64 = 1_800_000_000;
 
-/// The moment so many seconds after the start.
+/// Returns the time `offset_s` seconds after [`START_S`].
 fn at(offset_s: u64) -> Moment {
     Moment::at_ns((START_S + offset_s) * 1_000_000_000)
 }
 
-fn seconds(seconds: u64) -> Span {
-    Span::ms(seconds * 1000)
+fn seconds(count: u64) -> Span {
+    Span::ms(count * 1000)
 }
 
 fn reading(boot_id: &str, uptime_s: u64, wall_s: u64) -> ClockReading {
@@ -55,7 +55,7 @@
     registry.active().map(|entry| entry.id.as_str()).collect()
 }
 
-/// What the store holds, and the registry that a restart restores from it.
+/// A simulated store, from which a restart restores the registry.
 #[derive(Default)]
 struct Store {
     records: BTreeMap<u64, Vec<u8>>,
@@ -100,16 +100,16 @@
         (active_ids(&registry).len(), entry.ended.clone()),
         (0, Some(Ending { at: at(60), cause: EndCause::Expired }))
     );
-    // A retry after its end finds it ended, and does not set it again.
+    // A retry after the end finds the ended override and does not set it again.
     assert_eq!(registry.propose_set(at(76), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
 }
 
 #[test]
-fn retry_sets_nothing_twice_and_prolongs_nothing() {
+fn retry_neither_sets_a_second_override_nor_prolongs_the_first() {
     let mut registry = registry();
     let proposed = registry.propose_set(at(0), &out("a", "s-1", 60)).unwrap();
     assert_eq!(active_ids(&registry).len(), 0, "a proposal changes nothing");
-    let Proposal::Change(change) = proposed else { panic!("it is new") };
+    let Proposal::Change(change) = proposed else { panic!("new override not accepted") };
     registry.apply(change.clone());
     registry.apply(change);
     assert_eq!(registry.propose_set(at(30), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn newer_override_replaces_what_it_contradicts() {
+fn newer_override_replaces_conflicting_ones() {
     let mut registry = registry();
     set(&mut registry, at(0), &out("a", "s-1", 60));
     set(&mut registry, at(1), &out("b", "s-1", 600));
@@ -129,17 +129,13 @@
     );
     set(&mut registry, at(2), &pin("c", 3, 5));
     set(&mut registry, at(3), &pin("d", 4, 9));
-    assert_eq!(
-        active_ids(&registry),
-        ["b", "c", "d"],
-        "an overlap leaves the older override the other slices"
-    );
+    assert_eq!(active_ids(&registry), ["b", "c", "d"], "a partly overlapped pin keeps its other slices");
     set(&mut registry, at(4), &pin("e", 0, 9));
     assert_eq!(active_ids(&registry), ["b", "e"]);
 }
 
 #[test]
-fn limits_are_enforced_and_the_field_is_named() {
+fn limits_are_enforced_and_errors_name_the_field() {
     let mut registry = registry();
     let invalid_field = |request: NewOverride| match registry.propose_set(at(0), &request) {
         Err(OverrideError::InvalidField(InvalidField { field, .. })) => field,
@@ -163,7 +159,7 @@
         registry.propose_set(at(0), &out("more", "s-9", 60)),
         Err(OverrideError::LimitReached { limit: 5 })
     );
-    // Replacing an override does not need another place.
+    // Replacing an override does not increase the number of active overrides.
     set(&mut registry, at(0), &out("instead", "s-0", 60));
 }
 
@@ -185,7 +181,7 @@
 }
 
 #[test]
-fn a_thousand_overrides_expire_in_the_same_second() {
+fn thousand_overrides_expire_in_the_same_second() {
     let mut registry = registry();
     registry.set_limits(OverrideLimits::default());
     for n in 0..1000 {
@@ -199,29 +195,31 @@
 fn restart_neither_prolongs_nor_loses_overrides() {
     let (registry, mut store) = (registry(), Store::default());
     let Ok(Proposal::Change(change)) = registry.propose_set(at(0), &out("a", "s-1", 60)) else {
-        panic!("it is new")
+        panic!("new override not accepted")
     };
     store.write(&registry, at(0), reading("a", 100, 0), &change);
-    // Within one boot the uptime counts, 20 s here, whatever the wall clock shows.
+    // Within one boot the uptime determines the downtime, 20 s here, regardless of the wall clock.
     for wall_s in [20, 5000, 1] {
         let restored = store.restore(at(wall_s), reading("a", 120, wall_s));
         assert_eq!(restored.next_expiry(), Some(at(wall_s + 40)), "wall at {wall_s}");
     }
-    // Over a reboot the wall clock counts.
+    // Across a reboot the wall clock determines the downtime.
     assert_eq!(store.restore(at(20), reading("b", 3, 20)).next_expiry(), Some(at(60)));
     let late = store.restore(at(70), reading("b", 3, 70));
     assert_eq!(late.get_by_id("a").unwrap().ended, Some(Ending { at: at(60), cause: EndCause::Expired }));
-    // The wall clock went back over a reboot: the downtime is unknown.
+    // If the wall clock went back across a reboot, the downtime is unknown.
     let back = ClockReading { wall_time: at(0) - seconds(7200), ..reading("b", 3, 0) };
     let restored = store.restore(at(0) - seconds(7200), back);
     assert_eq!(restored.get_by_id("a").unwrap().ended.clone().unwrap().cause, EndCause::ClockWentBack);
 }
 
 #[test]
-fn corrupt_records_are_reported_and_the_others_are_read() {
+fn corrupt_records_are_reported_and_the_others_are_restored() {
     let (mut registry, mut store) = (registry(), Store::default());
     for (n, request) in [out("a", "s-1", 60), pin("b", 0, 3)].iter().enumerate() {
-        let Ok(Proposal::Change(change)) = registry.propose_set(at(0), request) else { panic!("{n} is new") };
+        let Ok(Proposal::Change(change)) = registry.propose_set(at(0), request) else {
+            panic!("override {n} not accepted")
+        };
         store.write(&registry, at(0), reading("a", 100, 0), &change);
         registry.apply(change);
     }
@@ -251,43 +249,43 @@
 #[test]
 fn configured_overrides_follow_the_file_and_cleared_ones_stay_cleared() {
     let mut registry = registry();
-    let follow = |registry: &mut OverrideRegistry, now_s, configured: &[ConfiguredOverride]| {
+    let apply = |registry: &mut OverrideRegistry, now_s, configured: &[ConfiguredOverride]| {
         let change = registry.propose_configured(at(now_s), at(now_s), configured)?;
         registry.apply(change);
         Ok::<_, OverrideError>(())
     };
     let file = [configured("f-1", "s-1", 600), configured("f-2", "s-2", 600), configured("old", "s-3", 5)];
-    follow(&mut registry, 10, &file).unwrap();
+    apply(&mut registry, 10, &file).unwrap();
     assert_eq!(active_ids(&registry), ["f-1", "f-2"]);
     let Ok(Proposal::Change(change)) = registry.propose_clear(at(11), "f-1", "mb") else {
-        panic!("it is active")
+        panic!("active override not cleared")
     };
     registry.apply(change);
-    follow(&mut registry, 20, &file).unwrap();
-    assert_eq!(active_ids(&registry), ["f-2"], "not again while the file has it unchanged");
-    follow(&mut registry, 30, &[configured("f-1", "s-1", 900)]).unwrap();
-    assert_eq!(active_ids(&registry), ["f-1"], "changed it is a new override; f-2 is gone from the file");
-    // One invalid override, and the file changes nothing.
-    let longer =
-        follow(&mut registry, 40, &[configured("f-3", "s-3", 900), configured("f-4", "s-4", 1_000_000)]);
-    assert!(matches!(longer, Err(OverrideError::InvalidField(InvalidField { field: "until", .. }))));
+    apply(&mut registry, 20, &file).unwrap();
+    assert_eq!(active_ids(&registry), ["f-2"], "f-1 stays cleared until its entry in the file changes");
+    apply(&mut registry, 30, &[configured("f-1", "s-1", 900)]).unwrap();
+    assert_eq!(active_ids(&registry), ["f-1"], "the changed f-1 is set again; f-2 was removed from the file");
+    // One invalid override rejects the whole file.
+    let rejected =
+        apply(&mut registry, 40, &[configured("f-3", "s-3", 900), configured("f-4", "s-4", 1_000_000)]);
+    assert!(matches!(rejected, Err(OverrideError::InvalidField(InvalidField { field: "until", .. }))));
     assert_eq!(active_ids(&registry), ["f-1"]);
 }
 
 #[test]
-fn wall_clock_step_expires_what_it_passes_and_prolongs_nothing() {
+fn wall_clock_step_shortens_but_never_prolongs_overrides() {
     let mut registry = registry();
     let change = registry.propose_configured(at(0), at(0), &[configured("f-1", "s-1", 600)]).unwrap();
     registry.apply(change);
     set(&mut registry, at(0), &out("a", "s-2", 600));
     registry.adjust_to_wall_clock(at(10), at(0) - seconds(3600));
-    assert_eq!(registry.next_expiry(), Some(at(600)), "back: as before");
+    assert_eq!(registry.next_expiry(), Some(at(600)), "a step back does not change the expiry time");
     registry.adjust_to_wall_clock(at(20), at(500));
     assert!(registry.expire_due(at(120)));
     assert_eq!(
         active_ids(&registry),
         ["a"],
-        "forwards: the one with a wall time expires then, the other after its duration"
+        "after a step forward only the override with a wall-clock expiry time expires early"
     );
 }
 
@@ -296,14 +294,14 @@
     for (text, expected_s) in [("90s", 90), ("30m", 1800), ("1h30m", 5400), ("2d", 172_800), ("0s", 0)] {
         assert_eq!(text::parse_duration(text), Ok(seconds(expected_s)));
     }
-    for wrong in
+    for invalid in
         ["", "30", "m", "30m1h", "1h1h", "1.5h", "30 m", "-3m", "99999999999999999999d", "9999999999999d"]
     {
-        assert!(text::parse_duration(wrong).is_err(), "{wrong}");
+        assert!(text::parse_duration(invalid).is_err(), "{invalid}");
     }
     assert_eq!((text::parse_slices("17"), text::parse_slices("4-9")), (Ok((17, 17)), Ok((4, 9))));
-    for wrong in ["", "9-4", "4-", "-4", "4-9-11", "x", "99999999999"] {
-        assert!(text::parse_slices(wrong).is_err(), "{wrong}");
+    for invalid in ["", "9-4", "4-", "-4", "4-9-11", "x", "99999999999"] {
+        assert!(text::parse_slices(invalid).is_err(), "{invalid}");
     }
     let noon = text::parse_wall_time("2026-12-01T12:00:00+01:00").unwrap();
     assert_eq!(text::format_wall_time(noon), "2026-12-01T11:00:00Z");
@@ -312,10 +310,10 @@
     );
 }
 
-/// A step of a random history, which is chosen by the first number, with a figure for it.
+/// A step of a random history: the choice of the action, and its parameter.
 type Step = (u8, u16);
 
-/// A random history: overrides set and cleared, steps of the wall clock, restarts of program and machine.
+/// A random history: overrides set and cleared, steps of the wall clock, restarts of the program and reboots.
 #[derive(Clone, Debug)]
 struct History(Vec<Step>);
 
@@ -325,17 +323,17 @@
     }
 }
 
-/// A registry with its store and the machine's clocks, and the true expiry time of each active override.
+/// A registry with its store, the clocks of the machine, and the true expiry time of each active override.
 struct Simulation {
     registry: OverrideRegistry,
     store: Store,
-    /// True time, which the program cannot see.
+    /// The true time, which the program cannot observe.
     true_s: u64,
     /// How far the wall clock is ahead of true time.
     wall_lead_s: i64,
     boots: u32,
     booted_at_true_s: u64,
-    /// The process clock's start by the wall clock, and the true time of that.
+    /// The wall-clock time and the true time at the start of the process.
     process_start_wall_s: i64,
     process_start_true_s: u64,
     expected_expiry_s: BTreeMap<String, u64>,
@@ -362,19 +360,19 @@
         at((self.process_start_wall_s + (self.true_s - self.process_start_true_s) as i64) as u64)
     }
 
-    fn clocks(&self) -> ClockReading {
+    fn read_clocks(&self) -> ClockReading {
         let wall_s = (self.true_s as i64 + self.wall_lead_s) as u64;
         reading(&self.boots.to_string(), self.true_s - self.booted_at_true_s, wall_s)
     }
 
-    fn store(&mut self, now: Moment, change: &RegistryChange) {
-        let clocks = self.clocks();
-        self.store.write(&self.registry, now, clocks, change);
+    fn write_to_store(&mut self, now: Moment, change: &RegistryChange) {
+        let reading = self.read_clocks();
+        self.store.write(&self.registry, now, reading, change);
     }
 
-    fn set(&mut self, now: Moment, id: &str, figure: u16) {
-        let duration_s = u64::from(figure % 300) + 1;
-        let request = out(id, &format!("s-{}", figure % 7), duration_s);
+    fn set(&mut self, now: Moment, id: &str, parameter: u16) {
+        let duration_s = u64::from(parameter % 300) + 1;
+        let request = out(id, &format!("s-{}", parameter % 7), duration_s);
         if let Ok(Proposal::Change(change)) = self.registry.propose_set(now, &request) {
             for entry in &change.writes {
                 if entry.is_active() {
@@ -383,7 +381,7 @@
                     self.expected_expiry_s.remove(&entry.id);
                 }
             }
-            self.store(now, &change);
+            self.write_to_store(now, &change);
             self.registry.apply(change);
         }
     }
@@ -393,15 +391,15 @@
         let proposal = id.map(|id| self.registry.propose_clear(now, &id, "x"));
         if let Some(Ok(Proposal::Change(change))) = proposal {
             self.expected_expiry_s.remove(&change.writes[0].id);
-            self.store(now, &change);
+            self.write_to_store(now, &change);
             self.registry.apply(change);
         }
     }
 
-    fn step_wall_clock(&mut self, now: Moment, figure: u16) {
-        self.wall_lead_s = (self.wall_lead_s + i64::from(figure) - 30_000).max(0);
-        self.registry.adjust_to_wall_clock(now, self.clocks().wall_time);
-        self.store(now, &RegistryChange::default());
+    fn step_wall_clock(&mut self, now: Moment, parameter: u16) {
+        self.wall_lead_s = (self.wall_lead_s + i64::from(parameter) - 30_000).max(0);
+        self.registry.adjust_to_wall_clock(now, self.read_clocks().wall_time);
+        self.write_to_store(now, &RegistryChange::default());
     }
 
     fn reboot(&mut self) {
@@ -412,17 +410,17 @@
     fn restart(&mut self) {
         self.process_start_wall_s = self.true_s as i64 + self.wall_lead_s;
         self.process_start_true_s = self.true_s;
-        self.registry = self.store.restore(at(self.process_start_wall_s as u64), self.clocks());
+        self.registry = self.store.restore(at(self.process_start_wall_s as u64), self.read_clocks());
     }
 
-    fn run(&mut self, n: usize, (choice, figure): Step) {
-        self.true_s += u64::from(figure % 50);
+    fn run_step(&mut self, n: usize, (choice, parameter): Step) {
+        self.true_s += u64::from(parameter % 50);
         let now = self.now();
         self.registry.expire_due(now);
         match choice % 6 {
-            0 | 1 => self.set(now, &format!("o{n}"), figure),
+            0 | 1 => self.set(now, &format!("o{n}"), parameter),
             2 => self.clear_oldest(now),
-            3 => self.step_wall_clock(now, figure),
+            3 => self.step_wall_clock(now, parameter),
             4 => {
                 self.reboot();
                 self.restart();
@@ -431,7 +429,7 @@
         }
     }
 
-    fn check(&mut self) {
+    fn check_active_overrides(&mut self) {
         let Simulation { true_s, registry, expected_expiry_s, .. } = self;
         for entry in registry.active() {
             let expiry_s = expected_expiry_s[&entry.id];
@@ -440,20 +438,20 @@
         expected_expiry_s.retain(|_, expiry_s| *expiry_s > *true_s);
         for id in expected_expiry_s.keys() {
             let is_active = registry.get_by_id(id).is_some_and(Override::is_active);
-            assert!(is_active, "{id} is lost at {true_s}");
+            assert!(is_active, "{id} was lost at {true_s}");
         }
     }
 }
 
 #[test]
-fn no_override_is_active_after_its_expiry_and_no_stored_one_is_lost() {
-    fn holds(history: History) -> bool {
+fn no_override_is_active_after_its_expiry_or_lost_before_it() {
+    fn has_no_late_or_lost_override(history: History) -> bool {
         let mut simulation = Simulation::new();
         for (n, step) in history.0.into_iter().enumerate() {
-            simulation.run(n, step);
-            simulation.check();
+            simulation.run_step(n, step);
+            simulation.check_active_overrides();
         }
         true
     }
-    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(History) -> bool);
+    quickcheck::QuickCheck::new().tests(300).quickcheck(has_no_late_or_lost_override as fn(History) -> bool);
 }
--- a/crates/overrides/tests/text.rs
+++ b/crates/overrides/tests/text.rs
@@ -1,4 +1,4 @@
-//! The text form of durations, slices, wall times and overrides, and the messages for invalid text.
+//! The text formats of durations, slices, wall-clock times and overrides, and the error messages for invalid text.
 
 use whinwall_overrides::validation::validate;
 use whinwall_overrides::{text, EndCause, InvalidField, OverrideError, OverrideKind};
@@ -6,8 +6,8 @@
 
 const DAY_S: u64 = 86_400;
 
-fn seconds(seconds: u64) -> Span {
-    Span::ns(seconds * 1_000_000_000)
+fn seconds(count: u64) -> Span {
+    Span::ns(count * 1_000_000_000)
 }
 
 #[test]
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn slices_are_parsed_as_one_or_as_a_range() {
+fn slices_are_parsed_as_a_number_or_a_range() {
     assert_eq!(text::parse_slices("17"), Ok((17, 17)));
     assert_eq!(text::parse_slices("4-9"), Ok((4, 9)));
 }
 
 #[test]
-fn slices_are_formatted_as_one_or_as_a_range() {
+fn slices_are_formatted_as_a_number_or_a_range() {
     assert_eq!(text::format_slices(17, 17), "17");
     assert_eq!(text::format_slices(4, 9), "4-9");
 }
@@ -61,9 +61,15 @@
 #[test]
 fn invalid_wall_time_is_rejected_with_its_message() {
     let message = text::parse_wall_time("tomorrow").unwrap_err().to_string();
-    assert!(message.starts_with("\"tomorrow\" is no point in time like 2026-12-01T22:00:00Z: "), "{message}");
+    assert!(
+        message.starts_with("invalid time \"tomorrow\", expected a time like 2026-12-01T22:00:00Z: "),
+        "{message}"
+    );
     let out_of_range = text::parse_wall_time("1960-01-01T00:00:00Z").unwrap_err().to_string();
-    assert_eq!(out_of_range, "\"1960-01-01T00:00:00Z\" is out of range");
+    assert_eq!(
+        out_of_range,
+        "time \"1960-01-01T00:00:00Z\" is out of range, expected 1970-01-01 to 2554-07-21"
+    );
 }
 
 #[test]
