--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tracing::{debug_span, Span};
 use whinwall_override_store::WriteBatch;
-use whinwall_overrides::{encoding, ClockStamp, Timeline};
+use whinwall_overrides::{encoding, ClockStamp, SaveError, Timeline};
 use whinwall_policy::api::OverrideNumber;
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector;
@@ -203,7 +203,7 @@
         let stamp = ClockStamp { position, reading: Clock::read_machine_clocks() };
         let batch = WriteBatch { writes, removals, stamp: encoding::encode_stamp(&stamp) };
         if !self.services.write_store(serial, batch) {
-            self.apply(Event::SaveCompleted { serial, outcome: Err(STORAGE_BUSY.into()) });
+            self.apply(Event::SaveCompleted { serial, outcome: Err(SaveError::new(STORAGE_BUSY)) });
         }
     }
 }
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -12,6 +12,7 @@
 use whinwall_management_api::messages::{Reply, Request};
 use whinwall_management_api::server::PendingRequest;
 use whinwall_override_store::storage_thread::StoreReply;
+use whinwall_overrides::SaveError;
 use whinwall_policy::time::Moment;
 use whinwall_protocol::{collector, discovery, relay, DecodeError};
 use whinwall_routing::Event;
@@ -245,9 +246,10 @@
                 Event::StoreRead { records, stamp, reading: Clock::read_machine_clocks() }
             }
             StoreReply::Unavailable(error) => Event::StoreUnavailable(error.to_string()),
-            StoreReply::Written { serial, outcome } => {
-                Event::SaveCompleted { serial, outcome: outcome.map_err(|error| error.to_string()) }
-            }
+            StoreReply::Written { serial, outcome } => Event::SaveCompleted {
+                serial,
+                outcome: outcome.map_err(|error| SaveError::new(error.to_string())),
+            },
         };
         self.dispatcher.apply(event);
     }
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod timeline;
 pub mod validation;
 
-pub use error::OverrideError;
+pub use error::{OverrideError, SaveError};
 pub use manager::{
     ChangeReply, ChangeRequest, Durability, OverrideEffect, OverrideManager, RequestId, StoreEvent,
 };
--- a/crates/overrides/src/manager/saving.rs
+++ b/crates/overrides/src/manager/saving.rs
@@ -4,6 +4,7 @@
     new_override_number, ChangeReply, Durability, OverrideEffect, OverrideManager, RequestId, StoreEvent,
 };
 use crate::encoding;
+use crate::error::SaveError;
 use crate::registry::RegistryChange;
 use std::mem::{replace, take};
 use whinwall_policy::api::OverrideNumber;
@@ -67,7 +68,7 @@
     }
 
     /// Handles the outcome of a write. The outcome of a write that is no longer in flight is ignored.
-    pub fn handle_save_outcome(&mut self, now: Moment, serial: u64, outcome: Result<(), String>) {
+    pub fn handle_save_outcome(&mut self, now: Moment, serial: u64, outcome: Result<(), SaveError>) {
         let Some(save) = self.pending_save.take_if(|save| save.serial == serial) else { return };
         let durability = match &outcome {
             Ok(()) => {
@@ -75,9 +76,9 @@
                 self.record_successful_write(now);
                 Durability::OnDisk
             }
-            Err(reason) => {
-                self.record_failed_write(now, reason);
-                Durability::Pending(reason.clone())
+            Err(error) => {
+                self.record_failed_write(now, error);
+                Durability::Pending(error.to_string())
             }
         };
         if let Some(set) = save.set {
@@ -98,14 +99,14 @@
         }
     }
 
-    fn record_failed_write(&mut self, now: Moment, reason: &str) {
+    fn record_failed_write(&mut self, now: Moment, error: &SaveError) {
         self.retry_at = Some(now + WRITE_RETRY_DELAY);
         if !replace(&mut self.has_write_failed, true) {
-            self.log(StoreEvent::WriteFailed { reason: reason.into() });
+            self.log(StoreEvent::WriteFailed { reason: error.to_string() });
         }
     }
 
-    fn finish_set(&mut self, PendingSet { request_id, change }: PendingSet, outcome: Result<(), String>) {
+    fn finish_set(&mut self, PendingSet { request_id, change }: PendingSet, outcome: Result<(), SaveError>) {
         let number = new_override_number(&change);
         let reply = match outcome {
             Ok(()) => {
@@ -113,9 +114,9 @@
                 self.registry.mark_saved(&change);
                 ChangeReply::Set { number, is_repeat: false, durability: Durability::OnDisk }
             }
-            Err(reason) => {
+            Err(error) => {
                 self.registry.abandon(&change);
-                ChangeReply::NotStored(reason)
+                ChangeReply::NotStored(error.to_string())
             }
         };
         self.reply(request_id, reply);
--- a/crates/overrides/tests/manager.rs
+++ b/crates/overrides/tests/manager.rs
@@ -5,6 +5,7 @@
 use whinwall_overrides::{
     encoding, ChangeReply, ChangeRequest, ClockReading, ClockStamp, ConfiguredOverride, Durability,
     NewOverride, OverrideEffect, OverrideError, OverrideKind, OverrideLimits, OverrideManager, RequestId,
+    SaveError,
 };
 use whinwall_policy::time::{Moment, Span};
 
@@ -125,10 +126,10 @@
     /// Lets the pending write fail without storing anything. Returns false if there is none.
     fn fail_save(&mut self) -> bool {
         let serial = self.pending_save.take().map(|(serial, _)| serial);
-        self.report_outcome(serial, Err("full".into()))
+        self.report_outcome(serial, Err(SaveError::new("full")))
     }
 
-    fn report_outcome(&mut self, serial: Option<u64>, outcome: Result<(), String>) -> bool {
+    fn report_outcome(&mut self, serial: Option<u64>, outcome: Result<(), SaveError>) -> bool {
         let Some(serial) = serial else { return false };
         self.manager.handle_save_outcome(at(self.now_ms), serial, outcome);
         self.take_effects();
@@ -186,7 +187,7 @@
     // The record is stored although the write fails. The next write removes it.
     harness.request(2, set("b"));
     let serial = harness.store_pending().unwrap();
-    harness.manager.handle_save_outcome(at(harness.now_ms), serial, Err("flush".into()));
+    harness.manager.handle_save_outcome(at(harness.now_ms), serial, Err(SaveError::new("flush")));
     harness.take_effects();
     assert_eq!(harness.stored_ids(), ["b"], "stored until the next write");
     harness.advance(5000);
@@ -324,7 +325,7 @@
                             harness.manager.handle_save_outcome(
                                 at(harness.now_ms),
                                 serial,
-                                Err("flush".into()),
+                                Err(SaveError::new("flush")),
                             );
                             harness.take_effects();
                         }
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -5,7 +5,7 @@
 use super::subset::Fleet;
 use std::net::SocketAddr;
 use whinwall_management_api::messages::{Reply, Request};
-use whinwall_overrides::{ClockReading, RequestId, Timeline};
+use whinwall_overrides::{ClockReading, RequestId, SaveError, Timeline};
 use whinwall_policy::api::{OverrideNumber, Report};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::collector::Message;
@@ -85,7 +85,7 @@
         /// The serial number of the write.
         serial: u64,
         /// Whether it succeeded.
-        outcome: Result<(), String>,
+        outcome: Result<(), SaveError>,
     },
     /// The wall clock was stepped to this time.
     WallClockStepped(Moment),
