--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the tests of several packages share. Nothing outside tests depends on it.
+//! Test utilities shared by several packages. Only tests and benchmarks depend on this package.
 
 pub mod help_text;
 pub mod message_queue;
--- a/crates/test-support/src/message_queue.rs
+++ b/crates/test-support/src/message_queue.rs
@@ -1,50 +1,52 @@
-//! Messages of another party, which a test waits for in any order.
+//! A queue of received messages from which a test can take messages out of order.
 
 use std::collections::VecDeque;
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// Messages that arrive on a channel.
+/// Messages received on a channel.
 pub struct MessageQueue<T> {
-    /// Where they arrive.
+    /// The receiving end of the channel.
     pub receiver: Receiver<T>,
-    /// Those that arrived and did not fit a call of [`MessageQueue::wait`] yet.
+    /// Messages that were received but have not matched a call of [`MessageQueue::wait`] yet, oldest first.
     pub skipped: VecDeque<T>,
     timeout: Duration,
 }
 
 impl<T> MessageQueue<T> {
-    /// A queue whose calls wait for so long: far longer than anything takes, so that a test that waits it out has failed.
+    /// Creates a queue whose [`wait`](MessageQueue::wait) panics after `timeout`. The time-out should be far longer
+    /// than any expected delay, so that reaching it means that the message does not come.
     pub fn new(receiver: Receiver<T>, timeout: Duration) -> Self {
         MessageQueue { receiver, skipped: VecDeque::new(), timeout }
     }
 
-    /// The first message that fits; those before it stay for later calls.
+    /// Returns the first message for which `matches` returns true; earlier messages stay queued for later calls.
+    /// `description` names the expected message in the panic text.
     ///
     /// # Panics
     ///
-    /// Where none arrives within the timeout.
-    pub fn wait(&mut self, what: &str, fits: impl Fn(&T) -> bool) -> T {
-        if let Some(message) = self.take_skipped(&fits) {
+    /// If no matching message arrives within the time-out.
+    pub fn wait(&mut self, description: &str, matches: impl Fn(&T) -> bool) -> T {
+        if let Some(message) = self.take_skipped(&matches) {
             return message;
         }
-        let end = Instant::now() + self.timeout;
+        let deadline = Instant::now() + self.timeout;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            match self.receiver.recv_timeout(left) {
-                Ok(next) if fits(&next) => return next,
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.receiver.recv_timeout(remaining) {
+                Ok(next) if matches(&next) => return next,
                 Ok(next) => self.skipped.push_back(next),
-                Err(_) => panic!("waited in vain for {what}"),
+                Err(_) => panic!("timed out waiting for {description}"),
             }
         }
     }
 
-    fn take_skipped(&mut self, fits: impl Fn(&T) -> bool) -> Option<T> {
-        let index = self.skipped.iter().position(fits)?;
+    fn take_skipped(&mut self, matches: impl Fn(&T) -> bool) -> Option<T> {
+        let index = self.skipped.iter().position(matches)?;
         self.skipped.remove(index)
     }
 
-    /// Forgets all that has arrived so far.
+    /// Discards all messages received so far.
     pub fn clear(&mut self) {
         self.skipped.clear();
         while self.receiver.try_recv().is_ok() {}
