--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,4 +1,5 @@
-//! The controller's process. `program` is the only layer here; the layers below it are packages of their own:
+//! The controller process. This package contains only its top layer, `program`; the lower layers are separate
+//! packages:
 //! `whinwall-routing` holds all state behind one reducer, `whinwall-protocol` decodes and encodes messages, and
 //! `whinwall-transport` reads and writes lines.
 #![forbid(unsafe_code)]
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,4 +1,5 @@
-//! The controller program: the decisions of whinwall on sockets, between collectors, relay and discovery.
+//! The controller program: reads reports from collectors and endpoint lists from discovery, and sends commands to the
+//! relay.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -1,4 +1,5 @@
-//! The one place where configuration is read, checked and given defaults. An error names the faulty key.
+//! Reads the configuration from the environment and the files, validates it and applies defaults. Errors name the
+//! invalid key.
 
 use super::configuration_file::ConfigFile;
 use serde_json::Value;
@@ -13,119 +14,120 @@
 use whinwall_settings::Settings;
 use whinwall_transport::{limits, Targets};
 
-/// Log lines of one kind in a second, where `WHINWALL_LOG_LINES` is not set.
+/// Maximum number of log lines of one kind per second if `WHINWALL_LOG_LINES` is not set.
 const DEFAULT_LOG_LINES_PER_SECOND: u32 = 40;
-/// Keys that a reload cannot apply.
-const KEYS_THAT_NEED_A_RESTART: [&str; 4] = ["name", "listen", "limits", "settings"];
+/// Keys of the configuration file that are read only at start-up; a reload does not apply changes to them.
+const RESTART_ONLY_KEYS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
-/// Why the configuration cannot be used; the text is shown to the operator.
+/// Errors in the configuration. Their texts are shown to the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no configuration file.
-    #[error("PROXY_CONFIG is not set; it names the configuration file")]
+    /// `PROXY_CONFIG` is not set.
+    #[error("PROXY_CONFIG is not set; set it to the path of the configuration file")]
     NoFile,
     /// The configuration file cannot be read.
     #[error("PROXY_CONFIG: {}: {source}", path.display())]
     UnreadableFile {
-        /// The configuration file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The configuration file is not JSON.
+    /// The configuration file is not valid JSON.
     #[error("PROXY_CONFIG: {}: {source}", path.display())]
     InvalidJson {
-        /// The configuration file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// Where it is faulty.
+        /// The syntax error and its position.
         source: serde_json::Error,
     },
-    /// A key at the top of the file is missing, or the file is no object.
+    /// A top-level key is missing, or the file does not contain a JSON object.
     #[error("{0}")]
     InvalidFile(#[source] serde_json::Error),
-    /// A value has the wrong type, or a key below the top is missing.
+    /// A value has the wrong type, or a nested key is missing.
     #[error("{key}: {source}")]
     InvalidValue {
-        /// The path of the value.
+        /// The path of the key in the file.
         key: String,
-        /// What is wrong with it.
+        /// The decoding error.
         source: serde_json::Error,
     },
-    /// A required value is in neither place.
-    #[error("{key} is given neither in the file nor as PROXY_{}", key.to_uppercase())]
+    /// A required value is given neither in the file nor in the environment.
+    #[error("{key} is missing: set the key in the file or PROXY_{}", key.to_uppercase())]
     MissingValue {
-        /// The key in the file.
+        /// The key of the file.
         key: &'static str,
     },
-    /// An address is not of the form `IP:PORT`.
-    #[error("{key}: {value:?} is no address: {source}")]
+    /// An address does not have the form `IP:PORT`.
+    #[error("{key}: invalid address {value:?}: {source}")]
     InvalidAddress {
-        /// The key in the file.
+        /// The key of the file.
         key: &'static str,
-        /// Its value.
+        /// The configured value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// No connection could be accepted.
-    #[error("limits.sockets: {sockets} are too few")]
+    /// The limit of file descriptors leaves none for connections from collectors.
+    #[error("limits.sockets: {sockets} is too low to accept connections")]
     TooFewSockets {
-        /// The value of the key.
+        /// The configured limit.
         sockets: f64,
     },
     /// `WHINWALL_LOG` is not a log level.
-    #[error("WHINWALL_LOG: no level (error, warn, info, debug)")]
+    #[error("WHINWALL_LOG: invalid log level, expected error, warn, info or debug")]
     InvalidLogLevel,
-    /// `WHINWALL_LOG_LINES` is not a number.
-    #[error("WHINWALL_LOG_LINES: {0}")]
+    /// `WHINWALL_LOG_LINES` is not a non-negative integer.
+    #[error("WHINWALL_LOG_LINES: invalid number: {0}")]
     InvalidLogLines(#[source] ParseIntError),
-    /// The operators' file cannot be used.
+    /// The operators' file is unreadable or invalid.
     #[error(transparent)]
     OperatorsFile(#[from] OperatorsFileError),
-    /// The fleet in the operators' file is not one with this controller.
+    /// The fleet in the operators' file is invalid or does not list this controller.
     #[error("operators' file: {0}")]
     Fleet(#[from] FleetError),
 }
 
-/// Why the operators' file cannot be used; the text names the file and the position in it.
+/// Errors in the operators' file. Their texts name the file and, if its contents are invalid, the position in it.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorsFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The operators' file.
+        /// Path of the operators' file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is larger than `file::MAX_FILE_BYTES` bytes.
-    #[error("{}: {bytes} bytes are too many", path.display())]
+    /// The file is larger than `file::MAX_FILE_BYTES` bytes.
+    #[error("{}: file too large: {bytes} bytes, limit {} bytes", path.display(), file::MAX_FILE_BYTES)]
     TooLarge {
-        /// The operators' file.
+        /// Path of the operators' file.
         path: PathBuf,
-        /// Its size.
+        /// Size of the file.
         bytes: u64,
     },
-    /// Its contents are not valid.
+    /// The contents of the file are invalid.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The operators' file.
+        /// Path of the operators' file.
         path: PathBuf,
-        /// The position and what is wrong there.
+        /// The error and its position.
         source: whinwall_operator_config::ConfigError,
     },
 }
 
-/// Log output as the environment asks for it.
+/// The logging options given by the environment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoggingConfig {
     /// The least severe level that is logged.
     pub level: LevelFilter,
-    /// Lines of one kind in a second, at most.
+    /// Maximum number of lines of one kind per second.
     pub lines_per_second: u32,
 }
 
-/// The environment variables that the program reads; those for keys of the file take precedence over it.
+/// The environment variables that the program reads. Variables that correspond to keys of the configuration file take
+/// precedence over the file.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessEnvironment {
     /// `PROXY_NAME`: the name of this controller.
@@ -138,15 +140,15 @@
     pub config_file: Option<PathBuf>,
     /// `WHINWALL_LOG`: the least severe level that is logged.
     pub log_level: Option<String>,
-    /// `WHINWALL_LOG_LINES`: log lines of one kind in a second, at most.
+    /// `WHINWALL_LOG_LINES`: maximum number of log lines of one kind per second.
     pub log_lines: Option<String>,
     /// `WHINWALL_OPERATORS`: the path of the operators' file.
     pub operators_file: Option<PathBuf>,
 }
 
 impl ProcessEnvironment {
-    /// Reads the variables of this process; an empty one counts as not set.
-    pub fn of_process() -> Self {
+    /// Reads the environment variables of this process; an empty variable counts as unset.
+    pub fn from_process() -> Self {
         let variable = |key| std::env::var(key).ok().filter(|value| !value.is_empty());
         ProcessEnvironment {
             name: variable("PROXY_NAME"),
@@ -159,10 +161,10 @@
         }
     }
 
-    /// Parses the variables of the log.
+    /// Parses the logging variables.
     ///
     /// # Errors
-    /// Where one of them has no valid value.
+    /// If one of them has an invalid value.
     pub fn logging(&self) -> Result<LoggingConfig, ConfigError> {
         let level = self.log_level.as_deref().map_or(Ok(LevelFilter::INFO), str::parse);
         let lines = self.log_lines.as_deref().map_or(Ok(DEFAULT_LOG_LINES_PER_SECOND), str::parse);
@@ -180,25 +182,25 @@
     pub name: String,
     /// The address that collectors connect to.
     pub listen: SocketAddr,
-    /// Where the relay and discovery are.
+    /// The addresses of the relay and of discovery.
     pub targets: Targets,
-    /// Seed of all random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Connections from collectors, at most.
+    /// Maximum number of connections from collectors.
     pub max_connections: usize,
-    /// Memory for incomplete lines, in bytes; complete lines that wait may take as much again.
-    pub line_bytes: usize,
-    /// The endpoint list of a former run, until discovery sends one.
+    /// Memory for incomplete lines, in bytes. Queued complete lines may use the same amount in addition.
+    pub line_memory_bytes: usize,
+    /// The endpoint list of a previous run, used until discovery sends the current one.
     pub known_endpoints: List,
-    /// Settings of the policy.
+    /// The settings of the policy.
     pub settings: Settings,
-    /// The operators' file, if one is named.
+    /// The operators' file, if one is configured.
     pub operators: Option<OperatorsFile>,
-    /// The fleet that the operators' file names, where each controller manages a subset of the replicas.
+    /// The fleet configured in the operators' file, in which each controller manages a subset of the replicas.
     pub fleet: Option<Fleet>,
-    /// Threads that handle reports: one does everything, or one decides and as many read beside it.
+    /// The number of reader threads beside the event loop thread; with 1, the event loop thread itself reads reports.
     pub cores: usize,
-    /// Where all this is from, for the reload.
+    /// The environment and the decoded file that the configuration was built from; a reload compares against them.
     environment: ProcessEnvironment,
     file: Value,
 }
@@ -206,33 +208,33 @@
 /// Reads and checks the configuration file and the operators' file.
 ///
 /// # Errors
-/// Names the variable, the file or the key that is at fault.
+/// Names the invalid variable, file or key.
 pub fn load(environment: ProcessEnvironment) -> Result<ControllerConfig, ConfigError> {
     let file = read_config_file(&environment)?;
     build_config(environment, file)
 }
 
 impl ControllerConfig {
-    /// Draws another seed after a panic: an acknowledgement of the former incarnation's versions must not pass for
-    /// one of this incarnation.
+    /// Derives another seed after a panic, so that acknowledgements of versions sent by the previous incarnation
+    /// are not taken for acknowledgements of versions of the new one.
     pub fn begin_new_incarnation(&mut self) {
         self.seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(1);
     }
 
-    /// Applies what the files say now, and returns the keys that have changed but need a restart.
+    /// Reads the files again and applies them. Returns the changed keys that take effect only after a restart.
     ///
     /// # Errors
-    /// As `load`; the configuration is unchanged then.
+    /// Same as `load`; the configuration is unchanged in this case.
     pub fn reload(&mut self) -> Result<Vec<&'static str>, ConfigError> {
         let file = read_config_file(&self.environment)?;
         let mut environment = self.environment.clone();
-        // The variable takes precedence until the key changes in the file: whoever changes it means it.
-        let former_discovery = self.file.get("discovery");
-        if file.get("discovery").is_some_and(|discovery| Some(discovery) != former_discovery) {
+        // PROXY_DISCOVERY takes precedence until the operator changes the key in the file.
+        let previous_discovery = self.file.get("discovery");
+        if file.get("discovery").is_some_and(|discovery| Some(discovery) != previous_discovery) {
             environment.discovery = None;
         }
         let new = build_config(environment, file)?;
-        let not_applied = self.changes_that_need_a_restart(&new);
+        let not_applied = self.changed_restart_only_keys(&new);
         self.targets = new.targets;
         self.environment = new.environment;
         self.file = new.file;
@@ -241,9 +243,9 @@
         Ok(not_applied)
     }
 
-    fn changes_that_need_a_restart(&self, new: &Self) -> Vec<&'static str> {
+    fn changed_restart_only_keys(&self, new: &Self) -> Vec<&'static str> {
         let has_changed = |key: &&str| new.file.get(key) != self.file.get(key);
-        let mut changes: Vec<_> = KEYS_THAT_NEED_A_RESTART.into_iter().filter(has_changed).collect();
+        let mut changes: Vec<_> = RESTART_ONLY_KEYS.into_iter().filter(has_changed).collect();
         let store = |config: &Self| config.operators.as_ref().and_then(|file| file.store_folder.clone());
         if store(new) != store(self) {
             changes.push("operators' file: <store>");
@@ -276,18 +278,19 @@
     file::parse(&text).map_err(|source| OperatorsFileError::Invalid { path: path.into(), source })
 }
 
-/// An unreadable list is no error: discovery sends the current one soon.
+/// Decodes the list of known endpoints. An invalid list is logged and ignored, as discovery soon sends the current
+/// one.
 fn decode_known_endpoints(value: Value) -> List {
     if value.is_null() {
         return List::default();
     }
     serde_json::from_value(value).unwrap_or_else(|error| {
-        tracing::warn!(key = "known", %error, "known endpoint list ignored, it is invalid");
+        tracing::warn!(key = "known", %error, "invalid known endpoint list ignored");
         List::default()
     })
 }
 
-/// The fleet that the operators' file names, with this controller in it.
+/// Builds the fleet configured in the operators' file as seen by the controller `name`.
 fn build_fleet(operators: Option<&OperatorsFile>, name: &str) -> Result<Option<Fleet>, FleetError> {
     let subsetting = operators.and_then(|file| file.subsetting.as_ref());
     subsetting.map(|subsetting| Fleet::new(subsetting, name)).transpose()
@@ -303,8 +306,8 @@
     })
 }
 
-/// The variable's value if it is set, otherwise the file's.
-fn required(
+/// Returns the value of the environment variable if it is set, otherwise the value from the file.
+fn required_value(
     variable: Option<&String>,
     file_value: Option<String>,
     key: &'static str,
@@ -323,10 +326,10 @@
 fn build_config(environment: ProcessEnvironment, raw_file: Value) -> Result<ControllerConfig, ConfigError> {
     let file = decode_config_file(&raw_file)?;
     let operators = environment.operators_file.as_deref().map(read_operators_file).transpose()?;
-    // More threads than the platform grants cores would only take turns.
+    // Threads beyond the number of granted cores would only compete for them.
     let granted_cores = file.limits.cores.map_or(usize::MAX, |cores| (cores as usize).max(1));
     let cores = operators.as_ref().and_then(|file| file.max_cores).unwrap_or(1).min(granted_cores);
-    // Beside readers the event loop has a second descriptor of each connection.
+    // With a reader pool, the event loop holds a second file descriptor of each connection.
     let descriptors_per_connection = if cores > 1 { 2 } else { 1 };
     let sockets = file.limits.sockets;
     let max_connections =
@@ -334,11 +337,11 @@
     if max_connections == 0 {
         return Err(ConfigError::TooFewSockets { sockets });
     }
-    let name = required(environment.name.as_ref(), file.name, "name")?;
+    let name = required_value(environment.name.as_ref(), file.name, "name")?;
     let fleet = build_fleet(operators.as_ref(), &name)?;
-    let listen = required(environment.listen.as_ref(), file.listen, "listen")?;
+    let listen = required_value(environment.listen.as_ref(), file.listen, "listen")?;
     let listen = parse_address(listen, "listen")?;
-    let discovery = required(environment.discovery.as_ref(), file.discovery, "discovery")?;
+    let discovery = required_value(environment.discovery.as_ref(), file.discovery, "discovery")?;
     Ok(ControllerConfig {
         name,
         listen,
@@ -348,7 +351,7 @@
         },
         seed: file.seed.unwrap_or_else(seed_from_wall_clock),
         max_connections,
-        line_bytes: (file.limits.memory_mb * 1e6) as usize / limits::LINE_MEMORY_DIVISOR,
+        line_memory_bytes: (file.limits.memory_mb * 1e6) as usize / limits::LINE_MEMORY_DIVISOR,
         known_endpoints: decode_known_endpoints(file.known_endpoints),
         settings: file.settings,
         operators,
--- a/crates/controller/src/program/configuration_file.rs
+++ b/crates/controller/src/program/configuration_file.rs
@@ -1,10 +1,10 @@
-//! The JSON file that `PROXY_CONFIG` names, as it is written: its keys, their types and their defaults.
+//! The JSON configuration file (`PROXY_CONFIG`): its keys, their types and their defaults.
 
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use whinwall_settings::Settings;
 
-/// The keys of the file.
+/// The top-level keys of the file.
 #[derive(Deserialize)]
 pub(super) struct ConfigFile {
     pub(super) name: Option<String>,
@@ -16,26 +16,26 @@
     pub(super) limits: Limits,
     #[serde(rename = "distributor")]
     pub(super) relay: Relay,
-    /// The endpoint list of a former run; decoded separately, as an unreadable one is no error.
+    /// The endpoint list of a previous run. It is decoded separately, as an invalid list is ignored.
     #[serde(default, rename = "known")]
     pub(super) known_endpoints: Value,
     pub(super) settings: Settings,
 }
 
-/// The key `distributor`.
+/// The value of the key `distributor`.
 #[derive(Deserialize)]
 pub(super) struct Relay {
     pub(super) address: String,
 }
 
-/// What the platform grants the process.
+/// The resources that the platform grants the process.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct Limits {
     pub(super) cores: Option<f64>,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub(super) sockets: f64,
-    /// Megabytes of 10^6 bytes.
+    /// Memory in megabytes of 10^6 bytes.
     pub(super) memory_mb: f64,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Sixteen hexadecimal digits, or a plain number.
+/// Decodes a seed: a string of up to 16 hexadecimal digits, or a number.
 fn seed<'de, D: Deserializer<'de>>(raw: D) -> Result<Option<u64>, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -1,4 +1,4 @@
-//! Feeds events to the reducer and carries out the effects that it asks for.
+//! Applies events to the reducer and executes the effects that it returns.
 
 use super::configuration::ControllerConfig;
 use super::services::OperatorServices;
@@ -19,13 +19,13 @@
 use whinwall_transport::relay_requests::RelayRequest;
 use whinwall_transport::{ConnectionCommand, ConnectionId};
 
-/// The outcome of a write that the storage thread did not take; clients of the management API see it.
+/// Error text of a write that the storage thread did not accept. It is part of management API responses.
 const STORAGE_BUSY: &str = "the keeper is busy";
 
-/// Requests to the relay, one at a time.
+/// Sends requests to the relay, one at a time.
 pub(super) struct RelayRequests {
     requests: Sender<RelayRequest>,
-    /// Where the relay is; none once the program is shutting down.
+    /// Address of the relay; `None` during shutdown, when no more requests are sent.
     target: watch::Sender<Option<SocketAddr>>,
     has_request_in_flight: bool,
 }
@@ -37,7 +37,7 @@
 
     fn send(&mut self, request: RelayRequest) {
         self.has_request_in_flight = true;
-        // The reducer waits for a reply before its next request, so that the queue of one has room.
+        // The reducer waits for the response before its next request, so the queue of capacity 1 is never full.
         _ = self.requests.try_send(request);
     }
 
@@ -45,7 +45,7 @@
         self.target.send_replace(Some(relay));
     }
 
-    /// No request is sent from now on.
+    /// Stops sending requests.
     pub(super) fn stop(&self) {
         self.target.send_replace(None);
     }
@@ -63,20 +63,21 @@
     }
 }
 
-/// The reducer, and all that its effects act on.
+/// The reducer and the components that its effects act on.
 pub(super) struct Dispatcher<'a> {
     pub(super) clock: Clock,
     pub(super) reducer: Reducer,
     pub(super) relay: RelayRequests,
     pub(super) watches: Watches,
     pub(super) services: &'a mut OperatorServices,
-    /// Where commands go, for the connections that sent something in this iteration.
+    /// Command senders of the connections that sent input in the current iteration.
     connections: BTreeMap<ConnectionId, Sender<ConnectionCommand>>,
-    /// When the reducer wants to be called next.
+    /// Time at which the reducer asked to be called next.
     wake_at: Option<Moment>,
-    iterations: u64,
-    /// The log shows under the iteration's number what came in it and the request that it led to.
-    span: Span,
+    iteration_count: u64,
+    /// Log span of the current iteration. It shows the input of the iteration and the resulting relay request under
+    /// the iteration's number.
+    iteration_span: Span,
 }
 
 impl<'a> Dispatcher<'a> {
@@ -102,12 +103,12 @@
             services,
             connections: BTreeMap::new(),
             wake_at: None,
-            iterations: 0,
-            span: Span::none(),
+            iteration_count: 0,
+            iteration_span: Span::none(),
         }
     }
 
-    /// Forgets when the reducer wanted to be called, as it says so anew.
+    /// Clears the wake-up time; the reducer sets it again in the next iteration.
     pub(super) fn clear_wake_at(&mut self) {
         self.wake_at = None;
     }
@@ -119,29 +120,29 @@
     /// Begins an iteration of the event loop.
     pub(super) fn begin_iteration(&mut self) {
         self.connections.clear();
-        self.iterations += 1;
-        self.span = debug_span!("iteration", number = self.iterations);
+        self.iteration_count += 1;
+        self.iteration_span = debug_span!("iteration", number = self.iteration_count);
     }
 
-    /// Remembers until the end of the iteration where commands for a connection go.
+    /// Stores the command sender of a connection until the end of the iteration.
     pub(super) fn set_connection(&mut self, connection: ConnectionId, commands: Sender<ConnectionCommand>) {
         self.connections.insert(connection, commands);
     }
 
-    /// Feeds an event to the reducer and carries out its effects.
+    /// Applies an event to the reducer and executes the resulting effects.
     pub(super) fn apply(&mut self, event: Event) {
         let span = match &event {
-            Event::Message { from, .. } => debug_span!(parent: &self.span, "report", from),
-            _ => self.span.clone(),
+            Event::Message { from, .. } => debug_span!(parent: &self.iteration_span, "report", from),
+            _ => self.iteration_span.clone(),
         };
         span.in_scope(|| {
             for effect in self.reducer.apply(self.clock.now(), event) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         });
     }
 
-    /// Tells the reducer what the operators' file says of overrides, where there is one.
+    /// Applies the override configuration of the operators' file, if there is one.
     pub(super) fn apply_override_config(&mut self, config: &ControllerConfig) {
         if let Some(file) = &config.operators {
             let (limits, configured) = (file.override_limits.clone(), file.overrides.clone());
@@ -150,17 +151,18 @@
         }
     }
 
-    /// A peer that does not read its replies loses them, and then its connection; the loop does not wait for it.
+    /// Queues a command for a connection. If the queue is full because the peer does not read its replies, the command
+    /// is dropped, as the event loop must not block; the connection is closed by its own time-out.
     pub(super) fn send_command(&self, to: ConnectionId, command: ConnectionCommand) {
         if let Some(commands) = self.connections.get(&to) {
             _ = commands.try_send(command);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         let is_shutting_down = self.relay.is_stopped();
         match effect {
-            // A program that is shutting down learns nothing more and sends no requests.
+            // During shutdown, no requests are sent and no watches are opened.
             Effect::RelayRequest { .. }
             | Effect::WatchRelay { .. }
             | Effect::WatchRegistry { .. }
@@ -184,7 +186,7 @@
                 self.watches.renew_registry_watch(discovery, since);
             }
             Effect::Save { serial, writes, removals, timeline } => {
-                self.save(serial, writes, removals, &timeline);
+                self.save_overrides(serial, writes, removals, &timeline);
             }
             Effect::Reply { request_id, reply } => self.services.reply(request_id, reply),
             Effect::WakeAt(at) => self.wake_at = Some(at),
@@ -192,7 +194,7 @@
         }
     }
 
-    fn save(
+    fn save_overrides(
         &mut self,
         serial: u64,
         writes: Vec<(OverrideNumber, Vec<u8>)>,
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -1,12 +1,12 @@
-//! The event loop: waits for signals (SIGTERM and SIGINT end the program, SIGHUP reloads the configuration), for input
-//! and for timers, and feeds the reducer with them.
+//! The event loop: waits for signals (SIGTERM and SIGINT end the program, SIGHUP reloads the configuration), input and
+//! timers, and applies the resulting events to the reducer.
 
 use super::configuration::ControllerConfig;
 use super::effects::Dispatcher;
 use super::input::{InputHandler, READER_CHECK_INTERVAL};
 use super::queues::InputQueues;
 use super::reload::Reloader;
-use super::shutdown::{shut_down, ConnectionsEnd};
+use super::shutdown::{shut_down, ConnectionsShutdown};
 use actix_rt::time::sleep;
 use std::time::Duration;
 use whinwall_overrides::WallClockMonitor;
@@ -15,22 +15,22 @@
 use whinwall_runtime::signals::{Signal, Signals, Termination};
 use whinwall_transport::limits;
 
-/// An iteration of the event loop begins at least so often, whatever the reducer asks for.
-const MAX_SLEEP: Duration = Duration::from_secs(1);
+/// Maximum time between two iterations of the event loop, regardless of the reducer's wake-up time.
+const MAX_SLEEP_DURATION: Duration = Duration::from_secs(1);
 
-/// Runs until a signal ends the program.
+/// Runs the event loop until a termination signal, then shuts down gracefully.
 pub(super) async fn run_event_loop(
     config: &mut ControllerConfig,
     input: &mut InputHandler<'_>,
     queues: &mut InputQueues,
     signals: &mut Signals,
-    connections: &mut ConnectionsEnd,
+    connections: &mut ConnectionsShutdown,
 ) -> Termination {
     let mut reloader = Reloader::default();
-    let mut wall_monitor = WallClockMonitor::default();
+    let mut wall_clock_monitor = WallClockMonitor::default();
     loop {
         input.dispatcher.clear_wake_at();
-        check_wall_clock(&mut wall_monitor, &mut input.dispatcher);
+        check_wall_clock(&mut wall_clock_monitor, &mut input.dispatcher);
         input.supervise_readers();
         reloader.retry(config, &mut input.dispatcher);
         input.report_received_bytes();
@@ -50,8 +50,8 @@
             Some(request) = input.dispatcher.services.requests.recv() => {
                 input.receive_management_request(request);
             }
-            Some(message) = queues.peers.recv() => input.receive(message),
-            Some(message) = queues.collectors.recv() => input.receive(message),
+            Some(message) = queues.peers.recv() => input.receive_input(message),
+            Some(message) = queues.collectors.recv() => input.receive_input(message),
             Some(batch) = queues.batches.recv() => input.receive_batch(batch),
             () = sleep(wait) => {}
         }
@@ -59,22 +59,22 @@
     }
 }
 
-fn check_wall_clock(wall_monitor: &mut WallClockMonitor, dispatcher: &mut Dispatcher) {
-    let (now, wall) = (dispatcher.clock.now(), Clock::wall_time());
-    if wall_monitor.has_stepped(now, wall) {
+fn check_wall_clock(monitor: &mut WallClockMonitor, dispatcher: &mut Dispatcher) {
+    let (now, wall_time) = (dispatcher.clock.now(), Clock::wall_time());
+    if monitor.has_stepped(now, wall_time) {
         tracing::warn!("wall clock stepped");
-        dispatcher.apply(Event::WallClockStepped(wall));
+        dispatcher.apply(Event::WallClockStepped(wall_time));
     }
 }
 
-/// Until the reducer, the supervision of the readers or a retry of a reload has something to do.
+/// Returns the time until the reducer, the supervision of readers or the retry of a reload is due.
 fn sleep_duration(input: &InputHandler, reloader: &Reloader) -> Duration {
     let max_sleep = if reloader.has_retry() {
         limits::RETRY_BACKOFF
     } else if input.has_readers() {
         READER_CHECK_INTERVAL
     } else {
-        MAX_SLEEP
+        MAX_SLEEP_DURATION
     };
     let wake_at = input.dispatcher.wake_at();
     wake_at.map_or(max_sleep, |at| input.dispatcher.clock.duration_until(at).min(max_sleep))
--- a/crates/controller/src/program/incarnation.rs
+++ b/crates/controller/src/program/incarnation.rs
@@ -1,5 +1,5 @@
-//! One incarnation of the controller: its tasks, and the reducer that its event loop drives. A panic ends an incarnation,
-//! and all its tasks with it.
+//! One incarnation of the controller: its tasks, its event loop and the reducer. A panic ends an incarnation together
+//! with all its tasks.
 
 use super::configuration::ControllerConfig;
 use super::effects::{Dispatcher, RelayRequests};
@@ -10,7 +10,7 @@
 use super::reader::ReportBatch;
 use super::reader_pool::{PoolConfig, PoolHandle, ReaderPool};
 use super::services::OperatorServices;
-use super::shutdown::ConnectionsEnd;
+use super::shutdown::ConnectionsShutdown;
 use super::watches::Watches;
 use actix_rt::net::TcpListener;
 use std::cell::RefCell;
@@ -26,10 +26,10 @@
 use whinwall_serving::shutdown::{self, ShutdownSignal};
 use whinwall_transport::{limits, listener, relay_requests, Bounds, ConnectionShutdown, InputSender};
 
-/// Why a peer that has sent half a line gets no other answer.
+/// Reason sent to a peer whose last line was still incomplete when its connection was closed for shutdown.
 const SHUTTING_DOWN: &str = "shutting down";
 
-/// Serves until a signal ends the program.
+/// Runs one incarnation until a termination signal.
 pub(super) async fn run_incarnation(
     config: &mut ControllerConfig,
     listener: Rc<TcpListener>,
@@ -43,7 +43,7 @@
     let (relay_target, target_receiver) = watch::channel(Some(config.targets.relay));
     let _relay_task = Task::spawn(relay_requests::serve(requests, target_receiver, inbox.clone()));
     let (trigger, signal, running) = shutdown::channel();
-    let mut connections = ConnectionsEnd { trigger, running };
+    let mut connections = ConnectionsShutdown { trigger, running };
     let Ingress { readers, batches, _listener_task } =
         Ingress::start(config, clock, listener, collector_inbox, signal);
     let mut queues = InputQueues { peers, collectors, batches };
@@ -54,10 +54,10 @@
     run_event_loop(config, &mut input, &mut queues, signals, &mut connections).await
 }
 
-/// Where reports come in: the listener, and the readers if there are some.
+/// The input side for reports: the listener, and the reader pool if more than one core is configured.
 struct Ingress {
     readers: Option<Readers>,
-    /// Yields nothing where there are no readers.
+    /// Batches from the reader pool; never yields any without one.
     batches: Receiver<ReportBatch>,
     _listener_task: Task,
 }
@@ -70,11 +70,11 @@
         inbox: InputSender,
         signal: ShutdownSignal,
     ) -> Self {
-        let bounds = Bounds::new(config.max_connections, config.line_bytes);
+        let bounds = Bounds::new(config.max_connections, config.line_memory_bytes);
         let notice = collector::encode(collector::Reply::Nack { why: SHUTTING_DOWN });
         let shutdown = ConnectionShutdown { signal, notice: notice.into() };
         if config.cores > 1 {
-            match start_pool(config.cores, clock, bounds.clone(), inbox.clone()) {
+            match start_reader_pool(config.cores, clock, bounds.clone(), inbox.clone()) {
                 Ok((readers, batches)) => {
                     tracing::info!(readers = config.cores, "reader pool started");
                     let handle = PoolHandle(readers.pool.clone());
@@ -82,18 +82,18 @@
                     return Ingress { readers: Some(readers), batches, _listener_task: task };
                 }
                 Err(error) => {
-                    tracing::error!(%error, "reader pool not started, reports are read on one core");
+                    tracing::error!(%error, "failed to start reader pool, reading reports on the event loop thread");
                 }
             }
         }
-        let this_thread = listener::LocalReader { bounds: bounds.clone(), inputs: inbox };
-        let task = Task::spawn(listener::listen_until(listener, bounds, this_thread, shutdown));
+        let local_reader = listener::LocalReader { bounds: bounds.clone(), inputs: inbox };
+        let task = Task::spawn(listener::listen_until(listener, bounds, local_reader, shutdown));
         let (_, no_batches) = mpsc::channel(1);
         Ingress { readers: None, batches: no_batches, _listener_task: task }
     }
 }
 
-fn start_pool(
+fn start_reader_pool(
     readers: usize,
     clock: Clock,
     bounds: Bounds,
--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -1,4 +1,5 @@
-//! Decodes what arrives from peers, readers, the storage thread and management clients, and feeds it to the reducer.
+//! Decodes input from peers, readers, the storage thread and management clients into events and applies them to the
+//! reducer.
 
 use super::effects::Dispatcher;
 use super::metrics::{self, ChannelMetrics, ReaderMetrics, ReportMetrics};
@@ -20,25 +21,25 @@
     limits, ConnectionCommand, ConnectionId, Input, RequestError, StreamError, WatchId,
 };
 
-/// Time between two checks of the readers.
+/// Time between two checks of the reader threads.
 pub(super) const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The reader pool, where reports are not read on the event loop's own thread.
+/// The reader pool and its metrics; used if reports are not read on the event loop thread.
 pub(super) struct Readers {
     pub(super) pool: Rc<RefCell<ReaderPool>>,
     pub(super) metrics: Arc<ReaderMetrics>,
 }
 
-/// Everything that arrives goes through it.
+/// Decodes all input of the event loop and applies it to the reducer.
 pub(super) struct InputHandler<'a> {
     pub(super) dispatcher: Dispatcher<'a>,
     readers: Option<Readers>,
     readers_checked_at: Moment,
-    /// Bytes from collectors in this iteration.
+    /// Number of bytes received from collectors in the current iteration.
     received_bytes: u64,
 }
 
-fn unreadable(error: &DecodeError) -> StreamError {
+fn malformed_line(error: &DecodeError) -> StreamError {
     StreamError::Unreadable(error.to_string())
 }
 
@@ -52,11 +53,11 @@
         self.readers.is_some()
     }
 
-    /// Takes one input from a peer.
-    pub(super) fn receive(&mut self, input: Input) {
+    /// Handles one input from a peer.
+    pub(super) fn receive_input(&mut self, input: Input) {
         let event = match input {
             Input::Line { from, line, commands, .. } => Some(self.decode_line(from, &line, commands)),
-            Input::Disconnected(id, chunks) => self.end_connection(id, chunks),
+            Input::Disconnected(id, chunk_count) => self.end_connection(id, chunk_count),
             Input::WatchLine(id, line) => self.decode_relay_event(id, line),
             Input::RegistryLine(id, line) => self.decode_registry_message(id, line),
             Input::RelayResponse(outcome) => Some(self.decode_relay_response(outcome)),
@@ -82,10 +83,11 @@
         }
     }
 
-    /// Behind a reader pool the end counts only after all chunks of the connection.
-    fn end_connection(&mut self, id: ConnectionId, chunks: u64) -> Option<Event> {
+    /// Handles the end of a connection. With a reader pool, the reducer is notified only after all chunks of the
+    /// connection are applied.
+    fn end_connection(&mut self, id: ConnectionId, chunk_count: u64) -> Option<Event> {
         let Some(readers) = &self.readers else { return Some(Event::Disconnected(id)) };
-        let ready = readers.pool.borrow_mut().end_connection(self.dispatcher.clock.now(), id, chunks);
+        let ready = readers.pool.borrow_mut().end_connection(self.dispatcher.clock.now(), id, chunk_count);
         self.apply_ready(id, ready);
         None
     }
@@ -105,7 +107,7 @@
             }
             Err(error) => {
                 self.dispatcher.watches.close_relay_watch();
-                Event::RelayWatchLost(unreadable(&error))
+                Event::RelayWatchLost(malformed_line(&error))
             }
         })
     }
@@ -130,7 +132,7 @@
             }
             Err(error) => {
                 self.dispatcher.watches.close_registry_watch();
-                Some(Event::EndpointListWatchLost(unreadable(&error)))
+                Some(Event::EndpointListWatchLost(malformed_line(&error)))
             }
         }
     }
@@ -139,12 +141,13 @@
         tracing::debug!(?outcome, "relay response");
         self.dispatcher.relay.complete_request();
         let decode = |line: String| {
-            relay::decode_response(&line).map_err(|error| RequestError::OutcomeUnknown(unreadable(&error)))
+            relay::decode_response(&line)
+                .map_err(|error| RequestError::OutcomeUnknown(malformed_line(&error)))
         };
         Event::RelayResponse(outcome.and_then(decode))
     }
 
-    /// Takes the batch of one chunk, and others of its connection that have waited for it.
+    /// Handles the batch of one chunk, together with later batches of the connection that waited for it.
     pub(super) fn receive_batch(&mut self, batch: ReportBatch) {
         let Some(readers) = &self.readers else { return };
         let from = batch.info.from;
@@ -159,7 +162,7 @@
             self.received_bytes += info.bytes as u64;
             self.dispatcher.set_connection(from, batch.commands);
             for item in batch.items {
-                let event = self.batch_event(from, item);
+                let event = self.event_of_batch_item(from, item);
                 self.dispatcher.apply(event);
             }
             if let Some(readers) = &self.readers {
@@ -171,7 +174,7 @@
         }
     }
 
-    fn batch_event(&self, from: ConnectionId, item: BatchItem) -> Event {
+    fn event_of_batch_item(&self, from: ConnectionId, item: BatchItem) -> Event {
         match item {
             BatchItem::Reports(reports) => Event::Reports { from, reports },
             BatchItem::Message(message) => Event::Message { from, message },
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Publishes new names to the readers at once, and checks the readers at intervals.
+    /// Publishes changed report names to the readers, and checks the readers every [`READER_CHECK_INTERVAL`].
     pub(super) fn supervise_readers(&mut self) {
         let Some(readers) = &self.readers else { return };
         let version = readers.pool.borrow().names_version();
@@ -205,17 +208,17 @@
     fn handle_pool_event(&mut self, event: PoolEvent) {
         match event {
             PoolEvent::ReaderStalled { reader, connections } => {
-                tracing::warn!(reader, connections, "reader stalled, its connections are closed");
+                tracing::warn!(reader, connections, "reader stalled, closing its connections");
             }
             PoolEvent::ReaderDied { reader, connections } => {
-                tracing::warn!(reader, connections, "reader died, its connections are closed");
+                tracing::warn!(reader, connections, "reader thread terminated, closing its connections");
             }
             PoolEvent::ReaderRestarted { reader } => tracing::warn!(reader, "reader restarted"),
             PoolEvent::ReaderNotRestarted { reader, error } => {
-                tracing::warn!(reader, %error, "reader could not be restarted");
+                tracing::warn!(reader, %error, "failed to restart reader");
             }
             PoolEvent::ChunksOverdue { connections } => {
-                tracing::warn!(connections, "chunks are held by a stopped reader, connections are closed");
+                tracing::warn!(connections, "chunks held by a stopped reader, closing their connections");
             }
             PoolEvent::ConnectionsLost(ids) => {
                 for id in ids {
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Tells the reducer how many bytes have arrived, once an iteration and not with each line.
+    /// Passes the number of received bytes to the reducer, once per iteration instead of with each line.
     pub(super) fn report_received_bytes(&mut self) {
         let bytes = std::mem::take(&mut self.received_bytes);
         if bytes > 0 {
@@ -233,15 +236,15 @@
         }
     }
 
-    /// Takes a reply of the storage thread.
+    /// Handles a reply of the storage thread.
     pub(super) fn receive_store_reply(&mut self, reply: StoreReply) {
         let event = match reply {
-            StoreReply::Opened(found) => {
-                if let Some(set_aside) = found.set_aside {
+            StoreReply::Opened(contents) => {
+                if let Some(set_aside) = contents.set_aside {
                     let path = set_aside.path.display();
                     tracing::error!(%path, reason = %set_aside.reason, "override store file is corrupt, set aside");
                 }
-                let (records, stamp) = (found.records, found.stamp);
+                let (records, stamp) = (contents.records, contents.stamp);
                 Event::StoreRead { records, stamp, reading: Clock::read_machine_clocks() }
             }
             StoreReply::Unavailable(error) => Event::StoreUnavailable(error.to_string()),
@@ -252,7 +255,7 @@
         self.dispatcher.apply(event);
     }
 
-    /// Takes a request of a management client.
+    /// Handles a request of a management client.
     pub(super) fn receive_management_request(&mut self, pending: PendingRequest) {
         let PendingRequest { request, reply_to } = pending;
         let request_id = self.dispatcher.services.register_client(reply_to);
@@ -266,7 +269,7 @@
         }
     }
 
-    /// The metrics in the text format.
+    /// Encodes all metrics in the Prometheus text format.
     fn encode_metrics(&self) -> String {
         let readers = self.readers.as_ref().map(|readers| &*readers.metrics);
         let reducer = &self.dispatcher.reducer;
--- a/crates/controller/src/program/metrics.rs
+++ b/crates/controller/src/program/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics of the reader threads, counted where the work is done, and of the reports that aggregators send. The
-//! management API serves them in the text format of Prometheus.
+//! Metrics of the reader threads, of the reports received from aggregators and of the command channel. The
+//! management API serves them in the Prometheus text format.
 
 use prometheus_client::encoding::text::{encode_eof, encode_registry};
 use prometheus_client::metrics::counter::Counter;
@@ -15,18 +15,18 @@
 use whinwall_policy::api::ChannelLoad;
 use whinwall_routing::RequestCounts;
 
-/// Each name begins with it.
-const PREFIX: &str = "whinwall";
-/// Upper bounds of the lag's buckets in seconds: the first one, the factor between two, and how many there are.
-const LAG_BUCKETS: (f64, f64, u16) = (0.0001, 2.0, 16);
+/// Prefix of all metric names.
+const METRIC_NAME_PREFIX: &str = "whinwall";
+/// Exponential buckets of the report lag: upper bound of the first in seconds, growth factor, and number of buckets.
+const REPORT_LAG_BUCKETS: (f64, f64, u16) = (0.0001, 2.0, 16);
 
 type ReaderLabel = [(&'static str, String); 1];
 
-fn label(reader: ReaderId) -> ReaderLabel {
+fn reader_label(reader: ReaderId) -> ReaderLabel {
     [("reader", reader.to_string())]
 }
 
-/// The counters of all readers, by label.
+/// The metric families of the readers, labelled by reader.
 struct ReaderFamilies {
     lines: Family<ReaderLabel, Counter>,
     bytes: Family<ReaderLabel, Counter>,
@@ -57,8 +57,8 @@
         ReaderFamilies { lines, bytes, chunks, busy_microseconds, stalls, deaths, panics, connections }
     }
 
-    fn counters_of(&self, reader: ReaderId) -> ReaderCounters {
-        let label = &label(reader);
+    fn reader_counters(&self, reader: ReaderId) -> ReaderCounters {
+        let label = &reader_label(reader);
         ReaderCounters {
             lines: self.lines.get_or_create(label).clone(),
             bytes: self.bytes.get_or_create(label).clone(),
@@ -72,7 +72,7 @@
     }
 }
 
-/// The counters of one reader.
+/// The metrics of one reader.
 struct ReaderCounters {
     lines: Counter,
     bytes: Counter,
@@ -84,14 +84,14 @@
     connections: Gauge,
 }
 
-/// What the reader pool has queued.
+/// Queue lengths of the reader pool, and its number of late batches.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolBacklog {
-    /// Chunks that wait for a reader.
+    /// Chunks queued for a reader.
     pub queued_chunks: usize,
-    /// Batches that wait for an earlier one of their connection.
+    /// Batches that wait for an earlier batch of their connection.
     pub early_batches: usize,
-    /// Batches that came too late or twice, since the start.
+    /// Number of batches since the start that arrived too late, for example for a closed connection, or twice.
     pub late_batches: u64,
 }
 
@@ -102,14 +102,14 @@
     queued_chunks: Gauge,
     early_batches: Gauge,
     late_batches: Gauge,
-    /// From the arrival of a chunk until its reports are applied.
+    /// Time from the arrival of a chunk until its reports are applied.
     report_lag: Histogram,
 }
 
 impl ReaderMetrics {
-    /// Metrics of a pool of so many readers, all zero.
-    pub fn new(readers: usize) -> Self {
-        let mut registry = Registry::with_prefix(PREFIX);
+    /// Creates the metrics of a pool of `reader_count` readers, all zero.
+    pub fn new(reader_count: usize) -> Self {
+        let mut registry = Registry::with_prefix(METRIC_NAME_PREFIX);
         let families = ReaderFamilies::register(&mut registry);
         let mut gauge = |name: &str, help: &str| {
             let gauge = Gauge::default();
@@ -119,33 +119,33 @@
         let queued_chunks = gauge("chunks_waiting", "Chunks that wait for a reader");
         let early_batches = gauge("batches_early", "Batches that wait for an earlier one");
         let late_batches = gauge("batches_late", "Batches that came for nobody since the start");
-        let (first, factor, count) = LAG_BUCKETS;
+        let (first, factor, count) = REPORT_LAG_BUCKETS;
         let report_lag = Histogram::new(exponential_buckets(first, factor, count));
         registry.register(
             "report_lag_seconds",
             "From a report's arrival to the decisions",
             report_lag.clone(),
         );
-        let readers = (0..readers).map(|reader| families.counters_of(reader)).collect();
+        let readers = (0..reader_count).map(|reader| families.reader_counters(reader)).collect();
         ReaderMetrics { registry, readers, queued_chunks, early_batches, late_batches, report_lag }
     }
 
-    /// Counts a chunk that a reader has decoded since `began`.
-    pub fn count_chunk(&self, reader: ReaderId, bytes: usize, lines: usize, began: Instant) {
+    /// Counts a chunk that a reader has just decoded; `started_at` is the time at which the decoding started.
+    pub fn count_chunk(&self, reader: ReaderId, bytes: usize, lines: usize, started_at: Instant) {
         if let Some(reader) = self.readers.get(reader) {
             reader.lines.inc_by(lines as u64);
             reader.bytes.inc_by(bytes as u64);
             reader.chunks.inc();
-            reader.busy_microseconds.inc_by(began.elapsed().as_micros() as u64);
+            reader.busy_microseconds.inc_by(started_at.elapsed().as_micros() as u64);
         }
     }
 
-    /// Counts a chunk that was lost by a panic.
+    /// Counts a chunk that was lost because decoding it panicked.
     pub fn count_panic(&self, reader: ReaderId) {
         self.readers.get(reader).map(|reader| reader.panics.inc());
     }
 
-    /// Counts a reader that has stopped; a restart is not counted.
+    /// Counts stalls and terminations of a reader; restarts are not counted.
     pub fn count_reader_event(&self, reader: ReaderId, event: ReaderEvent) {
         if let Some(reader) = self.readers.get(reader) {
             match event {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Shows the queues of the pool, and the number of connections of each reader.
+    /// Sets the gauges of the pool's queues and of each reader's number of connections.
     pub fn set_backlog(&self, backlog: PoolBacklog, connections: impl Fn(ReaderId) -> usize) {
         self.queued_chunks.set(backlog.queued_chunks as i64);
         self.early_batches.set(backlog.early_batches as i64);
@@ -166,62 +166,62 @@
         }
     }
 
-    /// Records the time from the arrival of a chunk until its reports were applied.
+    /// Records the time from the arrival of a chunk until its reports are applied.
     pub fn observe_report_lag(&self, lag: Duration) {
         self.report_lag.observe(lag.as_secs_f64());
     }
 
-    /// The metrics of the readers alone, in the text format.
+    /// Encodes the metrics of the readers alone in the text format.
     pub fn encode(&self) -> String {
         encode(Some(self), None, None)
     }
 }
 
-/// Metrics of the reports that aggregators send.
+/// Metrics of the reports received from aggregators.
 pub struct ReportMetrics {
-    /// How recent and how complete they are.
+    /// Age, rate and completeness of the reports.
     pub freshness: ReportFreshness,
-    /// Requests a second that they show for the controller's slices.
+    /// Requests per second for the controller's slices, according to the reports.
     pub measured_load: f64,
 }
 
 /// Metrics of the command channel to the proxies.
 pub struct ChannelMetrics {
-    /// What may wait in it.
+    /// Connected proxies, and the unacknowledged lines and capacity of the channel.
     pub load: ChannelLoad,
-    /// What became of relay requests.
+    /// Outcomes of relay requests.
     pub requests: RequestCounts,
 }
 
-/// All metrics that there are, in the text format.
+/// Encodes the given metrics in the text format.
 pub fn encode(
     readers: Option<&ReaderMetrics>,
     reports: Option<&ReportMetrics>,
     channel: Option<&ChannelMetrics>,
 ) -> String {
-    let report_registry = reports.map(registry_of_reports);
-    let channel_registry = channel.map(registry_of_channel);
+    let report_registry = reports.map(build_report_registry);
+    let channel_registry = channel.map(build_channel_registry);
     let registries =
         [readers.map(|metrics| &metrics.registry), report_registry.as_ref(), channel_registry.as_ref()];
     let mut text = String::new();
     for registry in registries.into_iter().flatten() {
-        // Writing to a `String` does not fail.
+        // Writing to a `String` cannot fail.
         _ = encode_registry(&mut text, registry);
     }
     _ = encode_eof(&mut text);
     text
 }
 
-/// Registers a gauge that has this value.
+/// Registers a gauge with a fixed value.
 fn register_gauge(registry: &mut Registry, name: &str, help: &str, value: f64) {
     let gauge = Gauge::<f64, AtomicU64>::default();
     gauge.set(value);
     registry.register(name, help, gauge);
 }
 
-fn registry_of_reports(metrics: &ReportMetrics) -> Registry {
+fn build_report_registry(metrics: &ReportMetrics) -> Registry {
     let freshness = &metrics.freshness;
-    let mut registry = Registry::with_prefix(PREFIX);
+    let mut registry = Registry::with_prefix(METRIC_NAME_PREFIX);
     let mut gauge = |name, help, value| register_gauge(&mut registry, name, help, value);
     gauge(
         "aggregated_report_bytes_per_second",
@@ -239,8 +239,8 @@
     registry
 }
 
-fn registry_of_channel(metrics: &ChannelMetrics) -> Registry {
-    let mut registry = Registry::with_prefix(PREFIX);
+fn build_channel_registry(metrics: &ChannelMetrics) -> Registry {
+    let mut registry = Registry::with_prefix(METRIC_NAME_PREFIX);
     let ChannelLoad { proxies, unacked_lines, capacity_lines } = metrics.load;
     let mut gauge = |name, help, value| register_gauge(&mut registry, name, help, value);
     gauge("connected_proxies", "Proxies that are connected to the relay", proxies as f64);
--- a/crates/controller/src/program/mod.rs
+++ b/crates/controller/src/program/mod.rs
@@ -1,4 +1,5 @@
-//! The controller process: command line, exit codes, and the modules that serve until a signal ends it.
+//! The controller process: command line, exit codes, start-up, and the event loop that runs until a termination
+//! signal.
 
 pub mod configuration;
 mod configuration_file;
@@ -24,7 +25,7 @@
 use tracing::level_filters::LevelFilter;
 use whinwall_runtime::signals::Signals;
 
-/// Exit code for a configuration that cannot be used.
+/// Exit code for an invalid or unreadable configuration.
 const EXIT_CONFIGURATION: u8 = 2;
 
 /// The command line; everything else is in the environment and in the files that it names.
@@ -45,32 +46,32 @@
     check: bool,
 }
 
-/// Why the program cannot start; its text is shown to the operator.
+/// Errors that prevent the start. Their texts are shown to the operator.
 #[derive(Debug, thiserror::Error)]
 enum StartupError {
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[from] std::io::Error),
     #[error(transparent)]
     Configuration(#[from] ConfigError),
 }
 
-/// Runs until a signal ends it; a configuration that cannot be used ends it at once.
+/// Runs the program until a termination signal. Exits at once if the configuration is invalid or unreadable.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse();
-    let mut environment = ProcessEnvironment::of_process();
+    let mut environment = ProcessEnvironment::from_process();
     environment.operators_file = arguments.operators.or(environment.operators_file);
     let logging = environment.logging();
-    // Until the error in the logging variables is reported, nothing is left out of the log.
-    let log_all = LoggingConfig { level: LevelFilter::INFO, lines_per_second: u32::MAX };
-    let LoggingConfig { level, lines_per_second } = *logging.as_ref().unwrap_or(&log_all);
+    // If the logging variables are invalid, the rate of log lines is not limited, so that the error itself is logged.
+    let unlimited_logging = LoggingConfig { level: LevelFilter::INFO, lines_per_second: u32::MAX };
+    let LoggingConfig { level, lines_per_second } = *logging.as_ref().unwrap_or(&unlimited_logging);
     let log_format = whinwall_runtime::logger::start(level, lines_per_second);
     if arguments.check {
-        return check(logging, environment);
+        return check_configuration(logging, environment);
     }
     let system = actix_rt::System::new();
-    // Installed before anything else, so that no signal meets its default action.
+    // Handlers are installed before the configuration is read, so that no signal triggers its default action.
     let signals = system.block_on(async { Signals::listen() });
-    let (signals, config) = match load(signals, logging, environment) {
+    let (signals, config) = match load_configuration(signals, logging, environment) {
         Ok(loaded) => loaded,
         Err(error) => return reject_configuration(&error),
     };
@@ -86,7 +87,7 @@
     }
 }
 
-fn load(
+fn load_configuration(
     signals: std::io::Result<Signals>,
     logging: Result<LoggingConfig, ConfigError>,
     environment: ProcessEnvironment,
@@ -96,11 +97,14 @@
     Ok((signals, configuration::load(environment)?))
 }
 
-/// Loads the files without serving.
-fn check(logging: Result<LoggingConfig, ConfigError>, environment: ProcessEnvironment) -> ExitCode {
+/// Reads and checks the configuration files for `--check`, without serving.
+fn check_configuration(
+    logging: Result<LoggingConfig, ConfigError>,
+    environment: ProcessEnvironment,
+) -> ExitCode {
     match logging.and_then(|_| configuration::load(environment)) {
         Ok(config) => {
-            println!("the files of {} are fine", config.name);
+            println!("configuration files of {} are valid", config.name);
             ExitCode::SUCCESS
         }
         Err(error) => reject_configuration(&error),
--- a/crates/controller/src/program/reader.rs
+++ b/crates/controller/src/program/reader.rs
@@ -1,5 +1,6 @@
-//! A reader: a thread that reads the connections handed to it, and decodes chunks of whole lines from the queue that
-//! all readers share, whichever of them read the chunk. A batch holds all that comes of a chunk, or does not exist.
+//! A reader: a thread that reads the connections assigned to it, and decodes chunks of complete lines. All readers
+//! share one queue of chunks, so a chunk may be decoded by another reader than the one that read it. A batch holds
+//! the complete result of a chunk; there are no partial batches.
 
 use super::metrics::ReaderMetrics;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -20,62 +21,63 @@
 
 /// Time between two heartbeats of a reader.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Added to the nice value of a reader's thread: the event loop takes little time and must get it at once.
+/// Added to the nice value of a reader thread: the event loop needs little processor time, but must get it without
+/// delay.
 const READER_NICENESS: i32 = 5;
 
-/// What came of one chunk, in the order of its lines.
+/// The decoded contents of one chunk, in the order of its lines.
 #[derive(Debug)]
 pub struct ReportBatch {
-    /// Which chunk of which connection it was.
+    /// The connection and the number of the chunk.
     pub info: ChunkInfo,
-    /// When the last byte of the chunk was read.
+    /// Time at which the last byte of the chunk was read.
     pub arrived_at: Moment,
     /// The reader that decoded it.
     pub reader: ReaderId,
-    /// The messages of the chunk.
+    /// The decoded lines of the chunk.
     pub items: Vec<BatchItem>,
-    /// Where commands for the connection go.
+    /// Sender of commands to the connection.
     pub commands: mpsc::Sender<ConnectionCommand>,
-    /// The share of the memory for lines that wait; released when the batch is dropped.
+    /// The batch's part of the memory for queued lines; released when the batch is dropped.
     _memory: OwnedSemaphorePermit,
 }
 
 /// A part of a batch.
 #[derive(Debug)]
 pub enum BatchItem {
-    /// Reports with nothing else between them; those of the same subject are summed.
+    /// Consecutive reports; reports on the same subject are summed.
     Reports(Vec<Report>),
-    /// A message that is not a report, or a report that names something unknown to the reader.
+    /// A message that is not a report, or a report with a name that is unknown to the reader.
     Message(Message),
-    /// A line that is not a valid message.
+    /// A malformed line.
     Invalid(InvalidMessage),
-    /// Decoding panicked, and nothing of the chunk counts.
+    /// Decoding panicked; the whole chunk is discarded.
     Panicked,
 }
 
-/// A point in a reader's work; tests block or panic there.
+/// A stage in the work of a reader. Tests block or panic at these stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderStage {
-    /// A connection was handed to it.
+    /// A connection was assigned to the reader.
     Connected,
-    /// It has taken a chunk from the queue, and decoded nothing of it.
+    /// The reader has taken a chunk from the queue, and has not started to decode it.
     ChunkTaken,
     /// Half of the chunk is decoded.
     HalfDecoded,
-    /// The chunk is decoded, and its batch not sent.
+    /// The chunk is decoded, and its batch is not sent yet.
     Decoded,
 }
 
-/// Called at each stage.
+/// Called at each stage of a reader's work.
 pub type StageHook = Arc<dyn Fn(ReaderId, ReaderStage) + Send + Sync>;
 
-/// What all readers of a pool share.
+/// State shared by all readers of a pool.
 #[derive(Clone)]
 pub(super) struct ReaderContext {
     pub(super) clock: Clock,
     pub(super) bounds: Bounds,
     pub(super) names: watch::Receiver<Arc<ReportNames>>,
-    /// Both ends of the queue of chunks.
+    /// The receiving end of the queue of chunks; `chunk_queue` is the sending end.
     pub(super) chunks: async_channel::Receiver<Chunk>,
     pub(super) chunk_queue: ChunkSender,
     pub(super) batches: mpsc::Sender<ReportBatch>,
@@ -84,23 +86,23 @@
     pub(super) metrics: Arc<ReaderMetrics>,
 }
 
-/// Reads and decodes until the sender of arrivals is dropped.
+/// Reads connections and decodes chunks until the sender of new connections is dropped.
 pub(super) fn run_reader(
     reader: ReaderId,
     context: ReaderContext,
-    mut arrivals: mpsc::Receiver<AcceptedConnection>,
+    mut new_connections: mpsc::Receiver<AcceptedConnection>,
     heartbeat: Arc<AtomicU64>,
 ) {
-    // On Linux a thread has a nice value of its own; elsewhere all threads stay equal.
+    // On Linux, the nice value applies to a single thread.
     _ = rustix::process::nice(READER_NICENESS);
-    // All tasks end with the system, and so with the thread.
+    // The tasks end when the system is dropped at the end of the thread.
     actix_rt::System::new().block_on(async move {
         actix_rt::spawn(send_heartbeats(heartbeat));
         actix_rt::spawn(decode_chunks(reader, context.clone()));
-        while let Some(arrival) = arrivals.recv().await {
+        while let Some(accepted) = new_connections.recv().await {
             (context.hook)(reader, ReaderStage::Connected);
             let (bounds, inbox) = (context.bounds.clone(), context.inbox.clone());
-            actix_rt::spawn(connection::read(arrival, bounds, inbox, Some(context.chunk_queue.clone())));
+            actix_rt::spawn(connection::read(accepted, bounds, inbox, Some(context.chunk_queue.clone())));
         }
     });
 }
@@ -118,7 +120,7 @@
         if context.batches.send(batch).await.is_err() {
             return;
         }
-        // The connections of this reader have to be read too.
+        // Yields to the tasks that read the connections of this reader.
         tokio::task::yield_now().await;
     }
 }
@@ -127,7 +129,7 @@
     let names = context.names.borrow().clone();
     let Chunk { info, lines, commands, memory_permit } = chunk;
     let arrived_at = context.clock.moment_of(info.received_at);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let hook = |stage| (context.hook)(reader, stage);
     let decoded = catch_unwind(AssertUnwindSafe(|| decode_lines(&lines, arrived_at, &names, hook)));
     let items = decoded.unwrap_or_else(|_| {
@@ -135,7 +137,7 @@
         vec![BatchItem::Panicked]
     });
     let line_count = lines.iter().filter(|byte| **byte == b'\n').count();
-    context.metrics.count_chunk(reader, lines.len(), line_count, began);
+    context.metrics.count_chunk(reader, lines.len(), line_count, started_at);
     ReportBatch { info, arrived_at, reader, items, commands, _memory: memory_permit }
 }
 
@@ -155,8 +157,8 @@
             halfway = usize::MAX;
             hook(ReaderStage::HalfDecoded);
         }
-        let Ok(line) = std::str::from_utf8(without_line_end(line)) else {
-            push_reports(&mut items, &mut reports, arrived_at);
+        let Ok(line) = std::str::from_utf8(strip_line_ending(line)) else {
+            flush_reports(&mut items, &mut reports, arrived_at);
             items.push(BatchItem::Invalid(InvalidMessage::not_utf8()));
             continue;
         };
@@ -164,25 +166,25 @@
             reports.add(report);
             continue;
         }
-        // It is no report, is invalid, or names something unknown here.
+        // The line is not a report, is malformed, or is a report with a name that is unknown to the reader.
         let item = collector::decode(line).map_or_else(BatchItem::Invalid, BatchItem::Message);
-        push_reports(&mut items, &mut reports, arrived_at);
+        flush_reports(&mut items, &mut reports, arrived_at);
         items.push(item);
     }
-    push_reports(&mut items, &mut reports, arrived_at);
+    flush_reports(&mut items, &mut reports, arrived_at);
     hook(ReaderStage::Decoded);
     items
 }
 
-fn without_line_end(line: &[u8]) -> &[u8] {
+fn strip_line_ending(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
-/// Ends a run of reports, if there is one.
-fn push_reports(items: &mut Vec<BatchItem>, reports: &mut ReportAggregator, arrived_at: Moment) {
+/// Appends the collected consecutive reports as one item, if there are any.
+fn flush_reports(items: &mut Vec<BatchItem>, reports: &mut ReportAggregator, arrived_at: Moment) {
     if !reports.is_empty() {
-        let run = std::mem::replace(reports, ReportAggregator::new(arrived_at));
-        items.push(BatchItem::Reports(run.into_reports()));
+        let collected = std::mem::replace(reports, ReportAggregator::new(arrived_at));
+        items.push(BatchItem::Reports(collected.into_reports()));
     }
 }
--- a/crates/controller/src/program/reader_pool.rs
+++ b/crates/controller/src/program/reader_pool.rs
@@ -1,5 +1,5 @@
-//! The reader pool, as its owner on the event loop's thread sees it: it assigns connections to readers, restores the
-//! order of each connection's batches, and supervises the readers. What a stopped reader leaves behind is closed.
+//! The reader pool. It runs on the event loop thread, assigns connections to readers, restores the order of the
+//! batches of each connection, and supervises the readers. The connections of a stopped reader are closed.
 
 use super::metrics::{PoolBacklog, ReaderMetrics};
 use super::reader::{run_reader, ReaderContext, ReportBatch, StageHook};
@@ -21,108 +21,108 @@
 use whinwall_transport::connection::{AcceptedConnection, ChunkSender};
 use whinwall_transport::{limits, listener, Bounds, ConnectionId, InputSender};
 
-/// Abandoned threads that may still run, for each reader.
+/// Maximum number of abandoned threads that are still running, per reader of the pool.
 const MAX_ABANDONED_PER_READER: usize = 4;
-/// Connections that may wait for one reader.
-const ARRIVAL_QUEUE: usize = 64;
-/// Batches that may wait for the owner; each is a fraction of a millisecond's work.
-pub const BATCH_QUEUE: usize = 64;
-/// A chunk that is missing for longer is with a reader that has stopped.
+/// Capacity of the queue of new connections of one reader.
+const MAX_QUEUED_CONNECTIONS: usize = 64;
+/// Capacity of the queue of decoded batches; the event loop handles one in a fraction of a millisecond.
+pub const MAX_QUEUED_BATCHES: usize = 64;
+/// Time after which a missing chunk is assumed to be held by a stopped reader.
 const CHUNK_TIMEOUT: Span = Span::ms(1000);
 
 struct Reader {
-    /// Incremented by the thread as long as it runs.
+    /// Incremented periodically by the thread while it makes progress.
     heartbeat: Arc<AtomicU64>,
-    arrivals: mpsc::Sender<AcceptedConnection>,
+    new_connections: mpsc::Sender<AcceptedConnection>,
     thread: JoinHandle<()>,
 }
 
-/// What the pool serves, and with what.
+/// The configuration of a reader pool.
 pub struct PoolConfig {
     /// The number of reader threads.
     pub readers: usize,
-    /// The clock of the decisions.
+    /// The clock that arrival times are taken from.
     pub clock: Clock,
-    /// What all connections together may cost.
+    /// Limits on the number of connections and on the memory of all connections together.
     pub bounds: Bounds,
-    /// Where the ends of connections are announced.
+    /// Receives the ends of connections.
     pub inbox: InputSender,
-    /// Where the work is counted.
+    /// The metrics of the readers.
     pub metrics: Arc<ReaderMetrics>,
-    /// Called at each stage of the work.
+    /// Called at each stage of a reader's work.
     pub hook: StageHook,
 }
 
-/// The owner's side of the readers.
+/// A pool of reader threads.
 pub struct ReaderPool {
     context: ReaderContext,
     readers: Vec<Reader>,
-    /// Threads that were replaced and still run: each may hold a runtime and a chunk.
+    /// Replaced threads that are still running. Each may hold a runtime and a chunk.
     abandoned: Vec<JoinHandle<()>>,
     partitioner: Partitioner,
     liveness: LivenessMonitor,
     reorder: ReorderBuffer<ReportBatch>,
-    /// A second descriptor of each connection, which can be closed though its reader has stopped.
+    /// A duplicated descriptor of each connection, used to close it when its reader has stopped.
     sockets: BTreeMap<ConnectionId, std::net::TcpStream>,
     names: watch::Sender<Arc<ReportNames>>,
 }
 
-/// How much a pool holds.
+/// The number of connections and early batches of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolSize {
     /// Open connections.
     pub connections: usize,
-    /// Batches that wait for an earlier one of their connection.
+    /// Batches that wait for an earlier batch of their connection.
     pub early_batches: usize,
 }
 
-/// What happened to the readers of a pool.
+/// An event found while supervising the readers of a pool.
 #[derive(Debug)]
 pub enum PoolEvent {
-    /// A reader makes no progress; so many connections were closed.
+    /// A reader makes no progress; its connections were closed.
     ReaderStalled {
         /// The reader.
         reader: ReaderId,
-        /// How many connections it had.
+        /// Number of closed connections.
         connections: usize,
     },
-    /// A reader's thread has ended; so many connections were closed.
+    /// The thread of a reader has terminated; its connections were closed.
     ReaderDied {
         /// The reader.
         reader: ReaderId,
-        /// How many connections it had.
+        /// Number of closed connections.
         connections: usize,
     },
-    /// A reader has a new thread.
+    /// A new thread was started for a reader.
     ReaderRestarted {
         /// The reader.
         reader: ReaderId,
     },
-    /// A reader has no new thread yet.
+    /// Starting a new thread for a reader failed.
     ReaderNotRestarted {
         /// The reader.
         reader: ReaderId,
-        /// The error of the system.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// A stopped reader has chunks of so many other connections, which were closed.
+    /// A stopped reader holds chunks of further connections; these connections were closed.
     ChunksOverdue {
-        /// How many connections.
+        /// Number of closed connections.
         connections: usize,
     },
-    /// These connections were closed; what they sent and was not applied is lost, and their peers send it again.
+    /// These connections were closed. Input that was not applied yet is lost; the peers send it again.
     ConnectionsLost(Vec<ConnectionId>),
 }
 
 impl ReaderPool {
-    /// Starts the readers; the receiver yields their batches, in any order.
+    /// Starts the readers. The returned receiver yields their batches in no particular order.
     ///
     /// # Errors
-    /// Where a thread cannot be started.
+    /// If a thread cannot be started.
     pub fn start(config: PoolConfig) -> std::io::Result<(Self, mpsc::Receiver<ReportBatch>)> {
         let PoolConfig { readers, clock, bounds, inbox, metrics, hook } = config;
         let (chunk_sender, chunks) = async_channel::bounded(limits::MAX_QUEUED_CHUNKS);
-        let (batches, batch_receiver) = mpsc::channel(BATCH_QUEUE);
+        let (batches, batch_receiver) = mpsc::channel(MAX_QUEUED_BATCHES);
         let (names, names_receiver) = watch::channel(Arc::new(ReportNames::default()));
         let context = ReaderContext {
             clock,
@@ -153,27 +153,28 @@
     }
 
     fn start_reader(&self, reader: ReaderId) -> std::io::Result<Reader> {
-        let (arrivals, arrival_receiver) = mpsc::channel(ARRIVAL_QUEUE);
+        let (new_connections, connection_receiver) = mpsc::channel(MAX_QUEUED_CONNECTIONS);
         let heartbeat = Arc::new(AtomicU64::new(0));
         let (context, counter) = (self.context.clone(), heartbeat.clone());
         let thread = std::thread::Builder::new()
             .name(format!("reader-{reader}"))
-            .spawn(move || run_reader(reader, context, arrival_receiver, counter))?;
-        Ok(Reader { heartbeat, arrivals, thread })
+            .spawn(move || run_reader(reader, context, connection_receiver, counter))?;
+        Ok(Reader { heartbeat, new_connections, thread })
     }
 
-    /// Abandoned threads may block for long, but their number is bounded.
+    /// Returns true if another thread may be started. Abandoned threads may block for a long time, so their number is
+    /// limited.
     fn may_start_reader(&mut self) -> bool {
         self.abandoned.retain(|thread| !thread.is_finished());
         self.abandoned.len() < self.readers.len() * MAX_ABANDONED_PER_READER
     }
 
-    /// Hands a connection to a reader; false where none takes it.
-    fn assign(&mut self, arrival: AcceptedConnection) -> bool {
-        let id = arrival.id;
-        let Ok(socket) = arrival.stream.try_clone() else { return false };
+    /// Assigns a connection to a reader. Returns false if no reader can accept it.
+    fn assign(&mut self, accepted: AcceptedConnection) -> bool {
+        let id = accepted.id;
+        let Ok(socket) = accepted.stream.try_clone() else { return false };
         let Some(reader) = self.partitioner.assign(id) else { return false };
-        if self.readers[reader].arrivals.try_send(arrival).is_err() {
+        if self.readers[reader].new_connections.try_send(accepted).is_err() {
             self.partitioner.remove(id);
             return false;
         }
@@ -182,7 +183,7 @@
         true
     }
 
-    /// How much the pool holds now.
+    /// Returns the current size of the pool.
     pub fn size(&self) -> PoolSize {
         let reorder = self.reorder.size();
         PoolSize {
@@ -191,28 +192,28 @@
         }
     }
 
-    /// Gives the readers new names to decode with.
+    /// Publishes the names that the readers use to decode reports.
     pub fn publish_names(&self, names: ReportNames) {
         self.names.send_replace(Arc::new(names));
     }
 
-    /// The version of the names that the readers decode with.
+    /// Returns the version of the published names.
     pub fn names_version(&self) -> u64 {
         self.names.borrow().version
     }
 
-    /// Takes a batch from a reader, and returns those of its connection that are ready, in order.
+    /// Accepts a batch from a reader, and returns the batches of its connection that are ready, in order.
     pub fn accept_batch(&mut self, now: Moment, batch: ReportBatch) -> Ready<ReportBatch> {
         let (from, number) = (batch.info.from, batch.info.number);
         self.partitioner.add_bytes(from, batch.info.bytes);
         self.reorder.insert(now, from, number, batch)
     }
 
-    /// The connection has ended after so many chunks.
-    pub fn end_connection(&mut self, now: Moment, id: ConnectionId, chunks: u64) -> Ready<ReportBatch> {
+    /// Records that a connection has ended after `chunk_count` chunks, and returns its batches that are ready.
+    pub fn end_connection(&mut self, now: Moment, id: ConnectionId, chunk_count: u64) -> Ready<ReportBatch> {
         self.partitioner.remove(id);
         self.sockets.remove(&id);
-        self.reorder.end(now, id, chunks)
+        self.reorder.end(now, id, chunk_count)
     }
 
     fn close_connections(&mut self, ids: Vec<ConnectionId>) -> PoolEvent {
@@ -220,14 +221,15 @@
             self.reorder.abandon(*id);
             self.partitioner.remove(*id);
             if let Some(socket) = self.sockets.remove(id) {
-                // It fails where the peer has closed the connection already.
+                // Fails if the peer has already closed the connection.
                 _ = socket.shutdown(Shutdown::Both);
             }
         }
         PoolEvent::ConnectionsLost(ids)
     }
 
-    /// Replaces readers that have stopped and closes their connections, so that no peer waits for what they hold.
+    /// Closes the connections of readers that have stopped, so that their peers reconnect instead of waiting, and
+    /// restarts these readers.
     pub fn supervise(&mut self, now: Moment) -> Vec<PoolEvent> {
         let mut events = Vec::new();
         self.liveness.begin_check(now);
@@ -252,14 +254,14 @@
 
     fn restart_reader(&mut self, now: Moment, reader: ReaderId) -> Option<PoolEvent> {
         if !self.may_start_reader() {
-            // Where every thread blocks, more of them would only pile up.
+            // If all threads block, starting more would only accumulate blocked threads.
             self.liveness.postpone_restart(now, reader);
             return None;
         }
         match self.start_reader(reader) {
             Ok(new) => {
-                let former = std::mem::replace(&mut self.readers[reader], new);
-                self.abandoned.push(former.thread);
+                let replaced = std::mem::replace(&mut self.readers[reader], new);
+                self.abandoned.push(replaced.thread);
                 self.partitioner.enable(reader);
                 Some(PoolEvent::ReaderRestarted { reader })
             }
@@ -269,9 +271,9 @@
 
     fn stop_reader(&mut self, reader: ReaderId, stopped: ReaderEvent) -> [PoolEvent; 2] {
         self.context.metrics.count_reader_event(reader, stopped);
-        // It gets no more connections; its thread ends as soon as it makes progress.
+        // Dropping the sender prevents new connections, and ends the thread as soon as it makes progress.
         let (closed, _) = mpsc::channel(1);
-        self.readers[reader].arrivals = closed;
+        self.readers[reader].new_connections = closed;
         let lost = self.partitioner.disable(reader);
         let connections = lost.len();
         let event = match stopped {
@@ -291,11 +293,11 @@
     }
 }
 
-/// The listener's handle of the pool, on the owner's thread.
+/// The handle that the listener uses to assign connections to the pool, on the event loop thread.
 pub struct PoolHandle(pub Rc<RefCell<ReaderPool>>);
 
 impl listener::Readers for PoolHandle {
-    fn hand_over(&self, arrival: AcceptedConnection) -> bool {
-        self.0.borrow_mut().assign(arrival)
+    fn hand_over(&self, accepted: AcceptedConnection) -> bool {
+        self.0.borrow_mut().assign(accepted)
     }
 }
--- a/crates/controller/src/program/reload.rs
+++ b/crates/controller/src/program/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the configuration on SIGHUP, called by the event loop. Files that cannot be used change nothing; the reload is
-//! retried for a while, as they may be half written.
+//! Reloads the configuration on SIGHUP. If a file is invalid, the previous configuration is kept and the reload is
+//! retried for a limited time, as the file may be only partly written.
 
 use super::configuration::{ConfigError, ControllerConfig};
 use super::effects::Dispatcher;
@@ -7,14 +7,14 @@
 use whinwall_routing::Event;
 use whinwall_transport::limits;
 
-/// A reload that failed and is retried: the file may have been half written.
+/// Retries of a failed reload.
 #[derive(Clone, Copy)]
 struct Retry {
     next_at: Moment,
-    until: Moment,
+    deadline: Moment,
 }
 
-/// Applies changed files, all of them or nothing.
+/// Reloads the configuration files. Either all of them are applied or none.
 #[derive(Default)]
 pub(super) struct Reloader {
     retry: Option<Retry>,
@@ -25,24 +25,24 @@
         self.retry.is_some()
     }
 
-    /// Reloads the files, after SIGHUP. Where they cannot be used, [`Reloader::retry`] goes on for a while.
+    /// Reloads the files after SIGHUP. If the reload fails, [`Reloader::retry`] repeats it until a deadline.
     pub(super) fn reload(&mut self, config: &mut ControllerConfig, dispatcher: &mut Dispatcher) {
         self.retry = None;
         if let Err(error) = apply_files(config, dispatcher) {
-            tracing::error!(%error, "configuration reload failed, the former configuration stays");
+            tracing::error!(%error, "configuration reload failed, keeping the previous configuration");
             let now = dispatcher.clock.now();
             self.retry = Some(Retry {
                 next_at: now + limits::to_span(limits::RETRY_BACKOFF),
-                until: now + limits::to_span(limits::CONFIG_REREAD_PERIOD),
+                deadline: now + limits::to_span(limits::CONFIG_REREAD_PERIOD),
             });
         }
     }
 
-    /// Retries a reload that failed, where it is time.
+    /// Retries a failed reload if the next retry is due.
     pub(super) fn retry(&mut self, config: &mut ControllerConfig, dispatcher: &mut Dispatcher) {
         let now = dispatcher.clock.now();
         let Some(retry) = self.retry.filter(|retry| retry.next_at <= now) else { return };
-        let is_over = apply_files(config, dispatcher).is_ok() || now >= retry.until;
+        let is_over = apply_files(config, dispatcher).is_ok() || now >= retry.deadline;
         let next = Retry { next_at: now + limits::to_span(limits::RETRY_BACKOFF), ..retry };
         self.retry = (!is_over).then_some(next);
     }
@@ -59,7 +59,7 @@
     dispatcher.apply(Event::TargetsConfigured(targets));
     dispatcher.apply(Event::SubsettingConfigured(config.fleet.clone()));
     if let Err(error) = dispatcher.services.reconfigure(&config.name, config.operators.as_ref()) {
-        tracing::error!(%error, "management API not available");
+        tracing::error!(%error, "management API unavailable");
     }
     dispatcher.apply_override_config(config);
     Ok(())
--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -1,5 +1,5 @@
-//! What the operators' file switches on: the storage thread of overrides and the management server, each on a thread of
-//! its own, and the clients that wait for a reply of the controller.
+//! The services that the operators' file configures: the storage thread for overrides and the management server,
+//! each on a separate thread. Also tracks the management clients that wait for a reply.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -15,18 +15,18 @@
 use whinwall_overrides::RequestId;
 use whinwall_runtime::logger::{LogFormat, LogFormatSwitch};
 
-/// Management requests that may wait for the event loop; further ones are rejected and may be retried.
-pub(super) const REQUEST_QUEUE: usize = 64;
-/// Replies of the storage thread that may wait for the event loop; there is one write at a time.
-const STORE_REPLY_QUEUE: usize = 16;
+/// Capacity of the queue of management requests to the event loop. Requests beyond it are rejected and may be retried.
+pub(super) const MAX_QUEUED_REQUESTS: usize = 64;
+/// Capacity of the queue of storage thread replies to the event loop; only one write is in flight at a time.
+const MAX_QUEUED_STORE_REPLIES: usize = 16;
 
-/// How long a management server that is replaced may take to answer what it has read.
+/// Time limit for a replaced management server to answer the requests that it has read.
 const REPLACED_SERVER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Why a service cannot be started; its text is shown to the operator.
+/// Errors that prevent the start of a service. Their texts are shown to the operator.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ServiceError {
-    #[error("keeper: {0}")]
+    #[error("cannot start storage thread: {0}")]
     StorageThread(#[source] std::io::Error),
     #[error("management: token-file: {0}")]
     Token(#[from] server::TokenError),
@@ -45,28 +45,28 @@
     storage: Option<StorageThread>,
     pub(super) store_replies: Receiver<StoreReply>,
     management: Option<RunningServer>,
-    /// Former servers, which still answer what they have read; each ends by its deadline.
+    /// Replaced servers that still answer the requests that they have read; each ends by its deadline.
     closing_servers: Vec<ServerEnd>,
     request_sender: Sender<PendingRequest>,
     pub(super) requests: Receiver<PendingRequest>,
-    /// Clients that wait for a reply, by request_id.
+    /// Clients that wait for a reply, by request ID.
     clients: BTreeMap<RequestId, oneshot::Sender<Reply>>,
     last_request_id: RequestId,
     log_format: LogFormatSwitch,
 }
 
 impl OperatorServices {
-    /// Starts what the file asks for. The storage thread keeps its folder as long as the program runs.
+    /// Starts the services that the file configures. The folder of the storage thread cannot change until a restart.
     pub(super) fn start(
         controller: &str,
         file: Option<&OperatorsFile>,
         log_format: LogFormatSwitch,
     ) -> Result<Self, ServiceError> {
-        let (reply_sender, store_replies) = channel(STORE_REPLY_QUEUE);
-        let (request_sender, requests) = channel(REQUEST_QUEUE);
+        let (reply_sender, store_replies) = channel(MAX_QUEUED_STORE_REPLIES);
+        let (request_sender, requests) = channel(MAX_QUEUED_REQUESTS);
         let folder: Option<PathBuf> = file.and_then(|file| file.store_folder.clone());
         let storage = folder.map(|folder| {
-            // Called on the storage thread, which alone waits where the event loop is slow.
+            // Runs on the storage thread, so a full queue blocks only that thread.
             StorageThread::spawn(OverrideStore::new(folder), move |reply| {
                 _ = reply_sender.blocking_send(reply);
             })
@@ -86,25 +86,24 @@
         Ok(services)
     }
 
-    /// Applies what may change while the program runs: the format of the log and the management server.
+    /// Applies the options that may change at runtime: the log format and the management server.
     pub(super) fn reconfigure(
         &mut self,
         controller: &str,
         file: Option<&OperatorsFile>,
     ) -> Result<(), ServiceError> {
-        let wants_json =
-            file.is_some_and(|file| file.log_format == whinwall_operator_config::LogFormat::Json);
-        self.log_format.set(if wants_json { LogFormat::Json } else { LogFormat::Text });
+        let is_json = file.is_some_and(|file| file.log_format == whinwall_operator_config::LogFormat::Json);
+        self.log_format.set(if is_json { LogFormat::Json } else { LogFormat::Text });
         match file.and_then(|file| file.management.clone()) {
-            None => self.replace_management(),
+            None => self.close_running_server(),
             Some(endpoint) if self.is_serving_socket(&endpoint) => {}
             Some(endpoint) => self.start_management(controller, endpoint)?,
         }
         Ok(())
     }
 
-    /// Whether the server is on this socket already. A server on an address is always restarted, as its token may have
-    /// changed in the same file.
+    /// Returns true if the server already listens on this Unix socket. A server on a TCP address is always
+    /// restarted, as the contents of its token file may have changed.
     fn is_serving_socket(&self, endpoint: &ManagementEndpoint) -> bool {
         let is_same = self.management.as_ref().is_some_and(|server| server.endpoint == *endpoint);
         is_same && matches!(endpoint, ManagementEndpoint::Socket(_))
@@ -122,7 +121,7 @@
                 server::ListenAddress::Address { address, token }
             }
         };
-        self.replace_management();
+        self.close_running_server();
         let server =
             match ManagementServer::start(listen_on, controller.to_string(), self.request_sender.clone()) {
                 Ok(server) => server,
@@ -139,41 +138,43 @@
         Ok(())
     }
 
-    /// Frees the address of the server, which goes on to answer what it has read.
-    fn replace_management(&mut self) {
+    /// Closes the running server, if any, and waits until its address is released. The server still answers the
+    /// requests that it has read.
+    fn close_running_server(&mut self) {
         self.closing_servers.retain(|server| !server.has_ended());
-        if let Some(former) = self.management.take() {
-            let mut end = former.server.close(Instant::now() + REPLACED_SERVER_TIMEOUT);
+        if let Some(replaced) = self.management.take() {
+            let mut end = replaced.server.close(Instant::now() + REPLACED_SERVER_TIMEOUT);
             end.wait_until_released();
             self.closing_servers.push(end);
         }
     }
 
-    /// Has each management response say that its connection ends.
+    /// Announces in each further management response that its connection will be closed.
     pub(super) fn drain(&self) {
         if let Some(management) = &self.management {
             management.server.drain();
         }
     }
 
-    /// Whether management clients wait for a reply.
-    pub(super) fn has_clients(&self) -> bool {
+    /// Returns true if management clients wait for a reply.
+    pub(super) fn has_waiting_clients(&self) -> bool {
         self.clients.values().any(|client| !client.is_closed())
     }
 
-    /// Closes the management server; it answers what it has read until the deadline.
+    /// Closes the management server; until the deadline, it answers the requests that it has read.
     pub(super) fn close_management(&mut self, deadline: Instant) -> ServerEnd {
         self.closing_servers.iter().for_each(|server| server.close_by(deadline));
         self.management.take().map_or_else(ServerEnd::default, |running| running.server.close(deadline))
     }
 
-    /// Answers the clients of a reducer that is gone: whether their requests were carried out is not known.
+    /// Drops all waiting clients after the reducer was lost. Their responses say that the outcome of the request is
+    /// unknown.
     pub(super) fn abandon_clients(&mut self) {
         self.clients.clear();
     }
 
-    /// Answers all clients that wait, and takes no requests from now on: those in the queue are not carried out.
-    pub(super) fn reject_waiting(&mut self) {
+    /// Drops all waiting clients, rejects the queued requests without executing them, and accepts no further requests.
+    pub(super) fn reject_pending_requests(&mut self) {
         self.abandon_clients();
         self.requests.close();
         while let Ok(PendingRequest { reply_to, .. }) = self.requests.try_recv() {
@@ -181,10 +182,10 @@
         }
     }
 
-    /// Asks the storage thread for all records, where there is one.
+    /// Requests all records from the storage thread, if there is one.
     pub(super) fn read_store(&self) {
         if let Some(storage) = &self.storage {
-            // A full queue holds a request already.
+            // If the queue is full, it already contains such a request.
             _ = storage.request_open();
         }
     }
@@ -193,12 +194,12 @@
         self.storage.is_some()
     }
 
-    /// Hands a batch of writes to the storage thread; false where it takes none, and no reply follows.
+    /// Sends a batch of writes to the storage thread. Returns false if it is not accepted; no reply follows then.
     pub(super) fn write_store(&self, serial: u64, batch: WriteBatch) -> bool {
         self.storage.as_ref().is_some_and(|storage| storage.request_write(serial, batch).is_ok())
     }
 
-    /// Keeps a client until the reply for its request_id.
+    /// Registers a client that waits for a reply, and returns its request ID.
     pub(super) fn register_client(&mut self, client: oneshot::Sender<Reply>) -> RequestId {
         self.clients.retain(|_, client| !client.is_closed());
         self.last_request_id += 1;
@@ -208,15 +209,15 @@
 
     pub(super) fn reply(&mut self, request_id: RequestId, reply: Reply) {
         if let Some(client) = self.clients.remove(&request_id) {
-            // A client that has stopped waiting loses the reply.
+            // Fails if the client no longer waits.
             _ = client.send(reply);
         }
     }
 }
 
 impl Drop for OperatorServices {
-    /// Clients get their answer before their connections end with the servers, which are dropped next.
+    /// Answers the clients before the servers are dropped, which closes the connections.
     fn drop(&mut self) {
-        self.reject_waiting();
+        self.reject_pending_requests();
     }
 }
--- a/crates/controller/src/program/shutdown.rs
+++ b/crates/controller/src/program/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: no new relay requests, an outcome for the one in flight, and an answer to all that was read.
+//! Graceful shutdown: sends no new relay requests, waits for the outcome of the request in flight, and answers all
+//! input that was read.
 
 use super::input::InputHandler;
 use super::queues::InputQueues;
@@ -9,28 +10,29 @@
 use whinwall_serving::shutdown::{RunningConnections, ShutdownTrigger};
 use whinwall_transport::{limits, Input};
 
-/// The end of the connections to the program's own address.
-pub(super) struct ConnectionsEnd {
+/// Closes the connections accepted by the listener, and tracks those that are still open.
+pub(super) struct ConnectionsShutdown {
     pub(super) trigger: ShutdownTrigger,
     pub(super) running: RunningConnections,
 }
 
-/// What a stage of the shutdown has waited for.
-enum Waited {
+/// The event that ended a wait during the shutdown.
+enum WaitOutcome {
     Signal,
     Input,
-    Over,
+    StageEnded,
 }
 
-/// Waits, for a bounded time, until the relay request in flight has its outcome: the successor reads the relay's store,
-/// and must not miss what is carried out after that. Then closes all connections, which answer what was read. Further
-/// signals change nothing: the end comes in time without them, and at once it would cost answers.
+/// Waits for the outcome of the relay request in flight, up to [`limits::SHUTDOWN_TIMEOUT`]: the successor process
+/// reads the relay's store and would miss a command that is applied after that. Then closes all connections, which
+/// answer the input that was read. Further signals are ignored: the time limits apply anyway, and an immediate exit
+/// would lose responses.
 pub(super) async fn shut_down(
     input: &mut InputHandler<'_>,
     queues: &mut InputQueues,
     signals: &mut Signals,
     termination: Termination,
-    connections: &mut ConnectionsEnd,
+    connections: &mut ConnectionsShutdown,
 ) {
     let requests_in_flight = u8::from(input.dispatcher.relay.has_request_in_flight());
     tracing::info!(signal = termination.signal, requests_in_flight, "shutting down");
@@ -38,27 +40,28 @@
     input.dispatcher.services.drain();
     let deadline = Instant::now() + limits::SHUTDOWN_TIMEOUT;
     loop {
-        let has_outcomes =
-            !input.dispatcher.relay.has_request_in_flight() && !input.dispatcher.services.has_clients();
-        let over = async {
+        let is_idle = !input.dispatcher.relay.has_request_in_flight()
+            && !input.dispatcher.services.has_waiting_clients();
+        let stage_end = async {
             tokio::select! {
-                () = sleep(limits::SHUTDOWN_QUIET_PERIOD), if has_outcomes => {}
+                () = sleep(limits::SHUTDOWN_QUIET_PERIOD), if is_idle => {}
                 () = sleep_until(deadline) => {}
             }
         };
-        if let Waited::Over = serve_until(input, queues, signals, over).await {
+        if let WaitOutcome::StageEnded = serve_until(input, queues, signals, stage_end).await {
             break;
         }
     }
-    close(input, queues, signals, connections).await;
+    close_connections(input, queues, signals, connections).await;
 }
 
-/// Closes all connections, and serves what they have read until they have ended, or for a bounded time.
-async fn close(
+/// Closes all connections, and handles the input that they have read until they have ended, up to
+/// [`limits::CLOSE_TIMEOUT`].
+async fn close_connections(
     input: &mut InputHandler<'_>,
     queues: &mut InputQueues,
     signals: &mut Signals,
-    connections: &mut ConnectionsEnd,
+    connections: &mut ConnectionsShutdown,
 ) {
     let deadline = Instant::now() + limits::CLOSE_TIMEOUT;
     connections.trigger.close(deadline);
@@ -68,58 +71,58 @@
             connections.running.ended().await;
             management.ended().await;
         };
-        let over = async { _ = tokio::time::timeout_at(deadline, ended).await };
-        if let Waited::Over = serve_until(input, queues, signals, over).await {
+        let stage_end = async { _ = tokio::time::timeout_at(deadline, ended).await };
+        if let WaitOutcome::StageEnded = serve_until(input, queues, signals, stage_end).await {
             break;
         }
     }
-    // Whoever has no reply by now learns it before its connection ends.
-    input.dispatcher.services.reject_waiting();
+    // Clients without a reply are answered before their connections are closed.
+    input.dispatcher.services.reject_pending_requests();
     drop(management);
 }
 
-/// Handles one input, whatever comes first: it, a signal or the end of the stage.
+/// Waits for the next signal, input or the end of the stage, whichever comes first, and handles it.
 async fn serve_until(
     input: &mut InputHandler<'_>,
     queues: &mut InputQueues,
     signals: &mut Signals,
-    over: impl Future<Output = ()>,
-) -> Waited {
-    let waited = tokio::select! {
+    stage_end: impl Future<Output = ()>,
+) -> WaitOutcome {
+    let outcome = tokio::select! {
         biased;
         signal = signals.next() => {
             if let Signal::Terminate(further) = signal {
                 tracing::info!(signal = further.signal, "further signal, already shutting down");
             }
-            Waited::Signal
+            WaitOutcome::Signal
         }
         Some(reply) = input.dispatcher.services.store_replies.recv() => {
             input.receive_store_reply(reply);
-            Waited::Input
+            WaitOutcome::Input
         }
         Some(message) = queues.peers.recv() => {
             let is_relay_response = matches!(message, Input::RelayResponse(_));
-            input.receive(message);
+            input.receive_input(message);
             if is_relay_response {
-                tracing::info!("relay request in flight has its outcome");
+                tracing::info!("relay request in flight completed");
             }
-            Waited::Input
+            WaitOutcome::Input
         }
         Some(request) = input.dispatcher.services.requests.recv() => {
             input.receive_management_request(request);
-            Waited::Input
+            WaitOutcome::Input
         }
         Some(message) = queues.collectors.recv() => {
-            input.receive(message);
-            Waited::Input
+            input.receive_input(message);
+            WaitOutcome::Input
         }
         Some(batch) = queues.batches.recv() => {
             input.receive_batch(batch);
-            Waited::Input
+            WaitOutcome::Input
         }
-        () = over => Waited::Over,
+        () = stage_end => WaitOutcome::StageEnded,
     };
-    // A connection closes once nobody can send it a reply any more.
+    // A connection closes when all its command senders are dropped; `begin_iteration` drops those of this iteration.
     input.dispatcher.begin_iteration();
-    waited
+    outcome
 }
--- a/crates/controller/src/program/startup.rs
+++ b/crates/controller/src/program/startup.rs
@@ -1,4 +1,4 @@
-//! Start-up: binds the listener, starts the services, and starts another incarnation after a panic.
+//! Start-up: binds the listener, starts the services, and starts a new incarnation after a panic.
 
 use super::configuration::ControllerConfig;
 use super::incarnation::run_incarnation;
@@ -13,10 +13,11 @@
 use whinwall_serving::accept;
 use whinwall_transport::limits;
 
-/// Retries of the bind, `limits::RETRY_BACKOFF` apart: a former process may hold the address a moment longer.
+/// Maximum number of retries to bind the listener, at intervals of `limits::RETRY_BACKOFF`: a previous process may
+/// still hold the address for a short time.
 const MAX_BIND_RETRIES: u32 = 50;
 
-/// Why the controller cannot serve; its text is shown to the operator.
+/// Errors that prevent serving. Their texts are shown to the operator.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ServeError {
     #[error("listen: {address}: {source}")]
@@ -27,15 +28,15 @@
     Service(#[from] ServiceError),
 }
 
-/// Serves until a signal ends the program.
+/// Serves until a termination signal.
 pub(super) async fn serve(
     config: ControllerConfig,
     mut signals: Signals,
     log_format: LogFormatSwitch,
 ) -> Result<Termination, ServeError> {
     let listener = match bind(config.listen, &mut signals).await? {
-        Bound::Listening(listener) => Rc::new(listener),
-        Bound::Terminated(termination) => return Ok(termination),
+        BindOutcome::Listening(listener) => Rc::new(listener),
+        BindOutcome::Terminated(termination) => return Ok(termination),
     };
     let address = listener.local_addr().map_err(ServeError::LocalAddress)?;
     tracing::info!(%address, controller = config.name, "listening for collectors");
@@ -43,8 +44,8 @@
     Ok(run_incarnations(config, listener, signals, services).await)
 }
 
-/// A panic costs the state of the reducer, as a restart would, and not the process: the relay and discovery hold all
-/// that is needed to rebuild it.
+/// Runs incarnations until a termination signal. A panic loses the state of the reducer, as a restart of the
+/// process would; the next incarnation rebuilds it from the relay and discovery.
 async fn run_incarnations(
     mut config: ControllerConfig,
     listener: Rc<TcpListener>,
@@ -65,17 +66,17 @@
     }
 }
 
-/// How an attempt to bind the listener ended without an error.
-enum Bound {
+/// The outcome of binding the listener, other than an error.
+enum BindOutcome {
     Listening(TcpListener),
     Terminated(Termination),
 }
 
-async fn bind(address: SocketAddr, signals: &mut Signals) -> Result<Bound, ServeError> {
+async fn bind(address: SocketAddr, signals: &mut Signals) -> Result<BindOutcome, ServeError> {
     let mut retries = 0;
     loop {
         match accept::listen(address) {
-            Ok(listener) => return Ok(Bound::Listening(listener)),
+            Ok(listener) => return Ok(BindOutcome::Listening(listener)),
             Err(source) if retries == MAX_BIND_RETRIES => return Err(ServeError::Bind { address, source }),
             Err(error) if retries == 0 => {
                 tracing::warn!(%address, %error, "listen address not available, retrying");
@@ -84,7 +85,7 @@
         }
         retries += 1;
         if let Err(termination) = signals.sleep(limits::RETRY_BACKOFF).await {
-            return Ok(Bound::Terminated(termination));
+            return Ok(BindOutcome::Terminated(termination));
         }
     }
 }
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -188,7 +188,7 @@
     assert_eq!(managed.wait_for_item("f-1", |item| item.state == "in force").origin, "file");
     managed.write_operators_file("<overrides>\n<out id=\"f-2\" server=\"s-2\"/>\n</overrides>");
     hang_up(&mut managed);
-    let line = managed.wait_for_log("configuration reload failed, the former configuration stays");
+    let line = managed.wait_for_log("configuration reload failed, keeping the previous configuration");
     assert!(line.contains("operators.xml: line 6, column 1: <out>"), "{line}");
     assert_eq!(managed.item("f-1").state, "in force");
     // One that can't be because of another is refused too, and the former stay.
@@ -355,7 +355,7 @@
     let operators = managed.path("operators.xml");
     let operators = operators.to_str().unwrap();
     let (code, said) = run(&["--check", "--operators", operators], "");
-    assert!(code == Some(0) && said.contains("are fine"), "{said}");
+    assert!(code == Some(0) && said.contains("are valid"), "{said}");
     let (code, said) =
         run(&["--check", "--operators", operators], "<operators version=\"1\">\n<stor/></operators>");
     assert!(code == Some(2) && said.contains("line 2, column 1: <stor>"), "{said}");
--- a/crates/controller/tests/process_races.rs
+++ b/crates/controller/tests/process_races.rs
@@ -34,7 +34,7 @@
     program.signal(Signal::TERM);
     program.resume();
     program.wait_for_log("shutting down requests_in_flight=1 signal=SIGTERM");
-    program.wait_for_log("relay request in flight has its outcome");
+    program.wait_for_log("relay request in flight completed");
     assert!(program.wait_for_exit().success());
     let newer = relay.messages.receiver.try_iter().find(|message| message.line.starts_with("APPLY"));
     assert_eq!(newer.map(|message| message.line), None, "a request after the signal");
@@ -67,7 +67,7 @@
     program.resume();
     program.wait_for_log("further signal, already shutting down signal=SIGINT");
     open.accept();
-    program.wait_for_log("relay request in flight has its outcome");
+    program.wait_for_log("relay request in flight completed");
     assert!(program.wait_for_exit().success());
 }
 
@@ -127,7 +127,7 @@
     file["distributor"]["address"] = json!(second.address.to_string());
     let text = file.to_string();
     program.reload_with(&text[..text.len() / 2]);
-    program.wait_for_log("configuration reload failed, the former configuration stays");
+    program.wait_for_log("configuration reload failed, keeping the previous configuration");
     std::fs::write(&program.file.0, &text).unwrap();
     second.accept_watch();
     program.connect().ping();
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -239,9 +239,9 @@
     let mut file = example_config();
     for (text, key) in [("{\"name\":", "PROXY_CONFIG"), ("{\"distributor\":{}}", "distributor")] {
         program.reload_with(text);
-        program
-            .log
-            .wait(key, |line: &String| line.contains("the former configuration stays") && line.contains(key));
+        program.log.wait(key, |line: &String| {
+            line.contains("keeping the previous configuration") && line.contains(key)
+        });
         program.connect().ping();
     }
     for round in 0..2 {
@@ -284,11 +284,11 @@
 fn settings_in_other_number_formats_are_accepted() {
     type Change = fn(&mut Value);
     let cases: [(Change, &str); 8] = [
-        (|file| file["settings"]["classes"][0]["targetNs"] = json!(1.2e9), "fine"),
-        (|file| file["settings"]["familyInfo"]["tenureNs"] = json!(0.5), "fine"),
-        (|file| file["settings"]["familyInfo"]["updateCap"] = json!(12.0), "fine"),
-        (|file| file["settings"]["familyInfo"]["partitionsN"] = json!(1024.0), "fine"),
-        (|file| file["settings"]["obligations"]["warmAfterNs"] = json!(1e30), "fine"),
+        (|file| file["settings"]["classes"][0]["targetNs"] = json!(1.2e9), "are valid"),
+        (|file| file["settings"]["familyInfo"]["tenureNs"] = json!(0.5), "are valid"),
+        (|file| file["settings"]["familyInfo"]["updateCap"] = json!(12.0), "are valid"),
+        (|file| file["settings"]["familyInfo"]["partitionsN"] = json!(1024.0), "are valid"),
+        (|file| file["settings"]["obligations"]["warmAfterNs"] = json!(1e30), "are valid"),
         (|file| file["settings"]["familyInfo"]["updateCap"] = json!(-1), "familyInfo.updateCap"),
         (|file| file["settings"]["peersTotal"] = json!(2.5), "peersTotal"),
         (
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -90,14 +90,14 @@
 fn limits_of_sockets_and_memory_are_applied() {
     let one_core = without("/limits", "cores");
     let config = config_from(&one_core).unwrap();
-    assert_eq!(config.line_bytes, 64_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
+    assert_eq!(config.line_memory_bytes, 64_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
     assert_eq!(config.max_connections, 500 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
 }
 
 #[test]
 fn missing_keys_have_defaults() {
     let config = config_from(&without("", "limits")).unwrap();
-    assert_eq!(config.line_bytes, 192_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
+    assert_eq!(config.line_memory_bytes, 192_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
     assert_eq!(config.max_connections, 1024 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
     assert_eq!(config_from(&without("", "known")).unwrap().known_endpoints, List::default());
     let seeds = [json!(255), json!("ff")].map(|seed| {
@@ -125,9 +125,9 @@
 #[test]
 fn missing_required_key_is_named_in_the_error() {
     let missing = |pointer, key| config_from(&without(pointer, key)).unwrap_err();
-    assert_eq!(missing("", "name"), "name is given neither in the file nor as PROXY_NAME");
-    assert_eq!(missing("", "listen"), "listen is given neither in the file nor as PROXY_LISTEN");
-    assert_eq!(missing("", "discovery"), "discovery is given neither in the file nor as PROXY_DISCOVERY");
+    assert_eq!(missing("", "name"), "name is missing: set the key in the file or PROXY_NAME");
+    assert_eq!(missing("", "listen"), "listen is missing: set the key in the file or PROXY_LISTEN");
+    assert_eq!(missing("", "discovery"), "discovery is missing: set the key in the file or PROXY_DISCOVERY");
     assert_eq!(missing("", "distributor"), "missing field `distributor`");
     assert_eq!(missing("", "settings"), "missing field `settings`");
     assert_eq!(missing("/distributor", "address"), "distributor: missing field `address`");
@@ -135,11 +135,11 @@
 
 #[test]
 fn invalid_value_is_named_by_its_key_in_the_error() {
-    let no_address = |key: &str| format!("{key}: \"x\" is no address: invalid socket address syntax");
+    let no_address = |key: &str| format!("{key}: invalid address \"x\": invalid socket address syntax");
     assert_eq!(error_with("/listen", json!("x")), no_address("listen"));
     assert_eq!(error_with("/discovery", json!("x")), no_address("discovery"));
     assert_eq!(error_with("/distributor/address", json!("x")), no_address("distributor.address"));
-    assert_eq!(error_with("/limits/sockets", json!(0)), "limits.sockets: 0 are too few");
+    assert_eq!(error_with("/limits/sockets", json!(0)), "limits.sockets: 0 is too low to accept connections");
     let wrong_type = error_with("/limits/memory_mb", json!("x"));
     assert_eq!(wrong_type, "limits.memory_mb: invalid type: string \"x\", expected f64");
     let wrong_type = error_with("/limits/cores", json!("x"));
@@ -150,7 +150,7 @@
 #[test]
 fn unreadable_file_is_named_in_the_error() {
     let why = read(ProcessEnvironment::default()).unwrap_err();
-    assert_eq!(why, "PROXY_CONFIG is not set; it names the configuration file");
+    assert_eq!(why, "PROXY_CONFIG is not set; set it to the path of the configuration file");
     let why = read(ProcessEnvironment {
         config_file: Some("/absent/file".into()),
         ..ProcessEnvironment::default()
@@ -187,9 +187,9 @@
     assert_eq!(logging(None, None), Ok((LevelFilter::INFO, 40)));
     assert_eq!(logging(Some("debug"), Some("7")), Ok((LevelFilter::DEBUG, 7)));
     let why = logging(Some("loud"), None).unwrap_err();
-    assert_eq!(why, "WHINWALL_LOG: no level (error, warn, info, debug)");
+    assert_eq!(why, "WHINWALL_LOG: invalid log level, expected error, warn, info or debug");
     let why = logging(None, Some("x")).unwrap_err();
-    assert_eq!(why, "WHINWALL_LOG_LINES: invalid digit found in string");
+    assert_eq!(why, "WHINWALL_LOG_LINES: invalid number: invalid digit found in string");
 }
 
 /// Set for the process that only prints its environment.
@@ -199,7 +199,7 @@
 #[test]
 fn environment_of_a_process_is_shown() {
     if std::env::var_os(SHOW).is_some() {
-        println!("{:?}", ProcessEnvironment::of_process());
+        println!("{:?}", ProcessEnvironment::from_process());
     }
 }
 
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -331,7 +331,7 @@
     // A fleet without this controller changes nothing.
     managed.write_operators_file(&element(&["n1", "n2"]));
     managed.program().signal(Signal::HUP);
-    let refused = managed.wait_for_log("configuration reload failed, the former configuration stays");
+    let refused = managed.wait_for_log("configuration reload failed, keeping the previous configuration");
     let expected = "<subsetting>: this governor's own name, \"n0\", is not among its governors";
     assert!(refused.contains(expected), "{refused}");
     assert_eq!(
