--- a/crates/controller/benches/reducer.rs
+++ b/crates/controller/benches/reducer.rs
@@ -1,5 +1,5 @@
-//! What an iteration costs with overrides: a fleet of 2,000 replicas and 12,000 slices, a tick (250 ms) in each,
-//! with the reports of a tick or without.
+//! Measures an iteration of the reducer with overrides, in a fleet of 2,000 replicas and 12,000 slices. Each
+//! iteration is one tick (250 ms), with or without the reports of a tick.
 
 use divan::counter::ItemsCount;
 use divan::Bencher;
@@ -15,8 +15,8 @@
 use whinwall_transport::Targets;
 
 const REPLICAS: u32 = 2000;
-/// Slices a replica.
-const SLICES: u32 = 6;
+/// Number of slices per replica.
+const SLICES_PER_REPLICA: u32 = 6;
 
 fn main() {
     divan::main();
@@ -29,10 +29,10 @@
 
 impl Fleet {
     fn new(overrides: u32) -> Self {
-        Fleet::of(REPLICAS, overrides)
+        Fleet::with_replicas(REPLICAS, overrides)
     }
 
-    fn of(replicas: u32, overrides: u32) -> Self {
+    fn with_replicas(replicas: u32, overrides: u32) -> Self {
         let example = include_str!("../../../deploy/example.json");
         let example: serde_json::Value = serde_json::from_str(example).unwrap();
         let settings = whinwall_settings::parse_settings(&example["settings"]).unwrap();
@@ -54,7 +54,7 @@
         fleet.apply(Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..3).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
-        for slice in 0..replicas * SLICES {
+        for slice in 0..replicas * SLICES_PER_REPLICA {
             lines.push(format!("* GRANT {slice} 1"));
             lines.push(format!("* ROW {slice} s-{} 1", slice % replicas));
         }
@@ -74,12 +74,13 @@
                 request: Request::Change(ChangeRequest::Set(new_override)),
             });
         }
-        // Until all first commands are sent.
+        // Runs ticks until all initial commands are sent.
         (0..200).for_each(|_| fleet.tick());
         fleet
     }
 
-    /// The relay accepts each request at once, and all proxies acknowledge its version.
+    /// Applies an event and its consequences: the relay accepts each request at once, and all proxies acknowledge its
+    /// version.
     fn apply(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -104,7 +105,7 @@
         self.apply(Event::InputDrained);
     }
 
-    fn report(&mut self) {
+    fn apply_reports(&mut self) {
         for n in 0..REPLICAS / 4 {
             let line = format!(
                 r#"{{"@type":"LOAD","az":"north","host":"s-{n}","n":9,"bad":0,"avg":41.7,"window":1000.0}}"#
@@ -121,10 +122,10 @@
     bencher.bench_local(|| fleet.tick());
 }
 
-/// How the cost of a tick grows with the fleet.
+/// Measures a tick without overrides, by the number of replicas.
 #[divan::bench(args = [125, 500, 2000], sample_count = 40, sample_size = 1)]
 fn tick_by_replicas(bencher: Bencher, replicas: u32) {
-    let mut fleet = Fleet::of(replicas, 0);
+    let mut fleet = Fleet::with_replicas(replicas, 0);
     bencher.bench_local(|| fleet.tick());
 }
 
@@ -134,7 +135,7 @@
     let source = collector::decode(r#"{"@type":"SOURCE","az":"north"}"#).unwrap();
     fleet.apply(Event::Message { from: 1, message: source });
     bencher.counter(ItemsCount::new(REPLICAS / 4)).bench_local(|| {
-        fleet.report();
+        fleet.apply_reports();
         fleet.tick();
     });
 }
--- a/crates/controller/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -1,5 +1,5 @@
-//! What the covered time of reports costs: a line's look-up alone, and lines on their way through the reducer, where
-//! collectors report and where one or two aggregators do.
+//! Measures the cost of tracking report coverage: the look-up for a line alone, and the complete handling of lines
+//! in the reducer with reports from collectors, from one aggregator and from two.
 
 use divan::counter::ItemsCount;
 use divan::Bencher;
@@ -19,9 +19,9 @@
     divan::main();
 }
 
-/// Lines on each replica in turn, by one connection and by two.
+/// Counts one line per replica from each of one or two connections.
 #[divan::bench(args = [1, 2])]
-fn take(bencher: Bencher, connections: u64) {
+fn count_report_lines(bencher: Bencher, connections: u64) {
     let mut coverage = ReportCoverage::default();
     let mut seconds = 0;
     bencher.counter(ItemsCount::new(REPLICAS as usize * connections as usize)).bench_local(|| {
@@ -37,13 +37,13 @@
     });
 }
 
-fn controller(replicas: u32, fleet: Option<Fleet>) -> (Reducer, Moment) {
+fn start_controller(replicas: u32, fleet: Option<Fleet>) -> (Reducer, Moment) {
     let example = include_str!("../../../deploy/example.json");
     let example: serde_json::Value = serde_json::from_str(example).unwrap();
     let settings = whinwall_settings::parse_settings(&example["settings"]).unwrap();
     let now = Moment::default() + Span::ms(1_800_000_000_000);
-    let here = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
-    let targets = Targets { discovery: here(8500), relay: here(6400) };
+    let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
+    let targets = Targets { discovery: local(8500), relay: local(6400) };
     let mut reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
     reducer.apply(now, Event::Started);
     let entry = |n| json!({"id": format!("s-{n}"), "zone": "north", "state": "active"});
@@ -57,17 +57,18 @@
     (reducer, now)
 }
 
-fn alone() -> Fleet {
+fn single_controller_fleet() -> Fleet {
     let controllers = vec![ControllerMember { name: "n0".into(), address: None, slices: vec![] }];
     let aggregators = vec![AggregatorMember { name: "m1".into(), address: ([127, 0, 0, 1], 7001).into() }];
     let config = SubsettingConfig { subset_size: 100, bytes_per_second: 27_000, controllers, aggregators };
-    Fleet::new(&config, "n0").expect("it is one of the fleet")
+    Fleet::new(&config, "n0").expect("the fleet contains the controller n0")
 }
 
-/// Decoded lines on a hundred replicas, each second: 0 stands for collectors, else so many aggregators tell.
+/// Decodes and applies one line per second on each of 100 replicas: from a collector if `aggregators` is 0,
+/// otherwise from each aggregator.
 #[divan::bench(args = [0, 1, 2])]
-fn line(bencher: Bencher, aggregators: u64) {
-    let (mut reducer, mut now) = controller(100, (aggregators > 0).then(alone));
+fn apply_report_lines(bencher: Bencher, aggregators: u64) {
+    let (mut reducer, mut now) = start_controller(100, (aggregators > 0).then(single_controller_fleet));
     let lines: Vec<_> = (0..100)
         .map(|n| {
             format!(
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -1,5 +1,6 @@
-//! One of five controllers as its fleet grows: 1, 4 and 16 times 120 replicas, 1,600 proxies and 660 slices. Each row is a
-//! process of its own, so that its memory can be read. The channel is a model: its rate limit and queue grow as the fleet.
+//! Measures one of five controllers at three fleet sizes: 1, 4 and 16 times 120 replicas, 1,600 proxies and 660
+//! slices. Each row runs in a separate process, so that its memory use can be measured. The command channel is a
+//! model, whose rate limit and queue grow in proportion to the fleet.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -13,82 +14,82 @@
 use whinwall_settings::Settings;
 use whinwall_transport::Targets;
 
-/// The scenarios, by their argument.
+/// The names of the scenarios, as used in the argument of this program.
 const SCENARIOS: [&str; 4] = ["quiet", "zone-lost", "replaced", "joined"];
 const ZONES: [&str; 3] = ["north", "south", "west"];
 const CONTROLLERS: usize = 5;
-/// What each relay request costs the channel, in lines to each proxy, beside its commands.
+/// Lines that the channel sends to each proxy for each relay request, in addition to one line for each command.
 const REQUEST_OVERHEAD_LINES: f64 = 8.0;
-/// From the sending of a command by the channel to its acknowledgement.
+/// Time from the sending of a command by the channel until its acknowledgement.
 const ACKNOWLEDGEMENT_DELAY: Span = Span::ms(200);
 const TICK: Span = Span::ms(50);
 const TICKS: u64 = 600;
-/// Collectors report once in so many ticks.
+/// Number of ticks between two reports of a collector.
 const TICKS_PER_REPORT: u64 = 20;
-/// The tick at which the measured part begins, with what the scenario is about.
+/// The tick of the scenario's disturbance, at which the measurement begins.
 const MEASURED_FROM_TICK: u64 = 200;
-/// The tick at which a lost zone is back.
-const ZONE_BACK_TICK: u64 = 300;
+/// The tick at which a lost zone recovers.
+const ZONE_RECOVERY_TICK: u64 = 300;
 
-/// The reducer, against a model of the relay's channel.
-struct Rig {
+/// The reducer with a model of the relay's command channel.
+struct TestBed {
     reducer: Reducer,
     now: Moment,
-    /// Lines that the channel sends in a second.
+    /// Number of lines that the channel sends per second.
     lines_per_second: f64,
     proxies: usize,
-    /// When the channel has sent all that it was given.
+    /// Time at which the channel has sent all queued lines.
     idle_at: Moment,
-    /// Versions, by when they are acknowledged.
+    /// Versions by the time of their acknowledgement.
     acknowledgements: BTreeMap<Moment, String>,
-    iterations: Vec<Duration>,
-    lines: f64,
-    /// Replicas that drain and that no command has withdrawn yet.
+    iteration_durations: Vec<Duration>,
+    lines_sent: f64,
+    /// Draining replicas that no command has withdrawn yet.
     pending_withdrawals: Vec<String>,
-    /// When the last proxy was notified of the last withdrawal.
+    /// Time at which the last proxy acknowledged the last withdrawal.
     notified_at: Moment,
 }
 
-impl Rig {
+impl TestBed {
     fn new(reducer: Reducer, now: Moment, lines_per_second: f64, proxies: usize) -> Self {
-        Rig {
+        TestBed {
             reducer,
             now,
             lines_per_second,
             proxies,
             idle_at: now,
             acknowledgements: BTreeMap::new(),
-            iterations: Vec::new(),
-            lines: 0.0,
+            iteration_durations: Vec::new(),
+            lines_sent: 0.0,
             pending_withdrawals: Vec::new(),
             notified_at: now,
         }
     }
 
-    /// Applies all that has arrived, and what it leads to.
+    /// Applies the events in one iteration, and then the responses to the resulting relay requests.
     fn apply(&mut self, events: Vec<Event>) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut effects: Vec<_> =
             events.into_iter().flat_map(|event| self.reducer.apply(self.now, event)).collect();
         effects.extend(self.reducer.apply(self.now, Event::InputDrained));
-        self.iterations.push(began.elapsed());
+        self.iteration_durations.push(started_at.elapsed());
         for effect in effects {
             let Effect::RelayRequest { line, .. } = effect else { continue };
-            let commands = self.send(&line);
-            self.apply(vec![Event::RelayResponse(Ok(Response::Accepted(commands)))]);
+            let command_count = self.send_request(&line);
+            self.apply(vec![Event::RelayResponse(Ok(Response::Accepted(command_count)))]);
         }
     }
 
-    /// Takes a relay request into the channel; returns the number of its commands.
-    fn send(&mut self, request: &str) -> usize {
+    /// Queues a relay request in the channel, and returns the number of its commands.
+    fn send_request(&mut self, request: &str) -> usize {
         let commands: Vec<_> = request.trim_start_matches("APPLY ").split(';').collect();
         let lines = (commands.len() as f64 + REQUEST_OVERHEAD_LINES) * self.proxies as f64;
-        self.lines += lines;
+        self.lines_sent += lines;
         self.idle_at = self.idle_at.max(self.now) + Span::ms(1000).times(lines / self.lines_per_second);
         let acknowledged_at = self.idle_at + ACKNOWLEDGEMENT_DELAY;
-        let pending = self.pending_withdrawals.len();
+        let pending_before = self.pending_withdrawals.len();
         self.pending_withdrawals.retain(|replica| !commands.contains(&format!("OUT,{replica}").as_str()));
-        if self.pending_withdrawals.len() < pending {
+        if self.pending_withdrawals.len() < pending_before {
             self.notified_at = acknowledged_at;
         }
         let version = commands.iter().find_map(|command| command.strip_prefix("SYNC,")?.split(',').next());
@@ -98,7 +99,7 @@
         commands.len()
     }
 
-    /// Applies the acknowledgements that are due, and these events.
+    /// Applies the acknowledgements that are due, followed by `events`.
     fn apply_with_acknowledgements(&mut self, events: Vec<Event>) {
         let later = self.acknowledgements.split_off(&(self.now + Span::ns(1)));
         let due = std::mem::replace(&mut self.acknowledgements, later);
@@ -132,7 +133,7 @@
     lines.map(|line| Event::Relay(decode_event(&line).unwrap())).collect()
 }
 
-fn proxy_joins(proxy: usize) -> String {
+fn subscribe_line(proxy: usize) -> String {
     format!("* SUBSCRIBE {proxy} north 1.0 1")
 }
 
@@ -150,34 +151,34 @@
     whinwall_settings::parse_settings(&settings).unwrap()
 }
 
-/// One scenario on a fleet of one size.
+/// One run of a scenario with one fleet size.
 struct ScenarioRun<'a> {
-    rig: Rig,
+    test_bed: TestBed,
     scenario: &'a str,
     replicas: usize,
     proxies: usize,
-    /// Slices of the controller.
+    /// Slices of the measured controller.
     own_slices: Vec<usize>,
     /// Slices of the other controllers.
     other_slices: Vec<usize>,
 }
 
 impl<'a> ScenarioRun<'a> {
-    fn new(times: usize, scenario: &'a str) -> Self {
-        let (replicas, proxies, slices) = (120 * times, 1600 * times, 660 * times);
-        let lines_per_second = 150_000.0 * times as f64;
+    fn new(size_factor: usize, scenario: &'a str) -> Self {
+        let (replicas, proxies, slices) = (120 * size_factor, 1600 * size_factor, 660 * size_factor);
+        let lines_per_second = 150_000.0 * size_factor as f64;
         let settings = read_settings(slices, lines_per_second);
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: local(8500), relay: local(6400) };
         let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
-        let rig = Rig::new(reducer, now, lines_per_second, proxies);
+        let test_bed = TestBed::new(reducer, now, lines_per_second, proxies);
         let (own_slices, other_slices) = (0..slices).partition(|slice| slice.is_multiple_of(CONTROLLERS));
-        ScenarioRun { rig, scenario, replicas, proxies, own_slices, other_slices }
+        ScenarioRun { test_bed, scenario, replicas, proxies, own_slices, other_slices }
     }
 
-    /// The relay's lines that grant these slices.
-    fn grants(&self, slices: &[usize]) -> Vec<String> {
+    /// Returns the lines with which the relay grants these slices.
+    fn grant_lines(&self, slices: &[usize]) -> Vec<String> {
         let grant = |slice: &usize| {
             let replica = slice / CONTROLLERS % self.replicas;
             [format!("* GRANT {slice} 1"), format!("* ROW {slice} s-{replica} 1")]
@@ -187,18 +188,18 @@
 
     fn start(&mut self) {
         let all = (0..self.replicas).map(|replica| (replica, "active", 0));
-        self.rig.apply(vec![endpoint_list(1, true, all)]);
-        // Where four other controllers die later, their proxies come later too.
+        self.test_bed.apply(vec![endpoint_list(1, true, all)]);
+        // If the four other controllers fail later, their proxies also join only then.
         let is_joined = self.scenario == "joined";
-        self.rig.proxies = if is_joined { self.proxies / CONTROLLERS } else { self.proxies };
+        self.test_bed.proxies = if is_joined { self.proxies / CONTROLLERS } else { self.proxies };
         let mut snapshot = vec!["OK".to_string()];
-        snapshot.extend((0..self.rig.proxies).map(proxy_joins));
-        snapshot.extend(self.grants(&self.own_slices));
+        snapshot.extend((0..self.test_bed.proxies).map(subscribe_line));
+        snapshot.extend(self.grant_lines(&self.own_slices));
         snapshot.push("*".to_string());
-        self.rig.apply(relay_events(snapshot.into_iter()));
+        self.test_bed.apply(relay_events(snapshot.into_iter()));
         for (from, zone) in (0..).zip(ZONES) {
             let message = Message::Source { zone: zone.into() };
-            self.rig.apply(vec![Event::Message { from, message }]);
+            self.test_bed.apply(vec![Event::Message { from, message }]);
         }
     }
 
@@ -224,94 +225,101 @@
         (0..self.replicas).map(endpoint).chain(self.own_slices.iter().map(demand)).collect()
     }
 
-    /// What the scenario is about.
+    /// Returns the events of the scenario's disturbance.
     fn disturb(&mut self) -> Vec<Event> {
-        let started = self.rig.milliseconds_since_epoch();
+        let started = self.test_bed.milliseconds_since_epoch();
         match self.scenario {
             "zone-lost" => {
                 let lost = (0..self.replicas).step_by(ZONES.len());
-                self.rig.pending_withdrawals = lost.clone().map(|replica| format!("s-{replica}")).collect();
+                self.test_bed.pending_withdrawals =
+                    lost.clone().map(|replica| format!("s-{replica}")).collect();
                 vec![endpoint_list(2, false, lost.map(|replica| (replica, "left", 0)))]
             }
             "replaced" => {
                 let replaced = self.replicas * 6 / 10;
                 let new = self.replicas..self.replicas + replaced;
-                self.rig.pending_withdrawals = (0..replaced).map(|replica| format!("s-{replica}")).collect();
+                self.test_bed.pending_withdrawals =
+                    (0..replaced).map(|replica| format!("s-{replica}")).collect();
                 vec![
                     endpoint_list(2, false, new.map(|replica| (replica, "active", started))),
                     endpoint_list(3, false, (0..replaced).map(|replica| (replica, "leaving", 0))),
                 ]
             }
             "joined" => {
-                let mut lines: Vec<_> = (self.rig.proxies..self.proxies).map(proxy_joins).collect();
-                lines.extend(self.grants(&self.other_slices));
+                let mut lines: Vec<_> = (self.test_bed.proxies..self.proxies).map(subscribe_line).collect();
+                lines.extend(self.grant_lines(&self.other_slices));
                 self.own_slices.extend(&self.other_slices);
-                self.rig.proxies = self.proxies;
+                self.test_bed.proxies = self.proxies;
                 relay_events(lines.into_iter())
             }
             _ => Vec::new(),
         }
     }
 
-    /// Runs all ticks; returns when the measured part began.
+    /// Runs all ticks, and returns the start of the measurement.
     fn run(&mut self) -> Moment {
-        let began = self.rig.now;
-        let mut measured_from = began;
+        let started_at = self.test_bed.now;
+        let mut measured_from = started_at;
         for tick in 0..TICKS {
-            self.rig.now = began + TICK.times(tick as f64);
+            self.test_bed.now = started_at + TICK.times(tick as f64);
             let mut events = if tick.is_multiple_of(TICKS_PER_REPORT) { self.reports() } else { Vec::new() };
             if tick == MEASURED_FROM_TICK {
-                (self.rig.iterations, self.rig.lines, measured_from) = (Vec::new(), 0.0, self.rig.now);
+                (self.test_bed.iteration_durations, self.test_bed.lines_sent, measured_from) =
+                    (Vec::new(), 0.0, self.test_bed.now);
                 events.extend(self.disturb());
             }
-            if self.scenario == "zone-lost" && tick == ZONE_BACK_TICK {
-                let started = self.rig.milliseconds_since_epoch();
-                let back = (0..self.replicas).step_by(ZONES.len());
-                events.push(endpoint_list(4, false, back.map(|replica| (replica, "active", started))));
+            if self.scenario == "zone-lost" && tick == ZONE_RECOVERY_TICK {
+                let started = self.test_bed.milliseconds_since_epoch();
+                let recovered = (0..self.replicas).step_by(ZONES.len());
+                events.push(endpoint_list(4, false, recovered.map(|replica| (replica, "active", started))));
             }
-            self.rig.apply_with_acknowledgements(events);
+            self.test_bed.apply_with_acknowledgements(events);
         }
         measured_from
     }
 }
 
-fn run_scenario(times: usize, scenario: &str) {
-    let mut run = ScenarioRun::new(times, scenario);
+fn run_scenario(size_factor: usize, scenario: &str) {
+    let mut run = ScenarioRun::new(size_factor, scenario);
     run.start();
     let measured_from = run.run();
-    let rig = &mut run.rig;
+    let test_bed = &mut run.test_bed;
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
-    rig.iterations.sort();
-    let quantile =
-        |part: f64| rig.iterations[((rig.iterations.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e3;
-    // A replica that no table of the controller names needs no command.
-    let is_notified = rig.notified_at > measured_from;
-    let notified = is_notified.then(|| format!("{:.2} s", (rig.notified_at - measured_from).seconds()));
+    test_bed.iteration_durations.sort();
+    let quantile = |part: f64| {
+        test_bed.iteration_durations[((test_bed.iteration_durations.len() - 1) as f64 * part) as usize]
+            .as_secs_f64()
+            * 1e3
+    };
+    // Replicas that are in none of the controller's routing tables are withdrawn without a command.
+    let is_notified = test_bed.notified_at > measured_from;
+    let notified = is_notified.then(|| format!("{:.2} s", (test_bed.notified_at - measured_from).seconds()));
     println!(
-        "| {scenario} | {times} | {:.2} | {:.1} | {:.0} | {:.0} | {memory} | {:.1} million | {} |",
+        "| {scenario} | {size_factor} | {:.2} | {:.1} | {:.0} | {:.0} | {memory} | {:.1} million | {} |",
         quantile(0.5),
         quantile(0.99),
         quantile(1.0),
-        rig.iterations.iter().sum::<Duration>().as_secs_f64() * 1e3,
-        rig.lines / 1e6,
+        test_bed.iteration_durations.iter().sum::<Duration>().as_secs_f64() * 1e3,
+        test_bed.lines_sent / 1e6,
         notified.unwrap_or("-".into()),
     );
 }
 
-/// Without arguments all rows, each by this program again.
+/// Without arguments, runs this program once for each row of the table, with the size factor and the scenario as
+/// arguments.
 fn main() {
     let arguments: Vec<_> = std::env::args().skip(1).filter(|argument| !argument.starts_with("--")).collect();
-    if let [times, scenario] = &arguments[..] {
-        return run_scenario(times.parse().unwrap(), scenario);
+    if let [size_factor, scenario] = &arguments[..] {
+        return run_scenario(size_factor.parse().unwrap(), scenario);
     }
     println!("| scenario | times | iteration, median ms | p99 | longest | all iterations of 20 s | peak memory | lines | last proxy notified of the last drain |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for scenario in SCENARIOS {
-        for times in ["1", "4", "16"] {
-            let this = std::env::current_exe().unwrap();
-            let ended = std::process::Command::new(this).args([times, scenario]).status().unwrap();
-            assert!(ended.success());
+        for size_factor in ["1", "4", "16"] {
+            let program = std::env::current_exe().unwrap();
+            let status = std::process::Command::new(program).args([size_factor, scenario]).status().unwrap();
+            assert!(status.success());
         }
     }
 }
