--- a/crates/controller/src/program/reader.rs
+++ b/crates/controller/src/program/reader.rs
@@ -93,7 +93,7 @@
     mut new_connections: mpsc::Receiver<AcceptedConnection>,
     heartbeat: Arc<AtomicU64>,
 ) {
-    // On Linux, the nice value applies to a single thread.
+    // On Linux, the nice value applies to this thread alone; on other systems, all threads keep the same priority.
     _ = rustix::process::nice(READER_NICENESS);
     // The tasks end when the system is dropped at the end of the thread.
     actix_rt::System::new().block_on(async move {
