--- a/crates/protocol/src/collector.rs
+++ b/crates/protocol/src/collector.rs
@@ -1,21 +1,22 @@
-//! Messages at the controller's own address: JSON lines, mostly from the collectors of the zones.
+//! Messages that the controller receives on its listening address. They are JSON lines, most of them load reports from
+//! the collectors of the zones.
 
 use super::error::{DecodeError, InvalidLine, InvalidMessage};
 use super::{is_plausible_count, is_plausible_time_ms};
 use serde::{Deserialize, Serialize};
 use serde_json::error::Category;
 
-/// A message of a peer.
+/// A message from a peer.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "@type")]
 pub enum Message {
-    /// Asks for a `Pong`.
+    /// Requests a `Pong` reply.
     #[serde(rename = "PING")]
     Ping,
     /// The first message of a collector or aggregator, which authenticates it.
     #[serde(rename = "SOURCE")]
     Source {
-        /// The zone that it reports for.
+        /// The zone that the peer reports for.
         #[serde(rename = "az")]
         zone: String,
     },
@@ -30,7 +31,7 @@
     Unknown,
 }
 
-/// The outcome of the requests that the proxies of a zone sent to a replica.
+/// The outcomes of the attempts that the proxies of one zone sent to one replica.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointReport {
     /// The zone of the proxies.
@@ -39,38 +40,38 @@
     /// The replica's name.
     #[serde(rename = "host")]
     pub replica: String,
-    /// The number of attempts that ended.
+    /// The number of attempts that completed.
     #[serde(rename = "n")]
     pub attempts: f64,
-    /// How count of these failed.
+    /// The number of completed attempts that failed.
     #[serde(rename = "bad")]
     pub failed: f64,
-    /// Their mean latency in milliseconds.
+    /// The mean latency of the completed attempts, in milliseconds.
     #[serde(rename = "avg")]
     pub mean_latency_ms: f64,
-    /// The time that the report covers, in milliseconds.
+    /// The length of the reported window, in milliseconds.
     #[serde(rename = "window")]
     pub window_ms: f64,
-    /// The number of zones whose reports are not in the sum, where an aggregator made the line.
+    /// The number of zones whose reports are missing from the aggregate, if an aggregator sent the line.
     #[serde(default)]
     pub missing: u32,
 }
 
-/// An endpoint report with what the replica reported of itself.
+/// The part of an endpoint report that holds the replica's own report.
 #[derive(Deserialize)]
 struct WithReplicaReport {
     #[serde(rename = "report", default)]
     replica_report: Option<ReplicaReport>,
 }
 
-/// What the replica last reported of itself.
+/// The replica's most recent report about itself.
 #[derive(Deserialize)]
 struct ReplicaReport {
     #[serde(rename = "inflight", default)]
     in_flight: Option<f64>,
 }
 
-/// The requests of one request class for a slice.
+/// The requests of one request class for one slice.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct DemandReport {
     /// The slice.
@@ -82,38 +83,38 @@
     /// The number of requests that arrived.
     #[serde(rename = "n")]
     pub requests: f64,
-    /// The number of requests that failed; some may have arrived before the time that the report covers.
+    /// The number of requests that failed within the window; some may have arrived before it.
     #[serde(rename = "bad")]
     pub failed: f64,
-    /// The time that the report covers, in milliseconds.
+    /// The length of the reported window, in milliseconds.
     #[serde(rename = "window")]
     pub window_ms: f64,
-    /// The number of zones whose reports are not in the sum, where an aggregator made the line.
+    /// The number of zones whose reports are missing from the aggregate, if an aggregator sent the line.
     #[serde(default)]
     pub missing: u32,
 }
 
-/// A reply of the controller.
+/// A reply from the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "@type")]
 pub enum Reply {
     /// The reply to a `Ping`.
     #[serde(rename = "PONG")]
     Pong,
-    /// The last message to a peer that is disconnected.
+    /// The last message to a peer before it is disconnected.
     #[serde(rename = "NACK")]
     Nack {
-        /// The reason.
+        /// The reason for the disconnection.
         why: &'static str,
     },
 }
 
-/// Encodes a reply, without the end of its line.
+/// Encodes a reply as JSON, without a line terminator.
 pub fn encode(reply: Reply) -> String {
     serde_json::to_string(&reply).unwrap_or_default()
 }
 
-/// A valid report whose names borrow from its line.
+/// A valid report whose names are borrowed from the line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Report<'a> {
     /// See [`EndpointReport`].
@@ -122,15 +123,15 @@
         zone: &'a str,
         /// The replica's name.
         replica: &'a str,
-        /// The number of attempts that ended.
+        /// The number of attempts that completed.
         attempts: f64,
-        /// How count of these failed.
+        /// The number of completed attempts that failed.
         failed: f64,
-        /// Their mean latency in milliseconds.
+        /// The mean latency of the completed attempts, in milliseconds.
         mean_latency_ms: f64,
-        /// The time that the report covers, in milliseconds.
+        /// The length of the reported window, in milliseconds.
         window_ms: f64,
-        /// The number of zones whose reports are not in the sum.
+        /// The number of zones whose reports are missing from the aggregate.
         missing: u32,
     },
     /// See [`DemandReport`].
@@ -143,14 +144,14 @@
         requests: f64,
         /// The number of requests that failed.
         failed: f64,
-        /// The time that the report covers, in milliseconds.
+        /// The length of the reported window, in milliseconds.
         window_ms: f64,
-        /// The number of zones whose reports are not in the sum.
+        /// The number of zones whose reports are missing from the aggregate.
         missing: u32,
     },
 }
 
-/// The fields of both kinds of report, decoded in one pass.
+/// The fields of both report types, decoded in one pass.
 #[derive(Deserialize)]
 struct Fields<'a> {
     #[serde(rename = "@type", borrow)]
@@ -177,8 +178,8 @@
     replica_report: Option<ReplicaReport>,
 }
 
-/// Decodes a valid report without allocating: the fast path of nearly every line. None for any other line, which
-/// [`decode_with_diagnosis`] decodes or says what is wrong with.
+/// Decodes a valid report without allocating: the fast path, taken by nearly every line. Returns `None` for any other
+/// line; [`decode_with_diagnosis`] decodes other messages and reports why a line is invalid.
 pub fn decode_report(line: &str) -> Option<Report<'_>> {
     let fields: Fields = serde_json::from_str(line).ok()?;
     let (count, failed, window_ms, missing) =
@@ -257,17 +258,17 @@
 ///
 /// # Errors
 ///
-/// As [`decode_with_diagnosis`].
+/// The same as those of [`decode_with_diagnosis`].
 pub fn decode(line: &str) -> Result<Message, InvalidMessage> {
     decode_report(line).map_or_else(|| decode_with_diagnosis(line), |report| Ok(report.into()))
 }
 
-/// Decodes a message of any type and any order of fields, more slowly than [`decode_report`].
+/// Decodes a message of any type with its fields in any order. Slower than [`decode_report`].
 ///
 /// # Errors
 ///
-/// Fails with `Unreadable` where the line is not JSON, and with `Malformed` where it is not a message or has an
-/// implausible number.
+/// Returns `Unreadable` if the line is not a JSON object, and `Malformed` if the object is not a valid message or
+/// contains an implausible number.
 pub fn decode_with_diagnosis(line: &str) -> Result<Message, InvalidMessage> {
     if !line.trim_start().starts_with('{') {
         return Err(InvalidMessage::Unreadable(DecodeError::new(InvalidLine::NotAnObject, line)));
@@ -278,21 +279,25 @@
     })?;
     let is_plausible = match &message {
         Message::EndpointReport(report) => {
-            // Nothing rests on what a replica reports of itself, but where that is malformed so is the message.
-            let with_own: WithReplicaReport =
+            // The replica's own report is not used, but if it is malformed, the whole message is rejected.
+            let extension: WithReplicaReport =
                 serde_json::from_str(line).map_err(|error| malformed(error, line))?;
             let (attempts, failed) = (report.attempts, report.failed);
-            let own = with_own.replica_report.as_ref();
-            is_plausible_endpoint_report(attempts, failed, report.mean_latency_ms, report.window_ms, own)
+            let replica_report = extension.replica_report.as_ref();
+            is_plausible_endpoint_report(
+                attempts,
+                failed,
+                report.mean_latency_ms,
+                report.window_ms,
+                replica_report,
+            )
         }
         Message::DemandReport(report) => {
             is_plausible_demand_report(report.requests, report.failed, report.window_ms)
         }
         _ => true,
     };
-    is_plausible
-        .then_some(message)
-        .ok_or_else(|| malformed(InvalidLine::OutOfRange("an absurd figure"), line))
+    is_plausible.then_some(message).ok_or_else(|| malformed(InvalidLine::OutOfRange("count or time"), line))
 }
 
 fn malformed(reason: impl Into<InvalidLine>, line: &str) -> InvalidMessage {
@@ -304,21 +309,21 @@
     failed: f64,
     mean_latency_ms: f64,
     window_ms: f64,
-    own: Option<&ReplicaReport>,
+    replica_report: Option<&ReplicaReport>,
 ) -> bool {
     is_plausible_count(attempts)
         && (0.0..=attempts).contains(&failed)
         && is_plausible_time_ms(mean_latency_ms)
         && is_plausible_window(window_ms)
-        && own.is_none_or(|own| is_plausible_count(own.in_flight.unwrap_or(0.0)))
+        && replica_report.is_none_or(|report| is_plausible_count(report.in_flight.unwrap_or(0.0)))
 }
 
-/// There may be more failures than requests: those of requests that arrived before the report's window fail within it.
+/// Failures may outnumber requests, because requests that arrived before the window can fail within it.
 fn is_plausible_demand_report(requests: f64, failed: f64, window_ms: f64) -> bool {
     is_plausible_count(requests) && is_plausible_count(failed) && is_plausible_window(window_ms)
 }
 
-/// A report covers more than an instant.
+/// Returns true if a window has a positive, plausible length.
 fn is_plausible_window(window_ms: f64) -> bool {
     window_ms > 0.0 && is_plausible_time_ms(window_ms)
 }
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of the service registry, as its watch delivers it: complete, or as changes.
+//! The endpoint list of the service registry, as delivered by the registry watch: complete lists and changes.
 
 use super::error::{DecodeError, InvalidLine};
 use super::is_plausible_count;
@@ -8,12 +8,12 @@
 /// One message of the registry watch.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct List {
-    /// The version that the registry has after this message.
+    /// The registry's version after this message.
     pub version: u64,
-    /// Whether it names all endpoints: those that it does not name are gone.
+    /// True if the message lists all endpoints, so that every endpoint missing from it is gone.
     #[serde(rename = "full")]
     pub is_complete: bool,
-    /// The endpoints that it names.
+    /// The listed endpoints.
     #[serde(rename = "servers")]
     pub entries: Vec<Entry>,
 }
@@ -24,33 +24,33 @@
     /// The replica's name.
     #[serde(rename = "id")]
     pub replica: String,
-    /// The zone that it runs in.
+    /// The zone that the replica runs in.
     #[serde(rename = "zone")]
     pub zone: String,
-    /// The kind of machine that it runs on; empty where the registry does not say.
+    /// The type of the replica's machine; empty if the registry does not provide it.
     #[serde(rename = "kind", default)]
     pub machine: String,
-    /// Where it is in its life cycle.
+    /// The lifecycle state of the endpoint.
     #[serde(rename = "state")]
     pub state: State,
-    /// Its capacity relative to other replicas.
+    /// The capacity relative to other replicas.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When it started, in milliseconds of Unix time; 0 where that was long ago.
+    /// The start time in milliseconds since the Unix epoch; 0 if the replica started long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
 
-/// Where an endpoint is in its life cycle.
+/// The lifecycle state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub enum State {
-    /// It serves requests.
+    /// Serving requests.
     #[serde(rename = "active")]
     Ready,
-    /// It is shutting down gracefully, and is to get no new requests.
+    /// Shutting down gracefully; must not receive new requests.
     #[serde(rename = "leaving")]
     Draining,
-    /// It is no longer there.
+    /// No longer running.
     #[serde(rename = "left")]
     Gone,
 }
@@ -69,16 +69,16 @@
     1.0
 }
 
-/// The path of a watch that continues after this version of the list.
+/// Returns the URL path of a watch that reports the changes after version `since` of the list.
 pub fn watch_path(since: u64) -> String {
     format!("/registry/instances?follow=1&since={since}")
 }
 
-/// Decodes a line of the watch; none for an empty one, which is a heartbeat.
+/// Decodes a line of the registry watch. Returns `None` for an empty line, which is a heartbeat.
 ///
 /// # Errors
 ///
-/// Fails where the line is not a list in JSON, or a weight in it is implausible.
+/// Fails if the line is not a JSON list message or contains an implausible weight.
 pub fn decode(line: &str) -> Result<Option<List>, DecodeError> {
     if line.trim().is_empty() {
         return Ok(None);
@@ -87,5 +87,5 @@
     let is_plausible = list.entries.iter().all(|entry| is_plausible_count(entry.weight));
     is_plausible
         .then_some(Some(list))
-        .ok_or_else(|| DecodeError::new(InvalidLine::OutOfRange("an absurd size"), line))
+        .ok_or_else(|| DecodeError::new(InvalidLine::OutOfRange("weight"), line))
 }
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,56 +1,56 @@
-//! What can be wrong with a received line.
+//! Errors in decoding received lines.
 
 use std::sync::Arc;
 
-/// The number of characters of a faulty line that an error quotes: as many as a log should hold.
+/// The number of characters of an invalid line that an error quotes; limits the length of log lines.
 const MAX_EXCERPT_CHARS: usize = 80;
 
-/// Why a line is not a valid message. Its text quotes the start of the line.
+/// The reason why a line is not a valid message. The error text quotes the start of the line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
     /// The line is not UTF-8.
-    #[error("a line is no text")]
+    #[error("line is not valid UTF-8")]
     NotUtf8,
-    /// The line is text, but not a message.
+    /// The line is valid UTF-8, but not a valid message.
     #[error("{reason}, in {excerpt:?}")]
     InvalidLine {
-        /// What is wrong with it.
+        /// The reason why the line is invalid.
         reason: InvalidLine,
         /// The start of the line.
         excerpt: String,
     },
 }
 
-/// What is wrong with a line of text.
+/// The reason why a line of text is not a valid message.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidLine {
-    /// It is not an event of the relay watch.
-    #[error("no news")]
+    /// The line is not an event of the relay watch.
+    #[error("not a relay watch event")]
     NotAnEvent,
-    /// It is an event of the relay watch, but of an unknown kind.
-    #[error("news of an unknown kind")]
+    /// The line is an event of the relay watch, but of an unknown type.
+    #[error("unknown type of relay watch event")]
     UnknownEvent,
-    /// It is not a response to a relay request.
-    #[error("no answer to a call")]
+    /// The line is not a response to a relay request.
+    #[error("not a response to a relay request")]
     NotAResponse,
-    /// The named field is absent.
-    #[error("no {0}")]
+    /// The named field is missing.
+    #[error("missing field `{0}`")]
     MissingField(&'static str),
-    /// A word that must be a number cannot be parsed as one of the right type.
-    #[error("{0:?} is no usable number")]
+    /// A numeric field cannot be parsed as a number of its type. Holds the text of the field.
+    #[error("invalid number {0:?}")]
     InvalidNumber(String),
     /// The named field is out of range.
-    #[error("{0}")]
+    #[error("{0} out of range")]
     OutOfRange(&'static str),
-    /// It does not begin a JSON object.
-    #[error("no JSON object")]
+    /// The line does not start with `{`.
+    #[error("not a JSON object")]
     NotAnObject,
-    /// It is not JSON, or not of the expected shape.
+    /// The line is not valid JSON, or does not have the expected structure.
     #[error(transparent)]
     Json(#[from] JsonError),
 }
 
-/// A failure of the JSON decoder. Two are equal where their texts are.
+/// An error of the JSON decoder. Two errors are equal if their texts are equal.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct JsonError(Arc<serde_json::Error>);
@@ -61,17 +61,17 @@
     }
 }
 
-/// How much of what a connection sends is lost with a faulty message.
+/// An invalid message, by whether the rest of its connection can still be decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidMessage {
-    /// This message alone; those before and after it are sound.
+    /// Only this message is invalid; other messages on the connection are not affected.
     Malformed(DecodeError),
-    /// All that follows on its connection as well: the peer does not speak this protocol.
+    /// The peer does not speak this protocol, so that nothing further on the connection can be decoded.
     Unreadable(DecodeError),
 }
 
 impl InvalidMessage {
-    /// A line that is not UTF-8: the lines that follow cannot be told apart either.
+    /// Returns the error for a line that is not UTF-8. The line boundaries after it are not reliable either.
     pub fn not_utf8() -> Self {
         InvalidMessage::Unreadable(DecodeError::NotUtf8)
     }
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -1,30 +1,30 @@
-//! The relay's lines of text: watch events that it sends, requests with commands, and its responses.
+//! The text protocol of the relay: watch events that the relay sends, requests with commands, and responses to them.
 
 use super::error::{DecodeError, InvalidLine};
 use super::is_plausible_count;
 use std::str::{FromStr, SplitAsciiWhitespace};
 use whinwall_policy::api::{ProxyId, SliceId};
 
-/// The largest size of all commands of one request, in bytes.
+/// The largest total size of the commands in one request, in bytes.
 pub const MAX_REQUEST_BYTES: usize = 60_000;
-/// The line that subscribes a connection to watch events.
+/// The request line that subscribes a connection to watch events.
 pub const WATCH_REQUEST: &str = "WATCH";
 
 /// An event of the relay watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayEvent {
-    /// The watch is open: a snapshot of the current state follows, then changes as they happen.
+    /// The watch is open. A snapshot of the current state follows, then each change as it happens.
     SnapshotStarted,
-    /// Nothing has changed.
+    /// Sent periodically while nothing changes.
     Heartbeat,
-    /// A proxy is connected to the relay.
+    /// A proxy has connected to the relay.
     ProxyJoined {
         /// The proxy.
         proxy: ProxyId,
-        /// Whether it has no routing table from an earlier connection.
+        /// True if the proxy has no routing table from an earlier connection.
         has_no_table: bool,
     },
-    /// A proxy is no longer connected.
+    /// A proxy has disconnected from the relay.
     ProxyLeft {
         /// The proxy.
         proxy: ProxyId,
@@ -46,13 +46,13 @@
         /// The slice.
         slice: SliceId,
     },
-    /// The relay's store has this endpoint in a slice's routing table.
+    /// An endpoint in a slice's routing table, as stored by the relay.
     EndpointSet {
         /// The slice.
         slice: SliceId,
         /// The replica's name.
         replica: String,
-        /// Its weight in the table.
+        /// The weight of the endpoint in the routing table.
         weight: f64,
     },
 }
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the line is not an event, or one of its fields is missing or invalid.
+/// Fails if the line is not a known event, or if one of its fields is missing or invalid.
 pub fn decode_event(line: &str) -> Result<RelayEvent, DecodeError> {
     let mut fields = Fields { words: line.split_ascii_whitespace(), line };
     match fields.words.next() {
@@ -98,7 +98,7 @@
     })
 }
 
-/// The words of a line that are not read yet.
+/// The remaining words of a line.
 struct Fields<'a> {
     words: SplitAsciiWhitespace<'a>,
     line: &'a str,
@@ -121,19 +121,19 @@
     }
 }
 
-/// A command to the relay, in the names that it knows.
+/// A command to the relay, with slices and replicas by their names on the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Sets or, with weight 0, removes an endpoint of a routing table.
+    /// Sets an endpoint of a routing table, or removes it if the weight is 0.
     SetEndpoint {
         /// The slice whose routing table changes.
         slice: SliceId,
         /// The replica's name.
         replica: String,
-        /// Its weight in the table.
+        /// The weight of the endpoint in the routing table.
         weight: f64,
     },
-    /// Withdraws a replica from all routing tables, whose endpoints stay as they are.
+    /// Withdraws a replica from all routing tables without changing their endpoints.
     Withdraw {
         /// The replica's name.
         replica: String,
@@ -143,35 +143,35 @@
         /// The replica's name.
         replica: String,
     },
-    /// Sets how many requests proxies admit, and how often they retry.
+    /// Sets the admission rate and the retry limit of the proxies.
     SetAdmission {
-        /// The slice that it holds for; none for all slices.
+        /// The slice that the limits apply to; `None` for all slices.
         slice: Option<SliceId>,
-        /// The request classes that it holds for; empty for all.
+        /// The request classes that the limits apply to; empty for all.
         request_classes: Vec<String>,
-        /// The share of requests that is admitted, 0 to 1.
+        /// The fraction of requests that is admitted, from 0 to 1.
         share: f64,
-        /// The largest number of retries of one request.
+        /// The maximum number of retries per request.
         retries: u8,
     },
-    /// Asks proxies to acknowledge all commands so far under a version.
+    /// Requests that proxies acknowledge all commands up to this one with a version.
     Sync {
         /// The version.
         number: u16,
     },
 }
 
-/// Which proxies acknowledge a version.
+/// The set of proxies that acknowledge a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncScope {
-    /// Those that the other commands of its request reach.
+    /// The proxies that are affected by the other commands of the same request.
     ReachedProxies,
-    /// All that are connected.
+    /// All connected proxies.
     AllProxies,
 }
 
 impl Command {
-    /// The slice whose routing table or admission it changes, where it is a single one.
+    /// Returns the slice whose routing table or admission the command changes, if it concerns a single slice.
     pub fn slice(&self) -> Option<SliceId> {
         match self {
             Command::SetEndpoint { slice, .. } => Some(*slice),
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The version that it asks proxies to acknowledge.
+    /// Returns the version that proxies are to acknowledge, if the command is a `Sync`.
     pub fn version(&self) -> Option<u16> {
         match self {
             Command::Sync { number } => Some(*number),
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Its text in a request; `scope` matters to `Sync` only.
+    /// Encodes the command for a request. `scope` only affects `Sync`.
     pub fn encode(&self, scope: SyncScope) -> String {
         match self {
             Command::SetEndpoint { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
@@ -207,7 +207,7 @@
     }
 }
 
-/// Encodes a request that applies these commands in order.
+/// Encodes a request that applies the commands in order.
 pub fn encode_request(commands: &[&str]) -> String {
     format!("APPLY {}", commands.join(";"))
 }
@@ -215,11 +215,11 @@
 /// The relay's response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// So many commands were applied, counted from the first.
+    /// The number of commands that were applied, counted from the first command of the request.
     Accepted(usize),
-    /// Nothing was applied; the same request may be accepted later. Holds the relay's text.
+    /// No command was applied; a retry may succeed. Holds the relay's text.
     Retryable(String),
-    /// Nothing was applied, and a retry would fail alike. Holds the relay's text.
+    /// No command was applied, and a retry would fail in the same way. Holds the relay's text.
     Rejected(String),
 }
 
@@ -227,7 +227,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the line is not a response; whether the request was applied is unknown then.
+/// Fails if the line is not a response; the outcome of the request is then unknown.
 pub fn decode_response(line: &str) -> Result<Response, DecodeError> {
     let not_a_response = || DecodeError::new(InvalidLine::NotAResponse, line);
     let mut words = line.split_ascii_whitespace();
@@ -235,7 +235,7 @@
         let accepted = words.next().filter(|_| words.next().is_none()).and_then(|word| word.parse().ok());
         return accepted.map(Response::Accepted).ok_or_else(not_a_response);
     }
-    // The error code stands alone or behind a word of its kind.
+    // The error code may be the whole line, or follow a prefix such as `ERR`.
     let mut words = line.split(|c: char| !c.is_ascii_alphanumeric() && c != '_');
     words
         .find_map(|word| match word {
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,11 +1,12 @@
-//! A clock that shows the wall time of the start and never jumps from then on.
+//! A monotonic clock that is set to the wall-clock time once, when it starts.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use whinwall_overrides::ClockReading;
 use whinwall_policy::time::{Moment, Span};
 
-/// The clock of the decisions: wall time at its start, monotonic since.
+/// The clock that decisions are based on. Starts at the wall-clock time and advances monotonically, so that steps of the
+/// wall clock do not affect it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     wall_at_start: Moment,
@@ -13,18 +14,18 @@
 }
 
 impl Clock {
-    /// Starts at the current wall time.
+    /// Starts the clock at the current wall-clock time.
     pub fn start() -> Self {
         Clock { wall_at_start: Clock::wall_time(), start: Instant::now() }
     }
 
-    /// The current time of this clock.
+    /// Returns the current time of this clock.
     pub fn now(&self) -> Moment {
         self.moment_of(Instant::now())
     }
 
-    /// Reads the clocks of the machine: its time since boot, which goes on in suspend and over steps of the wall clock,
-    /// and the wall clock.
+    /// Reads the clocks of the machine: the time since boot, which includes time in suspend and is not affected by steps
+    /// of the wall clock, and the wall clock.
     pub fn read_machine_clocks() -> ClockReading {
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
         let since = clock_gettime(ClockId::Boottime);
@@ -33,19 +34,19 @@
         ClockReading { boot_id: boot.trim().into(), uptime, wall_time: Clock::wall_time() }
     }
 
-    /// The wall clock of the machine, which may be stepped.
+    /// Returns the machine's wall-clock time, which may be stepped.
     pub fn wall_time() -> Moment {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Moment::at_ns(since_epoch.as_nanos() as u64)
     }
 
-    /// The time of this clock at an instant; its start for an earlier one.
+    /// Returns the time of this clock at an instant, or its start time if the instant is earlier.
     pub fn moment_of(&self, instant: Instant) -> Moment {
         let since_start = instant.saturating_duration_since(self.start);
         self.wall_at_start + Span::ns(since_start.as_nanos() as u64)
     }
 
-    /// The time from now until then; zero if it has passed.
+    /// Returns the duration from now until `at`; zero if `at` has passed.
     pub fn duration_until(&self, at: Moment) -> Duration {
         Duration::from_nanos((at - self.now()).as_ns())
     }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs share around their event loops: clocks, log output, process signals and owned tasks.
+//! Runtime services that the programs' event loops share: clocks, logging, process signals and owned tasks.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/runtime/src/logger.rs
+++ b/crates/runtime/src/logger.rs
@@ -1,5 +1,5 @@
-//! The log on standard error, as text or as JSON lines. It never blocks, and writes a bounded number of lines of one
-//! kind in a second.
+//! Logging to standard error, as text or JSON lines. Never blocks, and writes a limited number of lines per second from
+//! each callsite.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use serde_json::{Map, Value};
@@ -17,35 +17,35 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The longest line in bytes: a pipe that is writable takes this much without blocking.
+/// The maximum length of a line in bytes. A pipe that is writable accepts this much without blocking.
 const MAX_LINE_BYTES: usize = 1000;
-/// The longest message of a JSON line in bytes.
+/// The maximum length of the message in a JSON line, in bytes.
 const MAX_JSON_MESSAGE_BYTES: usize = MAX_LINE_BYTES / 2;
-/// The longest text field of a JSON line in bytes.
+/// The maximum length of a text field in a JSON line, in bytes.
 const MAX_JSON_FIELD_BYTES: usize = MAX_LINE_BYTES / 4;
-/// The period over which lines of one kind are counted.
+/// The period over which the lines of each callsite are counted.
 const RATE_LIMIT_PERIOD: Duration = Duration::from_secs(1);
-/// Fields that begin so repeat the metadata of a record of the `log` facade.
+/// The prefix of fields that repeat the metadata of a record from the `log` facade.
 const LOG_FACADE_PREFIX: &str = "log.";
 
-/// How lines are written.
+/// The output format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Level, message and `name=value` for each field.
+    /// Level and message, followed by `name=value` for each field.
     #[default]
     Text,
-    /// One JSON object.
+    /// One JSON object per line.
     Json,
 }
 
-/// Changes the format of the running logger; text until it is set.
+/// Changes the format of the running logger. The initial format is text.
 #[derive(Clone, Default)]
 pub struct LogFormatSwitch {
     is_json: Arc<AtomicBool>,
 }
 
 impl LogFormatSwitch {
-    /// Writes the lines from now on in this format.
+    /// Sets the format of all subsequent lines.
     pub fn set(&self, format: LogFormat) {
         self.is_json.store(format == LogFormat::Json, Ordering::Relaxed);
     }
@@ -64,26 +64,26 @@
     level: LevelFilter,
     lines_per_second: u32,
     format: LogFormatSwitch,
-    /// By the callsite, that is, by kind: a flood of one kind hides no other.
+    /// One limit per callsite, so that a flood of lines from one callsite does not suppress the lines of others.
     rate_limits: Mutex<BTreeMap<Callsite, RateLimit>>,
 }
 
-/// Where in the code a line is logged.
+/// The source location that a line is logged from.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Callsite {
     file: Option<String>,
     line: Option<u32>,
 }
 
-/// The lines of one kind in the current period.
+/// The line count of one callsite in the current period.
 struct RateLimit {
     period_began: Instant,
     lines: u32,
-    /// Lines that were suppressed since the last one that was written.
+    /// The number of lines suppressed since the last written line.
     suppressed: u64,
 }
 
-/// The message of an event, and the fields of an event or span by name.
+/// The message of an event, and the named fields of an event or span.
 #[derive(Default)]
 struct Record {
     message: String,
@@ -112,8 +112,8 @@
     }
 }
 
-/// Writes everything that the process logs from now on, at most so many lines of one kind in a second. Only the first
-/// call in a process has an effect.
+/// Installs the global logger of the process, which writes at most `lines_per_second` lines per second from each
+/// callsite. Only the first call in a process has an effect.
 pub fn start(level: LevelFilter, lines_per_second: u32) -> LogFormatSwitch {
     let format = LogFormatSwitch::default();
     let logger = Logger {
@@ -125,7 +125,7 @@
     };
     let subscriber = tracing_subscriber::registry().with(logger);
     if tracing::subscriber::set_global_default(subscriber).is_ok() {
-        // Some libraries log through the `log` facade.
+        // Forwards records of libraries that use the `log` facade.
         _ = tracing_log::LogTracer::init();
     }
     format
@@ -136,7 +136,7 @@
         RateLimit { period_began: now, lines: 0, suppressed: 0 }
     }
 
-    /// The number of lines that were suppressed before this one; none if this one is to be suppressed too.
+    /// Counts a line. Returns the number of lines suppressed before it, or `None` if it must be suppressed too.
     fn admit(&mut self, now: Instant, max_lines: u32) -> Option<u64> {
         if now - self.period_began >= RATE_LIMIT_PERIOD {
             self.period_began = now;
@@ -152,11 +152,11 @@
 }
 
 impl Logger {
-    /// The number of lines of this kind that were suppressed before this one; none if this one is suppressed too.
+    /// Returns the number of lines of this callsite suppressed before this one, or `None` if it is suppressed too.
     fn admit(&self, metadata: &Metadata) -> Option<u64> {
         let now = Instant::now();
         let callsite = Callsite { file: metadata.file().map(str::to_string), line: metadata.line() };
-        // A thread that panicked while it held the lock silences the log: the process is about to start anew.
+        // If a thread panicked while holding the lock, nothing more is logged; the process is about to restart.
         let mut rate_limits = self.rate_limits.lock().ok()?;
         let rate_limit = rate_limits.entry(callsite).or_insert_with(|| RateLimit::begin(now));
         rate_limit.admit(now, self.lines_per_second)
@@ -165,9 +165,9 @@
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for Logger {
     fn enabled(&self, metadata: &Metadata, _: Context<S>) -> bool {
-        // Of libraries only warnings and errors are of interest.
-        let is_ours = metadata.target().starts_with("whinwall");
-        *metadata.level() <= self.level && (is_ours || *metadata.level() <= Level::WARN)
+        // Libraries log warnings and errors only.
+        let is_own_code = metadata.target().starts_with("whinwall");
+        *metadata.level() <= self.level && (is_own_code || *metadata.level() <= Level::WARN)
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
@@ -213,7 +213,7 @@
     }
 }
 
-/// Drops the line where standard error is not writable now.
+/// Writes a line to standard error, or drops it if standard error is not writable without blocking.
 fn write_without_blocking(line: &str) {
     let stderr = std::io::stderr();
     let mut readiness = [PollFd::new(&stderr, PollFlags::OUT)];
@@ -222,20 +222,20 @@
     }
 }
 
-/// A span that an event was logged in.
+/// The name and fields of a span that encloses an event.
 struct SpanFields {
     name: &'static str,
     fields: Map<String, Value>,
 }
 
-/// A line of the log, before it is formatted.
+/// A log line before formatting.
 struct Line<'a> {
     seconds_since_start: f64,
     metadata: &'a Metadata<'a>,
     record: Record,
-    /// From the outermost to the innermost.
+    /// The enclosing spans, outermost first.
     spans: Vec<SpanFields>,
-    /// Lines of the same kind that were suppressed before this one.
+    /// The number of lines of the same callsite that were suppressed before this one.
     suppressed: u64,
 }
 
@@ -253,12 +253,12 @@
             line.push(']');
         }
         if self.suppressed > 0 {
-            _ = write!(line, " ({} of the kind left out before this one)", self.suppressed);
+            _ = write!(line, " ({} similar lines suppressed)", self.suppressed);
         }
         truncate(&line.replace('\n', " "), MAX_LINE_BYTES).to_string() + "\n"
     }
 
-    /// The message and the fields are truncated, never the line, which would be no JSON then.
+    /// Truncates the message and the text fields, but never the whole line, which would make it invalid JSON.
     fn into_json(self) -> String {
         let mut line = Map::new();
         line.insert("t".into(), ((self.seconds_since_start * 1000.0).round() / 1000.0).into());
@@ -283,10 +283,10 @@
     }
 }
 
-/// Appends ` name=value` for each field; texts stand there as they are, without quotes or escapes.
+/// Appends ` name=value` for each field. Text values are written without quotes or escapes.
 fn push_fields(line: &mut String, fields: &Map<String, Value>) {
     for (name, value) in fields {
-        // Writing to a `String` does not fail.
+        // Writing to a `String` cannot fail.
         _ = match value {
             Value::String(text) => write!(line, " {name}={text}"),
             value => write!(line, " {name}={value}"),
@@ -294,7 +294,7 @@
     }
 }
 
-/// The longest prefix of whole characters within so many bytes.
+/// Returns the longest prefix of whole characters that is at most `max_bytes` long.
 fn truncate(text: &str, max_bytes: usize) -> &str {
     &text[..text.floor_char_boundary(max_bytes.min(text.len()))]
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,4 +1,4 @@
-//! The process signals that end the program or have it reload its configuration, and those that it ignores on purpose.
+//! Process signals: termination, configuration reload, and signals that are deliberately ignored.
 
 use actix_rt::signal::unix::{self, signal, SignalKind};
 use std::fmt;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// A signal has asked the program to end.
+/// A request to terminate the program, made by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Termination {
     /// The name of the signal: `SIGTERM` or `SIGINT`.
@@ -19,10 +19,10 @@
     }
 }
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// End the program.
+    /// Terminate the program (`SIGTERM` or `SIGINT`).
     Terminate(Termination),
     /// Reload the configuration (`SIGHUP`).
     Reload,
@@ -33,17 +33,17 @@
     terminate: unix::Signal,
     interrupt: unix::Signal,
     hangup: unix::Signal,
-    /// Their default action would end the program, and no request in flight would be answered.
+    /// Signals whose default action would terminate the program without responses to the requests in flight.
     ignored: [unix::Signal; 2],
-    /// A reload was asked for while `sleep` was waiting.
+    /// True if a reload was requested while `sleep` was waiting.
     is_reload_pending: bool,
 }
 
 impl Signals {
-    /// Replaces the default actions of the signals; needs a running runtime.
+    /// Installs handlers that replace the default actions of the signals. Must be called within a running runtime.
     ///
     /// # Errors
-    /// Where the system refuses a handler.
+    /// Fails if the operating system rejects a handler.
     pub fn listen() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Waits for the next signal. Termination comes before a reload.
+    /// Waits for the next signal. If several are pending, termination takes precedence over a reload.
     pub async fn next(&mut self) -> Signal {
         let [user_1, user_2] = &mut self.ignored;
         loop {
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Sleeps. A reload that is asked for meanwhile is returned by `next` later, as the configuration that was read
-    /// before may be old.
+    /// Sleeps. A reload requested in the meantime is returned by a later call of `next`, since the configuration that
+    /// was read before may be out of date.
     ///
     /// # Errors
-    /// Where the program is to end; at once.
+    /// Returns the termination without further delay if one is requested.
     pub async fn sleep(&mut self, duration: Duration) -> Result<(), Termination> {
         let wake_at = Instant::now() + duration;
         let mut is_reload_pending = false;
--- a/crates/runtime/src/task.rs
+++ b/crates/runtime/src/task.rs
@@ -1,13 +1,13 @@
-//! A task of the runtime that ends with its owner.
+//! A task that is aborted when its owner drops it.
 
 use actix_rt::task::JoinHandle;
 use std::future::Future;
 
-/// Aborts its task when it is dropped.
+/// A handle that aborts its task when dropped.
 pub struct Task(JoinHandle<()>);
 
 impl Task {
-    /// Starts the work on the current thread's runtime.
+    /// Spawns `work` on the runtime of the current thread.
     pub fn spawn(work: impl Future<Output = ()> + 'static) -> Self {
         Task(actix_rt::spawn(work))
     }
