--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -365,8 +365,7 @@
         assert_eq!(rig.other_effects.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since }));
     }
     rig.send_list();
-    let notes =
-        ["registry watch failed reason=\"closed by the peer\"", "registry watch recovered failures=2"];
+    let notes = ["registry watch failed reason=\"closed by peer\"", "registry watch recovered failures=2"];
     assert_eq!(rig.logs, notes, "an outage is worth two lines, not one an attempt");
 }
 
--- a/crates/serving/src/http/connection.rs
+++ b/crates/serving/src/http/connection.rs
@@ -69,7 +69,7 @@
         loop {
             let (response, is_last) = match self.read_request(idle_timeout, &mut signal).await {
                 Incoming::Request(request) => {
-                    (handle_request(handler, request).await, !self.codec.keep_alive())
+                    (call_handler(handler, request).await, !self.codec.keep_alive())
                 }
                 Incoming::Invalid(status, reason) => (handler.reject(status, reason), true),
                 Incoming::Ended => break,
@@ -220,7 +220,7 @@
 }
 
 /// Returns the handler's response, or an error response if the handler panics.
-async fn handle_request(handler: &impl Handler, request: HttpRequest) -> HttpResponse {
+async fn call_handler(handler: &impl Handler, request: HttpRequest) -> HttpResponse {
     let handled = AssertUnwindSafe(handler.handle(request)).catch_unwind().await;
     let panicked = |_| handler.reject(StatusCode::INTERNAL_SERVER_ERROR, "a fault of the program's");
     handled.unwrap_or_else(panicked)
--- a/crates/transport/src/bounds.rs
+++ b/crates/transport/src/bounds.rs
@@ -1,22 +1,22 @@
-//! What all connections to the program's own address may cost together.
+//! Limits shared by all connections to the program's listening address.
 
 use super::framing::PartialLineBudget;
 use super::limits;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Bounds on the connections to the program's own address; clones share them.
+/// Limits on the connections to the program's listening address. Clones share the same limits.
 #[derive(Clone)]
 pub struct Bounds {
     pub(crate) max_connections: usize,
     pub(crate) partial_lines: PartialLineBudget,
-    /// One permit for each byte of queued lines.
+    /// Holds one permit per byte of queued lines.
     queued_bytes: Arc<Semaphore>,
 }
 
 impl Bounds {
-    /// So many connections, and so many bytes each of incomplete lines and of queued lines. The longest line
-    /// always fits.
+    /// Limits the number of connections to `max_connections`, and the memory for incomplete lines and for queued lines
+    /// to `max_bytes` each. The limit for queued lines is at least the size of the longest line.
     pub fn new(max_connections: usize, max_bytes: usize) -> Self {
         let queued_bytes = max_bytes.clamp(limits::MAX_LINE_BYTES, u32::MAX as usize);
         Bounds {
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Waits for the memory of a queued line. None once the program ends.
+    /// Waits until memory for a queued line is available, and reserves it. Returns `None` if the program
+    /// is ending.
     pub(crate) async fn reserve_queued(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let bytes = bytes.clamp(1, limits::MAX_LINE_BYTES) as u32;
         self.queued_bytes.clone().acquire_many_owned(bytes).await.ok()
--- a/crates/transport/src/closing.rs
+++ b/crates/transport/src/closing.rs
@@ -1,4 +1,4 @@
-//! How a connection learns that it is to close: the program ends, or the listener needs its place.
+//! Notification of a connection that it must close, because of the shutdown or an eviction by the listener.
 
 use super::limits;
 use std::sync::Arc;
@@ -6,39 +6,39 @@
 use tokio::time::Instant;
 use whinwall_serving::shutdown::ShutdownSignal;
 
-/// The end of a listener with its connections.
+/// The shutdown of a listener and its connections.
 #[derive(Clone)]
 pub struct ConnectionShutdown {
-    /// Says when.
+    /// The signal that starts the shutdown.
     pub signal: ShutdownSignal,
-    /// The line that an unauthenticated peer gets whose line was read in part.
+    /// The line sent to an unauthenticated peer whose last line was received but not answered; empty for none.
     pub notice: Arc<str>,
 }
 
 impl ConnectionShutdown {
-    /// For a listener that ends with its task.
+    /// Returns a shutdown that never starts, for a listener that ends when its task is dropped.
     pub fn never() -> Self {
         ConnectionShutdown { signal: ShutdownSignal::never(), notice: Arc::from("") }
     }
 }
 
-/// Why and until when a connection closes.
+/// The reason for closing a connection, and the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Closing {
-    /// Whether the listener needs its place.
+    /// True if the listener evicts the connection; false for a shutdown.
     pub is_eviction: bool,
-    /// What was read is answered until then.
+    /// The deadline for the replies to the lines that were read.
     pub deadline: Instant,
 }
 
-/// Completes when a connection is to close.
+/// Notifies a connection that it must close.
 pub(crate) struct ClosingSignal {
     pub evicted: oneshot::Receiver<()>,
     pub shutdown: ConnectionShutdown,
 }
 
 impl ClosingSignal {
-    /// Waits until the connection is to close; not to be called again then.
+    /// Waits until the connection must close. Must not be called again after it has returned.
     pub async fn closing(&mut self) -> Closing {
         tokio::select! {
             biased;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to the program's own address, read to its end: line by line, and once its peer is authenticated,
-//! where there are chunk readers, in chunks of complete lines for them.
+//! A connection to the program's listening address. It is read line by line. If there are chunk readers, it is read in
+//! chunks of complete lines after its peer is authenticated.
 
 mod chunks;
 mod lines;
@@ -18,10 +18,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// What the listener needs to know of a connection, wherever it is read.
+/// The state of a connection that its reader shares with the listener.
 pub struct Peer {
     is_authenticated: AtomicBool,
-    /// When it last sent a line, in milliseconds since `connected_at`.
+    /// The time of the last line from the peer, in milliseconds since `connected_at`.
     last_active_ms: AtomicU64,
     connected_at: Instant,
 }
@@ -43,10 +43,11 @@
         self.connected_at + std::time::Duration::from_millis(self.last_active_ms.load(Ordering::Relaxed))
     }
 
-    /// Whether it has not named its zone in the time that a peer needs for that, nor sent anything lately.
+    /// Returns true if the peer is not authenticated and has neither connected nor sent a line within the last
+    /// [`limits::EVICTION_GRACE_PERIOD`].
     pub(crate) fn is_unauthenticated_and_idle(&self, now: Instant) -> bool {
-        let idle = now.saturating_duration_since(self.last_active());
-        !self.is_authenticated() && idle >= limits::FIRST_LINE_PERIOD
+        let idle_time = now.saturating_duration_since(self.last_active());
+        !self.is_authenticated() && idle_time >= limits::EVICTION_GRACE_PERIOD
     }
 
     fn set_active(&self, now: Instant) {
@@ -55,49 +56,49 @@
     }
 }
 
-/// A connection on its way from the listener to its reader.
+/// A connection that the listener hands to a reader.
 pub struct AcceptedConnection {
-    /// Identifies it.
+    /// The identifier of the connection.
     pub id: ConnectionId,
-    /// Its socket.
+    /// The socket.
     pub stream: std::net::TcpStream,
-    /// What the listener knows of it.
+    /// The state shared with the listener.
     pub peer: Arc<Peer>,
-    /// Completes when the listener disconnects it.
+    /// Completes when the listener evicts the connection.
     pub disconnected: oneshot::Receiver<()>,
-    /// The end of the listener.
+    /// The shutdown of the listener.
     pub shutdown: ConnectionShutdown,
-    /// Dropped when the connection has ended.
+    /// Dropped when the connection has closed.
     pub ended: oneshot::Sender<()>,
 }
 
-/// Takes the chunks of authenticated peers, for whichever chunk reader is free.
+/// Sends the chunks of authenticated peers to the chunk readers.
 #[derive(Clone)]
 pub struct ChunkSender {
-    /// The queue that all chunk readers share.
+    /// The queue that all chunk readers share; the next free reader takes each chunk.
     pub chunks: async_channel::Sender<Chunk>,
 }
 
-/// Why a connection ended.
+/// The reason why a connection was closed.
 #[derive(Debug, thiserror::Error)]
 enum CloseReason {
     #[error("rejected")]
     Rejected,
-    #[error("not authenticated in time")]
-    JoinTimeout,
+    #[error("not authenticated within {} ms", limits::AUTHENTICATION_TIMEOUT.as_millis())]
+    AuthenticationTimeout,
     #[error("idle")]
     Idle,
-    #[error("closed by the peer")]
+    #[error("closed by peer")]
     ClosedByPeer,
-    #[error("the peer does not read its replies")]
+    #[error("peer did not read a reply within {} ms", limits::REPLY_TIMEOUT.as_millis())]
     ReplyTimeout,
-    #[error("a line is too long")]
+    #[error("line longer than {} bytes", limits::MAX_LINE_BYTES)]
     LineTooLong,
-    #[error("incomplete lines take too much memory")]
+    #[error("memory limit for incomplete lines exceeded")]
     LineMemoryExhausted,
     #[error("shutting down")]
     ShuttingDown,
-    #[error("evicted: too many are open")]
+    #[error("evicted: too many open connections")]
     Evicted,
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -105,7 +106,7 @@
     Stream(#[from] StreamError),
 }
 
-/// Reads one connection to its end, on the thread that it is called on.
+/// Reads a connection on the current thread until it is closed.
 pub async fn read(
     connection: AcceptedConnection,
     bounds: Bounds,
@@ -119,7 +120,7 @@
         let framed = match TcpStream::from_std(stream) {
             Ok(stream) => Framed::new(
                 stream,
-                LineCodec::within(limits::MAX_UNAUTHENTICATED_LINE_BYTES, &bounds.partial_lines),
+                LineCodec::with_budget(limits::MAX_UNAUTHENTICATED_LINE_BYTES, &bounds.partial_lines),
             ),
             Err(error) => return error.into(),
         };
@@ -129,12 +130,12 @@
             Session { id, peer: &peer, bounds: &bounds, command_sender, commands, closing, chunks_sent };
         session.serve_lines(framed, &inputs, chunk_sender).await
     };
-    let reason = super::contained(served).await;
+    let reason = super::catch_panic(served).await;
     let reason: CloseReason = reason.unwrap_or_else(CloseReason::from);
     tracing::debug!(connection = id, %reason, "connection ended");
     drop(ended);
     _ = inputs.send(Input::Disconnected(id, chunks_sent)).await;
-    // Until here the shutdown waits for this connection.
+    // The shutdown waits for this connection until the signal is dropped here.
     drop(shutdown);
 }
 
@@ -143,7 +144,7 @@
     id: ConnectionId,
     peer: &'a Peer,
     bounds: &'a Bounds,
-    /// Given along with each line, for the replies to it.
+    /// A clone is sent with each line or chunk, for the replies to it.
     command_sender: mpsc::Sender<ConnectionCommand>,
     commands: mpsc::Receiver<ConnectionCommand>,
     closing: ClosingSignal,
@@ -153,8 +154,8 @@
 type LineStream = Framed<TcpStream, LineCodec>;
 
 impl Session<'_> {
-    /// Writes the replies to what was read, ends the write side, and closes. The replies are all there once nobody holds
-    /// the other end of their queue any more, which goes along with each line.
+    /// Writes the outstanding replies, shuts down the write side and closes the connection. The replies are complete
+    /// when all clones of the command sender are dropped; one clone is passed on with each line.
     async fn answer_and_close(self, mut io: TcpStream, closing: Option<Closing>) -> CloseReason {
         let Session { command_sender, mut commands, .. } = self;
         drop(command_sender);
@@ -163,7 +164,7 @@
             deadline: Instant::now() + limits::CLOSE_TIMEOUT,
         });
         while let Ok(Some(command)) = timeout_at(closing.deadline, commands.recv()).await {
-            match carry_out(&mut io, command).await {
+            match execute_command(&mut io, command).await {
                 Ok(IsLast(false)) => {}
                 Ok(IsLast(true)) => break,
                 Err(reason) => return reason,
@@ -177,7 +178,7 @@
         }
     }
 
-    /// False where nobody will ever read it.
+    /// Sends a line to the input queue. Returns false if the queue is closed.
     async fn send_line(&self, inputs: &InputSender, line: String) -> bool {
         let Some(memory_permit) = self.bounds.reserve_queued(line.len()).await else { return false };
         let line = Input::Line {
@@ -189,9 +190,9 @@
         inputs.send(line).await.is_ok()
     }
 
-    /// False where nobody will ever read it.
+    /// Sends a chunk to the chunk readers. Returns false if their queue is closed.
     async fn send_chunk(&mut self, chunk_sender: &ChunkSender, lines: bytes::Bytes) -> bool {
-        // Its time is that of its arrival, however long it waits for memory.
+        // Taken before waiting for memory, so that it is the time of arrival.
         let received_at = std::time::Instant::now();
         let info = ChunkInfo { from: self.id, number: *self.chunks_sent, received_at, bytes: lines.len() };
         let Some(memory_permit) = self.bounds.reserve_queued(lines.len()).await else { return false };
@@ -201,11 +202,11 @@
     }
 }
 
-/// Whether nothing is written to a connection after a command.
+/// True if the connection must be closed after the command.
 struct IsLast(bool);
 
-/// Writes what a command asks for.
-async fn carry_out(io: &mut TcpStream, command: ConnectionCommand) -> Result<IsLast, CloseReason> {
+/// Writes the line of a command, if any.
+async fn execute_command(io: &mut TcpStream, command: ConnectionCommand) -> Result<IsLast, CloseReason> {
     let (line, is_last) = match command {
         ConnectionCommand::MarkAuthenticated => (None, false),
         ConnectionCommand::Send(line) => (Some(line), false),
@@ -213,16 +214,16 @@
     };
     if let Some(line) = line {
         let line = line + "\n";
-        send_in_time(io.write_all(line.as_bytes())).await?;
+        send_with_timeout(io.write_all(line.as_bytes())).await?;
     }
     Ok(IsLast(is_last))
 }
 
-/// Sends the close reason, where there is one. Closing with something unread resets the connection, and may destroy
-/// the reason on its way: what the peer still sends is read, within bounds.
+/// Sends the line with the close reason, if any, and closes the connection. Closing a socket with unread input resets
+/// the connection, and the peer may lose the reason; therefore further input is read and discarded, within limits.
 async fn close(mut framed: LineStream, line: Option<String>, deadline: Instant) -> CloseReason {
     let Some(line) = line else { return CloseReason::Rejected };
-    if let Err(reason) = send_in_time(framed.send(line)).await {
+    if let Err(reason) = send_with_timeout(framed.send(line)).await {
         return reason;
     }
     discard_input(&mut framed.into_parts().io, deadline).await;
@@ -240,8 +241,8 @@
     }
 }
 
-/// A peer that does not read what it is sent is disconnected.
-async fn send_in_time(sending: impl Future<Output = std::io::Result<()>>) -> Result<(), CloseReason> {
+/// Waits for `sending` up to the reply time-out. A peer that does not read its replies is disconnected.
+async fn send_with_timeout(sending: impl Future<Output = std::io::Result<()>>) -> Result<(), CloseReason> {
     match timeout(limits::REPLY_TIMEOUT, sending).await {
         Ok(sent) => Ok(sent?),
         Err(_) => Err(CloseReason::ReplyTimeout),
--- a/crates/transport/src/connection/chunks.rs
+++ b/crates/transport/src/connection/chunks.rs
@@ -1,6 +1,6 @@
-//! A connection of an authenticated peer that is read in chunks of complete lines, for chunk readers.
+//! Reads the connection of an authenticated peer in chunks of complete lines for the chunk readers.
 
-use super::{carry_out, ChunkSender, CloseReason, IsLast, LineStream, Session};
+use super::{execute_command, ChunkSender, CloseReason, IsLast, LineStream, Session};
 use crate::closing::Closing;
 use crate::framing::PartialLineReservation;
 use crate::limits;
@@ -9,8 +9,8 @@
 use tokio::time::{sleep, timeout, Instant};
 
 impl Session<'_> {
-    /// An authenticated peer sends much: complete lines go on in chunks, as many as have arrived, to whichever chunk
-    /// reader is free. Only an incomplete line stays here.
+    /// Serves the connection of an authenticated peer, which sends many lines. All complete lines that have arrived
+    /// are sent as one chunk to the next free chunk reader; only an incomplete line is kept here.
     pub(super) async fn serve_chunks(
         mut self,
         framed: LineStream,
@@ -19,7 +19,7 @@
     ) -> CloseReason {
         let mut parts = framed.into_parts();
         let (io, bytes) = (&mut parts.io, &mut parts.read_buf);
-        let mut partial_line = PartialLineReservation::none(&self.bounds.partial_lines);
+        let mut partial_line = PartialLineReservation::empty(&self.bounds.partial_lines);
         loop {
             if let Some(end) = memchr::memrchr(b'\n', bytes) {
                 let lines = bytes.split_to(end + 1).freeze();
@@ -28,7 +28,7 @@
                     return CloseReason::ShuttingDown;
                 }
             }
-            if let Err(reason) = bound_partial_line(bytes, &mut partial_line) {
+            if let Err(reason) = check_partial_line(bytes, &mut partial_line) {
                 return reason;
             }
             if closing.is_some_and(|closing| Instant::now() >= closing.deadline) {
@@ -36,19 +36,19 @@
             }
             tokio::select! {
                 biased;
-                Some(command) = self.commands.recv() => match carry_out(io, command).await {
+                Some(command) = self.commands.recv() => match execute_command(io, command).await {
                     Ok(IsLast(false)) => {}
                     Ok(IsLast(true)) => return CloseReason::Rejected,
                     Err(reason) => return reason,
                 },
                 read = timeout(limits::PEER_IDLE_TIMEOUT, io.read_buf(bytes)) => match read {
-                    // A last line without its end is no line.
+                    // An incomplete last line is discarded.
                     Ok(Ok(0)) => return CloseReason::ClosedByPeer,
                     Ok(Ok(_)) => {}
                     Ok(Err(error)) => return error.into(),
                     Err(_) => return CloseReason::Idle,
                 },
-                () = sleep(limits::LAST_INPUT_PERIOD), if closing.is_some() => {
+                () = sleep(limits::CLOSE_READ_TIMEOUT), if closing.is_some() => {
                     return self.answer_and_close(parts.io, closing).await;
                 }
                 at = self.closing.closing(), if closing.is_none() => closing = Some(at),
@@ -57,8 +57,8 @@
     }
 }
 
-/// Keeps an incomplete line within its bounds, and makes room for the next read.
-fn bound_partial_line(
+/// Checks the limits of an incomplete line, and reserves buffer space for the next read.
+fn check_partial_line(
     bytes: &mut BytesMut,
     partial_line: &mut PartialLineReservation,
 ) -> Result<(), CloseReason> {
@@ -71,7 +71,7 @@
     if bytes.is_empty() && bytes.capacity() > limits::MAX_IDLE_BUFFER_BYTES {
         *bytes = BytesMut::new();
     }
-    // What could be read at once is cut in chunks of this size.
+    // The buffer space limits the size of a read, and thereby of a chunk.
     bytes.reserve(limits::CHUNK_BYTES);
     Ok(())
 }
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -1,25 +1,25 @@
-//! How connections and requests fail. Errors are cloned, compared and recorded, so those of the operating system are
+//! Errors of connections and requests. They are cloned, compared and recorded, so errors of the operating system are
 //! kept as text.
 
-/// Why a connection ended.
+/// The reason why a connection ended.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StreamError {
-    /// It could not be opened.
-    #[error("unreachable ({0})")]
+    /// The connection could not be opened.
+    #[error("unreachable: {0}")]
     Unreachable(String),
-    /// Nothing arrived for too long.
+    /// The time limit for connecting, sending or receiving has passed.
     #[error("timed out")]
     TimedOut,
-    /// The peer closed it.
-    #[error("closed by the peer")]
+    /// The peer closed the connection.
+    #[error("closed by peer")]
     Closed,
-    /// The network interrupted it.
-    #[error("connection lost ({0})")]
+    /// The connection failed because of a network error.
+    #[error("connection lost: {0}")]
     Lost(String),
-    /// It brought what cannot be decoded: what arrived before is in doubt too.
-    #[error("unreadable ({0})")]
+    /// Received data could not be decoded. Data received earlier on the connection is not reliable either.
+    #[error("unreadable: {0}")]
     Unreadable(String),
-    /// A panic of this program, which costs no more than the connection.
+    /// The task of the connection panicked. Only this connection is affected.
     #[error("panic")]
     Panicked,
 }
@@ -33,13 +33,13 @@
     }
 }
 
-/// Why a relay request got no response, by what is known of its outcome.
+/// The reason why a relay request has no response, by whether its outcome is known.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RequestError {
-    /// Its last byte was not written: it was not carried out.
-    #[error("not sent, {0}")]
+    /// The request was not completely sent, so the relay has not applied it.
+    #[error("not sent: {0}")]
     NotSent(#[source] StreamError),
-    /// It may have been carried out.
-    #[error("outcome unknown, {0}")]
+    /// The relay may or may not have applied the request.
+    #[error("outcome unknown: {0}")]
     OutcomeUnknown(#[source] StreamError),
 }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -1,4 +1,4 @@
-//! The codec of lines. A line without its end is never decoded: half a number reads like a whole one.
+//! The line codec. A line without its terminator is never decoded, since a truncated number can look like a valid one.
 
 use super::limits;
 use actix_codec::{Decoder, Encoder};
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The memory that incomplete lines may take, shared by all connections that hold a clone. Beyond it, a connection
-/// that holds more than an even share is disconnected: many unauthenticated peers with long lines cost no collector
-/// its connection.
+/// The memory budget for incomplete lines, shared by all connections that hold a clone. If it is exceeded, connections
+/// that use more than an even share are disconnected. Unauthenticated peers with long lines therefore cannot cause
+/// collectors to be disconnected.
 #[derive(Clone)]
 pub struct PartialLineBudget {
     reserved_bytes: Arc<AtomicUsize>,
@@ -18,38 +18,39 @@
 }
 
 impl PartialLineBudget {
-    /// A budget of so many bytes for so many connections.
+    /// Creates a budget of `max_bytes` for a maximum of `connections` connections.
     pub fn new(max_bytes: usize, connections: usize) -> Self {
         let even_share_bytes = max_bytes / connections.max(1);
         PartialLineBudget { reserved_bytes: Arc::default(), max_bytes, even_share_bytes }
     }
 }
 
-/// What one connection takes of the budget; released when it is dropped.
+/// The part of the budget that one connection has reserved; released when dropped.
 pub struct PartialLineReservation {
     budget: PartialLineBudget,
     bytes: usize,
 }
 
 impl PartialLineReservation {
-    /// Reserves nothing yet.
-    pub fn none(budget: &PartialLineBudget) -> Self {
+    /// Creates an empty reservation.
+    pub fn empty(budget: &PartialLineBudget) -> Self {
         PartialLineReservation { budget: budget.clone(), bytes: 0 }
     }
 
-    /// Grows or shrinks the reservation. False where it is more than the budget has left and an even share.
+    /// Grows or shrinks the reservation. Returns false if the budget is exceeded and the reservation is larger than an
+    /// even share.
     pub fn resize(&mut self, bytes: usize) -> bool {
-        // Relaxed: what other connections reserve at the same moment may be in the sum or not, and both will do.
+        // Relaxed ordering suffices: concurrent reservations of other connections may or may not be in the sum.
         let reserved = &self.budget.reserved_bytes;
-        let all_bytes = match bytes.checked_sub(self.bytes) {
-            Some(grown) => reserved.fetch_add(grown, Ordering::Relaxed) + grown,
+        let total_bytes = match bytes.checked_sub(self.bytes) {
+            Some(added) => reserved.fetch_add(added, Ordering::Relaxed) + added,
             None => {
-                let shrunk = self.bytes - bytes;
-                reserved.fetch_sub(shrunk, Ordering::Relaxed) - shrunk
+                let released = self.bytes - bytes;
+                reserved.fetch_sub(released, Ordering::Relaxed) - released
             }
         };
         self.bytes = bytes;
-        bytes <= self.budget.even_share_bytes || all_bytes <= self.budget.max_bytes
+        bytes <= self.budget.even_share_bytes || total_bytes <= self.budget.max_bytes
     }
 }
 
@@ -59,14 +60,14 @@
     }
 }
 
-/// Why bytes are not a line.
+/// The reason why received bytes cannot be decoded as a line.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum LineError {
-    #[error("a line is too long")]
+    #[error("line too long")]
     TooLong,
-    #[error("incomplete lines take too much memory")]
+    #[error("memory limit for incomplete lines exceeded")]
     BudgetExceeded,
-    #[error("a line is not UTF-8")]
+    #[error("line is not valid UTF-8")]
     NotUtf8,
 }
 
@@ -76,34 +77,35 @@
     }
 }
 
-/// Decodes lines that end in LF or CRLF, and encodes lines with one of the two. Its errors of kind `InvalidData` say
-/// that the bytes are not lines.
+/// Decodes lines that end in LF or CRLF, and encodes lines with either LF or CRLF. Errors of kind `InvalidData` mean
+/// that the received bytes cannot be decoded.
 pub struct LineCodec {
     max_line_bytes: usize,
     reservation: Option<PartialLineReservation>,
-    line_end: &'static str,
-    /// The length of the part of the buffer that is known to hold no end of a line.
+    line_terminator: &'static str,
+    /// The length of the prefix of the buffer that is known to contain no LF.
     searched_bytes: usize,
 }
 
 impl LineCodec {
-    /// Lines of at most so many bytes, encoded with LF.
+    /// Creates a codec for lines of at most `max_line_bytes`, encoded with LF.
     pub fn new(max_line_bytes: usize) -> Self {
-        LineCodec { max_line_bytes, reservation: None, line_end: "\n", searched_bytes: 0 }
+        LineCodec { max_line_bytes, reservation: None, line_terminator: "\n", searched_bytes: 0 }
     }
 
-    /// Lines of at most so many bytes, encoded with CRLF.
+    /// Creates a codec for lines of at most `max_line_bytes`, encoded with CRLF.
     pub fn with_crlf(max_line_bytes: usize) -> Self {
-        LineCodec { line_end: "\r\n", ..LineCodec::new(max_line_bytes) }
+        LineCodec { line_terminator: "\r\n", ..LineCodec::new(max_line_bytes) }
     }
 
-    /// Lines of at most so many bytes, encoded with LF; incomplete lines are bounded by the budget as well.
-    pub fn within(max_line_bytes: usize, budget: &PartialLineBudget) -> Self {
-        let reservation = Some(PartialLineReservation::none(budget));
+    /// Creates a codec for lines of at most `max_line_bytes`, encoded with LF, whose incomplete lines are also
+    /// limited by the budget.
+    pub fn with_budget(max_line_bytes: usize, budget: &PartialLineBudget) -> Self {
+        let reservation = Some(PartialLineReservation::empty(budget));
         LineCodec { reservation, ..LineCodec::new(max_line_bytes) }
     }
 
-    /// Changes the largest size of a line from now on.
+    /// Changes the maximum size of subsequent lines.
     pub fn set_max_line_bytes(&mut self, max_line_bytes: usize) {
         self.max_line_bytes = max_line_bytes;
     }
@@ -145,9 +147,9 @@
     type Error = Error;
 
     fn encode(&mut self, line: String, bytes: &mut BytesMut) -> Result<(), Error> {
-        bytes.reserve(line.len() + self.line_end.len());
+        bytes.reserve(line.len() + self.line_terminator.len());
         bytes.put_slice(line.as_bytes());
-        bytes.put_slice(self.line_end.as_bytes());
+        bytes.put_slice(self.line_terminator.as_bytes());
         Ok(())
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! Line-oriented connections: the listener of the program's own address, relay requests, and the watches of relay
-//! and registry. Nothing here knows what a line means; all that is read goes into one input queue.
+//! Line-oriented connections: the listener of the program's own address, relay requests, and the watches of relay and
+//! registry. Lines are not interpreted here; everything that is read goes into one input queue.
 
 #![warn(clippy::unwrap_used)]
 
@@ -28,101 +28,102 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit};
 use tokio::time::{timeout_at, Instant};
 
-/// Identifies a connection to the program's own address.
+/// Identifies a connection to the program's listening address.
 pub type ConnectionId = u64;
 /// Identifies an attempt to watch the relay or the registry.
 pub type WatchId = u64;
 
-/// The addresses of the other parties; a new configuration may name new ones.
+/// The addresses of discovery and the relay, which a configuration reload may change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Targets {
-    /// Discovery's address.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The relay's address.
+    /// The address of the relay.
     pub relay: SocketAddr,
 }
 
-/// What arrived on one of the connections.
+/// An input received on one of the connections.
 #[derive(Debug)]
 pub enum Input {
-    /// A line at the program's own address.
+    /// A line received at the program's listening address.
     Line {
-        /// Its connection.
+        /// The connection that the line was received on.
         from: ConnectionId,
-        /// The line, without its end.
+        /// The line, without its terminator.
         line: String,
-        /// Commands for its connection.
+        /// The queue of commands for the connection.
         commands: mpsc::Sender<ConnectionCommand>,
-        /// Its part of the memory for queued lines, which is released with it.
+        /// The memory reserved for the queued line; released when the input is dropped.
         _memory_permit: OwnedSemaphorePermit,
     },
-    /// A connection to the program's own address has ended, after so many chunks.
+    /// A connection to the program's listening address has closed. Holds the number of chunks received on it.
     Disconnected(ConnectionId, u64),
-    /// A line of the relay watch, or why it ended.
+    /// A line of the relay watch, or the reason why the watch ended.
     WatchLine(WatchId, Result<String, StreamError>),
-    /// A line of the registry watch, or why it ended.
+    /// A line of the registry watch, or the reason why the watch ended.
     RegistryLine(WatchId, Result<String, StreamError>),
-    /// The relay's response to a request, or why there is none.
+    /// The relay's response to a request, or the reason why there is none.
     RelayResponse(Result<String, RequestError>),
-    /// The relay sent a line without a request: the response before it may have belonged to another request.
+    /// The relay sent a line without a request, so the previous response may have belonged to another request.
     UnsolicitedResponse,
 }
 
-/// Where a chunk comes from.
+/// The origin and size of a chunk.
 #[derive(Clone, Copy, Debug)]
 pub struct ChunkInfo {
-    /// Its connection.
+    /// The connection that the chunk was received on.
     pub from: ConnectionId,
-    /// Its number among the chunks of its connection, from 0.
+    /// The sequence number of the chunk on its connection, starting at 0.
     pub number: u64,
-    /// When its last byte was read.
+    /// The time at which the last byte was read.
     pub received_at: std::time::Instant,
-    /// Its size.
+    /// The size in bytes.
     pub bytes: usize,
 }
 
-/// Complete lines of one connection, as many as had arrived.
+/// The complete lines that were available on one connection.
 #[derive(Debug)]
 pub struct Chunk {
-    /// Where it comes from.
+    /// The origin and size of the chunk.
     pub info: ChunkInfo,
-    /// The lines, each with its end.
+    /// The lines, each with its terminator.
     pub lines: bytes::Bytes,
-    /// Commands for its connection.
+    /// The queue of commands for the connection.
     pub commands: mpsc::Sender<ConnectionCommand>,
-    /// Its part of the memory for queued lines.
+    /// The memory reserved for the queued lines.
     pub memory_permit: OwnedSemaphorePermit,
 }
 
-/// What is to be done at a connection to the program's own address.
+/// A command for a connection to the program's listening address.
 #[derive(Debug)]
 pub enum ConnectionCommand {
     /// Send a line.
     Send(String),
-    /// Send a line that states the reason, where there is one, and close.
+    /// Send a line with the close reason, if any, and close the connection.
     Close(Option<String>),
-    /// The peer is authenticated, and its connection stays open.
+    /// Mark the peer as authenticated and keep the connection open.
     MarkAuthenticated,
 }
 
-/// Takes all that arrives.
+/// Sends to the input queue of the program.
 pub type InputSender = mpsc::Sender<Input>;
 
-/// Keeps a panic to the connection on which it happened.
-async fn contained<T>(work: impl Future<Output = T>) -> Result<T, StreamError> {
+/// Converts a panic of `work` to an error, so that it only affects the connection on which it happened.
+async fn catch_panic<T>(work: impl Future<Output = T>) -> Result<T, StreamError> {
     AssertUnwindSafe(work).catch_unwind().await.map_err(|_| StreamError::Panicked)
 }
 
-async fn within<T>(timeout: Duration, work: impl Future<Output = T>) -> Result<T, StreamError> {
+async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Result<T, StreamError> {
     actix_rt::time::timeout(timeout, work).await.map_err(|_| StreamError::TimedOut)
 }
 
-/// The result of the first of several attempts that succeeds. Another attempt starts at each interval while those
-/// before go on: what was lost on its way is made up for at once, and what is slow is not restarted for ever.
+/// Returns the result of the first successful one of several concurrent attempts. Another attempt starts after each
+/// interval while earlier attempts continue, so that a lost attempt is replaced quickly and a slow one can still
+/// succeed.
 ///
 /// # Errors
 ///
-/// Fails with the last error where all attempts so far failed, and with `TimedOut` after the last interval.
+/// Fails with the last error if all attempts started so far have failed, and with `TimedOut` after the last interval.
 pub async fn first_success<T>(
     interval: Duration,
     max_attempts: usize,
@@ -131,12 +132,12 @@
     let mut attempts = FuturesUnordered::new();
     for _ in 0..max_attempts {
         attempts.push(attempt());
-        let next = Instant::now() + interval;
-        while let Ok(done) = timeout_at(next, attempts.next()).await {
-            match done {
+        let next_attempt_at = Instant::now() + interval;
+        while let Ok(result) = timeout_at(next_attempt_at, attempts.next()).await {
+            match result {
                 Some(Err(error)) if attempts.is_empty() => return Err(error),
                 Some(Err(_)) => {}
-                Some(done) => return done,
+                Some(success) => return success,
                 None => break,
             }
         }
@@ -144,17 +145,17 @@
     Err(StreamError::TimedOut)
 }
 
-/// Connects, with several attempts, for a bounded time.
+/// Connects to an address with several concurrent attempts, within a bounded time.
 ///
 /// # Errors
 ///
-/// Fails where no attempt succeeds.
+/// Fails if no attempt succeeds.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, StreamError> {
     let unreachable = |error: std::io::Error| StreamError::Unreachable(error.to_string());
     let connect_once = async || TcpStream::connect(address).await.map_err(unreachable);
     let stream =
         first_success(limits::CONNECT_RETRY_INTERVAL, limits::MAX_CONNECT_ATTEMPTS, connect_once).await?;
-    // A request is one small write: nothing is to wait for more to fill a packet.
+    // A request is a single small write, which must not wait for more data to fill a packet.
     stream.set_nodelay(true).map_err(unreachable)?;
     Ok(stream)
 }
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of the program's own address: bounds the number of connections, and hands each over to a reader.
+//! The listener of the program's own address. Limits the number of connections and hands each connection to a reader.
 
 use super::bounds::Bounds;
 use super::closing::ConnectionShutdown;
@@ -13,17 +13,17 @@
 use tokio::time::Instant;
 use whinwall_serving::accept::{drain_backlog, next_connection};
 
-/// Whoever reads the connections that were accepted.
+/// The readers of accepted connections.
 pub trait Readers {
-    /// Takes over a connection. False where nobody can read it: it is closed.
+    /// Takes over a connection. Returns false if no reader is available; the connection is then closed.
     fn hand_over(&self, connection: AcceptedConnection) -> bool;
 }
 
-/// Reads all connections on the listener's own thread, line by line.
+/// Reads all connections line by line on the listener's thread.
 pub struct LocalReader {
-    /// The bounds on all connections.
+    /// The limits shared by all connections.
     pub bounds: Bounds,
-    /// Takes the lines.
+    /// The queue that receives the lines.
     pub inputs: InputSender,
 }
 
@@ -43,7 +43,7 @@
 
 type OpenConnections = Rc<RefCell<BTreeMap<ConnectionId, OpenConnection>>>;
 
-/// Disconnects all peers when the listener ends.
+/// Disconnects all peers when dropped, that is, when the listener ends.
 struct DisconnectAllOnDrop(OpenConnections);
 
 impl Drop for DisconnectAllOnDrop {
@@ -52,13 +52,14 @@
     }
 }
 
-/// Accepts connections for ever, at most half of them from peers that are not authenticated.
+/// Accepts connections without end. At most half of the allowed connections may be unauthenticated.
 pub async fn listen(listener: Rc<TcpListener>, bounds: Bounds, readers: impl Readers) {
     listen_until(listener, bounds, readers, ConnectionShutdown::never()).await;
 }
 
-/// The same until the shutdown closes. Connections that were made by then are still handed over; they answer what was
-/// read, and hold the shutdown's signal until they have ended.
+/// Accepts connections like [`listen`], until the shutdown enters its closing phase. Connections made by then are
+/// still handed to readers. They answer the lines that were read, and hold the shutdown signal until they have
+/// closed.
 pub async fn listen_until(
     listener: Rc<TcpListener>,
     bounds: Bounds,
@@ -71,20 +72,21 @@
     let _guard = DisconnectAllOnDrop(connections.open.clone());
     loop {
         let open = connections.open.clone();
-        // Descriptors are made free at the cost of unauthenticated peers only, and not of one that has just come: it may be a
-        // collector whose first line is on its way, or unread as the process was stopped.
-        let release = || evict_idle_longest(&open, |peer| peer.is_unauthenticated_and_idle(Instant::now()));
+        // To release descriptors, only idle unauthenticated peers are evicted. A peer that has just connected is not:
+        // it may be a collector whose first line is still in transit, or was not read because the process was
+        // stopped.
+        let release = || evict_longest_idle(&open, |peer| peer.is_unauthenticated_and_idle(Instant::now()));
         let accepted = next_connection(async || listener.accept().await, release);
         tokio::select! {
             biased;
             _ = signal.closing() => break,
-            (stream, _) = accepted => connections.add(stream),
+            (stream, _) = accepted => connections.add_connection(stream),
         }
     }
-    drain_backlog(async || listener.accept().await, |(stream, _)| connections.add(stream)).await;
+    drain_backlog(async || listener.accept().await, |(stream, _)| connections.add_connection(stream)).await;
 }
 
-/// Hands connections over to their readers, and bounds their number.
+/// Hands connections to readers and limits their number.
 struct Connections<R> {
     open: OpenConnections,
     next_id: ConnectionId,
@@ -94,7 +96,7 @@
 }
 
 impl<R: Readers> Connections<R> {
-    fn add(&mut self, stream: TcpStream) {
+    fn add_connection(&mut self, stream: TcpStream) {
         let Ok(stream) = stream.into_std() else { return };
         let id = self.next_id;
         self.next_id += 1;
@@ -115,8 +117,8 @@
     }
 }
 
-/// Where there are too many connections, disconnects one: hundreds of unauthenticated peers must not cost a collector its
-/// connection.
+/// Evicts one connection if there are too many. Unauthenticated connections have a lower limit, so that hundreds of
+/// them cannot cause a collector to be disconnected.
 fn evict_excess(open: &OpenConnections, max_connections: usize) {
     let is_excess = {
         let open = open.borrow();
@@ -124,19 +126,19 @@
         open.len() > max_connections || unauthenticated > max_connections.div_ceil(2)
     };
     if is_excess {
-        evict_idle_longest(open, |_| true);
+        evict_longest_idle(open, |_| true);
     }
 }
 
-/// Disconnects the peer that has been idle longest, of those that may be, unauthenticated ones first; false where there is
-/// none.
-fn evict_idle_longest(open: &OpenConnections, may_evict: impl Fn(&Peer) -> bool) -> bool {
-    let rank = |peer: &Peer| (peer.is_authenticated(), peer.last_active());
+/// Disconnects the longest idle peer for which `may_evict` is true, unauthenticated peers first. Returns false if
+/// there is no such peer.
+fn evict_longest_idle(open: &OpenConnections, may_evict: impl Fn(&Peer) -> bool) -> bool {
+    let eviction_rank = |peer: &Peer| (peer.is_authenticated(), peer.last_active());
     let evicted = {
         let open = open.borrow();
         let candidates = open.iter().filter(|(_, connection)| may_evict(&connection.peer));
-        let idle_longest = candidates.min_by_key(|(_, connection)| rank(&connection.peer));
-        idle_longest.map(|(id, _)| *id)
+        let longest_idle = candidates.min_by_key(|(_, connection)| eviction_rank(&connection.peer));
+        longest_idle.map(|(id, _)| *id)
     };
     evicted.is_some_and(|id| open.borrow_mut().remove(&id).is_some())
 }
--- a/crates/transport/src/registry_watch.rs
+++ b/crates/transport/src/registry_watch.rs
@@ -1,14 +1,14 @@
-//! The registry watch: one HTTP request, answered by lines for as long as it lasts.
+//! The registry watch: one HTTP request whose response is a continuous stream of lines.
 
 use super::framing::LineCodec;
-use super::{contained, first_success, limits, within, Input, InputSender, StreamError, WatchId};
+use super::{catch_panic, first_success, limits, with_timeout, Input, InputSender, StreamError, WatchId};
 use actix_codec::Decoder;
 use bytes::BytesMut;
 use futures_util::StreamExt;
 
-/// Requests this URL, and passes on each line of the response and in the end the failure.
+/// Requests the URL and sends each line of the response to the input queue. Sends the error when the watch ends.
 pub async fn follow(id: WatchId, client: awc::Client, url: String, inputs: InputSender) {
-    let error = contained(read_lines(id, client, url, &inputs)).await.unwrap_or_else(|panicked| panicked);
+    let error = catch_panic(read_lines(id, client, url, &inputs)).await.unwrap_or_else(|panicked| panicked);
     _ = inputs.send(Input::RegistryLine(id, Err(error))).await;
 }
 
@@ -26,7 +26,7 @@
     };
     let (mut codec, mut bytes) = (LineCodec::new(limits::MAX_REGISTRY_LINE_BYTES), BytesMut::new());
     loop {
-        match within(limits::REGISTRY_WATCH_IDLE_TIMEOUT, response.next()).await {
+        match with_timeout(limits::REGISTRY_WATCH_IDLE_TIMEOUT, response.next()).await {
             Ok(Some(Ok(chunk))) => bytes.extend_from_slice(&chunk),
             Ok(Some(Err(error))) => return StreamError::Lost(error.to_string()),
             Ok(None) => return StreamError::Closed,
--- a/crates/transport/src/relay_requests.rs
+++ b/crates/transport/src/relay_requests.rs
@@ -1,7 +1,7 @@
-//! Requests to the relay, one at a time, on one connection that is kept while it is good.
+//! Requests to the relay, one at a time, on a connection that is reused as long as it works.
 
 use super::framing::LineCodec;
-use super::{connect, contained, limits, within, Input, InputSender, RequestError, StreamError};
+use super::{catch_panic, connect, limits, with_timeout, Input, InputSender, RequestError, StreamError};
 use actix_codec::Framed;
 use actix_rt::net::TcpStream;
 use futures_util::{SinkExt, StreamExt};
@@ -10,23 +10,23 @@
 
 /// A request to the relay.
 pub struct RelayRequest {
-    /// The relay's address.
+    /// The address of the relay.
     pub relay: SocketAddr,
-    /// The request, without the end of its line.
+    /// The request, without a line terminator.
     pub line: String,
-    /// Whether to open a new connection: what arrives on the open one is in doubt.
+    /// True if the request must be sent on a new connection, because responses on the open one are not reliable.
     pub needs_new_connection: bool,
 }
 
-/// The connection that is kept.
+/// The reused connection.
 struct OpenConnection {
     relay: SocketAddr,
     framed: Framed<TcpStream, LineCodec>,
 }
 
-/// Sends each request and passes on its outcome. The relay closes idle connections: that is seen at once, so that
-/// no request is written to a closed one. `target` has the address that requests may go to now; connecting to
-/// another is abandoned.
+/// Sends each request and passes its outcome to the input queue. The relay closes idle connections; this is detected
+/// immediately, so that no request is written to a closed connection. `target` holds the current address of the relay;
+/// attempts to connect to another address are aborted.
 pub async fn serve(
     mut requests: mpsc::Receiver<RelayRequest>,
     mut target: watch::Receiver<Option<SocketAddr>>,
@@ -39,7 +39,7 @@
             Some(OpenConnection { framed, .. }) => tokio::select! {
                 biased;
                 line = framed.next() => {
-                    open = None; // closed, or a response without a request
+                    open = None; // closed by the relay, or an unsolicited response
                     if matches!(line, Some(Ok(_))) && inputs.send(Input::UnsolicitedResponse).await.is_err() {
                         return;
                     }
@@ -50,10 +50,10 @@
         };
         let Some(RelayRequest { relay, line, needs_new_connection }) = request else { return };
         open = open.filter(|open| !needs_new_connection && open.relay == relay);
-        let outcome = contained(send_request(relay, &mut open, &mut target, line)).await;
+        let outcome = catch_panic(send_request(relay, &mut open, &mut target, line)).await;
         let outcome = outcome.unwrap_or_else(|panicked| Err(RequestError::OutcomeUnknown(panicked)));
         if outcome.is_err() {
-            open = None; // a late response must not be taken for that to the next request
+            open = None; // a late response must not be attributed to the next request
         }
         if inputs.send(Input::RelayResponse(outcome)).await.is_err() {
             return;
@@ -67,17 +67,17 @@
     target: &mut watch::Receiver<Option<SocketAddr>>,
     line: String,
 ) -> Result<String, RequestError> {
-    let abandoned = || {
-        let reason = "abandoned, requests go to another address".into();
+    let aborted = || {
+        let reason = "attempt aborted because the relay address has changed".into();
         Err(RequestError::NotSent(StreamError::Unreachable(reason)))
     };
     let framed = match open {
-        _ if *target.borrow() != Some(relay) => return abandoned(),
+        _ if *target.borrow() != Some(relay) => return aborted(),
         Some(open) => &mut open.framed,
         None => {
             let stream = tokio::select! {
                 biased;
-                _ = target.wait_for(|target| *target != Some(relay)) => return abandoned(),
+                _ = target.wait_for(|target| *target != Some(relay)) => return aborted(),
                 stream = connect(relay) => stream.map_err(RequestError::NotSent)?,
             };
             let framed = Framed::new(stream, LineCodec::with_crlf(limits::MAX_LINE_BYTES));
@@ -85,9 +85,9 @@
         }
     };
     let timeout = limits::RELAY_RESPONSE_TIMEOUT;
-    let sent = within(timeout, framed.send(line)).await.map_err(RequestError::NotSent)?;
+    let sent = with_timeout(timeout, framed.send(line)).await.map_err(RequestError::NotSent)?;
     sent.map_err(|error| RequestError::NotSent(error.into()))?;
-    match within(timeout, framed.next()).await.map_err(RequestError::OutcomeUnknown)? {
+    match with_timeout(timeout, framed.next()).await.map_err(RequestError::OutcomeUnknown)? {
         Some(Ok(response)) => Ok(response),
         Some(Err(error)) => Err(RequestError::OutcomeUnknown(error.into())),
         None => Err(RequestError::OutcomeUnknown(StreamError::Closed)),
--- a/crates/transport/src/relay_watch.rs
+++ b/crates/transport/src/relay_watch.rs
@@ -1,14 +1,15 @@
-//! The connection that carries the relay watch. It ends with its first failure, which is its last input.
+//! The connection of the relay watch. It ends with the first error, which is sent to the input queue last.
 
 use super::framing::LineCodec;
-use super::{connect, contained, limits, within, Input, InputSender, StreamError, WatchId};
+use super::{catch_panic, connect, limits, with_timeout, Input, InputSender, StreamError, WatchId};
 use actix_codec::Framed;
 use futures_util::{SinkExt, StreamExt};
 use std::net::SocketAddr;
 
-/// Subscribes with this request, and passes on each line and in the end the failure.
+/// Subscribes with the given request and sends each line to the input queue. Sends the error when the watch ends.
 pub async fn follow(id: WatchId, relay: SocketAddr, request: &'static str, inputs: InputSender) {
-    let error = contained(read_lines(id, relay, request, &inputs)).await.unwrap_or_else(|panicked| panicked);
+    let error =
+        catch_panic(read_lines(id, relay, request, &inputs)).await.unwrap_or_else(|panicked| panicked);
     _ = inputs.send(Input::WatchLine(id, Err(error))).await;
 }
 
@@ -23,14 +24,14 @@
         Err(error) => return error,
     };
     let mut framed = Framed::new(stream, LineCodec::with_crlf(limits::MAX_LINE_BYTES));
-    match within(limits::RELAY_RESPONSE_TIMEOUT, framed.send(request.to_string())).await {
+    match with_timeout(limits::RELAY_RESPONSE_TIMEOUT, framed.send(request.to_string())).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => return error.into(),
         Err(error) => return error,
     }
     let mut line_timeout = limits::RELAY_WATCH_RESPONSE_TIMEOUT;
     loop {
-        let line = match within(line_timeout, framed.next()).await {
+        let line = match with_timeout(line_timeout, framed.next()).await {
             Ok(Some(Ok(line))) => line,
             Ok(Some(Err(error))) => return error.into(),
             Ok(None) => return StreamError::Closed,
