--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -17,7 +17,7 @@
 use whinwall_routing::Event;
 use whinwall_runtime::clock::Clock;
 use whinwall_transport::{
-    limits, ConnectionCommand, ConnectionId, Input, RequestError, StreamError, WatchId,
+    limits, Cause, ConnectionCommand, ConnectionId, Input, RequestError, StreamError, WatchId,
 };
 
 /// Time between two checks of the readers.
@@ -39,7 +39,7 @@
 }
 
 fn unreadable(error: &DecodeError) -> StreamError {
-    StreamError::Unreadable(error.to_string())
+    StreamError::Unreadable(Cause::new(error.clone()))
 }
 
 impl<'a> InputHandler<'a> {
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -11,7 +11,7 @@
 use whinwall_policy::api::{Action, ReplicaId, SliceId};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::relay::{Command, Response};
-use whinwall_transport::{RequestError, StreamError};
+use whinwall_transport::{Cause, RequestError, StreamError};
 
 /// The number of skipped commands that are remembered; beyond that they are forgotten, and cost one more reading of the
 /// store each.
@@ -246,8 +246,8 @@
 fn check_count(response: Response, commands: usize) -> Result<Response, RequestError> {
     match response {
         Response::Accepted(count) if count > commands => {
-            let reason = format!("{count} commands accepted of {commands}");
-            Err(RequestError::OutcomeUnknown(StreamError::Unreadable(reason)))
+            let cause = Cause::new(format!("{count} commands accepted of {commands}"));
+            Err(RequestError::OutcomeUnknown(StreamError::Unreadable(cause)))
         }
         response => Ok(response),
     }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -63,8 +63,8 @@
 /// The reason why received bytes cannot be decoded as a line.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum LineError {
-    #[error("line too long")]
-    TooLong,
+    #[error("line longer than {max_bytes} bytes")]
+    TooLong { max_bytes: usize },
     #[error("memory limit for incomplete lines exceeded")]
     BudgetExceeded,
     #[error("line is not valid UTF-8")]
@@ -119,7 +119,7 @@
         let unsearched = &bytes[self.searched_bytes..];
         let end = memchr::memchr(b'\n', unsearched).map(|at| at + self.searched_bytes);
         if end.unwrap_or(bytes.len()) > self.max_line_bytes {
-            return Err(LineError::TooLong.into());
+            return Err(LineError::TooLong { max_bytes: self.max_line_bytes }.into());
         }
         let Some(end) = end else {
             self.searched_bytes = bytes.len();
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use bounds::Bounds;
 pub use closing::ConnectionShutdown;
-pub use error::{RequestError, StreamError};
+pub use error::{Cause, HttpStatusError, RelayAddressChanged, RequestError, StreamError};
 
 use actix_rt::net::TcpStream;
 use futures_util::stream::FuturesUnordered;
@@ -151,7 +151,7 @@
 ///
 /// Fails if no attempt succeeds.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, StreamError> {
-    let unreachable = |error: std::io::Error| StreamError::Unreachable(error.to_string());
+    let unreachable = |error: std::io::Error| StreamError::Unreachable(Cause::new(error));
     let connect_once = async || TcpStream::connect(address).await.map_err(unreachable);
     let stream =
         first_success(limits::CONNECT_RETRY_INTERVAL, limits::MAX_CONNECT_ATTEMPTS, connect_once).await?;
--- a/crates/transport/src/registry_watch.rs
+++ b/crates/transport/src/registry_watch.rs
@@ -1,7 +1,10 @@
 //! The registry watch: one HTTP request whose response is a continuous stream of lines.
 
 use super::framing::LineCodec;
-use super::{catch_panic, first_success, limits, with_timeout, Input, InputSender, StreamError, WatchId};
+use super::{
+    catch_panic, first_success, limits, with_timeout, Cause, HttpStatusError, Input, InputSender,
+    StreamError, WatchId,
+};
 use actix_codec::Decoder;
 use bytes::BytesMut;
 use futures_util::StreamExt;
@@ -13,11 +16,11 @@
 }
 
 async fn read_lines(id: WatchId, client: awc::Client, url: String, inputs: &InputSender) -> StreamError {
-    let unreachable = |reason: &dyn std::fmt::Display| StreamError::Unreachable(reason.to_string());
+    // Errors of the HTTP client are neither `Send` nor `Sync`, so only their text is kept.
     let send_request = async || match client.get(&url).send().await {
         Ok(response) if response.status().is_success() => Ok(response),
-        Ok(response) => Err(unreachable(&response.status())),
-        Err(error) => Err(unreachable(&error)),
+        Ok(response) => Err(StreamError::Unreachable(Cause::new(HttpStatusError(response.status())))),
+        Err(error) => Err(StreamError::Unreachable(Cause::new(error.to_string()))),
     };
     let (interval, max_attempts) = (limits::REGISTRY_REQUEST_INTERVAL, limits::MAX_CONNECT_ATTEMPTS);
     let mut response = match first_success(interval, max_attempts, send_request).await {
@@ -28,7 +31,7 @@
     loop {
         match with_timeout(limits::REGISTRY_WATCH_IDLE_TIMEOUT, response.next()).await {
             Ok(Some(Ok(chunk))) => bytes.extend_from_slice(&chunk),
-            Ok(Some(Err(error))) => return StreamError::Lost(error.to_string()),
+            Ok(Some(Err(error))) => return StreamError::Lost(Cause::new(error)),
             Ok(None) => return StreamError::Closed,
             Err(error) => return error,
         }
--- a/crates/transport/src/relay_requests.rs
+++ b/crates/transport/src/relay_requests.rs
@@ -1,7 +1,10 @@
 //! Requests to the relay, one at a time, on a connection that is reused as long as it works.
 
 use super::framing::LineCodec;
-use super::{catch_panic, connect, limits, with_timeout, Input, InputSender, RequestError, StreamError};
+use super::{
+    catch_panic, connect, limits, with_timeout, Cause, Input, InputSender, RelayAddressChanged, RequestError,
+    StreamError,
+};
 use actix_codec::Framed;
 use actix_rt::net::TcpStream;
 use futures_util::{SinkExt, StreamExt};
@@ -68,8 +71,8 @@
     line: String,
 ) -> Result<String, RequestError> {
     let aborted = || {
-        let reason = "attempt aborted because the relay address has changed".into();
-        Err(RequestError::NotSent(StreamError::Unreachable(reason)))
+        let cause = Cause::new(RelayAddressChanged { relay });
+        Err(RequestError::NotSent(StreamError::Unreachable(cause)))
     };
     let framed = match open {
         _ if *target.borrow() != Some(relay) => return aborted(),
