--- a/crates/controller/src/program/input.rs
+++ b/crates/controller/src/program/input.rs
@@ -19,7 +19,7 @@
 use whinwall_routing::Event;
 use whinwall_runtime::clock::Clock;
 use whinwall_transport::{
-    limits, ConnectionCommand, ConnectionId, Input, RequestError, StreamError, WatchId,
+    limits, Cause, ConnectionCommand, ConnectionId, Input, RequestError, StreamError, WatchId,
 };
 
 /// Time between two checks of the reader threads.
@@ -41,7 +41,7 @@
 }
 
 fn malformed_line(error: &DecodeError) -> StreamError {
-    StreamError::Unreadable(error.to_string())
+    StreamError::Unreadable(Cause::new(error.clone()))
 }
 
 impl<'a> InputHandler<'a> {
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -12,7 +12,7 @@
 use whinwall_policy::api::{Action, ReplicaId, SliceId};
 use whinwall_policy::time::Moment;
 use whinwall_protocol::relay::{Command, Response};
-use whinwall_transport::{RequestError, StreamError};
+use whinwall_transport::{Cause, RequestError, StreamError};
 
 /// The maximum number of skipped commands that are remembered. Beyond that all are forgotten, and each costs one more
 /// reading of the store.
@@ -252,8 +252,9 @@
 fn check_accepted_count(response: Response, commands: usize) -> Result<Response, RequestError> {
     match response {
         Response::Accepted(count) if count > commands => {
-            let reason = format!("relay accepted {count} commands, but the request has {commands}");
-            Err(RequestError::OutcomeUnknown(StreamError::Unreadable(reason)))
+            let cause =
+                Cause::new(format!("relay accepted {count} commands, but the request has {commands}"));
+            Err(RequestError::OutcomeUnknown(StreamError::Unreadable(cause)))
         }
         response => Ok(response),
     }
--- a/crates/transport/src/registry_watch.rs
+++ b/crates/transport/src/registry_watch.rs
@@ -1,23 +1,26 @@
-//! The registry watch: one HTTP request, answered by lines for as long as it lasts.
+//! The registry watch: one HTTP request whose response is a continuous stream of lines.
 
 use super::framing::LineCodec;
-use super::{contained, first_success, limits, within, Input, InputSender, StreamError, WatchId};
+use super::{
+    catch_panic, first_success, limits, with_timeout, Cause, HttpStatusError, Input, InputSender,
+    StreamError, WatchId,
+};
 use actix_codec::Decoder;
 use bytes::BytesMut;
 use futures_util::StreamExt;
 
-/// Requests this URL, and passes on each line of the response and in the end the failure.
+/// Requests the URL and sends each line of the response to the input queue. Sends the error when the watch ends.
 pub async fn follow(id: WatchId, client: awc::Client, url: String, inputs: InputSender) {
-    let error = contained(read_lines(id, client, url, &inputs)).await.unwrap_or_else(|panicked| panicked);
+    let error = catch_panic(read_lines(id, client, url, &inputs)).await.unwrap_or_else(|panicked| panicked);
     _ = inputs.send(Input::RegistryLine(id, Err(error))).await;
 }
 
 async fn read_lines(id: WatchId, client: awc::Client, url: String, inputs: &InputSender) -> StreamError {
-    let unreachable = |reason: &dyn std::fmt::Display| StreamError::Unreachable(reason.to_string());
+    // Errors of the HTTP client are neither `Send` nor `Sync`, so only their text is kept.
     let send_request = async || match client.get(&url).send().await {
         Ok(response) if response.status().is_success() => Ok(response),
-        Ok(response) => Err(unreachable(&response.status())),
-        Err(error) => Err(unreachable(&error)),
+        Ok(response) => Err(StreamError::Unreachable(Cause::new(HttpStatusError(response.status())))),
+        Err(error) => Err(StreamError::Unreachable(Cause::new(error.to_string()))),
     };
     let (interval, max_attempts) = (limits::REGISTRY_REQUEST_INTERVAL, limits::MAX_CONNECT_ATTEMPTS);
     let mut response = match first_success(interval, max_attempts, send_request).await {
@@ -26,9 +29,9 @@
     };
     let (mut codec, mut bytes) = (LineCodec::new(limits::MAX_REGISTRY_LINE_BYTES), BytesMut::new());
     loop {
-        match within(limits::REGISTRY_WATCH_IDLE_TIMEOUT, response.next()).await {
+        match with_timeout(limits::REGISTRY_WATCH_IDLE_TIMEOUT, response.next()).await {
             Ok(Some(Ok(chunk))) => bytes.extend_from_slice(&chunk),
-            Ok(Some(Err(error))) => return StreamError::Lost(error.to_string()),
+            Ok(Some(Err(error))) => return StreamError::Lost(Cause::new(error)),
             Ok(None) => return StreamError::Closed,
             Err(error) => return error,
         }
