--- a/crates/cli/src/replies.rs
+++ b/crates/cli/src/replies.rs
@@ -60,7 +60,7 @@
         let successes = self.successes().count();
         let is_unknown = |error: &ClientError| matches!(error, ClientError::OutcomeUnknown(_));
         let is_rejection =
-            |error: &ClientError| matches!(error, ClientError::Rejected { .. } | ClientError::NotNow(_));
+            |error: &ClientError| matches!(error, ClientError::Rejected { .. } | ClientError::Unavailable(_));
         if successes == self.controller_count() {
             ExitStatus::Success
         } else if successes > 0 || self.errors().any(|(_, error)| is_unknown(error)) {
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -227,7 +227,7 @@
     let ControllerState { active_overrides, listed_overrides, .. } = state;
     let uptime = format_duration(Span::ms(1000).times(state.uptime_s));
     let failures = describe_failures(state);
-    let open_commands = if state.has_open_commands { "; orders are open" } else { "" };
+    let open_commands = if state.has_outstanding_commands { "; orders are open" } else { "" };
     let subsetting = state.subsetting.as_ref().map(describe_subsetting).unwrap_or_default();
     let reports = state.reports.as_ref().map(describe_reports).unwrap_or_default();
     format!(
@@ -249,10 +249,10 @@
 
 fn describe_subsetting(subsetting: &SubsettingState) -> String {
     let SubsettingState { controllers, aggregators, subset_size, .. } = subsetting;
-    let SubsettingState { own_replicas, listed_replicas, bytes_per_second, .. } = subsetting;
+    let SubsettingState { own_replicas, listed_replicas, report_budget_bytes_per_second, .. } = subsetting;
     format!(
         "; steers {own_replicas} of {listed_replicas} replicas ({subset_size} wished) among {controllers} \
-         governors; {aggregators} aggregators may tell it {bytes_per_second} bytes a second"
+         governors; {aggregators} aggregators may tell it {report_budget_bytes_per_second} bytes a second"
     )
 }
 
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -53,7 +53,7 @@
             slices: 6,
             replicas: 3,
             failures: vec![("discovery's watch", 2)],
-            has_open_commands: true,
+            has_outstanding_commands: true,
             active_overrides: overrides.registry().active().count(),
             listed_overrides: overrides.registry().listed().count(),
             subsetting: None,
--- a/crates/cli/tests/table_forms.rs
+++ b/crates/cli/tests/table_forms.rs
@@ -102,7 +102,7 @@
         proxies: 3,
         slices: 6,
         replicas: 2200,
-        has_open_commands: true,
+        has_outstanding_commands: true,
         failures: vec![RepeatedFailure { source: "discovery".into(), count: 4 }],
         active_overrides: 1,
         listed_overrides: 2,
@@ -112,7 +112,7 @@
             subset_size: 48,
             own_replicas: 51,
             listed_replicas: 2200,
-            bytes_per_second: 27_000,
+            report_budget_bytes_per_second: 27_000,
         }),
         reports: Some(ReportState {
             bytes_per_second: 21_300.4,
@@ -136,7 +136,7 @@
 #[test]
 fn status_where_nothing_fails_has_its_text() {
     let state = ControllerState {
-        has_open_commands: false,
+        has_outstanding_commands: false,
         failures: vec![],
         subsetting: None,
         reports: None,
@@ -152,6 +152,6 @@
     let problem = whinwall_management_api::wire::ErrorBody::new("no such override");
     assert_eq!(ClientError::NotSent("away".into()).to_string(), "not sent: away");
     assert_eq!(ClientError::OutcomeUnknown("cut off".into()).to_string(), "outcome unknown: cut off");
-    assert_eq!(ClientError::NotNow("busy".into()).to_string(), "not now: busy");
+    assert_eq!(ClientError::Unavailable("busy".into()).to_string(), "not now: busy");
     assert_eq!(ClientError::Rejected { code: 404, body: problem }.to_string(), "refused: no such override");
 }
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -69,7 +69,7 @@
         proxies: 3,
         slices: 6,
         replicas: 2200,
-        has_open_commands: false,
+        has_outstanding_commands: false,
         failures: vec![],
         active_overrides: 0,
         listed_overrides: 0,
@@ -88,7 +88,7 @@
         subset_size: 48,
         own_replicas: 51,
         listed_replicas: 2200,
-        bytes_per_second: 27_000,
+        report_budget_bytes_per_second: 27_000,
     };
     let reports =
         ReportState { bytes_per_second: 21_300.4, age_s: Some(0.84), stale: false, partial_replicas: 0 };
--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use whinwall_management_api::messages::Reply;
-use whinwall_management_api::server::{self, ManagementServer, PendingRequest, ServerEnd};
+use whinwall_management_api::server::{self, ClosingServer, ManagementServer, PendingRequest};
 use whinwall_operator_config::{ManagementEndpoint, OperatorsFile};
 use whinwall_override_store::storage_thread::{StorageThread, StoreReply};
 use whinwall_override_store::{OverrideStore, WriteBatch};
@@ -46,7 +46,7 @@
     pub(super) store_replies: Receiver<StoreReply>,
     management: Option<RunningServer>,
     /// Former servers, which still answer what they have read; each ends by its deadline.
-    closing_servers: Vec<ServerEnd>,
+    closing_servers: Vec<ClosingServer>,
     request_sender: Sender<PendingRequest>,
     pub(super) requests: Receiver<PendingRequest>,
     /// Clients that wait for a reply, by request_id.
@@ -141,10 +141,10 @@
 
     /// Frees the address of the server, which goes on to answer what it has read.
     fn replace_management(&mut self) {
-        self.closing_servers.retain(|server| !server.has_ended());
+        self.closing_servers.retain(|server| !server.is_closed());
         if let Some(former) = self.management.take() {
             let mut end = former.server.close(Instant::now() + REPLACED_SERVER_TIMEOUT);
-            end.wait_until_released();
+            end.wait_until_address_released();
             self.closing_servers.push(end);
         }
     }
@@ -162,9 +162,9 @@
     }
 
     /// Closes the management server; it answers what it has read until the deadline.
-    pub(super) fn close_management(&mut self, deadline: Instant) -> ServerEnd {
+    pub(super) fn close_management(&mut self, deadline: Instant) -> ClosingServer {
         self.closing_servers.iter().for_each(|server| server.close_by(deadline));
-        self.management.take().map_or_else(ServerEnd::default, |running| running.server.close(deadline))
+        self.management.take().map_or_else(ClosingServer::default, |running| running.server.close(deadline))
     }
 
     /// Answers the clients of a reducer that is gone: whether their requests were carried out is not known.
--- a/crates/controller/src/program/shutdown.rs
+++ b/crates/controller/src/program/shutdown.rs
@@ -66,7 +66,7 @@
     loop {
         let ended = async {
             connections.running.ended().await;
-            management.ended().await;
+            management.wait_until_closed().await;
         };
         let over = async { _ = tokio::time::timeout_at(deadline, ended).await };
         if let Waited::Over = serve_until(input, queues, signals, over).await {
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -256,7 +256,7 @@
             }
         })
         .expect("the store has grown beyond its bound");
-    assert!(matches!(&why, ClientError::NotNow(why) if why.contains("not kept")), "{why}");
+    assert!(matches!(&why, ClientError::Unavailable(why) if why.contains("not kept")), "{why}");
     let is_there = |managed: &ManagedController, id: &str| managed.list().iter().any(|item| item.id == id);
     assert!(!is_there(&managed, &refused));
     let cleared = managed.clear("a").unwrap();
@@ -281,7 +281,7 @@
     managed.spawn(command, file);
     managed.wait_for_log("override store unavailable");
     let early = managed.request(async |client| client.list().await);
-    assert!(matches!(&early, Err(ClientError::NotNow(_))), "{early:?}");
+    assert!(matches!(&early, Err(ClientError::Unavailable(_))), "{early:?}");
     drop(holder);
     managed.wait_for_log("override store read");
     assert_eq!(managed.item("a").replica, "s-1");
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -156,7 +156,7 @@
         subset_size: SUBSET_SIZE,
         own_replicas: own,
         listed_replicas: REPLICAS,
-        bytes_per_second: 27_000,
+        report_budget_bytes_per_second: 27_000,
     };
     assert_eq!(status(&mut rig), Some(expected));
 }
--- a/crates/management-api/src/client.rs
+++ b/crates/management-api/src/client.rs
@@ -71,7 +71,7 @@
     OutcomeUnknown(String),
     /// The controller cannot carry out the request at present; nothing was carried out.
     #[error("not now: {0}")]
-    NotNow(String),
+    Unavailable(String),
     /// The request is rejected; nothing was carried out.
     #[error("refused: {}", body.error)]
     Rejected {
@@ -98,7 +98,7 @@
             ErrorBody::new(String::from_utf8_lossy(shown))
         });
         match code {
-            503 | 507 | 429 => ClientError::NotNow(body.error),
+            503 | 507 | 429 => ClientError::Unavailable(body.error),
             408 | 500 | 504 => ClientError::OutcomeUnknown(body.error),
             _ => ClientError::Rejected { code, body },
         }
--- a/crates/management-api/src/messages.rs
+++ b/crates/management-api/src/messages.rs
@@ -42,7 +42,7 @@
     /// What fails at present, with the number of failures in a row.
     pub failures: Vec<(&'static str, u32)>,
     /// Whether commands to the relay are queued or in flight.
-    pub has_open_commands: bool,
+    pub has_outstanding_commands: bool,
     /// The number of active overrides.
     pub active_overrides: usize,
     /// The number of listed overrides, ended ones included.
@@ -74,7 +74,7 @@
     /// The replicas that the registry lists now.
     pub listed_replicas: usize,
     /// The budget of the reports to this controller, in bytes per second.
-    pub bytes_per_second: u64,
+    pub report_budget_bytes_per_second: u64,
 }
 
 /// How fresh and how complete the reports are that this controller decides by.
@@ -131,7 +131,7 @@
     /// The store cannot be written to, for this reason; nothing has changed.
     NotStored(String),
     /// The overrides cannot be listed, for this reason: the store was not read yet.
-    NotKnownYet(String),
+    StoreUnavailable(String),
     /// Too many requests are queued; nothing has changed.
     Busy,
     /// The controller shuts down; nothing has changed.
--- a/crates/management-api/src/server.rs
+++ b/crates/management-api/src/server.rs
@@ -95,13 +95,13 @@
 /// A running server. Dropping it closes it and waits until it has ended, for a short time.
 pub struct ManagementServer {
     address: Option<SocketAddr>,
-    end: ServerEnd,
+    end: ClosingServer,
 }
 
 /// A server that no longer listens, and still answers what it has read. Dropping it waits until it has ended; it does so
 /// at its deadline at the latest.
 #[derive(Default)]
-pub struct ServerEnd {
+pub struct ClosingServer {
     shutdown: Option<ShutdownTrigger>,
     /// Yields once the address is free.
     released: Option<std::sync::mpsc::Receiver<()>>,
@@ -109,7 +109,7 @@
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl ServerEnd {
+impl ClosingServer {
     /// Sets an earlier deadline.
     pub fn close_by(&self, deadline: Instant) {
         if let Some(shutdown) = &self.shutdown {
@@ -118,7 +118,7 @@
     }
 
     /// Blocks until the address is free, which takes some milliseconds.
-    pub fn wait_until_released(&mut self) {
+    pub fn wait_until_address_released(&mut self) {
         if let Some(released) = self.released.take() {
             // An error means that the thread has ended, and with it the listener.
             _ = released.recv();
@@ -126,7 +126,7 @@
     }
 
     /// Waits until the last connection has closed.
-    pub async fn ended(&mut self) {
+    pub async fn wait_until_closed(&mut self) {
         if let Some(ended) = &mut self.ended {
             _ = ended.await;
             self.ended = None;
@@ -134,12 +134,12 @@
     }
 
     /// Whether the last connection has closed.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.thread.as_ref().is_none_or(std::thread::JoinHandle::is_finished)
     }
 }
 
-impl Drop for ServerEnd {
+impl Drop for ClosingServer {
     fn drop(&mut self) {
         if let Some(thread) = self.thread.take() {
             _ = thread.join();
@@ -182,7 +182,7 @@
             _ = on_ended.send(());
         })?;
         let not_started = |_| io::Error::other("the management front's thread ended at its start");
-        let end = ServerEnd {
+        let end = ClosingServer {
             shutdown: Some(shutdown),
             released: Some(released),
             ended: Some(ended),
@@ -205,7 +205,7 @@
     }
 
     /// Closes the server. Requests of which something was read are answered until the deadline.
-    pub fn close(mut self, deadline: Instant) -> ServerEnd {
+    pub fn close(mut self, deadline: Instant) -> ClosingServer {
         self.end.close_by(deadline);
         std::mem::take(&mut self.end)
     }
--- a/crates/management-api/src/wire/encode.rs
+++ b/crates/management-api/src/wire/encode.rs
@@ -40,7 +40,7 @@
         Reply::NotStored(reason) => {
             (507, to_json(&ErrorBody::new(format!("not kept, nothing has changed: {reason}"))))
         }
-        Reply::NotKnownYet(reason) => (
+        Reply::StoreUnavailable(reason) => (
             503,
             to_json(&ErrorBody::new(format!("the overrides are not read from the store yet: {reason}"))),
         ),
@@ -125,7 +125,7 @@
             proxies: status.proxies,
             slices: status.slices,
             replicas: status.replicas,
-            has_open_commands: status.has_open_commands,
+            has_outstanding_commands: status.has_outstanding_commands,
             failures: status.failures.iter().map(failure).collect(),
             active_overrides: status.active_overrides,
             listed_overrides: status.listed_overrides,
@@ -143,7 +143,7 @@
             subset_size: status.subset_size,
             own_replicas: status.own_replicas,
             listed_replicas: status.listed_replicas,
-            bytes_per_second: status.bytes_per_second,
+            report_budget_bytes_per_second: status.report_budget_bytes_per_second,
         }
     }
 }
--- a/crates/management-api/src/wire/mod.rs
+++ b/crates/management-api/src/wire/mod.rs
@@ -138,7 +138,7 @@
     pub replicas: usize,
     /// Whether commands to the relay are queued or in flight.
     #[serde(rename = "orders_open")]
-    pub has_open_commands: bool,
+    pub has_outstanding_commands: bool,
     /// What fails at present.
     #[serde(rename = "failing")]
     pub failures: Vec<RepeatedFailure>,
@@ -174,7 +174,7 @@
     pub listed_replicas: usize,
     /// The budget of the reports to the controller, in bytes per second.
     #[serde(rename = "budget_bytes_per_s")]
-    pub bytes_per_second: u64,
+    pub report_budget_bytes_per_second: u64,
 }
 
 /// How fresh and how complete the reports are that the controller decides by.
--- a/crates/management-api/tests/server_client.rs
+++ b/crates/management-api/tests/server_client.rs
@@ -81,7 +81,7 @@
                     slices: 6,
                     replicas: 3,
                     failures: vec![("the relay's news", 4)],
-                    has_open_commands: false,
+                    has_outstanding_commands: false,
                     active_overrides: 1,
                     listed_overrides: 2,
                     subsetting: Some(SubsettingStatus {
@@ -90,7 +90,7 @@
                         subset_size: 48,
                         own_replicas: 51,
                         listed_replicas: 2200,
-                        bytes_per_second: 27_000,
+                        report_budget_bytes_per_second: 27_000,
                     }),
                     reports: Some(ReportFreshness {
                         bytes_per_second: 21_300.5,
@@ -162,11 +162,11 @@
                 (650, 4, 48)
             );
             assert_eq!((subsetting.own_replicas, subsetting.listed_replicas), (51, 2200));
-            assert_eq!(subsetting.bytes_per_second, 27_000);
+            assert_eq!(subsetting.report_budget_bytes_per_second, 27_000);
             let reports = status.reports.unwrap();
             assert_eq!((reports.bytes_per_second, reports.age_s), (21_300.5, Some(0.8)));
             assert_eq!((reports.stale, reports.partial_replicas), (false, 7));
-            assert!(matches!(client.set("full", &set()).await, Err(ClientError::NotNow(_))));
+            assert!(matches!(client.set("full", &set()).await, Err(ClientError::Unavailable(_))));
             assert!(matches!(
                 client.set("taken", &set()).await,
                 Err(ClientError::Rejected { code: 409, .. })
--- a/crates/management-api/tests/wire_text.rs
+++ b/crates/management-api/tests/wire_text.rs
@@ -299,7 +299,7 @@
         slices: 6,
         replicas: 9,
         failures: vec![("discovery", 4)],
-        has_open_commands: true,
+        has_outstanding_commands: true,
         active_overrides: 1,
         listed_overrides: 2,
         subsetting: Some(SubsettingStatus {
@@ -308,7 +308,7 @@
             subset_size: 48,
             own_replicas: 51,
             listed_replicas: 2200,
-            bytes_per_second: 27_000,
+            report_budget_bytes_per_second: 27_000,
         }),
         reports: Some(ReportFreshness {
             bytes_per_second: 21_300.5,
@@ -338,7 +338,7 @@
         proxies: 3,
         slices: 6,
         replicas: 9,
-        has_open_commands: true,
+        has_outstanding_commands: true,
         failures: vec![RepeatedFailure { source: "discovery".into(), count: 4 }],
         active_overrides: 1,
         listed_overrides: 2,
@@ -348,7 +348,7 @@
             subset_size: 48,
             own_replicas: 51,
             listed_replicas: 2200,
-            bytes_per_second: 27_000,
+            report_budget_bytes_per_second: 27_000,
         }),
         reports: Some(ReportState {
             bytes_per_second: 21_300.5,
@@ -362,8 +362,13 @@
 
 #[test]
 fn status_without_subsets_has_its_text() {
-    let plain =
-        Status { failures: vec![], has_open_commands: false, subsetting: None, reports: None, ..status() };
+    let plain = Status {
+        failures: vec![],
+        has_outstanding_commands: false,
+        subsetting: None,
+        reports: None,
+        ..status()
+    };
     assert_eq!(encode(Reply::Status(plain)), (200, with_version(PLAIN_STATUS)));
     let read: ControllerState = serde_json::from_str(PLAIN_STATUS).unwrap();
     assert_eq!((read.subsetting, read.reports), (None, None));
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -30,7 +30,7 @@
     /// known yet.
     fn list_overrides(&self, now: Moment, overrides: &Overrides) -> Reply {
         if let Some(reason) = overrides.manager.store_unavailable_reason() {
-            return Reply::NotKnownYet(reason.into());
+            return Reply::StoreUnavailable(reason.into());
         }
         let listed = overrides.manager.registry().listed();
         let overrides = listed.map(|entry| overrides.listed_override(&self.policy, entry)).collect();
@@ -47,7 +47,7 @@
             slices: self.relay.tables.len(),
             replicas: self.names.len(),
             failures: failures.collect(),
-            has_open_commands: !self.commands.outbox.is_empty(),
+            has_outstanding_commands: !self.commands.outbox.is_empty(),
             active_overrides: registry.map_or(0, |registry| registry.active().count()),
             listed_overrides: registry.map_or(0, |registry| registry.listed().count()),
             subsetting: self.subsets.as_ref().map(Subsets::status),
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -138,7 +138,7 @@
             subset_size: self.fleet.parameters.subset_size,
             own_replicas: self.own_replicas,
             listed_replicas: self.listed_replicas,
-            bytes_per_second: self.fleet.bytes_per_second,
+            report_budget_bytes_per_second: self.fleet.bytes_per_second,
         }
     }
 }
