--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line. Doc comments of types and fields for clap are its help texts, which tests pin.
+//! The command line. clap prints the doc comments of its types and fields as help texts, which tests compare in full.
 
 use crate::tables::{Listing, OutputFormat};
 use clap::{Args, Parser, Subcommand};
@@ -29,8 +29,8 @@
     pub command: Command,
 }
 
-// Not a doc comment: clap would take it as the help text of the command.
-// The controllers to call, and for how long calls are retried.
+// The controllers to call, and the time limit for retries. This is not a doc comment because clap would use it as the
+// help text of the command.
 #[derive(Args, Clone)]
 pub(crate) struct ConnectionOptions {
     /// A governor's management front: the path of its socket, or its address; may be given several times
@@ -150,7 +150,7 @@
 }
 
 impl SetCommand {
-    /// The effect of the override, and the options that all kinds share.
+    /// Returns the kind of the override and the options that all kinds share.
     pub fn into_kind_and_terms(self) -> (OverrideKind, Terms) {
         match self {
             SetCommand::Weight { replica, factor, terms } => {
@@ -164,7 +164,7 @@
     }
 }
 
-/// The value of the flag `--json`.
+/// Converts the value of the flag `--json`.
 impl From<bool> for OutputFormat {
     fn from(is_json: bool) -> Self {
         if is_json {
@@ -175,7 +175,7 @@
     }
 }
 
-/// The value of the flag `--ended`.
+/// Converts the value of the flag `--ended`.
 impl From<bool> for Listing {
     fn from(with_ended: bool) -> Self {
         if with_ended {
--- a/crates/cli/src/client_calls.rs
+++ b/crates/cli/src/client_calls.rs
@@ -1,4 +1,4 @@
-//! Calls every controller at the same time, and retries calls that failed.
+//! Calls all controllers concurrently and retries failed calls.
 
 use crate::arguments::ConnectionOptions;
 use crate::error::CommandError;
@@ -10,16 +10,16 @@
 use whinwall_management_api::client::{Client, ClientError};
 use whinwall_policy::time::Span;
 
-/// A seed that differs between processes and between moments.
+/// Returns a seed that depends on the process and the current time.
 pub(crate) fn random_seed() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()) << 32
 }
 
-/// Makes a call to each controller. One that fails, or whose reply is not final, is retried.
+/// Calls each controller. A call that fails, or whose reply is not final, is retried.
 ///
 /// # Errors
-/// No controller is named, or the token cannot be read.
+/// There is no controller address, or the token file cannot be read.
 pub(crate) fn call_controllers<T>(
     connection: &ConnectionOptions,
     is_final: impl Fn(&T) -> bool,
@@ -57,7 +57,7 @@
     call: impl AsyncFn() -> Result<T, ClientError>,
 ) -> Result<T, ClientError> {
     let started_at = Instant::now();
-    let mut last = LastResort::None;
+    let mut fallback = FallbackResult::None;
     loop {
         let result = call().await;
         let is_done = match &result {
@@ -67,42 +67,42 @@
         if is_done {
             return result;
         }
-        last = last.after(result);
+        fallback = fallback.update(result);
         let elapsed = Span::ns(started_at.elapsed().as_nanos() as u64);
         match retries.next_delay(elapsed) {
             Some(delay) => actix_rt::time::sleep(Duration::from_nanos(delay.as_ns())).await,
-            None => return last.into_result(),
+            None => return fallback.into_result(),
         }
     }
 }
 
-/// What the attempts so far have shown, where none of them is final.
-enum LastResort<T> {
-    /// Nothing was attempted.
+/// The result to report if no attempt has a final result before the time limit.
+enum FallbackResult<T> {
+    /// There was no attempt yet.
     None,
-    /// Nothing was carried out.
+    /// All attempts failed and none was carried out.
     Failed(ClientError),
-    /// An attempt may have been carried out, which stays so until a later one has a reply.
+    /// An attempt may have been carried out. A later failure does not change this; only a later reply does.
     Unknown(ClientError),
-    /// The last reply, which is not final.
+    /// The latest reply, which is not final.
     Replied(T),
 }
 
-impl<T> LastResort<T> {
-    fn after(self, result: Result<T, ClientError>) -> Self {
+impl<T> FallbackResult<T> {
+    fn update(self, result: Result<T, ClientError>) -> Self {
         match (result, self) {
-            (Ok(reply), _) => LastResort::Replied(reply),
-            (Err(error @ ClientError::OutcomeUnknown(_)), _) => LastResort::Unknown(error),
-            (Err(_), known @ (LastResort::Unknown(_) | LastResort::Replied(_))) => known,
-            (Err(error), LastResort::None | LastResort::Failed(_)) => LastResort::Failed(error),
+            (Ok(reply), _) => FallbackResult::Replied(reply),
+            (Err(error @ ClientError::OutcomeUnknown(_)), _) => FallbackResult::Unknown(error),
+            (Err(_), earlier @ (FallbackResult::Unknown(_) | FallbackResult::Replied(_))) => earlier,
+            (Err(error), FallbackResult::None | FallbackResult::Failed(_)) => FallbackResult::Failed(error),
         }
     }
 
     fn into_result(self) -> Result<T, ClientError> {
         match self {
-            LastResort::Replied(reply) => Ok(reply),
-            LastResort::Unknown(error) | LastResort::Failed(error) => Err(error),
-            LastResort::None => Err(ClientError::NotSent("no attempt".into())),
+            FallbackResult::Replied(reply) => Ok(reply),
+            FallbackResult::Unknown(error) | FallbackResult::Failed(error) => Err(error),
+            FallbackResult::None => Err(ClientError::NotSent("no attempt was made".into())),
         }
     }
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each subcommand does: calls the controllers, prints their replies, and returns the exit status.
+//! The subcommands. Each calls the controllers, prints their replies and returns the exit status.
 
 use crate::arguments::{ConnectionOptions, SetCommand};
 use crate::client_calls::{call_controllers, random_seed};
@@ -11,10 +11,10 @@
 use whinwall_overrides::validation::validate;
 use whinwall_policy::random::Random;
 
-/// The characters of a generated id, without those that are easily confused.
+/// The characters of a generated id, without characters that are easily confused.
 const ID_ALPHABET: &[u8] = b"abcdefghjkmnpqrstuvwxyz23456789";
 const ID_PREFIX: &str = "o-";
-/// The number of random characters of a generated id.
+/// The number of random characters in a generated id.
 const ID_LENGTH: usize = 8;
 
 /// Sets an override at all controllers.
@@ -24,22 +24,24 @@
 ) -> Result<ExitStatus, CommandError> {
     let (kind, terms) = command.into_kind_and_terms();
     let id = terms.id.unwrap_or_else(generate_id);
-    // An override that all controllers would reject is not sent.
+    // An invalid override is not sent, because all controllers would reject it.
     validate(&id, &kind, &terms.author, &terms.reason)?;
     let body = SetBody::new(&kind, &terms.author, &terms.reason, terms.duration);
-    let replies = call_controllers(connection, is_kept, async |client| client.set(&id, &body).await)?;
+    let replies =
+        call_controllers(connection, is_durability_final, async |client| client.set(&id, &body).await)?;
     let status = print_outcomes(&replies);
     if status != ExitStatus::Success {
-        eprintln!("say it again with --id {id}: what has it already stays as it is");
+        eprintln!("to retry, use --id {id}: controllers that already have the override keep it unchanged");
     }
     Ok(status)
 }
 
 fn generate_id() -> String {
     let mut random = Random::from_seed(random_seed());
-    let alphabet = ID_ALPHABET.len();
-    let letter = |_| char::from(ID_ALPHABET[(random.draw() * alphabet as f64) as usize % alphabet]);
-    ID_PREFIX.chars().chain((0..ID_LENGTH).map(letter)).collect()
+    let alphabet_length = ID_ALPHABET.len();
+    let random_character =
+        |_| char::from(ID_ALPHABET[(random.draw() * alphabet_length as f64) as usize % alphabet_length]);
+    ID_PREFIX.chars().chain((0..ID_LENGTH).map(random_character)).collect()
 }
 
 /// Clears an override at all controllers.
@@ -48,7 +50,8 @@
     id: &str,
     author: &str,
 ) -> Result<ExitStatus, CommandError> {
-    let replies = call_controllers(connection, is_kept, async |client| client.clear(id, author).await)?;
+    let replies =
+        call_controllers(connection, is_durability_final, async |client| client.clear(id, author).await)?;
     Ok(print_outcomes(&replies))
 }
 
@@ -93,15 +96,16 @@
     }
     print_errors(replies);
     match replies.exit_status() {
-        ExitStatus::Success if !replies.successes().all(|(_, outcome)| is_kept(outcome)) => {
+        ExitStatus::Success if !replies.successes().all(|(_, outcome)| is_durability_final(outcome)) => {
             ExitStatus::NotDurable
         }
         status => status,
     }
 }
 
-/// Whether no restart undoes the change; one that is kept nowhere by configuration counts as well.
-fn is_kept(outcome: &ChangeOutcome) -> bool {
+/// Returns true if the durability of the change is final: either the change is on disk, or the controller is configured
+/// without a store.
+fn is_durability_final(outcome: &ChangeOutcome) -> bool {
     !outcome.is_not_on_disk_yet()
 }
 
@@ -111,7 +115,7 @@
     }
 }
 
-/// Checks configuration files, and prints what is wrong with each.
+/// Checks configuration files and prints the result for each.
 pub(crate) fn check_files(files: &[PathBuf]) -> ExitStatus {
     let mut status = ExitStatus::Success;
     for file in files {
@@ -126,7 +130,8 @@
     status
 }
 
-/// Checks a file: `.xml` is the operators' file, anything else the platform's. The error names the file.
+/// Checks one file: an operators' file if the extension is `.xml`, otherwise a platform configuration file. The error
+/// message contains the path of the file.
 fn check_file(file: &Path) -> Result<(), String> {
     let checked = if file.extension().is_some_and(|extension| extension == "xml") {
         configuration::read_operators_file(file).map(|_| ()).map_err(|error| error.to_string())
@@ -137,7 +142,7 @@
     };
     checked.map_err(|error| {
         let name = file.display().to_string();
-        // Some of the errors name their file already.
+        // Some errors already contain the path.
         if error.contains(&name) {
             error
         } else {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,6 +1,8 @@
-//! The `whinwall` command: [`run`] reads the command line and carries it out. Its modules are `arguments` (the command
-//! line), `commands` (what each subcommand does), `client_calls` (a call to every controller, with [`retries`]),
-//! [`replies`] (the controllers' replies) and [`tables`] (how these are shown).
+//! The `whinwall` command: [`run`] parses the command line and carries out the subcommand.
+//!
+//! The module `arguments` defines the command line, and `commands` the subcommands. `client_calls` calls all
+//! controllers, with the retry schedule of [`retries`]. [`replies`] holds the controllers' replies, and [`tables`]
+//! formats them.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
@@ -17,10 +19,10 @@
 use replies::ExitStatus;
 use std::process::ExitCode;
 
-/// The name of the program, as its completions and its messages have it.
+/// The name of the program in completions and messages.
 const PROGRAM_NAME: &str = "whinwall";
 
-/// Carries out the command line of the process. Errors are printed; invalid arguments end the process.
+/// Carries out the command line of the process. Prints errors, and exits the process if an argument is invalid.
 pub fn run() -> ExitCode {
     let Arguments { connection, command } = Arguments::parse();
     let status = match command {
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -1,4 +1,4 @@
-//! Replies of controllers as tables for people, and as JSON for scripts.
+//! Formats the replies of controllers as text for people and as JSON for scripts.
 
 use crate::replies::Replies;
 use std::collections::BTreeMap;
@@ -9,15 +9,15 @@
 use whinwall_overrides::text::format_duration;
 use whinwall_policy::time::Span;
 
-/// Expiry times that are closer together than this count as the same: each controller counts the duration from when
-/// it received the request.
+/// Expiry times that differ by less than this are treated as equal. They differ between controllers because each one
+/// counts the duration from the time at which it received the request.
 const SAME_EXPIRY_TOLERANCE_S: f64 = 15.0;
-const HEADER: [&str; 7] = ["ID", "WHAT", "STATE", "LEFT", "ENDS", "AUTHOR", "REASON"];
+const COLUMN_HEADERS: [&str; 7] = ["ID", "WHAT", "STATE", "LEFT", "ENDS", "AUTHOR", "REASON"];
 const COLUMN_SEPARATOR: &str = "  ";
 /// The state of an override that has ended.
-const ENDED: &str = "ended";
+const ENDED_STATE: &str = "ended";
 
-/// How replies are printed.
+/// The format in which replies are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
     /// Text for people.
@@ -26,26 +26,26 @@
     Json,
 }
 
-/// Which overrides are listed.
+/// The selection of overrides to list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// Those that are active at one controller at least.
+    /// Overrides that are active at one controller at least.
     Active,
-    /// All that a controller lists, ended ones included.
+    /// All overrides that a controller lists, including ended ones.
     All,
 }
 
-/// An override at one controller.
+/// An override as one controller lists it.
 pub struct ControllerItem {
     /// The controller's address.
     pub address: ManagementAddress,
-    /// The override there; none where the controller does not list it.
+    /// The override; `None` if the controller does not list it.
     pub item: Option<OverrideItem>,
 }
 
-/// One override at all controllers that replied.
+/// One override as all controllers that replied list it.
 pub struct OverrideRow {
-    /// The override at each of them, in the order of the command line.
+    /// The override at each controller, in the order of the command line.
     pub controllers: Vec<ControllerItem>,
 }
 
@@ -58,7 +58,8 @@
         self.items().next()
     }
 
-    /// Whether all controllers list the same override, active or ended everywhere, with about the same expiry time.
+    /// Returns true if all controllers list the same override, either active at all of them or ended at all of them,
+    /// with expiry times that differ by less than 15 s.
     pub fn agrees(&self) -> bool {
         let Some(first) = self.first() else { return true };
         self.controllers
@@ -69,16 +70,16 @@
 
 fn is_same_override(item: &OverrideItem, other: &OverrideItem) -> bool {
     let factor_bits = |item: &OverrideItem| item.factor.map(f64::to_bits);
-    let is_ended = |item: &OverrideItem| item.state == ENDED;
+    let has_ended = |item: &OverrideItem| item.state == ENDED_STATE;
     item.kind == other.kind
         && item.replica == other.replica
         && item.slices == other.slices
         && factor_bits(item) == factor_bits(other)
-        && is_ended(item) == is_ended(other)
+        && has_ended(item) == has_ended(other)
         && (item.remaining_s - other.remaining_s).abs() < SAME_EXPIRY_TOLERANCE_S
 }
 
-/// The overrides of all controllers by id, in the order in which the controllers list them.
+/// Groups the overrides of all controllers by id, in the order in which the controllers list them.
 pub fn collect_rows(replies: &Replies<OverrideList>, listing: Listing) -> Vec<OverrideRow> {
     let lists: Vec<(&ManagementAddress, &OverrideList)> = replies.successes().collect();
     let mut ids = Vec::new();
@@ -89,7 +90,7 @@
                 ids.push(item.id.as_str());
                 BTreeMap::new()
             });
-            // A controller may list an older override of the same id; the newest counts, and is the last.
+            // A controller may list earlier overrides with the same id. The latest is last and replaces them here.
             items.insert(controller, item);
         }
     }
@@ -103,7 +104,7 @@
     };
     let is_listed = |row: &OverrideRow| match listing {
         Listing::All => true,
-        Listing::Active => row.items().any(|item| item.state != ENDED),
+        Listing::Active => row.items().any(|item| item.state != ENDED_STATE),
     };
     ids.into_iter().map(row).filter(is_listed).collect()
 }
@@ -127,9 +128,9 @@
     }
 }
 
-/// One line of the table, with the notes below it.
+/// One line of the table, and the notes that follow it.
 struct TableLine {
-    cells: [String; HEADER.len()],
+    cells: [String; COLUMN_HEADERS.len()],
     notes: Vec<String>,
 }
 
@@ -146,13 +147,13 @@
             item.reason.clone(),
         ];
         let has_notes = controller_count > 1 && !row.agrees();
-        let notes = if has_notes { row.controllers.iter().map(note).collect() } else { Vec::new() };
+        let notes = if has_notes { row.controllers.iter().map(format_note).collect() } else { Vec::new() };
         Some(TableLine { cells, notes })
     }
 }
 
-/// What one controller lists, where controllers disagree.
-fn note(ControllerItem { address, item }: &ControllerItem) -> String {
+/// Formats what one controller lists, for an override on which controllers disagree.
+fn format_note(ControllerItem { address, item }: &ControllerItem) -> String {
     match item {
         Some(item) => {
             let (effect, state) = (describe_effect(item), describe_state(item));
@@ -162,18 +163,18 @@
     }
 }
 
-/// The table of overrides; `controller_count` is the number of controllers that were called.
+/// Formats the table of overrides. `controller_count` is the number of controllers that were called.
 pub fn format_rows(rows: &[OverrideRow], controller_count: usize) -> String {
     if rows.is_empty() {
         return "no overrides\n".into();
     }
-    let mut lines = vec![TableLine { cells: HEADER.map(String::from), notes: Vec::new() }];
+    let mut lines = vec![TableLine { cells: COLUMN_HEADERS.map(String::from), notes: Vec::new() }];
     lines.extend(rows.iter().filter_map(|row| TableLine::new(row, controller_count)));
     let width = |column: usize| {
         let lengths = lines.iter().map(|line| line.cells[column].chars().count());
         lengths.max().unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..HEADER.len()).map(width).collect();
+    let widths: Vec<usize> = (0..COLUMN_HEADERS.len()).map(width).collect();
     let mut text = String::new();
     for TableLine { cells, notes } in &lines {
         let padded: Vec<_> =
@@ -188,7 +189,7 @@
     text
 }
 
-/// The overrides as JSON, with the item of each controller.
+/// Formats the overrides as JSON, with the item of each controller.
 pub fn format_rows_as_json(rows: &[OverrideRow]) -> String {
     let row = |row: &OverrideRow| {
         let items = row.controllers.iter();
@@ -204,46 +205,47 @@
     serde_json::json!({ "overrides": rows.iter().map(row).collect::<Vec<_>>() }).to_string()
 }
 
-/// The outcome of a change, as one line.
+/// Formats the outcome of a change as one line.
 pub fn format_outcome(outcome: &ChangeOutcome) -> String {
     let ChangeOutcome { outcome, durability, item } = outcome;
-    let expiry = if item.state == ENDED {
+    let expiry = if item.state == ENDED_STATE {
         String::new()
     } else {
         format!(", ends {} ({})", item.expires_at, describe_remaining_time(item))
     };
     let durability = match durability.as_str() {
         "on disk" => String::new(),
-        "nowhere" => "; kept nowhere: it ends with the governor".into(),
+        "nowhere" => "; in memory only: lost when the controller stops".into(),
         reason => format!("; {reason}"),
     };
     let (effect, state) = (describe_effect(item), describe_state(item));
     format!("{} {outcome}: {effect}{expiry}; {state}{durability}", item.id)
 }
 
-/// The status of a controller, as one line.
+/// Formats the status of a controller as one line.
 pub fn format_status(state: &ControllerState) -> String {
     let ControllerState { name, version, proxies, slices, replicas, .. } = state;
     let ControllerState { active_overrides, listed_overrides, .. } = state;
     let uptime = format_duration(Span::ms(1000).times(state.uptime_s));
     let failures = describe_failures(state);
-    let open_commands = if state.has_outstanding_commands { "; orders are open" } else { "" };
+    let outstanding_commands =
+        if state.has_outstanding_commands { "; commands to the relay outstanding" } else { "" };
     let subsetting = state.subsetting.as_ref().map(describe_subsetting).unwrap_or_default();
     let reports = state.reports.as_ref().map(describe_reports).unwrap_or_default();
     format!(
-        "{name} {version}, up {uptime}; {proxies} proxies, {slices} slices, {replicas} servers; \
-         {active_overrides} overrides stand, {listed_overrides} listed; \
-         {failures}{open_commands}{subsetting}{reports}"
+        "{name} {version}, up {uptime}; {proxies} proxies, {slices} slices, {replicas} replicas; \
+         {active_overrides} active overrides, {listed_overrides} listed; \
+         {failures}{outstanding_commands}{subsetting}{reports}"
     )
 }
 
 fn describe_failures(state: &ControllerState) -> String {
     if state.failures.is_empty() {
-        return "nothing fails".into();
+        return "no failures".into();
     }
     let failures = state.failures.iter();
     let failures: Vec<_> =
-        failures.map(|failure| format!("{} ({} times)", failure.source, failure.count)).collect();
+        failures.map(|failure| format!("{} ({} times in a row)", failure.source, failure.count)).collect();
     format!("failing: {}", failures.join(", "))
 }
 
@@ -251,20 +253,20 @@
     let SubsettingState { controllers, aggregators, subset_size, .. } = subsetting;
     let SubsettingState { own_replicas, listed_replicas, report_budget_bytes_per_second, .. } = subsetting;
     format!(
-        "; steers {own_replicas} of {listed_replicas} replicas ({subset_size} wished) among {controllers} \
-         governors; {aggregators} aggregators may tell it {report_budget_bytes_per_second} bytes a second"
+        "; steers {own_replicas} of {listed_replicas} replicas (subset size {subset_size}) in a fleet of {controllers} \
+         controllers; {aggregators} aggregators, report budget {report_budget_bytes_per_second} bytes/s"
     )
 }
 
 fn describe_reports(reports: &ReportState) -> String {
     let age = match reports.age_s {
-        Some(age_s) => format!("the latest report {age_s:.1} s old"),
+        Some(age_s) => format!("latest report {age_s:.1} s old"),
         None => "no report yet".into(),
     };
-    let stale = if reports.stale { ", STALE: no replica is judged" } else { "" };
+    let stale = if reports.stale { ", STALE: outlier ejection paused" } else { "" };
     let partial = match reports.partial_replicas {
         0 => String::new(),
-        count => format!(", {count} replicas reported in part"),
+        count => format!(", {count} replicas with partial reports"),
     };
-    format!("; told {:.0} bytes a second, {age}{stale}{partial}", reports.bytes_per_second)
+    format!("; receives {:.0} bytes/s of reports, {age}{stale}{partial}", reports.bytes_per_second)
 }
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as a process, against real override controllers and management servers.
+//! Runs the command as a process against real management servers and override managers.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -12,18 +12,18 @@
 use whinwall_policy::api::{OverrideNumber, OverrideStatus};
 use whinwall_policy::time::{Moment, Span};
 
-/// A controller whose management server can be stopped; its overrides go on meanwhile.
+/// A fake controller with a real override manager. Its management server can be stopped while its overrides stay.
 struct Controller {
     socket: PathBuf,
     requests: mpsc::Sender<PendingRequest>,
     server: Option<ManagementServer>,
-    /// How many replies to a clear say that its end is not on disk yet.
+    /// The number of further replies to a clear that report it as not on disk yet.
     clears_not_on_disk: Arc<AtomicU32>,
-    /// How many replies are dropped, so that the client does not know the outcome.
+    /// The number of further replies that are dropped, so that the outcome is unknown to the client.
     replies_to_drop: Arc<AtomicU32>,
 }
 
-/// The reply of a controller that started at this time.
+/// Returns the reply of a controller that started at `started_at`.
 fn reply_to_request(
     overrides: &mut OverrideManager,
     request: Request,
@@ -38,11 +38,11 @@
                 OverrideEffect::Reply { reply, .. } => Some(reply),
                 _ => None,
             });
-            Reply::from_change(reply.unwrap(), now, |number| listed(overrides, number))
+            Reply::from_change(reply.unwrap(), now, |number| listed_override(overrides, number))
         }
         Request::List => {
             let numbers = overrides.registry().listed().map(|entry| entry.number);
-            let listed = numbers.filter_map(|number| listed(overrides, number)).collect();
+            let listed = numbers.filter_map(|number| listed_override(overrides, number)).collect();
             Reply::Listed { overrides: listed, now }
         }
         Request::Metrics => Reply::Metrics(String::new()),
@@ -62,7 +62,7 @@
     }
 }
 
-fn listed(overrides: &OverrideManager, number: OverrideNumber) -> Option<ListedOverride> {
+fn listed_override(overrides: &OverrideManager, number: OverrideNumber) -> Option<ListedOverride> {
     let entry = overrides.registry().get_by_number(number)?.clone();
     let status = entry.is_active().then_some(OverrideStatus::InForce);
     Some(ListedOverride { entry, status })
@@ -72,24 +72,24 @@
     fn start(folder: &Path, name: &str) -> Self {
         let (requests, mut received) = mpsc::channel::<PendingRequest>(16);
         let replies_to_drop = Arc::new(AtomicU32::new(0));
-        let drops = replies_to_drop.clone();
+        let remaining_drops = replies_to_drop.clone();
         let clears_not_on_disk = Arc::new(AtomicU32::new(0));
-        let not_on_disk = clears_not_on_disk.clone();
+        let remaining_not_on_disk = clears_not_on_disk.clone();
         std::thread::spawn(move || {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let start = Moment::at_ns(1_800_000_000_000_000_000);
             let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: start };
             let mut overrides = OverrideManager::in_memory(start, &reading, OverrideLimits::default());
             while let Some(PendingRequest { request, reply_to }) = received.blocking_recv() {
-                let now = start + Span::ns(began.elapsed().as_nanos() as u64);
+                let now = start + Span::ns(started_at.elapsed().as_nanos() as u64);
                 overrides.tick(now);
                 let mut reply = reply_to_request(&mut overrides, request, start, now);
                 if let Reply::Cleared { durability, .. } = &mut reply {
-                    if take_one(&not_on_disk) {
+                    if decrement(&remaining_not_on_disk) {
                         *durability = Durability::Pending("the disk is full".into());
                     }
                 }
-                if !take_one(&drops) {
+                if !decrement(&remaining_drops) {
                     _ = reply_to.send(reply);
                 }
             }
@@ -107,12 +107,12 @@
     }
 }
 
-/// Counts down; false at 0.
-fn take_one(count: &AtomicU32) -> bool {
+/// Decrements the count; returns false if it is 0.
+fn decrement(count: &AtomicU32) -> bool {
     count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |count| count.checked_sub(1)).is_ok()
 }
 
-fn whinwall(controllers: &[&Controller], arguments: &[&str]) -> Output {
+fn run_whinwall(controllers: &[&Controller], arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinwall"));
     command.env_clear().env("USER", "mb").args(["--keep-trying", "2s"]);
     controllers.iter().for_each(|controller| _ = command.arg("-g").arg(&controller.socket));
@@ -128,12 +128,12 @@
 fn override_is_set_listed_and_cleared() {
     let folder = tempfile::tempdir().unwrap();
     let controller = Controller::start(folder.path(), "n0");
-    let run = |arguments: &[&str]| status_and_text(&whinwall(&[&controller], arguments));
+    let run = |arguments: &[&str]| status_and_text(&run_whinwall(&[&controller], arguments));
     assert_eq!(run(&["override", "list"]), (Some(0), "no overrides\n".into()));
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk is failing", "--id", "a"];
     let (code, text) = run(&set);
     assert!(code == Some(0) && text.contains("a set: s-3 out of service, ends 20"), "{text}");
-    assert!(text.contains("kept nowhere"), "{text}");
+    assert!(text.contains("in memory only: lost when the controller stops"), "{text}");
     let (code, text) = run(&set);
     assert!(code == Some(0) && text.contains("a set before"), "{text}");
     run(&["override", "set", "pin", "40-47", "s-1", "--for", "1h", "--reason", "audit"]);
@@ -155,76 +155,80 @@
     assert_eq!((code, json["overrides"].as_array().unwrap().len()), (Some(0), 2));
     let (code, text) = run(&["status"]);
     assert!(
-        code == Some(0) && text.contains("2 overrides stand") && text.contains("discovery's watch"),
+        code == Some(0) && text.contains("2 active overrides") && text.contains("discovery's watch"),
         "{text}"
     );
     assert_eq!(run(&["override", "clear", "nobody"]).0, Some(2));
 }
 
 #[test]
-fn controller_that_missed_a_change_is_shown_until_the_change_is_repeated() {
+fn controller_that_missed_a_change_is_listed_until_the_change_is_repeated() {
     let folder = tempfile::tempdir().unwrap();
     let (first, mut second) =
         (Controller::start(folder.path(), "n0"), Controller::start(folder.path(), "n1"));
     second.server = None;
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
-    let (code, text) = status_and_text(&whinwall(&[&first, &second], &set));
+    let (code, text) = status_and_text(&run_whinwall(&[&first, &second], &set));
     assert_eq!(code, Some(1), "{text}");
-    assert!(text.contains("not sent") && text.contains("--id a"), "{text}");
+    assert!(text.contains("request not sent") && text.contains("--id a"), "{text}");
     second.start_server();
-    let (code, text) = status_and_text(&whinwall(&[&first, &second], &["override", "list"]));
+    let (code, text) = status_and_text(&run_whinwall(&[&first, &second], &["override", "list"]));
     assert!(code == Some(4) && text.contains("n1.sock: missing"), "{text}");
-    // A retry sets it at the second controller only.
-    let (code, text) = status_and_text(&whinwall(&[&first, &second], &set));
+    // A retry sets the override at the second controller only.
+    let (code, text) = status_and_text(&run_whinwall(&[&first, &second], &set));
     assert!(code == Some(0) && text.contains("a set before") && text.contains("a set:"), "{text}");
-    assert_eq!(status_and_text(&whinwall(&[&first, &second], &["override", "list"])).0, Some(0));
-    // Cleared at one controller, it is active at the other until it is cleared there too.
+    assert_eq!(status_and_text(&run_whinwall(&[&first, &second], &["override", "list"])).0, Some(0));
+    // After a clear at one controller, the override stays active at the other until it is cleared there too.
     second.server = None;
-    assert_eq!(status_and_text(&whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(1));
+    assert_eq!(status_and_text(&run_whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(1));
     second.start_server();
-    let (code, text) = status_and_text(&whinwall(&[&first, &second], &["override", "list"]));
+    let (code, text) = status_and_text(&run_whinwall(&[&first, &second], &["override", "list"]));
     assert!(code == Some(4) && text.contains("ended: cleared") && text.contains("in force"), "{text}");
-    assert_eq!(status_and_text(&whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(0));
+    assert_eq!(status_and_text(&run_whinwall(&[&first, &second], &["override", "clear", "a"])).0, Some(0));
 }
 
 #[test]
-fn unknown_outcome_is_retried_and_sets_nothing_twice() {
+fn request_with_unknown_outcome_is_retried_and_sets_the_override_once() {
     let folder = tempfile::tempdir().unwrap();
     let controller = Controller::start(folder.path(), "n0");
     controller.replies_to_drop.store(1, Ordering::SeqCst);
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
-    let (code, text) = status_and_text(&whinwall(&[&controller], &set));
+    let (code, text) = status_and_text(&run_whinwall(&[&controller], &set));
     assert!(code == Some(0) && text.contains("a set before"), "{text}");
-    assert_eq!(status_and_text(&whinwall(&[&controller], &["override", "list"])).1.lines().count(), 2);
+    assert_eq!(status_and_text(&run_whinwall(&[&controller], &["override", "list"])).1.lines().count(), 2);
 }
 
-/// `override clear` ended with exit code 0 while the disk was full; the controller was killed before its next write, and
-/// the override was active after the start (5 of 5 runs of 25 rounds).
+/// Guards against exit code 0 for an `override clear` that is not on disk yet. While the disk is full and the controller is
+/// killed before its next write, the override is active again after the restart (seen in 5 of 5 runs of 25 rounds).
 #[test]
-fn clear_goes_on_until_it_is_on_disk_and_is_not_done_before() {
+fn clear_is_retried_until_it_is_on_disk() {
     let folder = tempfile::tempdir().unwrap();
     let controller = Controller::start(folder.path(), "n0");
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
-    assert_eq!(status_and_text(&whinwall(&[&controller], &set)).0, Some(0));
+    assert_eq!(status_and_text(&run_whinwall(&[&controller], &set)).0, Some(0));
     controller.clears_not_on_disk.store(u32::MAX, Ordering::SeqCst);
-    let (code, text) = status_and_text(&whinwall(&[&controller], &["override", "clear", "a"]));
+    let (code, text) = status_and_text(&run_whinwall(&[&controller], &["override", "clear", "a"]));
     assert!(code == Some(5) && text.contains("not on disk yet: the disk is full"), "{code:?} {text}");
     controller.clears_not_on_disk.store(2, Ordering::SeqCst);
-    let (code, text) = status_and_text(&whinwall(&[&controller], &["override", "clear", "a"]));
+    let (code, text) = status_and_text(&run_whinwall(&[&controller], &["override", "clear", "a"]));
     assert!(code == Some(0) && !text.contains("not on disk"), "{code:?} {text}");
-    assert_eq!(controller.clears_not_on_disk.load(Ordering::SeqCst), 0, "asked until it was kept");
+    assert_eq!(
+        controller.clears_not_on_disk.load(Ordering::SeqCst),
+        0,
+        "clear is retried until it is on disk"
+    );
 }
 
 #[test]
-fn unreachable_controller_is_reported_in_time() {
+fn unreachable_controller_is_reported_within_the_time_limit() {
     let folder = tempfile::tempdir().unwrap();
     let mut controller = Controller::start(folder.path(), "n0");
     controller.server = None;
-    let began = Instant::now();
-    assert_eq!(status_and_text(&whinwall(&[&controller], &["status"])).0, Some(3));
-    assert!(began.elapsed() < Duration::from_secs(5));
-    let (code, text) = status_and_text(&whinwall(&[], &["status"]));
-    assert!(code == Some(2) && text.contains("--governor"), "{text}");
+    let started_at = Instant::now();
+    assert_eq!(status_and_text(&run_whinwall(&[&controller], &["status"])).0, Some(3));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
+    let (code, text) = status_and_text(&run_whinwall(&[], &["status"]));
+    assert!(code == Some(2) && text.contains("no controller address: use --governor"), "{text}");
 }
 
 #[test]
@@ -239,26 +243,26 @@
         (&["override", "set", "out", "s-3", "--for", "30m", "--reason", "x", "--id", "a b"], "id"),
         (&["override", "set", "out", "s-3", "--for", "9d", "--reason", "x"], "the longest"),
     ] {
-        let (code, text) = status_and_text(&whinwall(&[&controller], arguments));
+        let (code, text) = status_and_text(&run_whinwall(&[&controller], arguments));
         assert!(code == Some(2) && text.contains(expected), "{arguments:?}: {text}");
     }
 }
 
 #[test]
-fn files_are_checked_by_kind_and_completions_printed() {
+fn files_are_checked_by_kind_and_completions_are_printed() {
     let folder = tempfile::tempdir().unwrap();
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let check = |files: &[PathBuf]| {
         let files: Vec<_> = files.iter().map(|file| file.to_str().unwrap()).collect();
-        status_and_text(&whinwall(&[], &[&["check"], files.as_slice()].concat()))
+        status_and_text(&run_whinwall(&[], &[&["check"], files.as_slice()].concat()))
     };
     let (code, text) = check(&[deploy.join("operators.xml"), deploy.join("example.json")]);
     assert_eq!((code, text.matches(": fine").count()), (Some(0), 2), "{text}");
-    let faulty = folder.path().join("faulty.xml");
-    std::fs::write(&faulty, "<operators version=\"1\">\n  <stor/>\n</operators>").unwrap();
-    let (code, text) = check(&[faulty.clone(), deploy.join("example.json")]);
+    let invalid_file = folder.path().join("faulty.xml");
+    std::fs::write(&invalid_file, "<operators version=\"1\">\n  <stor/>\n</operators>").unwrap();
+    let (code, text) = check(&[invalid_file.clone(), deploy.join("example.json")]);
     assert!(code == Some(2) && text.contains("faulty.xml: line 2, column 3: <stor>"), "{text}");
     assert_eq!(check(&[folder.path().join("none.json")]).0, Some(2));
-    let (code, text) = status_and_text(&whinwall(&[], &["completions", "bash"]));
+    let (code, text) = status_and_text(&run_whinwall(&[], &["completions", "bash"]));
     assert!(code == Some(0) && text.contains("_whinwall"), "{text}");
 }
--- a/crates/cli/tests/help.rs
+++ b/crates/cli/tests/help.rs
@@ -1,5 +1,5 @@
-//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
-//! name may change; it reads `PROGRAM` here.
+//! The exact help texts, on which scripts, manuals and completions depend. The program's own name, which may change, is
+//! replaced by `PROGRAM`.
 
 use whinwall_test_support::help_text::help_text;
 
--- a/crates/cli/tests/retries.rs
+++ b/crates/cli/tests/retries.rs
@@ -1,10 +1,10 @@
-//! Delays between attempts.
+//! The delays between the attempts of a call.
 
 use whinwall_cli::retries::{RetrySchedule, FIRST_RETRY_DELAY, MAX_RETRY_DELAY};
 use whinwall_policy::time::Span;
 
 #[test]
-fn delays_grow_to_their_limit_and_end_in_time() {
+fn delays_grow_to_their_limit_and_end_within_the_time_limit() {
     let mut retries = RetrySchedule::new(Span::ms(60_000), 7);
     let (mut elapsed, mut delays) = (Span::default(), Vec::new());
     while let Some(delay) = retries.next_delay(elapsed) {
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn without_time_there_is_no_retry_and_seeds_spread_retries() {
+fn zero_time_limit_allows_no_retry_and_seeds_vary_the_delays() {
     assert_eq!(RetrySchedule::new(Span::default(), 1).next_delay(Span::default()), None);
-    let first = |seed| RetrySchedule::new(Span::ms(1000), seed).next_delay(Span::default());
-    assert_ne!(first(1), first(2));
+    let first_delay = |seed| RetrySchedule::new(Span::ms(1000), seed).next_delay(Span::default());
+    assert_ne!(first_delay(1), first_delay(2));
 }
--- a/crates/cli/tests/table_forms.rs
+++ b/crates/cli/tests/table_forms.rs
@@ -1,4 +1,4 @@
-//! The words and columns of the tables for people, and the JSON for scripts, to the letter.
+//! The exact text of the tables for people and the exact JSON for scripts.
 
 use whinwall_cli::replies::{ControllerReply, Replies};
 use whinwall_cli::tables::{self, Listing};
@@ -8,7 +8,7 @@
     SubsettingState,
 };
 
-fn item(id: &str, kind: KindName) -> OverrideItem {
+fn override_item(id: &str, kind: KindName) -> OverrideItem {
     OverrideItem {
         id: id.into(),
         kind,
@@ -28,10 +28,10 @@
 
 fn suspended(id: &str) -> OverrideItem {
     let cause = Some("no other server is well".into());
-    OverrideItem { state: "suspended".into(), cause, ..item(id, KindName::Out) }
+    OverrideItem { state: "suspended".into(), cause, ..override_item(id, KindName::Out) }
 }
 
-fn replies(lists: &[&[OverrideItem]]) -> Replies<OverrideList> {
+fn list_replies(lists: &[&[OverrideItem]]) -> Replies<OverrideList> {
     let list = |(n, items): (usize, &&[OverrideItem])| {
         let address = format!("127.0.0.1:{}", 8600 + n).parse().unwrap();
         ControllerReply { address, result: Ok(OverrideList { overrides: items.to_vec() }) }
@@ -40,26 +40,26 @@
 }
 
 #[test]
-fn table_of_overrides_has_its_headings_and_cells() {
-    let items = [item("w", KindName::Weight), suspended("out-1"), item("p", KindName::Pin)];
-    let rows = tables::collect_rows(&replies(&[&items]), Listing::Active);
+fn table_of_overrides_matches_its_fixture() {
+    let items = [override_item("w", KindName::Weight), suspended("out-1"), override_item("p", KindName::Pin)];
+    let rows = tables::collect_rows(&list_replies(&[&items]), Listing::Active);
     assert_eq!(tables::format_rows(&rows, 1), include_str!("fixtures/override-list.txt"));
 }
 
 #[test]
-fn table_of_overrides_notes_where_controllers_disagree() {
-    let rows = tables::collect_rows(&replies(&[&[suspended("a")], &[]]), Listing::Active);
+fn table_of_overrides_has_notes_where_controllers_disagree() {
+    let rows = tables::collect_rows(&list_replies(&[&[suspended("a")], &[]]), Listing::Active);
     assert_eq!(tables::format_rows(&rows, 2), include_str!("fixtures/override-list-disagreement.txt"));
 }
 
 #[test]
-fn empty_table_of_overrides_says_so() {
+fn empty_table_of_overrides_is_one_line() {
     assert_eq!(tables::format_rows(&[], 1), "no overrides\n");
 }
 
 #[test]
-fn overrides_have_their_json_form() {
-    let rows = tables::collect_rows(&replies(&[&[suspended("a")], &[]]), Listing::Active);
+fn overrides_match_their_json() {
+    let rows = tables::collect_rows(&list_replies(&[&[suspended("a")], &[]]), Listing::Active);
     let item = r#"{"author":"mb","cause":"no other server is well","ends":"2026-12-01T22:00:00Z","id":"a","kind":"out","left_s":1800.0,"origin":"request","reason":"disk is failing","server":"s-1","set":"2026-12-01T21:30:00Z","state":"suspended"}"#;
     let expected = format!(
         r#"{{"overrides":[{{"agrees":false,"governors":{{"127.0.0.1:8600":{item},"127.0.0.1:8601":null}},"id":"a"}}]}}"#
@@ -67,34 +67,34 @@
     assert_eq!(tables::format_rows_as_json(&rows), expected);
 }
 
-fn outcome(kept: &str, item: OverrideItem) -> String {
-    tables::format_outcome(&ChangeOutcome { outcome: "set".into(), durability: kept.into(), item })
+fn format_outcome(durability: &str, item: OverrideItem) -> String {
+    tables::format_outcome(&ChangeOutcome { outcome: "set".into(), durability: durability.into(), item })
 }
 
 #[test]
-fn outcome_of_an_override_on_disk_has_its_text() {
+fn outcome_of_an_override_on_disk_matches_its_text() {
     let expected = "a set: s-1 out of service, ends 2026-12-01T22:00:00Z (30m); in force";
-    assert_eq!(outcome("on disk", item("a", KindName::Out)), expected);
+    assert_eq!(format_outcome("on disk", override_item("a", KindName::Out)), expected);
 }
 
 #[test]
-fn outcome_of_an_override_that_is_not_on_disk_has_its_text() {
+fn outcome_of_an_override_that_is_not_on_disk_matches_its_text() {
     let expected = "a set: s-1 out of service, ends 2026-12-01T22:00:00Z (30m); in force";
-    let nowhere = format!("{expected}; kept nowhere: it ends with the governor");
-    assert_eq!(outcome("nowhere", item("a", KindName::Out)), nowhere);
-    let not_yet = format!("{expected}; not on disk yet: full");
-    assert_eq!(outcome("not on disk yet: full", item("a", KindName::Out)), not_yet);
+    let in_memory = format!("{expected}; in memory only: lost when the controller stops");
+    assert_eq!(format_outcome("nowhere", override_item("a", KindName::Out)), in_memory);
+    let pending = format!("{expected}; not on disk yet: full");
+    assert_eq!(format_outcome("not on disk yet: full", override_item("a", KindName::Out)), pending);
 }
 
 #[test]
-fn outcome_of_an_override_that_has_ended_has_its_text() {
+fn outcome_of_an_ended_override_matches_its_text() {
     let cause = Some("expired at 2026-12-01T22:00:00Z".into());
-    let ended = OverrideItem { state: "ended".into(), cause, ..item("a", KindName::Out) };
+    let ended = OverrideItem { state: "ended".into(), cause, ..override_item("a", KindName::Out) };
     let expected = "a set: s-1 out of service; ended: expired at 2026-12-01T22:00:00Z";
-    assert_eq!(outcome("on disk", ended), expected);
+    assert_eq!(format_outcome("on disk", ended), expected);
 }
 
-fn state() -> ControllerState {
+fn controller_state() -> ControllerState {
     ControllerState {
         name: "n1".into(),
         version: "0.1.0".into(),
@@ -124,32 +124,32 @@
 }
 
 #[test]
-fn status_with_every_part_has_its_text() {
-    let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 servers; 1 overrides stand, 2 listed; \
-                    failing: discovery (4 times); orders are open; steers 51 of 2200 replicas (48 wished) \
-                    among 650 governors; 4 aggregators may tell it 27000 bytes a second; told 21300 bytes a \
-                    second, the latest report 0.8 s old, STALE: no replica is judged, 7 replicas reported in \
-                    part";
-    assert_eq!(tables::format_status(&state()), expected);
+fn status_with_every_field_matches_its_text() {
+    let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 replicas; 1 active overrides, 2 listed; \
+                    failing: discovery (4 times in a row); commands to the relay outstanding; steers 51 of 2200 \
+                    replicas (subset size 48) in a fleet of 650 controllers; 4 aggregators, report budget 27000 \
+                    bytes/s; receives 21300 bytes/s of reports, latest report 0.8 s old, STALE: outlier ejection \
+                    paused, 7 replicas with partial reports";
+    assert_eq!(tables::format_status(&controller_state()), expected);
 }
 
 #[test]
-fn status_where_nothing_fails_has_its_text() {
+fn status_without_failures_matches_its_text() {
     let state = ControllerState {
         has_outstanding_commands: false,
         failures: vec![],
         subsetting: None,
         reports: None,
-        ..state()
+        ..controller_state()
     };
-    let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 servers; 1 overrides stand, 2 listed; \
-                    nothing fails";
+    let expected = "n1 0.1.0, up 1m5s; 3 proxies, 6 slices, 2200 replicas; 1 active overrides, 2 listed; \
+                    no failures";
     assert_eq!(tables::format_status(&state), expected);
 }
 
 #[test]
-fn errors_of_calls_have_their_text() {
-    let problem = whinwall_management_api::wire::ErrorBody::new("no such override");
+fn errors_of_calls_match_their_text() {
+    let error_body = whinwall_management_api::wire::ErrorBody::new("no such override");
     assert_eq!(ClientError::NotSent("away".into()).to_string(), "request not sent: away");
     assert_eq!(ClientError::OutcomeUnknown("cut off".into()).to_string(), "outcome unknown: cut off");
     assert_eq!(
@@ -157,7 +157,7 @@
         "request cannot be carried out now: busy"
     );
     assert_eq!(
-        ClientError::Rejected { code: 404, body: problem }.to_string(),
+        ClientError::Rejected { code: 404, body: error_body }.to_string(),
         "request rejected: no such override"
     );
 }
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Replies of several controllers, side by side.
+//! The overrides and the status of several controllers in one table.
 
 use whinwall_cli::replies::{ControllerReply, Replies};
 use whinwall_cli::tables::{collect_rows, format_rows, format_status, Listing, OverrideRow};
@@ -7,7 +7,7 @@
     ControllerState, KindName, OverrideItem, OverrideList, ReportState, SubsettingState,
 };
 
-fn item(id: &str, state: &str, remaining_s: f64) -> OverrideItem {
+fn override_item(id: &str, state: &str, remaining_s: f64) -> OverrideItem {
     OverrideItem {
         id: id.into(),
         kind: KindName::Out,
@@ -25,7 +25,7 @@
     }
 }
 
-fn replies(lists: &[&[OverrideItem]]) -> Replies<OverrideList> {
+fn list_replies(lists: &[&[OverrideItem]]) -> Replies<OverrideList> {
     let list = |(n, items): (usize, &&[OverrideItem])| {
         let address = format!("127.0.0.1:{}", 8600 + n).parse().unwrap();
         ControllerReply { address, result: Ok(OverrideList { overrides: items.to_vec() }) }
@@ -35,33 +35,36 @@
 
 #[test]
 fn controllers_with_the_same_overrides_agree() {
-    let both = replies(&[&[item("a", "in force", 600.0)], &[item("a", "waiting", 598.0)]]);
+    let both =
+        list_replies(&[&[override_item("a", "in force", 600.0)], &[override_item("a", "waiting", 598.0)]]);
     assert!(collect_rows(&both, Listing::Active).iter().all(OverrideRow::agrees));
 }
 
 #[test]
-fn controller_that_missed_a_change_is_shown() {
-    let missing = replies(&[&[item("a", "in force", 600.0)], &[]]);
-    let shown = collect_rows(&missing, Listing::Active);
-    assert!(!shown[0].agrees());
-    let text = format_rows(&shown, 2);
+fn controller_that_missed_a_change_is_listed() {
+    let missing = list_replies(&[&[override_item("a", "in force", 600.0)], &[]]);
+    let rows = collect_rows(&missing, Listing::Active);
+    assert!(!rows[0].agrees());
+    let text = format_rows(&rows, 2);
     assert!(text.contains("! 127.0.0.1:8601: missing"), "{text}");
-    let cleared = replies(&[&[item("a", "ended", 0.0)], &[item("a", "in force", 600.0)]]);
+    let cleared =
+        list_replies(&[&[override_item("a", "ended", 0.0)], &[override_item("a", "in force", 600.0)]]);
     assert!(!collect_rows(&cleared, Listing::Active)[0].agrees());
-    let late = replies(&[&[item("a", "in force", 600.0)], &[item("a", "in force", 900.0)]]);
-    assert!(!collect_rows(&late, Listing::Active)[0].agrees());
+    let later_expiry =
+        list_replies(&[&[override_item("a", "in force", 600.0)], &[override_item("a", "in force", 900.0)]]);
+    assert!(!collect_rows(&later_expiry, Listing::Active)[0].agrees());
 }
 
 #[test]
-fn ended_overrides_are_listed_on_request_and_a_silent_controller_is_no_disagreement() {
-    let mut both = replies(&[&[item("a", "ended", 0.0), item("b", "in force", 9.0)]]);
-    let silent = "127.0.0.1:8601".parse().unwrap();
-    both.0.push(ControllerReply { address: silent, result: Err(ClientError::NotSent("away".into())) });
+fn ended_overrides_are_listed_on_request_and_an_unreachable_controller_is_no_disagreement() {
+    let mut both = list_replies(&[&[override_item("a", "ended", 0.0), override_item("b", "in force", 9.0)]]);
+    let unreachable = "127.0.0.1:8601".parse().unwrap();
+    both.0.push(ControllerReply { address: unreachable, result: Err(ClientError::NotSent("away".into())) });
     assert_eq!((collect_rows(&both, Listing::Active).len(), collect_rows(&both, Listing::All).len()), (1, 2));
     assert!(collect_rows(&both, Listing::All).iter().all(OverrideRow::agrees));
 }
 
-fn state() -> ControllerState {
+fn controller_state() -> ControllerState {
     ControllerState {
         name: "n1".into(),
         version: "0.1.0".into(),
@@ -79,9 +82,12 @@
 }
 
 #[test]
-fn status_names_members_subset_and_reports_where_there_are_subsets() {
-    let plain = format_status(&state());
-    assert!(plain.ends_with("0 overrides stand, 0 listed; nothing fails"), "{plain}");
+fn status_contains_fleet_subset_and_reports_if_subsetting_is_on() {
+    let without_subsetting = format_status(&controller_state());
+    assert!(
+        without_subsetting.ends_with("0 active overrides, 0 listed; no failures"),
+        "{without_subsetting}"
+    );
     let subsetting = SubsettingState {
         controllers: 650,
         aggregators: 4,
@@ -92,13 +98,17 @@
     };
     let reports =
         ReportState { bytes_per_second: 21_300.4, age_s: Some(0.84), stale: false, partial_replicas: 0 };
-    let with = ControllerState { subsetting: Some(subsetting), reports: Some(reports.clone()), ..state() };
-    let expected = "; steers 51 of 2200 replicas (48 wished) among 650 governors; \
-                    4 aggregators may tell it 27000 bytes a second; told 21300 bytes a second, \
-                    the latest report 0.8 s old";
-    assert_eq!(format_status(&with), format!("{plain}{expected}"));
-    let late = ReportState { age_s: None, stale: true, partial_replicas: 7, ..reports };
-    let text = format_status(&ControllerState { reports: Some(late), ..with });
-    let expected = "no report yet, STALE: no replica is judged, 7 replicas reported in part";
+    let with_subsetting = ControllerState {
+        subsetting: Some(subsetting),
+        reports: Some(reports.clone()),
+        ..controller_state()
+    };
+    let expected = "; steers 51 of 2200 replicas (subset size 48) in a fleet of 650 controllers; \
+                    4 aggregators, report budget 27000 bytes/s; receives 21300 bytes/s of reports, \
+                    latest report 0.8 s old";
+    assert_eq!(format_status(&with_subsetting), format!("{without_subsetting}{expected}"));
+    let stale_reports = ReportState { age_s: None, stale: true, partial_replicas: 7, ..reports };
+    let text = format_status(&ControllerState { reports: Some(stale_reports), ..with_subsetting });
+    let expected = "no report yet, STALE: outlier ejection paused, 7 replicas with partial reports";
     assert!(text.ends_with(expected), "{text}");
 }
--- a/crates/management-api/src/server.rs
+++ b/crates/management-api/src/server.rs
@@ -176,10 +176,7 @@
                     Ok((listener, token)) => {
                         _ = on_started.send(Ok(listener.address()));
                         let handler = Rc::new(RequestHandler { name, token, requests });
-                        serve_until_closed(listener, handler, signal, running, || {
-                            _ = on_address_released.send(())
-                        })
-                        .await;
+                        serve(listener, handler, signal, running, || _ = on_address_released.send(())).await;
                     }
                     Err(error) => _ = on_started.send(Err(error)),
                 }
@@ -241,7 +238,7 @@
 }
 
 /// Serves until the shutdown signal, then until the last connection is closed or [`CLOSE_TIMEOUT`] after the deadline.
-async fn serve_until_closed(
+async fn serve(
     listener: Listener,
     handler: Rc<RequestHandler>,
     signal: ShutdownSignal,
