--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -13,7 +13,7 @@
 use whinwall_policy::time::{Moment, Span};
 
 /// A fake controller with a real override manager. Its management server can be stopped while its overrides stay.
-struct Controller {
+struct FakeController {
     socket: PathBuf,
     requests: mpsc::Sender<PendingRequest>,
     server: Option<ManagementServer>,
@@ -68,7 +68,7 @@
     Some(ListedOverride { entry, status })
 }
 
-impl Controller {
+impl FakeController {
     fn start(folder: &Path, name: &str) -> Self {
         let (requests, mut received) = mpsc::channel::<PendingRequest>(16);
         let replies_to_drop = Arc::new(AtomicU32::new(0));
@@ -77,13 +77,14 @@
         let remaining_not_on_disk = clears_not_on_disk.clone();
         std::thread::spawn(move || {
             let started_at = Instant::now();
-            let start = Moment::at_ns(1_800_000_000_000_000_000);
-            let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: start };
-            let mut overrides = OverrideManager::in_memory(start, &reading, OverrideLimits::default());
+            let start_time = Moment::at_ns(1_800_000_000_000_000_000);
+            let reading =
+                ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: start_time };
+            let mut overrides = OverrideManager::in_memory(start_time, &reading, OverrideLimits::default());
             while let Some(PendingRequest { request, reply_to }) = received.blocking_recv() {
-                let now = start + Span::ns(started_at.elapsed().as_nanos() as u64);
+                let now = start_time + Span::ns(started_at.elapsed().as_nanos() as u64);
                 overrides.tick(now);
-                let mut reply = reply_to_request(&mut overrides, request, start, now);
+                let mut reply = reply_to_request(&mut overrides, request, start_time, now);
                 if let Reply::Cleared { durability, .. } = &mut reply {
                     if decrement(&remaining_not_on_disk) {
                         *durability = Durability::Pending("the disk is full".into());
@@ -96,7 +97,7 @@
         });
         let socket = folder.join(format!("{name}.sock"));
         let mut controller =
-            Controller { socket, requests, server: None, clears_not_on_disk, replies_to_drop };
+            FakeController { socket, requests, server: None, clears_not_on_disk, replies_to_drop };
         controller.start_server();
         controller
     }
@@ -112,7 +113,7 @@
     count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |count| count.checked_sub(1)).is_ok()
 }
 
-fn run_whinwall(controllers: &[&Controller], arguments: &[&str]) -> Output {
+fn run_whinwall(controllers: &[&FakeController], arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinwall"));
     command.env_clear().env("USER", "mb").args(["--keep-trying", "2s"]);
     controllers.iter().for_each(|controller| _ = command.arg("-g").arg(&controller.socket));
@@ -127,7 +128,7 @@
 #[test]
 fn override_is_set_listed_and_cleared() {
     let folder = tempfile::tempdir().unwrap();
-    let controller = Controller::start(folder.path(), "n0");
+    let controller = FakeController::start(folder.path(), "n0");
     let run = |arguments: &[&str]| status_and_text(&run_whinwall(&[&controller], arguments));
     assert_eq!(run(&["override", "list"]), (Some(0), "no overrides\n".into()));
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk is failing", "--id", "a"];
@@ -165,7 +166,7 @@
 fn controller_that_missed_a_change_is_listed_until_the_change_is_repeated() {
     let folder = tempfile::tempdir().unwrap();
     let (first, mut second) =
-        (Controller::start(folder.path(), "n0"), Controller::start(folder.path(), "n1"));
+        (FakeController::start(folder.path(), "n0"), FakeController::start(folder.path(), "n1"));
     second.server = None;
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
     let (code, text) = status_and_text(&run_whinwall(&[&first, &second], &set));
@@ -190,7 +191,7 @@
 #[test]
 fn request_with_unknown_outcome_is_retried_and_sets_the_override_once() {
     let folder = tempfile::tempdir().unwrap();
-    let controller = Controller::start(folder.path(), "n0");
+    let controller = FakeController::start(folder.path(), "n0");
     controller.replies_to_drop.store(1, Ordering::SeqCst);
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
     let (code, text) = status_and_text(&run_whinwall(&[&controller], &set));
@@ -203,7 +204,7 @@
 #[test]
 fn clear_is_retried_until_it_is_on_disk() {
     let folder = tempfile::tempdir().unwrap();
-    let controller = Controller::start(folder.path(), "n0");
+    let controller = FakeController::start(folder.path(), "n0");
     let set = ["override", "set", "out", "s-3", "--for", "30m", "--reason", "disk", "--id", "a"];
     assert_eq!(status_and_text(&run_whinwall(&[&controller], &set)).0, Some(0));
     controller.clears_not_on_disk.store(u32::MAX, Ordering::SeqCst);
@@ -222,7 +223,7 @@
 #[test]
 fn unreachable_controller_is_reported_within_the_time_limit() {
     let folder = tempfile::tempdir().unwrap();
-    let mut controller = Controller::start(folder.path(), "n0");
+    let mut controller = FakeController::start(folder.path(), "n0");
     controller.server = None;
     let started_at = Instant::now();
     assert_eq!(status_and_text(&run_whinwall(&[&controller], &["status"])).0, Some(3));
@@ -234,7 +235,7 @@
 #[test]
 fn invalid_arguments_are_rejected_before_any_call() {
     let folder = tempfile::tempdir().unwrap();
-    let controller = Controller::start(folder.path(), "n0");
+    let controller = FakeController::start(folder.path(), "n0");
     for (arguments, expected) in [
         (&["override", "set", "out", "s-3", "--for", "soon", "--reason", "x"][..], "90s"),
         (&["override", "set", "out", "s-3", "--for", "30m"], "--reason"),
--- a/crates/management-api/src/server.rs
+++ b/crates/management-api/src/server.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum TokenError {
     /// The file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
