--- a/crates/controller/src/program/shutdown.rs
+++ b/crates/controller/src/program/shutdown.rs
@@ -69,7 +69,7 @@
     loop {
         let ended = async {
             connections.running.ended().await;
-            management.ended().await;
+            management.wait_until_closed().await;
         };
         let stage_end = async { _ = tokio::time::timeout_at(deadline, ended).await };
         if let WaitOutcome::StageEnded = serve_until(input, queues, signals, stage_end).await {
