--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// An invalid message, by whether the rest of its connection can still be decoded.
+/// An invalid message. The variants differ in whether the rest of the connection can be decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidMessage {
     /// Only this message is invalid; other messages on the connection are not affected.
--- a/crates/serving/src/http/connection.rs
+++ b/crates/serving/src/http/connection.rs
@@ -247,7 +247,7 @@
 }
 
 impl PartialRequest {
-    /// Records whether any part of the request was read. Returns true the first time that this is so.
+    /// Records that a part of the request was read, if so. Returns true only when this is recorded for the first time.
     fn mark_begun(&mut self, input: &BytesMut) -> bool {
         let begins = !self.has_begun && (!input.is_empty() || self.request.is_some());
         self.has_begun |= begins;
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// The reason why a relay request has no response, by whether its outcome is known.
+/// The reason why a relay request has no response. The variants differ in whether its outcome is known.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RequestError {
     /// The request was not completely sent, so the relay has not applied it.
--- a/crates/transport/src/registry_watch.rs
+++ b/crates/transport/src/registry_watch.rs
@@ -16,7 +16,7 @@
 }
 
 async fn read_lines(id: WatchId, client: awc::Client, url: String, inputs: &InputSender) -> StreamError {
-    // Errors of the HTTP client are neither `Send` nor `Sync`, so only their text is kept.
+    // `awc::error::SendRequestError` is neither `Send` nor `Sync`, so only its text is kept.
     let send_request = async || match client.get(&url).send().await {
         Ok(response) if response.status().is_success() => Ok(response),
         Ok(response) => Err(StreamError::Unreachable(Cause::new(HttpStatusError(response.status())))),
--- a/crates/transport/tests/errors.rs
+++ b/crates/transport/tests/errors.rs
@@ -10,8 +10,8 @@
 fn error_texts_name_the_cause() {
     let lost = StreamError::from(Error::new(ErrorKind::ConnectionReset, "reset"));
     assert_eq!(lost.to_string(), "connection lost: reset");
-    let unreadable = StreamError::from(Error::new(ErrorKind::InvalidData, "garbled"));
-    assert_eq!(unreadable.to_string(), "unreadable: garbled");
+    let unreadable = StreamError::from(Error::new(ErrorKind::InvalidData, "not UTF-8"));
+    assert_eq!(unreadable.to_string(), "unreadable: not UTF-8");
     let unreachable = StreamError::Unreachable("refused".into());
     assert_eq!(RequestError::NotSent(unreachable).to_string(), "not sent: unreachable: refused");
     let unknown = RequestError::OutcomeUnknown(StreamError::Closed);
