--- a/crates/subsetting/examples/subset_costs.rs
+++ b/crates/subsetting/examples/subset_costs.rs
@@ -1,4 +1,4 @@
-//! Measures computations at 650 controllers before 2,200 replicas in 9 zones: `cargo run --release -p
+//! Measures the computation of subsets for 650 controllers and 2,200 replicas in 9 zones: `cargo run --release -p
 //! whinwall-subsetting --example subset_costs [subset size]`.
 
 use std::time::Instant;
@@ -38,12 +38,12 @@
 }
 
 fn membership(leaving: Option<usize>) -> Membership {
-    let there = (0..CONTROLLERS).filter(|number| Some(*number) != leaving);
-    Membership::new(there.map(|number| format!("governor-{number}"))).expect("names differ")
+    let members = (0..CONTROLLERS).filter(|number| Some(*number) != leaving);
+    Membership::new(members.map(|number| format!("governor-{number}"))).expect("names differ")
 }
 
-/// Prints the median and the longest of the runs.
-fn print_times(what: &str, mut milliseconds: Vec<f64>) {
+/// Prints the median and the maximum duration of the runs.
+fn print_durations(what: &str, mut milliseconds: Vec<f64>) {
     milliseconds.sort_by(f64::total_cmp);
     let (median, longest) = (milliseconds[milliseconds.len() / 2], milliseconds[milliseconds.len() - 1]);
     println!("{what}: median {median:.2} ms, longest {longest:.2} ms, {} runs", milliseconds.len());
@@ -55,7 +55,7 @@
     (began.elapsed().as_secs_f64() * 1e3, result)
 }
 
-fn share(pairs: usize, all: &Assignment) -> f64 {
+fn percentage(pairs: usize, all: &Assignment) -> f64 {
     100.0 * pairs as f64 / all.pair_count() as f64
 }
 
@@ -82,7 +82,7 @@
     let all = borrow_all(&entries);
 
     let full = (0..RUNS).map(|_| timed(|| Assignment::compute(&membership(None), &all, &parameters)).0);
-    print_times("whole computation", full.collect());
+    print_durations("whole computation", full.collect());
 
     let mut planner = Planner::new(membership(None), parameters);
     let base = planner.assign(&all);
@@ -92,7 +92,7 @@
     let mut latest = base.clone();
     let mut entries = entries.clone();
     for change in 0..CHANGES {
-        // One replica at a time is replaced under a new name.
+        // Replaces one replica at a time by a replica with a new name.
         entries[change * 4 % REPLICAS].id = format!("replacement-{change}");
         let replicas = borrow_all(&entries);
         let (time, next) = timed(|| planner.assign(&replicas));
@@ -100,11 +100,11 @@
         (gained, most, latest) = (gained + moved, most.max(moved), next);
         times.push(time);
     }
-    print_times("a replica replaced", times);
+    print_durations("a replica replaced", times);
     println!(
         "{CHANGES} replacements: {:.3}% of the pairs each on average, {:.3}% at the most",
-        share(gained, &base) / CHANGES as f64,
-        share(most, &base)
+        percentage(gained, &base) / CHANGES as f64,
+        percentage(most, &base)
     );
 
     let rest: Vec<_> = all.iter().filter(|replica| replica.zone != "zone-0").copied().collect();
@@ -114,8 +114,8 @@
     println!(
         "a zone of {} lost: {lost_time:.2} ms, {:.2}% of the pairs are new; back: {back_time:.2} ms, {:.2}%, same: {}",
         all.len() - rest.len(),
-        share(lost.added_pair_count(&base), &base),
-        share(back.added_pair_count(&lost), &base),
+        percentage(lost.added_pair_count(&base), &base),
+        percentage(back.added_pair_count(&lost), &base),
         back == base,
     );
 
@@ -126,10 +126,10 @@
         (gained, most) = (gained + moved, most.max(moved));
         times.push(time);
     }
-    print_times("a governor gone, computed anew", times);
+    print_durations("a governor gone, computed anew", times);
     println!(
         "a governor gone: {:.3}% of the pairs are new on average, {:.3}% at the most, of {RUNS}",
-        share(gained, &base) / RUNS as f64,
-        share(most, &base)
+        percentage(gained, &base) / RUNS as f64,
+        percentage(most, &base)
     );
 }
--- a/crates/subsetting/src/draft.rs
+++ b/crates/subsetting/src/draft.rs
@@ -1,25 +1,25 @@
-//! An assignment that is being computed: after the matching, controllers are added until all floors are met.
+//! An intermediate assignment. After the matching, controllers are added until all floors are met.
 
 use crate::hashing::score;
 use crate::parameters::{Replica, MIN_CONTROLLERS_PER_REPLICA};
 use crate::preferences::{Candidate, PreferenceList};
 use crate::strata::Stratum;
 
-/// How many replicas of each zone each controller has, by zone and controller.
+/// The number of replicas of each zone in each subset, indexed by zone and controller.
 type SubsetSizes = Vec<Vec<usize>>;
 
-/// The controllers of each replica so far.
+/// The controllers assigned to each replica so far.
 pub(crate) struct Draft<'a> {
     pub replicas: &'a [Replica<'a>],
-    /// By controller.
+    /// Hash seeds, indexed by controller.
     pub seeds: &'a [u64],
-    /// By controller.
+    /// Stable fractions, indexed by controller.
     pub fractions: &'a [f64],
-    /// By zone and controller.
+    /// Maximum number of replicas, indexed by zone and controller.
     pub capacities: Vec<Vec<usize>>,
-    /// By replica.
+    /// Zone index, indexed by replica.
     pub zone_of: Vec<usize>,
-    /// By replica, unsorted.
+    /// Unsorted candidates, indexed by replica.
     pub controllers: Vec<Vec<Candidate>>,
 }
 
@@ -34,8 +34,8 @@
         sizes
     }
 
-    /// Gives each controller that is below its floor of a stratum the replicas at which it has the highest scores,
-    /// within its capacity.
+    /// Raises each controller to its floor in each stratum. Adds the replicas with the highest scores for the
+    /// controller, up to its capacity.
     pub fn fill_to_floors(&mut self, strata: &[Stratum], floor: fn(&Stratum, f64) -> usize) {
         let mut sizes = self.subset_sizes();
         for stratum in strata {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// How many replicas of a stratum each controller has.
+    /// Returns the number of replicas of a stratum that each controller has.
     fn count_members(&self, stratum: &Stratum) -> Vec<usize> {
         let mut counts = vec![0; self.seeds.len()];
         for candidate in stratum.members.iter().flat_map(|member| &self.controllers[*member]) {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Gives a replica that has too few controllers, as all others are full, the first of its order all the same.
+    /// Adds controllers to replicas that have fewer than the minimum because the other controllers are full. The most
+    /// preferred controllers are added even if that exceeds their capacity.
     pub fn add_missing_controllers(&mut self) {
         let min_controllers = self.seeds.len().min(MIN_CONTROLLERS_PER_REPLICA);
         for (replica, controllers) in self.replicas.iter().zip(&mut self.controllers) {
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,9 +1,8 @@
 //! Deterministic subsetting of replicas by rendezvous hashing, without I/O or clock.
 //!
-//! Each controller of a fleet steers a subset of the replicas. Every controller computes the whole assignment from the
-//! controllers' names and the registry's replicas, and all of them get the same result, whatever order they learned
-//! these in. [`Planner`] keeps what the next
-//! computation can use again.
+//! Each controller of a fleet steers a subset of the replicas. Every controller computes the complete assignment from
+//! the names of the controllers and the replicas in the registry. The result does not depend on the order of the
+//! input, so all controllers compute the same assignment. [`Planner`] caches preference lists between computations.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/subsetting/src/matching.rs
+++ b/crates/subsetting/src/matching.rs
@@ -1,11 +1,11 @@
-//! Stable matching of the replicas of one zone with controllers of bounded capacity (deferred acceptance of Gale and
-//! Shapley). Both sides rank by the same score, so there is one stable result, whatever the order of the proposals.
+//! Stable matching of the replicas of one zone with controllers of limited capacity (Gale-Shapley deferred acceptance).
+//! Both sides rank by the same score, so the stable matching is unique and does not depend on the order of proposals.
 
 use crate::preferences::{Candidate, PreferenceList};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A replica that proposes to controllers in the order of its preferences.
+/// A replica that proposes to controllers in preference order.
 pub(crate) struct Proposer<'a> {
     id: &'a str,
     preferences: &'a mut PreferenceList,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> Proposer<'a> {
-    /// A replica that is to have so many controllers.
+    /// Creates a proposer that needs `demand` controllers.
     pub fn new(id: &'a str, preferences: &'a mut PreferenceList, demand: usize) -> Self {
         Proposer { id, preferences, next_position: 0, missing_controllers: demand }
     }
@@ -26,41 +26,41 @@
     }
 }
 
-/// Score and index of a replica; the one with the lowest score is at the top of a heap.
+/// Score and index of a replica, reversed so that the lowest score is at the top of the heap.
 type Proposal = Reverse<(u64, usize)>;
 
-/// What one controller has accepted so far.
+/// A controller and the proposals it has accepted so far.
 struct Acceptor {
     capacity: usize,
     accepted: BinaryHeap<Proposal>,
 }
 
-/// A controller's answer to a proposal.
-enum Answer {
+/// The response of a controller to a proposal.
+enum Response {
     Accepted,
-    /// Accepted in place of the replica of this index.
+    /// Accepted; replaces the replica with this index.
     Displaced(usize),
     Rejected,
 }
 
 impl Acceptor {
-    fn consider(&mut self, proposal: Proposal) -> Answer {
+    fn consider(&mut self, proposal: Proposal) -> Response {
         if self.accepted.len() < self.capacity {
             self.accepted.push(proposal);
-            return Answer::Accepted;
+            return Response::Accepted;
         }
         match self.accepted.peek_mut() {
             Some(mut lowest) if proposal < *lowest => {
                 let Reverse((_, displaced)) = std::mem::replace(&mut *lowest, proposal);
-                Answer::Displaced(displaced)
+                Response::Displaced(displaced)
             }
-            _ => Answer::Rejected,
+            _ => Response::Rejected,
         }
     }
 }
 
-/// The controllers of each replica, in no order. A replica gets fewer than it is to have only where every other
-/// controller is full.
+/// Returns the controllers of each replica, unsorted. A replica gets fewer than its demand only if all other
+/// controllers are full.
 pub(crate) fn match_replicas(
     mut proposers: Vec<Proposer>,
     capacities: &[usize],
@@ -68,18 +68,18 @@
 ) -> Vec<Vec<Candidate>> {
     let acceptor = |capacity: &usize| Acceptor { capacity: *capacity, accepted: BinaryHeap::new() };
     let mut acceptors: Vec<Acceptor> = capacities.iter().map(acceptor).collect();
-    let mut waiting: Vec<usize> = (0..proposers.len()).collect();
-    while let Some(index) = waiting.pop() {
+    let mut unmatched: Vec<usize> = (0..proposers.len()).collect();
+    while let Some(index) = unmatched.pop() {
         while proposers[index].missing_controllers > 0 {
             let Some(candidate) = proposers[index].next_candidate(seeds) else { break };
             let proposal = Reverse((candidate.score, index));
             match acceptors[candidate.controller as usize].consider(proposal) {
-                Answer::Rejected => {}
-                Answer::Accepted => proposers[index].missing_controllers -= 1,
-                Answer::Displaced(displaced) => {
+                Response::Rejected => {}
+                Response::Accepted => proposers[index].missing_controllers -= 1,
+                Response::Displaced(displaced) => {
                     proposers[index].missing_controllers -= 1;
                     proposers[displaced].missing_controllers += 1;
-                    waiting.push(displaced);
+                    unmatched.push(displaced);
                 }
             }
         }
--- a/crates/subsetting/src/membership.rs
+++ b/crates/subsetting/src/membership.rs
@@ -2,29 +2,29 @@
 
 use std::sync::Arc;
 
-/// The largest fleet; a larger number is a mistake in a file.
+/// The maximum number of controllers; a larger fleet is taken for an error in the configuration.
 pub const MAX_CONTROLLERS: usize = 4096;
 
 /// One controller of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Controller {
-    /// Unique in the fleet.
+    /// Name of the controller, unique in the fleet.
     pub name: String,
 }
 
-/// Why names are not a fleet.
+/// An invalid list of controller names.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
-    /// No names at all.
+    /// The list is empty.
     #[error("no governor is named")]
     Empty,
-    /// The same name more than once.
-    #[error("governor {0:?} is there twice")]
+    /// A name occurs more than once.
+    #[error("duplicate governor {0:?}")]
     Duplicate(String),
-    /// More than [`MAX_CONTROLLERS`].
-    #[error("{0} governors are more than {MAX_CONTROLLERS}")]
+    /// There are more than [`MAX_CONTROLLERS`] names.
+    #[error("{0} governors, at most {MAX_CONTROLLERS} allowed")]
     TooMany(usize),
-    /// A name that should be among them is not.
+    /// A required name is missing.
     #[error("this governor's own name, {0:?}, is not among the governors")]
     Absent(String),
 }
@@ -39,7 +39,7 @@
     /// Sorts and checks the names.
     ///
     /// # Errors
-    /// No names, too many, or the same name twice.
+    /// Fails if there are no names, more than [`MAX_CONTROLLERS`], or duplicates.
     pub fn new(names: impl IntoIterator<Item = String>) -> Result<Self, MembershipError> {
         let mut controllers: Vec<_> = names.into_iter().map(|name| Controller { name }).collect();
         controllers.sort_unstable();
@@ -55,40 +55,40 @@
         Ok(Membership { controllers: controllers.into() })
     }
 
-    /// The position of a name that has to be among them.
+    /// Returns the position of a name that is required to be a member.
     ///
     /// # Errors
-    /// [`MembershipError::Absent`].
+    /// Fails with [`MembershipError::Absent`] if the name is not a member.
     pub fn require(&self, name: &str) -> Result<usize, MembershipError> {
         self.index(name).ok_or_else(|| MembershipError::Absent(name.to_string()))
     }
 
-    /// Whether the name is among them.
+    /// Returns true if the name is a member.
     pub fn contains(&self, name: &str) -> bool {
         self.index(name).is_some()
     }
 
-    /// The name's position among the sorted names.
+    /// Returns the position of a name among the sorted names.
     pub fn index(&self, name: &str) -> Option<usize> {
         self.controllers.binary_search_by(|controller| controller.name.as_str().cmp(name)).ok()
     }
 
-    /// The sorted names.
+    /// Iterates over the sorted names.
     pub fn names(&self) -> impl ExactSizeIterator<Item = &str> {
         self.controllers.iter().map(|controller| controller.name.as_str())
     }
 
-    /// The name at a position; none beyond the last.
+    /// Returns the name at a position, or `None` beyond the last one.
     pub fn name(&self, index: usize) -> Option<&str> {
         self.controllers.get(index).map(|controller| controller.name.as_str())
     }
 
-    /// How many there are; at least one.
+    /// Returns the number of controllers, at least 1.
     pub fn len(&self) -> usize {
         self.controllers.len()
     }
 
-    /// Never true; callers expect it beside `len`.
+    /// Always false. It exists because types with `len` conventionally have it.
     pub fn is_empty(&self) -> bool {
         self.controllers.is_empty()
     }
--- a/crates/subsetting/src/parameters.rs
+++ b/crates/subsetting/src/parameters.rs
@@ -1,34 +1,35 @@
-//! What an assignment is computed from, beside the fleet's controllers.
+//! Inputs of an assignment besides the controllers of the fleet.
 
-/// Each replica has at least this many controllers where the fleet has them, so that the failure of one leaves no
-/// replica without.
+/// The minimum number of controllers per replica in a fleet that is large enough. With two, the failure of one
+/// controller leaves no replica without a controller.
 pub const MIN_CONTROLLERS_PER_REPLICA: usize = 2;
 
-/// What subsetting needs to know of a replica, from the registry.
+/// The properties of a registered replica that subsetting uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Replica<'a> {
-    /// Unique in the registry.
+    /// Id of the replica, unique in the registry.
     pub id: &'a str,
-    /// Subsets are spread over zones.
+    /// Zone of the replica. Subsets are spread over zones.
     pub zone: &'a str,
-    /// A kind, cell or service; subsets have replicas of each group that is large enough for all controllers.
+    /// Group of the replica: a kind, cell or service. Subsets contain replicas of each group that has enough for all
+    /// controllers.
     pub group: &'a str,
-    /// The listed weight; a replica of twice the weight has twice the controllers.
+    /// Registered weight. The number of controllers of a replica is proportional to it.
     pub weight: f64,
 }
 
-/// Why parameters are invalid.
+/// Invalid parameters.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParametersError {
-    /// A controller would steer nothing.
-    #[error("a subset of 0 replicas steers nothing")]
+    /// The subset size is 0, so controllers would steer no replicas.
+    #[error("subset of 0 replicas, at least 1 needed")]
     EmptySubset,
 }
 
-/// Validated parameters of an assignment.
+/// Parameters of an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Parameters {
-    /// Desired number of replicas per controller.
+    /// Target number of replicas per controller.
     pub subset_size: usize,
 }
 
@@ -36,7 +37,7 @@
     /// Checks the parameters.
     ///
     /// # Errors
-    /// [`ParametersError::EmptySubset`].
+    /// Fails with [`ParametersError::EmptySubset`] if the subset size is 0.
     pub fn new(subset_size: usize) -> Result<Self, ParametersError> {
         if subset_size == 0 {
             return Err(ParametersError::EmptySubset);
--- a/crates/subsetting/src/planner.rs
+++ b/crates/subsetting/src/planner.rs
@@ -1,4 +1,4 @@
-//! Computes assignments, and keeps each replica's preference list from one computation to the next.
+//! Computes assignments and caches the preference list of each replica between computations.
 
 use crate::assignment::Assignment;
 use crate::draft::Draft;
@@ -10,47 +10,47 @@
 use crate::strata::{canonicalize, demands, group_into_strata, Stratum};
 use std::collections::BTreeMap;
 
-/// How much of a replica's order is kept, beyond twice the controllers that it is to have.
+/// Cached candidates per replica in addition to twice its demand.
 const SPARE_CANDIDATES: usize = 16;
 
-/// Computes assignments for one fleet. A change of the registry costs the new replicas' hashes and a matching; a
-/// change of the fleet needs a new planner.
+/// Computes assignments for one fleet. After a change of the registry only the hashes of new replicas and the matching
+/// are computed. A change of the fleet requires a new planner.
 #[derive(Debug)]
 pub struct Planner {
     membership: Membership,
     parameters: Parameters,
-    /// By controller.
+    /// Hash seeds, indexed by controller.
     seeds: Vec<u64>,
-    /// By controller.
+    /// Stable fractions, indexed by controller.
     fractions: Vec<f64>,
-    /// Of the replicas of the latest assignment, by id.
+    /// Preference lists of the replicas of the latest assignment, by replica id.
     preferences: BTreeMap<String, PreferenceList>,
 }
 
 impl Planner {
-    /// A planner that has hashed nothing but the controllers' names.
+    /// Creates a planner without cached preference lists.
     pub fn new(membership: Membership, parameters: Parameters) -> Self {
         let seeds = membership.names().map(seed).collect();
         let fractions = membership.names().map(stable_fraction).collect();
         Planner { membership, parameters, seeds, fractions, preferences: BTreeMap::new() }
     }
 
-    /// The controllers that it computes for.
+    /// Returns the membership that assignments are computed for.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The parameters that it computes with.
+    /// Returns the parameters that assignments are computed with.
     pub fn parameters(&self) -> Parameters {
         self.parameters
     }
 
-    /// The assignment for these replicas. Of replicas with the same id one counts.
+    /// Computes the assignment for these replicas. Duplicate ids are counted once.
     pub fn assign(&mut self, replicas: &[Replica]) -> Assignment {
         let replicas = canonicalize(replicas);
         let controllers = self.membership.len();
         let demands = demands(&replicas, controllers, &self.parameters);
-        self.renew_preferences(&replicas, &demands);
+        self.update_preferences(&replicas, &demands);
         let zones = group_into_strata(&replicas, &demands, controllers, |replica| replica.zone);
         let groups = group_into_strata(&replicas, &demands, controllers, |replica| replica.group);
         let mut draft = self.match_zones(&replicas, &demands, &zones);
@@ -65,11 +65,11 @@
         Assignment::new(self.membership.clone(), by_replica.collect(), size_bound)
     }
 
-    /// Has preference lists for all these replicas, and for no others.
-    fn renew_preferences(&mut self, replicas: &[Replica], demands: &[usize]) {
-        let mut former = std::mem::take(&mut self.preferences);
+    /// Adds the preference lists of new replicas and removes those of replicas that are no longer listed.
+    fn update_preferences(&mut self, replicas: &[Replica], demands: &[usize]) {
+        let mut previous = std::mem::take(&mut self.preferences);
         for (replica, demand) in replicas.iter().zip(demands) {
-            let (id, list) = former.remove_entry(replica.id).unwrap_or_else(|| {
+            let (id, list) = previous.remove_entry(replica.id).unwrap_or_else(|| {
                 let length = 2 * demand + SPARE_CANDIDATES;
                 (replica.id.to_string(), PreferenceList::new(replica.id, &self.seeds, length))
             });
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Matches the replicas of each zone with the controllers.
+    /// Matches the replicas of each zone with controllers.
     fn match_zones<'a>(
         &'a mut self,
         replicas: &'a [Replica],
@@ -89,8 +89,8 @@
             .iter()
             .map(|zone| fractions.iter().map(|fraction| zone.capacity(*fraction)).collect())
             .collect();
-        // The lists and the canonical replicas are both sorted by id. Each replica is in one zone, so that each list
-        // is taken once.
+        // The preference lists and the canonical replicas are both sorted by id. Each replica is in exactly one zone,
+        // so each list is taken once.
         let mut lists: Vec<_> = self.preferences.values_mut().map(Some).collect();
         let mut controllers = vec![Vec::new(); replicas.len()];
         let mut zone_of = vec![0; replicas.len()];
@@ -109,7 +109,7 @@
 }
 
 impl Assignment {
-    /// Computes an assignment once; a [`Planner`] does it repeatedly at a lower cost.
+    /// Computes a single assignment. For repeated computations, [`Planner`] is cheaper.
     pub fn compute(membership: &Membership, replicas: &[Replica], parameters: &Parameters) -> Assignment {
         Planner::new(membership.clone(), *parameters).assign(replicas)
     }
--- a/crates/subsetting/src/preferences.rs
+++ b/crates/subsetting/src/preferences.rs
@@ -1,9 +1,9 @@
-//! A replica's controllers in rendezvous order.
+//! The controllers in the rendezvous order of a replica.
 
 use crate::hashing::score;
 use std::cmp::Reverse;
 
-/// A controller with its score at one replica.
+/// A controller and its score at one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Candidate {
     pub score: u64,
@@ -12,20 +12,21 @@
 }
 
 impl Candidate {
-    /// Sorts the highest score first.
+    /// Returns a key that sorts the highest score first.
     pub fn sort_key(&self) -> (Reverse<u64>, u32) {
         (Reverse(self.score), self.controller)
     }
 }
 
-/// The head of a replica's rendezvous order. It grows to the whole order when a later position is asked for.
+/// The first candidates of the rendezvous order of a replica. The complete order is computed when a position beyond
+/// them is requested.
 #[derive(Debug)]
 pub(crate) struct PreferenceList {
     head: Vec<Candidate>,
 }
 
 impl PreferenceList {
-    /// The first `length` controllers for a replica; `seeds` are those of all controllers.
+    /// Computes the first `length` candidates for a replica. `seeds` are the seeds of all controllers.
     pub fn new(replica: &str, seeds: &[u64], length: usize) -> Self {
         let candidate = |(controller, seed): (usize, &u64)| Candidate {
             score: score(replica, *seed),
@@ -41,12 +42,12 @@
         PreferenceList { head }
     }
 
-    /// All controllers for a replica, the most preferred first.
+    /// Returns all controllers for a replica, the most preferred first.
     pub fn complete(replica: &str, seeds: &[u64]) -> Vec<Candidate> {
         PreferenceList::new(replica, seeds, seeds.len()).head
     }
 
-    /// The candidate at a position; none beyond the last controller.
+    /// Returns the candidate at a position, or `None` beyond the last controller.
     pub fn candidate(&mut self, position: usize, replica: &str, seeds: &[u64]) -> Option<Candidate> {
         if position >= self.head.len() && self.head.len() < seeds.len() {
             *self = PreferenceList::new(replica, seeds, seeds.len());
--- a/crates/subsetting/src/strata.rs
+++ b/crates/subsetting/src/strata.rs
@@ -1,16 +1,16 @@
-//! Replicas in a canonical order, how many controllers each is to have, and how much of a subset each zone and each
-//! group makes.
+//! Canonical order and demands of replicas, and the capacities and floors of each zone and group in a subset.
 
 use crate::hashing::{dither, stable_fraction};
 use crate::parameters::{Parameters, Replica, MIN_CONTROLLERS_PER_REPLICA};
 use std::collections::BTreeMap;
 
-/// A controller's capacity, as a multiple of the average, so that replicas find controllers near the head of their order.
+/// Capacity of a controller relative to the average. The margin lets replicas match with controllers near the head of
+/// their preference lists.
 const CAPACITY_FACTOR: f64 = 1.125;
-/// The least that a controller has of a zone or group, as a fraction of the average.
+/// Minimum number of replicas of a zone or group in a subset, relative to the average.
 const FLOOR_FACTOR: f64 = 0.5;
 
-/// Replicas in an order that does not depend on how they were given, each id once.
+/// Returns the replicas in an order that is independent of the input order, without duplicate ids.
 pub(crate) fn canonicalize<'a>(replicas: &[Replica<'a>]) -> Vec<Replica<'a>> {
     let mut sorted: Vec<_> =
         replicas.iter().map(|replica| Replica { weight: valid_weight(replica), ..*replica }).collect();
@@ -22,7 +22,7 @@
     sorted
 }
 
-/// An invalid weight counts as 1, the usual one.
+/// Returns the weight, or the default of 1 if the weight is invalid.
 fn valid_weight(replica: &Replica) -> f64 {
     if replica.weight.is_finite() && replica.weight > 0.0 {
         replica.weight
@@ -31,7 +31,7 @@
     }
 }
 
-/// How many controllers each replica is to have.
+/// Returns the number of controllers that each replica needs.
 pub(crate) fn demands(replicas: &[Replica], controllers: usize, parameters: &Parameters) -> Vec<usize> {
     let min_controllers = controllers.min(MIN_CONTROLLERS_PER_REPLICA);
     if parameters.subset_size >= replicas.len() {
@@ -46,33 +46,34 @@
     replicas.iter().map(demand).collect()
 }
 
-/// The replicas of one zone, or of one group, by their positions in the canonical order.
+/// The replicas of one zone or one group, as positions in the canonical order.
 pub(crate) struct Stratum {
     pub members: Vec<usize>,
-    /// The average number of them in a subset.
+    /// The average number of these replicas in a subset.
     average: f64,
 }
 
 impl Stratum {
-    /// The most of them in the subset of the controller with this stable fraction.
+    /// Returns the maximum number of these replicas in the subset of the controller with this stable fraction.
     pub fn capacity(&self, fraction: f64) -> usize {
         1 + dither(self.average * CAPACITY_FACTOR, fraction)
     }
 
-    /// The most of them in any subset.
+    /// Returns the maximum number of these replicas in any subset.
     pub fn largest_capacity(&self) -> usize {
         self.capacity(0.0).min(self.members.len())
     }
 
-    /// The fewest of them in the subset of the controller with this stable fraction, for a zone. Every controller has one of them
-    /// where the average is at least one.
+    /// Returns the minimum number of replicas of a zone in the subset of the controller with this stable fraction. It
+    /// is at least one if the average is at least one.
     pub fn zone_floor(&self, fraction: f64) -> usize {
         let presence = (2.0 * self.average - 1.0).clamp(0.0, 1.0);
         self.floor(presence.max(self.average * FLOOR_FACTOR), fraction)
     }
 
-    /// The same for a group. There may be more groups than a subset has replicas: every controller has one of them
-    /// only where the average is at least four.
+    /// Returns the minimum number of replicas of a group in the subset of the controller with this stable fraction.
+    /// There may be more groups than replicas in a subset, so the minimum is at least one only if the average is at
+    /// least four.
     pub fn group_floor(&self, fraction: f64) -> usize {
         self.floor((self.average * FLOOR_FACTOR - 1.0).max(0.0), fraction)
     }
@@ -82,7 +83,7 @@
     }
 }
 
-/// Groups the replicas by a name, of their zone or of their group.
+/// Groups the replicas by the name of their zone or group.
 pub(crate) fn group_into_strata<'a>(
     replicas: &[Replica<'a>],
     demands: &[usize],
--- a/crates/subsetting/tests/changes.rs
+++ b/crates/subsetting/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the registry and of the fleet cost: pairs of a replica and a controller that are new.
+//! Cost of changes of the registry and of the fleet: the number of new (replica, controller) pairs.
 
 mod fleet;
 
@@ -8,21 +8,22 @@
 use whinwall_subsetting::*;
 
 const SUBSET_SIZE: usize = 48;
-/// The fleet that the project aims at.
+/// Target size of the fleet.
 const CONTROLLERS: usize = 650;
 const REPLICAS: usize = 2200;
 const ZONES: usize = 9;
 const GROUPS: usize = 69;
-/// Restarts and replacements of one day.
+/// Restarts and replacements in one day.
 const CHANGES: usize = 470;
-/// A replica or controller more or less moves at most so many times the pairs that are its own.
+/// Maximum number of pairs that move when one replica or controller is added or removed, as a multiple of the pairs
+/// that it has itself.
 const MAX_MOVES_PER_MEMBER: f64 = 3.0;
 
 fn planner(controllers: usize) -> Planner {
     Planner::new(membership(controllers), Parameters::new(SUBSET_SIZE).expect("not 0"))
 }
 
-/// The pairs that are new, beside those that one of so many members has on average.
+/// Returns the number of new pairs divided by the average number of pairs of one of `members` members.
 fn moves_per_member(after: &Assignment, before: &Assignment, members: usize) -> f64 {
     after.added_pair_count(before) as f64 * members as f64 / before.pair_count() as f64
 }
@@ -54,7 +55,8 @@
     }
 }
 
-/// At a fifth of the size: replicas and controllers that are replaced under a new name, in a random order.
+/// Runs at a fifth of the target size: replicas and controllers are replaced by members with new names, in random
+/// order.
 #[test]
 fn replacements_of_a_day_move_few_pairs_each_and_keep_the_bounds() {
     let (controllers, count) = (CONTROLLERS / 5, REPLICAS / 5);
--- a/crates/subsetting/tests/fleet/mod.rs
+++ b/crates/subsetting/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Fleets to compute subsets for.
-#![allow(dead_code)] // each test program uses a part of it
+//! Test fleets for the computation of subsets.
+#![allow(dead_code)] // each test binary uses only some of the items
 
 use whinwall_subsetting::{Membership, Replica};
 
@@ -29,7 +29,7 @@
     Membership::new(names(controllers)).expect("names differ")
 }
 
-/// Replicas in turn over zones and groups, all of one size.
+/// Returns replicas of equal weight, distributed round-robin over zones and groups.
 pub fn replicas(count: usize, zones: usize, groups: usize) -> Vec<OwnedReplica> {
     let replica = |number: usize| OwnedReplica {
         id: format!("replica-{number}"),
--- a/crates/subsetting/tests/membership.rs
+++ b/crates/subsetting/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which names are a fleet.
+//! Validation of controller names and parameters.
 
 use whinwall_subsetting::{Membership, MembershipError, Parameters, ParametersError, MAX_CONTROLLERS};
 
--- a/crates/subsetting/tests/properties.rs
+++ b/crates/subsetting/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of every assignment.
+//! Properties that hold for every assignment.
 
 mod fleet;
 
@@ -9,7 +9,7 @@
 
 const TRIALS: u64 = 300;
 
-/// A fleet of any shape, with every size of subset.
+/// A random fleet with a random subset size.
 #[derive(Clone, Debug)]
 struct Fleet {
     controllers: usize,
@@ -140,7 +140,8 @@
         }
         zones.values().all(|members| {
             let pairs: usize = members.iter().map(|member| assignment.controllers_of(member).len()).sum();
-            // A controller that lacks a zone is given more: the average may exceed what made the floor by this.
+            // Controllers below the floor of a zone get additional replicas. The average of the finished assignment
+            // can therefore exceed the average from which the floor was computed.
             let enough = pairs >= 2 * fleet.controllers;
             let has =
                 |name: &String| members.iter().any(|member| assignment.position(member, name).is_some());
