--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -1,4 +1,4 @@
-//! The reducer: all state of an aggregator, one event at a time, without I/O or clock.
+//! The reducer: owns all state of an aggregator and applies one event at a time, without I/O or clock.
 
 mod fleet;
 mod serving;
@@ -18,12 +18,12 @@
 use whinwall_protocol::collector::Report;
 use whinwall_subsetting::Planner;
 
-/// An aggregator's state.
+/// The state of an aggregator.
 #[derive(Debug)]
 pub struct Aggregator {
     configuration: Configuration,
     planner: Planner,
-    /// The zone that its lines name.
+    /// The zone named in the lines to controllers.
     zone: Option<String>,
     sums: Sums,
     coverage: Coverage,
@@ -31,29 +31,30 @@
     registry: Registry,
     feeds: BTreeMap<String, Feed>,
     counters: Counters,
-    /// When it was called last.
+    /// Time of the last call.
     last_call: Moment,
-    /// Reports are passed on from then on.
-    hold_until: Option<Moment>,
+    /// Time from which controllers are served.
+    serve_from: Option<Moment>,
     next_heartbeat: Moment,
-    next_sweep: Moment,
-    /// The registry or the members changed since subsets were computed.
+    next_idle_removal: Moment,
+    /// True if the registry or the members have changed since subsets were computed.
     subsets_due: bool,
-    next_subsets: Moment,
-    /// When discovery is to be asked.
-    watch_registry_at: Option<Moment>,
-    /// Names of the aggregators that share the controllers, as of the last assignment.
+    next_subset_computation: Moment,
+    /// Time at which a new watch of discovery is due.
+    registry_watch_at: Option<Moment>,
+    /// Names of the aggregators that shared the controllers at the last assignment.
     sharing_aggregators: Vec<String>,
     was_registry_fresh: bool,
-    /// Since when a peer has a later version of the list.
+    /// Time since which a peer has had a later version of the endpoint list.
     behind_since: Option<Moment>,
-    /// When discovery is asked anew although its watch goes on.
-    renew_at: Moment,
+    /// Time at which the watch of discovery is renewed even if it is alive.
+    registry_renewal_at: Moment,
 }
 
 impl Aggregator {
-    /// One that has just started. `zone` is what its lines name as their zone: one of the settings' zones, as
-    /// controllers read no other; without one it is the first by name of those heard when the first line goes.
+    /// Creates an aggregator that has just started. `zone` is the zone named in its lines. It must be one of the zones
+    /// in the settings, because controllers ignore others. Without it, the first zone by name that has reported is
+    /// used when the first controller connects.
     pub fn new(now: Moment, configuration: Configuration, zone: Option<String>) -> Self {
         let planner = Planner::new(configuration.membership.clone(), configuration.parameters);
         let mut aggregator = Aggregator {
@@ -67,25 +68,25 @@
             feeds: BTreeMap::new(),
             counters: Counters::default(),
             last_call: now,
-            hold_until: None,
+            serve_from: None,
             next_heartbeat: now,
-            next_sweep: now + limits::CLASS_IDLE,
+            next_idle_removal: now + limits::CLASS_IDLE_TIMEOUT,
             subsets_due: false,
-            next_subsets: now,
-            watch_registry_at: Some(now),
+            next_subset_computation: now,
+            registry_watch_at: Some(now),
             sharing_aggregators: Vec::new(),
             was_registry_fresh: true,
             behind_since: None,
-            renew_at: now + limits::REGISTRY_RENEWED,
+            registry_renewal_at: now + limits::REGISTRY_RENEWAL_PERIOD,
         };
         aggregator.apply_members(now);
         aggregator
     }
 
-    /// Takes an event and says what is to be done.
+    /// Applies an event and returns the effects to execute.
     pub fn apply(&mut self, now: Moment, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if now - self.last_call > limits::STALL {
+        if now - self.last_call > limits::STALL_THRESHOLD {
             self.restart_after_stall(now, &mut effects);
         }
         self.last_call = now;
@@ -98,17 +99,17 @@
                 self.add_report(now, connection, report, &mut effects);
             }
             Event::ConnectionEnded(connection) => {
-                effects.extend(self.coverage.end(connection).map(Effect::Log));
+                effects.extend(self.coverage.end_connection(connection).map(Effect::Log));
             }
             Event::RegistryListed(list) => self.apply_list(now, list, &mut effects),
-            Event::RegistryAlive => self.registry.alive(now),
-            Event::RegistryLost => self.watch_registry_at = Some(now + limits::RETRY),
+            Event::RegistryAlive => self.registry.record_heartbeat(now),
+            Event::RegistryLost => self.registry_watch_at = Some(now + limits::RETRY_DELAY),
             Event::HeartbeatReceived(heartbeat) => self.receive_heartbeat(now, heartbeat, &mut effects),
             Event::ControllerConnected(controller) => {
                 self.controller_connected(now, controller, &mut effects);
             }
             Event::ControllerAnswered(controller) => {
-                self.feeds.get_mut(controller).into_iter().for_each(|feed| feed.answered = now);
+                self.feeds.get_mut(controller).into_iter().for_each(|feed| feed.last_answer = now);
             }
             Event::ControllerLost(controller) => self.controller_lost(now, controller, &mut effects),
             Event::Tick => self.tick(now, &mut effects),
@@ -116,38 +117,39 @@
         effects
     }
 
-    /// What was counted.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Current values.
+    /// Returns the current values.
     pub fn status(&self) -> Status {
         let connected = self.feeds.values().filter(|feed| feed.link == Link::Connected).count();
         Status {
             ready: self.is_ready(self.last_call),
-            controllers_owned: self.feeds.values().filter(|feed| feed.owned).count(),
+            controllers_owned: self.feeds.values().filter(|feed| feed.is_owned).count(),
             controllers_connected: connected,
-            peers_alive: self.peers.alive(),
+            peers_alive: self.peers.alive_count(),
             zones: self.coverage.len(),
-            zones_missing: self.coverage.missing(),
+            zones_missing: self.coverage.missing_count(),
             replicas: self.registry.len(),
             series: self.sums.len(),
             registry_version: self.registry.version(),
         }
     }
 
-    /// Whether another aggregator of this name is in the configuration.
+    /// Returns true if the name is that of another configured aggregator.
     pub fn has_peer(&self, name: &str) -> bool {
         name != self.configuration.own && self.configuration.aggregators.contains(name)
     }
 
-    /// The controllers that are its to serve.
+    /// Iterates over the controllers that this aggregator serves.
     pub fn owned(&self) -> impl Iterator<Item = &str> {
-        self.feeds.iter().filter(|(_, feed)| feed.owned).map(|(name, _)| name.as_str())
+        self.feeds.iter().filter(|(_, feed)| feed.is_owned).map(|(name, _)| name.as_str())
     }
 
-    /// Whoever did not run for a while holds partial sums: it starts anew, and controllers go to others meanwhile.
+    /// Restarts after the process has not been running for a while: the sums are partial and are discarded. Until this
+    /// aggregator is ready again, its controllers are served by others.
     fn restart_after_stall(&mut self, now: Moment, effects: &mut Vec<Effect>) {
         self.counters.stalls += 1;
         let paused_ms = (now - self.last_call).as_ns() / Span::ms(1).as_ns();
@@ -155,7 +157,7 @@
         self.sums.clear(now);
         self.coverage.restart(now);
         self.peers.restart();
-        self.hold_until = Some(now + limits::START_HOLD);
+        self.serve_from = Some(now + limits::START_HOLD_TIME);
         self.next_heartbeat = now;
         self.reassign_controllers(now, effects);
     }
@@ -175,19 +177,19 @@
         self.apply_members(now);
     }
 
-    /// Feeds, peers and slices as the configuration names them.
+    /// Updates feeds, peers and slices to the configuration.
     fn apply_members(&mut self, now: Moment) {
         let configuration = &self.configuration;
         self.peers.configure(&configuration.own, &configuration.aggregators);
         let mut slices = BTreeSet::new();
         for member in &configuration.controllers {
-            let feed = self.feeds.entry(member.name.clone()).or_insert_with(|| Feed::of(member));
+            let feed = self.feeds.entry(member.name.clone()).or_insert_with(|| Feed::new(member));
             feed.slices = member.slices.clone();
             slices.extend(member.slices.iter().flat_map(|(first, last)| *first..=*last));
         }
-        self.sums.keep_slices(now, &slices);
+        self.sums.retain_slices(now, &slices);
         self.subsets_due = true;
-        // Who serves a new controller is decided with the next tick.
+        // The next tick assigns new controllers.
         self.sharing_aggregators.clear();
     }
 
@@ -199,7 +201,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if !self.coverage.join(now, connection, zone) {
-            effects.push(Effect::Log(LogEvent::BoundReached("zones")));
+            effects.push(Effect::Log(LogEvent::LimitReached("zones")));
             effects.push(Effect::RefuseCollector(connection));
         }
     }
@@ -215,27 +217,27 @@
             effects.push(Effect::RefuseCollector(connection));
             return;
         }
-        match self.coverage.heard(now, connection) {
+        match self.coverage.record_report(now, connection) {
             Ok(note) => {
                 effects.extend(note.map(Effect::Log));
-                self.hold_until.get_or_insert(now + limits::START_HOLD);
+                self.serve_from.get_or_insert(now + limits::START_HOLD_TIME);
             }
             Err(_) => {
                 effects.push(Effect::RefuseCollector(connection));
                 return;
             }
         }
-        let taken = match report {
+        let outcome = match report {
             Report::EndpointReport { replica, attempts, failed, mean_latency_ms, window_ms, .. } => {
-                let sum = Sum::of(attempts, failed, mean_latency_ms);
-                self.sums.add_load(now, replica, Span::ms(1).times(window_ms), sum)
+                let sum = Sum::from_report(attempts, failed, mean_latency_ms);
+                self.sums.add_endpoint_report(now, replica, Span::ms(1).times(window_ms), sum)
             }
             Report::DemandReport { slice, request_class, requests, failed, window_ms, .. } => {
-                let sum = Sum::of(requests, failed, 0.0);
-                self.sums.add_shard(now, slice, request_class, Span::ms(1).times(window_ms), sum)
+                let sum = Sum::from_report(requests, failed, 0.0);
+                self.sums.add_demand_report(now, slice, request_class, Span::ms(1).times(window_ms), sum)
             }
         };
-        match taken {
+        match outcome {
             AddOutcome::Added => self.counters.reports += 1,
             AddOutcome::Unknown => self.counters.reports_unknown += 1,
             AddOutcome::Full => self.counters.reports_dropped += 1,
@@ -243,8 +245,8 @@
     }
 
     fn tick(&mut self, now: Moment, effects: &mut Vec<Effect>) {
-        if self.watch_registry_at.is_some_and(|at| now >= at) {
-            self.watch_registry_at = None;
+        if self.registry_watch_at.is_some_and(|at| now >= at) {
+            self.registry_watch_at = None;
             effects.push(Effect::FollowRegistry { since: self.registry.version() });
         }
         effects.extend(self.coverage.tick(now).into_iter().map(Effect::Log));
@@ -253,25 +255,25 @@
         self.compute_subsets(now);
         self.reassign_controllers(now, effects);
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now + limits::HEARTBEAT;
+            self.next_heartbeat = now + limits::HEARTBEAT_PERIOD;
             effects.push(Effect::SendHeartbeat(self.own_heartbeat(now)));
         }
-        if now >= self.next_sweep {
-            self.next_sweep = now + limits::CLASS_IDLE;
-            self.sums.forget_idle(now);
+        if now >= self.next_idle_removal {
+            self.next_idle_removal = now + limits::CLASS_IDLE_TIMEOUT;
+            self.sums.remove_idle_classes(now);
         }
-        self.drop_silent(now, effects);
-        self.connect_due(now, effects);
-        self.send_due(now, effects);
+        self.disconnect_silent_controllers(now, effects);
+        self.connect_controllers(now, effects);
+        self.send_batches(now, effects);
     }
 
     fn is_ready(&self, now: Moment) -> bool {
-        self.registry.is_known() && self.hold_until.is_some_and(|until| now >= until)
+        self.registry.is_known() && self.serve_from.is_some_and(|from| now >= from)
     }
 }
 
-/// Collectors tell what their own zone saw; a line that says which zones it lacks is another aggregator's sum, and would
-/// be counted twice.
+/// Returns true if the report names missing zones. Only aggregators send such reports, and a sum of another aggregator
+/// would be counted twice.
 fn is_partial(report: &Report) -> bool {
     match report {
         Report::EndpointReport { missing, .. } | Report::DemandReport { missing, .. } => *missing > 0,
--- a/crates/aggregation/src/aggregator/fleet.rs
+++ b/crates/aggregation/src/aggregator/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, subsets computed from it, and the other aggregators.
+//! Handles the endpoint list, the subsets computed from it, and the heartbeats of other aggregators.
 
 use super::Aggregator;
 use crate::heartbeat::Heartbeat;
@@ -12,15 +12,15 @@
 
 impl Aggregator {
     pub(super) fn apply_list(&mut self, now: Moment, list: List, effects: &mut Vec<Effect>) {
-        let applied = self.registry.apply(now, list);
-        self.renew_at = now + limits::REGISTRY_RENEWED;
-        if applied.is_outdated {
-            self.watch_registry_at = Some(now + limits::RETRY);
+        let outcome = self.registry.apply(now, list);
+        self.registry_renewal_at = now + limits::REGISTRY_RENEWAL_PERIOD;
+        if outcome.is_outdated {
+            self.registry_watch_at = Some(now + limits::RETRY_DELAY);
         }
-        if applied.left_out {
-            effects.push(Effect::Log(LogEvent::BoundReached("replicas")));
+        if outcome.has_skipped {
+            effects.push(Effect::Log(LogEvent::LimitReached("replicas")));
         }
-        self.subsets_due |= applied.changed;
+        self.subsets_due |= outcome.changed;
     }
 
     pub(super) fn receive_heartbeat(&mut self, now: Moment, heartbeat: Heartbeat, effects: &mut Vec<Effect>) {
@@ -28,7 +28,7 @@
             return;
         }
         for zone in &heartbeat.zones {
-            self.coverage.expect(now, zone);
+            self.coverage.expect_zone(now, zone);
         }
         effects.extend(self.peers.receive(now, heartbeat).map(Effect::Log));
     }
@@ -46,19 +46,20 @@
             self.behind_since = Some(now);
             effects.push(Effect::Log(LogEvent::RegistryBehind { own, peer }));
         }
-        let is_behind = self.behind_since.is_some_and(|since| now - since >= limits::REGISTRY_BEHIND);
-        if is_behind || now >= self.renew_at {
-            // Its signs of life may go on while it missed a change.
+        let is_behind = self.behind_since.is_some_and(|since| now - since >= limits::REGISTRY_LAG_TIMEOUT);
+        if is_behind || now >= self.registry_renewal_at {
+            // A watch may have missed a change even if its heartbeats arrive.
             self.behind_since = self.behind_since.map(|_| now);
-            (self.watch_registry_at, self.renew_at) = (Some(now), now + limits::REGISTRY_RENEWED);
+            (self.registry_watch_at, self.registry_renewal_at) =
+                (Some(now), now + limits::REGISTRY_RENEWAL_PERIOD);
         }
     }
 
     pub(super) fn compute_subsets(&mut self, now: Moment) {
-        if !self.subsets_due || now < self.next_subsets || !self.registry.is_known() {
+        if !self.subsets_due || now < self.next_subset_computation || !self.registry.is_known() {
             return;
         }
-        (self.subsets_due, self.next_subsets) = (false, now + limits::SUBSETS_EVERY);
+        (self.subsets_due, self.next_subset_computation) = (false, now + limits::MIN_SUBSET_INTERVAL);
         self.counters.assignments += 1;
         let entries: Vec<_> = self.registry.replicas().collect();
         let replicas: Vec<_> = entries
@@ -72,7 +73,7 @@
             .collect();
         let assignment = self.planner.assign(&replicas);
         let names = entries.iter().map(|entry| Arc::from(entry.replica.as_str())).collect();
-        self.sums.keep_replicas(now, &names);
+        self.sums.retain_replicas(now, &names);
         for feed in self.feeds.values_mut() {
             feed.subset.clear();
         }
@@ -93,7 +94,7 @@
             ready: self.is_ready(now),
             list_age_ms: self.registry.age(now).as_ns() / Span::ms(1).as_ns(),
             version: self.registry.version(),
-            zones: self.coverage.present().map(str::to_string).collect(),
+            zones: self.coverage.present_zones().map(str::to_string).collect(),
         }
     }
 }
--- a/crates/aggregation/src/bin/aggregation-bench/load.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/load.rs
@@ -1,66 +1,66 @@
-//! A fleet of a given size: its list, its members, and what its collectors say.
+//! A fleet of a given size: its endpoint list, its members and the lines of its collectors.
 
 use serde::Serialize;
 use whinwall_aggregation::heartbeat::Heartbeat;
 
-/// How large the fleet is.
+/// Size of the fleet.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Size {
-    /// Replicas in the list.
+    /// Replicas in the endpoint list.
     pub replicas: usize,
-    /// Zones with a collector each.
+    /// Zones, with one collector each.
     pub zones: usize,
-    /// Controllers.
+    /// Controllers of the fleet.
     pub controllers: usize,
-    /// Slices of each controller.
+    /// Slices per controller.
     pub slices: usize,
-    /// Classes of each slice.
+    /// Request classes per slice.
     pub classes: usize,
-    /// The wished size of subsets.
+    /// Target size of subsets.
     pub subset: usize,
-    /// Bytes a second.
+    /// Byte budget per controller and second.
     pub budget: u64,
-    /// Aggregators that are alive, the measured one among them.
+    /// Aggregators that are alive, including the measured one.
     pub sharing: usize,
 }
 
-/// What was measured.
+/// The result of a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// Of what.
+    /// Size of the measured fleet.
     pub size: Size,
-    /// In virtual time and process, or by the real program.
+    /// Kind of measurement: in process and virtual time, or with the real program.
     pub way: &'static str,
-    /// Seconds measured.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// Processor time over time.
+    /// CPU time divided by elapsed time.
     pub cores: f64,
-    /// Resident memory in the end, in megabytes.
+    /// Resident memory at the end, in megabytes.
     pub memory_mb: f64,
-    /// The most resident memory.
+    /// Peak of the resident memory, in megabytes.
     pub memory_peak_mb: f64,
-    /// Collector lines a second.
+    /// Collector lines received per second.
     pub lines_in_per_second: f64,
-    /// Their bytes.
+    /// Kilobytes received from collectors per second.
     pub kb_in_per_second: f64,
-    /// Controllers served.
+    /// Number of controllers served.
     pub controllers_served: usize,
-    /// Report lines to controllers a second.
+    /// Report lines sent to controllers per second.
     pub lines_out_per_second: f64,
-    /// Bytes to them.
+    /// Kilobytes sent to controllers per second.
     pub kb_out_per_second: f64,
-    /// Of these to one controller, on average.
+    /// Kilobytes per second sent to one controller, on average.
     pub kb_out_per_second_each: f64,
-    /// Turns in which a budget was short.
+    /// Batches in which not all lines fitted into the byte budget.
     pub budget_stretches: u64,
-    /// The most processor time that one tick took, where it is measured.
+    /// Maximum CPU time of a tick, if measured.
     pub longest_tick_ms: Option<f64>,
-    /// The same of the ticks before, the one that computes all subsets from nothing among them.
+    /// Maximum CPU time of a tick during warm-up, if measured. It includes the first computation of all subsets.
     pub longest_start_tick_ms: Option<f64>,
 }
 
 impl Size {
-    /// The list of replicas, in discovery's form.
+    /// Returns the endpoint list in the format of discovery.
     pub fn list(&self) -> String {
         let entry = |n: usize| {
             let (zone, kind) = (self.zone(n % self.zones), n % 69);
@@ -74,7 +74,7 @@
         format!("{{\"version\":1,\"full\":true,\"servers\":[{}]}}", entries.join(","))
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone.
     pub fn zone(&self, n: usize) -> String {
         format!("zone-{n}")
     }
@@ -83,19 +83,20 @@
         format!("s-{:08x}", (n as u32).wrapping_mul(0x9E37_79B9))
     }
 
-    /// The name of a controller.
+    /// Returns the name of a controller.
     pub fn controller(&self, n: usize) -> String {
         format!("g{n}")
     }
 
-    /// The slices of a controller, both ends included.
+    /// Returns the inclusive range of the slices of a controller.
     pub fn slices_of(&self, controller: usize) -> (u32, u32) {
         let first = controller * self.slices;
         (first as u32, (first + self.slices - 1) as u32)
     }
 
-    /// What the collector of a zone says in a second: of each replica, and its part of the slices and classes.
-    pub fn second(&self, zone: usize, second: u64) -> String {
+    /// Returns the lines of a zone's collector for one second: one per replica, and the zone's share of the slices and
+    /// classes.
+    pub fn collector_lines(&self, zone: usize, second: u64) -> String {
         let mut text = String::new();
         for n in 0..self.replicas {
             let attempts = 100 + (n as u64 * 7 + second * 13 + zone as u64) % 200;
@@ -109,22 +110,22 @@
         let shards = self.controllers * self.slices * self.classes;
         for shard in (zone..shards).step_by(self.zones) {
             let (slice, class) = (shard / self.classes, shard % self.classes);
-            let came = 1 + (shard as u64 + second * 11) % 60;
+            let requests = 1 + (shard as u64 + second * 11) % 60;
             text.push_str(&format!(
-                "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"class-{class}\",\"n\":{came},\"bad\":{},\
+                "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"class-{class}\",\"n\":{requests},\"bad\":{},\
                  \"window\":1000.0}}\n",
-                came % 2
+                requests % 2
             ));
         }
         text
     }
 
-    /// The names of the aggregators that are alive, the measured one first.
+    /// Returns the names of the aggregators that are alive, the measured one first.
     pub fn aggregators(&self) -> Vec<String> {
         (0..self.sharing).map(|n| format!("m{n}")).collect()
     }
 
-    /// What the others tell.
+    /// Returns the heartbeats of the other aggregators.
     pub fn heartbeats(&self) -> Vec<Heartbeat> {
         let zones: Vec<_> = (0..self.zones).map(|zone| self.zone(zone)).collect();
         let others = self.aggregators().into_iter().skip(1);
@@ -134,12 +135,12 @@
     }
 }
 
-/// A figure of a process in `/proc`, in kilobytes.
-pub fn memory_mb(process: &str, what: &str) -> Result<f64, String> {
+/// Reads a memory value of a process from `/proc`, in kilobytes there, and returns it in megabytes.
+pub fn memory_mb(process: &str, field: &str) -> Result<f64, String> {
     let path = format!("/proc/{process}/status");
-    let text = std::fs::read_to_string(&path).map_err(|why| format!("{path}: {why}"))?;
-    let line = text.lines().find_map(|line| line.strip_prefix(what));
+    let text = std::fs::read_to_string(&path).map_err(|error| format!("{path}: {error}"))?;
+    let line = text.lines().find_map(|line| line.strip_prefix(field));
     let kb =
         line.and_then(|line| line.trim_start_matches(':').split_whitespace().next()?.parse::<f64>().ok());
-    kb.map(|kb| kb / 1024.0).ok_or_else(|| format!("{path} has no {what}"))
+    kb.map(|kb| kb / 1024.0).ok_or_else(|| format!("{path} has no {field}"))
 }
--- a/crates/aggregation/src/bin/aggregation-bench/main.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/main.rs
@@ -1,4 +1,5 @@
-//! Measures what one aggregator costs at a given size: in process, or the real program on loopback sockets.
+//! Measures the cost of one aggregator in a fleet of a given size: in process, or as the real program on loopback
+//! sockets.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -59,21 +60,21 @@
 }
 
 fn main() -> Result<(), String> {
-    let all = Arguments::parse();
+    let arguments = Arguments::parse();
     let size = Size {
-        replicas: all.replicas,
-        zones: all.zones,
-        controllers: all.controllers,
-        slices: all.slices,
-        classes: all.classes,
-        subset: all.subset,
-        budget: all.budget,
-        sharing: all.sharing,
+        replicas: arguments.replicas,
+        zones: arguments.zones,
+        controllers: arguments.controllers,
+        slices: arguments.slices,
+        classes: arguments.classes,
+        subset: arguments.subset,
+        budget: arguments.budget,
+        sharing: arguments.sharing,
     };
-    let figures = match all.way {
-        Way::InProcess => in_process::measure(&size, all.seconds)?,
-        Way::Sockets => sockets::measure(&size, all.seconds, &all.program)?,
+    let figures = match arguments.way {
+        Way::InProcess => in_process::measure(&size, arguments.seconds)?,
+        Way::Sockets => sockets::measure(&size, arguments.seconds, &arguments.program)?,
     };
-    println!("{}", serde_json::to_string_pretty(&figures).map_err(|why| why.to_string())?);
+    println!("{}", serde_json::to_string_pretty(&figures).map_err(|error| error.to_string())?);
     Ok(())
 }
--- a/crates/aggregation/src/bin/aggregation-bench/sockets.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/sockets.rs
@@ -1,5 +1,5 @@
-//! The real program on loopback sockets: collectors, the other aggregators' heartbeats and all controllers are tasks of
-//! this process, whose own cost is not counted.
+//! Measures the real program on loopback sockets. Collectors, the heartbeats of the other aggregators and all
+//! controllers are tasks of this process, whose own cost is not included.
 
 use crate::load::{memory_mb, Figures, Size};
 use std::cell::Cell;
@@ -13,27 +13,27 @@
 use tokio::time::{interval, sleep, Instant};
 use whinwall_aggregation::wire;
 
-/// Until it is ready and has what it serves.
+/// Time until the aggregator is ready and serves its controllers.
 const WARM_UP: Duration = Duration::from_secs(10);
 const SECOND: Duration = Duration::from_secs(1);
-const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Discovery's signs of life.
-const LIFE: Duration = Duration::from_secs(2);
-/// A second of lines in memory for each collector, taken by turns.
-const VARIANTS: u64 = 4;
-const PIECE: usize = 64 << 10;
-/// The unit of processor time in `/proc`, in seconds: the kernel's interface has it fixed.
-const CLOCK_TICK: f64 = 0.01;
-
-/// What controllers got, all together.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+/// Interval of the heartbeats of discovery.
+const DISCOVERY_HEARTBEAT_PERIOD: Duration = Duration::from_secs(2);
+/// Number of prepared seconds of lines per collector, sent in rotation.
+const PREPARED_SECONDS: u64 = 4;
+const READ_BUFFER_BYTES: usize = 64 << 10;
+/// Unit of CPU time in `/proc`, in seconds; fixed in the kernel's interface.
+const CLOCK_TICK_SECONDS: f64 = 0.01;
+
+/// Totals received by all controllers.
 #[derive(Default)]
-struct Got {
+struct Received {
     bytes: Cell<u64>,
     lines: Cell<u64>,
     connections: Cell<usize>,
 }
 
-/// Ends with the measurement.
+/// The measured process, killed on drop.
 struct Program(Child);
 
 impl Drop for Program {
@@ -43,20 +43,20 @@
     }
 }
 
-/// Measures it.
+/// Measures a fleet of this size for `seconds`.
 pub fn measure(size: &Size, seconds: u64, program: &Path) -> Result<Figures, String> {
-    actix_rt::System::new().block_on(run(size, seconds, program)).map_err(|why| why.to_string())
+    actix_rt::System::new().block_on(run(size, seconds, program)).map_err(|error| error.to_string())
 }
 
 async fn run(size: &Size, seconds: u64, program: &Path) -> Result<Figures, Box<dyn std::error::Error>> {
-    let got = Rc::new(Got::default());
+    let received = Rc::new(Received::default());
     let mut members = String::new();
     for n in 0..size.controllers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (first, last) = size.slices_of(n);
         let (name, address) = (size.controller(n), listener.local_addr()?);
         members += &format!("<governor name=\"{name}\" address=\"{address}\" slices=\"{first}-{last}\"/>");
-        actix_rt::spawn(govern(listener, got.clone()));
+        actix_rt::spawn(accept_controller_connections(listener, received.clone()));
     }
     for (name, port) in size.aggregators().iter().zip(1..) {
         members += &format!("<aggregator name=\"{name}\" address=\"127.0.0.1:{port}\"/>");
@@ -70,49 +70,49 @@
     std::fs::write(&path, file)?;
     let list = TcpListener::bind("127.0.0.1:0").await?;
     let discovery = list.local_addr()?;
-    actix_rt::spawn(discover(list, size.list()));
-    let (program, address) = start(program, &path, discovery).await?;
+    actix_rt::spawn(discovery_agent(list, size.list()));
+    let (program, address) = start_program(program, &path, discovery).await?;
     let process = program.0.id().to_string();
     for zone in 0..size.zones {
-        let texts = (0..VARIANTS).map(|second| size.second(zone, second)).collect();
-        actix_rt::spawn(collect(address, size.zone(zone), texts, SECOND * zone as u32 / size.zones as u32));
+        let texts = (0..PREPARED_SECONDS).map(|second| size.collector_lines(zone, second)).collect();
+        actix_rt::spawn(collector(address, size.zone(zone), texts, SECOND * zone as u32 / size.zones as u32));
     }
     for heartbeat in size.heartbeats() {
-        actix_rt::spawn(beat(address, wire::heartbeat(&heartbeat)));
+        actix_rt::spawn(peer(address, wire::encode_heartbeat(&heartbeat)));
     }
     sleep(WARM_UP).await;
-    let before = (processor_s(&process)?, got.bytes.get(), got.lines.get(), Instant::now());
+    let before = (cpu_seconds(&process)?, received.bytes.get(), received.lines.get(), Instant::now());
     sleep(Duration::from_secs(seconds)).await;
-    let took = before.3.elapsed().as_secs_f64();
-    let cores = (processor_s(&process)? - before.0) / took;
-    let kb_out = (got.bytes.get() - before.1) as f64 / took / 1000.0;
-    let seconds_of_lines: Vec<_> = (0..size.zones).map(|zone| size.second(zone, 0)).collect();
+    let elapsed = before.3.elapsed().as_secs_f64();
+    let cores = (cpu_seconds(&process)? - before.0) / elapsed;
+    let kb_out = (received.bytes.get() - before.1) as f64 / elapsed / 1000.0;
+    let seconds_of_lines: Vec<_> = (0..size.zones).map(|zone| size.collector_lines(zone, 0)).collect();
     std::fs::remove_file(&path)?;
     Ok(Figures {
         size: *size,
         way: "the real program on loopback sockets",
-        seconds: took,
+        seconds: elapsed,
         cores,
         memory_mb: memory_mb(&process, "VmRSS")?,
         memory_peak_mb: memory_mb(&process, "VmHWM")?,
         lines_in_per_second: seconds_of_lines.iter().map(|text| text.lines().count()).sum::<usize>() as f64,
         kb_in_per_second: seconds_of_lines.iter().map(String::len).sum::<usize>() as f64 / 1000.0,
-        controllers_served: got.connections.get(),
-        lines_out_per_second: (got.lines.get() - before.2) as f64 / took,
+        controllers_served: received.connections.get(),
+        lines_out_per_second: (received.lines.get() - before.2) as f64 / elapsed,
         kb_out_per_second: kb_out,
-        kb_out_per_second_each: kb_out / got.connections.get().max(1) as f64,
+        kb_out_per_second_each: kb_out / received.connections.get().max(1) as f64,
         budget_stretches: 0,
         longest_tick_ms: None,
         longest_start_tick_ms: None,
     })
 }
 
-async fn start(
+async fn start_program(
     program: &Path,
     file: &Path,
     discovery: SocketAddr,
 ) -> Result<(Program, SocketAddr), Box<dyn std::error::Error>> {
-    // A port that is free; nobody else takes ports of this machine by chance while the program starts.
+    // Picks a free port. No other process is expected to take it while the program starts.
     let address = TcpListener::bind("127.0.0.1:0").await?.local_addr()?;
     let child = Command::new(program)
         .args(["--name", "m0", "--listen", &address.to_string(), "--discovery", &discovery.to_string()])
@@ -124,42 +124,43 @@
     Ok((Program(child), address))
 }
 
-fn processor_s(process: &str) -> Result<f64, Box<dyn std::error::Error>> {
+fn cpu_seconds(process: &str) -> Result<f64, Box<dyn std::error::Error>> {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
-    // The name of the program, in brackets, may have spaces; the two figures are the 12th and 13th behind it.
-    let behind = text.rsplit(')').next().unwrap_or_default();
-    let figures: Vec<f64> =
-        behind.split_whitespace().skip(11).take(2).map(str::parse).collect::<Result<_, _>>()?;
-    Ok(figures.iter().sum::<f64>() * CLOCK_TICK)
+    // The name of the program, in parentheses, may contain spaces; user and system time are the 12th and 13th field
+    // after it.
+    let fields = text.rsplit(')').next().unwrap_or_default();
+    let times: Vec<f64> =
+        fields.split_whitespace().skip(11).take(2).map(str::parse).collect::<Result<_, _>>()?;
+    Ok(times.iter().sum::<f64>() * CLOCK_TICK_SECONDS)
 }
 
-async fn govern(listener: TcpListener, got: Rc<Got>) {
+async fn accept_controller_connections(listener: TcpListener, received: Rc<Received>) {
     while let Ok((stream, _)) = listener.accept().await {
-        got.connections.set(got.connections.get() + 1);
-        _ = actix_rt::spawn(hear(stream, got.clone()));
+        received.connections.set(received.connections.get() + 1);
+        _ = actix_rt::spawn(controller(stream, received.clone()));
     }
 }
 
-async fn hear(mut stream: TcpStream, got: Rc<Got>) {
-    let mut piece = vec![0; PIECE];
-    while let Ok(read @ 1..) = stream.read(&mut piece).await {
-        let lines = piece[..read].iter().filter(|byte| **byte == b'\n').count();
-        got.bytes.set(got.bytes.get() + read as u64);
-        got.lines.set(got.lines.get() + lines as u64);
+async fn controller(mut stream: TcpStream, received: Rc<Received>) {
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    while let Ok(read @ 1..) = stream.read(&mut buffer).await {
+        let lines = buffer[..read].iter().filter(|byte| **byte == b'\n').count();
+        received.bytes.set(received.bytes.get() + read as u64);
+        received.lines.set(received.lines.get() + lines as u64);
         if stream.write_all(b"{\"@type\":\"PONG\"}\n").await.is_err() {
             break;
         }
     }
-    got.connections.set(got.connections.get().saturating_sub(1));
+    received.connections.set(received.connections.get().saturating_sub(1));
 }
 
-async fn discover(listener: TcpListener, list: String) {
+async fn discovery_agent(listener: TcpListener, list: String) {
     while let Ok((stream, _)) = listener.accept().await {
-        _ = actix_rt::spawn(answer(stream, list.clone()));
+        _ = actix_rt::spawn(answer_watch(stream, list.clone()));
     }
 }
 
-async fn answer(stream: TcpStream, list: String) -> std::io::Result<()> {
+async fn answer_watch(stream: TcpStream, list: String) -> std::io::Result<()> {
     let mut stream = BufReader::new(stream);
     let mut line = String::new();
     while stream.read_line(&mut line).await? > 2 {
@@ -171,23 +172,23 @@
     stream.write_all(chunk(&(list + "\n")).as_bytes()).await?;
     loop {
         stream.write_all(chunk("\n").as_bytes()).await?;
-        sleep(LIFE).await;
+        sleep(DISCOVERY_HEARTBEAT_PERIOD).await;
     }
 }
 
-/// The stream of a dial that is made again until the program listens.
-async fn dial(address: SocketAddr) -> TcpStream {
+/// Connects to the address, retrying until the program listens.
+async fn connect(address: SocketAddr) -> TcpStream {
     loop {
         match TcpStream::connect(address).await {
             Ok(stream) => return stream,
-            Err(_) => sleep(HEARTBEAT).await,
+            Err(_) => sleep(HEARTBEAT_PERIOD).await,
         }
     }
 }
 
-async fn collect(address: SocketAddr, zone: String, texts: Vec<String>, offset: Duration) {
-    let mut stream = dial(address).await;
-    _ = stream.write_all(wire::source(&zone).as_bytes()).await;
+async fn collector(address: SocketAddr, zone: String, texts: Vec<String>, offset: Duration) {
+    let mut stream = connect(address).await;
+    _ = stream.write_all(wire::encode_source(&zone).as_bytes()).await;
     sleep(offset).await;
     let mut seconds = interval(SECOND);
     for text in texts.iter().cycle() {
@@ -198,10 +199,10 @@
     }
 }
 
-async fn beat(address: SocketAddr, heartbeat: String) {
-    let mut stream = dial(address).await;
-    let mut beats = interval(HEARTBEAT);
+async fn peer(address: SocketAddr, heartbeat: String) {
+    let mut stream = connect(address).await;
+    let mut ticks = interval(HEARTBEAT_PERIOD);
     while stream.write_all(heartbeat.as_bytes()).await.is_ok() {
-        beats.tick().await;
+        ticks.tick().await;
     }
 }
--- a/crates/aggregation/src/budget.rs
+++ b/crates/aggregation/src/budget.rs
@@ -1,57 +1,57 @@
-//! Which lines go to a controller in a report period, where not all of them fit into its byte budget.
+//! Selection of the lines that are sent to a controller in a report period within its byte budget.
 //!
-//! Where all fit, all go. Else the oldest go first, as many as have to so that each goes once within the maximum
-//! window, and the rest of the budget is for those that changed most.
+//! If all lines fit, all are sent. Else the oldest lines are selected first, as many as needed to send each key once
+//! within the maximum window. The rest of the budget goes to the lines with the largest change.
 
 use whinwall_policy::time::Moment;
 
-/// A line that could go.
+/// A line that could be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its length.
+    /// Length of the line in bytes.
     pub bytes: usize,
-    /// The start of the time that it covers.
-    pub begins: Moment,
-    /// By how much it differs from the last line of its key.
+    /// Start of the window that the line covers.
+    pub window_start: Moment,
+    /// Difference from the previous line of the same key.
     pub change: f64,
 }
 
-/// What goes.
+/// The selected lines.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Choice {
-    /// Positions of candidates, in ascending order.
-    pub chosen: Vec<usize>,
-    /// Whether some have to wait.
-    pub is_stretched: bool,
+pub struct Selection {
+    /// Indexes of the selected candidates, in ascending order.
+    pub selected: Vec<usize>,
+    /// True if some candidates did not fit into the budget.
+    pub is_over_budget: bool,
 }
 
-/// Chooses lines of no more than `budget` bytes. `periods` is the number of report periods within which each key
-/// has to have its turn.
-pub fn choose(candidates: &[Candidate], budget: usize, periods: usize) -> Choice {
+/// Selects lines of at most `budget` bytes in total. `periods` is the number of report periods within which each key
+/// must be sent.
+pub fn select_lines(candidates: &[Candidate], budget: usize, periods: usize) -> Selection {
     let total: usize = candidates.iter().map(|candidate| candidate.bytes).sum();
     if total <= budget {
-        return Choice { chosen: (0..candidates.len()).collect(), is_stretched: false };
+        return Selection { selected: (0..candidates.len()).collect(), is_over_budget: false };
     }
     // Oldest first.
     let mut waiting: Vec<usize> = (0..candidates.len()).collect();
-    waiting.sort_by_key(|at| candidates[*at].begins);
-    let turn = total.div_ceil(periods.max(1));
-    let (mut chosen, mut used) = (Vec::new(), 0);
-    while let Some(at) = waiting.first().copied() {
-        let bytes = candidates[at].bytes;
-        if used >= turn || used + bytes > budget {
+    waiting.sort_by_key(|index| candidates[*index].window_start);
+    let oldest_share = total.div_ceil(periods.max(1));
+    let (mut selected, mut used) = (Vec::new(), 0);
+    while let Some(index) = waiting.first().copied() {
+        let bytes = candidates[index].bytes;
+        if used >= oldest_share || used + bytes > budget {
             break;
         }
         used += bytes;
-        chosen.push(waiting.remove(0));
+        selected.push(waiting.remove(0));
     }
     waiting.sort_by(|a, b| candidates[*b].change.total_cmp(&candidates[*a].change));
-    for at in waiting {
-        if used + candidates[at].bytes <= budget {
-            used += candidates[at].bytes;
-            chosen.push(at);
+    for index in waiting {
+        if used + candidates[index].bytes <= budget {
+            used += candidates[index].bytes;
+            selected.push(index);
         }
     }
-    chosen.sort_unstable();
-    Choice { chosen, is_stretched: true }
+    selected.sort_unstable();
+    Selection { selected, is_over_budget: true }
 }
--- a/crates/aggregation/src/configuration.rs
+++ b/crates/aggregation/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The checked configuration of an aggregator: the fleet's members and the byte budget of a controller.
+//! The validated configuration of an aggregator: the members of the fleet and the byte budget of a controller.
 
 use crate::limits;
 use crate::wire;
@@ -7,18 +7,18 @@
 use thiserror::Error;
 use whinwall_subsetting::{Membership, MembershipError, Parameters};
 
-/// A controller of the fleet.
+/// A controller in the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerMember {
-    /// Its name.
+    /// Name of the controller.
     pub name: String,
-    /// Where it listens; without an address it is in the membership, and is not served.
+    /// Address of the controller. A controller without an address is part of the membership but is not served.
     pub address: Option<SocketAddr>,
-    /// The slices whose reports it gets, as ranges with both ends included.
+    /// Inclusive ranges of the slices whose reports the controller gets.
     pub slices: Vec<(u32, u32)>,
 }
 
-/// What an aggregator goes by; only [`Configuration::new`] makes one, so it is consistent.
+/// The configuration of an aggregator. [`Configuration::new`] is the only constructor, so it is always consistent.
 #[derive(Clone, Debug)]
 pub struct Configuration {
     pub(crate) own: String,
@@ -29,46 +29,48 @@
     pub(crate) aggregators: BTreeSet<String>,
 }
 
-/// Why a configuration can't be used.
+/// An invalid configuration.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ConfigurationError {
-    /// The aggregator's own name is not among the members.
-    #[error("{0:?} is not among the aggregators")]
+    /// The aggregator's own name is not configured.
+    #[error("no aggregator is named {0:?}")]
     OwnNameAbsent(String),
-    /// An aggregator is named twice.
-    #[error("aggregator {0:?} is there twice")]
+    /// An aggregator name occurs more than once.
+    #[error("duplicate aggregator {0:?}")]
     DuplicateAggregator(String),
-    /// More aggregators than peers are kept for.
-    #[error("{0} aggregators are more than {max}", max = limits::MAX_AGGREGATORS)]
+    /// There are more than [`limits::MAX_AGGREGATORS`] aggregators.
+    #[error("{0} aggregators, at most {max} allowed", max = limits::MAX_AGGREGATORS)]
     TooManyAggregators(usize),
-    /// A controller is to be served, and nothing says which slices it steers.
-    #[error("governor {0:?} has an address and no slices: the protocol does not tell which ones it has")]
+    /// A controller with an address has no slices.
+    #[error(
+        "governor {0:?} has an address but no slices: list its slices, the protocol does not transmit them"
+    )]
     SlicesMissing(String),
-    /// A controller has no usable slices.
-    #[error("the slices of governor {0:?} go from {1} to {2}")]
+    /// The first slice of a range is greater than the last.
+    #[error("governor {0:?}: invalid slice range {1}-{2}, its first slice is greater than its last")]
     SlicesReversed(String, u32, u32),
-    /// More slices than there is room for.
-    #[error("{0} slices are more than {max}", max = limits::MAX_SLICES)]
+    /// There are more than [`limits::MAX_SLICES`] slices.
+    #[error("{0} slices, at most {max} allowed", max = limits::MAX_SLICES)]
     TooManySlices(usize),
-    /// A controller's budget for one report period does not hold the longest line.
-    #[error("a budget of {budget} bytes a report period is less than {line}, what one line may take")]
+    /// The byte budget of a controller for one report period is smaller than the longest line.
+    #[error("budget of {budget} bytes per report period, at least {line} needed for one report line")]
     BudgetTooSmall {
-        /// Bytes of one report period.
+        /// Budget of one report period, in bytes.
         budget: usize,
-        /// Bytes of the longest line, and of what else a period has.
+        /// Length of the longest line plus the overhead of a period, in bytes.
         line: usize,
     },
-    /// The controllers are no usable membership.
+    /// The controllers are not a valid membership.
     #[error("governors: {0}")]
     Controllers(#[from] MembershipError),
 }
 
 impl Configuration {
-    /// Checks the members and the budget of an aggregator called `own`.
+    /// Validates the members and the byte budget for the aggregator named `own`.
     ///
     /// # Errors
     ///
-    /// Where names or slices do not fit together, or the budget, in bytes a second, does not hold one line.
+    /// Fails if names or slices are inconsistent, or if the budget, in bytes per second, is too small for one line.
     pub fn new(
         own: &str,
         parameters: Parameters,
@@ -90,7 +92,7 @@
         }
         check_slices(&controllers)?;
         let bytes = bytes_per_second as f64 * limits::REPORT_PERIOD.seconds();
-        let (budget, line) = (bytes as usize, wire::overhead() + wire::longest_line());
+        let (budget, line) = (bytes as usize, wire::overhead_bytes() + wire::longest_line_bytes());
         if budget < line {
             return Err(ConfigurationError::BudgetTooSmall { budget, line });
         }
--- a/crates/aggregation/src/coverage.rs
+++ b/crates/aggregation/src/coverage.rs
@@ -1,29 +1,29 @@
-//! Which zones' collectors are heard. A zone that was heard before, here or by a peer, and is not heard now is
-//! *missing*: sums made meanwhile lack its part.
+//! Tracks which zones' collectors report. A zone that reported earlier, to this aggregator or to a peer, and does not
+//! report now is *missing*: sums of that time do not include its part.
 
 use crate::limits;
 use crate::log_event::LogEvent;
 use std::collections::BTreeMap;
 use whinwall_policy::time::Moment;
 
-/// One connection to the aggregator's address.
+/// Identifies a connection to the aggregator's listener.
 pub type ConnectionId = u64;
 
-/// One zone. Owned by [`Coverage`], which has no more than `MAX_ZONES`; it ends when it is missing for
-/// `ZONE_FORGOTTEN`.
+/// State of a zone. Owned by [`Coverage`], which has at most `MAX_ZONES`. Removed when it has been missing for
+/// `ZONE_RETENTION`.
 #[derive(Clone, Debug)]
 struct Zone {
-    /// Collectors that are connected.
+    /// Number of connected collectors.
     collectors: usize,
-    /// It reported once, here or to a peer: a zone that an unauthenticated peer made up never does.
+    /// True if the zone has reported to this aggregator or to a peer. Zones invented by unauthenticated peers never do.
     is_known: bool,
     last_heard: Moment,
     missing_since: Option<Moment>,
-    /// When it was last missing, the end of that.
+    /// End of the last time that the zone was missing.
     was_missing_until: Option<Moment>,
 }
 
-/// All zones, and the collectors that speak for them.
+/// All zones and their collectors.
 #[derive(Clone, Debug, Default)]
 pub struct Coverage {
     zones: BTreeMap<String, Zone>,
@@ -31,25 +31,25 @@
 }
 
 impl Coverage {
-    /// A collector says for which zone it speaks; false where there is no room for the zone.
+    /// Registers a collector for a zone. Returns false if the zone exceeds a limit.
     pub fn join(&mut self, now: Moment, connection: ConnectionId, zone: &str) -> bool {
-        self.end(connection);
-        let Some(known) = self.zone(now, zone) else { return false };
+        self.end_connection(connection);
+        let Some(known) = self.zone_or_insert(now, zone) else { return false };
         known.collectors += 1;
         self.collectors.insert(connection, zone.into());
         true
     }
 
-    /// A peer hears this zone, so it is there; false where there is no room for it. Until it is heard here it is
-    /// missing.
-    pub fn expect(&mut self, now: Moment, zone: &str) -> bool {
-        let Some(known) = self.zone(now, zone) else { return false };
+    /// Registers a zone that reports to a peer. It is missing until it reports to this aggregator. Returns false if the
+    /// zone exceeds a limit.
+    pub fn expect_zone(&mut self, now: Moment, zone: &str) -> bool {
+        let Some(known) = self.zone_or_insert(now, zone) else { return false };
         known.is_known = true;
         true
     }
 
-    fn zone(&mut self, now: Moment, name: &str) -> Option<&mut Zone> {
-        let has_room = self.zones.len() < limits::MAX_ZONES && name.len() <= limits::MAX_NAME;
+    fn zone_or_insert(&mut self, now: Moment, name: &str) -> Option<&mut Zone> {
+        let has_room = self.zones.len() < limits::MAX_ZONES && name.len() <= limits::MAX_NAME_BYTES;
         if !self.zones.contains_key(name) && has_room {
             let (missing_since, was_missing_until) = (Some(now), None);
             let new =
@@ -59,12 +59,12 @@
         self.zones.get_mut(name)
     }
 
-    /// A collector reports.
+    /// Records a report of a collector.
     ///
     /// # Errors
     ///
-    /// Where the connection has not named its zone.
-    pub fn heard(
+    /// Fails if the connection has not named its zone.
+    pub fn record_report(
         &mut self,
         now: Moment,
         connection: ConnectionId,
@@ -80,8 +80,8 @@
         Ok(was_known.then(|| LogEvent::ZoneBack(name.clone())))
     }
 
-    /// A connection ended: the zone is missing at once where it was its last.
-    pub fn end(&mut self, connection: ConnectionId) -> Option<LogEvent> {
+    /// Records the end of a connection. The zone is missing at once if this was its last collector.
+    pub fn end_connection(&mut self, connection: ConnectionId) -> Option<LogEvent> {
         let name = self.collectors.remove(&connection)?;
         let zone = self.zones.get_mut(&name)?;
         zone.collectors = zone.collectors.saturating_sub(1);
@@ -96,44 +96,44 @@
         Some(LogEvent::ZoneMissing(name))
     }
 
-    /// Time passed.
+    /// Marks silent zones as missing, and removes zones that have been missing for too long.
     pub fn tick(&mut self, now: Moment) -> Vec<LogEvent> {
         let mut events = Vec::new();
         for (name, zone) in &mut self.zones {
-            if zone.missing_since.is_none() && now - zone.last_heard > limits::ZONE_SILENT {
+            if zone.missing_since.is_none() && now - zone.last_heard > limits::ZONE_TIMEOUT {
                 zone.missing_since = Some(zone.last_heard);
                 events.push(LogEvent::ZoneMissing(name.clone()));
             }
         }
         let collectors = &self.collectors;
         self.zones.retain(|name, zone| {
-            let gone = zone.missing_since.is_some_and(|since| now - since > limits::ZONE_FORGOTTEN);
-            let connected = collectors.values().any(|speaks_for| speaks_for == name);
-            if gone && !connected {
-                events.push(LogEvent::ZoneForgotten(name.clone()));
+            let is_expired = zone.missing_since.is_some_and(|since| now - since > limits::ZONE_RETENTION);
+            let is_connected = collectors.values().any(|collector_zone| collector_zone == name);
+            if is_expired && !is_connected {
+                events.push(LogEvent::ZoneExpired(name.clone()));
             }
-            !gone || connected
+            !is_expired || is_connected
         });
         events
     }
 
-    /// What was heard before counts for nothing: all zones are missing until they are heard again.
+    /// Marks all zones as missing until they report again.
     pub fn restart(&mut self, now: Moment) {
         for zone in self.zones.values_mut() {
             zone.missing_since.get_or_insert(zone.last_heard.min(now));
         }
     }
 
-    /// How many zones lack in a sum that begins here and goes up to now.
-    pub fn missing_since(&self, begins: Moment) -> usize {
-        let lacks = |zone: &&Zone| {
-            zone.missing_since.is_some() || zone.was_missing_until.is_some_and(|until| until > begins)
+    /// Returns the number of zones that were missing for all or part of the time from `window_start` until now.
+    pub fn missing_count_since(&self, window_start: Moment) -> usize {
+        let was_missing = |zone: &&Zone| {
+            zone.missing_since.is_some() || zone.was_missing_until.is_some_and(|until| until > window_start)
         };
-        self.known().filter(lacks).count()
+        self.known().filter(was_missing).count()
     }
 
-    /// How many zones are missing now.
-    pub fn missing(&self) -> usize {
+    /// Returns the number of zones that are missing now.
+    pub fn missing_count(&self) -> usize {
         self.known().filter(|zone| zone.missing_since.is_some()).count()
     }
 
@@ -141,28 +141,28 @@
         self.zones.values().filter(|zone| zone.is_known)
     }
 
-    /// The first by name of the zones that reported once.
-    pub fn first(&self) -> Option<&str> {
+    /// Returns the first zone by name among those that have reported.
+    pub fn first_known(&self) -> Option<&str> {
         self.zones.iter().find(|(_, zone)| zone.is_known).map(|(name, _)| name.as_str())
     }
 
-    /// The zones that are heard now.
-    pub fn present(&self) -> impl Iterator<Item = &str> {
+    /// Iterates over the zones that report now.
+    pub fn present_zones(&self) -> impl Iterator<Item = &str> {
         let present = self.zones.iter().filter(|(_, zone)| zone.missing_since.is_none());
         present.map(|(name, _)| name.as_str())
     }
 
-    /// How many zones are known.
+    /// Returns the number of zones.
     pub fn len(&self) -> usize {
         self.zones.len()
     }
 
-    /// Whether no zone is known.
+    /// Returns true if there are no zones.
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 }
 
-/// A connection reports that has not said for which zone it speaks.
+/// The error for a report on a connection that has not named its zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UnknownCollector;
--- a/crates/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -1,29 +1,30 @@
-//! The reports for one controller: its keys, how far each has been sent, and when it is sent next.
+//! The reports sent to one controller: its keys, how far each has been read, and the time of the next batch.
 
 use crate::budget::{self, Candidate};
 use crate::configuration::ControllerMember;
 use crate::coverage::Coverage;
 use crate::limits;
-use crate::sums::{Cursor, Portion, Series, Sum, Sums};
-use crate::wire::{self, Covered};
+use crate::sums::{Cursor, Series, Sum, Sums, WindowSum};
+use crate::wire::{self, ReportValues};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use whinwall_policy::time::{Moment, Span};
 
-/// A key has its turn within so many report periods; one less than the maximum window has, as a turn is rounded.
-const PERIODS: usize = (limits::MAX_WINDOW.as_ns() / limits::REPORT_PERIOD.as_ns()) as usize - 1;
-/// A doubled rate weighs as much as a doubled mean time, and as much as this part of all tries failing.
-const FAILED_SHARE: f64 = 0.2;
+/// Number of report periods within which each key is sent. One less than fits into the maximum window, to allow for
+/// the rounding of a batch.
+const MAX_WAIT_PERIODS: usize = (limits::MAX_WINDOW.as_ns() / limits::REPORT_PERIOD.as_ns()) as usize - 1;
+/// Change of the failed share that weighs as much as a doubled rate or a doubled mean latency.
+const FAILED_SHARE_PER_DOUBLING: f64 = 0.2;
 
-/// What a line is about.
+/// The key of a report line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Replica(Arc<str>),
     Shard(u32, Arc<str>),
 }
 
-/// What the last line of a key said, for comparison with the next.
+/// The values of the last line of a key, for comparison with the next.
 #[derive(Clone, Copy, Debug, Default)]
 struct LineValues {
     per_second: f64,
@@ -32,149 +33,162 @@
 }
 
 impl LineValues {
-    fn of(sum: &Sum, window: Span) -> Self {
+    fn new(sum: &Sum, window: Span) -> Self {
         let per_second = sum.attempts / window.seconds().max(f64::MIN_POSITIVE);
         let failed_share = if sum.attempts > 0.0 { sum.failed / sum.attempts } else { 0.0 };
         LineValues { per_second, failed_share, mean_latency_ms: sum.mean_latency_ms() }
     }
 
-    fn differs_by(&self, other: &LineValues) -> f64 {
+    fn difference_to(&self, other: &LineValues) -> f64 {
         let ratio = |a: f64, b: f64| ((a + 1.0) / (b + 1.0)).log2().abs();
         ratio(self.per_second, other.per_second)
             + ratio(self.mean_latency_ms, other.mean_latency_ms)
-            + (self.failed_share - other.failed_share).abs() / FAILED_SHARE
+            + (self.failed_share - other.failed_share).abs() / FAILED_SHARE_PER_DOUBLING
     }
 }
 
-/// How far the controller has read a key.
+/// What has been sent to the controller for a key.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct KeyState {
     cursor: Cursor,
     last_sent: LineValues,
 }
 
-/// The connection to the controller.
+/// The state of the connection to the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Link {
-    /// There is none, and none is wanted.
+    /// Not connected.
     #[default]
     Idle,
-    /// A dial is on its way.
-    Dialing,
-    /// It is there.
+    /// An attempt to connect is in progress.
+    Connecting,
+    /// The connection is established.
     Connected,
-    /// It is dialed again from then on.
-    Waiting(Moment),
+    /// Disconnected; the next attempt to connect is made at this time.
+    RetryAt(Moment),
 }
 
-/// A line that could go, and what it moves.
-struct Line {
+/// A line that could be sent, and the state of its key after that.
+struct CandidateLine {
     key: Key,
     text: String,
-    reading: Reading,
+    key_state: KeyState,
 }
 
-/// What a turn came to.
+/// The lines of one report period.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Turn {
-    /// Whole lines, the first of them asks for a heartbeat.
+pub(crate) struct Batch {
+    /// Complete lines; the first one is a ping.
     pub text: String,
-    /// How many of them are reports.
+    /// Number of report lines.
     pub lines: u64,
-    /// Some had to wait.
-    pub is_stretched: bool,
-    /// Some of those sent had waited longer than the maximum window.
+    /// True if some lines did not fit into the budget.
+    pub is_over_budget: bool,
+    /// True if some of the sent lines cover more than the maximum window because of the budget.
     pub is_overdue: bool,
 }
 
-/// One controller. Owned by the aggregator, one for each controller of the configuration, and ends with it; its
-/// readings are bounded by its subset and its slices' classes (and what left them of late), and end with the
-/// connection.
+/// The feed of one controller. The aggregator owns one for each configured controller. The number of key states is
+/// bounded by the subset and the classes of the slices, plus those recently removed; they end with the connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Feed {
     pub address: Option<SocketAddr>,
     pub slices: Vec<(u32, u32)>,
     pub subset: Vec<Arc<str>>,
-    pub owned: bool,
+    pub is_owned: bool,
     pub link: Link,
-    /// The next pause between dials.
-    pub pause: Span,
-    pub overdue: bool,
-    /// Its last heartbeat.
-    pub answered: Moment,
-    readings: BTreeMap<Key, Reading>,
+    /// Delay before the next attempt to connect.
+    pub retry_delay: Span,
+    pub is_overdue: bool,
+    /// Time of the last answer to a ping.
+    pub last_answer: Moment,
+    key_states: BTreeMap<Key, KeyState>,
     phase: Span,
-    next_turn: Moment,
+    next_batch_at: Moment,
 }
 
 impl Feed {
-    pub fn of(member: &ControllerMember) -> Self {
+    pub fn new(member: &ControllerMember) -> Self {
         Feed {
             address: member.address,
             slices: member.slices.clone(),
             subset: Vec::new(),
-            owned: false,
+            is_owned: false,
             link: Link::Idle,
-            pause: limits::RETRY,
-            overdue: false,
-            answered: Moment::default(),
-            readings: BTreeMap::new(),
+            retry_delay: limits::RETRY_DELAY,
+            is_overdue: false,
+            last_answer: Moment::default(),
+            key_states: BTreeMap::new(),
             phase: Span::default(),
-            next_turn: Moment::default(),
+            next_batch_at: Moment::default(),
         }
     }
 
-    /// A connection is established: reports are sent from the oldest that are held on. There is one turn in each report period,
-    /// `phase` after the period's start on the clock that all machines read, whoever serves it: where another did
-    /// so until now, the two are one period apart.
-    pub fn connected(&mut self, now: Moment, phase: Span) {
-        (self.link, self.pause) = (Link::Connected, limits::RETRY);
-        self.answered = now;
-        self.readings.clear();
+    /// Handles an established connection. Reports are sent from the earliest checkpoints on. One batch is sent per
+    /// report period, at the offset `phase` from the start of the period. The phase does not depend on the aggregator
+    /// that serves the controller, so the batches of the previous and of the new one are a whole number of periods
+    /// apart.
+    pub fn connection_established(&mut self, now: Moment, phase: Span) {
+        (self.link, self.retry_delay) = (Link::Connected, limits::RETRY_DELAY);
+        self.last_answer = now;
+        self.key_states.clear();
         self.phase = phase;
-        self.next_turn = self.next_turn.max(turn_after(now, phase));
+        self.next_batch_at = self.next_batch_at.max(batch_time_after(now, phase));
     }
 
-    /// The connection is no more, or never came; a new dial is made later, each time later.
-    pub fn lost(&mut self, now: Moment) {
-        self.link = Link::Waiting(now + self.pause);
-        self.pause = (self.pause + self.pause).min(limits::MAX_RETRY);
-        self.readings.clear();
+    /// Handles a lost connection or a failed attempt to connect. The delay before the next attempt doubles each time,
+    /// up to a maximum.
+    pub fn connection_lost(&mut self, now: Moment) {
+        self.link = Link::RetryAt(now + self.retry_delay);
+        self.retry_delay = (self.retry_delay + self.retry_delay).min(limits::MAX_RETRY_DELAY);
+        self.key_states.clear();
     }
 
-    /// It is not served any more.
-    pub fn released(&mut self) {
+    /// Handles the transfer of the controller to another aggregator.
+    pub fn release(&mut self) {
         self.link = Link::Idle;
-        self.pause = limits::RETRY;
-        self.overdue = false;
-        self.readings.clear();
+        self.retry_delay = limits::RETRY_DELAY;
+        self.is_overdue = false;
+        self.key_states.clear();
     }
 
-    /// It is connected and gives no heartbeat.
-    pub fn is_silent(&self, now: Moment) -> bool {
-        self.link == Link::Connected && now - self.answered > limits::CONTROLLER_SILENT
+    /// Returns true if the controller is connected but has not answered for [`limits::CONTROLLER_TIMEOUT`].
+    pub fn has_timed_out(&self, now: Moment) -> bool {
+        self.link == Link::Connected && now - self.last_answer > limits::CONTROLLER_TIMEOUT
     }
 
     pub fn is_due(&self, now: Moment) -> bool {
-        self.link == Link::Connected && now >= self.next_turn
+        self.link == Link::Connected && now >= self.next_batch_at
     }
 
-    /// Its lines of this report period. There is one turn a period, and no turn has more bytes than the budget: over
-    /// any number of report periods the budget holds.
-    pub fn turn(&mut self, now: Moment, zone: &str, budget: usize, sums: &Sums, coverage: &Coverage) -> Turn {
-        self.next_turn = turn_after(now, self.phase);
+    /// Returns the lines of this report period. There is one batch per period and no batch exceeds the budget, so the
+    /// budget holds over any number of report periods.
+    pub fn next_batch(
+        &mut self,
+        now: Moment,
+        zone: &str,
+        budget: usize,
+        sums: &Sums,
+        coverage: &Coverage,
+    ) -> Batch {
+        self.next_batch_at = batch_time_after(now, self.phase);
         let (candidates, mut lines) = self.candidates(now, zone, sums, coverage);
-        let choice = budget::choose(&candidates, budget.saturating_sub(wire::overhead()), PERIODS);
-        let text = wire::PING.to_string();
-        let mut turn = Turn { text, is_stretched: choice.is_stretched, ..Turn::default() };
-        for at in choice.chosen {
-            let Line { key, text, reading } = &mut lines[at];
-            turn.is_overdue |= choice.is_stretched && now - candidates[at].begins > limits::MAX_WINDOW;
-            turn.text.push_str(text);
-            turn.lines += 1;
-            self.readings.insert(key.clone(), *reading);
+        let selection = budget::select_lines(
+            &candidates,
+            budget.saturating_sub(wire::overhead_bytes()),
+            MAX_WAIT_PERIODS,
+        );
+        let text = wire::PING_LINE.to_string();
+        let mut batch = Batch { text, is_over_budget: selection.is_over_budget, ..Batch::default() };
+        for index in selection.selected {
+            let CandidateLine { key, text, key_state } = &mut lines[index];
+            batch.is_overdue |=
+                selection.is_over_budget && now - candidates[index].window_start > limits::MAX_WINDOW;
+            batch.text.push_str(text);
+            batch.lines += 1;
+            self.key_states.insert(key.clone(), *key_state);
         }
-        turn
+        batch
     }
 
     fn candidates(
@@ -183,58 +197,64 @@
         zone: &str,
         sums: &Sums,
         coverage: &Coverage,
-    ) -> (Vec<Candidate>, Vec<Line>) {
-        let mut readings = std::mem::take(&mut self.readings);
+    ) -> (Vec<Candidate>, Vec<CandidateLine>) {
+        let mut key_states = std::mem::take(&mut self.key_states);
         let (mut candidates, mut lines) = (Vec::new(), Vec::new());
-        let is_heard = coverage.present().next().is_some();
-        let mut consider = |key: Key, series: &Series| {
-            let reading = known_reading(&mut readings, &key, series, now);
-            let mut portion = series.since(&reading.cursor, now);
-            if is_heard && matches!(key, Key::Replica(_)) {
-                portion = portion.or_else(|| series.idle_since(&reading.cursor, now));
+        let has_present_zone = coverage.present_zones().next().is_some();
+        let mut add_candidate = |key: Key, series: &Series| {
+            let key_state = take_key_state(&mut key_states, &key, series, now);
+            let mut window_sum = series.sum_since(&key_state.cursor, now);
+            if has_present_zone && matches!(key, Key::Replica(_)) {
+                window_sum = window_sum.or_else(|| series.idle_window_since(&key_state.cursor, now));
             }
-            self.readings.insert(key.clone(), reading);
-            let Some(Portion { begins, sum }) = portion else { return };
-            let window = (now - begins).max(Span::ms(1));
-            let covered = Covered { sum, window, missing: coverage.missing_since(begins) };
+            self.key_states.insert(key.clone(), key_state);
+            let Some(WindowSum { window_start, sum }) = window_sum else { return };
+            let window = (now - window_start).max(Span::ms(1));
+            let report_values =
+                ReportValues { sum, window, missing: coverage.missing_count_since(window_start) };
             let text = match &key {
-                Key::Replica(replica) => wire::load(zone, replica, &covered),
-                Key::Shard(slice, class) => wire::shard(*slice, class, &covered),
+                Key::Replica(replica) => wire::encode_endpoint_report(zone, replica, &report_values),
+                Key::Shard(slice, class) => wire::encode_demand_report(*slice, class, &report_values),
             };
-            let values = LineValues::of(&sum, window);
-            let change = values.differs_by(&reading.last_sent);
-            candidates.push(Candidate { bytes: text.len(), begins, change });
-            lines.push(Line {
+            let values = LineValues::new(&sum, window);
+            let change = values.difference_to(&key_state.last_sent);
+            candidates.push(Candidate { bytes: text.len(), window_start, change });
+            lines.push(CandidateLine {
                 key,
                 text,
-                reading: Reading { cursor: series.read_at(now), last_sent: values },
+                key_state: KeyState { cursor: series.end_cursor(now), last_sent: values },
             });
         };
         for replica in &self.subset {
             if let Some(series) = sums.replica(replica) {
-                consider(Key::Replica(replica.clone()), series);
+                add_candidate(Key::Replica(replica.clone()), series);
             }
         }
         for slice in self.slices.iter().flat_map(|(first, last)| *first..=*last) {
             for (class, series) in sums.classes(slice) {
-                consider(Key::Shard(slice, class.clone()), series);
+                add_candidate(Key::Shard(slice, class.clone()), series);
             }
         }
-        // A key that comes back goes on where it ended, as long as a late start would reach back beyond that.
-        readings.retain(|_, reading| now - reading.cursor.since() <= limits::LATE_START);
-        self.readings.append(&mut readings);
+        // A key that returns within the maximum initial window continues at its previous cursor.
+        key_states.retain(|_, key_state| now - key_state.cursor.since() <= limits::MAX_INITIAL_WINDOW);
+        self.key_states.append(&mut key_states);
         (candidates, lines)
     }
 }
 
-/// The first turn after this moment.
-fn turn_after(now: Moment, phase: Span) -> Moment {
+/// Returns the time of the first batch after `now`.
+fn batch_time_after(now: Moment, phase: Span) -> Moment {
     let periods = (now - phase).elapsed_periods(limits::REPORT_PERIOD) + 1;
     Moment::default() + phase + Span::ns(limits::REPORT_PERIOD.as_ns().saturating_mul(periods))
 }
 
-/// Where the key is read from; a key that is new here, or whose series is another, starts late.
-fn known_reading(readings: &mut BTreeMap<Key, Reading>, key: &Key, series: &Series, now: Moment) -> Reading {
-    let known = readings.remove(key).filter(|reading| series.has(&reading.cursor));
-    known.unwrap_or_else(|| Reading { cursor: series.late_start(now), last_sent: LineValues::default() })
+/// Returns the state of the key. A key that is new or whose series has been replaced starts at the initial cursor.
+fn take_key_state(
+    key_states: &mut BTreeMap<Key, KeyState>,
+    key: &Key,
+    series: &Series,
+    now: Moment,
+) -> KeyState {
+    let known = key_states.remove(key).filter(|key_state| series.owns(&key_state.cursor));
+    known.unwrap_or_else(|| KeyState { cursor: series.initial_cursor(now), last_sent: LineValues::default() })
 }
--- a/crates/aggregation/src/heartbeat.rs
+++ b/crates/aggregation/src/heartbeat.rs
@@ -1,18 +1,18 @@
-//! The message with which aggregators tell their peers that they are alive.
+//! The heartbeat message that aggregators exchange.
 
 use serde::{Deserialize, Serialize};
 
-/// One heartbeat. Its fields are names on the wire.
+/// One heartbeat. Its field names are part of the wire format.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Name of the sender.
     pub name: String,
-    /// Whether it has a list and sums that are worth passing on.
+    /// True if the sender has an endpoint list and complete sums, so that it can serve controllers.
     pub ready: bool,
-    /// How long ago discovery was heard.
+    /// Time since the last message from discovery.
     pub list_age_ms: u64,
-    /// The version of its list.
+    /// Version of the sender's endpoint list.
     pub version: u64,
-    /// The zones whose collectors it hears.
+    /// Zones whose collectors report to the sender.
     pub zones: Vec<String>,
 }
--- a/crates/aggregation/src/lib.rs
+++ b/crates/aggregation/src/lib.rs
@@ -1,7 +1,8 @@
-//! Aggregation of collector reports: what each controller's subset needs, summed over zones, within a byte budget.
+//! Aggregation of collector reports: sums the reports over zones and sends each controller the sums for its subset,
+//! within a byte budget.
 //!
-//! [`aggregator::Aggregator`] is the reducer: it has all state, and neither input, output nor a clock. The other
-//! modules are its parts, each with one job. `program` is the process around it: sockets, signals, log and metrics.
+//! [`aggregator::Aggregator`] is the reducer. It owns all state and uses neither I/O nor a clock. The other modules are
+//! its components. The binary's `program` module connects it to sockets, signals, log and metrics.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
--- a/crates/aggregation/src/log_event.rs
+++ b/crates/aggregation/src/log_event.rs
@@ -1,59 +1,59 @@
-//! Events for the log, with their texts.
+//! Log events and their texts.
 
 use std::fmt;
 
-/// An event that the log shows to operators.
+/// An event that is logged for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// A peer is alive, or is so no more.
+    /// A peer aggregator became alive or failed.
     PeerAlive {
-        /// The peer's name.
+        /// Name of the peer.
         peer: String,
-        /// Whether it is alive now.
+        /// True if the peer is alive now.
         alive: bool,
     },
     /// The number of controllers that this aggregator serves has changed.
     Serving {
-        /// Controllers served.
+        /// Number of controllers served.
         controllers: usize,
-        /// Aggregators that share the controllers.
+        /// Number of aggregators that share the controllers.
         aggregators: usize,
     },
-    /// A zone that was heard before is not heard any more.
+    /// The collectors of a known zone no longer report.
     ZoneMissing(String),
-    /// A zone is heard again.
+    /// The collectors of a missing zone report again.
     ZoneBack(String),
-    /// A zone was missing for so long that it is no longer waited for.
-    ZoneForgotten(String),
-    /// The reducer was not called for this many milliseconds; it starts anew.
+    /// A zone was missing for [`crate::limits::ZONE_RETENTION`] and is taken to be removed.
+    ZoneExpired(String),
+    /// The reducer was not called for this time in milliseconds and restarted.
     Stalled(u64),
-    /// Discovery's watch is silent, or speaks again.
+    /// The watch of discovery became silent (true) or sends messages again (false).
     RegistryStale(bool),
-    /// A peer has a later version of the list.
+    /// A peer has a later version of the endpoint list.
     RegistryBehind {
-        /// The version held here.
+        /// Version of this aggregator's list.
         own: u64,
-        /// The peer's.
+        /// Version of the peer's list.
         peer: u64,
     },
-    /// A controller is out of reach, or within it again.
+    /// A controller became reachable or unreachable.
     ControllerReachable {
-        /// Its name.
+        /// Name of the controller.
         controller: String,
-        /// Whether it is reached now.
+        /// True if the controller is reachable now.
         reachable: bool,
     },
-    /// A controller has keys that waited longer than the maximum window: its budget is too small for its subset.
+    /// Keys of a controller waited longer than the maximum window, so the budget is too small for its subset.
     BudgetTooSmall {
-        /// Its name.
+        /// Name of the controller.
         controller: String,
     },
-    /// More replicas, classes or zones than there is room for.
-    BoundReached(&'static str),
+    /// The limit of this kind of item (replicas or zones) was reached.
+    LimitReached(&'static str),
 }
 
 impl LogEvent {
-    /// Whether something is wrong, or on its way to be.
+    /// Returns true if the event indicates a fault.
     pub fn is_warning(&self) -> bool {
         match self {
             LogEvent::PeerAlive { alive, .. } => !alive,
@@ -70,31 +70,31 @@
         match self {
             LogEvent::PeerAlive { peer, alive: true } => write!(f, "aggregator {peer} is alive"),
             LogEvent::PeerAlive { peer, alive: false } => {
-                write!(f, "aggregator {peer} is not heard any more")
+                write!(f, "aggregator {peer} is not responding")
             }
             LogEvent::Serving { controllers, aggregators } => {
-                write!(f, "serves {controllers} controllers, as one of {aggregators} aggregators")
+                write!(f, "serving {controllers} controllers, as one of {aggregators} aggregators")
             }
-            LogEvent::ZoneMissing(zone) => write!(f, "zone {zone} is missing: its collectors are not heard"),
-            LogEvent::ZoneBack(zone) => write!(f, "zone {zone} is heard again"),
-            LogEvent::ZoneForgotten(zone) => write!(f, "zone {zone} is not waited for any longer"),
-            LogEvent::Stalled(ms) => write!(f, "was not running for {ms} ms and starts anew"),
-            LogEvent::RegistryStale(true) => f.write_str("discovery is silent; the list may be old"),
-            LogEvent::RegistryStale(false) => f.write_str("discovery is heard"),
+            LogEvent::ZoneMissing(zone) => write!(f, "zone {zone} is missing: its collectors are silent"),
+            LogEvent::ZoneBack(zone) => write!(f, "zone {zone} is back: its collectors report again"),
+            LogEvent::ZoneExpired(zone) => write!(f, "zone {zone} is no longer expected to report"),
+            LogEvent::Stalled(ms) => write!(f, "was not running for {ms} ms, discarding partial sums"),
+            LogEvent::RegistryStale(true) => f.write_str("discovery is silent, endpoint list may be stale"),
+            LogEvent::RegistryStale(false) => f.write_str("discovery is responding again"),
             LogEvent::RegistryBehind { own, peer } => {
-                write!(f, "the list has version {own}, a peer's has {peer}")
+                write!(f, "endpoint list has version {own}, a peer has version {peer}")
             }
             LogEvent::ControllerReachable { controller, reachable: true } => {
-                write!(f, "controller {controller} is reached")
+                write!(f, "controller {controller} is reachable again")
             }
             LogEvent::ControllerReachable { controller, reachable: false } => {
-                write!(f, "controller {controller} is out of reach")
+                write!(f, "controller {controller} is unreachable")
             }
             LogEvent::BudgetTooSmall { controller } => {
-                write!(f, "the byte budget of controller {controller} is too small for its subset")
+                write!(f, "byte budget of controller {controller} is too small for its subset")
             }
-            LogEvent::BoundReached(what) => {
-                write!(f, "more {what} than there is room for; the rest is left out")
+            LogEvent::LimitReached(what) => {
+                write!(f, "limit of {what} reached, further {what} are ignored")
             }
         }
     }
--- a/crates/aggregation/src/main.rs
+++ b/crates/aggregation/src/main.rs
@@ -1,4 +1,4 @@
-//! The aggregator program: collectors' lines of all zones in, what each controller's subset needs out.
+//! The aggregator program: receives collector reports of all zones and sends aggregates to controllers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/aggregation/src/messages.rs
+++ b/crates/aggregation/src/messages.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the reducer, as typed messages.
+//! Events and effects of the reducer.
 
 use crate::configuration::Configuration;
 use crate::coverage::ConnectionId;
@@ -8,76 +8,76 @@
 use whinwall_protocol::collector::Report;
 use whinwall_protocol::discovery::List;
 
-/// What happens around an aggregator.
+/// An input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The configuration is new, or was changed.
+    /// The configuration was loaded or changed.
     Configured(Configuration),
-    /// A collector has said which zone it speaks for.
+    /// A collector named its zone.
     CollectorJoined {
-        /// Its connection.
+        /// Connection of the collector.
         connection: ConnectionId,
-        /// The name of its zone.
+        /// Name of the zone.
         zone: &'a str,
     },
-    /// A collector's line, decoded.
+    /// A collector sent a report.
     ReportReceived {
-        /// The connection that it came on.
+        /// Connection of the collector.
         connection: ConnectionId,
-        /// The line.
+        /// The decoded report.
         report: Report<'a>,
     },
-    /// A connection ended, or says nothing usable any more.
+    /// A connection to the listener ended.
     ConnectionEnded(ConnectionId),
-    /// Discovery's watch brought a list, whole or of changes.
+    /// The watch of discovery sent a complete list or a list of changes.
     RegistryListed(List),
-    /// Discovery's watch gave a heartbeat.
+    /// The watch of discovery sent a heartbeat.
     RegistryAlive,
-    /// Discovery's watch ended.
+    /// The watch of discovery ended.
     RegistryLost,
-    /// Another aggregator is alive.
+    /// Another aggregator sent a heartbeat.
     HeartbeatReceived(Heartbeat),
-    /// The connection to a controller is there.
+    /// The connection to a controller was established.
     ControllerConnected(&'a str),
-    /// A controller gave a heartbeat.
+    /// A controller answered a ping.
     ControllerAnswered(&'a str),
-    /// A dial failed, or the connection ended.
+    /// An attempt to connect to a controller failed, or its connection ended.
     ControllerLost(&'a str),
-    /// Some time passed; expected each [`crate::limits::TICK`].
+    /// Time has passed. Expected every [`crate::limits::TICK_PERIOD`].
     Tick,
 }
 
-/// What is to be done, in this order.
+/// An output of the reducer. Effects are executed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Dial a controller. The answer is `ControllerConnected` or `ControllerLost`.
+    /// Connect to a controller. Answered by `ControllerConnected` or `ControllerLost`.
     Connect {
-        /// The controller's name.
+        /// Name of the controller.
         controller: String,
-        /// Where it listens.
+        /// Address of the controller.
         address: SocketAddr,
     },
-    /// End the connection, or the dial; no event follows.
+    /// Close the connection to a controller, or abort the attempt to connect. No event follows.
     Disconnect {
-        /// The controller's name.
+        /// Name of the controller.
         controller: String,
     },
     /// Write lines to a controller.
     Send {
-        /// The controller's name.
+        /// Name of the controller.
         controller: String,
-        /// Whole lines, each with its end.
+        /// Complete lines, each terminated by a newline.
         lines: String,
     },
-    /// Tell all peers.
+    /// Send a heartbeat to all peers.
     SendHeartbeat(Heartbeat),
-    /// Let a collector go: it can't be taken.
+    /// Close the connection of a collector that cannot be accepted.
     RefuseCollector(ConnectionId),
-    /// Ask discovery for a watch from this version on; a former one is given up.
+    /// Request a watch of discovery from this version on. It replaces the previous watch.
     FollowRegistry {
-        /// The version that is held.
+        /// Version of the current list.
         since: u64,
     },
-    /// For the log.
+    /// Write a log event.
     Log(LogEvent),
 }
--- a/crates/aggregation/src/program/configuration.rs
+++ b/crates/aggregation/src/program/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' file as the aggregator's configuration.
+//! Reads the aggregator's configuration from the operators' file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,49 +8,49 @@
 use whinwall_operator_config::file::{self, MAX_FILE_BYTES};
 use whinwall_operator_config::{ConfigError, SubsettingConfig};
 
-/// What the file says.
+/// The members of the fleet as read from the file.
 pub struct Members {
-    /// For the reducer.
+    /// Configuration of the reducer.
     pub configuration: Configuration,
-    /// Where the other aggregators listen, by name.
+    /// Addresses of the other aggregators, by name.
     pub peers: BTreeMap<String, SocketAddr>,
 }
 
-/// Why the file can't be used.
+/// An error in the operators' file.
 #[derive(Debug, Error)]
 pub enum ConfigurationFileError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
-    /// It is larger than any file that somebody wrote.
-    #[error("it has more than {MAX_FILE_BYTES} bytes")]
+    /// The file exceeds the size limit.
+    #[error("file larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
-    /// It is faulty at a place.
+    /// The file is invalid at a certain position.
     #[error("{0}")]
-    Faulty(ConfigError),
-    /// It says nothing of subsetting.
-    #[error("it has no element <subsetting>")]
+    Invalid(ConfigError),
+    /// The file does not configure subsetting.
+    #[error("missing element <subsetting>")]
     NoSubsetting,
-    /// What it says does not fit together.
+    /// The subsetting configuration is inconsistent.
     #[error("<subsetting>: {0}")]
     Inconsistent(#[from] ConfigurationError),
 }
 
-/// Reads the file, for the aggregator of this name.
+/// Reads the file for the aggregator named `own`.
 ///
 /// # Errors
 ///
-/// Where the file can't be read, is invalid, or does not name this aggregator.
+/// Fails if the file cannot be read, is invalid, or does not name this aggregator.
 pub fn read(path: &Path, own: &str) -> Result<Members, ConfigurationFileError> {
     if std::fs::metadata(path)?.len() > MAX_FILE_BYTES as u64 {
         return Err(ConfigurationFileError::TooLarge);
     }
     let text = std::fs::read_to_string(path)?;
-    let file = file::parse(&text).map_err(ConfigurationFileError::Faulty)?;
-    members(file.subsetting.ok_or(ConfigurationFileError::NoSubsetting)?, own)
+    let file = file::parse(&text).map_err(ConfigurationFileError::Invalid)?;
+    build_members(file.subsetting.ok_or(ConfigurationFileError::NoSubsetting)?, own)
 }
 
-fn members(subsetting: SubsettingConfig, own: &str) -> Result<Members, ConfigurationFileError> {
+fn build_members(subsetting: SubsettingConfig, own: &str) -> Result<Members, ConfigurationFileError> {
     let parameters = subsetting.parameters();
     let names: Vec<_> = subsetting.aggregators.iter().map(|member| member.name.clone()).collect();
     let controllers = subsetting.controllers.into_iter();
--- a/crates/aggregation/src/program/controller_connections.rs
+++ b/crates/aggregation/src/program/controller_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to controllers: each has a task that dials, writes report lines, and notes answers.
+//! Connections to controllers. Each has a task that connects, writes report lines and reports answers.
 
 use super::error::ConnectionError;
 use std::collections::BTreeMap;
@@ -9,27 +9,28 @@
 use tokio::time::timeout;
 use whinwall_runtime::task::Task;
 
-/// Batches that wait for one controller; one a second is written, so a controller that takes this long reads nothing.
+/// Maximum number of pending batches per controller. One batch is sent per second, so a controller that is this many
+/// batches behind has stopped reading.
 const MAX_UNWRITTEN_BATCHES: usize = 4;
-/// Events of all controllers that wait for the event loop.
+/// Maximum number of queued events of all controllers.
 const MAX_QUEUED_EVENTS: usize = 1024;
-/// A write that takes longer is given up.
+/// A write that takes longer ends the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// An answer to a ping has some twenty bytes.
+/// Size of the read buffer; an answer to a ping has about 20 bytes.
 const READ_BUFFER_BYTES: usize = 1024;
 
-/// What happened at a connection.
+/// An event of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEvent {
-    /// The dial succeeded.
+    /// The connection was established.
     Connected,
-    /// The controller wrote something: it is alive.
+    /// The controller sent data, so it is alive.
     Answered,
-    /// The dial failed, or the connection ended.
+    /// The attempt to connect failed, or the connection ended.
     Lost,
 }
 
-/// An event, with the connection that it is of.
+/// An event with the number of its connection.
 struct NumberedEvent {
     controller: String,
     number: u64,
@@ -42,39 +43,39 @@
     _task: Task,
 }
 
-/// All connections to controllers; each ends with its entry.
+/// All connections to controllers. Removing an entry closes its connection.
 pub struct ControllerConnections {
     connections: BTreeMap<String, Connection>,
     events: mpsc::Sender<NumberedEvent>,
     queued_events: mpsc::Receiver<NumberedEvent>,
     last_number: u64,
-    /// Batches of lines that found no room.
+    /// Number of batches dropped because the queue of a controller was full.
     pub dropped_batches: u64,
 }
 
 impl ControllerConnections {
-    /// None yet.
+    /// Creates an empty set of connections.
     pub fn new() -> Self {
         let (events, queued_events) = mpsc::channel(MAX_QUEUED_EVENTS);
         let connections = BTreeMap::new();
         ControllerConnections { connections, events, queued_events, last_number: 0, dropped_batches: 0 }
     }
 
-    /// Begins to dial; a former connection ends.
+    /// Starts to connect to a controller. A previous connection is closed.
     pub fn connect(&mut self, controller: &str, address: SocketAddr) {
         self.last_number += 1;
         let (number, events) = (self.last_number, self.events.clone());
         let (lines, queued_lines) = mpsc::channel(MAX_UNWRITTEN_BATCHES);
-        let task = Task::spawn(serve(controller.to_string(), number, address, queued_lines, events));
+        let task = Task::spawn(run_connection(controller.to_string(), number, address, queued_lines, events));
         self.connections.insert(controller.into(), Connection { number, lines, _task: task });
     }
 
-    /// Ends a connection or a dial.
+    /// Closes the connection to a controller, or aborts the attempt to connect.
     pub fn disconnect(&mut self, controller: &str) {
         self.connections.remove(controller);
     }
 
-    /// Writes lines; false where the controller reads too slowly, and its connection is ended.
+    /// Queues lines for a controller. If its queue is full, closes the connection and returns false.
     pub fn send(&mut self, controller: &str, lines: String) -> bool {
         let Some(connection) = self.connections.get(controller) else { return true };
         if connection.lines.try_send(lines).is_ok() {
@@ -85,10 +86,10 @@
         false
     }
 
-    /// The next event; those of former connections are left out.
+    /// Waits for the next event. Events of replaced or closed connections are skipped.
     pub async fn next_event(&mut self) -> (String, ConnectionEvent) {
         loop {
-            // This end holds a sender, so there is always a next one.
+            // `self` holds a sender, so the channel is never closed.
             let Some(NumberedEvent { controller, number, event }) = self.queued_events.recv().await else {
                 std::future::pending().await
             };
@@ -103,7 +104,7 @@
     }
 }
 
-async fn serve(
+async fn run_connection(
     controller: String,
     number: u64,
     address: SocketAddr,
--- a/crates/aggregation/src/program/error.rs
+++ b/crates/aggregation/src/program/error.rs
@@ -1,55 +1,55 @@
-//! Why the program can't serve.
+//! Errors of the program.
 
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 use whinwall_transport::StreamError;
 
-/// What ends the program with exit code 1.
+/// An error that ends the program with exit code 1.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The signals can't be listened for.
-    #[error("signals: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The address can't be listened at.
-    #[error("listen: {address}: {source}")]
+    /// The program cannot listen on the address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The reason.
+        /// The cause.
         source: io::Error,
     },
-    /// The listener's address is not known.
-    #[error("{0}")]
+    /// The local address of the listener cannot be read.
+    #[error("cannot read the address of the listener: {0}")]
     LocalAddress(#[source] io::Error),
 }
 
-/// Why metrics can't be served.
+/// An error that prevents metrics from being served.
 #[derive(Debug, Error)]
 pub enum MetricsError {
-    /// The address can't be listened at.
-    #[error("metrics: {address}: {source}")]
+    /// The program cannot listen on the address.
+    #[error("cannot serve metrics on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The reason.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Why a connection to a controller or a peer has ended.
+/// The reason for the end of a connection to a controller or a peer.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// It could not be opened.
+    /// The connection could not be established.
     #[error("{0}")]
     Connect(#[from] StreamError),
-    /// It could not be read or written.
+    /// Reading or writing failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The other side reads nothing.
-    #[error("it reads nothing")]
+    /// The peer did not read the data in time.
+    #[error("write timed out")]
     WriteTimedOut,
-    /// The other side closed it.
-    #[error("closed by the other side")]
+    /// The peer closed the connection.
+    #[error("closed by peer")]
     Closed,
 }
--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: what arrives becomes events of the reducer, and its effects are carried out.
+//! The event loop: turns inputs into events of the reducer and executes its effects.
 
 mod lines;
 
@@ -17,7 +17,7 @@
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 use whinwall_aggregation::aggregator::Aggregator;
 use whinwall_aggregation::coverage::ConnectionId;
-use whinwall_aggregation::limits::TICK;
+use whinwall_aggregation::limits::TICK_PERIOD;
 use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_aggregation::wire;
 use whinwall_policy::time::{Moment, Span};
@@ -31,30 +31,31 @@
     limits, listener, registry_watch, Bounds, ConnectionShutdown, Input, InputSender, WatchId,
 };
 
-/// Connections to the listener: collectors of all zones and the other aggregators, each more than once.
+/// Maximum number of connections to the listener. Collectors of all zones and the other aggregators may each have more
+/// than one.
 const MAX_CONNECTIONS: usize = 512;
-/// Memory for lines that lack their end, and as much again for lines that wait for the event loop, in bytes.
+/// Memory limit for incomplete lines in bytes. The same limit applies to lines queued for the event loop.
 const MAX_LINE_BYTES: usize = 16 << 20;
-/// Why a peer that has sent half a line gets no other answer.
+/// Reason in the reply to a peer whose last line is incomplete at shutdown.
 const SHUTTING_DOWN: &str = "shutting down";
-/// How often the log gets a summary.
+/// Interval of the summary in the log.
 const SUMMARY_INTERVAL: Span = Span::ms(60_000);
 
-/// What the program is started with.
+/// The start-up configuration of the program.
 pub struct AggregatorConfig {
-    /// The operators' file.
+    /// Path of the operators' file.
     pub operators: PathBuf,
-    /// This aggregator's name in the file.
+    /// Name of this aggregator in the file.
     pub name: String,
-    /// Where collectors and the other aggregators connect.
+    /// Address that collectors and the other aggregators connect to.
     pub listen: SocketAddr,
-    /// Discovery's agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The zone that report lines name.
+    /// Zone named in report lines.
     pub zone: Option<String>,
-    /// Where metrics are served.
+    /// Address of the metrics endpoint.
     pub metrics: Option<SocketAddr>,
-    /// What the file says.
+    /// Contents of the operators' file.
     pub members: Members,
 }
 
@@ -66,43 +67,45 @@
     http_client: awc::Client,
     discovery: SocketAddr,
     registry_lines: InputSender,
-    /// The latest registry watch; what a former one still says is ignored.
+    /// Id of the latest registry watch. Lines of previous watches are ignored.
     watch_id: WatchId,
     registry_watch: Option<Task>,
-    /// Connections that may stay: collectors and peers. Bounded by the listener; an entry ends with its connection.
-    admitted: BTreeSet<ConnectionId>,
+    /// Authenticated connections of collectors and peers. Bounded by the listener; an entry is removed when its
+    /// connection ends.
+    authenticated: BTreeSet<ConnectionId>,
     traffic: Traffic,
     metrics: SharedMetrics,
     next_summary: Moment,
 }
 
-/// Serves until a signal ends it, and returns the signal's name.
+/// Serves until a terminating signal arrives, and returns the name of the signal.
 ///
 /// # Errors
 ///
-/// Where the address can't be listened at.
+/// Fails if the program cannot listen on the address.
 pub async fn serve(config: AggregatorConfig, mut signals: Signals) -> Result<&'static str, ServeError> {
     let listener = accept::listen(config.listen);
     let listener = listener.map_err(|source| ServeError::Listen { address: config.listen, source })?;
     let address = listener.local_addr().map_err(ServeError::LocalAddress)?;
-    // Two queues, so that a flood at the listener does not delay discovery.
+    // Two queues, so that a flood of lines at the listener does not delay those of discovery.
     let (registry_lines, mut from_registry) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
     let (listener_lines, mut from_listener) = mpsc::channel(limits::MAX_QUEUED_INPUTS);
     let bounds = Bounds::new(MAX_CONNECTIONS, MAX_LINE_BYTES);
     let reader = listener::LocalReader { bounds: bounds.clone(), inputs: listener_lines };
-    let (trigger, signal, mut running) = shutdown::channel();
+    let (shutdown_trigger, signal, mut running) = shutdown::channel();
     let notice = collector::encode(collector::Reply::Nack { why: SHUTTING_DOWN }).into();
-    let ending = ConnectionShutdown { signal: signal.clone(), notice };
-    let _listener = Task::spawn(listener::listen_until(Rc::new(listener), bounds, reader, ending));
+    let connection_shutdown = ConnectionShutdown { signal: signal.clone(), notice };
+    let _listener =
+        Task::spawn(listener::listen_until(Rc::new(listener), bounds, reader, connection_shutdown));
     let metrics = SharedMetrics::default();
     let metrics_signal = signal.clone();
     let _metrics =
         config.metrics.map(|address| Task::spawn(serve_metrics(address, metrics.clone(), metrics_signal)));
-    // The shutdown waits for whoever holds it.
+    // The shutdown waits until all copies of the signal are dropped.
     drop(signal);
     let mut event_loop = EventLoop::new(&config, registry_lines, metrics);
     tracing::info!(%address, aggregator = config.name, "listening for collectors");
-    let mut ticks = interval(Duration::from_nanos(TICK.as_ns()));
+    let mut ticks = interval(Duration::from_nanos(TICK_PERIOD.as_ns()));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     let termination = loop {
         tokio::select! {
@@ -113,15 +116,15 @@
             },
             _ = ticks.tick() => event_loop.tick(),
             (controller, event) = event_loop.controllers.next_event() => {
-                event_loop.controller_event(&controller, event);
+                event_loop.handle_controller_event(&controller, event);
             }
-            Some(input) = from_registry.recv() => event_loop.input(input),
-            Some(input) = from_listener.recv() => event_loop.drain(input, &mut from_listener),
+            Some(input) = from_registry.recv() => event_loop.handle_input(input),
+            Some(input) = from_listener.recv() => event_loop.handle_queued_inputs(input, &mut from_listener),
         }
     };
     let deadline = Instant::now() + limits::CLOSE_TIMEOUT;
-    trigger.close(deadline);
-    event_loop.answer_until_closed(deadline, &mut from_listener, &mut signals, &mut running).await;
+    shutdown_trigger.close(deadline);
+    event_loop.handle_inputs_until_closed(deadline, &mut from_listener, &mut signals, &mut running).await;
     Ok(termination.signal)
 }
 
@@ -148,7 +151,7 @@
             registry_lines,
             watch_id: 0,
             registry_watch: None,
-            admitted: BTreeSet::new(),
+            authenticated: BTreeSet::new(),
             traffic: Traffic::default(),
             metrics,
             next_summary: clock.now() + SUMMARY_INTERVAL,
@@ -162,7 +165,7 @@
                 self.peers.configure(&members.peers);
                 self.apply(Event::Configured(members.configuration));
             }
-            Err(reason) => tracing::error!(%reason, "configuration rejected, the former one stays"),
+            Err(reason) => tracing::error!(%reason, "reload failed, keeping the previous configuration"),
         }
     }
 
@@ -188,7 +191,7 @@
         }
     }
 
-    fn controller_event(&mut self, controller: &str, event: ConnectionEvent) {
+    fn handle_controller_event(&mut self, controller: &str, event: ConnectionEvent) {
         self.apply(match event {
             ConnectionEvent::Connected => Event::ControllerConnected(controller),
             ConnectionEvent::Answered => Event::ControllerAnswered(controller),
@@ -196,9 +199,9 @@
         });
     }
 
-    /// Answers what the connections have read until all have closed, or for a bounded time. Further signals change nothing:
-    /// the end comes in time without them.
-    async fn answer_until_closed(
+    /// Handles the remaining inputs of the connections until all are closed or the deadline has passed. Further
+    /// signals are ignored, because the deadline ends the program in any case.
+    async fn handle_inputs_until_closed(
         &mut self,
         deadline: Instant,
         queue: &mut Receiver<Input>,
@@ -209,43 +212,43 @@
             tokio::select! {
                 biased;
                 _ = signals.next() => {}
-                Some(input) = queue.recv() => self.input(input),
+                Some(input) = queue.recv() => self.handle_input(input),
                 () = running.ended() => return,
                 () = sleep_until(deadline) => return,
             }
         }
     }
 
-    /// Takes no more than what the queue holds at once: ticks are due meanwhile.
-    fn drain(&mut self, first: Input, queue: &mut Receiver<Input>) {
-        self.input(first);
+    /// Handles at most one full queue of inputs, so that ticks are not delayed.
+    fn handle_queued_inputs(&mut self, first: Input, queue: &mut Receiver<Input>) {
+        self.handle_input(first);
         for _ in 0..limits::MAX_QUEUED_INPUTS {
             let Ok(input) = queue.try_recv() else { return };
-            self.input(input);
+            self.handle_input(input);
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Line { from, line, commands, .. } => {
-                self.line(&Sender { connection: from, commands: &commands }, &line);
+                self.handle_line(&Sender { connection: from, commands: &commands }, &line);
             }
             Input::Disconnected(connection, _) => {
-                self.admitted.remove(&connection);
+                self.authenticated.remove(&connection);
                 self.apply(Event::ConnectionEnded(connection));
             }
             Input::RegistryLine(id, _) if id != self.watch_id => {}
-            Input::RegistryLine(_, Ok(line)) => self.registry_line(&line),
+            Input::RegistryLine(_, Ok(line)) => self.handle_registry_line(&line),
             Input::RegistryLine(_, Err(reason)) => {
                 tracing::warn!(%reason, "registry watch lost");
                 self.apply(Event::RegistryLost);
             }
-            // Aggregators have no relay.
+            // An aggregator does not connect to a relay.
             Input::WatchLine(..) | Input::RelayResponse(_) | Input::UnsolicitedResponse => {}
         }
     }
 
-    fn registry_line(&mut self, line: &str) {
+    fn handle_registry_line(&mut self, line: &str) {
         match discovery::decode(line) {
             Ok(Some(list)) => self.apply(Event::RegistryListed(list)),
             Ok(None) => self.apply(Event::RegistryAlive),
@@ -261,14 +264,14 @@
         self.apply_for(event, None);
     }
 
-    /// Applies an event of the connection that `sender` speaks on.
+    /// Applies an event. `sender` is the connection that caused it, if any.
     fn apply_for(&mut self, event: Event, sender: Option<&Sender>) {
         for effect in self.aggregator.apply(self.clock.now(), event) {
-            self.carry_out(effect, sender);
+            self.execute(effect, sender);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, sender: Option<&Sender>) {
+    fn execute(&mut self, effect: Effect, sender: Option<&Sender>) {
         match effect {
             Effect::Connect { controller, address } => self.controllers.connect(&controller, address),
             Effect::Disconnect { controller } => self.controllers.disconnect(&controller),
@@ -277,8 +280,8 @@
                     self.apply(Event::ControllerLost(&controller));
                 }
             }
-            Effect::SendHeartbeat(heartbeat) => self.peers.send(wire::heartbeat(&heartbeat)),
-            // It is always the effect of an event of that connection.
+            Effect::SendHeartbeat(heartbeat) => self.peers.send(wire::encode_heartbeat(&heartbeat)),
+            // This effect results only from events of that connection.
             Effect::RefuseCollector(_) => sender.into_iter().for_each(Sender::refuse),
             Effect::FollowRegistry { since } => self.watch_registry(since),
             Effect::Log(event) if event.is_warning() => tracing::warn!("{event}"),
--- a/crates/aggregation/src/program/event_loop/lines.rs
+++ b/crates/aggregation/src/program/event_loop/lines.rs
@@ -1,4 +1,5 @@
-//! Lines of collectors and peers: decoded, checked for who may send them, and passed to the reducer.
+//! Handles lines of collectors and peers: decodes them, checks that the sender is authenticated, and passes them to the
+//! reducer.
 
 use super::EventLoop;
 use tokio::sync::mpsc;
@@ -9,55 +10,56 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_transport::ConnectionCommand;
 
-/// The connection that a line came on, and the way back to it.
+/// The connection that a line arrived on, and the sender of commands to it.
 pub(super) struct Sender<'a> {
     pub connection: ConnectionId,
     pub commands: &'a mpsc::Sender<ConnectionCommand>,
 }
 
 impl Sender<'_> {
-    /// A command that finds no room is for a peer that reads no answers.
-    fn command(&self, command: ConnectionCommand) {
+    /// Sends a command to the connection. If the queue is full, the peer does not read its replies and the command is
+    /// dropped.
+    fn send_command(&self, command: ConnectionCommand) {
         _ = self.commands.try_send(command);
     }
 
-    /// Closes the connection with a reason.
+    /// Closes the connection after a NACK with the reason.
     pub(super) fn refuse(&self) {
-        let nack = Reply::Nack { why: "of no use from whoever has not joined" };
-        self.command(ConnectionCommand::Close(Some(collector::encode(nack))));
+        let reply = Reply::Nack { why: "of no use from whoever has not joined" };
+        self.send_command(ConnectionCommand::Close(Some(collector::encode(reply))));
     }
 }
 
 impl EventLoop {
-    pub(super) fn line(&mut self, sender: &Sender, line: &str) {
+    pub(super) fn handle_line(&mut self, sender: &Sender, line: &str) {
         self.traffic.lines_in += 1;
         self.traffic.bytes_in += line.len() as u64 + 1;
         if let Some(report) = collector::decode_report(line) {
-            return self.report(sender, report);
+            return self.handle_report(sender, report);
         }
         match collector::decode_with_diagnosis(line) {
-            Ok(message) => self.message(sender, &message, line),
+            Ok(message) => self.handle_message(sender, &message, line),
             Err(InvalidMessage::Malformed(_)) => self.reject_line(sender),
             Err(InvalidMessage::Unreadable(_)) => {
-                self.traffic.lines_spoilt += 1;
-                sender.command(ConnectionCommand::Close(None));
+                self.traffic.rejected_lines += 1;
+                sender.send_command(ConnectionCommand::Close(None));
             }
         }
     }
 
-    fn message(&mut self, sender: &Sender, message: &Message, line: &str) {
+    fn handle_message(&mut self, sender: &Sender, message: &Message, line: &str) {
         match message {
-            Message::Ping => sender.command(ConnectionCommand::Send(collector::encode(Reply::Pong))),
+            Message::Ping => sender.send_command(ConnectionCommand::Send(collector::encode(Reply::Pong))),
             Message::Source { zone } => {
-                self.admit(sender);
+                self.authenticate(sender);
                 let joined = Event::CollectorJoined { connection: sender.connection, zone };
                 self.apply_for(joined, Some(sender));
             }
-            Message::EndpointReport(report) => self.report(sender, endpoint_report(report)),
-            Message::DemandReport(report) => self.report(sender, demand_report(report)),
+            Message::EndpointReport(report) => self.handle_report(sender, endpoint_report(report)),
+            Message::DemandReport(report) => self.handle_report(sender, demand_report(report)),
             Message::Unknown => match wire::decode_heartbeat(line) {
                 Some(heartbeat) if self.aggregator.has_peer(&heartbeat.name) => {
-                    self.admit(sender);
+                    self.authenticate(sender);
                     self.apply(Event::HeartbeatReceived(heartbeat));
                 }
                 _ => self.reject_line(sender),
@@ -65,20 +67,20 @@
         }
     }
 
-    fn report(&mut self, sender: &Sender, report: Report) {
+    fn handle_report(&mut self, sender: &Sender, report: Report) {
         self.apply_for(Event::ReportReceived { connection: sender.connection, report }, Some(sender));
     }
 
-    fn admit(&mut self, sender: &Sender) {
-        if self.admitted.insert(sender.connection) {
-            sender.command(ConnectionCommand::MarkAuthenticated);
+    fn authenticate(&mut self, sender: &Sender) {
+        if self.authenticated.insert(sender.connection) {
+            sender.send_command(ConnectionCommand::MarkAuthenticated);
         }
     }
 
-    /// An invalid line changes nothing; an unauthenticated peer that sends one is disconnected.
+    /// Counts an invalid line, and disconnects the peer if it is unauthenticated.
     fn reject_line(&mut self, sender: &Sender) {
-        self.traffic.lines_spoilt += 1;
-        if !self.admitted.contains(&sender.connection) {
+        self.traffic.rejected_lines += 1;
+        if !self.authenticated.contains(&sender.connection) {
             sender.refuse();
         }
     }
--- a/crates/aggregation/src/program/metrics.rs
+++ b/crates/aggregation/src/program/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus' text form, over HTTP on a loopback address.
+//! Serves metrics in the Prometheus text format over HTTP on a loopback address.
 
 use super::error::MetricsError;
 use actix_http::StatusCode;
@@ -17,46 +17,46 @@
 
 const LIMITS: HttpLimits = HttpLimits {
     max_connections: 64,
-    // A request for metrics has no body.
+    // Requests for metrics have no body.
     max_body_bytes: 0,
     request_timeout: Duration::from_secs(2),
     keep_alive: Duration::from_secs(15),
 };
 
-/// What the process counts beside the reducer.
+/// Counters of the process, in addition to those of the reducer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Lines that came.
+    /// Lines received.
     pub lines_in: u64,
-    /// Their bytes.
+    /// Bytes received.
     pub bytes_in: u64,
-    /// Lines that were no usable messages.
-    pub lines_spoilt: u64,
-    /// Batches for controllers that read too slowly.
+    /// Lines that were malformed or not accepted from the peer.
+    pub rejected_lines: u64,
+    /// Batches dropped because the controller read too slowly.
     pub batches_dropped: u64,
 }
 
-/// All that is shown.
+/// All metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Metrics {
-    /// Of the process.
+    /// Counters of the process.
     pub traffic: Traffic,
-    /// Of the reducer.
+    /// Counters of the reducer.
     pub counters: Counters,
-    /// Current values.
+    /// Current values of the reducer.
     pub status: Status,
 }
 
 /// The latest metrics, shared with the HTTP service.
 pub type SharedMetrics = Rc<RefCell<Metrics>>;
 
-fn text(metrics: &Metrics) -> String {
+fn encode_metrics(metrics: &Metrics) -> String {
     let Metrics { traffic, counters, status } = *metrics;
     let mut registry = Registry::with_prefix("whinwall_aggregator");
     let counts = [
         ("lines_in", "Lines that came", traffic.lines_in),
         ("bytes_in", "Bytes that came", traffic.bytes_in),
-        ("lines_spoilt", "Lines that were no usable messages", traffic.lines_spoilt),
+        ("lines_spoilt", "Lines that were no usable messages", traffic.rejected_lines),
         ("batches_dropped", "Batches for governors that read too slowly", traffic.batches_dropped),
         ("reports", "Reports summed", counters.reports),
         (
@@ -67,7 +67,7 @@
         ("reports_dropped", "Reports for which there was no room", counters.reports_dropped),
         ("lines_out", "Report lines to governors", counters.lines_sent),
         ("bytes_out", "Bytes to governors", counters.bytes_sent),
-        ("budget_stretches", "Turns in which lines had to wait for the budget", counters.budget_stretches),
+        ("budget_stretches", "Turns in which lines had to wait for the budget", counters.over_budget_batches),
         ("stalls", "Times that it was not running and started anew", counters.stalls),
         ("assignments", "Times that subsets were computed", counters.assignments),
     ];
@@ -93,18 +93,18 @@
         registry.register(name, help, gauge);
     }
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     _ = encode(&mut text, &registry);
     text
 }
 
-/// The metrics over HTTP.
+/// The HTTP handler of the metrics.
 struct MetricsHandler(SharedMetrics);
 
 impl Handler for MetricsHandler {
     async fn handle(&self, request: HttpRequest) -> HttpResponse {
         match request.head.uri.path() {
-            "/metrics" => response(StatusCode::OK, text(&self.0.borrow())),
+            "/metrics" => response(StatusCode::OK, encode_metrics(&self.0.borrow())),
             _ => response(StatusCode::NOT_FOUND, String::new()),
         }
     }
@@ -118,11 +118,11 @@
     HttpResponse { status, content_type: "application/openmetrics-text", body }
 }
 
-/// Serves the metrics until the signal closes.
+/// Serves the metrics until the shutdown signal is closed.
 ///
 /// # Errors
 ///
-/// Where the address can't be listened at.
+/// Fails if the program cannot listen on the address.
 pub async fn serve(
     address: SocketAddr,
     metrics: SharedMetrics,
--- a/crates/aggregation/src/program/mod.rs
+++ b/crates/aggregation/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The aggregator's process: sockets, signals, log and metrics around the reducer.
+//! The process around the reducer: sockets, signals, log and metrics.
 
 mod configuration;
 mod controller_connections;
@@ -17,7 +17,7 @@
 use whinwall_runtime::logger;
 use whinwall_runtime::signals::Signals;
 
-/// Log lines of one kind a second.
+/// Maximum number of log lines of the same kind per second.
 const MAX_LOG_LINES_PER_SECOND: u32 = 20;
 
 /// What the command line says.
@@ -50,26 +50,26 @@
     #[arg(long, value_name = "ZONE")]
     zone: Option<String>,
     /// Where metrics are read over HTTP, in Prometheus' text form: a loopback address
-    #[arg(long, value_name = "ADDRESS", value_parser = loopback)]
+    #[arg(long, value_name = "ADDRESS", value_parser = parse_loopback_address)]
     metrics: Option<SocketAddr>,
     /// Checks the file and ends
     #[arg(long)]
     check: bool,
 }
 
-fn loopback(text: &str) -> Result<SocketAddr, String> {
-    let address: SocketAddr = text.parse().map_err(|why| format!("no address: {why}"))?;
-    address.ip().is_loopback().then_some(address).ok_or("no loopback address".into())
+fn parse_loopback_address(text: &str) -> Result<SocketAddr, String> {
+    let address: SocketAddr = text.parse().map_err(|error| format!("invalid address: {error}"))?;
+    address.ip().is_loopback().then_some(address).ok_or("not a loopback address".into())
 }
 
-/// Runs until a signal ends it; a configuration that can't be used ends it at once.
+/// Runs the program until a signal ends it. Exits at once if the configuration is invalid.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse();
     _ = logger::start(LevelFilter::INFO, MAX_LOG_LINES_PER_SECOND);
     let members = match configuration::read(&arguments.operators, &arguments.name) {
         Ok(members) => members,
         Err(reason) => {
-            tracing::error!("configuration: {reason}");
+            tracing::error!("cannot load configuration: {reason}");
             return ExitCode::from(2);
         }
     };
@@ -79,14 +79,14 @@
     }
     let Arguments { operators, name, listen, discovery, zone, metrics, .. } = arguments;
     let config = AggregatorConfig { operators, name, listen, discovery, zone, metrics, members };
-    let ended = actix_rt::System::new().block_on(async {
-        // Before anything else, lest a signal meet a program that does not know it yet.
+    let result = actix_rt::System::new().block_on(async {
+        // Registers the signal handlers first, so that an early signal does not have its default action.
         let signals = Signals::listen().map_err(ServeError::Signals)?;
         event_loop::serve(config, signals).await
     });
-    match ended {
+    match result {
         Ok(signal) => {
-            tracing::info!("{signal}, ending");
+            tracing::info!("{signal} received, shutting down");
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/crates/aggregation/src/program/peer_connections.rs
+++ b/crates/aggregation/src/program/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the other aggregators: one connection to each, dialled again while it is lost.
+//! Sends heartbeats to the other aggregators over one connection to each. Lost connections are established again.
 
 use super::error::ConnectionError;
 use std::collections::BTreeMap;
@@ -9,28 +9,29 @@
 use tokio::time::{sleep, timeout};
 use whinwall_runtime::task::Task;
 
-/// Before the next dial: a peer that starts is to hear from this one before it decides who is there.
-const DIAL_INTERVAL: Duration = Duration::from_millis(500);
-/// A write that takes longer is given up.
+/// Delay before reconnecting. It is short, so that a peer that starts receives heartbeats before it assigns
+/// controllers.
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// A write that takes longer ends the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Nothing is written to this side of these connections but a close reason.
+/// Size of the read buffer; peers write nothing on these connections but a close reason.
 const READ_BUFFER_BYTES: usize = 256;
 
-/// The connections to all peers; each ends with its entry.
+/// The connections to all peers. Removing an entry closes its connection.
 pub struct PeerConnections {
     latest: watch::Sender<String>,
     tasks: BTreeMap<(String, SocketAddr), Task>,
 }
 
 impl Default for PeerConnections {
-    /// No peers yet.
+    /// Creates an empty set of connections.
     fn default() -> Self {
         PeerConnections { latest: watch::channel(String::new()).0, tasks: BTreeMap::new() }
     }
 }
 
 impl PeerConnections {
-    /// Sends to these peers, and to no others.
+    /// Replaces the set of peers that heartbeats are sent to.
     pub fn configure(&mut self, peers: &BTreeMap<String, SocketAddr>) {
         self.tasks.retain(|(name, address), _| peers.get(name) == Some(address));
         for (name, address) in peers {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Sends a heartbeat to all; a peer that is not reached gets the latest once it is.
+    /// Sends a heartbeat to all peers. A peer without a connection gets the latest one when it is connected.
     pub fn send(&self, heartbeat: String) {
         self.latest.send_replace(heartbeat);
     }
@@ -51,7 +52,7 @@
         if let Err(reason) = write_heartbeats(address, &mut latest).await {
             tracing::debug!(peer = %address, %reason, "peer connection lost");
         }
-        sleep(DIAL_INTERVAL).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -65,7 +66,7 @@
     loop {
         tokio::select! {
             changed = latest.changed() => {
-                // The sender ends with the task's owner.
+                // The sender is dropped together with the owner of this task.
                 changed.map_err(|_| ConnectionError::Closed)?;
                 let line = latest.borrow_and_update().clone();
                 let written = timeout(WRITE_TIMEOUT, writes.write_all(line.as_bytes())).await;
--- a/crates/aggregation/src/registry.rs
+++ b/crates/aggregation/src/registry.rs
@@ -1,62 +1,64 @@
-//! The list of replicas, as this aggregator has it.
+//! This aggregator's copy of the endpoint list.
 
 use crate::limits;
 use std::collections::BTreeMap;
 use whinwall_policy::time::{Moment, Span};
 use whinwall_protocol::discovery::{Entry, List, State};
 
-/// Replicas by name: no more than `MAX_REPLICAS`; one ends when the list says that it has left.
+/// The endpoint list: at most `MAX_REPLICAS` replicas by name. A replica is removed when the list marks it as gone.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     version: u64,
     replicas: BTreeMap<String, Entry>,
-    /// Since when lists come that are older than ours.
+    /// Time since which received lists have been older than the current one.
     behind_since: Option<Moment>,
     last_heard: Option<Moment>,
     is_known: bool,
 }
 
-/// What a list led to.
+/// The result of applying a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Applied {
-    /// The replicas are others than before.
+pub struct ListOutcome {
+    /// The replicas have changed.
     pub changed: bool,
-    /// The list is older than ours and was left out; a whole one has to be asked for.
+    /// The list was ignored because it is older than the current one. A complete list must be requested.
     pub is_outdated: bool,
-    /// Some replicas were left out: there are too many, or their names are too long.
-    pub left_out: bool,
+    /// Some replicas were skipped because there are too many or their names are too long.
+    pub has_skipped: bool,
 }
 
 impl Registry {
-    /// A list came, whole or of changes.
-    pub fn apply(&mut self, now: Moment, list: List) -> Applied {
+    /// Applies a complete list or a list of changes.
+    pub fn apply(&mut self, now: Moment, list: List) -> ListOutcome {
         self.last_heard = Some(now);
         if list.version < self.version {
             let since = *self.behind_since.get_or_insert(now);
-            if now - since < limits::REGISTRY_BEHIND || !list.is_complete {
-                return Applied { is_outdated: true, ..Applied::default() };
+            if now - since < limits::REGISTRY_LAG_TIMEOUT || !list.is_complete {
+                return ListOutcome { is_outdated: true, ..ListOutcome::default() };
             }
         }
         self.behind_since = None;
         self.version = list.version;
         self.is_known |= list.is_complete;
         let before = list.is_complete.then(|| std::mem::take(&mut self.replicas));
-        let mut applied = Applied::default();
+        let mut outcome = ListOutcome::default();
         for entry in list.entries {
-            applied.left_out |= !self.insert_or_remove(entry, &mut applied.changed);
+            outcome.has_skipped |= !self.insert_or_remove(entry, &mut outcome.changed);
         }
-        applied.changed |= before.is_some_and(|before| before != self.replicas);
-        applied
+        outcome.changed |= before.is_some_and(|before| before != self.replicas);
+        outcome
     }
 
-    /// False where there is no room for it.
+    /// Inserts, updates or removes a replica. Returns false if it was skipped because of a limit.
     fn insert_or_remove(&mut self, entry: Entry, changed: &mut bool) -> bool {
         if entry.state == State::Gone {
             *changed |= self.replicas.remove(&entry.replica).is_some();
             return true;
         }
         let known = self.replicas.contains_key(&entry.replica);
-        if !known && (self.replicas.len() >= limits::MAX_REPLICAS || entry.replica.len() > limits::MAX_NAME) {
+        if !known
+            && (self.replicas.len() >= limits::MAX_REPLICAS || entry.replica.len() > limits::MAX_NAME_BYTES)
+        {
             return false;
         }
         *changed |= self.replicas.get(&entry.replica) != Some(&entry);
@@ -64,42 +66,42 @@
         true
     }
 
-    /// Discovery gave a heartbeat.
-    pub fn alive(&mut self, now: Moment) {
+    /// Records a heartbeat of discovery.
+    pub fn record_heartbeat(&mut self, now: Moment) {
         self.last_heard = Some(now);
     }
 
-    /// How long ago discovery was heard.
+    /// Returns the time since the last message from discovery.
     pub fn age(&self, now: Moment) -> Span {
         now - self.last_heard.unwrap_or_default()
     }
 
-    /// Whether the watch is alive: what is held is what discovery has.
+    /// Returns true if the watch is alive, so that the list is current.
     pub fn is_fresh(&self, now: Moment) -> bool {
-        self.age(now) <= limits::REGISTRY_STALE
+        self.age(now) <= limits::REGISTRY_STALE_AFTER
     }
 
-    /// Whether a whole list came ever.
+    /// Returns true if a complete list has been received.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
 
-    /// The version that is held.
+    /// Returns the version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The replicas, in order of their names.
+    /// Iterates over the replicas in the order of their names.
     pub fn replicas(&self) -> impl Iterator<Item = &Entry> {
         self.replicas.values()
     }
 
-    /// How many replicas there are.
+    /// Returns the number of replicas.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Whether there is none.
+    /// Returns true if there are no replicas.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
--- a/crates/aggregation/src/status.rs
+++ b/crates/aggregation/src/status.rs
@@ -1,45 +1,45 @@
-//! What an aggregator shows of itself: counters since the start, and current values.
+//! Counters since the start and current values of an aggregator, for metrics.
 
-/// What is counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
     /// Reports summed.
     pub reports: u64,
-    /// Reports of a replica that the registry lacks, or of a slice that no controller has.
+    /// Reports of replicas that are not in the registry, or of slices that no controller has.
     pub reports_unknown: u64,
-    /// Reports for which there was no room.
+    /// Reports dropped because a limit was reached.
     pub reports_dropped: u64,
-    /// Lines to controllers.
+    /// Report lines sent to controllers.
     pub lines_sent: u64,
-    /// Their bytes.
+    /// Bytes sent to controllers in batches.
     pub bytes_sent: u64,
-    /// Turns in which not all lines fitted into the budget.
-    pub budget_stretches: u64,
-    /// Times that it was not running and started anew.
+    /// Batches in which not all lines fitted into the byte budget.
+    pub over_budget_batches: u64,
+    /// Restarts of the reducer after the process had not been running.
     pub stalls: u64,
-    /// Assignments computed.
+    /// Computations of subsets.
     pub assignments: u64,
 }
 
 /// Current values.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
-    /// It passes reports on.
+    /// True if this aggregator is ready to serve controllers.
     pub ready: bool,
-    /// Controllers that are its to serve.
+    /// Controllers that this aggregator serves.
     pub controllers_owned: usize,
-    /// Controllers that it is connected to.
+    /// Controllers with an established connection.
     pub controllers_connected: usize,
     /// Other aggregators that are alive.
     pub peers_alive: usize,
-    /// Zones that are known.
+    /// Known zones.
     pub zones: usize,
-    /// Zones that are missing.
+    /// Known zones whose collectors do not report.
     pub zones_missing: usize,
-    /// Replicas listed.
+    /// Replicas in the endpoint list.
     pub replicas: usize,
-    /// Series held.
+    /// Series in memory.
     pub series: usize,
-    /// The list's version.
+    /// Version of the endpoint list.
     pub registry_version: u64,
 }
--- a/crates/aggregation/src/sums.rs
+++ b/crates/aggregation/src/sums.rs
@@ -1,44 +1,46 @@
-//! Sums of what collectors say, one series a replica and one a slice and class.
+//! Sums of collector reports: one series per replica, and one per slice and request class.
 //!
-//! A series holds the total since it began and a few marks of the total in the past; who reads it keeps a cursor.
-//! The total less what the cursor has is what came since, so each report is in exactly one window of each reader.
+//! A series holds the total of all reports and a few checkpoints of earlier totals. Each reader has a cursor with the
+//! total that it has read. The difference between the two is the sum of the reports since the last read, so
+//! each report is in exactly one window of each reader.
 //!
-//! | entry | owner | bound | end |
+//! | entry | owner | limit | removed |
 //! |---|---|---|---|
-//! | series of a replica | `Sums` | `MAX_REPLICAS` | the replica leaves the registry |
-//! | series of a slice and class | `Sums` | slices configured, `MAX_CLASSES` each | `CLASS_IDLE`, or the configuration |
-//! | mark | its series | `MARKS` | `LATE_START` |
-//! | cursor | the feed of a controller | its subset and slices | the connection, or the series |
+//! | series of a replica | `Sums` | `MAX_REPLICAS` | when the replica leaves the registry |
+//! | series of a slice and class | `Sums` | `MAX_CLASSES_PER_SLICE` per slice | after `CLASS_IDLE_TIMEOUT`, or with the slice |
+//! | checkpoint | its series | `MAX_CHECKPOINTS` | when a newer one exceeds the limit |
+//! | cursor | the feed of a controller | its subset and slices | with the connection or the series |
 
 use crate::limits;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use whinwall_policy::time::{Moment, Span};
 
-/// One mark a report period, as far back as a late start reaches, and the one before.
-const MARKS: usize = (limits::LATE_START.as_ns() / limits::REPORT_PERIOD.as_ns()) as usize + 1;
+/// One checkpoint per report period of the maximum initial window, and one before it.
+const MAX_CHECKPOINTS: usize =
+    (limits::MAX_INITIAL_WINDOW.as_ns() / limits::REPORT_PERIOD.as_ns()) as usize + 1;
 
-/// Counts are whole numbers and exact up to 2^53.
+/// A sum of reports. Integer counts are exact up to 2^53.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sum {
-    /// Tries at a replica, or requests for a slice.
+    /// Attempts at a replica, or requests for a slice.
     pub attempts: f64,
-    /// Those of them that failed.
+    /// Failed attempts or requests.
     pub failed: f64,
-    /// The answered ones' time, added up.
+    /// Total latency of the answered attempts in milliseconds.
     pub answered_ms: f64,
-    /// Collector lines.
+    /// Number of collector reports.
     pub lines: u64,
 }
 
 impl Sum {
-    /// What one line says.
-    pub fn of(attempts: f64, failed: f64, mean_latency_ms: f64) -> Self {
+    /// Creates the sum of one report.
+    pub fn from_report(attempts: f64, failed: f64, mean_latency_ms: f64) -> Self {
         let answered = (attempts - failed).max(0.0);
         Sum { attempts, failed, answered_ms: answered * mean_latency_ms, lines: 1 }
     }
 
-    /// The mean time of tries that were answered; 0 where none was.
+    /// Returns the mean latency of the answered attempts, or 0 if there were none.
     pub fn mean_latency_ms(&self) -> f64 {
         let answered = self.attempts - self.failed;
         match answered > 0.0 {
@@ -47,14 +49,14 @@
         }
     }
 
-    fn add(&mut self, more: Sum) {
-        self.attempts += more.attempts;
-        self.failed += more.failed;
-        self.answered_ms += more.answered_ms;
-        self.lines += more.lines;
+    fn add(&mut self, other: Sum) {
+        self.attempts += other.attempts;
+        self.failed += other.failed;
+        self.answered_ms += other.answered_ms;
+        self.lines += other.lines;
     }
 
-    fn less(&self, earlier: &Sum) -> Sum {
+    fn minus(&self, earlier: &Sum) -> Sum {
         Sum {
             attempts: self.attempts - earlier.attempts,
             failed: self.failed - earlier.failed,
@@ -64,14 +66,14 @@
     }
 }
 
-/// The total up to a moment, this not included.
+/// The total of all reports before `at`.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct Checkpoint {
     at: Moment,
     total: Sum,
 }
 
-/// How far a reader has read a series.
+/// The position of a reader in a series.
 #[derive(Clone, Copy, Debug)]
 pub struct Cursor {
     series: u64,
@@ -80,109 +82,116 @@
 }
 
 impl Cursor {
-    /// What came before is read.
+    /// Returns the time up to which the series has been read.
     pub fn since(&self) -> Moment {
         self.since
     }
 }
 
-/// What came since a cursor.
+/// The sum of the reports since a cursor.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Portion {
-    /// The start of the time that it covers.
-    pub begins: Moment,
-    /// The sum.
+pub struct WindowSum {
+    /// Start of the window that the sum covers.
+    pub window_start: Moment,
+    /// Sum of the reports in the window.
     pub sum: Sum,
 }
 
-/// All that was said of one key.
+/// All reports of one key.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// No two series have the same, so that a cursor never meets another's total.
+    /// Unique id, so that a cursor is never compared with the total of another series.
     id: u64,
     total: Sum,
-    marks: VecDeque<Mark>,
-    /// Since when it is spoken of without a pause that is longer than the maximum window.
-    began: Moment,
-    last: Moment,
+    checkpoints: VecDeque<Checkpoint>,
+    /// Time since which there has been no gap between reports longer than the maximum window.
+    continuous_since: Moment,
+    last_report: Moment,
 }
 
 impl Series {
-    /// One that has all that is reported from this moment on.
-    fn new(id: u64, began: Moment) -> Self {
+    /// Creates a series of all reports from `continuous_since` on.
+    fn new(id: u64, continuous_since: Moment) -> Self {
         let total = Sum::default();
-        let marks = VecDeque::from([Mark { at: began, total }]);
-        Series { id, total, marks, began, last: began }
+        let checkpoints = VecDeque::from([Checkpoint { at: continuous_since, total }]);
+        Series { id, total, checkpoints, continuous_since, last_report: continuous_since }
     }
 
-    fn add(&mut self, now: Moment, covers: Span, sum: Sum) {
-        if now - self.last > limits::MAX_WINDOW {
-            self.began = (now - covers).max(self.last);
-            self.mark(self.began);
-        } else if self.marks.back().is_some_and(|mark| now - mark.at >= limits::REPORT_PERIOD) {
-            self.mark(now);
+    fn add(&mut self, now: Moment, window: Span, sum: Sum) {
+        if now - self.last_report > limits::MAX_WINDOW {
+            self.continuous_since = (now - window).max(self.last_report);
+            self.add_checkpoint(self.continuous_since);
+        } else if self
+            .checkpoints
+            .back()
+            .is_some_and(|checkpoint| now - checkpoint.at >= limits::REPORT_PERIOD)
+        {
+            self.add_checkpoint(now);
         }
-        self.last = now;
+        self.last_report = now;
         self.total.add(sum);
     }
 
-    fn mark(&mut self, at: Moment) {
-        if self.marks.len() == MARKS {
-            self.marks.pop_front();
+    fn add_checkpoint(&mut self, at: Moment) {
+        if self.checkpoints.len() == MAX_CHECKPOINTS {
+            self.checkpoints.pop_front();
         }
-        self.marks.push_back(Mark { at, total: self.total });
+        self.checkpoints.push_back(Checkpoint { at, total: self.total });
     }
 
-    /// For a new reader: as far back as is held, and no further than [`limits::LATE_START`].
-    pub fn late_start(&self, now: Moment) -> Cursor {
-        let reach = now - limits::LATE_START;
-        let mark = self.marks.iter().find(|mark| mark.at >= reach);
-        let Mark { at, total } = mark.copied().unwrap_or(Mark { at: now, total: self.total });
+    /// Returns a cursor for a new reader, at the earliest checkpoint within [`limits::MAX_INITIAL_WINDOW`].
+    pub fn initial_cursor(&self, now: Moment) -> Cursor {
+        let earliest = now - limits::MAX_INITIAL_WINDOW;
+        let checkpoint = self.checkpoints.iter().find(|checkpoint| checkpoint.at >= earliest);
+        let Checkpoint { at, total } =
+            checkpoint.copied().unwrap_or(Checkpoint { at: now, total: self.total });
         Cursor { series: self.id, since: at, read: total }
     }
 
-    /// Whether the cursor is one of this series.
-    pub fn has(&self, cursor: &Cursor) -> bool {
+    /// Returns true if the cursor belongs to this series.
+    pub fn owns(&self, cursor: &Cursor) -> bool {
         self.id == cursor.series
     }
 
-    /// The reports since the cursor, if there are any. A gap in which nobody reported the key is not covered, and a series
-    /// that not every zone has had the time to report is left out.
-    pub fn since(&self, cursor: &Cursor, now: Moment) -> Option<Portion> {
-        let sum = self.total.less(&cursor.read);
-        let is_whole = now - self.began >= limits::REPORT_PERIOD;
-        (sum.lines > 0 && is_whole).then_some(Portion { begins: cursor.since.max(self.began), sum })
+    /// Returns the sum of the reports since the cursor, if there are any. The window does not cover a gap without
+    /// reports. Returns `None` for a series younger than a report period, because some zones may not have reported yet.
+    pub fn sum_since(&self, cursor: &Cursor, now: Moment) -> Option<WindowSum> {
+        let sum = self.total.minus(&cursor.read);
+        let is_complete = now - self.continuous_since >= limits::REPORT_PERIOD;
+        (sum.lines > 0 && is_complete)
+            .then_some(WindowSum { window_start: cursor.since.max(self.continuous_since), sum })
     }
 
-    /// Nothing came since, for so long that this is worth a line.
-    pub fn idle_since(&self, cursor: &Cursor, now: Moment) -> Option<Portion> {
-        let (begins, sum) = (cursor.since.max(self.began), Sum::default());
-        let is_idle = self.total.lines == cursor.read.lines && now - begins >= limits::IDLE_REPLICA;
-        is_idle.then_some(Portion { begins, sum })
+    /// Returns a window without reports if there have been none since the cursor for [`limits::REPLICA_IDLE_TIMEOUT`].
+    pub fn idle_window_since(&self, cursor: &Cursor, now: Moment) -> Option<WindowSum> {
+        let (window_start, sum) = (cursor.since.max(self.continuous_since), Sum::default());
+        let is_idle =
+            self.total.lines == cursor.read.lines && now - window_start >= limits::REPLICA_IDLE_TIMEOUT;
+        is_idle.then_some(WindowSum { window_start, sum })
     }
 
-    /// The cursor of who has read everything.
-    pub fn read_at(&self, now: Moment) -> Cursor {
+    /// Returns the cursor of a reader that has read all reports.
+    pub fn end_cursor(&self, now: Moment) -> Cursor {
         Cursor { series: self.id, since: now, read: self.total }
     }
 }
 
-/// A slice's series, by class.
+/// The series of a slice, by request class.
 #[derive(Clone, Debug)]
 struct Slice {
-    /// What is reported of it since then is summed.
+    /// Time since which reports of the slice are summed.
     since: Moment,
     classes: Vec<(Arc<str>, Series)>,
 }
 
-/// What became of a line.
+/// The outcome of adding a report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AddOutcome {
-    /// It is in a sum.
+    /// The report was added.
     Added,
-    /// It is of a replica that the registry lacks, or of a slice that no controller has.
+    /// The replica is not in the registry, or no controller has the slice.
     Unknown,
-    /// There is no room for one more class.
+    /// The limit of request classes of the slice is reached, or the name of the class is too long.
     Full,
 }
 
@@ -191,23 +200,23 @@
 pub struct Sums {
     replicas: BTreeMap<Arc<str>, Series>,
     slices: BTreeMap<u32, Slice>,
-    series: u64,
+    last_series_id: u64,
 }
 
 impl Sums {
-    /// Keeps the series of these replicas, and begins those of new ones.
-    pub fn keep_replicas(&mut self, now: Moment, replicas: &BTreeSet<Arc<str>>) {
+    /// Removes the series of all other replicas and creates those of new ones.
+    pub fn retain_replicas(&mut self, now: Moment, replicas: &BTreeSet<Arc<str>>) {
         self.replicas.retain(|replica, _| replicas.contains(replica));
         for replica in replicas {
             if !self.replicas.contains_key(replica) {
-                self.series += 1;
-                self.replicas.insert(replica.clone(), Series::new(self.series, now));
+                self.last_series_id += 1;
+                self.replicas.insert(replica.clone(), Series::new(self.last_series_id, now));
             }
         }
     }
 
-    /// Keeps the series of these slices, and has room for new ones.
-    pub fn keep_slices(&mut self, now: Moment, slices: &BTreeSet<u32>) {
+    /// Removes the series of all other slices and adds entries for new ones.
+    pub fn retain_slices(&mut self, now: Moment, slices: &BTreeSet<u32>) {
         self.slices.retain(|slice, _| slices.contains(slice));
         for slice in slices {
             let new = || Slice { since: now, classes: Vec::new() };
@@ -215,67 +224,74 @@
         }
     }
 
-    /// Forgets classes that nobody speaks of.
-    pub fn forget_idle(&mut self, now: Moment) {
+    /// Removes request classes without reports for [`limits::CLASS_IDLE_TIMEOUT`].
+    pub fn remove_idle_classes(&mut self, now: Moment) {
         for slice in self.slices.values_mut() {
-            slice.classes.retain(|(_, series)| now - series.last <= limits::CLASS_IDLE);
+            slice.classes.retain(|(_, series)| now - series.last_report <= limits::CLASS_IDLE_TIMEOUT);
         }
     }
 
-    /// Forgets everything that was summed, and keeps the keys.
+    /// Resets all sums, but keeps the replicas and slices.
     pub fn clear(&mut self, now: Moment) {
         for series in self.replicas.values_mut() {
-            self.series += 1;
-            *series = Series::new(self.series, now);
+            self.last_series_id += 1;
+            *series = Series::new(self.last_series_id, now);
         }
         for slice in self.slices.values_mut() {
             *slice = Slice { since: now, classes: Vec::new() };
         }
     }
 
-    /// Adds a line about a replica.
-    pub fn add_load(&mut self, now: Moment, replica: &str, covers: Span, sum: Sum) -> AddOutcome {
+    /// Adds a report of a replica.
+    pub fn add_endpoint_report(&mut self, now: Moment, replica: &str, window: Span, sum: Sum) -> AddOutcome {
         match self.replicas.get_mut(replica) {
-            Some(series) => series.add(now, covers, sum),
+            Some(series) => series.add(now, window, sum),
             None => return AddOutcome::Unknown,
         }
         AddOutcome::Added
     }
 
-    /// Adds a line about a slice.
-    pub fn add_shard(&mut self, now: Moment, slice: u32, class: &str, covers: Span, sum: Sum) -> AddOutcome {
+    /// Adds a report of a slice.
+    pub fn add_demand_report(
+        &mut self,
+        now: Moment,
+        slice: u32,
+        class: &str,
+        window: Span,
+        sum: Sum,
+    ) -> AddOutcome {
         let Some(Slice { since, classes }) = self.slices.get_mut(&slice) else { return AddOutcome::Unknown };
         if let Some((_, series)) = classes.iter_mut().find(|(known, _)| **known == *class) {
-            series.add(now, covers, sum);
+            series.add(now, window, sum);
             return AddOutcome::Added;
         }
-        if classes.len() >= limits::MAX_CLASSES || class.len() > limits::MAX_NAME {
+        if classes.len() >= limits::MAX_CLASSES_PER_SLICE || class.len() > limits::MAX_NAME_BYTES {
             return AddOutcome::Full;
         }
-        self.series += 1;
-        let mut series = Series::new(self.series, (now - covers).max(*since));
-        series.add(now, covers, sum);
+        self.last_series_id += 1;
+        let mut series = Series::new(self.last_series_id, (now - window).max(*since));
+        series.add(now, window, sum);
         classes.push((class.into(), series));
         AddOutcome::Added
     }
 
-    /// The series of a replica.
+    /// Returns the series of a replica.
     pub fn replica(&self, replica: &str) -> Option<&Series> {
         self.replicas.get(replica)
     }
 
-    /// The series of a slice, by class.
+    /// Iterates over the series of a slice by request class.
     pub fn classes(&self, slice: u32) -> impl Iterator<Item = (&Arc<str>, &Series)> {
         let classes = self.slices.get(&slice).into_iter().flat_map(|slice| &slice.classes);
         classes.map(|(class, series)| (class, series))
     }
 
-    /// How many series there are.
+    /// Returns the number of series.
     pub fn len(&self) -> usize {
         self.replicas.len() + self.slices.values().map(|slice| slice.classes.len()).sum::<usize>()
     }
 
-    /// Whether there is none.
+    /// Returns true if there are no series.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -1,4 +1,4 @@
-//! Lines as controllers read them, and the heartbeat between aggregators.
+//! Encoding of the lines sent to controllers, and of the heartbeat between aggregators.
 
 use crate::heartbeat::Heartbeat;
 use crate::limits;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use whinwall_policy::time::Span;
 
-/// A collector's or an aggregator's first line.
+/// The first line of a collector or aggregator on a connection.
 #[derive(Serialize)]
 #[serde(tag = "@type", rename = "SOURCE")]
 struct Source<'a> {
@@ -38,10 +38,10 @@
     missing: usize,
 }
 
-/// Asks a controller for a heartbeat, in a line with its end.
-pub const PING: &str = "{\"@type\":\"PING\"}\n";
+/// The line that pings a controller, with its newline.
+pub const PING_LINE: &str = "{\"@type\":\"PING\"}\n";
 
-/// A count as the protocol writes it: whole where it is whole.
+/// A count, encoded as an integer if it is one.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum Count {
@@ -49,12 +49,12 @@
     Part(f64),
 }
 
-/// The largest number that a `f64` holds with all whole numbers below it.
-const LARGEST_WHOLE: f64 = 9_007_199_254_740_992.0;
+/// 2^53; every non-negative integer below it is exact as an `f64`.
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 impl From<f64> for Count {
     fn from(count: f64) -> Self {
-        match count.fract() == 0.0 && (0.0..LARGEST_WHOLE).contains(&count) {
+        match count.fract() == 0.0 && (0.0..MAX_EXACT_INTEGER).contains(&count) {
             true => Count::Whole(count as u64),
             false => Count::Part(count),
         }
@@ -65,72 +65,72 @@
     *count == 0
 }
 
-/// What a line says besides its key.
+/// The contents of a report line besides its key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Covered {
-    /// What came.
+pub struct ReportValues {
+    /// Sum of the reports.
     pub sum: Sum,
-    /// The time that it covers.
+    /// Length of the window that the sum covers.
     pub window: Span,
-    /// How many zones lack in the sum, for all or a part of that time.
+    /// Number of zones that are missing from the sum for all or part of the window.
     pub missing: usize,
 }
 
-fn ms(span: Span) -> f64 {
-    // A tenth of a microsecond is beyond what any reader makes use of.
+fn rounded_ms(span: Span) -> f64 {
+    // Rounds to 0.1 us; readers need no higher resolution.
     (span.seconds() * 1e7).round() / 1e4
 }
 
-fn rounded(ms: f64) -> f64 {
+fn round_latency(ms: f64) -> f64 {
     (ms * 1e4).round() / 1e4
 }
 
-fn line(message: &impl Serialize, into: &mut String) {
-    // Structs of names and finite numbers always have a JSON form.
+fn append_line(message: &impl Serialize, into: &mut String) {
+    // Structs of strings and finite numbers can always be serialized to JSON.
     into.push_str(&serde_json::to_string(message).unwrap_or_default());
     into.push('\n');
 }
 
-/// The line that says for which zone this connection speaks.
-pub fn source(zone: &str) -> String {
+/// Encodes the `SOURCE` line, which names the zone of a connection.
+pub fn encode_source(zone: &str) -> String {
     let mut text = String::new();
-    line(&Source { az: zone }, &mut text);
+    append_line(&Source { az: zone }, &mut text);
     text
 }
 
-/// A `LOAD` line with its end.
-pub fn load(zone: &str, replica: &str, covered: &Covered) -> String {
-    let Covered { sum, window, missing } = *covered;
+/// Encodes a `LOAD` line with its newline.
+pub fn encode_endpoint_report(zone: &str, replica: &str, values: &ReportValues) -> String {
+    let ReportValues { sum, window, missing } = *values;
     let (n, bad) = (sum.attempts.into(), sum.failed.min(sum.attempts).into());
-    let (avg, window) = (rounded(sum.mean_latency_ms()), ms(window));
+    let (avg, window) = (round_latency(sum.mean_latency_ms()), rounded_ms(window));
     let mut text = String::new();
-    line(&Load { az: zone, host: replica, n, bad, avg, window, missing }, &mut text);
+    append_line(&Load { az: zone, host: replica, n, bad, avg, window, missing }, &mut text);
     text
 }
 
-/// A `SHARD` line with its end.
-pub fn shard(slice: u32, class: &str, covered: &Covered) -> String {
-    let Covered { sum, window, missing } = *covered;
-    let (n, bad, window) = (sum.attempts.into(), sum.failed.into(), ms(window));
+/// Encodes a `SHARD` line with its newline.
+pub fn encode_demand_report(slice: u32, class: &str, values: &ReportValues) -> String {
+    let ReportValues { sum, window, missing } = *values;
+    let (n, bad, window) = (sum.attempts.into(), sum.failed.into(), rounded_ms(window));
     let mut text = String::new();
-    line(&Shard { partition: slice, kind: class, n, bad, window, missing }, &mut text);
+    append_line(&Shard { partition: slice, kind: class, n, bad, window, missing }, &mut text);
     text
 }
 
-/// Bytes of a report period that are not for reports: the first line of a connection and a heartbeat.
-pub fn overhead() -> usize {
-    source(&"x".repeat(limits::MAX_NAME)).len() + PING.len()
+/// Returns the bytes of a report period that are reserved for the `SOURCE` line and the ping.
+pub fn overhead_bytes() -> usize {
+    encode_source(&"x".repeat(limits::MAX_NAME_BYTES)).len() + PING_LINE.len()
 }
 
-/// The longest line that there is, with names of the longest kind.
-pub fn longest_line() -> usize {
-    const NUMBER: usize = 24;
-    let name = "x".repeat(limits::MAX_NAME);
-    let covered = Covered { sum: Sum::default(), window: Span::default(), missing: limits::MAX_ZONES };
-    load(&name, &name, &covered).len() + 4 * NUMBER
+/// Returns the maximum length of a report line, with names of the maximum length.
+pub fn longest_line_bytes() -> usize {
+    const MAX_NUMBER_BYTES: usize = 24;
+    let name = "x".repeat(limits::MAX_NAME_BYTES);
+    let values = ReportValues { sum: Sum::default(), window: Span::default(), missing: limits::MAX_ZONES };
+    encode_endpoint_report(&name, &name, &values).len() + 4 * MAX_NUMBER_BYTES
 }
 
-/// Lines between aggregators.
+/// A line between aggregators.
 #[derive(Deserialize, Serialize)]
 #[serde(tag = "@type")]
 enum PeerLine {
@@ -138,17 +138,19 @@
     Heartbeat(Heartbeat),
 }
 
-/// A heartbeat with its end of line.
-pub fn heartbeat(heartbeat: &Heartbeat) -> String {
+/// Encodes a heartbeat with its newline.
+pub fn encode_heartbeat(heartbeat: &Heartbeat) -> String {
     let mut text = String::new();
-    line(&PeerLine::Heartbeat(heartbeat.clone()), &mut text);
+    append_line(&PeerLine::Heartbeat(heartbeat.clone()), &mut text);
     text
 }
 
-/// The heartbeat in a line; none where it is something else, or names more than there may be.
+/// Decodes a heartbeat. Returns `None` for any other line, and for a heartbeat that exceeds the limits of names or
+/// zones.
 pub fn decode_heartbeat(line: &str) -> Option<Heartbeat> {
     let PeerLine::Heartbeat(heartbeat) = serde_json::from_str(line).ok()?;
-    let short = |name: &String| name.len() <= limits::MAX_NAME;
-    let bounded = heartbeat.zones.len() <= limits::MAX_ZONES && heartbeat.zones.iter().all(short);
-    (bounded && short(&heartbeat.name)).then_some(heartbeat)
+    let is_valid_name = |name: &String| name.len() <= limits::MAX_NAME_BYTES;
+    let has_valid_zones =
+        heartbeat.zones.len() <= limits::MAX_ZONES && heartbeat.zones.iter().all(is_valid_name);
+    (has_valid_zones && is_valid_name(&heartbeat.name)).then_some(heartbeat)
 }
--- a/crates/aggregation/tests/bounds.rs
+++ b/crates/aggregation/tests/bounds.rs
@@ -1,10 +1,10 @@
-//! What others say costs no more than the bounds, and lists that are old change nothing.
+//! Limits on the memory that peers can make an aggregator use, and handling of outdated endpoint lists.
 
 mod virtual_fleet;
 
 use virtual_fleet::{moment, replica, Fleet};
 use whinwall_aggregation::aggregator::Aggregator;
-use whinwall_aggregation::limits::{CLASS_IDLE, MAX_CLASSES, MAX_NAME, MAX_ZONES};
+use whinwall_aggregation::limits::{CLASS_IDLE_TIMEOUT, MAX_CLASSES_PER_SLICE, MAX_NAME_BYTES, MAX_ZONES};
 use whinwall_aggregation::log_event::LogEvent;
 use whinwall_aggregation::messages::{Effect, Event};
 use whinwall_aggregation::registry::Registry;
@@ -14,7 +14,7 @@
 
 const START_MS: f64 = 10_000.0;
 
-/// One aggregator that knows two replicas and two slices, and one collector.
+/// Returns an aggregator with two replicas, two slices and one collector.
 fn aggregator() -> Aggregator {
     let fleet = Fleet::new(1, 2, 1, 2, 27_000);
     let now = moment(START_MS);
@@ -48,13 +48,16 @@
     for class in 0..1000 {
         report(&mut aggregator, now, shard(0, &format!("class-{class}")));
     }
-    report(&mut aggregator, now, shard(1, &"x".repeat(MAX_NAME + 1)));
-    assert_eq!(aggregator.status().series, 2 + MAX_CLASSES);
-    assert_eq!(aggregator.counters().reports_dropped, 1000 - MAX_CLASSES as u64 + 1);
-    // A slice that no controller has is in no sum at all.
+    report(&mut aggregator, now, shard(1, &"x".repeat(MAX_NAME_BYTES + 1)));
+    assert_eq!(aggregator.status().series, 2 + MAX_CLASSES_PER_SLICE);
+    assert_eq!(aggregator.counters().reports_dropped, 1000 - MAX_CLASSES_PER_SLICE as u64 + 1);
+    // A slice that no controller has is not summed.
     report(&mut aggregator, now, shard(77, "lookup"));
-    assert_eq!((aggregator.status().series, aggregator.counters().reports_unknown), (2 + MAX_CLASSES, 1));
-    for _ in 0..3 * CLASS_IDLE.as_ns() / 1_000_000_000 {
+    assert_eq!(
+        (aggregator.status().series, aggregator.counters().reports_unknown),
+        (2 + MAX_CLASSES_PER_SLICE, 1)
+    );
+    for _ in 0..3 * CLASS_IDLE_TIMEOUT.as_ns() / 1_000_000_000 {
         now = moment(START_MS + (now - moment(START_MS)).seconds() * 1000.0 + 1000.0);
         aggregator.apply(now, Event::Tick);
     }
@@ -72,7 +75,7 @@
         assert_eq!(refused, zone as usize + 1 >= MAX_ZONES, "zone {zone}");
     }
     assert_eq!(aggregator.status().zones, MAX_ZONES);
-    // They end with their connections, as none has reported ever.
+    // The zones are removed with their connections, because none has reported.
     for zone in 0..1000 {
         aggregator.apply(now, Event::ConnectionEnded(100 + zone));
     }
@@ -108,21 +111,21 @@
     registry.replicas().map(|entry| entry.replica.as_str()).collect()
 }
 
-fn list(version: u64, whole: bool, entries: Vec<Entry>) -> List {
-    List { version, is_complete: whole, entries }
+fn list(version: u64, complete: bool, entries: Vec<Entry>) -> List {
+    List { version, is_complete: complete, entries }
 }
 
 #[test]
-fn older_list_version_is_believed_only_after_the_lag_timeout() {
+fn older_list_version_is_accepted_only_after_the_lag_timeout() {
     let mut registry = Registry::default();
     let at = |ms| moment(START_MS + ms);
     registry.apply(at(0.0), list(41, true, vec![replica("s-0", 0), replica("s-1", 0)]));
-    let applied = registry.apply(at(1000.0), list(3, true, vec![replica("s-9", 0)]));
-    assert!(applied.is_outdated && !applied.changed);
+    let outcome = registry.apply(at(1000.0), list(3, true, vec![replica("s-9", 0)]));
+    assert!(outcome.is_outdated && !outcome.changed);
     assert_eq!((entries(&registry), registry.version()), (vec!["s-0", "s-1"], 41));
-    // A new count: the old one does not come back.
-    let applied = registry.apply(at(7500.0), list(3, true, vec![replica("s-9", 0)]));
-    assert!(!applied.is_outdated && applied.changed);
+    // The version numbering has been restarted, and the new list is accepted.
+    let outcome = registry.apply(at(7500.0), list(3, true, vec![replica("s-9", 0)]));
+    assert!(!outcome.is_outdated && outcome.changed);
     assert_eq!((entries(&registry), registry.version()), (vec!["s-9"], 3));
 }
 
@@ -133,20 +136,20 @@
     registry.apply(now, list(41, true, vec![replica("s-0", 0), replica("s-1", 0)]));
     let gone = Entry { state: State::Gone, ..replica("s-0", 0) };
     let leaving = Entry { state: State::Draining, ..replica("s-1", 0) };
-    let applied =
+    let outcome =
         registry.apply(now, list(42, false, vec![gone.clone(), leaving.clone(), replica("s-2", 1)]));
-    assert!(applied.changed);
+    assert!(outcome.changed);
     assert_eq!(entries(&registry), ["s-1", "s-2"]);
     let again = registry.apply(now, list(43, false, vec![gone, leaving]));
     assert!(!again.changed);
-    let long = registry.apply(now, list(44, false, vec![replica(&"x".repeat(MAX_NAME + 1), 0)]));
-    assert!(long.left_out && !long.changed);
+    let long = registry.apply(now, list(44, false, vec![replica(&"x".repeat(MAX_NAME_BYTES + 1), 0)]));
+    assert!(long.has_skipped && !long.changed);
 }
 
 #[test]
-fn controller_without_heartbeats_is_dialled_again() {
+fn controller_without_answers_is_reconnected() {
     let mut aggregator = aggregator();
-    let (mut dials, mut lost, mut at) = (0, 0, 100.0);
+    let (mut attempts, mut disconnects, mut at) = (0, 0, 100.0);
     while at < 30_000.0 {
         let now = moment(START_MS + at);
         if at % 1000.0 == 0.0 {
@@ -154,20 +157,23 @@
         }
         for effect in aggregator.apply(now, Event::Tick) {
             match effect {
-                // It takes the connection, and never says a word.
+                // The controller accepts the connection but never answers.
                 Effect::Connect { controller, .. } => {
-                    dials += 1;
+                    attempts += 1;
                     aggregator.apply(now, Event::ControllerConnected(&controller));
                 }
-                Effect::Disconnect { .. } => lost += 1,
+                Effect::Disconnect { .. } => disconnects += 1,
                 Effect::Log(LogEvent::ControllerReachable { reachable, .. }) => {
-                    assert!(!reachable || dials > 0);
+                    assert!(!reachable || attempts > 0);
                 }
                 _ => {}
             }
         }
         at += 100.0;
     }
-    // 5 s of silence and a second or more before the next dial.
-    assert!((3..=5).contains(&dials) && (3..=5).contains(&lost), "{dials} dials, {lost} lost");
+    // Each cycle takes 5 s without an answer and at least 1 s until the next attempt to connect.
+    assert!(
+        (3..=5).contains(&attempts) && (3..=5).contains(&disconnects),
+        "{attempts} attempts, {disconnects} disconnects"
+    );
 }
--- a/crates/aggregation/tests/budget.rs
+++ b/crates/aggregation/tests/budget.rs
@@ -1,58 +1,61 @@
-//! The choice of lines within a byte budget, and the configuration's bounds.
+//! Selection of lines within the byte budget, and validation of the configuration.
 
 mod virtual_fleet;
 
 use virtual_fleet::{member, moment};
-use whinwall_aggregation::budget::{choose, Candidate};
+use whinwall_aggregation::budget::{select_lines, Candidate};
 use whinwall_aggregation::configuration::{Configuration, ConfigurationError, ControllerMember};
 use whinwall_aggregation::wire;
 use whinwall_subsetting::Parameters;
 
-fn candidate(bytes: usize, begins_ms: f64, change: f64) -> Candidate {
-    Candidate { bytes, begins: moment(begins_ms), change }
+fn candidate(bytes: usize, window_start_ms: f64, change: f64) -> Candidate {
+    Candidate { bytes, window_start: moment(window_start_ms), change }
 }
 
 #[test]
-fn all_lines_are_sent_where_all_fit() {
-    let choice = choose(&[candidate(100, 0.0, 0.0), candidate(100, 1.0, 9.0)], 200, 4);
-    assert_eq!((choice.chosen, choice.is_stretched), (vec![0, 1], false));
+fn all_lines_are_sent_if_they_fit() {
+    let selection = select_lines(&[candidate(100, 0.0, 0.0), candidate(100, 1.0, 9.0)], 200, 4);
+    assert_eq!((selection.selected, selection.is_over_budget), (vec![0, 1], false));
 }
 
 #[test]
-fn oldest_lines_get_their_share_and_the_most_changed_the_rest() {
+fn oldest_lines_are_selected_first_and_then_the_most_changed() {
     let all = [
         candidate(100, 5.0, 0.0),
         candidate(100, 1.0, 0.0),
         candidate(100, 9.0, 7.0),
         candidate(100, 8.0, 3.0),
     ];
-    let choice = choose(&all, 200, 4);
-    assert_eq!((choice.chosen, choice.is_stretched), (vec![1, 2], true));
+    let selection = select_lines(&all, 200, 4);
+    assert_eq!((selection.selected, selection.is_over_budget), (vec![1, 2], true));
 }
 
 #[test]
-fn line_that_does_not_fit_leaves_its_bytes_to_others() {
+fn line_that_does_not_fit_is_skipped_and_smaller_ones_are_sent() {
     let all = [candidate(100, 1.0, 0.0), candidate(150, 9.0, 7.0), candidate(90, 8.0, 3.0)];
-    assert_eq!(choose(&all, 200, 4).chosen, vec![0, 2]);
+    assert_eq!(select_lines(&all, 200, 4).selected, vec![0, 2]);
 }
 
 #[test]
-fn keys_that_always_change_most_starve_no_other() {
+fn keys_with_large_changes_do_not_starve_others() {
     const KEYS: usize = 40;
     const PERIODS: usize = 4;
-    // A little over the tenth of all bytes that has to go in each turn.
+    // Slightly more than the quarter of all bytes that must be sent in each batch.
     const BUDGET: usize = 1_150;
-    let mut begins = [0.0; KEYS];
-    for turn in 1..=100 {
-        let now = f64::from(turn);
+    let mut last_sent = [0.0; KEYS];
+    for batch in 1..=100 {
+        let now = f64::from(batch);
         let candidate =
-            |key: usize| candidate(90 + key % 10, begins[key], if key < 20 { 100.0 } else { 0.0 });
+            |key: usize| candidate(90 + key % 10, last_sent[key], if key < 20 { 100.0 } else { 0.0 });
         let all: Vec<_> = (0..KEYS).map(candidate).collect();
-        let choice = choose(&all, BUDGET, PERIODS);
-        let bytes: usize = choice.chosen.iter().map(|key| all[*key].bytes).sum();
-        assert!(bytes <= BUDGET && choice.is_stretched);
-        choice.chosen.into_iter().for_each(|key| begins[key] = now);
-        assert!(begins.iter().all(|begins| now - begins <= PERIODS as f64), "turn {turn}: {begins:?}");
+        let selection = select_lines(&all, BUDGET, PERIODS);
+        let bytes: usize = selection.selected.iter().map(|key| all[*key].bytes).sum();
+        assert!(bytes <= BUDGET && selection.is_over_budget);
+        selection.selected.into_iter().for_each(|key| last_sent[key] = now);
+        assert!(
+            last_sent.iter().all(|last_sent| now - last_sent <= PERIODS as f64),
+            "batch {batch}: {last_sent:?}"
+        );
     }
 }
 
@@ -64,11 +67,11 @@
 
 #[test]
 fn budget_below_one_line_is_an_error() {
-    let least = wire::longest_line() + wire::overhead();
-    assert_eq!(configured("m0", least as u64, vec![member("g0", &[(0, 1)])]), Ok(()));
-    let budget = least - 1;
-    let wrong = ConfigurationError::BudgetTooSmall { budget, line: least };
-    assert_eq!(configured("m0", budget as u64, vec![member("g0", &[(0, 1)])]), Err(wrong));
+    let min_budget = wire::longest_line_bytes() + wire::overhead_bytes();
+    assert_eq!(configured("m0", min_budget as u64, vec![member("g0", &[(0, 1)])]), Ok(()));
+    let budget = min_budget - 1;
+    let too_small = ConfigurationError::BudgetTooSmall { budget, line: min_budget };
+    assert_eq!(configured("m0", budget as u64, vec![member("g0", &[(0, 1)])]), Err(too_small));
 }
 
 #[test]
--- a/crates/aggregation/tests/configuration_text.rs
+++ b/crates/aggregation/tests/configuration_text.rs
@@ -1,5 +1,5 @@
-//! The exact names in an aggregator's configuration: elements and attributes of the operators' file, options of
-//! the command line, and the text of each mistake.
+//! The exact names in the configuration of an aggregator (elements and attributes of the operators' file, command-line
+//! options) and the exact error texts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,7 +9,7 @@
 
 const FILE: &str = include_str!("fixtures/operators.xml");
 
-/// Runs the program's check of this file.
+/// Runs the program with `--check` on this file.
 fn check(file: &str, name: &str) -> Output {
     let written = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(written.path(), file).unwrap();
@@ -25,16 +25,16 @@
         .unwrap()
 }
 
-/// The file is refused, and the log ends with this text.
-fn refused(file: &str, name: &str, why: &str) {
+/// Asserts that the file is rejected and that the log ends with this reason.
+fn assert_rejected(file: &str, name: &str, reason: &str) {
     let output = check(file, name);
     let log = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{log}");
-    assert!(log.trim_end().ends_with(&format!("configuration: {why}")), "{log}\nnot {why}");
+    assert!(log.trim_end().ends_with(&format!("cannot load configuration: {reason}")), "{log}\nnot {reason}");
 }
 
-/// The file is refused where this name in it is another.
-fn refused_without(name: &str) {
+/// Asserts that the file is rejected if this name in it is replaced by another.
+fn assert_rejected_without(name: &str) {
     let changed = FILE.replace(name, "renamed");
     assert_ne!(changed, FILE, "{name}");
     assert_eq!(check(&changed, "m0").status.code(), Some(2), "{name}");
@@ -45,12 +45,17 @@
     ControllerMember { name: "g0".into(), address, slices: slices.to_vec() }
 }
 
-fn why_refused(own: &str, bytes: u64, controllers: Vec<ControllerMember>, aggregators: &[&str]) -> String {
+fn rejection_reason(
+    own: &str,
+    bytes: u64,
+    controllers: Vec<ControllerMember>,
+    aggregators: &[&str],
+) -> String {
     let names: Vec<_> = aggregators.iter().map(std::string::ToString::to_string).collect();
     let parameters = Parameters { subset_size: 20 };
-    let refused: ConfigurationError =
+    let error: ConfigurationError =
         Configuration::new(own, parameters, bytes, controllers, &names).unwrap_err();
-    refused.to_string()
+    error.to_string()
 }
 
 #[test]
@@ -64,33 +69,36 @@
 #[test]
 fn elements_and_attributes_are_read_by_their_names() {
     for name in ["operators", "version=", "subsetting", "subset=", "bytes-per-second=", "governor"] {
-        refused_without(name);
+        assert_rejected_without(name);
     }
     for name in ["aggregator", "name=", "address=", "slices="] {
-        refused_without(name);
+        assert_rejected_without(name);
     }
 }
 
 #[test]
-fn file_errors_are_worded_to_the_letter() {
-    refused("<operators version=\"1\"/>", "m0", "it has no element <subsetting>");
-    refused(FILE, "m9", "<subsetting>: \"m9\" is not among the aggregators");
-    refused(&"x".repeat((1 << 20) + 1), "m0", "it has more than 1048576 bytes");
+fn file_errors_have_exact_texts() {
+    assert_rejected("<operators version=\"1\"/>", "m0", "missing element <subsetting>");
+    assert_rejected(FILE, "m9", "<subsetting>: no aggregator is named \"m9\"");
+    assert_rejected(&"x".repeat((1 << 20) + 1), "m0", "file larger than 1048576 bytes");
     let without_slices = FILE.replace(" slices=\"0-4,9\"", "");
-    let why = "<subsetting>: governor \"g0\" has an address and no slices: the protocol does not tell which ones it has";
-    refused(&without_slices, "m0", why);
+    let reason = "<subsetting>: governor \"g0\" has an address but no slices: list its slices, the protocol does not transmit them";
+    assert_rejected(&without_slices, "m0", reason);
 }
 
 #[test]
-fn membership_errors_are_worded_to_the_letter() {
+fn membership_errors_have_exact_texts() {
     let served = || vec![controller(Some("127.0.0.1:1"), &[(0, 4)])];
-    assert_eq!(why_refused("m9", 27_000, served(), &["m0"]), "\"m9\" is not among the aggregators");
-    assert_eq!(why_refused("m0", 27_000, served(), &["m0", "m0"]), "aggregator \"m0\" is there twice");
+    assert_eq!(rejection_reason("m9", 27_000, served(), &["m0"]), "no aggregator is named \"m9\"");
+    assert_eq!(rejection_reason("m0", 27_000, served(), &["m0", "m0"]), "duplicate aggregator \"m0\"");
     let reversed = vec![controller(None, &[(4, 0)])];
-    assert_eq!(why_refused("m0", 27_000, reversed, &["m0"]), "the slices of governor \"g0\" go from 4 to 0");
-    let small = why_refused("m0", 0, served(), &["m0"]);
-    assert!(small.starts_with("a budget of 0 bytes a report period is less than "), "{small}");
-    assert!(small.ends_with(", what one line may take"), "{small}");
-    let none = why_refused("m0", 27_000, Vec::new(), &["m0"]);
+    assert_eq!(
+        rejection_reason("m0", 27_000, reversed, &["m0"]),
+        "governor \"g0\": invalid slice range 4-0, its first slice is greater than its last"
+    );
+    let small = rejection_reason("m0", 0, served(), &["m0"]);
+    assert!(small.starts_with("budget of 0 bytes per report period, at least "), "{small}");
+    assert!(small.ends_with(" needed for one report line"), "{small}");
+    let none = rejection_reason("m0", 27_000, Vec::new(), &["m0"]);
     assert!(none.starts_with("governors: "), "{none}");
 }
--- a/crates/aggregation/tests/help.rs
+++ b/crates/aggregation/tests/help.rs
@@ -1,5 +1,5 @@
-//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
-//! name may change; it reads `PROGRAM` here.
+//! The exact help texts, because scripts, manuals and completions depend on them. Only the name of the program may
+//! differ; the fixtures contain `PROGRAM` in its place.
 
 use whinwall_test_support::help_text::help_text;
 
--- a/crates/aggregation/tests/support/mod.rs
+++ b/crates/aggregation/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery, collectors and controllers, and the program itself, on loopback sockets.
+//! Fake discovery, collectors and controllers on loopback sockets, and a handle of the aggregator program.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 use whinwall_test_support::message_queue::MessageQueue;
 
-/// Far longer than anything takes: a test that waits so long has failed.
+/// Time limit of each wait. It is much longer than any step takes, so a test that reaches it has failed.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Collectors report, and discovery gives a sign of life, this often.
+/// Interval of collector reports and of heartbeats of discovery.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Discovery's agent: each request is answered by the whole list and signs of life.
+/// A fake discovery agent that answers each request with the complete list and heartbeats.
 pub struct Discovery {
     pub address: SocketAddr,
 }
@@ -30,15 +30,15 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let list = list.clone();
-                thread::spawn(move || answer(stream, &list));
+                thread::spawn(move || answer_watch(stream, &list));
             }
         });
         Discovery { address }
     }
 }
 
-fn answer(mut stream: TcpStream, list: &str) -> std::io::Result<()> {
-    // A request ends in an empty line.
+fn answer_watch(mut stream: TcpStream, list: &str) -> std::io::Result<()> {
+    // A request ends with an empty line.
     let request = BufReader::new(stream.try_clone()?).lines();
     for line in request {
         if line?.is_empty() {
@@ -54,31 +54,31 @@
     }
 }
 
-/// A collector that says the same again and again, until it is dropped.
+/// A fake collector that sends the same lines repeatedly until it is dropped.
 pub struct Collector {
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 }
 
 impl Collector {
     pub fn start(to: SocketAddr, zone: &str, reports: &[String]) -> Self {
-        let ends = Arc::new(AtomicBool::new(false));
-        let (over, zone) = (ends.clone(), zone.to_string());
+        let stop = Arc::new(AtomicBool::new(false));
+        let (stopped, zone) = (stop.clone(), zone.to_string());
         let text: String = reports.iter().map(|line| format!("{line}\n")).collect();
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
-                // A broken connection is dialed again.
-                _ = report(to, &zone, &text, &over);
+            while !stopped.load(Ordering::Relaxed) {
+                // Reconnects after a lost connection.
+                _ = send_reports(to, &zone, &text, &stopped);
                 thread::sleep(REPORT_INTERVAL);
             }
         });
-        Collector { ends }
+        Collector { stop }
     }
 }
 
-fn report(to: SocketAddr, zone: &str, text: &str, over: &AtomicBool) -> std::io::Result<()> {
+fn send_reports(to: SocketAddr, zone: &str, text: &str, stopped: &AtomicBool) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(to)?;
     stream.write_all(format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}\n").as_bytes())?;
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         stream.write_all(text.as_bytes())?;
         thread::sleep(REPORT_INTERVAL);
     }
@@ -87,51 +87,51 @@
 
 impl Drop for Collector {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
     }
 }
 
-/// A line that came to a controller.
+/// A line that a controller received.
 pub struct Line {
     pub text: String,
 }
 
-/// A controller: it answers signs of life, and keeps what it is told.
+/// A fake controller that answers pings and records the received lines.
 pub struct Controller {
     pub address: SocketAddr,
-    pub heard: MessageQueue<Line>,
+    pub received: MessageQueue<Line>,
 }
 
 impl Controller {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (says, heard) = channel();
+        let (sender, received) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let says = says.clone();
+                let sender = sender.clone();
                 thread::spawn(move || {
-                    let mut back = stream.try_clone().unwrap();
+                    let mut replies = stream.try_clone().unwrap();
                     for text in BufReader::new(stream).lines().map_while(Result::ok) {
                         if text.contains("PING") {
-                            _ = back.write_all(b"{\"@type\":\"PONG\"}\n");
+                            _ = replies.write_all(b"{\"@type\":\"PONG\"}\n");
                         }
-                        if says.send(Line { text }).is_err() {
+                        if sender.send(Line { text }).is_err() {
                             return;
                         }
                     }
                 });
             }
         });
-        Controller { address, heard: MessageQueue::new(heard, TEST_TIMEOUT) }
+        Controller { address, received: MessageQueue::new(received, TEST_TIMEOUT) }
     }
 
-    pub fn hears(&mut self, what: &str) -> Line {
-        self.heard.wait(what, |line| line.text.contains(what))
+    pub fn wait_for_line(&mut self, part: &str) -> Line {
+        self.received.wait(part, |line| line.text.contains(part))
     }
 }
 
-/// The program.
+/// A running aggregator program.
 pub struct Program {
     child: Child,
     pub address: SocketAddr,
@@ -140,65 +140,63 @@
 }
 
 impl Program {
-    pub fn start(name: &str, file: &str, discovery: &Discovery, more: &[&str]) -> Self {
-        let mut program = Program::launch(name, file, discovery, more);
-        let serves =
-            program.log.wait("the address", |line| line.contains("listening for collectors address="));
-        program.address =
-            serves.split("address=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
+    pub fn start(name: &str, file: &str, discovery: &Discovery, arguments: &[&str]) -> Self {
+        let mut program = Program::launch(name, file, discovery, arguments);
+        let line = program.log.wait("the address", |line| line.contains("listening for collectors address="));
+        program.address = line.split("address=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
         program
     }
 
-    /// One that need not serve.
-    pub fn launch(name: &str, file: &str, discovery: &Discovery, more: &[&str]) -> Self {
+    /// Starts the program without waiting until it listens.
+    pub fn launch(name: &str, file: &str, discovery: &Discovery, arguments: &[&str]) -> Self {
         let path = tempfile::NamedTempFile::new().unwrap().into_temp_path();
         std::fs::write(&path, file).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_whinwall-aggregator"))
             .args(["--name", name, "--listen", "127.0.0.1:0"])
             .args(["--discovery", &discovery.address.to_string()])
             .args([PathBuf::from("--operators"), path.to_path_buf()])
-            .args(more)
+            .args(arguments)
             .env_clear()
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (says, log) = channel();
+        let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| says.send(line)));
+        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         Program { child, address, log: MessageQueue::new(log, TEST_TIMEOUT), file: path }
     }
 
-    pub fn logs(&mut self, with: &str) -> String {
-        self.log.wait(with, |line| line.contains(with))
+    pub fn wait_for_log(&mut self, part: &str) -> String {
+        self.log.wait(part, |line| line.contains(part))
     }
 
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// The file is replaced, and the program told.
-    pub fn reads_anew(&self, file: &str) {
+    /// Replaces the file and signals the program to reload it.
+    pub fn reload(&self, file: &str) {
         std::fs::write(&self.file, file).unwrap();
         self.signal(Signal::HUP);
     }
 
-    /// Gone at once, without a word.
-    pub fn dies(&mut self) {
+    /// Kills the program.
+    pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    pub fn ends(&mut self) -> ExitStatus {
-        let end = Instant::now() + TEST_TIMEOUT;
-        while Instant::now() < end {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("it does not end");
+        panic!("the program did not exit within {TEST_TIMEOUT:?}");
     }
 
     pub fn connect(&self) -> Peer {
@@ -215,33 +213,33 @@
     }
 }
 
-/// Somebody at the aggregator's address.
+/// A peer that is connected to the aggregator's address.
 pub struct Peer {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Peer {
-    pub fn says(&mut self, line: &str) {
+    pub fn send_line(&mut self, line: &str) {
         self.stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
-    pub fn hears(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.reader.read_line(&mut line).unwrap();
         line
     }
 
-    /// Whether the other side closes or resets the connection.
-    pub fn is_let_go(&mut self) -> bool {
+    /// Returns true if the program closes or resets the connection.
+    pub fn is_disconnected(&mut self) -> bool {
         match self.reader.read_to_end(&mut Vec::new()) {
-            Err(why) => !matches!(why.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
+            Err(err) => !matches!(err.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
             Ok(_) => true,
         }
     }
 }
 
-/// What `path` answers over HTTP.
+/// Returns the HTTP response for `path`.
 pub fn get(address: &str, path: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
