--- a/crates/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Aggregators, collectors, discovery and controllers in virtual time: the real reducers, and no sockets.
-#![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
+//! A simulated fleet in virtual time: aggregators with the real reducer, and fake collectors, discovery and
+//! controllers, without sockets.
+#![allow(dead_code)] // each test file compiles this module and uses only a part of it
 
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,27 +14,27 @@
 use whinwall_protocol::discovery::{Entry, List, State};
 use whinwall_subsetting::Parameters;
 
-/// Ticks of the harness and of each aggregator.
+/// Interval of the ticks of the simulation and of each aggregator.
 pub const STEP_MS: u64 = 100;
-/// Collectors report each second.
+/// Report period of collectors.
 const PERIOD_MS: u64 = 1000;
-/// Windows have a tenth of a microsecond.
-const CLOSE_MS: f64 = 0.01;
+/// Tolerance for the comparison of times, as windows are rounded to 0.1 us.
+const TIME_TOLERANCE_MS: f64 = 0.01;
 
-/// A line as a controller heard it.
+/// A line that a controller received.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct ReceivedLine {
     pub at_ms: f64,
     pub aggregator: usize,
     pub connection: u64,
     pub bytes: usize,
-    /// None for lines that are no reports.
-    pub report: Option<Told>,
+    /// `None` for lines other than reports.
+    pub report: Option<ReportLine>,
 }
 
-/// A report as a controller reads it, with the optional field.
+/// A report line as a controller reads it, including the optional field `missing`.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Told {
+pub struct ReportLine {
     #[serde(rename = "@type")]
     pub kind: String,
     #[serde(default)]
@@ -56,8 +57,8 @@
     pub missing: usize,
 }
 
-impl Told {
-    /// What the line is about.
+impl ReportLine {
+    /// Returns the key of the report.
     pub fn key(&self) -> String {
         match &self.host {
             Some(host) => host.clone(),
@@ -66,49 +67,49 @@
     }
 }
 
-/// What may be wrong with an aggregator.
+/// The health of an aggregator.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Health {
     #[default]
-    Well,
-    /// Its process is gone.
+    Healthy,
+    /// The process does not run.
     Dead,
-    /// It is stopped: its connections stay open, and nothing that comes is read.
+    /// The process is stopped: its connections stay open, but it reads no input.
     Hung,
-    /// It runs in one of so many steps only.
+    /// The process runs only in every n-th step.
     Slow(u64),
 }
 
 struct Machine {
     aggregator: Option<Aggregator>,
     health: Health,
-    /// Zones whose collectors can't reach it.
-    cut_zones: BTreeSet<usize>,
-    /// Peers whose heartbeats do not reach it.
-    deaf_to: BTreeSet<usize>,
-    /// Controllers that it can't reach.
+    /// Zones whose collectors cannot reach the aggregator.
+    unreachable_zones: BTreeSet<usize>,
+    /// Peers whose heartbeats do not reach the aggregator.
+    blocked_peers: BTreeSet<usize>,
+    /// Controllers that the aggregator cannot reach.
     unreachable: BTreeSet<String>,
-    /// Discovery's watch tells it nothing.
-    list_silent: bool,
-    /// Discovery's watch gives signs of life and tells no change, until it is asked anew.
-    list_stuck: bool,
+    /// The watch of discovery sends nothing.
+    is_list_silent: bool,
+    /// The watch of discovery sends heartbeats but no changes until a new watch is requested.
+    is_list_frozen: bool,
     list_version: u64,
-    /// Open connections to controllers.
+    /// Open connections to controllers, by name.
     connections: BTreeMap<String, u64>,
-    /// Events for its next step.
-    queue: Vec<Answer>,
-    notes: Vec<LogEvent>,
+    /// Events of controllers for the next step.
+    pending_events: Vec<Reply>,
+    log_events: Vec<LogEvent>,
 }
 
-enum Answer {
+enum Reply {
     Connected(String),
     Lost(String),
-    Alive(String),
+    Answered(String),
 }
 
-/// One thing that collectors said, for comparison with what controllers heard.
+/// A report that a collector sent, for comparison with the reports that controllers received.
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
+pub struct CollectorReport {
     pub at_ms: f64,
     pub zone: usize,
     pub n: f64,
@@ -125,17 +126,17 @@
     machines: Vec<Machine>,
     replicas: BTreeMap<String, Entry>,
     version: u64,
-    /// Zones whose collectors say nothing to anybody.
+    /// Zones whose collectors send nothing.
     pub silent_zones: BTreeSet<usize>,
-    pub heard: BTreeMap<String, Vec<Heard>>,
-    pub said: BTreeMap<String, Vec<Said>>,
+    pub received: BTreeMap<String, Vec<ReceivedLine>>,
+    pub sent_reports: BTreeMap<String, Vec<CollectorReport>>,
     next_connection: u64,
     random: u64,
-    /// Collectors report.
+    /// True if collectors send reports.
     pub reporting: bool,
-    /// Replicas that no proxy tries.
-    pub untried: BTreeSet<String>,
-    /// Slices that are reported, and the classes of each.
+    /// Replicas without attempts, which collectors do not report.
+    pub idle_replicas: BTreeSet<String>,
+    /// Request classes reported for each slice.
     pub classes: Vec<&'static str>,
 }
 
@@ -167,12 +168,13 @@
     format!("m{index}")
 }
 
-/// Collectors of a zone report a little after the second, each zone at its own time, never at that of a tick.
+/// Returns the offset within a second at which the collectors of a zone report. It differs between zones and never
+/// coincides with a tick.
 fn zone_offset_ms(zone: usize) -> u64 {
     (zone as u64 * 130 + 37) % PERIOD_MS
 }
 
-/// Collector connections are numbered by zone; one connects anew under a number of its own.
+/// Returns the connection number of the collector of a zone.
 fn connection_of(zone: usize) -> u64 {
     1000 + zone as u64
 }
@@ -192,12 +194,12 @@
             replicas: replicas.collect(),
             version: 1,
             silent_zones: BTreeSet::new(),
-            heard: BTreeMap::new(),
-            said: BTreeMap::new(),
+            received: BTreeMap::new(),
+            sent_reports: BTreeMap::new(),
             next_connection: 0,
             random: 0x9E37_79B9_7F4A_7C15,
             reporting: true,
-            untried: BTreeSet::new(),
+            idle_replicas: BTreeSet::new(),
             classes: vec!["lookup", "write"],
         };
         for _ in 0..4 {
@@ -205,21 +207,21 @@
             fleet.machines.push(Machine {
                 aggregator: None,
                 health,
-                cut_zones: BTreeSet::new(),
-                deaf_to: BTreeSet::new(),
+                unreachable_zones: BTreeSet::new(),
+                blocked_peers: BTreeSet::new(),
                 unreachable: BTreeSet::new(),
-                list_silent: false,
-                list_stuck: false,
+                is_list_silent: false,
+                is_list_frozen: false,
                 list_version: 0,
                 connections: BTreeMap::new(),
-                queue: Vec::new(),
-                notes: Vec::new(),
+                pending_events: Vec::new(),
+                log_events: Vec::new(),
             });
         }
         fleet
     }
 
-    /// One that has run for a while with all four.
+    /// Returns a fleet in which all four aggregators have run until it is stable.
     pub fn settled(controllers: usize, replicas: usize, zones: usize, subset: usize, budget: u64) -> Self {
         let mut fleet = Fleet::new(controllers, replicas, zones, subset, budget);
         (0..4).for_each(|machine| fleet.start(machine));
@@ -234,23 +236,23 @@
         Configuration::new(&aggregator_name(own), parameters, self.budget, controllers, &aggregators).unwrap()
     }
 
-    /// Starts a machine's process.
+    /// Starts the process of a machine.
     pub fn start(&mut self, index: usize) {
         let now = moment(self.now_ms as f64);
         let aggregator = Aggregator::new(now, self.configuration(index), None);
         let machine = &mut self.machines[index];
-        (machine.aggregator, machine.health) = (Some(aggregator), Health::Well);
+        (machine.aggregator, machine.health) = (Some(aggregator), Health::Healthy);
         machine.list_version = 0;
-        self.join_collectors(index);
+        self.connect_collectors(index);
     }
 
-    /// Ends a machine's process; its connections are reset.
+    /// Ends the process of a machine; its connections are reset.
     pub fn kill(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         machine.aggregator = None;
         machine.health = Health::Dead;
         machine.connections.clear();
-        machine.queue.clear();
+        machine.pending_events.clear();
     }
 
     pub fn set_health(&mut self, index: usize, health: Health) {
@@ -261,39 +263,39 @@
         self.machines[index].aggregator.as_ref().unwrap()
     }
 
-    pub fn notes(&self, index: usize) -> &[LogEvent] {
-        &self.machines[index].notes
+    pub fn log_events(&self, index: usize) -> &[LogEvent] {
+        &self.machines[index].log_events
     }
 
-    /// The collectors of a zone can't reach a machine: their connections are reset.
-    pub fn cut_zone(&mut self, index: usize, zone: usize) {
-        self.machines[index].cut_zones.insert(zone);
-        self.event(index, Event::ConnectionEnded(connection_of(zone)));
+    /// Disconnects the collectors of a zone from a machine with a connection reset.
+    pub fn disconnect_zone(&mut self, index: usize, zone: usize) {
+        self.machines[index].unreachable_zones.insert(zone);
+        self.apply(index, Event::ConnectionEnded(connection_of(zone)));
     }
 
-    /// The collectors of a zone can't reach a machine: their connections stay open and silent.
-    pub fn mute_zone(&mut self, index: usize, zone: usize) {
-        self.machines[index].cut_zones.insert(zone);
+    /// Drops the reports of a zone's collectors to a machine; their connections stay open.
+    pub fn silence_zone(&mut self, index: usize, zone: usize) {
+        self.machines[index].unreachable_zones.insert(zone);
     }
 
-    pub fn join_zone(&mut self, index: usize, zone: usize) {
-        self.machines[index].cut_zones.remove(&zone);
+    pub fn connect_zone(&mut self, index: usize, zone: usize) {
+        self.machines[index].unreachable_zones.remove(&zone);
         let name = zone_name(zone);
-        self.event(index, Event::CollectorJoined { connection: connection_of(zone), zone: &name });
+        self.apply(index, Event::CollectorJoined { connection: connection_of(zone), zone: &name });
     }
 
-    /// Heartbeats of `from` do not reach `to`.
-    pub fn deafen(&mut self, to: usize, from: usize) {
-        self.machines[to].deaf_to.insert(from);
+    /// Blocks the heartbeats of `from` to `to`.
+    pub fn block_heartbeats(&mut self, to: usize, from: usize) {
+        self.machines[to].blocked_peers.insert(from);
     }
 
-    /// All heartbeats arrive again.
-    pub fn undeafen(&mut self) {
-        self.machines.iter_mut().for_each(|machine| machine.deaf_to.clear());
+    /// Removes all blocks of heartbeats.
+    pub fn unblock_heartbeats(&mut self) {
+        self.machines.iter_mut().for_each(|machine| machine.blocked_peers.clear());
     }
 
     pub fn silence_list(&mut self, index: usize, silent: bool) {
-        self.machines[index].list_silent = silent;
+        self.machines[index].is_list_silent = silent;
         if !silent {
             self.machines[index].list_version = 0;
         }
@@ -303,7 +305,7 @@
         (0..self.machines.len()).for_each(|machine| self.set_reachable_from(machine, controller, reachable));
     }
 
-    /// Whether a machine reaches a controller; where it does not, what is open is reset.
+    /// Sets whether a machine can reach a controller. An open connection to an unreachable one is reset.
     pub fn set_reachable_from(&mut self, index: usize, controller: &str, reachable: bool) {
         let machine = &mut self.machines[index];
         match reachable {
@@ -311,38 +313,39 @@
             false => _ = machine.unreachable.insert(controller.into()),
         }
         if !reachable && machine.connections.remove(controller).is_some() {
-            machine.queue.push(Answer::Lost(controller.into()));
+            machine.pending_events.push(Reply::Lost(controller.into()));
         }
     }
 
-    /// Somebody says for which zone it speaks, and nothing else.
-    pub fn stranger(&mut self, index: usize, zone: &str) {
+    /// Connects a peer that names a zone and sends nothing else.
+    pub fn connect_unauthenticated_peer(&mut self, index: usize, zone: &str) {
         let connection = 5000 + index as u64;
-        self.event(index, Event::CollectorJoined { connection, zone });
+        self.apply(index, Event::CollectorJoined { connection, zone });
     }
 
-    pub fn stick_list(&mut self, index: usize) {
-        self.machines[index].list_stuck = true;
+    pub fn freeze_list(&mut self, index: usize) {
+        self.machines[index].is_list_frozen = true;
     }
 
-    /// The registry changes.
-    pub fn list(&mut self, change: impl FnOnce(&mut BTreeMap<String, Entry>)) {
+    /// Changes the registry and increments its version.
+    pub fn change_registry(&mut self, change: impl FnOnce(&mut BTreeMap<String, Entry>)) {
         change(&mut self.replicas);
         self.version += 1;
     }
 
-    /// The controllers change; machines reread their file.
+    /// Makes all machines reload their configuration after a change of the controllers.
     pub fn reconfigure(&mut self) {
         for index in 0..self.machines.len() {
             let configuration = self.configuration(index);
-            self.event(index, Event::Configured(configuration));
+            self.apply(index, Event::Configured(configuration));
         }
     }
 
-    fn join_collectors(&mut self, index: usize) {
-        let speaking: Vec<_> = (0..self.zones).filter(|zone| !self.silent_zones.contains(zone)).collect();
-        for zone in speaking {
-            self.join_zone(index, zone);
+    fn connect_collectors(&mut self, index: usize) {
+        let reporting_zones: Vec<_> =
+            (0..self.zones).filter(|zone| !self.silent_zones.contains(zone)).collect();
+        for zone in reporting_zones {
+            self.connect_zone(index, zone);
         }
     }
 
@@ -354,7 +357,7 @@
         (0..self.machines.len()).filter(owns).collect()
     }
 
-    /// A controller's subset, as the aggregators should see it.
+    /// Returns the expected subset of a controller.
     pub fn subset(&self, controller: &str) -> BTreeSet<String> {
         let membership = self.controllers.iter().map(|one| one.name.clone());
         let membership = whinwall_subsetting::Membership::new(membership).unwrap();
@@ -376,7 +379,7 @@
     pub fn run(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
-            self.report();
+            self.send_due_reports();
             self.now_ms += STEP_MS;
             for index in 0..self.machines.len() {
                 self.step(index);
@@ -384,35 +387,36 @@
         }
     }
 
-    fn draw(&mut self, most: u64) -> u64 {
-        // Xorshift, as published by Marsaglia.
+    fn random_below(&mut self, bound: u64) -> u64 {
+        // Marsaglia's xorshift generator.
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
-        self.random % most
+        self.random % bound
     }
 
-    /// What collectors say before the next tick.
-    fn report(&mut self) {
+    /// Sends the reports of collectors that are due before the next tick.
+    fn send_due_reports(&mut self) {
         for zone in 0..self.zones {
             let at = (self.now_ms / PERIOD_MS) * PERIOD_MS + zone_offset_ms(zone);
             if !self.reporting || self.silent_zones.contains(&zone) {
                 continue;
             }
             if (self.now_ms..self.now_ms + STEP_MS).contains(&at) {
-                self.zone_reports(zone, at as f64);
+                self.send_zone_reports(zone, at as f64);
             }
         }
     }
 
-    fn zone_reports(&mut self, zone: usize, at_ms: f64) {
+    fn send_zone_reports(&mut self, zone: usize, at_ms: f64) {
         let zone_name = zone_name(zone);
-        let tried: Vec<_> = self.replicas.keys().filter(|id| !self.untried.contains(*id)).cloned().collect();
-        for id in tried {
-            let (n, avg) = (1.0 + self.draw(500) as f64, 1.0 + self.draw(400) as f64 / 8.0);
-            let bad = self.draw(n as u64 + 1) as f64;
-            let said = Said { at_ms, zone, n, bad, avg };
-            self.said.entry(id.clone()).or_default().push(said);
+        let reported: Vec<_> =
+            self.replicas.keys().filter(|id| !self.idle_replicas.contains(*id)).cloned().collect();
+        for id in reported {
+            let (n, avg) = (1.0 + self.random_below(500) as f64, 1.0 + self.random_below(400) as f64 / 8.0);
+            let bad = self.random_below(n as u64 + 1) as f64;
+            let sent = CollectorReport { at_ms, zone, n, bad, avg };
+            self.sent_reports.entry(id.clone()).or_default().push(sent);
             let report = Report::EndpointReport {
                 zone: &zone_name,
                 replica: &id,
@@ -422,12 +426,12 @@
                 window_ms: PERIOD_MS as f64,
                 missing: 0,
             };
-            self.tell_all(zone, at_ms, report);
+            self.send_to_all(zone, at_ms, report);
         }
         for (slice, class) in self.shards() {
-            let (n, bad) = (self.draw(300) as f64, self.draw(10) as f64);
-            let said = Said { at_ms, zone, n, bad, avg: 0.0 };
-            self.said.entry(format!("{slice}/{class}")).or_default().push(said);
+            let (n, bad) = (self.random_below(300) as f64, self.random_below(10) as f64);
+            let sent = CollectorReport { at_ms, zone, n, bad, avg: 0.0 };
+            self.sent_reports.entry(format!("{slice}/{class}")).or_default().push(sent);
             let window_ms = PERIOD_MS as f64;
             let report = Report::DemandReport {
                 slice,
@@ -437,24 +441,24 @@
                 window_ms,
                 missing: 0,
             };
-            self.tell_all(zone, at_ms, report);
+            self.send_to_all(zone, at_ms, report);
         }
     }
 
-    /// The slices of all controllers, each with each class.
+    /// Returns all combinations of the controllers' slices and the request classes.
     fn shards(&self) -> Vec<(u32, &'static str)> {
         let ranges = self.controllers.iter().flat_map(|one| one.slices.iter());
         let slices = ranges.flat_map(|(first, last)| *first..=*last);
         slices.flat_map(|slice| self.classes.iter().map(move |class| (slice, *class))).collect()
     }
 
-    fn tell_all(&mut self, zone: usize, at_ms: f64, report: Report) {
+    fn send_to_all(&mut self, zone: usize, at_ms: f64, report: Report) {
         for index in 0..self.machines.len() {
-            if self.machines[index].cut_zones.contains(&zone) {
+            if self.machines[index].unreachable_zones.contains(&zone) {
                 continue;
             }
             let event = Event::ReportReceived { connection: connection_of(zone), report };
-            self.event_at(index, at_ms, event);
+            self.apply_at(index, at_ms, event);
         }
     }
 
@@ -463,136 +467,135 @@
         match machine.health {
             Health::Dead | Health::Hung => return,
             Health::Slow(steps) if !(self.now_ms / STEP_MS).is_multiple_of(steps) => return,
-            Health::Slow(_) | Health::Well => {}
+            Health::Slow(_) | Health::Healthy => {}
         }
-        let queue = std::mem::take(&mut machine.queue);
-        for answer in queue {
-            match answer {
-                Answer::Connected(controller) => self.event(index, Event::ControllerConnected(&controller)),
-                Answer::Lost(controller) => self.event(index, Event::ControllerLost(&controller)),
-                Answer::Alive(controller) => self.event(index, Event::ControllerAnswered(&controller)),
+        let events = std::mem::take(&mut machine.pending_events);
+        for event in events {
+            match event {
+                Reply::Connected(controller) => self.apply(index, Event::ControllerConnected(&controller)),
+                Reply::Lost(controller) => self.apply(index, Event::ControllerLost(&controller)),
+                Reply::Answered(controller) => self.apply(index, Event::ControllerAnswered(&controller)),
             }
         }
-        if !self.machines[index].list_silent {
+        if !self.machines[index].is_list_silent {
             let machine = &mut self.machines[index];
-            let tells_none = machine.list_stuck || machine.list_version == self.version;
-            match tells_none {
-                true => self.event(index, Event::RegistryAlive),
+            let is_unchanged = machine.is_list_frozen || machine.list_version == self.version;
+            match is_unchanged {
+                true => self.apply(index, Event::RegistryAlive),
                 false => {
                     let entries = self.replicas.values().cloned().collect();
                     let list = List { version: self.version, is_complete: true, entries };
                     machine.list_version = self.version;
-                    self.event(index, Event::RegistryListed(list));
+                    self.apply(index, Event::RegistryListed(list));
                 }
             }
         }
-        self.event(index, Event::Tick);
+        self.apply(index, Event::Tick);
     }
 
-    fn event(&mut self, index: usize, event: Event) {
-        self.event_at(index, self.now_ms as f64, event);
+    fn apply(&mut self, index: usize, event: Event) {
+        self.apply_at(index, self.now_ms as f64, event);
     }
 
-    fn event_at(&mut self, index: usize, at_ms: f64, event: Event) {
+    fn apply_at(&mut self, index: usize, at_ms: f64, event: Event) {
         let machine = &mut self.machines[index];
         if matches!(machine.health, Health::Dead | Health::Hung) {
             return;
         }
         let Some(aggregator) = machine.aggregator.as_mut() else { return };
         for effect in aggregator.apply(moment(at_ms), event) {
-            self.carry_out(index, at_ms, effect);
+            self.execute(index, at_ms, effect);
         }
     }
 
-    fn carry_out(&mut self, index: usize, at_ms: f64, effect: Effect) {
+    fn execute(&mut self, index: usize, at_ms: f64, effect: Effect) {
         match effect {
             Effect::Connect { controller, .. } => {
                 let machine = &mut self.machines[index];
                 if machine.unreachable.contains(&controller) {
-                    machine.queue.push(Answer::Lost(controller));
+                    machine.pending_events.push(Reply::Lost(controller));
                     return;
                 }
                 self.next_connection += 1;
                 machine.connections.insert(controller.clone(), self.next_connection);
-                machine.queue.push(Answer::Connected(controller));
+                machine.pending_events.push(Reply::Connected(controller));
             }
             Effect::Disconnect { controller } => _ = self.machines[index].connections.remove(&controller),
-            Effect::Send { controller, lines } => self.controller_hears(index, at_ms, &controller, &lines),
+            Effect::Send { controller, lines } => self.deliver_lines(index, at_ms, &controller, &lines),
             Effect::SendHeartbeat(heartbeat) => {
                 for peer in (0..self.machines.len()).filter(|peer| *peer != index) {
-                    if !self.machines[peer].deaf_to.contains(&index) {
-                        self.event_at(peer, at_ms, Event::HeartbeatReceived(heartbeat.clone()));
+                    if !self.machines[peer].blocked_peers.contains(&index) {
+                        self.apply_at(peer, at_ms, Event::HeartbeatReceived(heartbeat.clone()));
                     }
                 }
             }
-            Effect::Log(note) => self.machines[index].notes.push(note),
-            Effect::FollowRegistry { .. } => self.machines[index].list_stuck = false,
+            Effect::Log(event) => self.machines[index].log_events.push(event),
+            Effect::FollowRegistry { .. } => self.machines[index].is_list_frozen = false,
             Effect::RefuseCollector(_) => {}
         }
     }
 
-    fn controller_hears(&mut self, index: usize, at_ms: f64, controller: &str, lines: &str) {
+    fn deliver_lines(&mut self, index: usize, at_ms: f64, controller: &str, lines: &str) {
         let Some(connection) = self.machines[index].connections.get(controller).copied() else { return };
         for line in lines.split_inclusive('\n') {
-            let told: Told = serde_json::from_str(line).unwrap();
-            if told.kind == "PING" {
-                self.machines[index].queue.push(Answer::Alive(controller.into()));
+            let report: ReportLine = serde_json::from_str(line).unwrap();
+            if report.kind == "PING" {
+                self.machines[index].pending_events.push(Reply::Answered(controller.into()));
             }
-            let report = matches!(told.kind.as_str(), "LOAD" | "SHARD").then_some(told);
-            let heard = Heard { at_ms, aggregator: index, connection, bytes: line.len(), report };
-            self.heard.entry(controller.into()).or_default().push(heard);
+            let report = matches!(report.kind.as_str(), "LOAD" | "SHARD").then_some(report);
+            let received = ReceivedLine { at_ms, aggregator: index, connection, bytes: line.len(), report };
+            self.received.entry(controller.into()).or_default().push(received);
         }
     }
 
-    /// Reports that a controller heard, with the time and connection of each.
-    pub fn reports(&self, controller: &str) -> impl Iterator<Item = (&Heard, &Told)> {
-        let heard = self.heard.get(controller).into_iter().flatten();
-        heard.filter_map(|heard| heard.report.as_ref().map(|told| (heard, told)))
+    /// Iterates over the reports that a controller received, with the received lines.
+    pub fn reports(&self, controller: &str) -> impl Iterator<Item = (&ReceivedLine, &ReportLine)> {
+        let lines = self.received.get(controller).into_iter().flatten();
+        lines.filter_map(|line| line.report.as_ref().map(|report| (line, report)))
     }
 
-    /// When, from this time on, each controller has been told by whoever serves it alone; the last of them.
-    pub fn served_alone_at_ms(&self, from_ms: u64) -> f64 {
-        let told_at = |controller: &ControllerMember| {
+    /// Returns the time, at least `from_ms`, from which every controller gets reports from a single aggregator.
+    pub fn single_owner_at_ms(&self, from_ms: u64) -> f64 {
+        let served_at = |controller: &ControllerMember| {
             let owners = self.owners(&controller.name);
             assert_eq!(owners.len(), 1, "{} is served by {owners:?}", controller.name);
-            let last_other =
-                self.reports(&controller.name).filter(|(heard, _)| heard.aggregator != owners[0]);
-            let last_other = last_other.map(|(heard, _)| heard.at_ms).fold(from_ms as f64, f64::max);
-            let mut first = self.reports(&controller.name).map(|(heard, _)| heard);
-            first.find(|heard| heard.aggregator == owners[0] && heard.at_ms >= last_other).unwrap().at_ms
+            let last_other = self.reports(&controller.name).filter(|(line, _)| line.aggregator != owners[0]);
+            let last_other = last_other.map(|(line, _)| line.at_ms).fold(from_ms as f64, f64::max);
+            let mut first = self.reports(&controller.name).map(|(line, _)| line);
+            first.find(|line| line.aggregator == owners[0] && line.at_ms >= last_other).unwrap().at_ms
         };
-        self.controllers.iter().map(told_at).fold(0.0, f64::max)
+        self.controllers.iter().map(served_at).fold(0.0, f64::max)
     }
 
-    /// The longest time that no line covers, between this one and the last line, over all controllers and keys that
-    /// were told of before and after; and the longest time that more than one connection covers.
+    /// Returns the longest gap and the longest overlap between the windows of consecutive lines of a key, over all
+    /// controllers and keys, for lines received from `from_ms` on.
     pub fn gaps_and_overlaps_ms(&self, from_ms: u64) -> (f64, f64) {
         let (mut gap, mut overlap) = (0.0_f64, 0.0_f64);
         for controller in &self.controllers {
             let mut covered: BTreeMap<String, f64> = BTreeMap::new();
-            for (heard, told) in
-                self.reports(&controller.name).filter(|(heard, _)| heard.at_ms >= from_ms as f64)
+            for (line, report) in
+                self.reports(&controller.name).filter(|(line, _)| line.at_ms >= from_ms as f64)
             {
-                let begins = heard.at_ms - told.window;
-                if let Some(until) = covered.get(&told.key()) {
-                    gap = gap.max(begins - until);
-                    overlap = overlap.max(until - begins);
+                let window_start = line.at_ms - report.window;
+                if let Some(until) = covered.get(&report.key()) {
+                    gap = gap.max(window_start - until);
+                    overlap = overlap.max(until - window_start);
                 }
-                covered.insert(told.key(), heard.at_ms);
+                covered.insert(report.key(), line.at_ms);
             }
         }
         (gap, overlap)
     }
 
-    /// The most bytes that any controller got within any interval of this length, its start included and its end not.
+    /// Returns the maximum number of bytes that any controller received within any half-open interval of this length.
     pub fn most_bytes_within(&self, length_ms: f64) -> usize {
         let mut most = 0;
-        for heard in self.heard.values() {
+        for lines in self.received.values() {
             let (mut sum, mut first) = (0, 0);
-            for line in heard {
+            for line in lines {
                 sum += line.bytes;
-                while line.at_ms - heard[first].at_ms >= length_ms {
-                    sum -= heard[first].bytes;
+                while line.at_ms - lines[first].at_ms >= length_ms {
+                    sum -= lines[first].bytes;
                     first += 1;
                 }
                 most = most.max(sum);
@@ -601,50 +604,56 @@
         most
     }
 
-    /// Each line has the counts that were reported in the time which it covers, no more and no less; and no two lines
-    /// of one key on one connection cover the same time.
+    /// Asserts that each line has exactly the counts that collectors reported within its window, and that the windows
+    /// of a key do not overlap on the same connection.
     pub fn assert_counts_exact(&self, zones_of: impl Fn(usize) -> BTreeSet<usize>) {
         for controller in &self.controllers {
             let mut covered: BTreeMap<(u64, String), f64> = BTreeMap::new();
-            for (heard, told) in self.reports(&controller.name) {
-                let (begins, key) = (heard.at_ms - told.window, told.key());
-                let context = format!("{} {key} at {}: {told:?}", controller.name, heard.at_ms);
-                let zones = zones_of(heard.aggregator);
-                let said = self.said_within(&key, begins - CLOSE_MS, heard.at_ms);
-                let said = said.iter().filter(|said| zones.contains(&said.zone));
+            for (line, report) in self.reports(&controller.name) {
+                let (window_start, key) = (line.at_ms - report.window, report.key());
+                let context = format!("{} {key} at {}: {report:?}", controller.name, line.at_ms);
+                let zones = zones_of(line.aggregator);
+                let sent = self.sent_within(&key, window_start - TIME_TOLERANCE_MS, line.at_ms);
+                let sent = sent.iter().filter(|sent| zones.contains(&sent.zone));
                 let (mut n, mut bad, mut busy) = (0.0, 0.0, 0.0);
-                for one in said {
+                for one in sent {
                     (n, bad, busy) = (n + one.n, bad + one.bad, busy + (one.n - one.bad) * one.avg);
                 }
-                assert_eq!((told.n, told.bad), (n, bad), "counts of {context}");
-                let told_busy = (told.n - told.bad) * told.avg;
-                let close = (told_busy - busy).abs() <= 1e-3 * busy.max(1.0);
-                assert!(close || told.host.is_none(), "{told_busy} and {busy} ms of {context}");
-                let before = covered.insert((heard.connection, key), heard.at_ms);
-                assert!(before.is_none_or(|before| begins >= before - CLOSE_MS), "twice in {context}");
+                assert_eq!((report.n, report.bad), (n, bad), "counts in {context}");
+                let reported_ms = (report.n - report.bad) * report.avg;
+                let is_close = (reported_ms - busy).abs() <= 1e-3 * busy.max(1.0);
+                assert!(
+                    is_close || report.host.is_none(),
+                    "{reported_ms} ms instead of {busy} ms in {context}"
+                );
+                let before = covered.insert((line.connection, key), line.at_ms);
+                assert!(
+                    before.is_none_or(|before| window_start >= before - TIME_TOLERANCE_MS),
+                    "overlapping windows in {context}"
+                );
             }
         }
     }
 
-    /// What was reported of a key in a time.
-    fn said_within(&self, key: &str, from_ms: f64, to_ms: f64) -> &[Said] {
-        let said = self.said.get(key).map_or(&[][..], Vec::as_slice);
-        let first = said.partition_point(|said| said.at_ms < from_ms);
-        let last = said.partition_point(|said| said.at_ms <= to_ms);
-        &said[first..last.max(first)]
+    /// Returns the reports that collectors sent for a key within a time interval.
+    fn sent_within(&self, key: &str, from_ms: f64, to_ms: f64) -> &[CollectorReport] {
+        let sent = self.sent_reports.get(key).map_or(&[][..], Vec::as_slice);
+        let first = sent.partition_point(|sent| sent.at_ms < from_ms);
+        let last = sent.partition_point(|sent| sent.at_ms <= to_ms);
+        &sent[first..last.max(first)]
     }
 
-    /// Lines that name no missing zone and yet lack something that any zone reported in the time which they cover:
-    /// the latest of them, if any.
-    pub fn last_silent_lack_ms(&self) -> Option<f64> {
+    /// Returns the time of the last line that names no missing zone although it lacks reports that collectors sent
+    /// within its window, or `None` if there is no such line.
+    pub fn last_undercount_ms(&self) -> Option<f64> {
         let mut last = None;
         for controller in &self.controllers {
-            for (heard, told) in self.reports(&controller.name).filter(|(_, told)| told.missing == 0) {
-                let begins = heard.at_ms - told.window;
-                let said = self.said_within(&told.key(), begins + CLOSE_MS, heard.at_ms);
-                let said: f64 = said.iter().map(|said| said.n).sum();
-                if told.n < said {
-                    last = Some(last.unwrap_or(0.0_f64).max(heard.at_ms));
+            for (line, report) in self.reports(&controller.name).filter(|(_, report)| report.missing == 0) {
+                let window_start = line.at_ms - report.window;
+                let sent = self.sent_within(&report.key(), window_start + TIME_TOLERANCE_MS, line.at_ms);
+                let sent: f64 = sent.iter().map(|sent| sent.n).sum();
+                if report.n < sent {
+                    last = Some(last.unwrap_or(0.0_f64).max(line.at_ms));
                 }
             }
         }
