--- a/crates/aggregation/src/bin/aggregation-bench/in_process.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/in_process.rs
@@ -1,5 +1,6 @@
 //! Measures decoding and the reducer in virtual time on one thread, without sockets.
 
+use crate::error::BenchError;
 use crate::load::{memory_mb, Figures, Size};
 use rustix::time::{clock_gettime, ClockId};
 use std::collections::BTreeMap;
@@ -79,16 +80,15 @@
 }
 
 /// Measures a fleet of this size for `seconds` of virtual time.
-pub fn measure(size: &Size, seconds: u64) -> Result<Figures, String> {
-    let parameters = Parameters::new(size.subset).map_err(|error| error.to_string())?;
+pub fn measure(size: &Size, seconds: u64) -> Result<Figures, BenchError> {
+    let parameters = Parameters::new(size.subset)?;
     let names = size.aggregators();
-    let configuration = Configuration::new(&names[0], parameters, size.budget, members(size), &names);
-    let configuration = configuration.map_err(|error| error.to_string())?;
+    let configuration = Configuration::new(&names[0], parameters, size.budget, members(size), &names)?;
     let now = Moment::default() + Span::ms(1_000_000);
     let aggregator = Aggregator::new(now, configuration, None);
     let (busy, longest_tick) = Default::default();
     let mut bench = Bench { aggregator, now, busy, longest_tick, bytes_in: 0 };
-    let list = discovery::decode(&size.list()).map_err(|error| error.to_string())?.ok_or("no list")?;
+    let list = discovery::decode(&size.list())?.ok_or(BenchError::EmptyList)?;
     bench.apply(Event::RegistryListed(list));
     for zone in 0..size.zones {
         let name = size.zone(zone);
--- a/crates/aggregation/src/bin/aggregation-bench/load.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/load.rs
@@ -1,5 +1,6 @@
 //! A fleet of a given size: its endpoint list, its members and the lines of its collectors.
 
+use crate::error::BenchError;
 use serde::Serialize;
 use whinwall_aggregation::heartbeat::Heartbeat;
 
@@ -136,11 +137,12 @@
 }
 
 /// Reads a memory value of a process from `/proc`, in kilobytes there, and returns it in megabytes.
-pub fn memory_mb(process: &str, field: &str) -> Result<f64, String> {
+pub fn memory_mb(process: &str, field: &str) -> Result<f64, BenchError> {
     let path = format!("/proc/{process}/status");
-    let text = std::fs::read_to_string(&path).map_err(|error| format!("{path}: {error}"))?;
+    let read = std::fs::read_to_string(&path);
+    let text = read.map_err(|source| BenchError::StatusFile { path: path.clone(), source })?;
     let line = text.lines().find_map(|line| line.strip_prefix(field));
     let kb =
         line.and_then(|line| line.trim_start_matches(':').split_whitespace().next()?.parse::<f64>().ok());
-    kb.map(|kb| kb / 1024.0).ok_or_else(|| format!("{path} has no {field}"))
+    kb.map(|kb| kb / 1024.0).ok_or_else(|| BenchError::MissingField { path, field: field.into() })
 }
--- a/crates/aggregation/src/bin/aggregation-bench/main.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/main.rs
@@ -3,13 +3,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod error;
 mod in_process;
 mod load;
 mod sockets;
 
 use clap::{Parser, ValueEnum};
+use error::BenchError;
 use load::Size;
 use std::path::PathBuf;
+use std::process::ExitCode;
 
 /// What is measured.
 #[derive(Clone, Copy, Debug, ValueEnum)]
@@ -59,8 +62,17 @@
     program: PathBuf,
 }
 
-fn main() -> Result<(), String> {
-    let arguments = Arguments::parse();
+fn main() -> ExitCode {
+    match run(Arguments::parse()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("aggregation-bench: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn run(arguments: Arguments) -> Result<(), BenchError> {
     let size = Size {
         replicas: arguments.replicas,
         zones: arguments.zones,
@@ -75,6 +87,6 @@
         Way::InProcess => in_process::measure(&size, arguments.seconds)?,
         Way::Sockets => sockets::measure(&size, arguments.seconds, &arguments.program)?,
     };
-    println!("{}", serde_json::to_string_pretty(&figures).map_err(|error| error.to_string())?);
+    println!("{}", serde_json::to_string_pretty(&figures)?);
     Ok(())
 }
--- a/crates/aggregation/src/bin/aggregation-bench/sockets.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/sockets.rs
@@ -1,6 +1,7 @@
 //! Measures the real program on loopback sockets. Collectors, the heartbeats of the other aggregators and all
 //! controllers are tasks of this process, whose own cost is not included.
 
+use crate::error::BenchError;
 use crate::load::{memory_mb, Figures, Size};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -44,11 +45,11 @@
 }
 
 /// Measures a fleet of this size for `seconds`.
-pub fn measure(size: &Size, seconds: u64, program: &Path) -> Result<Figures, String> {
-    actix_rt::System::new().block_on(run(size, seconds, program)).map_err(|error| error.to_string())
+pub fn measure(size: &Size, seconds: u64, program: &Path) -> Result<Figures, BenchError> {
+    actix_rt::System::new().block_on(run(size, seconds, program))
 }
 
-async fn run(size: &Size, seconds: u64, program: &Path) -> Result<Figures, Box<dyn std::error::Error>> {
+async fn run(size: &Size, seconds: u64, program: &Path) -> Result<Figures, BenchError> {
     let received = Rc::new(Received::default());
     let mut members = String::new();
     for n in 0..size.controllers {
@@ -111,7 +112,7 @@
     program: &Path,
     file: &Path,
     discovery: SocketAddr,
-) -> Result<(Program, SocketAddr), Box<dyn std::error::Error>> {
+) -> Result<(Program, SocketAddr), BenchError> {
     // Picks a free port. No other process is expected to take it while the program starts.
     let address = TcpListener::bind("127.0.0.1:0").await?.local_addr()?;
     let child = Command::new(program)
@@ -124,7 +125,7 @@
     Ok((Program(child), address))
 }
 
-fn cpu_seconds(process: &str) -> Result<f64, Box<dyn std::error::Error>> {
+fn cpu_seconds(process: &str) -> Result<f64, BenchError> {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     // The name of the program, in parentheses, may contain spaces; user and system time are the 12th and 13th field
     // after it.
