--- a/crates/aggregation/tests/program.rs
+++ b/crates/aggregation/tests/program.rs
@@ -15,7 +15,7 @@
 
 const PONG: &str = "{\"@type\":\"PONG\"}\n";
 
-/// Attempts in one report of the collector of zone a; zone b differs in magnitude, so that a sum shows both parts.
+/// Attempts in one report of zone a. Zone b uses another magnitude, so that the share of each zone follows from a sum.
 const ATTEMPTS_OF_A: u64 = 10;
 const ATTEMPTS_OF_B: u64 = 100_000;
 
