--- a/crates/controller/benches/override_expiry.rs
+++ b/crates/controller/benches/override_expiry.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
-use support::managed_controller::{out, ManagedController};
+use support::managed_controller::{out_of_service, ManagedController};
 
 const OVERRIDES: usize = 200;
 
@@ -16,7 +16,9 @@
     for n in 0..OVERRIDES {
         let duration_seconds = 4 + n % 5;
         let before = Instant::now();
-        managed.set(&format!("o{n}"), &out(&format!("s-{n}"), &format!("{duration_seconds}s"))).unwrap();
+        managed
+            .set(&format!("o{n}"), &out_of_service(&format!("s-{n}"), &format!("{duration_seconds}s")))
+            .unwrap();
         // The override begins somewhere within the call: counted from its start, the lateness is never understated.
         ends.push(before + Duration::from_secs(duration_seconds as u64));
     }
--- a/crates/controller/tests/channel_limit.rs
+++ b/crates/controller/tests/channel_limit.rs
@@ -27,7 +27,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 use support::channel_model::ChannelModel;
-use support::rig::{Rig, UNKNOWN};
+use support::rig::{Rig, OUTCOME_UNKNOWN};
 use support::{ControllerProcess, FakeDiscovery, FakeRelay, RegistryWatch, RelayRequest};
 use whinwall_policy::time::Span;
 use whinwall_protocol::relay::Response;
@@ -54,7 +54,7 @@
 
 /// A controller of this fleet that knows nothing yet.
 fn rig_with(change: impl Fn(&mut serde_json::Value)) -> Rig {
-    let mut rig = Rig::with(SLICES as u32, |settings| {
+    let mut rig = Rig::with_settings(SLICES as u32, |settings| {
         limit_queue(settings);
         change(settings);
     });
@@ -79,7 +79,7 @@
         rig.now = rig.now + Span::ms(20);
         rig.drain_input();
         let Some(request) = rig.pending_request.take() else { continue };
-        let accepted = channel.carry_out(&request);
+        let accepted = channel.apply_request(&request);
         rig.apply(Event::RelayResponse(Ok(Response::Accepted(accepted))));
         for proxy in acknowledging {
             for version in channel.deliver_all(*proxy) {
@@ -181,8 +181,8 @@
     // Each attempt is carried out, and its answer lost.
     for _ in 0..100 {
         if let Some(request) = rig.pending_request.take() {
-            channel.carry_out(&request);
-            rig.apply(UNKNOWN);
+            channel.apply_request(&request);
+            rig.apply(OUTCOME_UNKNOWN);
         }
         rig.now = rig.now + Span::ms(100);
         rig.drain_input();
@@ -238,7 +238,7 @@
         let (mut relay, mut discovery) = (FakeRelay::start(), FakeDiscovery::start());
         let program =
             ControllerProcess::start_with(&relay, &discovery, |file| limit_queue(&mut file["settings"]));
-        let registry_watch = discovery.watch(0);
+        let registry_watch = discovery.accept_watch(0);
         let relay_watch = relay.serve_fleet_snapshot(REPLICAS, SLICES, ALL_PROXIES.end as usize);
         let mut deployment = Deployment {
             relay,
@@ -257,14 +257,14 @@
     fn send_list(&mut self) {
         self.list_version += 1;
         self.accept_renewed_registry_watch();
-        self.registry_watch.list(self.list_version, true, &self.states);
+        self.registry_watch.send_list(self.list_version, true, &self.states);
     }
 
     /// The controller renews a watch without changes.
     fn accept_renewed_registry_watch(&mut self) {
         if let Some(renewed) = self.discovery.messages.receiver.try_iter().last() {
             self.registry_watch = renewed;
-            self.registry_watch.list(self.list_version, true, &self.states);
+            self.registry_watch.send_list(self.list_version, true, &self.states);
         }
     }
 
@@ -296,7 +296,7 @@
     }
 
     fn serve_request(&mut self, request: RelayRequest, acknowledging: &[u32]) {
-        self.channel.carry_out(&request.line);
+        self.channel.apply_request(&request.line);
         request.accept();
         for proxy in acknowledging {
             for version in self.channel.deliver_all(*proxy) {
@@ -345,7 +345,7 @@
     rig.request_logs.clear();
     rig.drain("s-2");
     rig.pending_request = None;
-    rig.apply(UNKNOWN);
+    rig.apply(OUTCOME_UNKNOWN);
     rig.drain_input();
     let request = rig.pending_request.clone().expect("it is resent");
     let version = request.split("SYNC,").nth(1).and_then(|sync| sync.split(',').next()).expect("a version");
--- a/crates/controller/tests/cores.rs
+++ b/crates/controller/tests/cores.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::managed_controller::{out, ManagedController};
+use support::managed_controller::{out_of_service, ManagedController};
 use support::{ControllerProcess, Peer};
 
 fn with_cores(cores: usize) -> ManagedController {
@@ -35,7 +35,7 @@
 fn outlier_is_withdrawn_and_overrides_apply_with_four_cores() {
     let mut managed = with_cores(4);
     let mut collectors: Vec<_> = (0..6).map(|_| collector(&mut managed)).collect();
-    managed.set("a", &out("s-3", "1h")).unwrap();
+    managed.set("a", &out_of_service("s-3", "1h")).unwrap();
     managed.fleet.wait_for_command("OUT,s-3");
     let end = Instant::now() + support::TEST_TIMEOUT;
     while !managed.fleet.has_received("OUT,s-1") {
--- a/crates/controller/tests/descriptors.rs
+++ b/crates/controller/tests/descriptors.rs
@@ -79,7 +79,7 @@
 #[test]
 fn crowd_that_comes_at_once_is_taken_up() {
     const CROWD: usize = 400;
-    let (_relay, _discovery, program) = start_all();
+    let (_relay, _discovery, program) = start_with_fakes();
     program.pause();
     let connect = || TcpStream::connect_timeout(&program.address, Duration::from_millis(500));
     let crowd: Vec<_> = (0..CROWD).map_while(|_| connect().ok()).collect();
--- a/crates/controller/tests/event_races.rs
+++ b/crates/controller/tests/event_races.rs
@@ -16,7 +16,7 @@
 /// requests than the window allows, and they go on after the window.
 fn keeps_the_message_cap(slices: u32, pause: Span, answer: impl Fn() -> Event) {
     let (cap, window) = (10, Span::ms(10_000));
-    let mut rig = Rig::with(slices, |settings| {
+    let mut rig = Rig::with_settings(slices, |settings| {
         settings["familyInfo"]["updateCap"] = json!(cap);
         settings["familyInfo"]["reloadSpanNs"] = json!(window.as_ns());
     })
@@ -41,7 +41,7 @@
 /// are no more of them than the window allows, however long the relay does not respond.
 #[test]
 fn resends_of_unknown_outcome_keep_the_message_cap() {
-    keeps_the_message_cap(12, Span::ms(100), || UNKNOWN);
+    keeps_the_message_cap(12, Span::ms(100), || OUTCOME_UNKNOWN);
 }
 
 /// Where the relay accepts one command of each request, the remaining commands are a message of their own.
@@ -54,8 +54,8 @@
 /// acknowledged that its requests are held back, however long that takes (rule 2).
 #[test]
 fn single_writer_is_replaced_only_once_all_proxies_have_acknowledged() {
-    let mut rig =
-        Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).start_serving();
+    let mut rig = Rig::with_settings(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true))
+        .start_serving();
     rig.advance_ms(10_000);
     let before = rig.requests.len();
     let proxies = std::mem::replace(&mut rig.proxies, 3);
@@ -75,8 +75,8 @@
 #[test]
 fn granted_single_writer_slice_keeps_its_owner_for_the_tenure() {
     let tenure = 4000;
-    let mut rig =
-        Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).start_serving();
+    let mut rig = Rig::with_settings(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true))
+        .start_serving();
     rig.advance_ms(20_000);
     rig.relay_event("* GRANT 2 0");
     rig.advance_ms(1000);
@@ -98,7 +98,7 @@
 #[test]
 fn consecutive_drains_get_a_message_within_the_grace() {
     let grace = Span::ms(2000);
-    let mut rig = Rig::with(60, |settings| {
+    let mut rig = Rig::with_settings(60, |settings| {
         settings["familyInfo"]["singleWriter"] = json!(true);
         settings["familyInfo"]["updateCap"] = json!(12);
         settings["obligations"]["drainGraceNs"] = json!(grace.as_ns());
@@ -127,7 +127,7 @@
 /// that had to hold requests back (kitchen-help, roll+mass 21: four messages of 80 lines).
 #[test]
 fn restart_of_a_single_writer_admits_no_other() {
-    let mut rig = Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true));
+    let mut rig = Rig::with_settings(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true));
     rig.send_list();
     rig.relay_event("OK");
     rig.relay_event("* SUBSCRIBE 7 north 21.5 0");
@@ -143,7 +143,7 @@
 #[test]
 fn lost_acknowledgements_leave_capacity_for_drains() {
     let grace = 1500;
-    let mut rig = Rig::with(300, |settings| {
+    let mut rig = Rig::with_settings(300, |settings| {
         settings["familyInfo"]["queueCap"] = json!(400);
         settings["obligations"]["drainGraceNs"] = json!(Span::ms(grace).as_ns());
     })
@@ -173,7 +173,7 @@
 #[test]
 fn reinstatements_without_slices_delay_no_drain() {
     let grace = Span::ms(1500);
-    let mut rig = Rig::with(20, |settings| {
+    let mut rig = Rig::with_settings(20, |settings| {
         settings["familyInfo"]["partitionsN"] = json!(100);
         settings["familyInfo"]["queueCap"] = json!(150);
         settings["obligations"]["drainGraceNs"] = json!(grace.as_ns());
@@ -191,7 +191,7 @@
             match &rig.pending_request {
                 Some(request) if is_mute && request.contains("IN,") => {
                     rig.pending_request = None;
-                    rig.apply(UNKNOWN);
+                    rig.apply(OUTCOME_UNKNOWN);
                 }
                 _ => rig.accept_request(),
             }
@@ -304,7 +304,7 @@
 #[test]
 fn replica_names_do_not_influence_decisions() {
     let run = |request_classes: [&str; 2], zones: [&str; 3], machine: &str| {
-        let mut rig = Rig::with(12, |settings| {
+        let mut rig = Rig::with_settings(12, |settings| {
             settings["classes"][0]["name"] = json!(request_classes[0]);
             settings["classes"][1]["name"] = json!(request_classes[1]);
             settings["zones"] = json!(zones);
@@ -418,7 +418,7 @@
     /// Applies the request in flight, or does not, and responds truly or otherwise.
     fn answer(&mut self, is_done: bool, answer: impl FnOnce(usize) -> Event) {
         let Some(request) = self.rig.pending_request.take() else { return };
-        let commands = if is_done { self.rig.carry_out(&request) } else { request.split(';').count() };
+        let commands = if is_done { self.rig.apply_request(&request) } else { request.split(';').count() };
         self.open = self.open.take().map(|(open, _)| (open, is_done));
         self.rig.apply(answer(commands));
     }
@@ -428,7 +428,7 @@
         let commands: Vec<_> = request["APPLY ".len()..].split(';').collect();
         let stand = commands[..taken.min(commands.len())].join(";");
         if !stand.is_empty() {
-            self.rig.carry_out(&format!("APPLY {stand}"));
+            self.rig.apply_request(&format!("APPLY {stand}"));
         }
         // At the second refusal the first command is skipped, and nothing may be left.
         let may_be_over = taken >= commands.len() || commands.len() == 1;
@@ -475,7 +475,7 @@
                 send_list(&mut self.rig, self.version, false, Vec::new());
             }
             3 => self.rig.apply(Event::EndpointListWatchLost(StreamError::TimedOut)),
-            4 | 5 => self.answer(event % 18 == 4, |_| UNKNOWN),
+            4 | 5 => self.answer(event % 18 == 4, |_| OUTCOME_UNKNOWN),
             6 => self
                 .answer(false, |_| Event::RelayResponse(Ok(Response::Retryable("ERR unavailable".into())))),
             7 => self.is_short(n as usize % 3),
@@ -515,7 +515,7 @@
 fn requests_keep_their_order_and_slices_under_drawn_events() {
     for seed in 0..240 {
         let events = Events::arbitrary(&mut Gen::from_size_and_seed(160, seed));
-        let rig = Rig::with(12, |settings| {
+        let rig = Rig::with_settings(12, |settings| {
             settings["familyInfo"]["singleWriter"] = json!(seed % 3 == 0);
             settings["familyInfo"]["updateCap"] = json!(if seed % 2 == 0 { 0 } else { 12 });
         });
@@ -561,8 +561,8 @@
 /// made all migrated slices look new, and forgot which requests are held back.
 #[test]
 fn single_writer_tables_are_known_again_after_a_broken_watch() {
-    let mut rig =
-        Rig::with(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true)).start_serving();
+    let mut rig = Rig::with_settings(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true))
+        .start_serving();
     rig.advance_ms(10_000);
     rig.drain("s-2");
     rig.advance_ms(20_000);
@@ -614,7 +614,7 @@
 /// must not wait until it is given up (kitchen-help, soak: 44.85 s to 49.0 s without a request).
 #[test]
 fn resends_that_were_never_applied_delay_no_drain() {
-    let mut rig = Rig::with(60, |settings| {
+    let mut rig = Rig::with_settings(60, |settings| {
         settings["familyInfo"]["singleWriter"] = json!(true);
         settings["familyInfo"]["fixedCost"] = json!(30);
         settings["familyInfo"]["queueCap"] = json!(525);
@@ -628,7 +628,7 @@
     rig.send_list();
     rig.drain_input();
     assert!(rig.pending_request.take().is_some());
-    rig.apply(UNKNOWN);
+    rig.apply(OUTCOME_UNKNOWN);
     rig.drain_input();
     rig.advance_ms(300);
     let before = rig.requests.len();
@@ -647,7 +647,7 @@
 fn drains_of_slices_from_killed_controllers_get_messages_within_the_grace() {
     const OWN: u32 = 200;
     let grace = Span::ms(3700);
-    let mut rig = Rig::with(600, |settings| {
+    let mut rig = Rig::with_settings(600, |settings| {
         settings["familyInfo"]["singleWriter"] = json!(true);
         settings["familyInfo"]["updateCap"] = json!(12);
         settings["familyInfo"]["queueCap"] = json!(1030);
@@ -672,14 +672,14 @@
     let mut due = Vec::new();
     for (drained, pause) in [(14..28, 800), (28..47, 1000), (47..54, 0)] {
         drained.for_each(|n| _ = rig.replicas.insert(format!("s-{n}"), "leaving"));
-        due.push((rig.now + grace, rig.still_sent_to_leaving()));
+        due.push((rig.now + grace, rig.slices_sent_to_draining_replicas()));
         rig.send_list();
         rig.drain_input();
         rig.advance_ms(pause);
     }
     for (end, slices) in due {
         rig.advance_ms((end - rig.now).as_ns() / 1_000_000);
-        let late: Vec<_> = rig.still_sent_to_leaving().intersection(&slices).copied().collect();
+        let late: Vec<_> = rig.slices_sent_to_draining_replicas().intersection(&slices).copied().collect();
         assert!(late.is_empty(), "of {} slices still sent to servers that drain: {late:?}", slices.len());
     }
 }
@@ -690,7 +690,7 @@
 #[test]
 fn deferrable_commands_leave_messages_for_drains() {
     for moving in [5000, 7000, 9000] {
-        let mut rig = Rig::with(600, |settings| {
+        let mut rig = Rig::with_settings(600, |settings| {
             settings["familyInfo"]["singleWriter"] = json!(true);
             settings["familyInfo"]["updateCap"] = json!(12);
             settings["familyInfo"]["queueCap"] = json!(1030);
@@ -708,7 +708,7 @@
         for replica in ["s-30", "s-31"] {
             rig.drain(replica);
             rig.advance_ms(250);
-            let late = rig.still_sent_to_leaving();
+            let late = rig.slices_sent_to_draining_replicas();
             assert!(late.is_empty(), "{replica} drains after {moving} ms: {late:?}");
             rig.advance_ms(250);
         }
@@ -720,7 +720,7 @@
 /// size: 39 commands in four messages 1.3 s apart).
 #[test]
 fn drains_after_a_restart_are_not_split_into_small_messages() {
-    let mut rig = Rig::with(78, |settings| {
+    let mut rig = Rig::with_settings(78, |settings| {
         settings["familyInfo"]["singleWriter"] = json!(true);
         settings["familyInfo"]["updateCap"] = json!(10);
         settings["familyInfo"]["fixedCost"] = json!(25);
@@ -737,6 +737,6 @@
     // One proxy's acks are on their way all that time.
     rig.proxies -= 1;
     rig.advance_ms(2500);
-    let late = rig.still_sent_to_leaving();
+    let late = rig.slices_sent_to_draining_replicas();
     assert!(late.is_empty(), "{} of 39 are still sent to servers that drain: {late:?}", late.len());
 }
--- a/crates/controller/tests/large_fleet.rs
+++ b/crates/controller/tests/large_fleet.rs
@@ -47,7 +47,7 @@
         file["settings"]["zones"] = (0..ZONES).map(zone).collect();
         file["settings"]["peersTotal"] = json!(MANY);
     });
-    let watch = discovery.watch(1);
+    let watch = discovery.accept_watch(1);
     let say = |list: Value| watch.lines.send(format!("{list}\n")).unwrap();
     say(list(1, (0..MANY).map(|n| (n, "active"))));
     let joined = |n| {
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -9,14 +9,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use support::fake_fleet::RelayBehaviour;
-use support::managed_controller::{out, ManagedController};
+use support::managed_controller::{out_of_service, ManagedController};
 use whinwall_management_api::client::ClientError;
 use whinwall_management_api::wire::{KindName, SetBody};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn pin(slices: &str, replica: &str, lasts: &str) -> SetBody {
-    SetBody { kind: KindName::Pin, slices: Some(slices.into()), ..out(replica, lasts) }
+    SetBody { kind: KindName::Pin, slices: Some(slices.into()), ..out_of_service(replica, lasts) }
 }
 
 fn until(file: &str, replica: &str, in_s: u64) -> String {
@@ -29,7 +29,7 @@
 #[test]
 fn override_is_listed_with_its_expiry_and_reverts_within_a_second() {
     let mut managed = ManagedController::start(4, 12);
-    let set = managed.set("a", &out("s-1", "2s")).unwrap();
+    let set = managed.set("a", &out_of_service("s-1", "2s")).unwrap();
     let began = Instant::now();
     assert_eq!((set.outcome.as_str(), set.durability.as_str()), ("set", "on disk"));
     managed.fleet.wait_for_command("OUT,s-1");
@@ -41,7 +41,7 @@
     let item = managed.item("a");
     assert!(item.state == "ended" && item.cause.unwrap().starts_with("expired at"));
     // Set again with the same id it does not stand again.
-    assert_eq!(managed.set("a", &out("s-1", "2s")).unwrap().outcome, "set before");
+    assert_eq!(managed.set("a", &out_of_service("s-1", "2s")).unwrap().outcome, "set before");
 }
 
 #[test]
@@ -64,10 +64,10 @@
 #[test]
 fn override_survives_a_kill_and_downtime_counts() {
     let mut managed = ManagedController::start(4, 12);
-    managed.set("a", &out("s-1", "3s")).unwrap();
+    managed.set("a", &out_of_service("s-1", "3s")).unwrap();
     let began = Instant::now();
     managed.fleet.wait_for_command("OUT,s-1");
-    managed.set("b", &out("s-2", "1h")).unwrap();
+    managed.set("b", &out_of_service("s-2", "1h")).unwrap();
     managed.fleet.wait_for_command("OUT,s-2");
     managed.program = None;
     thread::sleep(SECOND);
@@ -123,7 +123,7 @@
 #[test]
 fn override_that_expires_during_a_drain_does_not_reinstate_the_replica() {
     let mut managed = ManagedController::start(4, 12);
-    managed.set("a", &out("s-1", "2s")).unwrap();
+    managed.set("a", &out_of_service("s-1", "2s")).unwrap();
     managed.fleet.wait_for_command("OUT,s-1");
     managed.fleet.set_listed_state(1, "leaving", 0);
     managed.wait_for_item("a", |item| item.state == "ended");
@@ -135,7 +135,7 @@
 #[test]
 fn replica_that_rejoins_under_its_name_stays_out_of_service() {
     let mut managed = ManagedController::start(4, 12);
-    managed.set("a", &out("s-1", "1h")).unwrap();
+    managed.set("a", &out_of_service("s-1", "1h")).unwrap();
     managed.fleet.wait_for_command("OUT,s-1");
     managed.fleet.set_listed_state(1, "left", 0);
     managed.wait_for_item("a", |item| item.state == "absent");
@@ -148,7 +148,7 @@
 fn override_expires_on_time_while_the_relay_is_unreachable_or_silent() {
     for behaviour in [RelayBehaviour::Unreachable, RelayBehaviour::Silent] {
         let mut managed = ManagedController::start(4, 12);
-        managed.set("a", &out("s-1", "2s")).unwrap();
+        managed.set("a", &out_of_service("s-1", "2s")).unwrap();
         let began = Instant::now();
         managed.fleet.wait_for_command("OUT,s-1");
         managed.fleet.set_relay_behaviour(behaviour);
@@ -166,7 +166,7 @@
 fn slice_keeps_an_endpoint_when_all_its_replicas_are_out_of_service() {
     let managed = ManagedController::start(3, 6);
     for replica in ["s-0", "s-1", "s-2"] {
-        managed.set(replica, &out(replica, "1h")).unwrap();
+        managed.set(replica, &out_of_service(replica, "1h")).unwrap();
     }
     managed.wait_for_item("s-0", |item| item.state == "in force");
     let second = managed.wait_for_item("s-1", |item| item.state == "suspended");
@@ -192,7 +192,7 @@
     assert!(line.contains("operators.xml: line 6, column 1: <out>"), "{line}");
     assert_eq!(managed.item("f-1").state, "in force");
     // One that can't be because of another is refused too, and the former stay.
-    managed.set("f-3", &out("s-3", "1h")).unwrap();
+    managed.set("f-3", &out_of_service("s-3", "1h")).unwrap();
     managed.write_operators_file(&format!("<overrides>{}</overrides>", until("f-3", "s-2", 3600)));
     hang_up(&mut managed);
     managed.wait_for_log("f-3 is another override already");
@@ -207,7 +207,7 @@
 #[test]
 fn corrupt_store_file_is_set_aside_and_the_program_goes_on() {
     let mut managed = ManagedController::start(4, 12);
-    managed.set("a", &out("s-1", "1h")).unwrap();
+    managed.set("a", &out_of_service("s-1", "1h")).unwrap();
     managed.program = None;
     let store = managed.path("store").join("overrides.redb");
     let bytes = std::fs::read(&store).unwrap();
@@ -218,7 +218,7 @@
     assert!(line.contains("overrides.redb.spoilt-1"), "{line}");
     managed.wait_for_log("override store read");
     assert!(managed.list().is_empty());
-    managed.set("b", &out("s-2", "1h")).unwrap();
+    managed.set("b", &out_of_service("s-2", "1h")).unwrap();
     managed.fleet.wait_for_command("OUT,s-2");
 }
 
@@ -226,7 +226,7 @@
 #[test]
 fn full_disk_rejects_new_overrides_and_clearing_works() {
     let mut managed = ManagedController::start(4, 12);
-    managed.set("a", &out("s-1", "1h")).unwrap();
+    managed.set("a", &out_of_service("s-1", "1h")).unwrap();
     managed.program = None;
     let size = std::fs::metadata(managed.path("store").join("overrides.redb")).unwrap().len().div_ceil(512);
     let (plain, file) = managed.command();
@@ -246,7 +246,8 @@
     let (refused, why) = (0..1000)
         .find_map(|n| {
             let (id, reason, factor) = (format!("w{n}"), "x".repeat(200), Some(1.5));
-            let weight = SetBody { kind: KindName::Weight, factor, reason, ..out(&format!("s-{n}"), "1h") };
+            let weight =
+                SetBody { kind: KindName::Weight, factor, reason, ..out_of_service(&format!("s-{n}"), "1h") };
             match managed.set(&id, &weight) {
                 Ok(_) => {
                     kept.push(id);
@@ -265,7 +266,7 @@
     managed.program = None;
     managed.restart();
     assert!(kept.iter().all(|id| is_there(&managed, id)) && !is_there(&managed, &refused));
-    managed.set(&refused, &out("s-2", "1h")).unwrap();
+    managed.set(&refused, &out_of_service("s-2", "1h")).unwrap();
 }
 
 /// `list` right after a start missed acknowledged overrides, as it was answered before the store was read: here another
@@ -273,7 +274,7 @@
 #[test]
 fn list_is_not_answered_before_the_store_is_read() {
     let mut managed = ManagedController::start(4, 12);
-    managed.set("a", &out("s-1", "1h")).unwrap();
+    managed.set("a", &out_of_service("s-1", "1h")).unwrap();
     managed.program = None;
     let mut holder = whinwall_override_store::OverrideStore::new(managed.path("store"));
     holder.open().unwrap();
--- a/crates/controller/tests/process_races.rs
+++ b/crates/controller/tests/process_races.rs
@@ -15,11 +15,11 @@
 
 /// A serving controller, with a relay request in flight.
 fn with_request_in_flight() -> (FakeRelay, FakeDiscovery, ControllerProcess, RegistryWatch, RelayRequest) {
-    let (mut relay, mut discovery, program) = start_all();
+    let (mut relay, mut discovery, program) = start_with_fakes();
     let watch = discovery.serve_snapshot();
     let _watch_connection = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
-    watch.list(42, false, &["active", "leaving"]);
+    watch.send_list(42, false, &["active", "leaving"]);
     let open = relay.accept_requests_until("OUT,s-1;");
     (relay, discovery, program, watch, open)
 }
@@ -29,7 +29,7 @@
     let (relay, _discovery, mut program, watch, open) = with_request_in_flight();
     program.pause();
     // The cause of a newer request, the response and the signal, all at once.
-    watch.list(43, false, &["leaving"]);
+    watch.send_list(43, false, &["leaving"]);
     open.accept();
     program.signal(Signal::TERM);
     program.resume();
@@ -73,7 +73,7 @@
 
 #[test]
 fn shutdown_replies_to_peers_that_asked_before() {
-    let (_relay, _discovery, mut program) = start_all();
+    let (_relay, _discovery, mut program) = start_with_fakes();
     program.pause();
     let mut check = program.connect();
     check.send_line(r#"{"@type":"PING"}"#);
@@ -136,7 +136,7 @@
 /// The watch is open and sends heartbeats, but not the change.
 #[test]
 fn registry_watch_that_sends_only_heartbeats_is_renewed() {
-    let (mut relay, mut discovery, _program) = start_all();
+    let (mut relay, mut discovery, _program) = start_with_fakes();
     let deaf = discovery.serve_snapshot();
     let _watch_connection = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
@@ -147,8 +147,8 @@
             thread::sleep(Duration::from_millis(200));
         }
     });
-    let watch = discovery.watch(41);
-    watch.list(42, false, &["active", "leaving"]);
+    let watch = discovery.accept_watch(41);
+    watch.send_list(42, false, &["active", "leaving"]);
     relay.accept_requests_until("OUT,s-1;").accept();
     ends.store(true, Ordering::Relaxed);
     alive.join().unwrap();
@@ -162,14 +162,14 @@
     open.stream.write_all(format!("{answer}{answer}").as_bytes()).unwrap();
     program.wait_for_log("unsolicited relay response");
     let _watch_connection = relay.serve_snapshot();
-    watch.list(43, false, &["leaving"]);
+    watch.send_list(43, false, &["leaving"]);
     relay.accept_requests_until("OUT,s-0;").accept();
 }
 
 /// The relay closes the idle connection at the instant at which a request is due: it is sent once, on a new connection.
 #[test]
 fn request_due_as_the_idle_connection_closes_uses_a_new_connection() {
-    let (mut relay, mut discovery, mut program) = start_all();
+    let (mut relay, mut discovery, mut program) = start_with_fakes();
     let watch = discovery.serve_snapshot();
     let _watch_connection = relay.serve_snapshot();
     let idle = relay.accept_requests_until("SYNC");
@@ -177,13 +177,13 @@
     idle.accept();
     program.connect().ping();
     program.pause();
-    watch.list(42, false, &["active", "leaving"]);
+    watch.send_list(42, false, &["active", "leaving"]);
     way.shutdown(std::net::Shutdown::Both).unwrap();
     program.resume();
     let mut request = relay.accept_requests_until("OUT,s-1;");
     assert_ne!(request.stream.peer_addr().unwrap(), way.peer_addr().unwrap_or(program.address));
     request.stream.write_all(format!("OK {}\r\n", request.line.split(';').count()).as_bytes()).unwrap();
-    watch.list(43, false, &["leaving"]);
+    watch.send_list(43, false, &["leaving"]);
     relay.accept_requests_until("OUT,s-0;").accept();
     program.signal(Signal::TERM);
     assert!(program.wait_for_exit().success());
@@ -215,7 +215,7 @@
 /// Input is unread when the close reason is sent: closing then would reset the connection, and the reason might be lost.
 #[test]
 fn close_reason_arrives_despite_unread_input() {
-    let (_relay, _discovery, program) = start_all();
+    let (_relay, _discovery, program) = start_with_fakes();
     program.pause();
     let mut unauthenticated = program.connect();
     unauthenticated.stream.write_all(b"GET / HTTP/1.1\r\n").unwrap();
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -99,12 +99,12 @@
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let first = rig.pending_request.take().unwrap();
-    rig.apply(UNKNOWN);
+    rig.apply(OUTCOME_UNKNOWN);
     // What is learnt meanwhile makes no call of its own.
     rig.drain("s-3");
     assert_eq!(rig.pending_request.as_ref(), Some(&first), "the first repeat is made at once");
     rig.pending_request = None;
-    rig.apply(UNKNOWN);
+    rig.apply(OUTCOME_UNKNOWN);
     rig.drain_input();
     assert_eq!(
         rig.pending_request, None,
@@ -124,13 +124,14 @@
 #[test]
 fn requests_of_unknown_outcome_do_not_overfill_the_channel() {
     let cap = 400;
-    let mut rig = Rig::with(300, |settings| settings["familyInfo"]["queueCap"] = json!(cap)).start_serving();
+    let mut rig =
+        Rig::with_settings(300, |settings| settings["familyInfo"]["queueCap"] = json!(cap)).start_serving();
     rig.drain("s-2");
     let (mut waiting, mut calls) = (0, 0);
     for _ in 0..20 {
         if let Some(call) = rig.pending_request.take() {
             (waiting, calls) = (waiting + (call.split(';').count() + 8) * rig.proxies as usize, calls + 1);
-            rig.apply(UNKNOWN);
+            rig.apply(OUTCOME_UNKNOWN);
         }
         assert!(waiting <= cap, "{waiting} lines in {calls} calls");
         rig.now = rig.now + Span::ms(100);
@@ -165,7 +166,7 @@
     ];
     assert_eq!(rig.other_effects, expected);
     rig.pending_request = None;
-    rig.apply(UNKNOWN);
+    rig.apply(OUTCOME_UNKNOWN);
     rig.drain("s-3");
     assert_eq!((rig.pending_request.as_ref(), rig.relay), (Some(&first), Some(targets.relay)));
     rig.other_effects.clear();
@@ -213,7 +214,7 @@
 #[test]
 fn lost_acknowledgements_are_covered_by_later_ones() {
     let single = |settings: &mut serde_json::Value| settings["familyInfo"]["singleWriter"] = true.into();
-    let mut rig = Rig::with(12, single).start_serving();
+    let mut rig = Rig::with_settings(12, single).start_serving();
     rig.advance_ms(5000);
     rig.drain("s-2");
     let proxies = std::mem::take(&mut rig.proxies);
@@ -310,7 +311,7 @@
     rig.drain("s-2");
     assert!(rig.pending_request.take().unwrap().contains("SET,8,s-2,0"));
     rig.relay_event("* GRANT 8 0");
-    rig.apply(UNKNOWN);
+    rig.apply(OUTCOME_UNKNOWN);
     rig.drain_input();
     let again = rig.pending_request.clone().unwrap();
     assert!(again.contains("SET,2,s-2,0") && !again.contains(",8,"), "{again}");
@@ -372,7 +373,7 @@
 
 #[test]
 fn list_is_polled_though_the_relay_is_silent() {
-    let mut rig = Rig::with(12, |settings| settings["membershipMode"] = "ask".into());
+    let mut rig = Rig::with_settings(12, |settings| settings["membershipMode"] = "ask".into());
     rig.drain_input();
     assert_eq!(
         rig.other_effects,
@@ -393,7 +394,7 @@
 
 #[test]
 fn reply_too_large_for_a_request_becomes_several_in_order() {
-    let mut rig = Rig::with(5000, |_| {});
+    let mut rig = Rig::with_settings(5000, |_| {});
     rig.send_list();
     rig.send_snapshot(&[]);
     rig.advance_ms(4000);
@@ -437,9 +438,9 @@
                 2 | 3 => {
                     if let Some(call) = rig.pending_request.take() {
                         if deed % 9 == 2 {
-                            rig.carry_out(&call);
+                            rig.apply_request(&call);
                         }
-                        rig.apply(UNKNOWN);
+                        rig.apply(OUTCOME_UNKNOWN);
                         rig.drain_input();
                     }
                 }
--- a/crates/controller/tests/reducer_overrides.rs
+++ b/crates/controller/tests/reducer_overrides.rs
@@ -57,13 +57,13 @@
     let open = rig.pending_request.take().expect("the drain's call");
     for _ in 0..30 {
         rig.now = rig.now + Span::ms(100);
-        rig.apply(UNKNOWN);
+        rig.apply(OUTCOME_UNKNOWN);
         rig.drain_input();
         rig.pending_request = None;
     }
     assert!(rig.standing_overrides().is_empty());
     assert!(!rig.requests.join(" ").contains("IN,s-1"), "nothing newer before it: {open}");
-    rig.apply(UNKNOWN);
+    rig.apply(OUTCOME_UNKNOWN);
     rig.drain_input();
     rig.advance_ms(1000);
     assert!(rig.requests.join(" ").contains("IN,s-1"), "and then at once");
@@ -158,7 +158,7 @@
                     rig.resend_snapshot_if_requested();
                 }
                 _ if rig.pending_request.take().is_some() => {
-                    rig.apply(UNKNOWN);
+                    rig.apply(OUTCOME_UNKNOWN);
                     rig.drain_input();
                 }
                 _ => {}
--- a/crates/controller/tests/shutdown.rs
+++ b/crates/controller/tests/shutdown.rs
@@ -12,7 +12,7 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
-use support::managed_controller::{out, ManagedController};
+use support::managed_controller::{out_of_service, ManagedController};
 use support::*;
 
 /// The kill comes 0.7 s after the first signal.
@@ -22,7 +22,7 @@
 const PONG: &str = "{\"@type\":\"PONG\"}\n";
 
 fn set_request(id: &str, replica: &str) -> String {
-    let body = serde_json::to_string(&out(replica, "1h")).unwrap();
+    let body = serde_json::to_string(&out_of_service(replica, "1h")).unwrap();
     let length = body.len();
     format!("PUT /v1/overrides/{id} HTTP/1.1\r\nhost: n0\r\ncontent-length: {length}\r\n\r\n{body}")
 }
@@ -227,7 +227,7 @@
 /// Their default action would have ended the program at once.
 #[test]
 fn user_signals_and_broken_pipes_do_not_end_the_program() {
-    let (_relay, _discovery, mut program) = start_all();
+    let (_relay, _discovery, mut program) = start_with_fakes();
     for signal in [Signal::USR1, Signal::USR2, Signal::PIPE, Signal::USR1] {
         program.signal(signal);
         program.connect().ping();
@@ -241,7 +241,7 @@
 fn half_a_line_does_not_hold_the_end_up() {
     /// What the program waits for at the least, and what the rest of a line, of a peer that is there, may take.
     const QUIET_PERIOD_AND_REST_OF_LINE: Duration = Duration::from_millis(50 + 20);
-    let (_relay, _discovery, mut program) = start_all();
+    let (_relay, _discovery, mut program) = start_with_fakes();
     let mut took = Vec::new();
     for _ in 0..5 {
         let mut in_part = program.connect();
@@ -252,7 +252,7 @@
         assert!(program.wait_for_exit().success());
         took.push(began.elapsed());
         assert!(read_to_end(in_part.reader, "in part").contains("shutting down"));
-        let (_, _, next) = start_all();
+        let (_, _, next) = start_with_fakes();
         program = next;
     }
     took.sort();
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -45,12 +45,12 @@
 
 #[test]
 fn drain_in_the_endpoint_list_withdraws_the_replica() {
-    let (mut relay, mut discovery, mut program) = start_all();
+    let (mut relay, mut discovery, mut program) = start_with_fakes();
     program.connect().ping();
     let watch = discovery.serve_snapshot();
     let _news = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
-    watch.list(42, false, &["active", "leaving"]);
+    watch.send_list(42, false, &["active", "leaving"]);
     let call = relay.accept_requests_until("OUT,s-1;");
     assert!(call.line.contains("SET,1,s-1,0") && call.line.contains("SET,4,s-1,0"), "{}", call.line);
     call.accept();
@@ -60,7 +60,7 @@
 
 #[test]
 fn collector_reports_lead_to_commands() {
-    let (mut relay, mut discovery, program) = start_all();
+    let (mut relay, mut discovery, program) = start_with_fakes();
     let _watch = discovery.serve_snapshot();
     let _news = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
@@ -90,11 +90,11 @@
 
 #[test]
 fn relay_request_is_retried_until_its_outcome_is_known() {
-    let (mut relay, mut discovery, _program) = start_all();
+    let (mut relay, mut discovery, _program) = start_with_fakes();
     let watch = discovery.serve_snapshot();
     let _news = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
-    watch.list(42, false, &["active", "leaving"]);
+    watch.send_list(42, false, &["active", "leaving"]);
     let first = relay.accept_requests_until("OUT,s-1;");
     let line = first.line.clone();
     let mut way = first.stream;
@@ -116,7 +116,7 @@
 
 #[test]
 fn relay_watch_is_reopened_when_it_is_lost() {
-    let (mut relay, mut discovery, mut program) = start_all();
+    let (mut relay, mut discovery, mut program) = start_with_fakes();
     let _watch = discovery.serve_snapshot();
     let stands = |line: &String| line.contains("proxies=3 slices=6 ");
     let mut news = relay.serve_snapshot();
@@ -134,35 +134,35 @@
 
 #[test]
 fn registry_watch_is_reopened_when_it_is_lost() {
-    let (_relay, mut discovery, program) = start_all();
-    discovery.serve_snapshot().list(43, false, &["active"]); // and the answer ends
-    let watch = discovery.watch(43);
+    let (_relay, mut discovery, program) = start_with_fakes();
+    discovery.serve_snapshot().send_list(43, false, &["active"]); // and the answer ends
+    let watch = discovery.accept_watch(43);
     watch.lines.send("{\"version\":44,\"full\":false,\"ser".into()).unwrap();
     drop(watch); // cut in half, it counts for nothing
-    let watch = discovery.watch(43);
+    let watch = discovery.accept_watch(43);
     watch.lines.send("\nno list\n".into()).unwrap();
-    let watch = discovery.watch(0); // who says such things may have said wrong ones before
-    watch.list(45, true, &["active"]);
-    let silent = discovery.watch(45); // silence
+    let watch = discovery.accept_watch(0); // who says such things may have said wrong ones before
+    watch.send_list(45, true, &["active"]);
+    let silent = discovery.accept_watch(45); // silence
     program.connect().ping();
     drop((watch, silent));
 }
 
 #[test]
 fn controller_recovers_when_all_connections_fail_at_once() {
-    let (mut relay, mut discovery, program) = start_all();
+    let (mut relay, mut discovery, program) = start_with_fakes();
     let watch = discovery.serve_snapshot();
     let news = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
-    watch.list(42, false, &["leaving"]);
+    watch.send_list(42, false, &["leaving"]);
     let open = relay.accept_requests_until("OUT,s-0;");
     drop(watch);
     _ = news.shutdown(std::net::Shutdown::Both);
     _ = open.stream.shutdown(std::net::Shutdown::Both);
     let _strangers: Vec<_> = (0..40).map(|_| program.connect()).collect();
     // All are back, and more has happened: what was open is carried out, then what is new.
-    let watch = discovery.watch(42);
-    watch.list(43, false, &["leaving", "leaving"]);
+    let watch = discovery.accept_watch(42);
+    watch.send_list(43, false, &["leaving", "leaving"]);
     let _news = relay.serve_snapshot();
     relay.wait_for_request("OUT,s-0;").accept();
     let call = relay.accept_requests_until("OUT,s-1;");
@@ -187,7 +187,7 @@
 
 #[test]
 fn invalid_peer_is_told_the_reason_and_disconnected() {
-    let (_relay, _discovery, mut program) = start_all();
+    let (_relay, _discovery, mut program) = start_with_fakes();
     let mut collector = program.connect();
     collector.join_zone();
     let met = r#"{"@type":"LOAD","az":"north","host":"s-0","n":9,"bad":0,"avg":41.7,"window":100.0}"#;
@@ -230,11 +230,11 @@
 
 #[test]
 fn configuration_is_reloaded_on_sighup() {
-    let (mut relay, mut discovery, mut program) = start_all();
+    let (mut relay, mut discovery, mut program) = start_with_fakes();
     let watch = discovery.serve_snapshot();
     let _news = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
-    watch.list(42, false, &["active", "leaving"]);
+    watch.send_list(42, false, &["active", "leaving"]);
     let open = relay.accept_requests_until("OUT,s-1;");
     let mut file = example_config();
     for (text, key) in [("{\"name\":", "PROXY_CONFIG"), ("{\"distributor\":{}}", "distributor")] {
@@ -254,7 +254,7 @@
         program.log.wait("limits", |line: &String| {
             line.contains("a changed configuration key needs a restart key=limits")
         });
-        let watch = agent.watch(42 + round);
+        let watch = agent.accept_watch(42 + round);
         _ = open.stream.shutdown(std::net::Shutdown::Both);
         let _news = second.serve_snapshot();
         if round == 0 {
@@ -262,7 +262,7 @@
             assert_eq!(again.line, open.line, "the open call is the first at the new address");
             again.accept();
         }
-        watch.list(43 + round, false, &["leaving", "leaving"]);
+        watch.send_list(43 + round, false, &["leaving", "leaving"]);
         if round == 0 {
             second.accept_requests_until("OUT,s-0;").accept();
         }
@@ -273,7 +273,7 @@
 
 #[test]
 fn shutdown_is_immediate_without_a_request_in_flight() {
-    let (mut relay, _discovery, mut program) = start_all();
+    let (mut relay, _discovery, mut program) = start_with_fakes();
     let _silent = relay.accept_watch();
     kill_process(Pid::from_child(&program.child), Signal::TERM).unwrap();
     assert!(program.wait_for_exit().success());
--- a/crates/controller/tests/support/channel_model.rs
+++ b/crates/controller/tests/support/channel_model.rs
@@ -42,7 +42,7 @@
 
     /// Carries out a request: one message to each proxy, which asks for an acknowledgement of this version. Returns the number
     /// of its commands.
-    pub fn carry_out(&mut self, request: &str) -> usize {
+    pub fn apply_request(&mut self, request: &str) -> usize {
         let commands: Vec<_> = request.strip_prefix("APPLY ").expect("a request").split(';').collect();
         let version = commands.iter().find_map(|command| command.strip_prefix("SYNC,")?.split(',').next());
         let version = version.and_then(|version| version.parse().ok()).expect("a version");
--- a/crates/controller/tests/support/managed_controller.rs
+++ b/crates/controller/tests/support/managed_controller.rs
@@ -15,7 +15,7 @@
     pub memory_mb: f64,
 }
 
-pub fn out(replica: &str, lasts: &str) -> SetBody {
+pub fn out_of_service(replica: &str, lasts: &str) -> SetBody {
     let (author, reason) = ("mb".into(), "disk".into());
     SetBody {
         kind: KindName::Out,
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -168,21 +168,21 @@
         FakeDiscovery { address: address.recv().unwrap(), messages: MessageQueue::new(heard, TEST_TIMEOUT) }
     }
 
-    pub fn watch(&mut self, since: u64) -> RegistryWatch {
+    pub fn accept_watch(&mut self, since: u64) -> RegistryWatch {
         let path = format!("/registry/instances?follow=1&since={since}");
         self.messages.wait(&path, |watch| watch.path == path)
     }
 
     /// Accepts a watch from version 0 and sends it a complete list.
     pub fn serve_snapshot(&mut self) -> RegistryWatch {
-        let watch = self.watch(0);
-        watch.list(41, true, &["active", "active", "active"]);
+        let watch = self.accept_watch(0);
+        watch.send_list(41, true, &["active", "active", "active"]);
         watch
     }
 }
 
 impl RegistryWatch {
-    pub fn list(&self, version: u64, whole: bool, states: &[&str]) {
+    pub fn send_list(&self, version: u64, whole: bool, states: &[&str]) {
         let entry = |(n, state): (usize, &&str)| {
             json!({"id": format!("s-{n}"), "addr": "127.0.0.9:1", "zone": "north", "kind": "m2", "cell": 3,
                 "state": state, "weight": 1.0, "started_ms": 0})
@@ -362,7 +362,7 @@
     }
 }
 
-pub fn start_all() -> (FakeRelay, FakeDiscovery, ControllerProcess) {
+pub fn start_with_fakes() -> (FakeRelay, FakeDiscovery, ControllerProcess) {
     let (relay, discovery) = (FakeRelay::start(), FakeDiscovery::start());
     let program = ControllerProcess::start(&relay, &discovery);
     (relay, discovery, program)
--- a/crates/controller/tests/support/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -33,15 +33,16 @@
 
 pub const RELAY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 6400);
 pub const DISCOVERY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8500);
-pub const UNKNOWN: Event = Event::RelayResponse(Err(RequestError::OutcomeUnknown(StreamError::TimedOut)));
+pub const OUTCOME_UNKNOWN: Event =
+    Event::RelayResponse(Err(RequestError::OutcomeUnknown(StreamError::TimedOut)));
 
 impl Rig {
     /// Six replicas, twelve slices, four proxies; nothing of it told yet.
     pub fn new() -> Self {
-        Rig::with(12, |_| {})
+        Rig::with_settings(12, |_| {})
     }
 
-    pub fn with(slices: u32, change: impl Fn(&mut serde_json::Value)) -> Self {
+    pub fn with_settings(slices: u32, change: impl Fn(&mut serde_json::Value)) -> Self {
         Rig::with_seed(slices, 7, change)
     }
 
@@ -144,7 +145,7 @@
     }
 
     /// Carries out what the call says, and acks its version.
-    pub fn carry_out(&mut self, call: &str) -> usize {
+    pub fn apply_request(&mut self, call: &str) -> usize {
         let orders: Vec<_> = call.strip_prefix("APPLY ").unwrap().split(';').collect();
         for order in &orders {
             match order.split(',').collect::<Vec<_>>()[..] {
@@ -173,7 +174,7 @@
 
     pub fn accept_request(&mut self) {
         let Some(call) = self.pending_request.take() else { return };
-        let taken = self.carry_out(&call);
+        let taken = self.apply_request(&call);
         self.apply(Event::RelayResponse(Ok(Response::Accepted(taken))));
         self.drain_input();
     }
@@ -212,7 +213,7 @@
     }
 
     /// Slices whose tables name a replica that leaves, and whose requests are not halted.
-    pub fn still_sent_to_leaving(&self) -> BTreeSet<u32> {
+    pub fn slices_sent_to_draining_replicas(&self) -> BTreeSet<u32> {
         let mut halted = BTreeSet::new();
         let orders = self.requests.iter().flat_map(|call| call.trim_start_matches("APPLY ").split(';'));
         for order in orders {
