--- a/crates/controller/tests/channel_limit.rs
+++ b/crates/controller/tests/channel_limit.rs
@@ -1,23 +1,21 @@
-//! The limit on lines that wait in the command channel, while proxies come, go and fall behind.
+//! The limit on queued lines in the command channel, while proxies disconnect, return and fall behind.
 //!
-//! The failure that this file begins with: during a release of the replicas, under fault injection, many proxies lost their
-//! streams and came back. Clients were served; monitoring showed once, for a moment, more lines waiting in one controller's
-//! channel than its limit allows. The order of events:
+//! The tests guard against a controller that underestimates the queued lines and exceeds the limit. The failure
+//! comes about as follows:
 //!
-//! 1. The channel is slow: the proxies that stayed connected are seconds behind, and the controller holds its commands back, as
-//!    their lines are not acknowledged.
-//! 2. The other proxies come back. Nothing waits for them, so they get new messages at once, and acknowledge them.
-//! 3. The controller takes these acknowledgements for proof that everything sent before has left the channel, forgets the lines
-//!    that wait for the slow proxies, and fills the channel once more.
+//! 1. The channel is slow. The proxies that stay connected are seconds behind, and the controller holds commands back,
+//!    as their lines are unacknowledged.
+//! 2. Other proxies reconnect. Nothing is queued for them, so that they receive and acknowledge new messages at once.
+//! 3. The controller takes these acknowledgements as proof that all earlier messages have left the channel. It drops
+//!    the lines of the slow proxies from its count and sends more commands.
 //!
-//! The evidence: in a run that broke the limit, all 279 proxies that had stayed were still to acknowledge twelve messages sent
-//! seconds ago (their newest acknowledgements were 7.9 s old) when 111 proxies that had come back acknowledged the newest one
-//! within 0.2 s. In that moment the controller's own count fell from 112,972 to 59,791 lines, and it went on sending. In six
-//! further runs with a first repair, which counted each proxy's lines by themselves, the relay's count of waiting lines agreed
-//! with the lines from the oldest message on that some connected proxy lacks, and with no other count: what is behind such a
-//! message waits as well, also where its proxy has acknowledged it.
+//! In one run 279 slow proxies had twelve messages to acknowledge, and their newest acknowledgements were 7.9 s old,
+//! when 111 reconnected proxies acknowledged the newest message within 0.2 s. The controller's count fell from
+//! 112,972 to 59,791 lines.
 //!
-//! The other tests are of the same kind: the channel is never taken for emptier than it can be.
+//! A count of the unacknowledged lines of each proxy is too low as well. In six further runs the relay counted all
+//! lines from the oldest message on that some connected proxy had not received, also the lines that other proxies had
+//! acknowledged.
 
 mod support;
 
@@ -36,15 +34,16 @@
 
 const REPLICAS: usize = 12;
 const SLICES: usize = 120;
-/// These stay connected and fall behind.
+/// Proxies that stay connected and fall behind.
 const SLOW_PROXIES: std::ops::Range<u32> = 0..6;
-/// These lose their streams, come back, and have nothing waiting.
+/// Proxies that disconnect and reconnect, with nothing queued for them.
 const RETURNING_PROXIES: std::ops::Range<u32> = 6..12;
 const ALL_PROXIES: std::ops::Range<u32> = 0..12;
 const OVERHEAD_LINES: usize = 8;
 const QUEUE_CAPACITY: usize = 1200;
-/// Replicas that are drained while the slow proxies fall behind, and after the others came back.
+/// Replicas that are drained while the returning proxies are disconnected, as the slow proxies fall behind.
 const DRAINED_WHILE_AWAY: std::ops::Range<usize> = 0..3;
+/// Replicas that are drained after the returning proxies have reconnected.
 const DRAINED_AFTER_RETURN: std::ops::Range<usize> = 3..9;
 
 fn limit_queue(settings: &mut serde_json::Value) {
@@ -52,7 +51,7 @@
     settings["familyInfo"]["fixedCost"] = json!(OVERHEAD_LINES);
 }
 
-/// A controller of this fleet that knows nothing yet.
+/// A controller of this fleet that has received no list and no snapshot yet.
 fn rig_with(change: impl Fn(&mut serde_json::Value)) -> Rig {
     let mut rig = Rig::with_settings(SLICES as u32, |settings| {
         limit_queue(settings);
@@ -65,14 +64,14 @@
     rig
 }
 
-/// A controller that has served the fleet for a while.
+/// A controller that has managed the fleet for 20 s.
 fn serving_rig() -> Rig {
     let mut rig = rig_with(|_| {}).start_serving();
     rig.advance_ms(20_000);
     rig
 }
 
-/// Time passes; requests are accepted, and only these proxies acknowledge.
+/// Advances the time. Requests are accepted, and only the proxies in `acknowledging` acknowledge them.
 fn advance(rig: &mut Rig, channel: &mut ChannelModel, time: Span, acknowledging: &[u32]) {
     let end = rig.now + time;
     while rig.now < end {
@@ -101,8 +100,8 @@
         rig.drain(&format!("s-{replica}"));
         advance(&mut rig, &mut channel, Span::ms(600), &[]);
     }
-    let waited_before = channel.waiting_lines();
-    assert!(waited_before > QUEUE_CAPACITY / 4, "the slow proxies are behind: {waited_before}");
+    let queued = channel.queued_lines();
+    assert!(queued > QUEUE_CAPACITY / 4, "only {queued} lines are queued for the slow proxies");
     for proxy in RETURNING_PROXIES {
         channel.join(proxy);
         rig.relay_event(&format!("* SUBSCRIBE {proxy} north 21.5 1"));
@@ -112,8 +111,12 @@
         rig.drain(&format!("s-{replica}"));
         advance(&mut rig, &mut channel, Span::ms(600), &returning);
     }
-    assert!(channel.most_waiting <= QUEUE_CAPACITY, "{} lines waited", channel.most_waiting);
-    // The slow ones catch up: what was held back is sent.
+    assert!(
+        channel.max_queued_lines <= QUEUE_CAPACITY,
+        "{} lines were queued, limit {QUEUE_CAPACITY}",
+        channel.max_queued_lines
+    );
+    // The slow proxies catch up, and the commands that were held back are sent.
     let all: Vec<u32> = ALL_PROXIES.collect();
     for proxy in SLOW_PROXIES {
         for version in channel.deliver_all(proxy) {
@@ -121,15 +124,19 @@
         }
     }
     advance(&mut rig, &mut channel, Span::ms(10_000), &all);
-    let drained = DRAINED_AFTER_RETURN.last().expect("one");
+    let drained = DRAINED_AFTER_RETURN.last().expect("range is not empty");
     assert!(rig.requests.iter().any(|request| request.contains(&format!("OUT,s-{drained}"))));
-    assert!(channel.most_waiting <= QUEUE_CAPACITY, "{} lines waited", channel.most_waiting);
+    assert!(
+        channel.max_queued_lines <= QUEUE_CAPACITY,
+        "{} lines were queued, limit {QUEUE_CAPACITY}",
+        channel.max_queued_lines
+    );
 }
 
-/// A proxy that stays connected and never acknowledges anything, as its machine may have vanished, counts with its own lines: it
-/// stops no commands to the others.
+/// The machine of a proxy may be gone while its connection stays open. Such a proxy never acknowledges, and only its
+/// own lines count: commands to the other proxies go on.
 #[test]
-fn proxy_that_never_acknowledges_stops_no_commands() {
+fn proxy_that_never_acknowledges_does_not_block_commands() {
     let mut rig = serving_rig();
     let mut channel = ChannelModel::new(OVERHEAD_LINES, ALL_PROXIES);
     let responsive: Vec<u32> = ALL_PROXIES.skip(1).collect();
@@ -139,13 +146,14 @@
     }
     for replica in 0..REPLICAS - 2 {
         let withdrawal = format!("OUT,s-{replica}");
-        assert!(rig.requests.iter().any(|request| request.contains(&withdrawal)), "{withdrawal}");
+        assert!(rig.requests.iter().any(|request| request.contains(&withdrawal)), "not sent: {withdrawal}");
     }
 }
 
-/// Proxies connect while a request waits for the relay, and get it: as many as the fleet has may do so, known or not.
+/// Proxies that connect before the relay applies a request also receive it. All proxies of the fleet may do so, also
+/// those that the controller does not know yet.
 #[test]
-fn proxies_that_join_before_a_request_is_carried_out_are_counted() {
+fn proxies_that_connect_before_a_request_is_applied_are_counted() {
     const KNOWN: u32 = 3;
     let mut rig = rig_with(|settings| settings["familyInfo"]["agents"] = json!(ALL_PROXIES.end));
     rig.proxies = KNOWN;
@@ -155,30 +163,35 @@
     (0..REPLICAS / 2).for_each(|replica| _ = rig.replicas.insert(format!("s-{replica}"), "leaving"));
     rig.send_list();
     rig.drain_input();
-    // The relay can't be reached for a while.
+    // The relay is unreachable for 2 s.
     for _ in 0..10 {
-        assert!(rig.pending_request.take().is_some(), "it tries again");
+        assert!(rig.pending_request.take().is_some(), "request is not retried");
         rig.apply(Event::RelayResponse(Err(RequestError::NotSent(StreamError::TimedOut))));
         rig.now = rig.now + Span::ms(200);
         rig.drain_input();
     }
-    // It carries the request out for all that have connected; their events come later.
+    // The relay applies the request for all connected proxies. The events of their connections arrive later.
     (KNOWN..ALL_PROXIES.end).for_each(|proxy| channel.join(proxy));
     advance(&mut rig, &mut channel, Span::ms(1000), &[]);
-    assert!(channel.most_waiting > 0, "it was carried out");
-    assert!(channel.most_waiting <= QUEUE_CAPACITY, "{} lines waited", channel.most_waiting);
+    assert!(channel.max_queued_lines > 0, "request was not applied");
+    assert!(
+        channel.max_queued_lines <= QUEUE_CAPACITY,
+        "{} lines were queued, limit {QUEUE_CAPACITY}",
+        channel.max_queued_lines
+    );
 }
 
-/// While the relay watch is down no acknowledgement can come: its silence does not show that a request was not carried out.
+/// No acknowledgement arrives while the relay watch is lost. Their absence does not prove that a request was not
+/// applied.
 #[test]
-fn silence_of_a_broken_watch_makes_no_room_for_a_resend() {
+fn lost_watch_frees_no_lines_for_a_resend() {
     let mut rig = serving_rig();
     let mut channel = ChannelModel::new(OVERHEAD_LINES, ALL_PROXIES);
     (0..REPLICAS - 2).for_each(|replica| _ = rig.replicas.insert(format!("s-{replica}"), "leaving"));
     rig.send_list();
     rig.drain_input();
     rig.apply(Event::RelayWatchLost(StreamError::TimedOut));
-    // Each attempt is carried out, and its answer lost.
+    // Each attempt is applied, and its response lost.
     for _ in 0..100 {
         if let Some(request) = rig.pending_request.take() {
             channel.apply_request(&request);
@@ -187,41 +200,60 @@
         rig.now = rig.now + Span::ms(100);
         rig.drain_input();
     }
-    assert!(channel.most_waiting > 0, "an attempt was carried out");
-    assert!(channel.most_waiting <= QUEUE_CAPACITY, "{} lines waited", channel.most_waiting);
+    assert!(channel.max_queued_lines > 0, "no attempt was applied");
+    assert!(
+        channel.max_queued_lines <= QUEUE_CAPACITY,
+        "{} lines were queued, limit {QUEUE_CAPACITY}",
+        channel.max_queued_lines
+    );
 }
 
-/// A reply that is too long for one request becomes several messages, each with its overhead.
+/// Commands that are too long for one request become several messages, each with its own overhead.
 #[test]
-fn overhead_of_each_part_of_a_long_reply_is_counted() {
+fn overhead_of_each_part_of_a_long_request_is_counted() {
     const OVERHEAD: usize = 20;
-    let long = |n: usize| format!("s-{n}-{}", "x".repeat(5000));
+    let long_name = |n: usize| format!("s-{n}-{}", "x".repeat(5000));
     let mut rig = rig_with(|settings| settings["familyInfo"]["fixedCost"] = json!(OVERHEAD));
-    rig.replicas = (0..REPLICAS).map(|n| (long(n), "active")).collect();
-    let table = |n| BTreeMap::from([(long(n as usize % REPLICAS), 1.0)]);
+    rig.replicas = (0..REPLICAS).map(|n| (long_name(n), "active")).collect();
+    let table = |n| BTreeMap::from([(long_name(n as usize % REPLICAS), 1.0)]);
     rig.store = (0..SLICES as u32).map(|n| (n, table(n))).collect();
     let mut rig = rig.start_serving();
     rig.advance_ms(20_000);
     rig.request_logs.clear();
     let before = rig.requests.len();
-    (0..REPLICAS / 2).for_each(|n| _ = rig.replicas.insert(long(n), "leaving"));
+    (0..REPLICAS / 2).for_each(|n| _ = rig.replicas.insert(long_name(n), "leaving"));
     rig.send_list();
     rig.drain_input();
-    let first = rig.pending_request.take().expect("a request");
+    let first = rig.pending_request.take().expect("no request in flight");
     let commands = first.split(';').count();
     rig.apply(Event::RelayResponse(Ok(Response::Accepted(commands))));
     rig.drain_input();
     let parts = &rig.requests[before..];
-    assert!(parts.len() == 2 && !first.contains("SYNC"), "two parts of one reply: {}", parts.len());
+    assert!(
+        parts.len() == 2 && !first.contains("SYNC"),
+        "{} requests, two parts of one command set expected",
+        parts.len()
+    );
     let lines: usize = parts.iter().map(|part| part.split(';').count() + OVERHEAD).sum();
-    let sent = rig.request_logs.iter().rfind(|line| line.contains("relay request sent")).expect("a line");
-    let counted =
-        sent.split("unacked_lines=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a figure");
-    let counted: usize = counted.parse().expect("a number");
-    assert!(counted >= lines * ALL_PROXIES.len(), "{counted} counted of {}", lines * ALL_PROXIES.len());
+    let sent = rig
+        .request_logs
+        .iter()
+        .rfind(|line| line.contains("relay request sent"))
+        .expect("no log line about a request");
+    let counted = sent
+        .split("unacked_lines=")
+        .nth(1)
+        .and_then(|rest| rest.split(' ').next())
+        .expect("no unacked_lines in the log line");
+    let counted: usize = counted.parse().expect("invalid unacked_lines");
+    assert!(
+        counted >= lines * ALL_PROXIES.len(),
+        "{counted} lines counted, at least {} queued",
+        lines * ALL_PROXIES.len()
+    );
 }
 
-/// A controller process between a relay and a discovery agent that the test plays.
+/// A controller process with a fake relay and a fake discovery agent that the test controls.
 struct Deployment {
     relay: FakeRelay,
     discovery: FakeDiscovery,
@@ -260,7 +292,7 @@
         self.registry_watch.send_list(self.list_version, true, &self.states);
     }
 
-    /// The controller renews a watch without changes.
+    /// Continues on a new registry watch: the controller renews a watch that has no changes.
     fn accept_renewed_registry_watch(&mut self) {
         if let Some(renewed) = self.discovery.messages.receiver.try_iter().last() {
             self.registry_watch = renewed;
@@ -269,9 +301,9 @@
     }
 
     fn send_heartbeats(&mut self) {
-        self.say("*");
+        self.send_watch_event("*");
         self.accept_renewed_registry_watch();
-        self.registry_watch.lines.send("\n".into()).expect("the watch is open");
+        self.registry_watch.lines.send("\n".into()).expect("registry watch is closed");
     }
 
     fn drain(&mut self, replica: usize) {
@@ -279,11 +311,11 @@
         self.send_list();
     }
 
-    fn say(&mut self, line: &str) {
-        self.relay_watch.write_all(format!("{line}\r\n").as_bytes()).expect("the watch is open");
+    fn send_watch_event(&mut self, line: &str) {
+        self.relay_watch.write_all(format!("{line}\r\n").as_bytes()).expect("relay watch is closed");
     }
 
-    /// Serves requests for this long; these proxies acknowledge at once.
+    /// Serves requests for `time`. The proxies in `acknowledging` acknowledge at once.
     fn serve(&mut self, time: Duration, acknowledging: &[u32]) {
         let end = Instant::now() + time;
         let heartbeat = Duration::from_millis(250);
@@ -300,23 +332,23 @@
         request.accept();
         for proxy in acknowledging {
             for version in self.channel.deliver_all(*proxy) {
-                self.say(&format!("* ACK {proxy} {version} 90.5"));
+                self.send_watch_event(&format!("* ACK {proxy} {version} 90.5"));
             }
         }
     }
 }
 
-/// The same on sockets, with the program as it runs in service.
+/// The same failure with the controller process, on sockets.
 #[test]
 fn process_keeps_the_channel_limit_while_proxies_return() {
     let step = Duration::from_millis(700);
     let mut deployment = Deployment::start();
     let all: Vec<u32> = ALL_PROXIES.collect();
     deployment.serve(Duration::from_secs(3), &all);
-    deployment.channel.most_waiting = 0;
+    deployment.channel.max_queued_lines = 0;
     for proxy in RETURNING_PROXIES {
         deployment.channel.leave(proxy);
-        deployment.say(&format!("* CLOSED {proxy}"));
+        deployment.send_watch_event(&format!("* CLOSED {proxy}"));
     }
     for replica in DRAINED_WHILE_AWAY {
         deployment.drain(replica);
@@ -324,20 +356,20 @@
     }
     for proxy in RETURNING_PROXIES {
         deployment.channel.join(proxy);
-        deployment.say(&format!("* SUBSCRIBE {proxy} north 21.5 1"));
+        deployment.send_watch_event(&format!("* SUBSCRIBE {proxy} north 21.5 1"));
     }
     let returning: Vec<u32> = RETURNING_PROXIES.collect();
     for replica in DRAINED_AFTER_RETURN {
         deployment.drain(replica);
         deployment.serve(step, &returning);
     }
-    let waited = deployment.channel.most_waiting;
-    assert!(waited > QUEUE_CAPACITY / 4, "the slow proxies are behind: {waited}");
-    assert!(waited <= QUEUE_CAPACITY, "{waited} lines waited, {QUEUE_CAPACITY} may");
-    assert!(deployment.program.child.try_wait().expect("its state").is_none(), "it runs");
+    let queued = deployment.channel.max_queued_lines;
+    assert!(queued > QUEUE_CAPACITY / 4, "only {queued} lines were queued for the slow proxies");
+    assert!(queued <= QUEUE_CAPACITY, "{queued} lines were queued, limit {QUEUE_CAPACITY}");
+    assert!(deployment.program.child.try_wait().expect("process state").is_none(), "controller has exited");
 }
 
-/// What an operator needs to follow a request from its first attempt to its outcome.
+/// The log lines let an operator follow a request from its first attempt to its outcome.
 #[test]
 fn attempts_are_logged_with_version_outcome_and_channel() {
     let mut rig = Rig::serving();
@@ -347,8 +379,8 @@
     rig.pending_request = None;
     rig.apply(OUTCOME_UNKNOWN);
     rig.drain_input();
-    let request = rig.pending_request.clone().expect("it is resent");
-    let version = request.split("SYNC,").nth(1).and_then(|sync| sync.split(',').next()).expect("a version");
+    let request = rig.pending_request.clone().expect("request is not resent");
+    let version = request.split("SYNC,").nth(1).and_then(|sync| sync.split(',').next()).expect("no version");
     let commands = request.split(';').count();
     rig.accept_request();
     let label = |attempt| format!("version={version} commands={commands} attempt={attempt}");
@@ -359,7 +391,7 @@
         format!("relay request sent {} proxies=4 unacked_lines=", label(2)),
         format!("relay request accepted {} accepted={commands}", label(2)),
     ] {
-        assert!(lines.contains(&expected), "{expected} in\n{lines}");
+        assert!(lines.contains(&expected), "{expected} not in\n{lines}");
     }
     assert!(lines.contains("capacity_lines=60000"), "{lines}");
 }
--- a/crates/controller/tests/collector_wire.rs
+++ b/crates/controller/tests/collector_wire.rs
@@ -1,5 +1,5 @@
-//! The exact text between the controller and collectors or aggregators. Each line is written out, so that a
-//! renamed field, message or reason fails here.
+//! The exact lines between the controller and collectors or aggregators. Each line is written out, so that a renamed
+//! field, message or reason fails a test.
 
 mod support;
 
@@ -15,21 +15,21 @@
 const SHARD: &str =
     r#"{"@type":"SHARD","partition":88,"kind":"lookup","n":212,"bad":3,"window":250.5,"missing":2}"#;
 
-fn malformed(line: &str) -> String {
+fn malformed_error(line: &str) -> String {
     match decode(line) {
-        Err(InvalidMessage::Malformed(why)) => why.to_string(),
+        Err(InvalidMessage::Malformed(error)) => error.to_string(),
         other => panic!("{line}: {other:?}"),
     }
 }
 
-fn unreadable(line: &str) -> String {
+fn unreadable_error(line: &str) -> String {
     match decode(line) {
-        Err(InvalidMessage::Unreadable(why)) => why.to_string(),
+        Err(InvalidMessage::Unreadable(error)) => error.to_string(),
         other => panic!("{line}: {other:?}"),
     }
 }
 
-fn renamed(line: &str, field: &str) -> String {
+fn with_renamed_field(line: &str, field: &str) -> String {
     let renamed = line.replacen(&format!("\"{field}\":"), "\"renamed\":", 1);
     assert_ne!(renamed, line, "{field}");
     renamed
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn missing_zones_default_to_none() {
+fn missing_count_defaults_to_zero() {
     let load = r#"{"@type":"LOAD","az":"b","host":"s","n":1,"bad":0,"avg":1,"window":1}"#;
     let shard = r#"{"@type":"SHARD","partition":1,"kind":"w","n":1,"bad":0,"window":1}"#;
     assert!(matches!(decode(load), Ok(Message::EndpointReport(EndpointReport { missing: 0, .. }))));
@@ -115,26 +115,26 @@
     let load_fields = ["az", "host", "n", "bad", "avg", "window"].map(|field| (LOAD, field));
     let shard_fields = ["partition", "kind", "n", "bad", "window"].map(|field| (SHARD, field));
     for (line, field) in load_fields.into_iter().chain(shard_fields).chain([(source, "az")]) {
-        let why = malformed(&renamed(line, field));
-        assert!(why.starts_with(&format!("missing field `{field}`")), "{why}");
+        let error = malformed_error(&with_renamed_field(line, field));
+        assert!(error.starts_with(&format!("missing field `{field}`")), "{error}");
     }
 }
 
 #[test]
 fn report_of_the_replica_itself_is_checked() {
-    let absurd = LOAD.replace(r#""inflight":9"#, r#""inflight":-1"#);
-    assert!(malformed(&absurd).starts_with("an absurd figure, in "));
-    assert!(decode(&renamed(&absurd, "inflight")).is_ok());
-    assert!(decode(&renamed(&absurd, "report")).is_ok());
+    let negative = LOAD.replace(r#""inflight":9"#, r#""inflight":-1"#);
+    assert!(malformed_error(&negative).starts_with("an absurd figure, in "));
+    assert!(decode(&with_renamed_field(&negative, "inflight")).is_ok());
+    assert!(decode(&with_renamed_field(&negative, "report")).is_ok());
 }
 
 #[test]
 fn unknown_message_is_distinguished_from_an_invalid_line() {
-    for word in ["ping", "Load", "HEARTBEAT"] {
-        assert_eq!(decode(&format!(r#"{{"@type":"{word}"}}"#)), Ok(Message::Unknown));
+    for name in ["ping", "Load", "HEARTBEAT"] {
+        assert_eq!(decode(&format!(r#"{{"@type":"{name}"}}"#)), Ok(Message::Unknown));
     }
-    assert_eq!(unreadable("PING"), r#"no JSON object, in "PING""#);
-    assert!(malformed(r#"{"type":"PING"}"#).starts_with("missing field `@type`"));
+    assert_eq!(unreadable_error("PING"), r#"no JSON object, in "PING""#);
+    assert!(malformed_error(r#"{"type":"PING"}"#).starts_with("missing field `@type`"));
 }
 
 #[test]
@@ -151,10 +151,10 @@
 fn unauthenticated_reporter_gets_the_close_reason() {
     let mut rig = Rig::new();
     rig.collector_line(1, LOAD);
-    let told = rig.other_effects.iter().find_map(|effect| match effect {
+    let reply = rig.other_effects.iter().find_map(|effect| match effect {
         Effect::Disconnect { to: 1, reason: Some(why) } => Some(encode(Reply::Nack { why })),
         _ => None,
     });
     let expected = r#"{"@type":"NACK","why":"of no use from whoever has not joined"}"#;
-    assert_eq!(told.as_deref(), Some(expected));
+    assert_eq!(reply.as_deref(), Some(expected));
 }
--- a/crates/controller/tests/discovery_wire.rs
+++ b/crates/controller/tests/discovery_wire.rs
@@ -1,5 +1,5 @@
-//! The exact text between the controller and discovery's agent. Each line has every field, with a value that is
-//! not its default, so that a renamed field or word fails here.
+//! The exact lines between the discovery agent and the controller. Each field has a value other than its default, so
+//! that a renamed field or state fails a test.
 
 use whinwall_protocol::discovery::{decode, watch_path, Entry, List, State};
 
@@ -54,8 +54,8 @@
 fn required_fields_are_named_where_they_are_missing() {
     for field in ["version", "full", "servers", "id", "zone", "state"] {
         let line = REQUIRED_FIELDS.replace(&format!("\"{field}\":"), "\"renamed\":");
-        let why = decode_error(&line);
-        assert!(why.starts_with(&format!("missing field `{field}`")), "{why}");
+        let error = decode_error(&line);
+        assert!(error.starts_with(&format!("missing field `{field}`")), "{error}");
     }
 }
 
--- a/crates/controller/tests/fleet.rs
+++ b/crates/controller/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The program against the emulator's fleet, on loopback sockets and in real time: the checkers observe it.
+//! The controller process with the emulated fleet, on loopback sockets and in real time. The checkers of the emulator
+//! verify the rules.
 
 mod support;
 
--- a/crates/controller/tests/help.rs
+++ b/crates/controller/tests/help.rs
@@ -1,5 +1,5 @@
-//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
-//! name may change; it reads `PROGRAM` here.
+//! The exact `--help` text, which scripts, manuals and completions rely on. The fixture has `PROGRAM` for the name of
+//! the executable.
 
 use whinwall_test_support::help_text::help_text;
 
--- a/crates/controller/tests/metrics_text.rs
+++ b/crates/controller/tests/metrics_text.rs
@@ -1,4 +1,4 @@
-//! The exact names, help texts, types and labels of the controller's metrics, as dashboards and alerts use them.
+//! The exact names, help texts, types and labels of the controller's metrics, which dashboards and alerts use.
 //! The fixture is the exposition text with each value replaced by `_`.
 
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use whinwall_policy::time::Span;
 use whinwall_routing::RequestCounts;
 
-/// The text with `_` in place of each sample's value.
+/// Replaces the value of each sample with `_`.
 fn without_values(text: &str) -> String {
     let line = |line: &str| match line.rsplit_once(' ') {
         Some((sample, _)) if !line.starts_with('#') => format!("{sample} _\n"),
@@ -25,7 +25,7 @@
     ReportMetrics { freshness, measured_load: 4.5 }
 }
 
-/// What two readers count.
+/// Metrics of two readers.
 fn reader_metrics() -> ReaderMetrics {
     let metrics = ReaderMetrics::new(2);
     metrics.count_chunk(0, 100, 7, Instant::now());
@@ -39,15 +39,15 @@
 }
 
 #[test]
-fn metric_names_help_and_labels_are_pinned() {
-    // Samples of several readers come in no certain order.
-    let shown = encode(Some(&ReaderMetrics::new(1)), Some(&report_metrics(Some(Span::ms(250)))), None);
-    assert_eq!(without_values(&shown), include_str!("fixtures/metrics.txt"));
+fn metric_names_help_and_labels_are_exact() {
+    // With one reader, as the order of the samples of several readers is undefined.
+    let text = encode(Some(&ReaderMetrics::new(1)), Some(&report_metrics(Some(Span::ms(250)))), None);
+    assert_eq!(without_values(&text), include_str!("fixtures/metrics.txt"));
 }
 
 #[test]
 fn each_metric_shows_its_value() {
-    let shown = encode(Some(&reader_metrics()), Some(&report_metrics(Some(Span::ms(250)))), None);
+    let text = encode(Some(&reader_metrics()), Some(&report_metrics(Some(Span::ms(250)))), None);
     let expected = [
         r#"whinwall_reader_lines_total{reader="0"} 7"#,
         r#"whinwall_reader_bytes_total{reader="0"} 100"#,
@@ -68,15 +68,15 @@
         "whinwall_measured_requests_per_second 4.5",
     ];
     for line in expected {
-        assert!(shown.lines().any(|shown| shown == line), "{line} in\n{shown}");
+        assert!(text.lines().any(|sample| sample == line), "{line} in\n{text}");
     }
 }
 
 #[test]
 fn report_age_is_left_out_before_the_first_report() {
-    let shown = encode(None, Some(&report_metrics(None)), None);
-    assert!(!shown.contains("age_seconds"), "{shown}");
-    assert!(shown.starts_with("# HELP whinwall_aggregated_report_bytes_per_second "), "{shown}");
+    let text = encode(None, Some(&report_metrics(None)), None);
+    assert!(!text.contains("age_seconds"), "{text}");
+    assert!(text.starts_with("# HELP whinwall_aggregated_report_bytes_per_second "), "{text}");
 }
 
 #[test]
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn channel_metrics_are_pinned() {
+fn channel_metrics_have_exact_names_and_values() {
     let load = ChannelLoad { proxies: 480, unacked_lines: 61161.0, capacity_lines: 153_000.0 };
     let requests = RequestCounts { sent: 9, accepted: 5, not_applied: 1, unknown: 2, held: 3 };
-    let shown = encode(None, None, Some(&ChannelMetrics { load, requests }));
+    let text = encode(None, None, Some(&ChannelMetrics { load, requests }));
     let expected = [
         "whinwall_connected_proxies 480.0",
         "whinwall_channel_unacked_lines 61161.0",
@@ -100,6 +100,6 @@
         "whinwall_relay_requests_held_total 3",
     ];
     for line in expected {
-        assert!(shown.lines().any(|shown| shown == line), "{line} in\n{shown}");
+        assert!(text.lines().any(|sample| sample == line), "{line} in\n{text}");
     }
 }
--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -1,5 +1,5 @@
-//! Overrides through the program as it is started: set at its management front, seen in the orders that come
-//! to the relay, ended on time, kept over kills.
+//! Overrides in the controller process: set through the management API, applied by commands to the relay, expired on
+//! time, and kept after a kill.
 
 mod support;
 
@@ -13,34 +13,39 @@
 use whinwall_management_api::client::ClientError;
 use whinwall_management_api::wire::{KindName, SetBody};
 
-const SECOND: Duration = Duration::from_secs(1);
+const ONE_SECOND: Duration = Duration::from_secs(1);
 
-fn pin(slices: &str, replica: &str, lasts: &str) -> SetBody {
-    SetBody { kind: KindName::Pin, slices: Some(slices.into()), ..out_of_service(replica, lasts) }
+/// The body of a request that pins slices to a replica for `duration`.
+fn pin(slices: &str, replica: &str, duration: &str) -> SetBody {
+    SetBody { kind: KindName::Pin, slices: Some(slices.into()), ..out_of_service(replica, duration) }
 }
 
-fn until(file: &str, replica: &str, in_s: u64) -> String {
-    let end = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs() + in_s;
+/// An element of the operators' file that takes a replica out of service for `seconds`.
+fn out_element(id: &str, replica: &str, seconds: u64) -> String {
+    let end = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs() + seconds;
     let end = whinwall_policy::time::Moment::at_ns(end * 1_000_000_000);
     let end = whinwall_overrides::text::format_wall_time(end);
-    format!("<out id=\"{file}\" server=\"{replica}\" author=\"mb\" reason=\"disk\" until=\"{end}\"/>")
+    format!("<out id=\"{id}\" server=\"{replica}\" author=\"mb\" reason=\"disk\" until=\"{end}\"/>")
 }
 
 #[test]
 fn override_is_listed_with_its_expiry_and_reverts_within_a_second() {
     let mut managed = ManagedController::start(4, 12);
     let set = managed.set("a", &out_of_service("s-1", "2s")).unwrap();
-    let began = Instant::now();
+    let start = Instant::now();
     assert_eq!((set.outcome.as_str(), set.durability.as_str()), ("set", "on disk"));
     managed.fleet.wait_for_command("OUT,s-1");
     let item = managed.wait_for_item("a", |item| item.state == "in force");
     assert!(item.remaining_s <= 2.0 && item.author == "mb" && item.reason == "disk", "{item:?}");
     managed.fleet.wait_until_unused("s-1");
-    let back = managed.fleet.wait_for_command("IN,s-1") - began;
-    assert!(back > Duration::from_millis(1900) && back < Duration::from_secs(2) + SECOND, "{back:?}");
+    let duration = managed.fleet.wait_for_command("IN,s-1") - start;
+    assert!(
+        duration > Duration::from_millis(1900) && duration < Duration::from_secs(2) + ONE_SECOND,
+        "{duration:?}"
+    );
     let item = managed.item("a");
     assert!(item.state == "ended" && item.cause.unwrap().starts_with("expired at"));
-    // Set again with the same id it does not stand again.
+    // A repeated request with the same id does not set the override again.
     assert_eq!(managed.set("a", &out_of_service("s-1", "2s")).unwrap().outcome, "set before");
 }
 
@@ -49,43 +54,43 @@
     let mut managed = ManagedController::start(4, 12);
     managed.set("p", &pin("4-6", "s-3", "1h")).unwrap();
     managed.wait_for_item("p", |item| item.state == "in force");
-    let there = |managed: &ManagedController, slice| {
+    let is_assigned = |managed: &ManagedController, slice| {
         managed.fleet.tables.lock().unwrap()[&slice].get("s-3").is_some_and(|weight| *weight >= 1.0)
     };
-    assert!((4..=6).all(|slice| there(&managed, slice)));
+    assert!((4..=6).all(|slice| is_assigned(&managed, slice)));
     let cleared = managed.clear("p").unwrap();
     assert_eq!((cleared.outcome.as_str(), cleared.durability.as_str()), ("cleared", "on disk"));
     assert_eq!(managed.clear("p").unwrap().outcome, "ended before");
     assert!(matches!(managed.clear("q"), Err(ClientError::Rejected { code: 404, .. })));
     managed.restart();
-    assert_eq!(managed.item("p").state, "ended", "and stays so over a kill");
+    assert_eq!(managed.item("p").state, "ended", "cleared override has not stayed ended after a kill");
 }
 
 #[test]
 fn override_survives_a_kill_and_downtime_counts() {
     let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out_of_service("s-1", "3s")).unwrap();
-    let began = Instant::now();
+    let start = Instant::now();
     managed.fleet.wait_for_command("OUT,s-1");
     managed.set("b", &out_of_service("s-2", "1h")).unwrap();
     managed.fleet.wait_for_command("OUT,s-2");
     managed.program = None;
-    thread::sleep(SECOND);
+    thread::sleep(ONE_SECOND);
     managed.restart();
-    assert_eq!(managed.item("a").remaining_s.ceil(), (3.0 - began.elapsed().as_secs_f64()).ceil());
+    assert_eq!(managed.item("a").remaining_s.ceil(), (3.0 - start.elapsed().as_secs_f64()).ceil());
     managed.wait_for_item("a", |item| item.state == "ended");
-    assert!(began.elapsed() < Duration::from_secs(3) + SECOND);
+    assert!(start.elapsed() < Duration::from_secs(3) + ONE_SECOND);
     managed.wait_for_item("b", |item| item.state == "in force");
-    // Ended while nobody was there.
+    // Expired while no controller ran.
     managed.set("c", &pin("0", "s-3", "1s")).unwrap();
     managed.program = None;
-    thread::sleep(SECOND);
+    thread::sleep(ONE_SECOND);
     managed.restart();
     assert_eq!(managed.item("c").state, "ended");
 }
 
-/// Killed again and again while orders are on their way: what was acknowledged is there, and what was said
-/// twice is there once.
+/// The process is killed repeatedly while requests are in flight. Acknowledged overrides must be listed, and a
+/// retried request must set one override only.
 #[test]
 fn acknowledged_override_is_durable_and_a_retry_is_idempotent() {
     let mut managed = ManagedController::start(4, 12);
@@ -96,20 +101,20 @@
             thread::sleep(Duration::from_millis(3 + 7 * round));
             kill_process(pid, Signal::KILL).unwrap();
         });
-        let mut open = None;
+        let mut unacknowledged = None;
         for n in 0.. {
             let id = format!("r{round}-{n}");
             match managed.set(&id, &pin(&format!("{n}"), "s-1", "1h")) {
                 Ok(_) => acknowledged.push(id),
                 Err(_) => {
-                    open = Some((id, n));
+                    unacknowledged = Some((id, n));
                     break;
                 }
             }
         }
         killer.join().unwrap();
         managed.restart();
-        let (id, n) = open.unwrap();
+        let (id, n) = unacknowledged.unwrap();
         managed.set(&id, &pin(&format!("{n}"), "s-1", "1h")).unwrap();
         acknowledged.push(id);
         let list = managed.list();
@@ -117,7 +122,7 @@
             assert_eq!(list.iter().filter(|item| item.id == *id).count(), 1, "{id} in round {round}");
         }
     }
-    assert!(acknowledged.len() > 6, "some were acknowledged before a kill: {}", acknowledged.len());
+    assert!(acknowledged.len() > 6, "no override was acknowledged before a kill: {}", acknowledged.len());
 }
 
 #[test]
@@ -127,7 +132,7 @@
     managed.fleet.wait_for_command("OUT,s-1");
     managed.fleet.set_listed_state(1, "leaving", 0);
     managed.wait_for_item("a", |item| item.state == "ended");
-    thread::sleep(SECOND);
+    thread::sleep(ONE_SECOND);
     assert!(!managed.fleet.has_received("IN,s-1"));
     managed.fleet.wait_until_unused("s-1");
 }
@@ -149,13 +154,13 @@
     for behaviour in [RelayBehaviour::Unreachable, RelayBehaviour::Silent] {
         let mut managed = ManagedController::start(4, 12);
         managed.set("a", &out_of_service("s-1", "2s")).unwrap();
-        let began = Instant::now();
+        let start = Instant::now();
         managed.fleet.wait_for_command("OUT,s-1");
         managed.fleet.set_relay_behaviour(behaviour);
-        // A drain makes a call, whose outcome is unknown.
+        // The drain causes a request with an unknown outcome.
         managed.fleet.set_listed_state(2, "leaving", 0);
         managed.wait_for_item("a", |item| item.state == "ended");
-        assert!(began.elapsed() < Duration::from_secs(2) + SECOND, "{:?}", began.elapsed());
+        assert!(start.elapsed() < Duration::from_secs(2) + ONE_SECOND, "{:?}", start.elapsed());
         managed.fleet.set_relay_behaviour(RelayBehaviour::Responds);
         managed.fleet.wait_for_command("OUT,s-2");
         managed.fleet.wait_for_command("IN,s-1");
@@ -178,34 +183,34 @@
 #[test]
 fn operators_file_is_reloaded_and_an_invalid_one_changes_nothing() {
     let mut managed = ManagedController::start(4, 12);
-    let hang_up = |managed: &mut ManagedController| {
+    let send_sighup = |managed: &mut ManagedController| {
         let pid = Pid::from_child(&managed.program().child);
         kill_process(pid, Signal::HUP).unwrap();
     };
-    managed.write_operators_file(&format!("<overrides>\n{}\n</overrides>", until("f-1", "s-1", 3600)));
-    hang_up(&mut managed);
+    managed.write_operators_file(&format!("<overrides>\n{}\n</overrides>", out_element("f-1", "s-1", 3600)));
+    send_sighup(&mut managed);
     managed.fleet.wait_for_command("OUT,s-1");
     assert_eq!(managed.wait_for_item("f-1", |item| item.state == "in force").origin, "file");
     managed.write_operators_file("<overrides>\n<out id=\"f-2\" server=\"s-2\"/>\n</overrides>");
-    hang_up(&mut managed);
+    send_sighup(&mut managed);
     let line = managed.wait_for_log("configuration reload failed, the former configuration stays");
     assert!(line.contains("operators.xml: line 6, column 1: <out>"), "{line}");
     assert_eq!(managed.item("f-1").state, "in force");
-    // One that can't be because of another is refused too, and the former stay.
+    // A file that conflicts with another override is rejected as well, and the previous overrides stay.
     managed.set("f-3", &out_of_service("s-3", "1h")).unwrap();
-    managed.write_operators_file(&format!("<overrides>{}</overrides>", until("f-3", "s-2", 3600)));
-    hang_up(&mut managed);
+    managed.write_operators_file(&format!("<overrides>{}</overrides>", out_element("f-3", "s-2", 3600)));
+    send_sighup(&mut managed);
     managed.wait_for_log("f-3 is another override already");
     assert_eq!(managed.item("f-1").state, "in force");
     managed.write_operators_file("<overrides/>");
-    hang_up(&mut managed);
+    send_sighup(&mut managed);
     managed.fleet.wait_for_command("IN,s-1");
     let cause = managed.item("f-1").cause.unwrap();
     assert!(cause.starts_with("cleared by the operators' file"), "{cause}");
 }
 
 #[test]
-fn corrupt_store_file_is_set_aside_and_the_program_goes_on() {
+fn corrupt_store_file_is_renamed_and_the_controller_continues() {
     let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out_of_service("s-1", "1h")).unwrap();
     managed.program = None;
@@ -222,7 +227,7 @@
     managed.fleet.wait_for_command("OUT,s-2");
 }
 
-/// The disk's bound is the process's own here: the store can't grow, as on a full disk.
+/// A limit on the file size of the process simulates a full disk.
 #[test]
 fn full_disk_rejects_new_overrides_and_clearing_works() {
     let mut managed = ManagedController::start(4, 12);
@@ -230,20 +235,20 @@
     managed.program = None;
     let size = std::fs::metadata(managed.path("store").join("overrides.redb")).unwrap().len().div_ceil(512);
     let (plain, file) = managed.command();
-    let mut bounded = std::process::Command::new("sh");
-    bounded.arg("-c").arg(format!("trap '' XFSZ; ulimit -f {size}; exec \"$@\"")).arg("sh");
-    bounded.arg(plain.get_program()).args(plain.get_args()).env_clear();
-    bounded.envs(plain.get_envs().filter_map(|(key, value)| Some((key, value?))));
-    bounded.stderr(Stdio::piped()).stdin(Stdio::null());
-    managed.spawn(bounded, file);
+    let mut limited = std::process::Command::new("sh");
+    limited.arg("-c").arg(format!("trap '' XFSZ; ulimit -f {size}; exec \"$@\"")).arg("sh");
+    limited.arg(plain.get_program()).args(plain.get_args()).env_clear();
+    limited.envs(plain.get_envs().filter_map(|(key, value)| Some((key, value?))));
+    limited.stderr(Stdio::piped()).stdin(Stdio::null());
+    managed.spawn(limited, file);
     managed.wait_for_log("override store read");
     assert_eq!(
         managed.wait_for_item("a", |item| item.state == "in force").replica,
         "s-1",
-        "what is kept is read"
+        "persisted override was not read"
     );
     let mut kept = Vec::new();
-    let (refused, why) = (0..1000)
+    let (rejected, error) = (0..1000)
         .find_map(|n| {
             let (id, reason, factor) = (format!("w{n}"), "x".repeat(200), Some(1.5));
             let weight =
@@ -253,42 +258,42 @@
                     kept.push(id);
                     None
                 }
-                Err(why) => Some((id, why)),
+                Err(error) => Some((id, error)),
             }
         })
-        .expect("the store has grown beyond its bound");
-    assert!(matches!(&why, ClientError::NotNow(why) if why.contains("not kept")), "{why}");
-    let is_there = |managed: &ManagedController, id: &str| managed.list().iter().any(|item| item.id == id);
-    assert!(!is_there(&managed, &refused));
+        .expect("store has grown beyond the file size limit");
+    assert!(matches!(&error, ClientError::NotNow(reason) if reason.contains("not kept")), "{error}");
+    let is_listed = |managed: &ManagedController, id: &str| managed.list().iter().any(|item| item.id == id);
+    assert!(!is_listed(&managed, &rejected));
     let cleared = managed.clear("a").unwrap();
-    assert_eq!(cleared.item.state, "ended", "clearing asks for no disk: {cleared:?}");
-    // With room again, all that was acknowledged is there, and what was refused is not.
+    assert_eq!(cleared.item.state, "ended", "override was not cleared without disk space: {cleared:?}");
+    // Without the limit, all acknowledged overrides are listed and the rejected one is not.
     managed.program = None;
     managed.restart();
-    assert!(kept.iter().all(|id| is_there(&managed, id)) && !is_there(&managed, &refused));
-    managed.set(&refused, &out_of_service("s-2", "1h")).unwrap();
+    assert!(kept.iter().all(|id| is_listed(&managed, id)) && !is_listed(&managed, &rejected));
+    managed.set(&rejected, &out_of_service("s-2", "1h")).unwrap();
 }
 
-/// `list` right after a start missed acknowledged overrides, as it was answered before the store was read: here another
-/// process holds the store's file, so that it can't be read for as long as the test wants.
+/// A list request right after start-up must not be answered before the store is read, as acknowledged overrides would
+/// be missing. The test holds the store open, so that the controller cannot read it until the test drops it.
 #[test]
 fn list_is_not_answered_before_the_store_is_read() {
     let mut managed = ManagedController::start(4, 12);
     managed.set("a", &out_of_service("s-1", "1h")).unwrap();
     managed.program = None;
-    let mut holder = whinwall_override_store::OverrideStore::new(managed.path("store"));
-    holder.open().unwrap();
+    let mut open_store = whinwall_override_store::OverrideStore::new(managed.path("store"));
+    open_store.open().unwrap();
     let (command, file) = managed.command();
     managed.spawn(command, file);
     managed.wait_for_log("override store unavailable");
-    let early = managed.request(async |client| client.list().await);
-    assert!(matches!(&early, Err(ClientError::NotNow(_))), "{early:?}");
-    drop(holder);
+    let response = managed.request(async |client| client.list().await);
+    assert!(matches!(&response, Err(ClientError::NotNow(_))), "{response:?}");
+    drop(open_store);
     managed.wait_for_log("override store read");
     assert_eq!(managed.item("a").replica, "s-1");
 }
 
-/// Many ask for a long list without end while a replica drains: its orders are as quick as ever.
+/// Many clients continuously request a long list while replicas drain. The commands must not be delayed.
 #[test]
 fn flood_of_management_requests_does_not_delay_commands() {
     let mut managed = ManagedController::start(40, 120);
@@ -311,16 +316,16 @@
         })
         .collect();
     for n in 0..10 {
-        let told = Instant::now();
+        let listed_at = Instant::now();
         managed.fleet.set_listed_state(n, "leaving", 0);
-        let took = managed.fleet.wait_for_command(&format!("OUT,s-{n}")) - told;
-        assert!(took < SECOND, "{took:?}");
+        let delay = managed.fleet.wait_for_command(&format!("OUT,s-{n}")) - listed_at;
+        assert!(delay < ONE_SECOND, "s-{n} was withdrawn after {delay:?}");
     }
     floods.into_iter().for_each(|flood| flood.join().unwrap());
 }
 
 #[test]
-fn json_log_lines_name_their_spans() {
+fn json_log_lines_contain_span_names() {
     let mut managed = ManagedController::start(3, 6);
     managed.program = None;
     let text = std::fs::read_to_string(managed.path("operators.xml")).unwrap();
@@ -342,28 +347,28 @@
 #[test]
 fn command_line_checks_files_and_prints_help() {
     let managed = ManagedController::start(3, 6);
-    let run = |arguments: &[&str], change: &str| {
+    let run = |arguments: &[&str], operators_file: &str| {
         let (plain, _file) = managed.command();
         let mut command = std::process::Command::new(plain.get_program());
         command.env_clear().envs(plain.get_envs().filter_map(|(key, value)| Some((key, value?))));
-        if !change.is_empty() {
-            std::fs::write(managed.path("operators.xml"), change).unwrap();
+        if !operators_file.is_empty() {
+            std::fs::write(managed.path("operators.xml"), operators_file).unwrap();
         }
         let output = command.args(arguments).output().unwrap();
-        let said = [output.stdout, output.stderr].concat();
-        (output.status.code(), String::from_utf8_lossy(&said).into_owned())
+        let text = [output.stdout, output.stderr].concat();
+        (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     };
     let operators = managed.path("operators.xml");
     let operators = operators.to_str().unwrap();
-    let (code, said) = run(&["--check", "--operators", operators], "");
-    assert!(code == Some(0) && said.contains("are fine"), "{said}");
-    let (code, said) =
+    let (code, text) = run(&["--check", "--operators", operators], "");
+    assert!(code == Some(0) && text.contains("are fine"), "{text}");
+    let (code, text) =
         run(&["--check", "--operators", operators], "<operators version=\"1\">\n<stor/></operators>");
-    assert!(code == Some(2) && said.contains("line 2, column 1: <stor>"), "{said}");
-    let (code, said) = run(&["--operators", operators], "<operators");
-    assert!(code == Some(2) && said.contains("operators.xml: line 1"), "{said}");
-    let (code, said) = run(&["--help"], "");
-    assert!(code == Some(0) && said.contains("--check"), "{said}");
+    assert!(code == Some(2) && text.contains("line 2, column 1: <stor>"), "{text}");
+    let (code, text) = run(&["--operators", operators], "<operators");
+    assert!(code == Some(2) && text.contains("operators.xml: line 1"), "{text}");
+    let (code, text) = run(&["--help"], "");
+    assert!(code == Some(0) && text.contains("--check"), "{text}");
     assert!(run(&["--version"], "").1.contains("whinwall-controller 0."));
     assert_eq!(run(&["--listen"], "").0, Some(2));
 }
--- a/crates/controller/tests/process_races.rs
+++ b/crates/controller/tests/process_races.rs
@@ -1,5 +1,5 @@
-//! Two events at the same instant, on sockets: the program is paused while they are produced, or the fake servers wait for
-//! the test, so that the unfortunate order occurs every time.
+//! Two events at the same instant, on sockets. The process is stopped while the events are produced, or the fakes
+//! wait for the test, so that the critical order occurs in every run.
 
 mod support;
 
@@ -13,70 +13,71 @@
 use std::time::Duration;
 use support::*;
 
-/// A serving controller, with a relay request in flight.
-fn with_request_in_flight() -> (FakeRelay, FakeDiscovery, ControllerProcess, RegistryWatch, RelayRequest) {
+/// Starts a controller with a relay request in flight.
+fn start_with_request_in_flight() -> (FakeRelay, FakeDiscovery, ControllerProcess, RegistryWatch, RelayRequest)
+{
     let (mut relay, mut discovery, program) = start_with_fakes();
     let watch = discovery.serve_snapshot();
     let _watch_connection = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     watch.send_list(42, false, &["active", "leaving"]);
-    let open = relay.accept_requests_until("OUT,s-1;");
-    (relay, discovery, program, watch, open)
+    let request_in_flight = relay.accept_requests_until("OUT,s-1;");
+    (relay, discovery, program, watch, request_in_flight)
 }
 
 #[test]
 fn shutdown_waits_for_the_relay_request_in_flight() {
-    let (relay, _discovery, mut program, watch, open) = with_request_in_flight();
+    let (relay, _discovery, mut program, watch, request_in_flight) = start_with_request_in_flight();
     program.pause();
-    // The cause of a newer request, the response and the signal, all at once.
+    // A change that requires a new request, the response and the signal arrive at the same instant.
     watch.send_list(43, false, &["leaving"]);
-    open.accept();
+    request_in_flight.accept();
     program.signal(Signal::TERM);
     program.resume();
     program.wait_for_log("shutting down requests_in_flight=1 signal=SIGTERM");
     program.wait_for_log("relay request in flight has its outcome");
     assert!(program.wait_for_exit().success());
     let newer = relay.messages.receiver.try_iter().find(|message| message.line.starts_with("APPLY"));
-    assert_eq!(newer.map(|message| message.line), None, "a request after the signal");
+    assert_eq!(newer.map(|message| message.line), None, "request sent after the signal");
 }
 
 #[test]
 fn shutdown_does_not_wait_for_a_response_that_never_comes() {
-    let (_relay, _discovery, mut program, _watch, _open) = with_request_in_flight();
+    let (_relay, _discovery, mut program, _watch, _open) = start_with_request_in_flight();
     program.signal(Signal::TERM);
     assert!(program.wait_for_exit().success());
-    // Nor does it where a second signal arrives at the same instant; the kill comes 0.7 s after the first.
-    let (_relay, _discovery, mut program, _watch, _open) = with_request_in_flight();
+    // The same with a second signal at the same instant. The platform kills the process 0.7 s after the first signal.
+    let (_relay, _discovery, mut program, _watch, _open) = start_with_request_in_flight();
     program.pause();
     program.signal(Signal::TERM);
     program.signal(Signal::INT);
-    let began = std::time::Instant::now();
+    let start = std::time::Instant::now();
     program.resume();
     program.wait_for_log("further signal, already shutting down signal=SIGINT");
     assert!(program.wait_for_exit().success());
-    assert!(began.elapsed() < Duration::from_millis(700), "{:?}", began.elapsed());
+    assert!(start.elapsed() < Duration::from_millis(700), "{:?}", start.elapsed());
 }
 
-/// The outcome of the request in flight is waited for as long as before, whatever signals follow.
+/// Further signals do not shorten the wait for the outcome of the request in flight.
 #[test]
-fn second_signal_does_not_cost_the_outcome_of_the_request_in_flight() {
-    let (_relay, _discovery, mut program, _watch, open) = with_request_in_flight();
+fn second_signal_does_not_end_the_wait_for_the_request_in_flight() {
+    let (_relay, _discovery, mut program, _watch, request_in_flight) = start_with_request_in_flight();
     program.pause();
     program.signal(Signal::TERM);
     program.signal(Signal::INT);
     program.resume();
     program.wait_for_log("further signal, already shutting down signal=SIGINT");
-    open.accept();
+    request_in_flight.accept();
     program.wait_for_log("relay request in flight has its outcome");
     assert!(program.wait_for_exit().success());
 }
 
 #[test]
-fn shutdown_replies_to_peers_that_asked_before() {
+fn shutdown_replies_to_lines_received_before_the_signal() {
     let (_relay, _discovery, mut program) = start_with_fakes();
     program.pause();
-    let mut check = program.connect();
-    check.send_line(r#"{"@type":"PING"}"#);
+    let mut health_check = program.connect();
+    health_check.send_line(r#"{"@type":"PING"}"#);
     let mut unauthenticated = program.connect();
     unauthenticated.send_line("GET / HTTP/1.1");
     program.signal(Signal::TERM);
@@ -86,12 +87,12 @@
         _ = peer.reader.read_to_string(&mut all);
         all
     };
-    assert_eq!(received(&mut check), "{\"@type\":\"PONG\"}\n");
+    assert_eq!(received(&mut health_check), "{\"@type\":\"PONG\"}\n");
     assert!(received(&mut unauthenticated).starts_with(r#"{"@type":"NACK""#));
     assert!(program.wait_for_exit().success());
 }
 
-/// The port is taken at the start, as a former process may still have it: signals that arrive meanwhile are handled.
+/// A previous process may still use the listen address at start-up. Signals are handled until the address is available.
 #[test]
 fn signals_are_handled_while_the_listen_address_is_taken() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -106,9 +107,9 @@
         program.wait_for_log("listen address not available, retrying");
         program
     };
-    let mut ended = launch(&file);
-    ended.signal(Signal::TERM);
-    assert!(ended.wait_for_exit().success());
+    let mut terminated = launch(&file);
+    terminated.signal(Signal::TERM);
+    assert!(terminated.wait_for_exit().success());
     let mut program = launch(&file);
     file["distributor"]["address"] = json!(second.address.to_string());
     program.reload_with(&file.to_string());
@@ -117,9 +118,9 @@
     second.accept_watch();
 }
 
-/// The file is half written when the signal arrives, and no other signal follows.
+/// The file is truncated when SIGHUP arrives and completed later, without a further signal.
 #[test]
-fn half_written_configuration_is_read_again_after_sighup() {
+fn truncated_configuration_is_read_again_after_sighup() {
     let (relay, mut second, discovery) = (FakeRelay::start(), FakeRelay::start(), FakeDiscovery::start());
     let mut program = ControllerProcess::start(&relay, &discovery);
     let mut file = example_config();
@@ -133,73 +134,79 @@
     program.connect().ping();
 }
 
-/// The watch is open and sends heartbeats, but not the change.
+/// The discovery agent sends heartbeats on the open watch and does not send a change.
 #[test]
 fn registry_watch_that_sends_only_heartbeats_is_renewed() {
     let (mut relay, mut discovery, _program) = start_with_fakes();
-    let deaf = discovery.serve_snapshot();
+    let stale_watch = discovery.serve_snapshot();
     let _watch_connection = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
-    let ends = Arc::new(AtomicBool::new(false));
-    let ended = ends.clone();
-    let alive = thread::spawn(move || {
-        while !ended.load(Ordering::Relaxed) && deaf.lines.send("\n".into()).is_ok() {
+    let is_done = Arc::new(AtomicBool::new(false));
+    let stops_heartbeats = is_done.clone();
+    let heartbeats = thread::spawn(move || {
+        while !stops_heartbeats.load(Ordering::Relaxed) && stale_watch.lines.send("\n".into()).is_ok() {
             thread::sleep(Duration::from_millis(200));
         }
     });
     let watch = discovery.accept_watch(41);
     watch.send_list(42, false, &["active", "leaving"]);
     relay.accept_requests_until("OUT,s-1;").accept();
-    ends.store(true, Ordering::Relaxed);
-    alive.join().unwrap();
+    is_done.store(true, Ordering::Relaxed);
+    heartbeats.join().unwrap();
 }
 
-/// A duplicate response may have been taken for that of another request: the store is read again.
+/// A duplicate response may have been taken as the response to another request, so the controller reads the tables
+/// again.
 #[test]
 fn duplicate_response_causes_a_new_snapshot() {
-    let (mut relay, _discovery, mut program, watch, mut open) = with_request_in_flight();
-    let answer = format!("OK {}\r\n", open.line.split(';').count());
-    open.stream.write_all(format!("{answer}{answer}").as_bytes()).unwrap();
+    let (mut relay, _discovery, mut program, watch, mut request_in_flight) = start_with_request_in_flight();
+    let response = format!("OK {}\r\n", request_in_flight.line.split(';').count());
+    request_in_flight.stream.write_all(format!("{response}{response}").as_bytes()).unwrap();
     program.wait_for_log("unsolicited relay response");
     let _watch_connection = relay.serve_snapshot();
     watch.send_list(43, false, &["leaving"]);
     relay.accept_requests_until("OUT,s-0;").accept();
 }
 
-/// The relay closes the idle connection at the instant at which a request is due: it is sent once, on a new connection.
+/// The relay closes the idle connection at the instant at which a request is due. The request is sent once, on a new
+/// connection.
 #[test]
 fn request_due_as_the_idle_connection_closes_uses_a_new_connection() {
     let (mut relay, mut discovery, mut program) = start_with_fakes();
     let watch = discovery.serve_snapshot();
     let _watch_connection = relay.serve_snapshot();
-    let idle = relay.accept_requests_until("SYNC");
-    let way = idle.stream.try_clone().unwrap();
-    idle.accept();
+    let idle_request = relay.accept_requests_until("SYNC");
+    let idle_connection = idle_request.stream.try_clone().unwrap();
+    idle_request.accept();
     program.connect().ping();
     program.pause();
     watch.send_list(42, false, &["active", "leaving"]);
-    way.shutdown(std::net::Shutdown::Both).unwrap();
+    idle_connection.shutdown(std::net::Shutdown::Both).unwrap();
     program.resume();
     let mut request = relay.accept_requests_until("OUT,s-1;");
-    assert_ne!(request.stream.peer_addr().unwrap(), way.peer_addr().unwrap_or(program.address));
+    assert_ne!(request.stream.peer_addr().unwrap(), idle_connection.peer_addr().unwrap_or(program.address));
     request.stream.write_all(format!("OK {}\r\n", request.line.split(';').count()).as_bytes()).unwrap();
     watch.send_list(43, false, &["leaving"]);
     relay.accept_requests_until("OUT,s-0;").accept();
     program.signal(Signal::TERM);
     assert!(program.wait_for_exit().success());
-    let failed = |line: &String| line.contains("relay request failed");
+    let is_failure = |line: &String| line.contains("relay request failed");
     program.log.skipped.extend(program.log.receiver.iter());
-    assert_eq!(program.log.skipped.iter().find(|line| failed(line)), None, "it was provably not sent");
+    assert_eq!(
+        program.log.skipped.iter().find(|line| is_failure(line)),
+        None,
+        "failure logged for a request that was not sent on the closed connection"
+    );
 }
 
-/// The relay responds at the same instant at which a reload names another relay: the response counts.
+/// The response of the relay and a reload with another relay address arrive at the same instant. The response counts.
 #[test]
-fn response_received_as_the_relay_moves_is_accepted() {
-    let (_relay, _discovery, program, _watch, open) = with_request_in_flight();
+fn response_received_as_the_relay_address_changes_is_accepted() {
+    let (_relay, _discovery, program, _watch, request_in_flight) = start_with_request_in_flight();
     let mut second = FakeRelay::start();
-    let line = open.line.clone();
+    let line = request_in_flight.line.clone();
     program.pause();
-    open.accept();
+    request_in_flight.accept();
     let mut file = example_config();
     file["discovery"] = json!("127.0.0.1:9");
     file["distributor"]["address"] = json!(second.address.to_string());
@@ -207,12 +214,12 @@
     program.resume();
     let _watch_connection = second.serve_snapshot();
     program.connect().ping();
-    // The drain was carried out: what is made at the new address is another request.
-    let again = second.messages.wait("a request", |message| message.line.starts_with("APPLY"));
-    assert_ne!(again.line, line);
+    // The first request was accepted, so the relay at the new address gets a different one.
+    let next = second.messages.wait("a request", |message| message.line.starts_with("APPLY"));
+    assert_ne!(next.line, line);
 }
 
-/// Input is unread when the close reason is sent: closing then would reset the connection, and the reason might be lost.
+/// Closing a connection with unread input resets it, and the peer may lose the close reason that was sent before.
 #[test]
 fn close_reason_arrives_despite_unread_input() {
     let (_relay, _discovery, program) = start_with_fakes();
@@ -222,6 +229,6 @@
     unauthenticated.stream.write_all(&vec![b'x'; 60_000]).unwrap();
     program.resume();
     let mut all = String::new();
-    unauthenticated.reader.read_to_string(&mut all).expect("an end, no reset");
+    unauthenticated.reader.read_to_string(&mut all).expect("connection was reset");
     assert!(all.starts_with(r#"{"@type":"NACK""#), "{all}");
 }
--- a/crates/controller/tests/support/channel_model.rs
+++ b/crates/controller/tests/support/channel_model.rs
@@ -1,16 +1,17 @@
-//! The relay's side of the command channel. Messages to one proxy arrive in order; a proxy that lags holds up no other proxy, but
-//! the queue is a queue: what is behind a message that some proxy lacks waits as well.
+//! A model of the command channel in the relay. Each proxy receives its messages in order, and a slow proxy does not
+//! delay the others. The queue itself frees messages in order only: a message stays queued, although all proxies have
+//! received it, as long as an older message is undelivered to some proxy.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// The channel's queue, and who is connected.
+/// The queue of the channel and the connected proxies.
 pub struct ChannelModel {
-    /// What a message costs besides its commands.
+    /// Lines that a message takes in addition to its commands.
     overhead_lines: usize,
     proxies: BTreeSet<u32>,
     messages: VecDeque<Message>,
-    /// The most lines that have waited at once.
-    pub most_waiting: usize,
+    /// Highest number of queued lines so far.
+    pub max_queued_lines: usize,
 }
 
 struct Message {
@@ -23,14 +24,14 @@
 impl ChannelModel {
     pub fn new(overhead_lines: usize, proxies: impl IntoIterator<Item = u32>) -> Self {
         let proxies = proxies.into_iter().collect();
-        ChannelModel { overhead_lines, proxies, messages: VecDeque::new(), most_waiting: 0 }
+        ChannelModel { overhead_lines, proxies, messages: VecDeque::new(), max_queued_lines: 0 }
     }
 
     pub fn join(&mut self, proxy: u32) {
         self.proxies.insert(proxy);
     }
 
-    /// What waits for a proxy is lost with its stream.
+    /// Disconnects a proxy. Messages that are queued for it are lost.
     pub fn leave(&mut self, proxy: u32) {
         self.proxies.remove(&proxy);
         for message in &mut self.messages {
@@ -40,26 +41,29 @@
         self.drop_delivered();
     }
 
-    /// Carries out a request: one message to each proxy, which asks for an acknowledgement of this version. Returns the number
-    /// of its commands.
+    /// Applies a request: queues one message to each proxy, with the version that the proxy acknowledges. Returns the
+    /// number of commands of the request.
     pub fn apply_request(&mut self, request: &str) -> usize {
-        let commands: Vec<_> = request.strip_prefix("APPLY ").expect("a request").split(';').collect();
+        let commands: Vec<_> =
+            request.strip_prefix("APPLY ").expect("request starts with APPLY").split(';').collect();
         let version = commands.iter().find_map(|command| command.strip_prefix("SYNC,")?.split(',').next());
-        let version = version.and_then(|version| version.parse().ok()).expect("a version");
+        let version = version
+            .and_then(|version| version.parse().ok())
+            .expect("request has a SYNC command with a version");
         let lines = commands.len() + self.overhead_lines;
         let (recipients, undelivered) = (self.proxies.clone(), self.proxies.clone());
         self.messages.push_back(Message { version, lines, recipients, undelivered });
-        self.most_waiting = self.most_waiting.max(self.waiting_lines());
+        self.max_queued_lines = self.max_queued_lines.max(self.queued_lines());
         commands.len()
     }
 
-    /// The proxy applies all that waits for it; returns the versions that it acknowledges, in order.
+    /// Delivers all messages that are queued for a proxy. Returns the versions that the proxy acknowledges, in order.
     pub fn deliver_all(&mut self, proxy: u32) -> Vec<u16> {
-        let waiting = self.messages.iter_mut().filter_map(|message| {
-            let is_new = message.undelivered.remove(&proxy);
-            is_new.then_some(message.version)
+        let delivered = self.messages.iter_mut().filter_map(|message| {
+            let was_undelivered = message.undelivered.remove(&proxy);
+            was_undelivered.then_some(message.version)
         });
-        let versions = waiting.collect();
+        let versions = delivered.collect();
         self.drop_delivered();
         versions
     }
@@ -70,8 +74,8 @@
         }
     }
 
-    /// The lines from the oldest message on that has not left.
-    pub fn waiting_lines(&self) -> usize {
+    /// Number of queued lines, from the oldest message that is undelivered to some proxy on.
+    pub fn queued_lines(&self) -> usize {
         self.messages.iter().map(|message| message.lines * message.recipients.len()).sum()
     }
 }
--- a/crates/controller/tests/support/managed_controller.rs
+++ b/crates/controller/tests/support/managed_controller.rs
@@ -1,4 +1,4 @@
-//! A controller process with an operators' file, an override store and a management API in a folder of its own.
+//! A controller process with an operators' file, an override store and a management API in a temporary folder.
 
 use super::fake_fleet::FakeFleet;
 use super::*;
@@ -6,16 +6,18 @@
 use whinwall_management_api::client::{Client, ClientError, ManagementAddress};
 use whinwall_management_api::wire::{ChangeOutcome, KindName, OverrideItem, SetBody};
 
+/// A controller process that is connected to a [`FakeFleet`].
 pub struct ManagedController {
     pub folder: tempfile::TempDir,
     pub fleet: FakeFleet,
     pub program: Option<ControllerProcess>,
-    /// Cores that the platform grants.
+    /// Limit on cores in the configuration file, as set by the platform.
     pub granted_cores: f64,
     pub memory_mb: f64,
 }
 
-pub fn out_of_service(replica: &str, lasts: &str) -> SetBody {
+/// The body of a request that takes a replica out of service for `duration`.
+pub fn out_of_service(replica: &str, duration: &str) -> SetBody {
     let (author, reason) = ("mb".into(), "disk".into());
     SetBody {
         kind: KindName::Out,
@@ -24,11 +26,12 @@
         slices: None,
         author,
         reason,
-        duration: lasts.into(),
+        duration: duration.into(),
     }
 }
 
 impl ManagedController {
+    /// Starts a controller without overrides, on a fake fleet with three proxies.
     pub fn start(replicas: usize, slices: usize) -> Self {
         let (folder, fleet) = (tempfile::tempdir().unwrap(), FakeFleet::start(replicas, slices, 3));
         let mut managed =
@@ -53,6 +56,7 @@
         std::fs::write(self.path("operators.xml"), text).unwrap();
     }
 
+    /// Writes the configuration file. Returns it with a command that starts the controller.
     pub fn command(&self) -> (Command, ConfigFile) {
         let mut file = example_config();
         file["distributor"]["address"] = json!(self.fleet.relay.to_string());
@@ -65,7 +69,8 @@
         (command, file)
     }
 
-    /// Kills the process, if it runs, starts it again, and waits until it has read its store.
+    /// Kills the process if one runs, starts a process, and waits until it has read the override store and the relay
+    /// snapshot.
     pub fn restart(&mut self) {
         self.program = None;
         let (command, file) = self.command();
@@ -82,13 +87,15 @@
         self.program.as_mut().unwrap()
     }
 
-    pub fn wait_for_log(&mut self, with: &str) -> String {
-        self.program().log.wait(with, |line: &String| line.contains(with))
+    /// Waits for a log line that contains `text`.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        self.program().log.wait(text, |line: &String| line.contains(text))
     }
 
-    pub fn request<T>(&self, call: impl AsyncFn(&Client) -> T) -> T {
-        let zone = ManagementAddress::Socket(self.path("m.sock"));
-        actix_rt::System::new().block_on(async { call(&Client::new(zone, None)).await })
+    /// Calls `send` with a client of the management API.
+    pub fn request<T>(&self, send: impl AsyncFn(&Client) -> T) -> T {
+        let address = ManagementAddress::Socket(self.path("m.sock"));
+        actix_rt::System::new().block_on(async { send(&Client::new(address, None)).await })
     }
 
     pub fn set(&self, id: &str, set: &SetBody) -> Result<ChangeOutcome, ClientError> {
@@ -107,15 +114,15 @@
         self.list().into_iter().find(|item| item.id == id).unwrap_or_else(|| panic!("{id} is not listed"))
     }
 
-    /// Polls the list until the override fits.
-    pub fn wait_for_item(&self, id: &str, fits: impl Fn(&OverrideItem) -> bool) -> OverrideItem {
+    /// Polls the list of overrides until the override satisfies `condition`.
+    pub fn wait_for_item(&self, id: &str, condition: impl Fn(&OverrideItem) -> bool) -> OverrideItem {
         let end = Instant::now() + TEST_TIMEOUT;
         loop {
             let item = self.item(id);
-            if fits(&item) {
+            if condition(&item) {
                 return item;
             }
-            assert!(Instant::now() < end, "{item:?} stays as it is");
+            assert!(Instant::now() < end, "override does not reach the expected state: {item:?}");
             thread::sleep(Duration::from_millis(20));
         }
     }
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Fakes of the peers of the controller, and the controller process itself, on loopback sockets.
-#![allow(dead_code)] // each file of tests compiles this one for itself and uses a part of it
+//! A fake relay and a fake discovery agent on loopback sockets, and the controller as a child process.
+#![allow(dead_code)] // each test file compiles this module separately and uses a part of it
 
 pub mod channel_model;
 pub mod fake_fleet;
@@ -22,15 +22,16 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 pub use whinwall_test_support::message_queue::MessageQueue;
 
-/// Far longer than anything takes: a test that waits so long has failed.
+/// Upper bound of each wait, far longer than any correct run needs: a test that reaches it has failed.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A line that the relay received, with the connection to reply on.
+/// A line received by the relay, with the connection for the response.
 pub struct RelayRequest {
     pub line: String,
     pub stream: TcpStream,
 }
 
+/// A fake relay: tests read the received lines from `messages` and write the responses themselves.
 pub struct FakeRelay {
     pub address: SocketAddr,
     pub messages: MessageQueue<RelayRequest>,
@@ -40,33 +41,33 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (says, heard) = channel();
+        let (sender, messages) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let says = says.clone();
+                let sender = sender.clone();
                 thread::spawn(move || {
                     let lines = BufReader::new(stream.try_clone().unwrap()).split(b'\n');
                     for line in lines.map_while(Result::ok) {
                         let line = match String::from_utf8(line) {
                             Ok(line) => {
-                                line.strip_suffix('\r').expect("a line that ends in CRLF").to_string()
+                                line.strip_suffix('\r').expect("request line ends with CRLF").to_string()
                             }
-                            // Garbled on its way by a test.
-                            Err(garbled) => String::from_utf8_lossy(garbled.as_bytes()).into_owned(),
+                            // A test with injected faults has corrupted the line.
+                            Err(invalid) => String::from_utf8_lossy(invalid.as_bytes()).into_owned(),
                         };
-                        if says.send(RelayRequest { line, stream: stream.try_clone().unwrap() }).is_err() {
+                        if sender.send(RelayRequest { line, stream: stream.try_clone().unwrap() }).is_err() {
                             return;
                         }
                     }
                 });
             }
         });
-        FakeRelay { address, messages: MessageQueue::new(heard, TEST_TIMEOUT) }
+        FakeRelay { address, messages: MessageQueue::new(messages, TEST_TIMEOUT) }
     }
 
-    /// A fleet of this size: each slice on the replica that has its number, by turns.
+    /// Accepts a relay watch and sends a snapshot of a fleet of this size. Slice n is on replica n modulo `replicas`.
     pub fn serve_fleet_snapshot(&mut self, replicas: usize, slices: usize, proxies: usize) -> TcpStream {
-        let mut way = self.accept_watch();
+        let mut stream = self.accept_watch();
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..proxies).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for slice in 0..slices {
@@ -74,18 +75,18 @@
             lines.push(format!("* ROW {slice} s-{} 1.0", slice % replicas));
         }
         lines.push("*".into());
-        way.write_all(format!("{}\r\n", lines.join("\r\n")).as_bytes()).unwrap();
-        way
+        stream.write_all(format!("{}\r\n", lines.join("\r\n")).as_bytes()).unwrap();
+        stream
     }
 
-    /// Waits for a connection that opens the relay watch.
+    /// Waits for a relay watch and returns its connection.
     pub fn accept_watch(&mut self) -> TcpStream {
-        self.messages.wait("WATCH", |said| said.line == "WATCH").stream
+        self.messages.wait("WATCH", |request| request.line == "WATCH").stream
     }
 
     /// Accepts a relay watch and sends a snapshot of three replicas, six slices and three proxies.
     pub fn serve_snapshot(&mut self) -> TcpStream {
-        let mut way = self.accept_watch();
+        let mut stream = self.accept_watch();
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..3).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
         for slice in 0..6 {
@@ -93,49 +94,52 @@
             lines.push(format!("* ROW {slice} s-{} 1.0", slice % 3));
         }
         lines.push("*".into());
-        // In pieces that end anywhere.
+        // Sent in pieces that end within lines.
         for piece in format!("{}\r\n", lines.join("\r\n")).as_bytes().chunks(37) {
-            way.write_all(piece).unwrap();
+            stream.write_all(piece).unwrap();
             thread::yield_now();
         }
-        way
+        stream
     }
 
-    pub fn wait_for_request(&mut self, with: &str) -> RelayRequest {
-        self.messages.wait(&format!("a call with {with}"), |said| said.line.contains(with))
+    /// Waits for a request line that contains `text`.
+    pub fn wait_for_request(&mut self, text: &str) -> RelayRequest {
+        self.messages.wait(&format!("request with {text}"), |request| request.line.contains(text))
     }
 
-    /// Accepts requests until one contains this text; returns that one.
-    pub fn accept_requests_until(&mut self, with: &str) -> RelayRequest {
+    /// Accepts requests until one contains `text`. Returns that request without a response.
+    pub fn accept_requests_until(&mut self, text: &str) -> RelayRequest {
         loop {
-            let said = self.wait_for_request("APPLY ");
-            if said.line.contains(with) {
-                return said;
+            let request = self.wait_for_request("APPLY ");
+            if request.line.contains(text) {
+                return request;
             }
-            said.accept();
+            request.accept();
         }
     }
 }
 
 impl RelayRequest {
-    /// The version that proxies are asked to acknowledge.
+    /// The version of the command set, which proxies are asked to acknowledge.
     pub fn version(&self) -> Option<&str> {
-        self.line.split(';').find_map(|order| order.strip_prefix("SYNC,")?.split(',').next())
+        self.line.split(';').find_map(|command| command.strip_prefix("SYNC,")?.split(',').next())
     }
 
+    /// Responds that all commands are accepted.
     pub fn accept(mut self) {
-        let orders = self.line.split(';').count();
-        // On a busy machine the response may come too late, and the request is retried.
-        _ = write!(self.stream, "OK {orders}\r\n");
+        let commands = self.line.split(';').count();
+        // On a busy machine the response may be late: the controller has closed the connection and retries.
+        _ = write!(self.stream, "OK {commands}\r\n");
     }
 }
 
-/// A registry watch that was opened, with the sender of its lines; the response ends when it is dropped.
+/// An open registry watch with the sender of its response lines. Dropping it ends the response.
 pub struct RegistryWatch {
     pub path: String,
     pub lines: UnboundedSender<String>,
 }
 
+/// A fake discovery agent: tests accept the registry watches from `messages` and send the lists themselves.
 pub struct FakeDiscovery {
     pub address: SocketAddr,
     pub messages: MessageQueue<RegistryWatch>,
@@ -143,37 +147,41 @@
 
 impl FakeDiscovery {
     pub fn start() -> Self {
-        let (started, address) = channel();
-        let (asked, heard) = channel();
+        let (address_sender, address) = channel();
+        let (sender, messages) = channel();
         thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let listener = actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-                started.send(listener.local_addr().unwrap()).unwrap();
-                let answer = move |request: Request| {
-                    let (lines, queued) = unbounded_channel::<String>();
-                    _ = asked.send(RegistryWatch { path: request.uri().to_string(), lines });
-                    let lines = futures_util::stream::unfold(queued, |mut queued| async move {
-                        let line = queued.recv().await?;
-                        Some((Ok::<_, Infallible>(bytes::Bytes::from(line)), queued))
+                address_sender.send(listener.local_addr().unwrap()).unwrap();
+                let respond = move |request: Request| {
+                    let (lines, receiver) = unbounded_channel::<String>();
+                    _ = sender.send(RegistryWatch { path: request.uri().to_string(), lines });
+                    let lines = futures_util::stream::unfold(receiver, |mut receiver| async move {
+                        let line = receiver.recv().await?;
+                        Some((Ok::<_, Infallible>(bytes::Bytes::from(line)), receiver))
                     });
                     async { Ok::<_, Infallible>(Response::ok().set_body(BodyStream::new(lines))) }
                 };
-                let service = HttpService::build().h1(answer).new_service(()).await.unwrap();
+                let service = HttpService::build().h1(respond).new_service(()).await.unwrap();
                 loop {
-                    let (stream, from) = listener.accept().await.unwrap();
-                    actix_rt::spawn(service.call((stream, Some(from))));
+                    let (stream, peer) = listener.accept().await.unwrap();
+                    actix_rt::spawn(service.call((stream, Some(peer))));
                 }
             });
         });
-        FakeDiscovery { address: address.recv().unwrap(), messages: MessageQueue::new(heard, TEST_TIMEOUT) }
+        FakeDiscovery {
+            address: address.recv().unwrap(),
+            messages: MessageQueue::new(messages, TEST_TIMEOUT),
+        }
     }
 
+    /// Waits for a registry watch that starts after version `since`.
     pub fn accept_watch(&mut self, since: u64) -> RegistryWatch {
         let path = format!("/registry/instances?follow=1&since={since}");
         self.messages.wait(&path, |watch| watch.path == path)
     }
 
-    /// Accepts a watch from version 0 and sends it a complete list.
+    /// Accepts a watch from version 0 and sends a complete list, version 41, of three ready replicas.
     pub fn serve_snapshot(&mut self) -> RegistryWatch {
         let watch = self.accept_watch(0);
         watch.send_list(41, true, &["active", "active", "active"]);
@@ -182,18 +190,19 @@
 }
 
 impl RegistryWatch {
-    pub fn send_list(&self, version: u64, whole: bool, states: &[&str]) {
+    /// Sends a complete list or a list of changes. The state at index n is that of replica `s-n`.
+    pub fn send_list(&self, version: u64, is_complete: bool, states: &[&str]) {
         let entry = |(n, state): (usize, &&str)| {
             json!({"id": format!("s-{n}"), "addr": "127.0.0.9:1", "zone": "north", "kind": "m2", "cell": 3,
                 "state": state, "weight": 1.0, "started_ms": 0})
         };
         let replicas: Vec<_> = states.iter().enumerate().map(entry).collect();
-        let list = json!({"version": version, "full": whole, "servers": replicas});
+        let list = json!({"version": version, "full": is_complete, "servers": replicas});
         self.lines.send(format!("{list}\n")).unwrap();
     }
 }
 
-/// A configuration file that is removed after the test.
+/// A temporary configuration file, removed on drop.
 pub struct ConfigFile(pub std::path::PathBuf);
 
 impl ConfigFile {
@@ -212,6 +221,7 @@
     }
 }
 
+/// A controller process, killed on drop.
 pub struct ControllerProcess {
     pub child: Child,
     pub address: SocketAddr,
@@ -219,12 +229,14 @@
     pub file: ConfigFile,
 }
 
+/// The configuration of `deploy/example.json`, listening on a free port.
 pub fn example_config() -> Value {
     let mut file: Value = serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap();
     file["listen"] = json!("127.0.0.1:0");
     file
 }
 
+/// A command that starts the controller with this configuration file.
 pub fn command(file: &ConfigFile) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_whinwall-controller"));
     command.env_clear().env("PROXY_CONFIG", &file.0).stderr(Stdio::piped()).stdin(Stdio::null());
@@ -252,12 +264,12 @@
         program
     }
 
-    /// Starts a process without waiting until it listens.
+    /// Starts the process and does not wait until it listens.
     pub fn launch(mut command: Command, file: ConfigFile) -> Self {
         let mut child = command.spawn().unwrap();
-        let (says, log) = channel();
+        let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| says.send(line)));
+        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         ControllerProcess {
             child,
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -267,16 +279,17 @@
     }
 
     pub fn wait_until_listening(&mut self) {
-        let serves =
-            self.log.wait("the address", |line: &String| line.contains("listening for collectors address="));
-        self.address = serves.split("address=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
+        let line = self
+            .log
+            .wait("listen address", |line: &String| line.contains("listening for collectors address="));
+        self.address = line.split("address=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
     }
 
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Stops the process: whatever happens until `resume`, it meets at once.
+    /// Stops the process, so that it finds all events before `resume` at the same instant.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -289,8 +302,9 @@
         self.signal(Signal::CONT);
     }
 
-    pub fn wait_for_log(&mut self, with: &str) -> String {
-        self.log.wait(with, |line: &String| line.contains(with))
+    /// Waits for a log line that contains `text`.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        self.log.wait(text, |line: &String| line.contains(text))
     }
 
     pub fn connect(&self) -> Peer {
@@ -313,7 +327,7 @@
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("it does not end");
+        panic!("controller has not exited within {TEST_TIMEOUT:?}");
     }
 }
 
@@ -324,7 +338,7 @@
     }
 }
 
-/// A connection to the controller.
+/// A connection to the port for collectors and aggregators of the controller.
 pub struct Peer {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
@@ -335,33 +349,38 @@
         self.stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
+    /// Sends a ping and reads the reply.
     pub fn ping(&mut self) {
         self.send_line(r#"{"@type":"PING"}"#);
-        let mut answer = String::new();
-        self.reader.read_line(&mut answer).unwrap();
-        assert_eq!(answer, "{\"@type\":\"PONG\"}\n");
+        let mut reply = String::new();
+        self.reader.read_line(&mut reply).unwrap();
+        assert_eq!(reply, "{\"@type\":\"PONG\"}\n");
     }
 
+    /// Authenticates as a collector of the zone `north`.
     pub fn join_zone(&mut self) {
         self.send_line(r#"{"@type":"SOURCE","az":"north"}"#);
         self.ping();
     }
 
-    /// Whether the controller closes the connection.
+    /// Returns true if the controller closes the connection within [`TEST_TIMEOUT`].
     pub fn is_disconnected(&mut self) -> bool {
         self.is_disconnected_within(TEST_TIMEOUT)
     }
 
-    /// ... within this time, whatever it sends before.
+    /// Returns true if the controller closes the connection within `time`. Discards received data.
     pub fn is_disconnected_within(&mut self, time: Duration) -> bool {
         self.stream.set_read_timeout(Some(time)).unwrap();
         match self.reader.read_to_end(&mut Vec::new()) {
-            Err(why) => !matches!(why.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
+            Err(error) => {
+                !matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
+            }
             Ok(_) => true,
         }
     }
 }
 
+/// Starts a fake relay, a fake discovery agent and a controller that is configured for them.
 pub fn start_with_fakes() -> (FakeRelay, FakeDiscovery, ControllerProcess) {
     let (relay, discovery) = (FakeRelay::start(), FakeDiscovery::start());
     let program = ControllerProcess::start(&relay, &discovery);
--- a/crates/controller/tests/support/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -1,4 +1,4 @@
-//! The reducer without sockets, against a store that applies relay requests or loses them.
+//! The reducer without sockets, connected to a simulated relay that applies relay requests or loses them.
 
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,8 +10,10 @@
 use whinwall_routing::{Effect, Event, LogEvent, Reducer};
 use whinwall_transport::{RequestError, StreamError, Targets};
 
+/// Stored routing tables: weights by replica, for each slice.
 pub type Store = BTreeMap<u32, BTreeMap<String, f64>>;
 
+/// A reducer with its simulated environment: relay, endpoint list and proxies.
 pub struct Rig {
     pub reducer: Reducer,
     pub now: Moment,
@@ -20,24 +22,26 @@
     pub single_writer: bool,
     pub replicas: BTreeMap<String, &'static str>,
     pub proxies: u32,
-    /// The request that waits for its response.
+    /// The request that is in flight.
     pub pending_request: Option<String>,
     pub relay: Option<SocketAddr>,
     pub requests: Vec<String>,
     pub other_effects: Vec<Effect>,
-    /// The log without the lines of each relay request.
+    /// Log lines, without those about single relay requests.
     pub logs: Vec<String>,
+    /// Log lines about single relay requests.
     pub request_logs: Vec<String>,
     pub replies: Vec<Reply>,
 }
 
 pub const RELAY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 6400);
 pub const DISCOVERY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8500);
+/// The event after a relay request that may or may not have been applied.
 pub const OUTCOME_UNKNOWN: Event =
     Event::RelayResponse(Err(RequestError::OutcomeUnknown(StreamError::TimedOut)));
 
 impl Rig {
-    /// Six replicas, twelve slices, four proxies; nothing of it told yet.
+    /// Six replicas, twelve slices and four proxies. The reducer has received no list and no snapshot yet.
     pub fn new() -> Self {
         Rig::with_settings(12, |_| {})
     }
@@ -74,7 +78,7 @@
         rig
     }
 
-    /// One that serves: list and news told, the first orders out.
+    /// A reducer that has received the endpoint list and the relay snapshot and has sent its first commands.
     pub fn serving() -> Self {
         Rig::new().start_serving()
     }
@@ -91,7 +95,7 @@
             match effect {
                 Effect::RelayRequest { relay, line, .. } => {
                     self.relay = Some(relay);
-                    assert_eq!(self.pending_request.replace(line.clone()), None, "two calls at a time");
+                    assert_eq!(self.pending_request.replace(line.clone()), None, "two requests in flight");
                     self.requests.push(line);
                 }
                 Effect::WakeAt(at) => self.wake_at = Some(at),
@@ -131,7 +135,7 @@
         self.apply(Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
     }
 
-    /// What a new news connection says stands, all but the slices without a grant.
+    /// Sends the snapshot of a new relay watch, without the slices in `ungranted`.
     pub fn send_snapshot(&mut self, ungranted: &[u32]) {
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..self.proxies).map(|proxy| format!("* SUBSCRIBE {proxy} north 21.5 1")));
@@ -144,15 +148,16 @@
         self.drain_input();
     }
 
-    /// Carries out what the call says, and acks its version.
-    pub fn apply_request(&mut self, call: &str) -> usize {
-        let orders: Vec<_> = call.strip_prefix("APPLY ").unwrap().split(';').collect();
-        for order in &orders {
-            match order.split(',').collect::<Vec<_>>()[..] {
+    /// Applies a request to the store and acknowledges its version from all proxies. Returns the number of its
+    /// commands.
+    pub fn apply_request(&mut self, request: &str) -> usize {
+        let commands: Vec<_> = request.strip_prefix("APPLY ").unwrap().split(';').collect();
+        for command in &commands {
+            match command.split(',').collect::<Vec<_>>()[..] {
                 ["SET", slice, replica, weight] => {
-                    assert!(self.replicas.contains_key(replica), "{order}");
+                    assert!(self.replicas.contains_key(replica), "unknown replica: {command}");
                     let table = self.store.get_mut(&slice.parse().unwrap()).unwrap();
-                    // A table has one owner there, and a new one takes the place of the former.
+                    // With single writers a table has one owner, and a new owner replaces the previous one.
                     if self.single_writer {
                         table.clear();
                     }
@@ -160,7 +165,7 @@
                         0.0 => _ = table.remove(replica),
                         weight => _ = table.insert(replica.into(), weight),
                     }
-                    assert!(!table.is_empty(), "{order} leaves a table empty");
+                    assert!(!table.is_empty(), "{command} leaves a routing table empty");
                 }
                 ["SYNC", version, _] => {
                     (0..self.proxies)
@@ -169,17 +174,18 @@
                 _ => {}
             }
         }
-        orders.len()
+        commands.len()
     }
 
+    /// Applies the request in flight and accepts it.
     pub fn accept_request(&mut self) {
-        let Some(call) = self.pending_request.take() else { return };
-        let taken = self.apply_request(&call);
-        self.apply(Event::RelayResponse(Ok(Response::Accepted(taken))));
+        let Some(request) = self.pending_request.take() else { return };
+        let accepted = self.apply_request(&request);
+        self.apply(Event::RelayResponse(Ok(Response::Accepted(accepted))));
         self.drain_input();
     }
 
-    /// Time passes, calls are answered at once.
+    /// Advances the time and accepts each request at once.
     pub fn advance_ms(&mut self, ms: u64) {
         let end = self.now + Span::ms(ms);
         loop {
@@ -197,41 +203,46 @@
         self.drain_input();
     }
 
-    /// Tells what stands if that was asked for.
+    /// Sends a snapshot if the reducer has requested a new relay watch. Returns true if it has.
     pub fn resend_snapshot_if_requested(&mut self) -> bool {
-        let asked = self.other_effects.drain(..).any(|follow| matches!(follow, Effect::WatchRelay { .. }));
-        if asked {
+        let is_requested =
+            self.other_effects.drain(..).any(|effect| matches!(effect, Effect::WatchRelay { .. }));
+        if is_requested {
             self.send_snapshot(&[]);
         }
-        asked
+        is_requested
     }
 
+    /// Lists a replica as draining.
     pub fn drain(&mut self, replica: &str) {
         self.replicas.insert(replica.into(), "leaving");
         self.send_list();
         self.drain_input();
     }
 
-    /// Slices whose tables name a replica that leaves, and whose requests are not halted.
+    /// Slices whose table contains a draining replica and whose requests are not held back.
     pub fn slices_sent_to_draining_replicas(&self) -> BTreeSet<u32> {
-        let mut halted = BTreeSet::new();
-        let orders = self.requests.iter().flat_map(|call| call.trim_start_matches("APPLY ").split(';'));
-        for order in orders {
-            match order.split(',').collect::<Vec<_>>()[..] {
-                ["LIMIT", slice, "*", "0", _] => halted.extend(slice.parse::<u32>()),
-                ["LIMIT", slice, ..] => _ = slice.parse().is_ok_and(|slice| halted.remove(&slice)),
+        let mut held_back = BTreeSet::new();
+        let commands =
+            self.requests.iter().flat_map(|request| request.trim_start_matches("APPLY ").split(';'));
+        for command in commands {
+            match command.split(',').collect::<Vec<_>>()[..] {
+                ["LIMIT", slice, "*", "0", _] => held_back.extend(slice.parse::<u32>()),
+                ["LIMIT", slice, ..] => _ = slice.parse().is_ok_and(|slice| held_back.remove(&slice)),
                 _ => {}
             }
         }
-        let leaves = |replica: &String| self.replicas[replica] == "leaving";
-        let sent = self.store.iter().filter(|(_, table)| table.keys().any(leaves)).map(|(slice, _)| *slice);
-        sent.filter(|slice| !halted.contains(slice)).collect()
+        let is_draining = |replica: &String| self.replicas[replica] == "leaving";
+        let sent =
+            self.store.iter().filter(|(_, table)| table.keys().any(is_draining)).map(|(slice, _)| *slice);
+        sent.filter(|slice| !held_back.contains(slice)).collect()
     }
 
+    /// Replicas with a weight of 1 or more in some table.
     pub fn owners(&self) -> BTreeSet<&str> {
-        let whole =
+        let owner =
             |(replica, weight): (&'_ String, &f64)| (*weight >= 1.0).then_some(replica.as_str().to_owned());
-        let all: Vec<String> = self.store.values().flat_map(|table| table.iter().filter_map(whole)).collect();
+        let all: Vec<String> = self.store.values().flat_map(|table| table.iter().filter_map(owner)).collect();
         self.replicas.keys().map(String::as_str).filter(|replica| all.iter().any(|s| s == replica)).collect()
     }
 }
