--- a/crates/controller/tests/support/fake_fleet.rs
+++ b/crates/controller/tests/support/fake_fleet.rs
@@ -166,9 +166,8 @@
                 );
             }
             lines.push("*".into());
-            let mut stream = request.stream;
-            watch =
-                stream.write_all(format!("{}\r\n", lines.join("\r\n")).as_bytes()).is_ok().then_some(stream);
+            let mut peer = request.stream;
+            watch = peer.write_all(format!("{}\r\n", lines.join("\r\n")).as_bytes()).is_ok().then_some(peer);
             continue;
         }
         // A request with a malformed command is rejected as a whole, as by the real relay.
@@ -180,8 +179,7 @@
             ["OUT" | "IN", _] | ["LIMIT", _, _, _, _] | ["SYNC", _, _] => true,
             _ => false,
         };
-        let Some(commands) =
-            request.line.strip_prefix("APPLY ").filter(|commands| commands.split(';').all(is_valid))
+        let Some(commands) = request.line.strip_prefix("APPLY ").filter(|line| line.split(';').all(is_valid))
         else {
             _ = (&request.stream).write_all(b"ERR bad_request\r\n");
             continue;
