--- a/crates/controller/tests/channel_limit.rs
+++ b/crates/controller/tests/channel_limit.rs
@@ -13,8 +13,8 @@
 //! when 111 reconnected proxies acknowledged the newest message within 0.2 s. The controller's count fell from
 //! 112,972 to 59,791 lines.
 //!
-//! A count of the unacknowledged lines of each proxy is too low as well. In six further runs the relay counted all
-//! lines from the oldest message on that some connected proxy had not received, also the lines that other proxies had
+//! It is not enough to count the unacknowledged lines of each proxy. In six further runs the relay counted all lines
+//! from the oldest message on that some connected proxy had not received, also those that other proxies had
 //! acknowledged.
 
 mod support;
--- a/crates/controller/tests/event_races.rs
+++ b/crates/controller/tests/event_races.rs
@@ -160,7 +160,7 @@
     rig.proxies = proxies;
     rig.apply(Event::RelayWatchLost(StreamError::TimedOut));
     rig.advance_ms(200);
-    assert!(rig.resend_snapshot_if_requested(), "the relay watch is requested again");
+    assert!(rig.resend_snapshot_if_requested(), "relay watch is not requested again");
     let before = rig.requests.len();
     rig.drain("s-4");
     rig.advance_ms(grace);
@@ -171,8 +171,8 @@
 }
 
 /// A restarted controller reinstates the replicas that it had withdrawn. Before it has slices, such a request reaches
-/// no proxy and is never acknowledged. After its outcome was unknown and more proxies had subscribed, the channel had
-/// no capacity for it twice, and all commands were delayed for 3 s (regina-rating, roll+silent+mass 524: no request
+/// no proxy and is never acknowledged. If its outcome was unknown and more proxies then subscribed, the channel had no
+/// capacity to send it twice, and all commands were delayed for 3 s (regina-rating, roll+silent+mass 524: no request
 /// from 15.8 s to 18.8 s).
 #[test]
 fn reinstatements_without_slices_delay_no_drain() {
--- a/crates/controller/tests/support/channel_model.rs
+++ b/crates/controller/tests/support/channel_model.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Number of queued lines, from the oldest message that is undelivered to some proxy on.
+    /// Number of queued lines. The first queued message is the oldest one that is undelivered to some proxy.
     pub fn queued_lines(&self) -> usize {
         self.messages.iter().map(|message| message.lines * message.recipients.len()).sum()
     }
