--- a/crates/controller/benches/override_expiry.rs
+++ b/crates/controller/benches/override_expiry.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
-use support::managed_controller::{out, ManagedController};
+use support::managed_controller::{out_of_service, ManagedController};
 
 const OVERRIDE_COUNT: usize = 200;
 
@@ -17,9 +17,10 @@
     for n in 0..OVERRIDE_COUNT {
         let duration_seconds = 4 + n % 5;
         let called_at = Instant::now();
-        managed.set(&format!("o{n}"), &out(&format!("s-{n}"), &format!("{duration_seconds}s"))).unwrap();
-        // The override begins at an unknown time during the call. Counting from the start of the call never
-        // understates the delay.
+        managed
+            .set(&format!("o{n}"), &out_of_service(&format!("s-{n}"), &format!("{duration_seconds}s")))
+            .unwrap();
+        // The override begins at an unknown time during the call. Counting from the start of the call never understates the delay.
         expected_ends.push(called_at + Duration::from_secs(duration_seconds as u64));
     }
     let mut expiry_delays = Histogram::<u64>::new(3).unwrap();
