--- a/crates/controller/tests/fleet.rs
+++ b/crates/controller/tests/fleet.rs
@@ -6,27 +6,27 @@
 use support::{command, example_config, ConfigFile, ControllerProcess};
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_emulator::fault::{Fault, FaultKind};
-use whinwall_emulator::real_time::StandIns;
+use whinwall_emulator::real_time::FakeEnvironment;
 use whinwall_emulator::scenario::Outcome;
 use whinwall_policy::time::Span;
 
 fn run_scenario(config: &ScenarioConfig, faults: &[Fault]) -> Outcome {
-    let emulated = StandIns::open(config.controllers).unwrap();
+    let emulated = FakeEnvironment::open(config.controllers).unwrap();
     let programs: Vec<_> = emulated
-        .stand_ins
+        .services
         .iter()
         .enumerate()
-        .map(|(number, stand_in)| {
+        .map(|(number, services)| {
             let mut file = example_config();
-            file["distributor"]["address"] = json!(stand_in.addresses.relay.to_string());
-            file["discovery"] = json!(stand_in.addresses.discovery.to_string());
+            file["distributor"]["address"] = json!(services.addresses.relay.to_string());
+            file["discovery"] = json!(services.addresses.discovery.to_string());
             file["settings"] = config.settings(number);
             let file = ConfigFile::write(&file.to_string());
             ControllerProcess::spawn(command(&file), file)
         })
         .collect();
     let addresses: Vec<_> = programs.iter().map(|program| program.address).collect();
-    emulated.play(config, faults, 7, &addresses).unwrap()
+    emulated.run(config, faults, 7, &addresses).unwrap()
 }
 
 #[test]
--- a/crates/emulator/src/real_time/connection.rs
+++ b/crates/emulator/src/real_time/connection.rs
@@ -1,6 +1,6 @@
 //! The sockets to one controller program, as the scenario writes to them.
 
-use super::stand_in::StandIn;
+use super::services::FakeServices;
 use crate::scenario::ControllerConnection;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -34,26 +34,26 @@
 
 /// The connections of one controller.
 pub(super) struct SocketConnection {
-    pub(super) stand_in: StandIn,
+    pub(super) services: FakeServices,
     /// By zone.
     pub(super) collectors: Vec<TcpStream>,
 }
 
 impl ControllerConnection for SocketConnection {
     fn send_relay_event(&mut self, line: &str) {
-        write_line(&self.stand_in.relay_watch, line);
+        write_line(&self.services.relay_watch, line);
     }
 
     fn close_relay_watch(&mut self) {
-        close(&self.stand_in.relay_watch);
+        close(&self.services.relay_watch);
     }
 
     fn send_list(&mut self, line: &str) {
-        write_or_drop(&self.stand_in.registry_watch, |stream| write_chunk(stream, &format!("{line}\n")));
+        write_or_drop(&self.services.registry_watch, |stream| write_chunk(stream, &format!("{line}\n")));
     }
 
     fn close_registry_watch(&mut self) {
-        close(&self.stand_in.registry_watch);
+        close(&self.services.registry_watch);
     }
 
     fn send_report(&mut self, zone: usize, line: &str) {
@@ -64,8 +64,8 @@
 
     fn respond(&mut self, line: Option<&str>) {
         match line {
-            Some(line) => write_line(&self.stand_in.relay_requests, line),
-            None => close(&self.stand_in.relay_requests),
+            Some(line) => write_line(&self.services.relay_requests, line),
+            None => close(&self.services.relay_requests),
         }
     }
 }
--- a/crates/emulator/src/real_time/mod.rs
+++ b/crates/emulator/src/real_time/mod.rs
@@ -2,16 +2,16 @@
 //! service for each controller, and a collector for each zone.
 
 mod connection;
-mod stand_in;
+mod services;
 
-pub use stand_in::{StandIn, StandInAddresses};
+pub use services::{FakeServiceAddresses, FakeServices};
 
 use crate::config::ScenarioConfig;
 use crate::fault::Fault;
 use crate::policy::Policy;
 use crate::scenario::{Outcome, Scenario};
 use connection::SocketConnection;
-use stand_in::ReceivedInput;
+use services::ReceivedInput;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
@@ -24,28 +24,28 @@
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// The stand-ins of all controllers' surroundings, and what they receive.
-pub struct StandIns {
+pub struct FakeEnvironment {
     /// By controller.
-    pub stand_ins: Vec<StandIn>,
+    pub services: Vec<FakeServices>,
     inputs: Receiver<ReceivedInput>,
 }
 
-impl StandIns {
+impl FakeEnvironment {
     /// Opens the listeners for so many controllers.
     ///
     /// # Errors
     /// Where a listener can't be opened.
     pub fn open(controllers: usize) -> std::io::Result<Self> {
         let (sender, inputs) = channel();
-        let stand_ins = (0..controllers).map(|controller| StandIn::open(controller, &sender));
-        Ok(StandIns { stand_ins: stand_ins.collect::<Result<_, _>>()?, inputs })
+        let services = (0..controllers).map(|controller| FakeServices::open(controller, &sender));
+        Ok(FakeEnvironment { services: services.collect::<Result<_, _>>()?, inputs })
     }
 
     /// Plays the scenario with controllers whose collectors' ports are at these addresses.
     ///
     /// # Errors
     /// Where a controller's collector port can't be connected to.
-    pub fn play(
+    pub fn run(
         self,
         config: &ScenarioConfig,
         faults: &[Fault],
@@ -53,9 +53,9 @@
         controllers: &[SocketAddr],
     ) -> std::io::Result<Outcome> {
         let mut scenario = Scenario::new(config.clone(), Policy::Controlled, faults.to_vec(), seed);
-        for (controller, (stand_in, address)) in self.stand_ins.into_iter().zip(controllers).enumerate() {
+        for (controller, (services, address)) in self.services.into_iter().zip(controllers).enumerate() {
             let collectors = connect_collectors(*address, config)?;
-            let connection = SocketConnection { stand_in, collectors };
+            let connection = SocketConnection { services, collectors };
             scenario.connect_controller(controller, Box::new(connection));
         }
         run(&mut scenario, &self.inputs, config.duration);
--- a/crates/emulator/src/real_time/stand_in.rs
+++ b/crates/emulator/src/real_time/services.rs
@@ -22,7 +22,7 @@
 
 /// Where a controller finds its relay and its discovery service.
 #[derive(Clone, Copy, Debug)]
-pub struct StandInAddresses {
+pub struct FakeServiceAddresses {
     /// The relay.
     pub relay: SocketAddr,
     /// Discovery.
@@ -30,9 +30,9 @@
 }
 
 /// The stand-ins for one controller's relay and discovery service. Their threads end with the process.
-pub struct StandIn {
+pub struct FakeServices {
     /// Where they listen.
-    pub addresses: StandInAddresses,
+    pub addresses: FakeServiceAddresses,
     pub(super) relay_watch: SharedStream,
     pub(super) registry_watch: SharedStream,
     pub(super) relay_requests: SharedStream,
@@ -55,10 +55,11 @@
     }
 }
 
-impl StandIn {
+impl FakeServices {
     pub(super) fn open(controller: ControllerIndex, inputs: &Sender<ReceivedInput>) -> std::io::Result<Self> {
         let (relay, discovery) = (TcpListener::bind("127.0.0.1:0")?, TcpListener::bind("127.0.0.1:0")?);
-        let addresses = StandInAddresses { relay: relay.local_addr()?, discovery: discovery.local_addr()? };
+        let addresses =
+            FakeServiceAddresses { relay: relay.local_addr()?, discovery: discovery.local_addr()? };
         let context = ConnectionContext {
             controller,
             inputs: inputs.clone(),
@@ -69,7 +70,7 @@
         accept_connections(relay, context.clone(), serve_relay);
         accept_connections(discovery, context.clone(), serve_discovery);
         let ConnectionContext { relay_watch, registry_watch, relay_requests, .. } = context;
-        Ok(StandIn { addresses, relay_watch, registry_watch, relay_requests })
+        Ok(FakeServices { addresses, relay_watch, registry_watch, relay_requests })
     }
 }
 
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -34,7 +34,7 @@
 use crate::policy::Policy;
 
 /// Plays a scenario.
-pub fn play(config: &ScenarioConfig, policy: Policy, faults: &[Fault], seed: u64) -> Outcome {
+pub fn run_scenario(config: &ScenarioConfig, policy: Policy, faults: &[Fault], seed: u64) -> Outcome {
     let mut scenario = Scenario::new(config.clone(), policy, faults.to_vec(), seed);
     scenario.run();
     scenario.outcome
@@ -42,7 +42,7 @@
 
 /// Plays a scenario, and keeps the time-line of one replica or slice: faults, list changes, commands and decisions
 /// that name it, and what it did each second.
-pub fn play_with_timeline(
+pub fn run_with_timeline(
     config: &ScenarioConfig,
     faults: &[Fault],
     seed: u64,
@@ -55,7 +55,7 @@
 }
 
 /// Plays a scenario in which commands are changed on their way to the proxies: the rules' checkers must notice.
-pub fn play_with_interceptor(
+pub fn run_with_interceptor(
     config: &ScenarioConfig,
     faults: &[Fault],
     seed: u64,
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -5,33 +5,33 @@
 use whinwall_emulator::fault::{Fault, FaultKind, ListAnomaly};
 use whinwall_emulator::policy::Policy;
 use whinwall_emulator::random_faults::random_faults;
-use whinwall_emulator::scenario::{play, play_with_interceptor, play_with_timeline, Outcome};
+use whinwall_emulator::scenario::{run_scenario, run_with_interceptor, run_with_timeline, Outcome};
 use whinwall_policy::time::Span;
 
 fn short() -> ScenarioConfig {
     ScenarioConfig { duration: Span::ms(40_000), ..ScenarioConfig::small() }
 }
 
-fn play_controlled(faults: &[Fault], seed: u64) -> Outcome {
-    let outcome = play(&short(), Policy::Controlled, faults, seed);
+fn run_controlled(faults: &[Fault], seed: u64) -> Outcome {
+    let outcome = run_scenario(&short(), Policy::Controlled, faults, seed);
     assert!(outcome.violation_counts.is_empty(), "{faults:?} seed {seed}: {:?}", outcome.violations);
     outcome
 }
 
 #[test]
 fn every_policy_serves_a_scenario_without_faults() {
-    assert!(play_controlled(&[], 1).service_level > 0.99);
+    assert!(run_controlled(&[], 1).service_level > 0.99);
     for policy in [Policy::StaticTables, Policy::Hashing, Policy::TwoChoices, Policy::LeastLoaded] {
-        assert!(play(&short(), policy, &[], 1).service_level > 0.9, "{policy:?}");
+        assert!(run_scenario(&short(), policy, &[], 1).service_level > 0.9, "{policy:?}");
     }
 }
 
 #[test]
 fn same_seed_gives_same_outcome() {
     let faults = random_faults(5, 3, &short());
-    let (first, repeated) = (play_controlled(&faults, 5), play_controlled(&faults, 5));
+    let (first, repeated) = (run_controlled(&faults, 5), run_controlled(&faults, 5));
     assert_eq!(first, repeated);
-    assert_ne!(first, play_controlled(&faults, 6));
+    assert_ne!(first, run_controlled(&faults, 6));
 }
 
 /// Each fault alone, in the middle of a scenario. Faults of replicas and zones cost less than with static tables,
@@ -53,7 +53,7 @@
     for kind in replica_faults {
         let faults = [Fault::new(12_000, 12_000, kind.clone())];
         let (outcome, static_tables) =
-            (play_controlled(&faults, 3), play(&short(), Policy::StaticTables, &faults, 3));
+            (run_controlled(&faults, 3), run_scenario(&short(), Policy::StaticTables, &faults, 3));
         assert!(
             outcome.service_level > static_tables.service_level - 0.01,
             "{kind:?}: {} against {}",
@@ -75,7 +75,7 @@
         FaultKind::GarbledRelay { share: 0.4 },
     ];
     for kind in other_faults {
-        let outcome = play_controlled(&[Fault::new(12_000, 12_000, kind.clone())], 3);
+        let outcome = run_controlled(&[Fault::new(12_000, 12_000, kind.clone())], 3);
         assert!(outcome.service_level > 0.97, "{kind:?}: {}", outcome.service_level);
     }
 }
@@ -90,7 +90,7 @@
         Fault::new(10_000, 10_000, FaultKind::GarbledRelay { share: 0.3 }),
         Fault::new(18_000, 3000, FaultKind::SlicesReassigned { from: 20, to: 60 }),
     ];
-    let outcome = play(&config, Policy::Controlled, &faults, 4);
+    let outcome = run_scenario(&config, Policy::Controlled, &faults, 4);
     assert!(
         outcome.violation_counts.is_empty() && outcome.service_level > 0.98,
         "{} {:?}",
@@ -133,7 +133,7 @@
 fn killing_most_controllers_during_a_release_violates_no_rule() {
     for seed in [1, 5, 7] {
         let (config, faults) = controllers_killed_during_release(seed);
-        let outcome = play(&config, Policy::Controlled, &faults, seed);
+        let outcome = run_scenario(&config, Policy::Controlled, &faults, seed);
         assert!(
             outcome.violation_counts.is_empty(),
             "seed {seed}: {:?} {:?}",
@@ -166,7 +166,7 @@
         vec![Fault::new(12_000, 10_000, FaultKind::BatchReplacement { from: 0, to: 24 }), bad, slow],
     ];
     for (seed, faults) in (1..).zip(&scenarios) {
-        let outcome = play(&config, Policy::Controlled, faults, seed);
+        let outcome = run_scenario(&config, Policy::Controlled, faults, seed);
         assert!(
             outcome.violation_counts.is_empty(),
             "{faults:?}: {:?} {:?}",
@@ -187,7 +187,7 @@
         Fault::new(14_003, 6251, FaultKind::ControllerKilled { controller: 1 }),
         Fault::new(13_835, 1650, FaultKind::WrongList { from: 21, to: 40 }),
     ];
-    let outcome = play(&config, Policy::Controlled, &faults, 443);
+    let outcome = run_scenario(&config, Policy::Controlled, &faults, 443);
     assert!(
         outcome.violation_counts.is_empty(),
         "{:?} {:?}",
@@ -201,9 +201,14 @@
 fn requests_are_retried_where_connections_are_limited() {
     let limited =
         ScenarioConfig { max_connections: 10, idle_connection_timeout: Span::ms(200), load: 0.2, ..short() };
-    let outcome =
-        play(&limited, Policy::Controlled, &[Fault::new(12_000, 12_000, FaultKind::Drain { replica: 3 })], 4);
-    let plenty = play(&ScenarioConfig { max_connections: 1000, ..limited }, Policy::Controlled, &[], 4);
+    let outcome = run_scenario(
+        &limited,
+        Policy::Controlled,
+        &[Fault::new(12_000, 12_000, FaultKind::Drain { replica: 3 })],
+        4,
+    );
+    let plenty =
+        run_scenario(&ScenarioConfig { max_connections: 1000, ..limited }, Policy::Controlled, &[], 4);
     assert!(outcome.violation_counts.is_empty(), "{:?}", outcome.violations);
     assert!(
         outcome.service_level > 0.5 && outcome.service_level < plenty.service_level,
@@ -222,7 +227,7 @@
             ..short()
         };
         let faults = random_faults(seed, 3, &config);
-        let outcome = play(&config, Policy::Controlled, &faults, seed);
+        let outcome = run_scenario(&config, Policy::Controlled, &faults, seed);
         assert!(outcome.violation_counts.is_empty(), "seed {seed}, {faults:?}: {:?}", outcome.violations);
     }
 }
@@ -230,7 +235,7 @@
 #[test]
 fn replica_out_of_service_is_withdrawn_and_reinstated() {
     let outs = [Fault::new(10_000, 10_000, FaultKind::OutOfService { replica: 3 })];
-    let (outcome, calm) = (play_controlled(&outs, 2), play_controlled(&[], 2));
+    let (outcome, calm) = (run_controlled(&outs, 2), run_controlled(&[], 2));
     assert!(outcome.commands > calm.commands + 8, "{} against {}", outcome.commands, calm.commands);
     assert!(outcome.service_level > 0.98);
 }
@@ -238,7 +243,7 @@
 #[test]
 fn timeline_of_an_ejected_replica_names_its_ejection() {
     let faults = [Fault::new(12_000, 12_000, FaultKind::FastErrors { replica: 3, share: 0.9 })];
-    let (outcome, timeline) = play_with_timeline(&short(), &faults, 3, "s-3");
+    let (outcome, timeline) = run_with_timeline(&short(), &faults, 3, "s-3");
     let ejections = timeline.iter().filter(|entry| entry.text.contains("ejected")).count();
     assert!(outcome.ejections > 0 && ejections as u64 == outcome.ejections, "{timeline:?}");
 }
@@ -249,7 +254,7 @@
     faults: &[Fault],
     interceptor: fn(&str) -> Vec<String>,
 ) {
-    let outcome = play_with_interceptor(config, faults, 3, interceptor);
+    let outcome = run_with_interceptor(config, faults, 3, interceptor);
     assert!(
         outcome.violation_counts.contains_key(&rule),
         "rule {rule} is violated and its checker does not notice: {:?}",
--- a/crates/emulator/tests/subsets.rs
+++ b/crates/emulator/tests/subsets.rs
@@ -3,7 +3,7 @@
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_emulator::fault::{Fault, FaultKind};
 use whinwall_emulator::policy::Policy;
-use whinwall_emulator::scenario::{play, Outcome};
+use whinwall_emulator::scenario::{run_scenario, Outcome};
 use whinwall_policy::time::Span;
 
 fn config(controllers: usize, subset: usize) -> ScenarioConfig {
@@ -20,8 +20,8 @@
     }
 }
 
-fn play_controlled(config: &ScenarioConfig, faults: &[Fault], seed: u64) -> Outcome {
-    let outcome = play(config, Policy::Controlled, faults, seed);
+fn run_controlled(config: &ScenarioConfig, faults: &[Fault], seed: u64) -> Outcome {
+    let outcome = run_scenario(config, Policy::Controlled, faults, seed);
     assert!(
         outcome.violation_counts.is_empty(),
         "seed {seed}: {:?} {:?}",
@@ -40,8 +40,8 @@
 fn many_controllers_with_subsets_serve_nearly_as_well_as_few_without() {
     let mean = |controllers, subset| {
         let seeds = 1..=2;
-        let served = seeds
-            .map(|seed| play_controlled(&config(controllers, subset), &[replaced()], seed).service_level);
+        let served =
+            seeds.map(|seed| run_controlled(&config(controllers, subset), &[replaced()], seed).service_level);
         served.sum::<f64>() / 2.0
     };
     let (few, many, shared) = (mean(5, 0), mean(24, 0), mean(24, 8));
@@ -60,7 +60,7 @@
         Fault::new(10_000, 4000, FaultKind::ControllersKilled { controllers: 10 }),
     ];
     for (seed, fault) in (1..).zip(scenarios) {
-        let outcome = play_controlled(&config(24, 8), std::slice::from_ref(&fault), seed);
+        let outcome = run_controlled(&config(24, 8), std::slice::from_ref(&fault), seed);
         assert!(outcome.service_level > 0.9, "{fault:?}: {}", outcome.service_level);
     }
 }
@@ -69,7 +69,7 @@
 #[test]
 fn reports_of_several_seconds_eject_no_replica() {
     let config = ScenarioConfig { report_window_seconds: 3, ..config(24, 8) };
-    let outcome = play_controlled(&config, &[], 1);
+    let outcome = run_controlled(&config, &[], 1);
     assert_eq!(outcome.ejections, 0);
     assert!(outcome.service_level > 0.98, "{}", outcome.service_level);
 }
@@ -79,7 +79,7 @@
 fn extreme_subset_sizes_are_served() {
     for (controllers, subset) in [(2, 500), (150, 1), (1, 3)] {
         let config = ScenarioConfig { duration: Span::ms(15_000), ..config(controllers, subset) };
-        let outcome = play_controlled(&config, &[], 1);
+        let outcome = run_controlled(&config, &[], 1);
         assert!(
             outcome.service_level > 0.95,
             "{controllers} governors, subsets of {subset}: {}",
--- a/crates/experiments/src/commands.rs
+++ b/crates/experiments/src/commands.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 use whinwall_emulator::policy::Policy;
-use whinwall_emulator::scenario::{play, play_with_timeline, Outcome};
+use whinwall_emulator::scenario::{run_scenario, run_with_timeline, Outcome};
 use whinwall_experiments::charts;
 use whinwall_experiments::experiment::{self, Case, CaseFaults, Experiment, Play};
 use whinwall_experiments::report::{comparison, table};
@@ -100,7 +100,7 @@
     let mut violations: i64 = known.iter().map(|row| row.violations).sum();
     for batch in left.chunks(BATCH) {
         let row = |one: &Play| {
-            let outcome = play(&one.config, one.policy, &one.faults, one.seed);
+            let outcome = run_scenario(&one.config, one.policy, &one.faults, one.seed);
             bar.inc(1);
             ResultRow::new(&name, commit, one, &outcome)
         };
@@ -189,7 +189,7 @@
 ) -> Result<Conclusion, CommandError> {
     let plays = read_experiment(path)?.plays();
     let one = plays.iter().find(|play| filter.matches(play)).ok_or(CommandError::NoMatchingScenario)?;
-    let (outcome, timeline) = play_with_timeline(&one.config, &one.faults, one.seed, subject);
+    let (outcome, timeline) = run_with_timeline(&one.config, &one.faults, one.seed, subject);
     println!(
         "case {}, seed {}: service {:.3}, rules broken {:?}",
         one.case, one.seed, outcome.service_level, outcome.violation_counts
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -5,7 +5,7 @@
 use whinwall_emulator::fault::Fault;
 use whinwall_emulator::policy::Policy;
 use whinwall_emulator::random_faults::random_faults;
-use whinwall_emulator::scenario::{play, Outcome};
+use whinwall_emulator::scenario::{run_scenario, Outcome};
 use whinwall_policy::time::Span;
 
 /// What a violated rule adds to the badness: more than any loss of service.
@@ -32,7 +32,7 @@
 }
 
 fn rate(config: &ScenarioConfig, seed: u64, faults: Vec<Fault>) -> RatedScenario {
-    let outcome = play(config, Policy::Controlled, &faults, seed);
+    let outcome = run_scenario(config, Policy::Controlled, &faults, seed);
     RatedScenario { seed, faults, badness: badness(&outcome), outcome }
 }
 
--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -14,7 +14,7 @@
 use rayon::prelude::*;
 use std::sync::Mutex;
 use whinwall_emulator::policy::Policy;
-use whinwall_emulator::scenario::play;
+use whinwall_emulator::scenario::run_scenario;
 use whinwall_experiments::results::{self, ResultRow};
 
 /// Plays the scenarios of the plan on a pool of threads; the outcomes are in the plan's order.
@@ -27,7 +27,7 @@
     let progress = Mutex::new(0);
     let scenarios = plan.scenarios();
     let play_one = |scenario: &PlannedScenario| {
-        let outcome = play(&scenario.fleet, Policy::Controlled, &scenario.faults, scenario.seed);
+        let outcome = run_scenario(&scenario.fleet, Policy::Controlled, &scenario.faults, scenario.seed);
         if let Ok(mut done) = progress.lock() {
             *done += 1;
             eprintln!("{}", table::progress_line(*done, scenarios.len(), scenario, &outcome));
