--- a/crates/emulator/src/channel.rs
+++ b/crates/emulator/src/channel.rs
@@ -1,4 +1,4 @@
-//! The relay's channel from one controller to its proxies: a paced queue of messages with limits on its use.
+//! The relay's channel from one controller to its proxies: a rate-limited queue of messages whose limits are checked.
 
 use crate::command::{CommandBatch, ProxyCommand};
 use crate::config::ScenarioConfig;
@@ -7,20 +7,20 @@
 use std::sync::Arc;
 use whinwall_policy::time::{Moment, Span};
 
-/// A message to one proxy.
+/// A message from the relay to one proxy.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The proxy that receives it.
+    /// The receiving proxy.
     pub proxy: ProxyIndex,
-    /// The commands that the proxy applies, shared by the messages of one relay request.
+    /// The commands to apply, shared by all messages of one relay request.
     pub commands: Arc<Vec<ProxyCommand>>,
-    /// The version that the proxy acknowledges.
+    /// The version of the command set that the proxy acknowledges, if one was requested.
     pub version: Option<u16>,
-    /// Its size in lines, which takes up the channel's rate.
+    /// The size in lines, which counts towards the channel's rate.
     lines: f64,
 }
 
-/// A message on its way.
+/// A message in the channel that has not been delivered.
 struct QueuedMessage {
     delivered_at: Moment,
     message: Message,
@@ -30,11 +30,11 @@
 pub struct Channel {
     queue: VecDeque<QueuedMessage>,
     queued_lines: f64,
-    /// When all that is queued has been sent.
+    /// The time at which all queued messages have been sent.
     free_at: Moment,
-    /// The rate as a fraction of the configured one.
+    /// The current rate as a fraction of the configured rate.
     pub rate_factor: f64,
-    /// When messages were sent to each proxy within the last window.
+    /// By proxy, the times at which messages were queued within the last window.
     recent_messages: BTreeMap<ProxyIndex, VecDeque<Moment>>,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Channel {
-    /// Queues the commands for each of these proxies, and returns a description of each limit that this exceeds.
+    /// Queues the commands for each of `proxies` and returns a description of each exceeded limit.
     pub fn send(
         &mut self,
         now: Moment,
@@ -71,16 +71,16 @@
             self.queued_lines += lines;
             let sent = self.count_message(now, proxy, config.message_window);
             if config.max_messages_per_window > 0 && sent > config.max_messages_per_window as usize {
-                violations.push(format!("{sent} messages to proxy {proxy} within the window"));
+                violations.push(format!("{sent} messages sent to proxy {proxy} within the window"));
             }
         }
         if self.queued_lines > config.max_queued_lines {
-            violations.push(format!("{} lines wait", self.queued_lines));
+            violations.push(format!("{} lines queued in the channel", self.queued_lines));
         }
         violations
     }
 
-    /// Records a message to a proxy, and returns how many it was sent within the window.
+    /// Records a message to a proxy and returns the number of messages to it within the window.
     fn count_message(&mut self, now: Moment, proxy: ProxyIndex, window: Span) -> usize {
         let sent = self.recent_messages.entry(proxy).or_default();
         sent.push_back(now);
@@ -90,31 +90,31 @@
         sent.len()
     }
 
-    /// When the next message is delivered.
+    /// Returns the delivery time of the next message.
     pub fn next_delivery_at(&self) -> Option<Moment> {
         self.queue.front().map(|queued| queued.delivered_at)
     }
 
-    /// Takes the next message that is delivered by now.
+    /// Removes and returns the next message if its delivery time is not after `now`.
     pub fn pop_delivered(&mut self, now: Moment) -> Option<Message> {
         let QueuedMessage { message, .. } = self.queue.pop_front_if(|queued| queued.delivered_at <= now)?;
         self.queued_lines -= message.lines;
         Some(message)
     }
 
-    /// Drops what is on its way to a proxy that has disconnected.
+    /// Drops the queued messages to a proxy that has disconnected.
     pub fn remove_proxy(&mut self, proxy: ProxyIndex) {
         self.queue.retain(|queued| queued.message.proxy != proxy);
         self.queued_lines = self.queue.iter().map(|queued| queued.message.lines).sum();
     }
 
-    /// Drops the queue of a controller that has ended.
+    /// Drops all queued messages, for example when the controller is killed.
     pub fn clear(&mut self) {
         self.queue.clear();
         self.queued_lines = 0.0;
     }
 
-    /// The number of lines on their way.
+    /// Returns the number of queued lines.
     pub fn queued_lines(&self) -> f64 {
         self.queued_lines
     }
--- a/crates/emulator/src/command.rs
+++ b/crates/emulator/src/command.rs
@@ -1,24 +1,24 @@
-//! The relay's commands in the form in which proxies apply them.
+//! Parses relay requests into the commands that proxies apply.
 
 use crate::{ReplicaIndex, RequestClassIndex, SliceIndex};
 use std::collections::BTreeMap;
 
-/// What precedes the commands in the line of a relay request.
+/// The prefix of a relay request's line, before the commands.
 const REQUEST_PREFIX: &str = "APPLY ";
 
-/// A command as a proxy applies it.
+/// A command to proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProxyCommand {
-    /// Sets the weight of a replica in a slice's routing table; a weight of 0 removes it.
+    /// Sets the weight of a replica in a slice's routing table; a weight of 0 removes the replica.
     SetEndpoint {
-        /// The slice whose table changes.
+        /// The slice whose routing table changes.
         slice: SliceIndex,
         /// The replica.
         replica: ReplicaIndex,
-        /// Its weight relative to the other replicas of the table.
+        /// The weight relative to the other replicas of the table.
         weight: f64,
     },
-    /// Withdraws a replica from all tables of the controller's slices.
+    /// Withdraws a replica from the routing tables of all slices of the controller.
     Withdraw {
         /// The replica.
         replica: ReplicaIndex,
@@ -28,15 +28,15 @@
         /// The replica.
         replica: ReplicaIndex,
     },
-    /// Sets the share of requests to admit and the number of retries.
+    /// Sets the admission rate and the number of retries.
     SetAdmissionRate {
-        /// The slice; none for all slices.
+        /// The slice, or `None` for all slices.
         slice: Option<SliceIndex>,
-        /// The request classes that the rate holds for.
+        /// The request classes that the rate applies to.
         request_classes: Vec<RequestClassIndex>,
-        /// The share of requests to admit, 0 to 1.
+        /// The share of requests to admit, from 0 to 1.
         admission_rate: f64,
-        /// How often a proxy retries a rejected attempt.
+        /// The maximum number of retries after a rejected attempt.
         retries: u8,
     },
 }
@@ -44,23 +44,23 @@
 /// The commands of one relay request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandBatch {
-    /// The commands, in the order in which they are applied.
+    /// The commands in the order of application.
     pub commands: Vec<ProxyCommand>,
-    /// The version that proxies acknowledge once they have applied them.
+    /// The version that proxies acknowledge after they have applied the commands.
     pub version: Option<u16>,
 }
 
-/// The texts of the single commands in the line of a relay request.
+/// Splits the line of a relay request into the texts of its commands.
 pub fn split_commands(line: &str) -> impl Iterator<Item = &str> {
     line.trim_start_matches(REQUEST_PREFIX).split(';')
 }
 
-/// The line of a relay request that carries these commands.
+/// Returns the line of a relay request with these commands.
 pub fn join_commands(commands: &[String]) -> String {
     format!("{REQUEST_PREFIX}{}", commands.join(";"))
 }
 
-/// Parses the line of a relay request; none where any part of it is unreadable.
+/// Parses the line of a relay request. Returns `None` if any part of it is malformed.
 pub fn parse(
     line: &str,
     replicas_by_name: &BTreeMap<String, ReplicaIndex>,
@@ -95,7 +95,7 @@
     Some(batch)
 }
 
-/// The request classes that a command names: `*` for all of them, else names joined by `+`.
+/// Returns the indices of the request classes that a command names: `*` for all, otherwise names joined by `+`.
 fn select_request_classes(named_classes: &str, request_classes: &[&str]) -> Vec<RequestClassIndex> {
     let is_named = |class: &str| named_classes == "*" || named_classes.split('+').any(|named| named == class);
     let selected = request_classes.iter().enumerate().filter(|(_, class)| is_named(class));
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,28 +1,28 @@
-//! The size of a scenario's fleet, and how its parts behave. All defaults are the project's own choices.
+//! The size of a scenario's fleet and the parameters of its components.
 
 use whinwall_policy::time::Span;
 
-/// When a client may retry a request.
+/// The conditions under which a client may retry a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// After any failure.
+    /// Retry after any failure.
     Idempotent,
-    /// Only after proof that it did not run.
+    /// Retry only if the request provably did not run.
     AtMostOnce,
 }
 
 /// A class of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClassSpec {
-    /// Its name.
+    /// The name.
     pub name: &'static str,
-    /// What a request of it is worth relative to those of other classes.
+    /// The weight of a request relative to requests of other classes.
     pub priority_weight: f64,
-    /// The latency within which a response counts as timely.
+    /// The maximum latency of a timely response.
     pub latency_objective: Span,
-    /// When clients may retry.
+    /// The conditions under which clients may retry.
     pub retry_safety: RetrySafety,
-    /// Its share of all requests, 0 to 1.
+    /// The share of all requests, from 0 to 1.
     pub traffic_share: f64,
 }
 
@@ -37,57 +37,57 @@
     pub proxies: usize,
     /// Number of controllers.
     pub controllers: usize,
-    /// Seconds that each report of a replica covers: more than one where an aggregator stretches its windows.
+    /// Seconds that each report about a replica covers; more than one if an aggregator lengthens its windows.
     pub report_window_seconds: u32,
-    /// Replicas that each controller steers; 0 where every controller steers all of them.
+    /// Number of replicas that each controller steers; 0 if every controller steers all replicas.
     pub subset_size: usize,
-    /// Number of zones, over which replicas and proxies are spread in turn.
+    /// Number of zones. Replicas and proxies are assigned to zones round-robin.
     pub zones: usize,
-    /// How long the scenario lasts.
+    /// Duration of the scenario.
     pub duration: Span,
-    /// The request rate, as a fraction of what all warm replicas can serve.
+    /// The request rate as a fraction of the capacity of all replicas when warm.
     pub load: f64,
-    /// Cores of a replica.
+    /// Number of cores of a replica.
     pub cores: usize,
     /// The mean service time of a request whose key is cached.
     pub service_time: Span,
-    /// How many times as long a request takes whose key is not cached.
+    /// The factor by which the service time is longer if the key is not cached.
     pub uncached_factor: f64,
     /// Number of keys in each slice.
     pub keys_per_slice: u32,
-    /// How long a replica caches a key after its last use.
+    /// The time after its last use for which a replica caches a key.
     pub key_cache_ttl: Span,
-    /// Requests that a replica queues; more are rejected, which proves that they did not run.
+    /// Maximum number of queued requests of a replica. Further requests are rejected and provably do not run.
     pub queue_capacity: usize,
-    /// Proxies that may hold a connection to one replica.
+    /// Maximum number of proxies with a connection to the same replica.
     pub max_connections: usize,
-    /// After how long an unused connection may be closed.
+    /// The idle time after which a connection may be closed.
     pub idle_connection_timeout: Span,
-    /// After how long a proxy stops waiting for a response.
+    /// The time-out of a proxy for a response.
     pub request_timeout: Span,
-    /// The classes of requests.
+    /// The request classes.
     pub request_classes: Vec<RequestClassSpec>,
-    /// The fraction of its full speed that a replica starts with.
+    /// The speed of a newly started replica as a fraction of its full speed.
     pub initial_warmth: f64,
-    /// How long a replica takes to reach its full speed.
+    /// The time until a newly started replica reaches its full speed.
     pub warm_up: Span,
-    /// The load factor over which a replica that is warming up crashes.
+    /// The load factor above which a cold replica crashes.
     pub cold_overload_factor: f64,
-    /// How long it takes to start a replica again.
+    /// The time that a restart of a replica takes.
     pub restart_delay: Span,
     /// The rate of a controller's channel to all proxies together, in lines per second.
     pub lines_per_second: f64,
-    /// Lines that each message takes up beside its commands.
+    /// Lines of each message in addition to its commands.
     pub lines_per_message: f64,
-    /// Lines that may be on their way at once.
+    /// Maximum number of lines queued in a channel.
     pub max_queued_lines: f64,
-    /// Messages that one proxy may be sent within a window; 0 for any number.
+    /// Maximum number of messages to one proxy within a window; 0 for no limit.
     pub max_messages_per_window: u32,
-    /// The length of that window.
+    /// The window for `max_messages_per_window`.
     pub message_window: Span,
-    /// How long requests may still be sent to a draining replica.
+    /// The time after the start of a drain in which requests may still be sent to the replica.
     pub drain_grace: Span,
-    /// How long a proxy may have no endpoint for a slice.
+    /// The time for which a proxy may have no endpoint for a slice.
     pub empty_table_grace: Span,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl ScenarioConfig {
-    /// A small fleet of one controller.
+    /// Returns the configuration of a small fleet with one controller.
     pub fn small() -> Self {
         ScenarioConfig {
             replicas: 12,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// As many replicas, slices and proxies as a large partner has, with three controllers.
+    /// Returns the configuration of a large production fleet with three controllers.
     pub fn large() -> Self {
         ScenarioConfig {
             replicas: 120,
@@ -147,22 +147,22 @@
         }
     }
 
-    /// The most requests per second that a warm replica serves.
+    /// Returns the capacity of a warm replica in requests per second.
     pub fn capacity(&self) -> f64 {
         self.cores as f64 / self.service_time.seconds()
     }
 
-    /// The rate of requests to the whole fleet, per second.
+    /// Returns the request rate of the whole fleet per second.
     pub fn offered_rate(&self) -> f64 {
         self.capacity() * self.replicas as f64 * self.load
     }
 
-    /// The name of the zone in which the replica or proxy of this position is.
+    /// Returns the name of the zone of the replica or proxy with this index.
     pub fn zone(&self, index: usize) -> String {
         format!("p{}", index % self.zones)
     }
 
-    /// The settings of the controller of this number, in the words of its configuration file.
+    /// Returns the settings of the controller with this index, with the keys of its configuration file.
     pub fn settings(&self, controller: usize) -> serde_json::Value {
         let class = |class: &RequestClassSpec| {
             serde_json::json!({
@@ -190,7 +190,7 @@
     }
 }
 
-/// A class of idempotent reads, and one of fewer but more valuable writes.
+/// Returns a class of idempotent reads, and a class of writes with a smaller traffic share and a higher priority.
 fn default_request_classes() -> Vec<RequestClassSpec> {
     vec![
         RequestClassSpec {
--- a/crates/emulator/src/fault.rs
+++ b/crates/emulator/src/fault.rs
@@ -1,89 +1,89 @@
-//! Faults to inject into a scenario, as data.
+//! Descriptions of the faults that a scenario injects.
 
 use crate::{ControllerIndex, ReplicaIndex, SliceIndex, ZoneIndex};
 use whinwall_policy::time::Span;
 
-/// What goes wrong. Ranges include `from` and exclude `to`.
+/// The kind of a fault. Ranges include `from` and exclude `to`.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the fields say what the variant's own comment names")]
 pub enum FaultKind {
-    /// A replica's process ends; a new one, cold, is started when the fault is over.
+    /// The process of a replica ends. A new, cold process starts when the fault ends.
     Crash { replica: ReplicaIndex },
-    /// A replica accepts jobs and runs none.
+    /// A replica accepts jobs but runs none.
     Hang { replica: ReplicaIndex },
-    /// A replica's responses are lost.
+    /// The responses of a replica are lost.
     Silence { replica: ReplicaIndex },
-    /// A replica takes `factor` times as long.
+    /// The service times of a replica are multiplied by `factor`.
     Slow { replica: ReplicaIndex, factor: f64 },
-    /// A replica fails a share of its jobs, 0 to 1, at once.
+    /// A replica immediately fails a share, from 0 to 1, of its jobs.
     FastErrors { replica: ReplicaIndex, share: f64 },
-    /// A replica is listed as draining, and replaced by a new process when the fault is over.
+    /// A replica is listed as draining. A new process replaces it when the fault ends.
     Drain { replica: ReplicaIndex },
-    /// One replica after the other drains, ends and is started again.
+    /// Replicas drain, stop and restart one after the other.
     RollingRelease { from: ReplicaIndex, to: ReplicaIndex },
-    /// Replicas drain in two batches, and are replaced by new processes.
+    /// Replicas drain in two batches and are replaced by new processes.
     BatchReplacement { from: ReplicaIndex, to: ReplicaIndex },
-    /// All replicas of a zone end at once; new ones, cold, are started when the fault is over.
+    /// The processes of all replicas of a zone end at once. New, cold processes start when the fault ends.
     ZoneLost { zone: ZoneIndex },
-    /// Discovery delivers its changes in an anomalous manner.
+    /// Discovery delays, repeats, reverts or truncates its updates.
     ListAnomaly { anomaly: ListAnomaly },
-    /// The endpoint list drops healthy replicas.
+    /// Healthy replicas are missing from the endpoint list.
     WrongList { from: ReplicaIndex, to: ReplicaIndex },
     /// The demand for a slice is multiplied.
     HotSlice { slice: SliceIndex, factor: f64 },
     /// The demand for all slices is multiplied.
     Burst { factor: f64 },
-    /// The responses of a zone's replicas are lost, and its proxies are disconnected from the controllers.
+    /// The responses of the replicas of a zone are lost, and the proxies of the zone are disconnected.
     ZonePartitioned { zone: ZoneIndex },
-    /// The relay can't be reached.
+    /// The relay is unreachable.
     RelayUnreachable,
-    /// The relay carries out requests without ever answering.
+    /// The relay applies requests but does not answer them.
     RelayUnresponsive,
-    /// Discovery can't be reached.
+    /// Discovery is unreachable.
     DiscoveryUnreachable,
-    /// A controller's process ends, and is started again when the fault is over.
+    /// The process of a controller is killed, and restarted when the fault ends.
     ControllerKilled { controller: ControllerIndex },
-    /// The first `controllers` controllers end at once. Another one takes over their slices after a while. When
-    /// they are started again, proxies reconnect one by one, and their slices are returned.
+    /// The first `controllers` controllers are killed at once, and a running controller takes over their slices
+    /// after a delay. After their restart, proxies reconnect one by one, and the slices are returned.
     ControllersKilled { controllers: usize },
-    /// The channels' rate is reduced to this fraction.
+    /// The rate of all channels is reduced to this fraction.
     SlowChannel { rate_factor: f64 },
     /// The first `proxies` proxies are disconnected.
     ProxiesDisconnected { proxies: usize },
-    /// Slices are reassigned to the next controller, and back when the fault is over.
+    /// Slices are reassigned to the next controller, and back when the fault ends.
     SlicesReassigned { from: SliceIndex, to: SliceIndex },
-    /// A share of the relay's responses and events, 0 to 1, is unreadable.
+    /// A share, from 0 to 1, of the relay's responses and keepalives is malformed.
     GarbledRelay { share: f64 },
-    /// An operator's override takes a replica out of service while the fault lasts.
+    /// An override takes a replica out of service for the duration of the fault.
     OutOfService { replica: ReplicaIndex },
 }
 
-/// How discovery delivers the changes of its endpoint list.
+/// An anomaly in the delivery of endpoint list updates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListAnomaly {
-    /// Each change this much later.
+    /// Each update is delayed by this duration.
     Delayed(Span),
-    /// Each change three times.
+    /// Each update is delivered three times.
     Repeated,
-    /// Each new list, then the list before it, then the new one again.
+    /// Each new list is followed by the previous list and by the new list again.
     Reverted,
-    /// Each change first without every so manyth entry, then complete.
+    /// Each update is first delivered without every n-th entry, where n is this number, and then completely.
     Partial(usize),
 }
 
-/// A fault with its time.
+/// A fault with its start time and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it starts, from the beginning of the scenario.
+    /// The time from the start of the scenario until the fault starts.
     pub starts_after: Span,
-    /// How long it lasts.
+    /// The duration of the fault.
     pub duration: Span,
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// A fault that starts after this time and lasts this long, both in milliseconds.
+    /// Creates a fault from its start time and its duration in milliseconds.
     pub fn new(starts_after_ms: u64, duration_ms: u64, kind: FaultKind) -> Self {
         Fault { starts_after: Span::ms(starts_after_ms), duration: Span::ms(duration_ms), kind }
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! An emulator of the fleet that a controller serves, in virtual time and deterministic for a seed.
+//! Emulates the fleet that a controller serves, in virtual time and deterministically for a seed.
 //!
-//! It models clients whose requests arrive at random, proxies that route by their tables, replicas with cores,
-//! queues and key caches, a relay with a store and a paced channel, service discovery and collectors. The
-//! controllers are the real reducers. [`scenario`] plays a scenario, [`fault`] lists what can be injected into it,
-//! [`rules`] checks what proxies and replicas really did, and [`real_time`] plays a scenario against controllers
-//! that run as programs of their own.
+//! It models clients whose requests arrive at random, proxies that route by their routing tables, replicas with
+//! cores, queues and key caches, a relay with a store and a rate-limited channel, discovery and collectors. The
+//! controllers are the real reducers. [`scenario`] runs a scenario, [`fault`] defines the faults that can be injected,
+//! [`rules`] checks the behaviour of proxies and replicas, and [`real_time`] runs a scenario against controllers in
+//! separate processes.
 #![warn(clippy::unwrap_used)]
 
 pub mod channel;
@@ -21,15 +21,15 @@
 pub mod scenario;
 pub mod subsets;
 
-/// The position of a replica in the fleet, from 0.
+/// The index of a replica in the fleet, from 0.
 pub type ReplicaIndex = usize;
-/// The position of a proxy in the fleet, from 0.
+/// The index of a proxy in the fleet, from 0.
 pub type ProxyIndex = usize;
 /// The number of a slice, from 0.
 pub type SliceIndex = usize;
-/// The position of a controller in the fleet, from 0.
+/// The index of a controller in the fleet, from 0.
 pub type ControllerIndex = usize;
 /// The number of a zone, from 0.
 pub type ZoneIndex = usize;
-/// The position of a request class in the configuration, from 0.
+/// The index of a request class in the configuration, from 0.
 pub type RequestClassIndex = usize;
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,4 +1,4 @@
-//! How requests are routed: by the real controllers' tables, or by a plain policy to compare with.
+//! Routing policies: the routing tables of the real controllers, and simple policies for comparison.
 
 use crate::replica::{Replica, ReplicaState};
 use crate::ReplicaIndex;
@@ -7,20 +7,21 @@
 /// A routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// By tables that the real reducers and decisions maintain.
+    /// Routing tables that the real controllers maintain.
     Controlled,
-    /// By tables that stay as they were at the start.
+    /// The initial routing tables, which never change.
     StaticTables,
-    /// Rendezvous hashing: each slice on the listed replica with the highest hash of both.
+    /// Rendezvous hashing: each slice is served by the listed replica with the highest hash of slice and replica.
     Hashing,
-    /// Of two listed replicas drawn at random, the one with fewer requests outstanding from the proxy.
+    /// Of two listed replicas drawn at random, the one with fewer outstanding requests of the proxy.
     TwoChoices,
-    /// The least loaded by its true state, which no proxy knows: an upper bound, but for key caches.
+    /// The replica with the least outstanding work. Proxies can't know this in practice, so this is an upper bound
+    /// except for the effect of key caches.
     LeastLoaded,
 }
 
 impl Policy {
-    /// Whether proxies route by tables.
+    /// Returns true if proxies route by routing tables.
     pub fn uses_tables(self) -> bool {
         matches!(self, Policy::Controlled | Policy::StaticTables)
     }
@@ -32,8 +33,9 @@
     folded.wrapping_mul(0x1656_67b1_9e37_79f9) ^ (folded >> 32)
 }
 
-/// Picks a replica for a request of this slice by a policy without tables; none with tables, or where no listed
-/// replica qualifies. `outstanding` is the number of the proxy's own requests at each replica.
+/// Picks a replica for a request of this slice by a policy without routing tables. Returns `None` for policies with
+/// tables, and if no listed replica qualifies. `outstanding` returns the number of outstanding requests of the proxy
+/// at a replica.
 pub fn pick(
     policy: Policy,
     slice: usize,
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy: it admits requests by the admission rates, picks replicas by the weights of its routing tables,
-//! avoids replicas that fail repeatedly, and retries where it may.
+//! A proxy. It admits requests according to the admission rates, picks replicas by the weights of its routing
+//! tables, avoids replicas after consecutive failures, and limits retries.
 
 use crate::command::ProxyCommand;
 use crate::relay_store::set_endpoint;
@@ -9,35 +9,35 @@
 use whinwall_policy::random::Random;
 use whinwall_policy::time::{Moment, Span};
 
-/// The weights of a slice's endpoints.
+/// The endpoints of a slice with their weights.
 pub type RoutingTable = BTreeMap<ReplicaIndex, f64>;
 
-/// Consecutive failures after which a proxy avoids a replica.
+/// Number of consecutive failures after which a proxy avoids a replica.
 const FAILURES_BEFORE_AVOIDANCE: u32 = 5;
-/// How long a proxy avoids a replica after its last failure.
+/// The time after its last failure for which a proxy avoids a replica.
 const AVOIDANCE_PERIOD: Span = Span::ms(3000);
-/// How often a proxy retries a rejected attempt unless commanded otherwise.
+/// Maximum number of retries of a rejected attempt if no command sets another limit.
 const DEFAULT_RETRIES: u8 = 1;
 
-/// A slice together with the controller that is responsible for it.
+/// A slice and the controller that is responsible for it.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlledSlice {
     /// The slice.
     pub slice: SliceIndex,
-    /// The controller whose withdrawals hold for it.
+    /// The controller whose withdrawals apply to the slice.
     pub controller: ControllerIndex,
 }
 
-/// How an attempt ended, as its proxy saw it.
+/// The result of an attempt as observed by its proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The replica served it.
+    /// The replica served the attempt.
     Success,
-    /// The replica rejected it, failed it, or did not answer in time.
+    /// The replica rejected or failed the attempt, or did not answer in time.
     Failure,
 }
 
-/// Consecutive failures of a replica.
+/// Consecutive failures of a replica as observed by a proxy.
 #[derive(Clone, Copy)]
 struct FailureStreak {
     failures: u32,
@@ -47,29 +47,29 @@
 /// One proxy.
 #[derive(Clone, Default)]
 pub struct Proxy {
-    /// Whether it is connected to the relay.
+    /// True while the proxy is connected to the relay.
     pub is_connected: bool,
-    /// Controllers that it has no stream to though it is connected.
+    /// Controllers to which a connected proxy has no stream.
     pub disconnected_from: BTreeSet<ControllerIndex>,
-    /// Since when it has had its stream to each controller.
+    /// By controller, the time at which the proxy last opened its stream.
     pub connected_since: BTreeMap<ControllerIndex, Moment>,
-    /// Shared until changed, as thousands of proxies hold the same tables.
+    /// Shared until changed (copy on write), because thousands of proxies hold the same tables.
     tables: BTreeMap<SliceIndex, Arc<RoutingTable>>,
-    /// Withdrawn replicas, each for the slices of the controller that withdrew it.
+    /// Withdrawn replicas. A withdrawal applies to the slices of the controller that issued it.
     withdrawn: BTreeSet<(ControllerIndex, ReplicaIndex)>,
-    /// By slice, or for all slices, and request class.
+    /// By slice and request class; the slice is `None` for the rate of all slices.
     admission_rates: BTreeMap<(Option<SliceIndex>, RequestClassIndex), f64>,
     retries: BTreeMap<Option<SliceIndex>, u8>,
     failure_streaks: BTreeMap<ReplicaIndex, FailureStreak>,
 }
 
 impl Proxy {
-    /// Loads all tables from the relay's store, as a proxy does when it connects.
+    /// Replaces all tables with those of the relay's store, as on connecting.
     pub fn load_tables(&mut self, tables: &BTreeMap<SliceIndex, Arc<RoutingTable>>) {
         self.tables = tables.clone();
     }
 
-    /// Whether it receives the commands of a controller.
+    /// Returns true if the proxy receives the commands of a controller.
     pub fn has_stream(&self, controller: ControllerIndex) -> bool {
         self.is_connected && !self.disconnected_from.contains(&controller)
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The endpoints of a slice that its controller has not withdrawn, with their weights.
+    /// Returns the endpoints of a slice that its controller has not withdrawn, with their weights.
     pub fn endpoints(&self, target: ControlledSlice) -> impl Iterator<Item = (ReplicaIndex, f64)> + '_ {
         let endpoints = self.tables.get(&target.slice).into_iter().flat_map(|table| table.iter());
         endpoints
@@ -99,24 +99,24 @@
             .map(|(replica, weight)| (*replica, *weight))
     }
 
-    /// Whether there is no endpoint to pick for a slice.
+    /// Returns true if there is no endpoint to pick for a slice.
     pub fn has_no_endpoint(&self, target: ControlledSlice) -> bool {
         self.endpoints(target).next().is_none()
     }
 
-    /// Decides at random, by the admission rates, whether a request is admitted.
+    /// Draws from the admission rates whether a request is admitted.
     pub fn admits(&self, slice: SliceIndex, class: RequestClassIndex, random: &mut Random) -> bool {
         let rate = |slice| self.admission_rates.get(&(slice, class)).copied().unwrap_or(1.0);
         random.draw() < rate(Some(slice)).min(rate(None))
     }
 
-    /// How often it retries an attempt that provably did not run.
+    /// Returns the maximum number of retries of an attempt that provably did not run.
     pub fn retries(&self, slice: SliceIndex) -> u8 {
         let configured = [self.retries.get(&Some(slice)), self.retries.get(&None)];
         configured.into_iter().flatten().min().copied().unwrap_or(DEFAULT_RETRIES)
     }
 
-    /// Picks an endpoint by weight: never the one already tried, and avoided ones only where there is no other.
+    /// Draws an endpoint by weight. Never returns `tried`, and returns an avoided endpoint only if there is no other.
     pub fn pick(
         &self,
         now: Moment,
@@ -144,12 +144,12 @@
             .is_some_and(|streak| streak.failures >= FAILURES_BEFORE_AVOIDANCE && streak.avoided_until > now)
     }
 
-    /// Records how an attempt at a replica ended.
+    /// Records the result of an attempt at a replica.
     pub fn record_result(&mut self, now: Moment, replica: ReplicaIndex, result: AttemptResult) {
-        let unbroken = FailureStreak { failures: 0, avoided_until: now };
-        let streak = self.failure_streaks.entry(replica).or_insert(unbroken);
+        let no_failures = FailureStreak { failures: 0, avoided_until: now };
+        let streak = self.failure_streaks.entry(replica).or_insert(no_failures);
         *streak = match result {
-            AttemptResult::Success => unbroken,
+            AttemptResult::Success => no_failures,
             AttemptResult::Failure => {
                 FailureStreak { failures: streak.failures + 1, avoided_until: now + AVOIDANCE_PERIOD }
             }
--- a/crates/emulator/src/relay_store.rs
+++ b/crates/emulator/src/relay_store.rs
@@ -1,4 +1,4 @@
-//! The routing tables as the relay stores them.
+//! The routing tables in the relay's store.
 
 use crate::command::ProxyCommand;
 use crate::proxy::RoutingTable;
@@ -6,22 +6,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The least weight of a full-weight endpoint; one with less stands by.
+/// The minimum weight of a full-weight endpoint. An endpoint with a lower weight is on standby.
 const FULL_WEIGHT: f64 = 1.0;
 
-/// Routing tables by slice, shared with the proxies that have read them.
+/// Routing tables by slice, shared with the proxies that have loaded them.
 #[derive(Clone, Default)]
 pub struct RelayStore(pub BTreeMap<SliceIndex, Arc<RoutingTable>>);
 
 impl RelayStore {
-    /// Whether a command makes a replica a full-weight endpoint of a slice that it was not one of.
+    /// Returns true if a command makes a replica a full-weight endpoint of a slice and it was not one before.
     pub fn is_migration(&self, command: &ProxyCommand) -> bool {
         let ProxyCommand::SetEndpoint { slice, replica, weight } = command else { return false };
         let stored = self.0.get(slice).and_then(|table| table.get(replica)).copied().unwrap_or(0.0);
         *weight >= FULL_WEIGHT && stored < FULL_WEIGHT
     }
 
-    /// Applies a command; only those that set endpoints change the store.
+    /// Applies a command. Only `SetEndpoint` commands change the store.
     pub fn apply(&mut self, command: &ProxyCommand) {
         if let ProxyCommand::SetEndpoint { slice, replica, weight } = command {
             let table = self.0.entry(*slice).or_default();
@@ -30,7 +30,7 @@
     }
 }
 
-/// Sets the weight of a replica in a shared table, which is copied where others hold it too.
+/// Sets the weight of a replica in a routing table, copying the table first if it is shared.
 pub(crate) fn set_endpoint(table: &mut Arc<RoutingTable>, replica: usize, weight: f64) {
     let table = Arc::make_mut(table);
     if weight > 0.0 {
--- a/crates/emulator/src/replica.rs
+++ b/crates/emulator/src/replica.rs
@@ -1,4 +1,5 @@
-//! A replica: cores, a queue, a cache of keys, limited connections, and a slow start in which overload crashes it.
+//! A replica with cores, a queue, a key cache and a limited number of connections. It crashes when overloaded while
+//! cold.
 
 use crate::config::ScenarioConfig;
 use crate::ProxyIndex;
@@ -7,79 +8,80 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_policy::windowed_counter::WindowedCounter;
 
-/// The interval and the number of the slots in which arrivals are counted.
+/// The length of the slots in which arrivals are counted.
 const ARRIVAL_SLOT: Span = Span::ms(100);
+/// The number of the slots in which arrivals are counted.
 const ARRIVAL_SLOTS: usize = 12;
-/// The window over which a replica's load is measured.
+/// The window for the load factor of a replica.
 const LOAD_WINDOW: Span = Span::ms(1000);
 
 /// An attempt of a request at a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// The request's number.
+    /// The number of the request.
     pub request: u64,
-    /// Which of the request's attempts it is.
+    /// The number of the attempt within the request.
     pub attempt: u32,
     /// The key that the request reads or writes.
     pub key: u32,
-    /// The proxy that sent it.
+    /// The sending proxy.
     pub from: ProxyIndex,
 }
 
-/// A job that a core has begun to run.
+/// A job that a core has started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartedJob {
     /// The job.
     pub job: Job,
-    /// How long it runs.
+    /// The time until the job finishes.
     pub service_time: Span,
 }
 
-/// What a replica does.
+/// The state of a replica's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplicaState {
-    /// It serves.
+    /// It serves requests.
     Up,
-    /// It accepts jobs and runs none.
+    /// It accepts jobs but runs none.
     Hung,
     /// It runs jobs, but its responses are lost.
     Silent,
-    /// Its process has ended: connections fail at once.
+    /// Its process has ended, and connection attempts fail immediately.
     Down,
 }
 
-/// What becomes of a job that arrives.
+/// The result of the arrival of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// Rejected, which proves that it did not run.
+    /// Rejected: the job provably did not run.
     Rejected,
-    /// Failed quickly with an error; it may have run.
+    /// Failed immediately with an error; the job may have run.
     Failed,
-    /// Queued.
+    /// Waiting in the queue.
     Queued,
-    /// Running; it takes this long.
+    /// Started, with this service time.
     Running(Span),
-    /// The replica was overloaded while warming up and crashes, with all its jobs.
+    /// The replica was overloaded while cold and crashed. All its jobs are lost.
     Crashed,
 }
 
 /// One replica.
 pub struct Replica {
-    /// What it does.
+    /// The state of the process.
     pub state: ReplicaState,
-    /// When its process was started; none for those that have been up since before the scenario.
+    /// The start time of the process, or `None` if it was started before the scenario.
     pub started_at: Option<Moment>,
-    /// Grows with each start and each crash; the jobs of an earlier incarnation are lost.
+    /// Incremented by each start and each crash. The jobs of an earlier incarnation are lost.
     pub incarnation: u64,
-    /// The factor by which it is slower than others.
+    /// The factor by which service times are longer than those of other replicas.
     pub slowdown: f64,
-    /// The share of jobs that it fails quickly, 0 to 1.
+    /// The share of jobs, from 0 to 1, that fail immediately.
     pub error_share: f64,
     running: usize,
     queue: VecDeque<Job>,
-    /// By key, when it was last used.
+    /// By key, the time of its last use.
     keys: BTreeMap<u32, Moment>,
-    /// Proxies that hold a connection, and when each last used it.
+    /// By proxy with a connection, the time at which the connection was last used.
     connections: BTreeMap<ProxyIndex, Moment>,
     arrivals: WindowedCounter,
 }
@@ -102,13 +104,13 @@
 }
 
 impl Replica {
-    /// Starts a new process: cold, and without jobs.
+    /// Starts a new process, which is cold and has no jobs.
     pub fn restart(&mut self, now: Moment) {
         let incarnation = self.incarnation + 1;
         *self = Replica { started_at: Some(now), incarnation, ..Replica::default() };
     }
 
-    /// Ends the process, with all its jobs.
+    /// Ends the process and drops its jobs.
     pub fn crash(&mut self) {
         self.state = ReplicaState::Down;
         self.running = 0;
@@ -117,24 +119,24 @@
         self.connections.clear();
     }
 
-    /// The fraction of its full speed that it has while it warms up.
+    /// Returns the current speed as a fraction of the full speed.
     pub fn warmth(&self, now: Moment, config: &ScenarioConfig) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let progress = (now - started_at).seconds() / config.warm_up.seconds();
         (config.initial_warmth + (1.0 - config.initial_warmth) * progress).min(1.0)
     }
 
-    /// Whether it is still warming up.
+    /// Returns true while the replica is warming up.
     pub fn is_cold(&self, now: Moment, config: &ScenarioConfig) -> bool {
         self.started_at.is_some_and(|started_at| now - started_at < config.warm_up)
     }
 
-    /// The arrivals of the last second, as a multiple of what it could serve in that time.
+    /// Returns the arrivals of the last second relative to the current capacity.
     pub fn load_factor(&self, now: Moment, config: &ScenarioConfig) -> f64 {
         self.arrivals.sum(now, LOAD_WINDOW) / (config.capacity() * self.warmth(now, config))
     }
 
-    /// Admits a job that arrives, or not.
+    /// Handles the arrival of a job.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -164,8 +166,8 @@
         Admission::Running(self.draw_service_time(now, job.key, config, random))
     }
 
-    /// Reuses the proxy's connection or opens one, for which idle ones are closed where all are taken; whether
-    /// there is one.
+    /// Reuses the proxy's connection or opens one, closing idle connections if the limit is reached. Returns false if
+    /// no connection is available.
     fn acquire_connection(&mut self, now: Moment, from: ProxyIndex, config: &ScenarioConfig) -> bool {
         let is_full =
             self.connections.len() >= config.max_connections && !self.connections.contains_key(&from);
@@ -193,12 +195,12 @@
         config.service_time.times(cache_factor * spread * self.slowdown / self.warmth(now, config))
     }
 
-    /// The number of its jobs, times its slowdown.
+    /// Returns the number of running and queued jobs multiplied by the slowdown.
     pub fn outstanding_work(&self) -> usize {
         ((self.running + self.queue.len()) as f64 * self.slowdown) as usize
     }
 
-    /// Finishes a job, and starts the next in the queue.
+    /// Finishes a job and starts the next queued job, if any.
     pub fn finish_job(
         &mut self,
         now: Moment,
@@ -214,7 +216,7 @@
         Some(StartedJob { job, service_time: self.draw_service_time(now, job.key, config, random) })
     }
 
-    /// Resumes after a hang: starts as many queued jobs as cores are free.
+    /// Resumes after a hang and starts a queued job on each free core.
     pub fn resume(&mut self, now: Moment, config: &ScenarioConfig, random: &mut Random) -> Vec<StartedJob> {
         self.state = ReplicaState::Up;
         let free_cores = config.cores.saturating_sub(self.running);
--- a/crates/emulator/src/subsets.rs
+++ b/crates/emulator/src/subsets.rs
@@ -1,4 +1,4 @@
-//! Scenarios with subsets: the fleet as controllers are configured with it, and initial tables within the subsets.
+//! Subsetting in scenarios: the fleet configuration of the controllers, and the initial routing tables.
 
 use crate::config::ScenarioConfig;
 use crate::proxy::RoutingTable;
@@ -8,7 +8,7 @@
 use whinwall_routing::subset::Fleet;
 use whinwall_subsetting::{Assignment, Parameters, Replica};
 
-/// Reports are chosen by replica here, never cut down to a number of bytes.
+/// The configuration requires a value, but the emulator selects reports by replica and does not limit their bytes.
 const BYTES_PER_SECOND: u64 = 27_000;
 
 fn controller_name(controller: ControllerIndex) -> String {
@@ -29,7 +29,7 @@
     })
 }
 
-/// The fleet as a controller's operators' file names it; none in a scenario without subsets.
+/// Returns the fleet as configured for a controller, or `None` in a scenario without subsets.
 ///
 /// # Panics
 /// Never: numbered names are a valid fleet.
@@ -39,8 +39,8 @@
     Some(fleet.expect("numbered names are a valid fleet"))
 }
 
-/// A table with one endpoint for each slice. Without subsets replicas take turns; with subsets a slice gets the
-/// replica of its controller's subset that has the fewest slices so far.
+/// Returns a routing table with one endpoint for each slice. Without subsets, replicas are assigned round-robin; with
+/// subsets, a slice gets the replica with the fewest slices so far in the subset of its controller.
 pub fn initial_tables(
     config: &ScenarioConfig,
     replica_names: &[String],
@@ -61,7 +61,8 @@
     tables
 }
 
-/// By controller, the replicas that it steers while all are listed; none in a scenario without subsets.
+/// Returns, by controller, the replicas that it steers while all replicas are listed, or `None` in a scenario without
+/// subsets.
 fn subsets(config: &ScenarioConfig, replica_names: &[String]) -> Option<Vec<Vec<ReplicaIndex>>> {
     let membership = subsetting_config(config)?.membership().expect("numbered names are a valid membership");
     let parameters = Parameters::new(config.subset_size).ok()?;
