--- a/crates/emulator/src/real_time/connection.rs
+++ b/crates/emulator/src/real_time/connection.rs
@@ -1,4 +1,4 @@
-//! The sockets to one controller program, as the scenario writes to them.
+//! The sockets on which a scenario writes to one controller process.
 
 use super::services::FakeServices;
 use crate::scenario::ControllerConnection;
@@ -6,15 +6,15 @@
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// The latest connection for one purpose, if there is any.
+/// The most recent connection to one endpoint, if it is open.
 pub(super) type SharedStream = Arc<Mutex<Option<TcpStream>>>;
 
-/// Writes a chunk of an HTTP response.
+/// Writes a chunk of a chunked HTTP response.
 pub(super) fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
 
-/// Writes to a peer that may be gone, and drops its stream if it is.
+/// Writes to the stream if it is open, and drops the stream if the write fails.
 fn write_or_drop(shared: &SharedStream, write: impl FnOnce(&mut TcpStream) -> std::io::Result<()>) {
     let Ok(mut open) = shared.lock() else { return };
     if open.as_mut().is_some_and(|stream| write(stream).is_err()) {
@@ -32,10 +32,10 @@
     }
 }
 
-/// The connections of one controller.
+/// The connections to one controller process.
 pub(super) struct SocketConnection {
     pub(super) services: FakeServices,
-    /// By zone.
+    /// The collector connections by zone.
     pub(super) collectors: Vec<TcpStream>,
 }
 
--- a/crates/emulator/src/real_time/mod.rs
+++ b/crates/emulator/src/real_time/mod.rs
@@ -1,5 +1,5 @@
-//! A scenario on loopback sockets and in real time, for controllers that run as programs: a relay and a discovery
-//! service for each controller, and a collector for each zone.
+//! Runs a scenario in real time on loopback sockets, against controllers in separate processes. Each controller gets
+//! a fake relay, a fake discovery service and a collector connection for each zone.
 
 mod connection;
 mod services;
@@ -18,33 +18,33 @@
 use std::time::{Duration, Instant};
 use whinwall_policy::time::Span;
 
-/// How long a peer may leave unread what it is sent.
+/// The time-out of a write to a peer that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest wait for input while nothing is scheduled.
+/// The maximum wait for input while no event is due.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// The stand-ins of all controllers' surroundings, and what they receive.
+/// The fake relays and discovery services of all controllers, and the input that they receive.
 pub struct FakeEnvironment {
-    /// By controller.
+    /// The fake services by controller.
     pub services: Vec<FakeServices>,
     inputs: Receiver<ReceivedInput>,
 }
 
 impl FakeEnvironment {
-    /// Opens the listeners for so many controllers.
+    /// Opens the listeners for `controllers` controllers.
     ///
     /// # Errors
-    /// Where a listener can't be opened.
+    /// If a listener can't be opened.
     pub fn open(controllers: usize) -> std::io::Result<Self> {
         let (sender, inputs) = channel();
         let services = (0..controllers).map(|controller| FakeServices::open(controller, &sender));
         Ok(FakeEnvironment { services: services.collect::<Result<_, _>>()?, inputs })
     }
 
-    /// Plays the scenario with controllers whose collectors' ports are at these addresses.
+    /// Runs the scenario with controllers that accept collectors at these addresses.
     ///
     /// # Errors
-    /// Where a controller's collector port can't be connected to.
+    /// If the connection to the collector port of a controller fails.
     pub fn run(
         self,
         config: &ScenarioConfig,
@@ -58,12 +58,12 @@
             let connection = SocketConnection { services, collectors };
             scenario.connect_controller(controller, Box::new(connection));
         }
-        run(&mut scenario, &self.inputs, config.duration);
+        process_events(&mut scenario, &self.inputs, config.duration);
         Ok(scenario.into_outcome())
     }
 }
 
-/// Connects a collector for each zone.
+/// Opens a collector connection for each zone.
 fn connect_collectors(address: SocketAddr, config: &ScenarioConfig) -> std::io::Result<Vec<TcpStream>> {
     let mut collectors = Vec::new();
     for zone in 0..config.zones {
@@ -75,8 +75,8 @@
     Ok(collectors)
 }
 
-/// Processes scheduled events and the controllers' input as they come, until the scenario's time is over.
-fn run(scenario: &mut Scenario, inputs: &Receiver<ReceivedInput>, duration: Span) {
+/// Processes scheduled events and input from the controllers until the scenario ends.
+fn process_events(scenario: &mut Scenario, inputs: &Receiver<ReceivedInput>, duration: Span) {
     let epoch = scenario.start_now() - duration;
     let started = Instant::now();
     let mut wait = Duration::ZERO;
--- a/crates/emulator/src/real_time/services.rs
+++ b/crates/emulator/src/real_time/services.rs
@@ -1,4 +1,4 @@
-//! The relay and the discovery service of one controller, as listeners on loopback.
+//! A fake relay and a fake discovery service for one controller, which listen on the loopback interface.
 
 use super::connection::{write_chunk, SharedStream};
 use super::WRITE_TIMEOUT;
@@ -10,35 +10,35 @@
 use std::thread;
 use std::time::Duration;
 
-/// The interval of discovery's keepalives.
+/// The interval of the keepalives on discovery's stream.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// An input together with the controller that sent it.
+/// An input and the controller that sent it.
 pub(super) struct ReceivedInput {
     pub(super) controller: ControllerIndex,
     pub(super) input: ControllerInput,
 }
 
-/// Where a controller finds its relay and its discovery service.
+/// The addresses of the fake services of one controller.
 #[derive(Clone, Copy, Debug)]
 pub struct FakeServiceAddresses {
-    /// The relay.
+    /// The address of the relay.
     pub relay: SocketAddr,
-    /// Discovery.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
 }
 
-/// The stand-ins for one controller's relay and discovery service. Their threads end with the process.
+/// The fake relay and the fake discovery service of one controller. Their threads end with the process.
 pub struct FakeServices {
-    /// Where they listen.
+    /// The addresses on which the services listen.
     pub addresses: FakeServiceAddresses,
     pub(super) relay_watch: SharedStream,
     pub(super) registry_watch: SharedStream,
     pub(super) relay_requests: SharedStream,
 }
 
-/// What the thread of a connection works with.
+/// The state shared by the connection threads of one controller.
 #[derive(Clone)]
 struct ConnectionContext {
     controller: ControllerIndex,
@@ -49,7 +49,7 @@
 }
 
 impl ConnectionContext {
-    /// Passes an input on; whether the scenario is still played.
+    /// Passes an input to the scenario. Returns false if the scenario has ended.
     fn send(&self, input: ControllerInput) -> bool {
         self.inputs.send(ReceivedInput { controller: self.controller, input }).is_ok()
     }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Serves each connection of a listener in a thread of its own.
+/// Serves each connection of a listener in a separate thread.
 fn accept_connections(
     listener: TcpListener,
     context: ConnectionContext,
@@ -108,7 +108,7 @@
 fn serve_discovery(mut stream: TcpStream, context: &ConnectionContext) {
     _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let Ok(reader) = stream.try_clone() else { return };
-    // The request has no body: it ends with its head.
+    // The request has no body, so it ends at the first empty line.
     let head =
         BufReader::new(reader).lines().map_while(Result::ok).take_while(|line| !line.trim().is_empty());
     if head.count() == 0 || stream.write_all(RESPONSE_HEAD).is_err() {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Sends keepalives for as long as this is the stream that lists are sent on.
+/// Sends keepalives until another connection replaces this stream for the delivery of lists.
 fn send_keepalives(stream: &TcpStream, shared: &SharedStream) {
     loop {
         thread::sleep(KEEPALIVE_INTERVAL);
