--- a/crates/emulator/src/scenario/connection.rs
+++ b/crates/emulator/src/scenario/connection.rs
@@ -1,10 +1,10 @@
-//! Connections to controllers that are programs of their own.
+//! Connections to controllers in separate processes.
 
 use whinwall_protocol::collector::{DemandReport, EndpointReport, Message};
 use whinwall_protocol::relay::Response;
 use whinwall_routing::Event;
 
-/// The connections of a controller program: what the scenario notifies it of goes out as lines of the protocols.
+/// The connections to a controller process, on which the scenario sends its events as lines of the protocols.
 pub trait ControllerConnection {
     /// Sends a line of the relay's watch stream.
     fn send_relay_event(&mut self, line: &str);
@@ -14,24 +14,24 @@
     fn send_list(&mut self, line: &str);
     /// Closes discovery's stream.
     fn close_registry_watch(&mut self);
-    /// Sends a line of a zone's collector.
+    /// Sends a line as the collector of a zone.
     fn send_report(&mut self, zone: usize, line: &str);
-    /// Answers the outstanding relay request; none closes the connection without an answer.
+    /// Answers the outstanding relay request; `None` closes the connection without an answer.
     fn respond(&mut self, line: Option<&str>);
 }
 
-/// What a controller program has sent.
+/// An input from a controller process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControllerInput {
-    /// It asks the relay for its watch stream.
+    /// A request for the relay's watch stream.
     WatchRelay,
-    /// It asks discovery for its list.
+    /// A request for the endpoint list of discovery.
     WatchRegistry,
-    /// A relay request.
+    /// A relay request, as its line.
     RelayRequest(String),
 }
 
-/// Sends an event in the words of its protocol.
+/// Sends an event in the format of its protocol.
 pub(super) fn write_event(connection: &mut dyn ControllerConnection, event: &Event) {
     match event {
         Event::Message { from, message } => write_report(connection, *from as usize, message),
--- a/crates/emulator/src/scenario/counters.rs
+++ b/crates/emulator/src/scenario/counters.rs
@@ -1,14 +1,14 @@
-//! What proxies count between two reports.
+//! The counters of proxies between two reports.
 
 use crate::{ReplicaIndex, RequestClassIndex, SliceIndex, ZoneIndex};
 use std::collections::BTreeMap;
 
-/// Attempts at a replica.
+/// Counts of attempts at a replica.
 #[derive(Clone, Copy, Default)]
 pub(super) struct EndpointCounts {
     pub(super) attempts: f64,
     pub(super) failed: f64,
-    /// The latencies of successful attempts, added up.
+    /// The sum of the latencies of successful attempts.
     pub(super) latency_seconds: f64,
 }
 
@@ -20,23 +20,23 @@
     }
 }
 
-/// Requests of a class for a slice.
+/// Counts of requests of a class for a slice.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DemandCounts {
     pub(super) requests: f64,
     pub(super) failed: f64,
 }
 
-/// Counts by the zone of the proxy, and the replica.
+/// Counts by zone of the proxy and by replica.
 pub(super) type EndpointCountsByZone = BTreeMap<(ZoneIndex, ReplicaIndex), EndpointCounts>;
 /// Counts by slice and request class.
 pub(super) type DemandCountsBySlice = BTreeMap<(SliceIndex, RequestClassIndex), DemandCounts>;
 
-/// Priority weights of requests, added up.
+/// Sums of the priority weights of requests.
 #[derive(Clone, Copy, Default)]
 pub(super) struct PriorityWeightTotals {
-    /// Of all requests.
+    /// The sum for all requests.
     pub(super) offered: f64,
-    /// Of requests served within their latency objective.
+    /// The sum for requests served within their latency objective.
     pub(super) timely: f64,
 }
--- a/crates/emulator/src/scenario/event.rs
+++ b/crates/emulator/src/scenario/event.rs
@@ -1,21 +1,21 @@
-//! The events that a scenario schedules.
+//! The scheduled events of a scenario.
 
 use crate::replica::Job;
 use crate::{ControllerIndex, ProxyIndex, ReplicaIndex};
 use whinwall_protocol::discovery;
 use whinwall_routing::Event;
 
-/// How an attempt or a request ended.
+/// The outcome of an attempt or a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RequestOutcome {
     Succeeded,
-    /// It provably did not run.
+    /// The request provably did not run.
     Rejected,
-    /// It may have run.
+    /// The request may have run.
     Failed,
 }
 
-/// What is done next with a replica that is released.
+/// The next stage in the release of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ReleaseStage {
     Drain,
@@ -23,20 +23,20 @@
     Restart,
 }
 
-/// An input to a controller.
+/// An input to a controller, or a relay request from it.
 pub(super) enum Delivery {
     Event(Box<Event>),
     /// A snapshot of the endpoint list.
     List(Box<discovery::List>),
     /// A line of the relay's watch stream.
     RelayEvent(String),
-    /// All input of a moment has been delivered.
+    /// The controller's `InputDrained` event: all input of the current time has been delivered.
     InputDrained,
-    /// Not an input but a request of the controller, that reaches the relay.
+    /// A request of the controller that arrives at the relay.
     RelayRequest(String),
 }
 
-/// What happens at a scheduled time.
+/// An event at a scheduled time.
 pub(super) enum ScheduledEvent {
     RequestArrives,
     JobReachesReplica {
@@ -62,28 +62,28 @@
     },
     SendReports,
     CheckEmptyTables,
-    /// Messages of a controller's channel reach proxies.
+    /// Messages in the channel of a controller arrive at proxies.
     DeliverChannelMessages(ControllerIndex),
-    /// Something reaches a controller, unless its incarnation is over by then.
+    /// An input arrives at a controller. It is dropped if the incarnation has changed.
     Deliver {
         controller: ControllerIndex,
         incarnation: u64,
         delivery: Delivery,
     },
-    /// The fault at this position starts.
+    /// The fault with this index starts.
     FaultStarts(usize),
-    /// The fault at this position is over.
+    /// The fault with this index ends.
     FaultEnds(usize),
-    /// A stage of the release of `replica`, followed by those up to `to`.
+    /// A stage of the release of `replica`. The release continues with the next replicas and excludes `to`.
     ReleaseReplica {
         replica: ReplicaIndex,
         to: ReplicaIndex,
         stage: ReleaseStage,
     },
     RelayKeepalive,
-    /// Another controller takes over the slices of this one.
+    /// Another controller takes over the slices of this controller.
     TakeOverSlices(ControllerIndex),
-    /// A controller that was started again gets its slices back.
+    /// The slices of a restarted controller are returned to it.
     ReturnSlices(ControllerIndex),
     ProxyReconnects {
         controller: ControllerIndex,
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! A scenario, played event by event in virtual time. The same configuration, faults and seed give the same
+//! Simulates a scenario event by event in virtual time. The same configuration, faults and seed give the same
 //! outcome.
 
 mod arrivals;
@@ -33,15 +33,15 @@
 use crate::fault::Fault;
 use crate::policy::Policy;
 
-/// Plays a scenario.
+/// Runs a scenario.
 pub fn run_scenario(config: &ScenarioConfig, policy: Policy, faults: &[Fault], seed: u64) -> Outcome {
     let mut scenario = Scenario::new(config.clone(), policy, faults.to_vec(), seed);
     scenario.run();
     scenario.outcome
 }
 
-/// Plays a scenario, and keeps the time-line of one replica or slice: faults, list changes, commands and decisions
-/// that name it, and what it did each second.
+/// Runs a scenario and records the timeline of one replica or slice: all faults, the list changes, commands and
+/// decisions that name the subject, and its counts of each second.
 pub fn run_with_timeline(
     config: &ScenarioConfig,
     faults: &[Fault],
@@ -54,7 +54,8 @@
     (scenario.outcome, scenario.timeline)
 }
 
-/// Plays a scenario in which commands are changed on their way to the proxies: the rules' checkers must notice.
+/// Runs a scenario in which `interceptor` changes commands on their way to the proxies, to test the checkers of the
+/// rules.
 pub fn run_with_interceptor(
     config: &ScenarioConfig,
     faults: &[Fault],
--- a/crates/emulator/src/scenario/outcome.rs
+++ b/crates/emulator/src/scenario/outcome.rs
@@ -1,33 +1,34 @@
-//! The figures of a scenario that has been played.
+//! The outcome of a run of a scenario.
 
 use crate::rules::Violation;
 use std::collections::BTreeMap;
 
-/// What a scenario came to. Requests count once the warm-up period is over.
+/// The outcome of a run of a scenario. Requests count if they arrive after the warm-up period.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// The priority weight of requests served within their latency objective, as a share of all, 0 to 1.
+    /// The priority weight of requests served within their latency objective, as a share of the priority weight of all
+    /// requests, from 0 to 1.
     pub service_level: f64,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub requests: u64,
-    /// Requests that succeeded, timely or late.
+    /// Number of requests that succeeded, timely or late.
     pub succeeded: u64,
-    /// Requests that succeeded after their latency objective.
+    /// Number of requests that succeeded after their latency objective.
     pub late: u64,
-    /// Requests that provably never ran.
+    /// Number of unsuccessful requests whose last attempt provably did not run.
     pub rejected: u64,
-    /// Requests that failed otherwise.
+    /// Number of requests that failed otherwise.
     pub failed: u64,
-    /// Commands that the relay accepted.
+    /// Number of commands that the relay applied.
     pub commands: u64,
-    /// Commands that made a replica a full-weight endpoint of a slice.
+    /// Number of commands that made a replica a full-weight endpoint of a slice.
     pub migrations: u64,
-    /// The most lines that were on their way in one channel.
+    /// The maximum number of lines queued in one channel.
     pub peak_queued_lines: f64,
-    /// Replicas that controllers ejected as outliers.
+    /// Number of outlier ejections by the controllers.
     pub ejections: u64,
-    /// Violated rules, described.
+    /// The described violations of rules.
     pub violations: Vec<Violation>,
-    /// By rule number, how often it was violated.
+    /// By rule number, the number of violations.
     pub violation_counts: BTreeMap<u8, usize>,
 }
--- a/crates/emulator/src/scenario/proxies.rs
+++ b/crates/emulator/src/scenario/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies disconnect and connect.
+//! Disconnects and connects proxies.
 
 use super::state::Scenario;
 use crate::{ControllerIndex, ProxyIndex};
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Connects a proxy to the relay; it reads the store.
+    /// Connects a proxy to the relay. The proxy loads the tables of the relay's store.
     pub(super) fn connect_proxy(&mut self, proxy: ProxyIndex) {
         if std::mem::replace(&mut self.proxies[proxy].is_connected, true) {
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Opens a proxy's stream to a controller that was started again; withdrawals and admission rates stay.
+    /// Opens the stream of a proxy to a restarted controller. The proxy keeps its withdrawals and admission rates.
     pub(super) fn reconnect_proxy(&mut self, controller: ControllerIndex, proxy: ProxyIndex) {
         self.proxies[proxy].disconnected_from.remove(&controller);
         self.proxies[proxy].connected_since.insert(controller, self.now);
--- a/crates/emulator/src/scenario/real_time.rs
+++ b/crates/emulator/src/scenario/real_time.rs
@@ -1,4 +1,4 @@
-//! A scenario played in real time against controllers that are programs of their own.
+//! Methods to run a scenario in real time against controllers in separate processes.
 
 use super::connection::{ControllerConnection, ControllerInput};
 use super::outcome::Outcome;
@@ -9,7 +9,7 @@
 use whinwall_transport::StreamError;
 
 impl Scenario {
-    /// Connects a controller program in place of a reducer within this process.
+    /// Sets the connection to a controller process, which replaces the reducer within this process.
     pub fn connect_controller(
         &mut self,
         controller: ControllerIndex,
@@ -18,12 +18,12 @@
         self.controllers[controller].connection = Some(connection);
     }
 
-    /// Begins the scenario; returns when it ends.
+    /// Starts the scenario and returns the time at which it ends.
     pub fn start_now(&mut self) -> Moment {
         self.schedule_initial_events()
     }
 
-    /// Processes all events that are due by now; returns when the next one is.
+    /// Processes all events that are due at `now` and returns the time of the next event.
     pub fn run_until(&mut self, now: Moment) -> Option<Moment> {
         while let Some(due) = self.next_event_at().filter(|due| *due <= now) {
             self.now = due;
@@ -33,7 +33,7 @@
         self.next_event_at()
     }
 
-    /// Handles what a controller program has sent.
+    /// Handles an input from a controller process.
     pub fn receive(&mut self, controller: ControllerIndex, input: &ControllerInput) {
         match input {
             ControllerInput::WatchRelay => self.start_relay_watch(controller),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Ends the scenario.
+    /// Ends the scenario and returns its outcome.
     pub fn into_outcome(mut self) -> Outcome {
         self.finish();
         self.outcome
--- a/crates/emulator/src/scenario/relay_watch.rs
+++ b/crates/emulator/src/scenario/relay_watch.rs
@@ -1,4 +1,4 @@
-//! The relay's watch streams.
+//! The watch streams from the relay to the controllers.
 
 use super::event::Delivery;
 use super::state::{replica_name, Scenario, NETWORK_DELAY};
@@ -17,7 +17,7 @@
         self.deliver_event(controller, Event::Relay(event));
     }
 
-    /// Opens a controller's watch stream, which begins with the present subscriptions, slices and tables.
+    /// Opens the watch stream of a controller, which starts with the current subscriptions, slices and routing tables.
     pub(super) fn start_relay_watch(&mut self, controller: ControllerIndex) {
         if self.is_relay_unreachable {
             self.controllers[controller].is_watching = false;
--- a/crates/emulator/src/scenario/reports.rs
+++ b/crates/emulator/src/scenario/reports.rs
@@ -1,4 +1,4 @@
-//! The collectors' reports of each second.
+//! The reports of the collectors, sent every second.
 
 use super::counters::{DemandCounts, EndpointCounts, EndpointCountsByZone};
 use super::event::{Delivery, ScheduledEvent};
@@ -12,20 +12,21 @@
 use whinwall_protocol::collector::{DemandReport, EndpointReport, Message};
 use whinwall_routing::{Event, Reducer};
 
-/// The length of the window that a report covers unless it is stretched, in milliseconds.
+/// The length in milliseconds of the window that a report covers, unless an aggregator lengthens it.
 const WINDOW_MS: f64 = 1000.0;
-/// How late reports are at least, and how much later some of them are, in milliseconds.
+/// The minimum lag of reports.
 const MIN_LAG_MS: u64 = 50;
+/// The maximum random lag in addition to the minimum.
 const LAG_RANGE_MS: f64 = 200.0;
 
-/// What a report is about.
+/// The subject of a report.
 #[derive(Clone, Copy)]
 enum ReportSubject {
     Replica(ReplicaIndex),
     Slice(SliceIndex),
 }
 
-/// A report of a zone's collector.
+/// A report from the collector of a zone.
 #[derive(Clone)]
 struct ZoneReport {
     subject: ReportSubject,
@@ -33,7 +34,7 @@
     message: Message,
 }
 
-/// Adds up the zones' counts as an aggregator does: one sum for each replica, reported for the replica's own zone.
+/// Sums the counts of all zones as an aggregator does: one sum per replica, reported for the replica's own zone.
 fn sum_over_zones(counts: EndpointCountsByZone, zones: usize) -> EndpointCountsByZone {
     let mut sums = EndpointCountsByZone::new();
     for ((_, replica), counts) in counts {
@@ -43,9 +44,9 @@
 }
 
 impl Scenario {
-    /// Sends what the collectors of each zone have counted in a second, a little late.
+    /// Sends the reports of the last second, with a lag.
     pub(super) fn send_reports(&mut self) {
-        self.after(REPORT_INTERVAL, ScheduledEvent::SendReports);
+        self.schedule_after(REPORT_INTERVAL, ScheduledEvent::SendReports);
         self.reported_seconds += 1;
         let window_seconds = self.config.report_window_seconds.max(1);
         let is_window_over = self.reported_seconds.is_multiple_of(window_seconds);
@@ -55,7 +56,7 @@
         if self.policy != Policy::Controlled {
             return;
         }
-        self.record_second(&endpoints, &demand);
+        self.record_counts(&endpoints, &demand);
         let has_subsets = self.config.subset_size > 0;
         let endpoints = if has_subsets { sum_over_zones(endpoints, self.config.zones) } else { endpoints };
         let mut reports: Vec<_> = endpoints
@@ -116,21 +117,22 @@
         }
     }
 
-    /// Schedules the reports that a controller receives.
+    /// Schedules the delivery of the reports that a controller receives.
     fn schedule_reports(&mut self, controller: ControllerIndex, reports: &[ZoneReport]) {
         let lag = Span::ms(MIN_LAG_MS + (self.random.draw() * LAG_RANGE_MS) as u64);
         let steered = self.steered_replicas(controller);
         let is_received = |report: &&ZoneReport| self.receives_report(controller, report.subject, &steered);
         let received: Vec<_> = reports.iter().filter(is_received).cloned().collect();
         for ZoneReport { zone, message, .. } in received {
-            // With subsets one aggregator reports to each controller.
+            // With subsets, a single aggregator reports to each controller.
             let from = if self.config.subset_size > 0 { 0 } else { zone as u64 };
             let event = Event::Message { from, message };
             self.deliver_after(lag, controller, Delivery::Event(Box::new(event)));
         }
     }
 
-    /// Reports of slices go to the responsible controller, those of replicas to all that steer them.
+    /// Returns true if a controller receives a report. Reports on a slice go to the responsible controller, and reports
+    /// on a replica go to all controllers that steer it.
     fn receives_report(
         &self,
         controller: ControllerIndex,
--- a/crates/emulator/src/scenario/responses.rs
+++ b/crates/emulator/src/scenario/responses.rs
@@ -1,4 +1,4 @@
-//! Requests succeed, are retried, time out or fail, and are counted.
+//! Responses, time-outs and retries of requests, and the counts of their outcomes.
 
 use super::event::{RequestOutcome, ScheduledEvent};
 use super::state::{Request, Scenario};
@@ -8,13 +8,13 @@
 use crate::{ProxyIndex, ReplicaIndex};
 use whinwall_policy::time::Span;
 
-/// The mean pause before a client's retry.
+/// The mean backoff before a retry by a client.
 const CLIENT_RETRY_BACKOFF: Span = Span::ms(300);
-/// How often a client retries a request.
+/// Maximum number of retries of a request by a client.
 const MAX_CLIENT_RETRIES: u32 = 2;
 
 impl Scenario {
-    /// A response reaches the proxy; it is dropped if the proxy waits for it no more.
+    /// Handles the arrival of a response at the proxy. It is dropped if the proxy no longer waits for it.
     pub(super) fn receive_response(&mut self, replica: ReplicaIndex, job: Job, outcome: RequestOutcome) {
         let is_awaited =
             |request: &&Request| request.attempt == job.attempt && request.replica == Some(replica);
@@ -26,7 +26,7 @@
         let may_retry = match outcome {
             RequestOutcome::Succeeded => return self.complete_request(job.request),
             RequestOutcome::Rejected => proxy_retries < max_retries,
-            // Without proof that it did not run only where the admission rate's command says so.
+            // A retry without proof that the request did not run needs a retry limit above the default.
             RequestOutcome::Failed => proxy_retries + 1 < max_retries,
         };
         if !may_retry {
@@ -38,7 +38,7 @@
         self.send_attempt(job.request, Some(replica));
     }
 
-    /// Counts how an attempt ended: with a latency if it succeeded.
+    /// Counts the result of an attempt; `latency` is `None` if it failed.
     fn record_attempt(&mut self, proxy: ProxyIndex, replica: ReplicaIndex, latency: Option<Span>) {
         let counts = self.endpoint_counts.entry((proxy % self.config.zones, replica)).or_default();
         counts.attempts += 1.0;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The proxy stops waiting for an attempt.
+    /// Handles the time-out of an attempt at the proxy.
     pub(super) fn time_out_request(&mut self, id: u64, attempt: u32) {
         let is_awaited = |request: &&Request| request.attempt == attempt;
         let Some(request) = self.requests.get(&id).filter(is_awaited) else { return };
@@ -83,7 +83,7 @@
         self.finish_request(id, RequestOutcome::Failed);
     }
 
-    /// The proxy answers the client without success; the client retries later where it may.
+    /// Answers the client that the request was unsuccessful. The client retries after a backoff if it may.
     pub(super) fn finish_request(&mut self, id: u64, outcome: RequestOutcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if outcome == RequestOutcome::Failed || request.replica.is_some() {
@@ -97,7 +97,7 @@
             request.attempt += 1;
             request.replica = None;
             let pause = CLIENT_RETRY_BACKOFF.times(0.5 + self.random.draw());
-            return self.after(pause, ScheduledEvent::ClientRetries { request: id });
+            return self.schedule_after(pause, ScheduledEvent::ClientRetries { request: id });
         }
         let arrived_at = request.arrived_at;
         self.requests.remove(&id);
--- a/crates/emulator/src/scenario/run.rs
+++ b/crates/emulator/src/scenario/run.rs
@@ -1,4 +1,4 @@
-//! The loop over the schedule.
+//! The event loop of a scenario.
 
 use super::event::{Delivery, ScheduledEvent};
 use super::outcome::Outcome;
@@ -26,21 +26,22 @@
         self.finish();
     }
 
-    /// Starts the controllers and schedules what recurs and the faults; returns when the scenario ends.
+    /// Starts the controllers, schedules the periodic events and the faults, and returns the time at which the scenario
+    /// ends.
     pub(super) fn schedule_initial_events(&mut self) -> Moment {
         let end = self.now + self.config.duration;
         if self.policy == Policy::Controlled {
             let controllers = self.restartable_controllers(self.controllers.len());
             controllers.into_iter().for_each(|controller| self.start_controller(controller));
         }
-        self.after(NETWORK_DELAY, ScheduledEvent::RequestArrives);
-        self.after(REPORT_INTERVAL, ScheduledEvent::SendReports);
-        self.after(TABLE_CHECK_INTERVAL, ScheduledEvent::CheckEmptyTables);
-        self.after(RELAY_KEEPALIVE_INTERVAL, ScheduledEvent::RelayKeepalive);
+        self.schedule_after(NETWORK_DELAY, ScheduledEvent::RequestArrives);
+        self.schedule_after(REPORT_INTERVAL, ScheduledEvent::SendReports);
+        self.schedule_after(TABLE_CHECK_INTERVAL, ScheduledEvent::CheckEmptyTables);
+        self.schedule_after(RELAY_KEEPALIVE_INTERVAL, ScheduledEvent::RelayKeepalive);
         for fault in 0..self.faults.len() {
             let (starts_after, duration) = (self.faults[fault].starts_after, self.faults[fault].duration);
-            self.after(starts_after, ScheduledEvent::FaultStarts(fault));
-            self.after(starts_after + duration, ScheduledEvent::FaultEnds(fault));
+            self.schedule_after(starts_after, ScheduledEvent::FaultStarts(fault));
+            self.schedule_after(starts_after + duration, ScheduledEvent::FaultEnds(fault));
         }
         end
     }
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Completes the outcome.
+    /// Computes the final outcome.
     pub(super) fn finish(&mut self) {
         let outcome: &mut Outcome = &mut self.outcome;
         outcome.service_level = self.priority_weights.timely / self.priority_weights.offered.max(1.0);
@@ -109,7 +110,7 @@
     }
 
     fn send_relay_keepalives(&mut self) {
-        self.after(RELAY_KEEPALIVE_INTERVAL, ScheduledEvent::RelayKeepalive);
+        self.schedule_after(RELAY_KEEPALIVE_INTERVAL, ScheduledEvent::RelayKeepalive);
         for controller in 0..self.controllers.len() {
             let is_garbled = self.draw_garbled();
             if is_garbled && self.controllers[controller].is_watching {
--- a/crates/emulator/src/scenario/state.rs
+++ b/crates/emulator/src/scenario/state.rs
@@ -1,4 +1,4 @@
-//! The state of a scenario: the emulated fleet, the schedule, and what has been counted so far.
+//! The state of a scenario: the emulated fleet, the schedule and the counters.
 
 use super::connection::ControllerConnection;
 use super::counters::{DemandCountsBySlice, EndpointCountsByZone, PriorityWeightTotals};
@@ -21,24 +21,25 @@
 use whinwall_protocol::discovery;
 use whinwall_routing::Reducer;
 
-/// The wall-clock time at which a scenario begins, since the Unix epoch.
+/// The wall-clock time at the start of a scenario, since the Unix epoch.
 pub(super) const EPOCH: Span = Span::ms(1_800_000_000_000);
-/// The network's delay within a zone.
+/// The network delay within a zone.
 pub(super) const NETWORK_DELAY: Span = Span::ms(1);
-/// The time that the fleet takes to settle: neither do requests count before it is over, nor do rules bind.
+/// The time for the fleet to reach a steady state. Requests that arrive earlier do not count, and the rules are not
+/// enforced.
 pub(super) const WARM_UP_PERIOD: Span = Span::ms(5000);
 
-/// Replaces a command on its way to the proxies by others; the controllers do not know of it.
+/// Replaces a command on its way to the proxies with other commands, without the knowledge of the controllers.
 pub type CommandInterceptor = fn(&str) -> Vec<String>;
 
-/// A request that has not ended.
+/// An unfinished request.
 pub(super) struct Request {
     pub(super) slice: SliceIndex,
     pub(super) class: RequestClassIndex,
     pub(super) key: u32,
     pub(super) proxy: ProxyIndex,
     pub(super) arrived_at: Moment,
-    /// The number of the latest attempt, which grows with client retries too.
+    /// The number of the latest attempt. A client retry increments it as well.
     pub(super) attempt: u32,
     /// The replica that the latest attempt was sent to.
     pub(super) replica: Option<ReplicaIndex>,
@@ -47,7 +48,7 @@
     pub(super) client_retries: u32,
 }
 
-/// How discovery lists a replica.
+/// The state in which discovery lists a replica.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ListedState {
     Active,
@@ -56,7 +57,7 @@
 }
 
 impl ListedState {
-    /// The state in the words of discovery's protocol.
+    /// Returns the name of the state in discovery's protocol.
     pub(super) fn wire_name(self) -> &'static str {
         match self {
             ListedState::Active => "active",
@@ -66,29 +67,29 @@
     }
 }
 
-/// A controller, either a reducer within this process or a program at the other end of a connection.
+/// A controller: either a reducer within this process or a connection to a separate process.
 pub(super) struct Controller {
     pub(super) reducer: Option<Reducer>,
     pub(super) connection: Option<Box<dyn ControllerConnection>>,
     pub(super) channel: Channel,
-    /// Whether it watches the relay.
+    /// True while the controller watches the relay.
     pub(super) is_watching: bool,
-    /// Grows with each start and each kill; what was meant for an earlier incarnation is lost.
+    /// Incremented by each start and each kill. Deliveries to an earlier incarnation are dropped.
     pub(super) incarnation: u64,
-    /// When it is next notified that its input is drained.
+    /// The time of the next `InputDrained` event.
     pub(super) drain_input_at: Option<Moment>,
     pub(super) started_at: Moment,
-    /// Since when it has known which replicas are draining.
+    /// By draining replica, the time since which the controller has known of the drain.
     pub(super) draining_since: BTreeMap<ReplicaIndex, Moment>,
 }
 
-/// A scenario that is being played.
+/// A running scenario.
 pub struct Scenario {
     pub(super) config: ScenarioConfig,
     pub(super) policy: Policy,
     pub(super) now: Moment,
     pub(super) random: Random,
-    /// By time, then in the order of scheduling.
+    /// The scheduled events, ordered by time and then by the order of scheduling.
     pub(super) schedule: BTreeMap<(Moment, u64), ScheduledEvent>,
     scheduled_count: u64,
     pub(super) replicas: Vec<Replica>,
@@ -96,11 +97,11 @@
     pub(super) proxies: Vec<Proxy>,
     pub(super) controllers: Vec<Controller>,
     pub(super) store: RelayStore,
-    /// By slice, the controller that is responsible for it.
+    /// By slice, the responsible controller.
     pub(super) slice_controllers: Vec<ControllerIndex>,
-    /// By slice, since when that controller has been responsible.
+    /// By slice, the time since which that controller has been responsible.
     pub(super) reassigned_at: Vec<Moment>,
-    /// The share of the relay's responses and events that is unreadable.
+    /// The share of malformed responses and keepalives of the relay.
     pub(super) garbled_share: f64,
     pub(super) listed: Vec<ListedState>,
     pub(super) list_version: u64,
@@ -108,24 +109,24 @@
     pub(super) previous_list: Option<discovery::List>,
     pub(super) requests: BTreeMap<u64, Request>,
     pub(super) next_request: u64,
-    /// By slice, its demand relative to the other slices.
+    /// By slice, the demand relative to other slices.
     pub(super) demand_weights: Vec<f64>,
-    /// The factor by which the whole demand is multiplied.
+    /// The factor of the demand for all slices.
     pub(super) demand_factor: f64,
     pub(super) faults: Vec<Fault>,
     pub(super) is_relay_unreachable: bool,
     pub(super) is_relay_unresponsive: bool,
     pub(super) is_discovery_unreachable: bool,
-    /// Until then a controller, the relay or discovery can't be expected to work: rules do not bind.
+    /// The rules are not enforced until this time, because a controller, the relay or discovery may not work.
     pub(super) exempt_until: Moment,
     pub(super) endpoint_counts: EndpointCountsByZone,
     pub(super) demand_counts: DemandCountsBySlice,
-    /// Seconds for which reports have been sent.
+    /// The number of seconds for which reports have been sent.
     pub(super) reported_seconds: u32,
     /// By proxy and replica, the number of attempts without a result.
     pub(super) outstanding: BTreeMap<(ProxyIndex, ReplicaIndex), u32>,
     pub(super) command_interceptor: Option<CommandInterceptor>,
-    /// The replica or slice whose time-line is kept.
+    /// The replica or slice whose timeline is recorded.
     pub(super) timeline_subject: Option<String>,
     pub(super) timeline: Vec<TimelineEntry>,
     pub(super) rules: Rules,
@@ -133,12 +134,12 @@
     pub(super) priority_weights: PriorityWeightTotals,
 }
 
-/// The name by which discovery lists a replica.
+/// Returns the name of a replica in the endpoint list.
 pub(super) fn replica_name(replica: ReplicaIndex) -> String {
     format!("s-{replica}")
 }
 
-/// The relay's store with one endpoint for each slice.
+/// Returns a relay store with one endpoint for each slice.
 fn initial_store(
     config: &ScenarioConfig,
     replica_names: &[String],
@@ -148,7 +149,7 @@
     RelayStore(tables.into_iter().map(|(slice, table)| (slice, Arc::new(table))).collect())
 }
 
-/// Proxies that are connected and have read the store.
+/// Returns connected proxies that have loaded the tables of the store.
 fn connected_proxies(count: usize, store: &RelayStore) -> Vec<Proxy> {
     let mut proxy = Proxy::default();
     proxy.is_connected = true;
@@ -172,7 +173,7 @@
 }
 
 impl Scenario {
-    /// A scenario that has not begun.
+    /// Creates a scenario that has not started.
     pub fn new(config: ScenarioConfig, policy: Policy, faults: Vec<Fault>, seed: u64) -> Self {
         let now = Moment::default() + EPOCH;
         let mut random = Random::from_seed(seed);
@@ -221,24 +222,24 @@
         }
     }
 
-    /// Schedules an event.
-    pub(super) fn after(&mut self, delay: Span, event: ScheduledEvent) {
+    /// Schedules an event after `delay`.
+    pub(super) fn schedule_after(&mut self, delay: Span, event: ScheduledEvent) {
         self.scheduled_count += 1;
         self.schedule.insert((self.now + delay, self.scheduled_count), event);
     }
 
-    /// Schedules a delivery to the present incarnation of a controller.
+    /// Schedules a delivery to the current incarnation of a controller.
     pub(super) fn deliver_after(&mut self, delay: Span, controller: ControllerIndex, delivery: Delivery) {
         let incarnation = self.controllers[controller].incarnation;
-        self.after(delay, ScheduledEvent::Deliver { controller, incarnation, delivery });
+        self.schedule_after(delay, ScheduledEvent::Deliver { controller, incarnation, delivery });
     }
 
-    /// The number of seconds, from the beginning of the scenario, that a moment is at.
-    pub(super) fn since_begin(moment: Moment) -> Span {
+    /// Returns the duration from the start of the scenario until `moment`.
+    pub(super) fn since_start(moment: Moment) -> Span {
         moment - (Moment::default() + EPOCH)
     }
 
-    /// Draws whether a response or an event of the relay is unreadable.
+    /// Draws whether a response or a keepalive of the relay is malformed.
     pub(super) fn draw_garbled(&mut self) -> bool {
         self.garbled_share > 0.0 && self.random.draw() < self.garbled_share
     }
