--- a/crates/emulator/src/real_time/connection.rs
+++ b/crates/emulator/src/real_time/connection.rs
@@ -1,20 +1,20 @@
-//! The sockets to one controller program, as the scenario writes to them.
+//! The sockets on which a scenario writes to one controller process.
 
-use super::stand_in::StandIn;
+use super::services::FakeServices;
 use crate::scenario::ControllerConnection;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// The latest connection for one purpose, if there is any.
+/// The most recent connection to one endpoint, if it is open.
 pub(super) type SharedStream = Arc<Mutex<Option<TcpStream>>>;
 
-/// Writes a chunk of an HTTP response.
+/// Writes a chunk of a chunked HTTP response.
 pub(super) fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
 
-/// Writes to a peer that may be gone, and drops its stream if it is.
+/// Writes to the stream if it is open, and drops the stream if the write fails.
 fn write_or_drop(shared: &SharedStream, write: impl FnOnce(&mut TcpStream) -> std::io::Result<()>) {
     let Ok(mut open) = shared.lock() else { return };
     if open.as_mut().is_some_and(|stream| write(stream).is_err()) {
@@ -32,28 +32,28 @@
     }
 }
 
-/// The connections of one controller.
+/// The connections to one controller process.
 pub(super) struct SocketConnection {
-    pub(super) stand_in: StandIn,
-    /// By zone.
+    pub(super) services: FakeServices,
+    /// The collector connections by zone.
     pub(super) collectors: Vec<TcpStream>,
 }
 
 impl ControllerConnection for SocketConnection {
     fn send_relay_event(&mut self, line: &str) {
-        write_line(&self.stand_in.relay_watch, line);
+        write_line(&self.services.relay_watch, line);
     }
 
     fn close_relay_watch(&mut self) {
-        close(&self.stand_in.relay_watch);
+        close(&self.services.relay_watch);
     }
 
     fn send_list(&mut self, line: &str) {
-        write_or_drop(&self.stand_in.registry_watch, |stream| write_chunk(stream, &format!("{line}\n")));
+        write_or_drop(&self.services.registry_watch, |stream| write_chunk(stream, &format!("{line}\n")));
     }
 
     fn close_registry_watch(&mut self) {
-        close(&self.stand_in.registry_watch);
+        close(&self.services.registry_watch);
     }
 
     fn send_report(&mut self, zone: usize, line: &str) {
@@ -64,8 +64,8 @@
 
     fn respond(&mut self, line: Option<&str>) {
         match line {
-            Some(line) => write_line(&self.stand_in.relay_requests, line),
-            None => close(&self.stand_in.relay_requests),
+            Some(line) => write_line(&self.services.relay_requests, line),
+            None => close(&self.services.relay_requests),
         }
     }
 }
--- a/crates/emulator/src/real_time/mod.rs
+++ b/crates/emulator/src/real_time/mod.rs
@@ -1,51 +1,51 @@
-//! A scenario on loopback sockets and in real time, for controllers that run as programs: a relay and a discovery
-//! service for each controller, and a collector for each zone.
+//! Runs a scenario in real time on loopback sockets, against controllers in separate processes. Each controller gets
+//! a fake relay, a fake discovery service and a collector connection for each zone.
 
 mod connection;
-mod stand_in;
+mod services;
 
-pub use stand_in::{StandIn, StandInAddresses};
+pub use services::{FakeServiceAddresses, FakeServices};
 
 use crate::config::ScenarioConfig;
 use crate::fault::Fault;
 use crate::policy::Policy;
 use crate::scenario::{Outcome, Scenario};
 use connection::SocketConnection;
-use stand_in::ReceivedInput;
+use services::ReceivedInput;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 use whinwall_policy::time::Span;
 
-/// How long a peer may leave unread what it is sent.
+/// The time-out of a write to a peer that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest wait for input while nothing is scheduled.
+/// The maximum wait for input while no event is due.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// The stand-ins of all controllers' surroundings, and what they receive.
-pub struct StandIns {
-    /// By controller.
-    pub stand_ins: Vec<StandIn>,
+/// The fake relays and discovery services of all controllers, and the input that they receive.
+pub struct FakeEnvironment {
+    /// The fake services by controller.
+    pub services: Vec<FakeServices>,
     inputs: Receiver<ReceivedInput>,
 }
 
-impl StandIns {
-    /// Opens the listeners for so many controllers.
+impl FakeEnvironment {
+    /// Opens the listeners for `controllers` controllers.
     ///
     /// # Errors
-    /// Where a listener can't be opened.
+    /// If a listener can't be opened.
     pub fn open(controllers: usize) -> std::io::Result<Self> {
         let (sender, inputs) = channel();
-        let stand_ins = (0..controllers).map(|controller| StandIn::open(controller, &sender));
-        Ok(StandIns { stand_ins: stand_ins.collect::<Result<_, _>>()?, inputs })
+        let services = (0..controllers).map(|controller| FakeServices::open(controller, &sender));
+        Ok(FakeEnvironment { services: services.collect::<Result<_, _>>()?, inputs })
     }
 
-    /// Plays the scenario with controllers whose collectors' ports are at these addresses.
+    /// Runs the scenario with controllers that accept collectors at these addresses.
     ///
     /// # Errors
-    /// Where a controller's collector port can't be connected to.
-    pub fn play(
+    /// If the connection to the collector port of a controller fails.
+    pub fn run(
         self,
         config: &ScenarioConfig,
         faults: &[Fault],
@@ -53,17 +53,17 @@
         controllers: &[SocketAddr],
     ) -> std::io::Result<Outcome> {
         let mut scenario = Scenario::new(config.clone(), Policy::Controlled, faults.to_vec(), seed);
-        for (controller, (stand_in, address)) in self.stand_ins.into_iter().zip(controllers).enumerate() {
+        for (controller, (services, address)) in self.services.into_iter().zip(controllers).enumerate() {
             let collectors = connect_collectors(*address, config)?;
-            let connection = SocketConnection { stand_in, collectors };
+            let connection = SocketConnection { services, collectors };
             scenario.connect_controller(controller, Box::new(connection));
         }
-        run(&mut scenario, &self.inputs, config.duration);
+        process_events(&mut scenario, &self.inputs, config.duration);
         Ok(scenario.into_outcome())
     }
 }
 
-/// Connects a collector for each zone.
+/// Opens a collector connection for each zone.
 fn connect_collectors(address: SocketAddr, config: &ScenarioConfig) -> std::io::Result<Vec<TcpStream>> {
     let mut collectors = Vec::new();
     for zone in 0..config.zones {
@@ -75,8 +75,8 @@
     Ok(collectors)
 }
 
-/// Processes scheduled events and the controllers' input as they come, until the scenario's time is over.
-fn run(scenario: &mut Scenario, inputs: &Receiver<ReceivedInput>, duration: Span) {
+/// Processes scheduled events and input from the controllers until the scenario ends.
+fn process_events(scenario: &mut Scenario, inputs: &Receiver<ReceivedInput>, duration: Span) {
     let epoch = scenario.start_now() - duration;
     let started = Instant::now();
     let mut wait = Duration::ZERO;
