--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -5,8 +5,8 @@
 use whinwall_overrides::ClockReading;
 use whinwall_policy::time::{Moment, Span};
 
-/// The clock that decisions are based on. Starts at the wall-clock time and advances monotonically, so that steps of the
-/// wall clock do not affect it.
+/// The clock that decisions are based on. Starts at the wall-clock time and advances monotonically, so that steps of
+/// the wall clock do not affect it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     wall_at_start: Moment,
@@ -24,8 +24,8 @@
         self.moment_of(Instant::now())
     }
 
-    /// Reads the clocks of the machine: the time since boot, which includes time in suspend and is not affected by steps
-    /// of the wall clock, and the wall clock.
+    /// Reads the clocks of the machine: the time since boot, which includes time in suspend and is not affected by
+    /// steps of the wall clock, and the wall clock.
     pub fn read_machine_clocks() -> ClockReading {
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
         let since = clock_gettime(ClockId::Boottime);
