--- a/crates/scale-tests/src/decisions/arguments.rs
+++ b/crates/scale-tests/src/decisions/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments of the subcommand `decisions`. Their doc comments are the texts of its help.
+//! Arguments of the subcommand `decisions`. The doc comments of the fields are printed by `--help`.
 
 use super::error::SweepError;
 use super::plan::{Plan, ScenarioKind};
@@ -57,7 +57,7 @@
 }
 
 impl Args {
-    /// The plan that the arguments ask for.
+    /// Builds the plan of the sweep from the arguments.
     ///
     /// # Errors
     ///
--- a/crates/scale-tests/src/decisions/error.rs
+++ b/crates/scale-tests/src/decisions/error.rs
@@ -1,27 +1,27 @@
-//! Why a sweep could not be played.
+//! Errors of a sweep.
 
 use std::path::PathBuf;
 use thiserror::Error;
 use whinwall_experiments::results::ResultsError;
 
-/// Why a sweep could not be played.
+/// The reason why a sweep failed.
 #[derive(Debug, Error)]
 pub enum SweepError {
-    /// A number of which there must be at least one is zero.
+    /// A count that must be at least 1 is 0.
     #[error("{0} must be at least 1")]
     Zero(&'static str),
-    /// The pool of threads could not be started.
-    #[error("threads: {0}")]
+    /// The thread pool could not be started.
+    #[error("cannot start thread pool: {0}")]
     Threads(#[from] rayon::ThreadPoolBuildError),
     /// The rows could not be written.
     #[error(transparent)]
     Rows(#[from] ResultsError),
     /// The table could not be written.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot write {}: {source}", path.display())]
     Table {
-        /// The table's file.
+        /// The path of the table's file.
         path: PathBuf,
-        /// How it failed.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -1,5 +1,5 @@
-//! Sweeps of the number of controllers in the emulator: the same scenarios, with the same seeds, played with more and
-//! more controllers. All figures are simulated by the project's own emulator.
+//! Sweeps of the number of controllers in the emulator: the same scenarios, with the same seeds, run with increasing
+//! numbers of controllers. All figures come from the project's emulator, not from real processes.
 
 mod arguments;
 mod error;
@@ -9,7 +9,7 @@
 pub use arguments::Args;
 pub use error::SweepError;
 pub use plan::{Plan, PlannedScenario, ScenarioKind};
-pub use table::{paired_differences, table, PlayedScenario};
+pub use table::{paired_differences, table, ScenarioRun};
 
 use rayon::prelude::*;
 use std::sync::Mutex;
@@ -17,38 +17,38 @@
 use whinwall_emulator::scenario::play;
 use whinwall_experiments::results::{self, ResultRow};
 
-/// Plays the scenarios of the plan on a pool of threads; the outcomes are in the plan's order.
+/// Runs the scenarios of the plan on a thread pool; the outcomes are in the plan's order.
 ///
 /// # Errors
 ///
-/// When the threads cannot be started.
-pub fn play_all(plan: &Plan, threads: usize) -> Result<Vec<PlayedScenario>, SweepError> {
+/// When the thread pool cannot be started.
+pub fn run_all(plan: &Plan, threads: usize) -> Result<Vec<ScenarioRun>, SweepError> {
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads.max(1)).build()?;
     let progress = Mutex::new(0);
     let scenarios = plan.scenarios();
-    let play_one = |scenario: &PlannedScenario| {
+    let run_scenario = |scenario: &PlannedScenario| {
         let outcome = play(&scenario.fleet, Policy::Controlled, &scenario.faults, scenario.seed);
         if let Ok(mut done) = progress.lock() {
             *done += 1;
             eprintln!("{}", table::progress_line(*done, scenarios.len(), scenario, &outcome));
         }
-        PlayedScenario { scenario: scenario.clone(), outcome }
+        ScenarioRun { scenario: scenario.clone(), outcome }
     };
-    Ok(pool.install(|| scenarios.par_iter().map(play_one).collect()))
+    Ok(pool.install(|| scenarios.par_iter().map(run_scenario).collect()))
 }
 
-/// Plays the sweep, prints its table, and writes rows and table where a folder is given.
+/// Runs the sweep, prints its tables, and writes rows and tables if an output folder is given.
 ///
 /// # Errors
 ///
-/// When the arguments are out of range, threads cannot be started, or results cannot be written.
+/// When the arguments are out of range, the thread pool cannot be started, or results cannot be written.
 pub fn run(args: Args) -> Result<(), SweepError> {
     let plan = args.plan()?;
-    let played = play_all(&plan, args.threads)?;
-    let text = format!("{}\n{}", table(&played), paired_differences(&played, args.reference));
+    let runs = run_all(&plan, args.threads)?;
+    let text = format!("{}\n{}", table(&runs), paired_differences(&runs, args.reference));
     print!("{text}");
     let Some(out) = &args.out else { return Ok(()) };
-    let rows: Vec<ResultRow> = played.iter().map(|played| played.row(&args.commit)).collect();
+    let rows: Vec<ResultRow> = runs.iter().map(|run| run.row(&args.commit)).collect();
     results::append(out, &rows)?;
     let path = out.join("decisions.md");
     std::fs::write(&path, text).map_err(|source| SweepError::Table { path, source })
--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -1,4 +1,4 @@
-//! Which scenarios are played: each kind with each number of controllers and each size of subsets, seeds paired.
+//! The scenarios of a sweep: each kind with each number of controllers and each subset size, all with the same seeds.
 
 use clap::ValueEnum;
 use std::fmt;
@@ -20,15 +20,16 @@
     Zone,
 }
 
-/// How long a fault lasts, in virtual milliseconds.
+/// Duration of a fault other than a zone loss, in virtual milliseconds.
 const FAULT_DURATION_MS: u64 = 10_000;
-/// How long a zone is lost, in virtual milliseconds: shorter, as its replicas still have to warm up in the scenario.
+/// Duration of a zone loss, in virtual milliseconds. It is shorter than that of other faults because the zone's replicas
+/// still have to warm up before the scenario ends.
 const ZONE_LOSS_DURATION_MS: u64 = 5_000;
-/// By how much the load of the hot slice grows.
+/// Factor by which the load of the hot slice grows.
 const HOT_FACTOR: f64 = 20.0;
-/// By how much the load of all slices grows in a burst.
+/// Factor by which the load of all slices grows in a burst.
 const BURST_FACTOR: f64 = 1.5;
-/// Replicas that are replaced, of each ten.
+/// Number of replicas out of ten that are replaced.
 const REPLACED_OF_TEN: usize = 6;
 
 impl ScenarioKind {
@@ -41,9 +42,9 @@
         ScenarioKind::Zone,
     ];
 
-    /// The faults of the scenario in a fleet of this size, from a virtual time in milliseconds on.
+    /// Returns the faults of the scenario in `fleet`, which begin at `begins_ms` of virtual time.
     pub fn faults(self, fleet: &ScenarioConfig, begins_ms: u64) -> Vec<Fault> {
-        let what = match self {
+        let fault_kind = match self {
             ScenarioKind::Calm => return Vec::new(),
             ScenarioKind::Replaced => {
                 FaultKind::BatchReplacement { from: 0, to: fleet.replicas * REPLACED_OF_TEN / 10 }
@@ -53,7 +54,7 @@
             ScenarioKind::Zone => FaultKind::ZoneLost { zone: 1 % fleet.zones },
         };
         let duration_ms = if self == ScenarioKind::Zone { ZONE_LOSS_DURATION_MS } else { FAULT_DURATION_MS };
-        vec![Fault::new(begins_ms, duration_ms, what)]
+        vec![Fault::new(begins_ms, duration_ms, fault_kind)]
     }
 }
 
@@ -70,40 +71,40 @@
     }
 }
 
-/// The sweep's dimensions.
+/// The dimensions of a sweep.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The fleet, whose number of controllers and subsets are replaced by those of the plan.
+    /// The fleet. Its number of controllers and its subset size are replaced by those of the plan.
     pub fleet: ScenarioConfig,
     /// Numbers of controllers.
     pub controllers: Vec<usize>,
-    /// Sizes of subsets; 0 plays without subsets.
+    /// Subset sizes; 0 means without subsets.
     pub subsets: Vec<usize>,
     /// Kinds of scenarios.
     pub kinds: Vec<ScenarioKind>,
-    /// When faults begin, in virtual milliseconds.
+    /// The virtual time at which faults begin, in milliseconds.
     pub faults_begin_ms: u64,
-    /// Seeds, the same for each combination of the others.
+    /// Seeds, the same for each combination of the other dimensions.
     pub seeds: Vec<u64>,
 }
 
 /// One scenario of the plan.
 #[derive(Clone, Debug)]
 pub struct PlannedScenario {
-    /// Its kind.
+    /// The kind.
     pub kind: ScenarioKind,
-    /// The size of subsets; 0 without subsets.
+    /// The subset size; 0 means without subsets.
     pub subset: usize,
     /// The seed.
     pub seed: u64,
     /// The fleet.
     pub fleet: ScenarioConfig,
-    /// Its faults.
+    /// The faults.
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// All scenarios, those of one kind and one number of controllers side by side.
+    /// Returns all scenarios, grouped by kind, subset size and number of controllers.
     pub fn scenarios(&self) -> Vec<PlannedScenario> {
         let mut scenarios = Vec::new();
         for kind in &self.kinds {
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -1,4 +1,4 @@
-//! Tables of a sweep: means over seeds, violated rules, and paired differences.
+//! Tables of a sweep: means over seeds, violated rules, and paired differences of the service level.
 
 use super::plan::{PlannedScenario, ScenarioKind};
 use std::collections::BTreeMap;
@@ -9,29 +9,29 @@
 
 /// A scenario of the plan and its outcome.
 #[derive(Clone, Debug)]
-pub struct PlayedScenario {
+pub struct ScenarioRun {
     /// The scenario as planned.
     pub scenario: PlannedScenario,
-    /// Its outcome.
+    /// The outcome of the run.
     pub outcome: Outcome,
 }
 
-/// What scenarios have in common that differ in nothing but their seed.
+/// The properties shared by scenarios that differ only in their seed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Group {
     kind: ScenarioKind,
-    /// The size of subsets; 0 without subsets.
+    /// The subset size; 0 means without subsets.
     subset: usize,
     controllers: usize,
 }
 
-impl PlayedScenario {
+impl ScenarioRun {
     fn group(&self) -> Group {
         let PlannedScenario { kind, subset, .. } = self.scenario;
         Group { kind, subset, controllers: self.scenario.fleet.controllers }
     }
 
-    /// Its row in the experiments' results; the value that is varied is the number of controllers.
+    /// Converts the run to a row in the format of the experiments' results. The varied value is the number of controllers.
     pub fn row(&self, commit: &str) -> ResultRow {
         let Outcome { requests, succeeded, late, rejected, failed, commands, ejections, .. } = self.outcome;
         ResultRow {
@@ -66,7 +66,7 @@
     outcome.violation_counts.values().sum()
 }
 
-fn violated_rules(outcomes: &[&Outcome]) -> String {
+fn format_violated_rules(outcomes: &[&Outcome]) -> String {
     let mut violations: BTreeMap<u8, usize> = BTreeMap::new();
     for (rule, count) in outcomes.iter().flat_map(|outcome| &outcome.violation_counts) {
         *violations.entry(*rule).or_default() += count;
@@ -80,7 +80,7 @@
     }
 }
 
-/// One line of progress output.
+/// Returns the line of progress output for a finished scenario.
 pub(super) fn progress_line(
     done: usize,
     total: usize,
@@ -88,51 +88,52 @@
     outcome: &Outcome,
 ) -> String {
     let PlannedScenario { kind, subset, seed, fleet, .. } = scenario;
-    let (label, rules) = (decision_label(*subset), violated_rules(&[outcome]));
+    let (label, rules) = (decision_label(*subset), format_violated_rules(&[outcome]));
     let Outcome { service_level, migrations, commands, .. } = outcome;
     let controllers = fleet.controllers;
-    format!("{done}/{total} {kind}, {controllers} governors, {label}, seed {seed}: service {service_level:.3}, {migrations} moves, {commands} orders, broken {rules}")
+    format!("{done}/{total} {kind}, {controllers} controllers, {label}, seed {seed}: service level {service_level:.3}, {migrations} migrations, {commands} commands, violated rules: {rules}")
 }
 
-fn by_group(played: &[PlayedScenario]) -> BTreeMap<Group, Vec<&PlayedScenario>> {
-    let mut groups: BTreeMap<Group, Vec<&PlayedScenario>> = BTreeMap::new();
-    for scenario in played {
-        groups.entry(scenario.group()).or_default().push(scenario);
+fn group_runs(runs: &[ScenarioRun]) -> BTreeMap<Group, Vec<&ScenarioRun>> {
+    let mut groups: BTreeMap<Group, Vec<&ScenarioRun>> = BTreeMap::new();
+    for run in runs {
+        groups.entry(run.group()).or_default().push(run);
     }
     groups
 }
 
-/// Means over seeds by kind of scenario, size of subsets and number of controllers.
-pub fn table(played: &[PlayedScenario]) -> String {
+/// Returns a table of means over seeds by scenario kind, subset size and number of controllers.
+pub fn table(runs: &[ScenarioRun]) -> String {
     let mut text = String::from(
-        "| day | decisions | governors | seeds | service | least | moves | orders | verdicts | rules broken |\n\
+        "| scenario | decisions | controllers | seeds | service level | minimum | migrations | commands | ejections | violated rules |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for (Group { kind, subset, controllers }, all) in by_group(played) {
-        let outcomes: Vec<_> = all.iter().map(|played| &played.outcome).collect();
+    for (Group { kind, subset, controllers }, all) in group_runs(runs) {
+        let outcomes: Vec<_> = all.iter().map(|run| &run.outcome).collect();
         let average = |figure: fn(&Outcome) -> f64| {
             outcomes.iter().map(|outcome| figure(outcome)).sum::<f64>() / outcomes.len() as f64
         };
         let least = outcomes.iter().map(|outcome| outcome.service_level).fold(f64::INFINITY, f64::min);
-        let (label, seeds, rules) = (decision_label(subset), all.len(), violated_rules(&outcomes));
+        let (label, seeds, rules) = (decision_label(subset), all.len(), format_violated_rules(&outcomes));
         let service = average(|outcome| outcome.service_level);
-        let moves = average(|outcome| outcome.migrations as f64);
-        let orders = average(|outcome| outcome.commands as f64);
-        let verdicts = average(|outcome| outcome.ejections as f64);
+        let migrations = average(|outcome| outcome.migrations as f64);
+        let commands = average(|outcome| outcome.commands as f64);
+        let ejections = average(|outcome| outcome.ejections as f64);
         _ = writeln!(
             text,
-            "| {kind} | {label} | {controllers} | {seeds} | {service:.3} | {least:.3} | {moves:.0} | {orders:.0} | {verdicts:.1} | {rules} |"
+            "| {kind} | {label} | {controllers} | {seeds} | {service:.3} | {least:.3} | {migrations:.0} | {commands:.0} | {ejections:.1} | {rules} |"
         );
     }
     text
 }
 
-/// Differences of service against the same seeds with `reference` controllers and no subsets (or, where that was not
-/// played, the same subsets), with the 95% interval of their mean.
-pub fn paired_differences(played: &[PlayedScenario], reference: usize) -> String {
-    let groups = by_group(played);
+/// Returns a table of the differences in service level to the runs with the same seeds and `reference` controllers, with
+/// the 95% confidence interval of their mean. The reference runs have no subsets; if the plan has none without subsets,
+/// they have the same subset size.
+pub fn paired_differences(runs: &[ScenarioRun], reference: usize) -> String {
+    let groups = group_runs(runs);
     let mut text = format!(
-        "| day | decisions | governors | service less that of {reference} governors | 95% within | least | greatest |\n\
+        "| scenario | decisions | controllers | service level minus that of {reference} controllers | 95% interval, +/- | minimum | maximum |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n"
     );
     for (group, all) in &groups {
@@ -142,9 +143,8 @@
         let Some(others) = others.filter(|_| (subset, controllers) != (0, reference)) else { continue };
         let service: BTreeMap<_, _> =
             others.iter().map(|other| (other.scenario.seed, other.outcome.service_level)).collect();
-        let paired = all
-            .iter()
-            .filter_map(|played| Some(played.outcome.service_level - service.get(&played.scenario.seed)?));
+        let paired =
+            all.iter().filter_map(|run| Some(run.outcome.service_level - service.get(&run.scenario.seed)?));
         let differences: Vec<f64> = paired.collect();
         let Some(figure) = mean(&differences) else { continue };
         let greatest = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
--- a/crates/scale-tests/src/fit.rs
+++ b/crates/scale-tests/src/fit.rs
@@ -1,10 +1,10 @@
 //! Ordinary least squares with several regressors: coefficients, residuals, the coefficient of determination (R2) and
-//! the range in which a fit was measured.
+//! the range of the measured points.
 
-/// One measured point: the regressors and what was measured there.
+/// One measured point: the values of the regressors and the measured value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
-    /// Values of the regressors, in the order of the fit's names.
+    /// Values of the regressors, in the same order in all points of a fit.
     pub regressors: Vec<f64>,
     /// The measured value.
     pub measured: f64,
@@ -13,39 +13,39 @@
 /// A linear model `intercept + sum(slope * regressor)` fitted to points.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinearFit {
-    /// The value where all regressors are 0.
+    /// The predicted value at 0 of all regressors.
     pub intercept: f64,
     /// One slope for each regressor.
     pub slopes: Vec<f64>,
-    /// Measured less predicted, in the order of the points.
+    /// Measured minus predicted values, in the order of the points.
     pub residuals: Vec<f64>,
-    /// The share of the variance that the model explains; 1 where there is none to explain.
+    /// The fraction of the variance that the model explains; 1 if the measured values do not vary.
     pub r_squared: f64,
-    /// The least and the greatest value measured of each regressor.
+    /// The minimum and maximum of each regressor over the points.
     pub range: Vec<(f64, f64)>,
 }
 
-/// Why no fit exists.
+/// The reason why no fit exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FitError {
     /// There are fewer points than coefficients.
-    #[error("{points} points do not determine {coefficients} coefficients")]
+    #[error("{points} points, at least {coefficients} needed for {coefficients} coefficients")]
     TooFewPoints {
-        /// Points given.
+        /// The number of points.
         points: usize,
-        /// Coefficients of the model.
+        /// The number of coefficients of the model.
         coefficients: usize,
     },
     /// The points differ in their number of regressors.
-    #[error("the points have different numbers of regressors")]
-    Ragged,
-    /// A regressor does not vary, or depends on others.
-    #[error("the regressors are not independent in these points")]
-    Dependent,
+    #[error("points with different numbers of regressors")]
+    RegressorCountMismatch,
+    /// A regressor does not vary, or depends linearly on others.
+    #[error("regressors are constant or linearly dependent over the points")]
+    DependentRegressors,
 }
 
-/// A pivot below this part of its column's greatest value is taken for 0.
-const SINGULAR: f64 = 1e-10;
+/// A pivot of at most this fraction of the largest coefficient is treated as 0.
+const SINGULAR_PIVOT_RATIO: f64 = 1e-10;
 
 impl LinearFit {
     /// Fits the model to the points.
@@ -56,50 +56,50 @@
     pub fn least_squares(points: &[Point]) -> Result<LinearFit, FitError> {
         let regressor_count = points.first().map_or(0, |point| point.regressors.len());
         if points.iter().any(|point| point.regressors.len() != regressor_count) {
-            return Err(FitError::Ragged);
+            return Err(FitError::RegressorCountMismatch);
         }
         let coefficients = regressor_count + 1;
         if points.len() < coefficients {
             return Err(FitError::TooFewPoints { points: points.len(), coefficients });
         }
-        // Each regressor is scaled to its greatest value, so that the equations are well conditioned.
-        let scales = scales(points, regressor_count);
-        let solution = solve(normal_equations(points, &scales)).ok_or(FitError::Dependent)?;
+        // Each regressor is divided by its largest absolute value, which keeps the equations well conditioned.
+        let scales = regressor_scales(points, regressor_count);
+        let solution = solve(normal_equations(points, &scales)).ok_or(FitError::DependentRegressors)?;
         let slopes: Vec<f64> =
             solution[1..].iter().zip(&scales).map(|(slope, scale)| slope / scale).collect();
         let mut fit =
             LinearFit { intercept: solution[0], slopes, residuals: vec![], r_squared: 1.0, range: vec![] };
         fit.residuals = points.iter().map(|point| point.measured - fit.predict(&point.regressors)).collect();
         fit.r_squared = r_squared(points, &fit.residuals);
-        fit.range = (0..regressor_count).map(|index| range(points, index)).collect();
+        fit.range = (0..regressor_count).map(|index| regressor_range(points, index)).collect();
         Ok(fit)
     }
 
-    /// What the model says at these regressors.
+    /// Returns the value that the model predicts for `regressors`.
     pub fn predict(&self, regressors: &[f64]) -> f64 {
         let terms = self.slopes.iter().zip(regressors).map(|(slope, regressor)| slope * regressor);
         self.intercept + terms.sum::<f64>()
     }
 
-    /// Whether the regressors lie within what was measured.
+    /// Returns true if each regressor lies within the range of the measured points.
     pub fn covers(&self, regressors: &[f64]) -> bool {
         let within = |(low, high): &(f64, f64), at: &f64| (*low..=*high).contains(at);
         self.range.iter().zip(regressors).all(|(range, at)| within(range, at))
     }
 
-    /// The greatest residual, whatever its sign.
+    /// Returns the largest absolute residual.
     pub fn largest_residual(&self) -> f64 {
         self.residuals.iter().map(|residual| residual.abs()).fold(0.0, f64::max)
     }
 }
 
-fn scales(points: &[Point], regressor_count: usize) -> Vec<f64> {
+fn regressor_scales(points: &[Point], regressor_count: usize) -> Vec<f64> {
     let greatest =
         |index: usize| points.iter().map(|point| point.regressors[index].abs()).fold(0.0, f64::max);
     (0..regressor_count).map(|index| if greatest(index) > 0.0 { greatest(index) } else { 1.0 }).collect()
 }
 
-fn range(points: &[Point], index: usize) -> (f64, f64) {
+fn regressor_range(points: &[Point], index: usize) -> (f64, f64) {
     let values = points.iter().map(|point| point.regressors[index]);
     values.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), value| (low.min(value), high.max(value)))
 }
@@ -115,7 +115,7 @@
     }
 }
 
-/// The rows of the normal equations, each with its right side as the last value.
+/// Returns the rows of the normal equations, each with its right-hand side as the last value.
 fn normal_equations(points: &[Point], scales: &[f64]) -> Vec<Vec<f64>> {
     let size = scales.len() + 1;
     let mut rows = vec![vec![0.0; size + 1]; size];
@@ -130,7 +130,7 @@
     rows
 }
 
-/// Gaussian elimination with partial pivoting; none where the equations are singular.
+/// Solves the equations by Gaussian elimination with partial pivoting; returns `None` if they are singular.
 fn solve(mut rows: Vec<Vec<f64>>) -> Option<Vec<f64>> {
     let size = rows.len();
     for column in 0..size {
@@ -138,7 +138,7 @@
             (column..size).max_by(|a, b| rows[*a][column].abs().total_cmp(&rows[*b][column].abs()))?;
         let greatest =
             rows.iter().flat_map(|row| &row[..size]).fold(0.0_f64, |most, cell| most.max(cell.abs()));
-        if rows[pivot][column].abs() <= greatest * SINGULAR {
+        if rows[pivot][column].abs() <= greatest * SINGULAR_PIVOT_RATIO {
             return None;
         }
         rows.swap(column, pivot);
--- a/crates/scale-tests/src/main.rs
+++ b/crates/scale-tests/src/main.rs
@@ -1,4 +1,4 @@
-//! `whinwall-scale-tests`: runs the scale tests; each subcommand writes its results as Parquet, a table and a chart.
+//! `whinwall-scale-tests`: runs the scale tests. The subcommands write their results as Parquet files, tables and charts.
 #![warn(clippy::unwrap_used)]
 
 use clap::{Parser, Subcommand};
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -1,4 +1,4 @@
-//! Real controller processes: building, starting, observing through `/proc`, and ending them by their id.
+//! Builds and starts programs of the workspace, reads their resource usage from `/proc`, and ends them by process id.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -11,44 +11,45 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest time for a start, with a wide margin for a busy machine.
+/// Time limit for start-up, long enough for a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time for the answer to a PING, with the same margin.
+/// Time limit for the answer to a PING, long enough for a busy machine.
 const PING_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two checks whether a program has ended.
+/// Time between two checks for the exit of a program.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The package of the controller, and its program.
-const CONTROLLER: &str = "whinwall-controller";
-/// What a program of whinwall's logs once it listens; its address follows, up to a blank.
-const LISTENING: &str = "listening for collectors address=";
+/// The name of the controller's package and of its program.
+const CONTROLLER_PROGRAM: &str = "whinwall-controller";
+/// Text of the log line that controllers and aggregators write once they listen. The address follows, up to the next
+/// space.
+const LISTENING_LOG_TEXT: &str = "listening for collectors address=";
 
-/// The address in a line of the log that says that a program listens.
+/// Returns the listen address if `line` is the log line that announces it.
 pub(crate) fn listening_address(line: &str) -> Option<SocketAddr> {
-    line.split_once(LISTENING)?.1.split(' ').next()?.trim().parse().ok()
+    line.split_once(LISTENING_LOG_TEXT)?.1.split(' ').next()?.trim().parse().ok()
 }
 
-/// Why a process could not be started or observed.
+/// The reason why a process could not be started or observed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// A file, pipe or socket failed.
+    /// An operation on a file, pipe, socket or process failed.
     #[error("{what}: {source}")]
     Io {
-        /// What was attempted.
+        /// The failed operation or the path of the file.
         what: String,
-        /// How it failed.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The program is not there, or cargo could not build it.
-    #[error("{0} is not there: build it with cargo build --release")]
+    /// The program does not exist, or cargo failed to build it.
+    #[error("{0} not found: build it with cargo build --release")]
     NotBuilt(PathBuf),
-    /// It ended, or said nothing, before it served.
-    #[error("the program did not serve within {START_TIMEOUT:?}; its log ends with {0:?}")]
+    /// The program exited, or did not log its listen address before the time limit.
+    #[error("program exited or did not listen within {START_TIMEOUT:?}; last log line: {0:?}")]
     NoStart(String),
-    /// `/proc` shows something unexpected.
-    #[error("{0} has no usable {1}")]
-    Unreadable(String, &'static str),
+    /// A file of `/proc` lacks a field, or the field does not parse.
+    #[error("{0}: missing or malformed field {1}")]
+    MalformedProcFile(String, &'static str),
     /// A connection did not answer a PING with PONG.
-    #[error("no PONG came, but {0:?}")]
+    #[error("expected PONG, got {0:?}")]
     NoPong(String),
 }
 
@@ -57,16 +58,17 @@
     |source| ProcessError::Io { what, source }
 }
 
-/// The controller's program beside the running executable; under cargo it is built first.
+/// Returns the path of the controller's program in the folder of the running executable. Under cargo, builds it first.
 ///
 /// # Errors
 ///
 /// As for [`program`].
 pub fn controller_program() -> Result<PathBuf, ProcessError> {
-    program(CONTROLLER, CONTROLLER)
+    program(CONTROLLER_PROGRAM, CONTROLLER_PROGRAM)
 }
 
-/// A program of the workspace beside the running executable. Under cargo it is built first, so that it is never stale.
+/// Returns the path of a program of the workspace in the folder of the running executable. Under cargo, builds it first,
+/// so that the program matches the sources.
 ///
 /// # Errors
 ///
@@ -74,7 +76,7 @@
 pub fn program(package: &str, name: &str) -> Result<PathBuf, ProcessError> {
     let own = std::env::current_exe().map_err(io_error("own executable"))?;
     let folder = own.parent().unwrap_or(Path::new("."));
-    // Executables of tests are one folder further down.
+    // Test executables are in the subfolder `deps`.
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     let program = folder.join(name);
     if let Some(cargo) = std::env::var_os("CARGO") {
@@ -94,33 +96,33 @@
     status.success().then_some(()).ok_or_else(|| ProcessError::NotBuilt(folder.join(name)))
 }
 
-/// What a process has used so far.
+/// The resource usage of a process so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// CPU time of all its threads.
+    /// CPU time of all threads.
     pub processor_time: Duration,
-    /// Memory resident now, in bytes (VmRSS).
+    /// Resident memory, in bytes (VmRSS).
     pub resident: u64,
-    /// The most memory that was ever resident, in bytes (VmHWM).
+    /// Peak resident memory, in bytes (VmHWM).
     pub resident_peak: u64,
-    /// Threads now.
+    /// The current number of threads.
     pub threads: u64,
 }
 
 impl Usage {
-    /// Reads the usage of the process with this id. Its CPU time comes in nanoseconds from `schedstat` where the
-    /// kernel offers it, otherwise in ticks of 10 ms from `stat`.
+    /// Reads the usage of the process with this id. CPU time has a resolution of nanoseconds if the kernel offers
+    /// `schedstat`; otherwise it is read from `stat` in clock ticks, usually of 10 ms.
     ///
     /// # Errors
     ///
-    /// When `/proc` has no such process, or a file of it lacks an expected field.
+    /// When `/proc` has no such process, or an expected field is missing or malformed.
     pub fn of(id: u32) -> Result<Usage, ProcessError> {
         let path = format!("/proc/{id}/status");
         let status = std::fs::read_to_string(&path).map_err(io_error(&path))?;
         let figure = |key: &'static str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key));
             let number = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
-            number.ok_or(ProcessError::Unreadable(path.clone(), key))
+            number.ok_or(ProcessError::MalformedProcFile(path.clone(), key))
         };
         let processor_time = match processor_time_from_scheduler(id) {
             Some(time) => time,
@@ -134,7 +136,7 @@
         })
     }
 
-    /// Usage of the running process itself: the harness with all its stand-ins.
+    /// Reads the usage of this process: the harness with all its fakes.
     ///
     /// # Errors
     ///
@@ -144,58 +146,59 @@
     }
 }
 
-/// The CPU time of all threads that are alive.
+/// Returns the CPU time of all threads that are alive.
 fn processor_time_from_scheduler(id: u32) -> Option<Duration> {
     let threads = std::fs::read_dir(format!("/proc/{id}/task")).ok()?;
     let mut total = Duration::ZERO;
     for thread in threads {
-        // A thread that ends between the two steps has no file any more.
+        // The file is missing if the thread ended after the folder was listed.
         let Ok(text) = std::fs::read_to_string(thread.ok()?.path().join("schedstat")) else { continue };
         total += Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?);
     }
     (!total.is_zero()).then_some(total)
 }
 
-/// The CPU time of the calling thread so far, where the kernel offers it in nanoseconds.
+/// Returns the CPU time of the calling thread in nanoseconds; `None` if the kernel does not offer `schedstat`.
 pub fn current_thread_processor_time() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     Some(Duration::from_nanos(text.split_whitespace().next()?.parse().ok()?))
 }
 
-/// CPU time in user and system mode, in ticks.
+/// Returns the CPU time in user and system mode, measured in clock ticks.
 fn processor_time_from_ticks(id: u32) -> Result<Duration, ProcessError> {
-    const USER: usize = 11;
-    const SYSTEM: usize = 12;
+    const USER_TIME_FIELD: usize = 11;
+    const SYSTEM_TIME_FIELD: usize = 12;
     let path = format!("/proc/{id}/stat");
     let stat = std::fs::read_to_string(&path).map_err(io_error(&path))?;
-    // The name in brackets may hold spaces; the fields are counted behind it.
+    // The process name in parentheses may contain spaces, so fields are counted from the closing parenthesis.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let field = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok());
-    let count = field(USER).zip(field(SYSTEM)).map(|(user, system)| user + system);
-    let count = count.ok_or(ProcessError::Unreadable(path, "times"))?;
+    let count = field(USER_TIME_FIELD).zip(field(SYSTEM_TIME_FIELD)).map(|(user, system)| user + system);
+    let count = count.ok_or(ProcessError::MalformedProcFile(path, "utime or stime"))?;
     Ok(Duration::from_secs_f64(count as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
-/// The machine's load average over one minute, of whatever runs on it; not a number where the kernel does not offer it.
+/// Returns the machine's load average over one minute, including unrelated processes; NaN if the kernel does not offer
+/// it.
 pub fn machine_load() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().next().and_then(|load| load.parse().ok()).unwrap_or(f64::NAN)
 }
 
-/// What a controller is started with.
+/// The parameters of a controller's start.
 #[derive(Clone, Debug)]
 pub struct Launch {
     /// The program.
     pub program: PathBuf,
-    /// Its configuration file; the listen address is replaced by a free port on loopback.
+    /// The content of the configuration file; the listen address is replaced by a free port on loopback.
     pub configuration: Value,
-    /// Where its discovery agent listens.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
-    /// The text of its operators' file, where there is one.
+    /// The content of the operators' file; `None` to start without one.
     pub operators: Option<String>,
 }
 
-/// A running program that logs lines; it is killed by its id and waited for when dropped.
+/// A running program whose log lines are read. It is killed and waited for when dropped.
 pub struct RunningProgram {
     child: Child,
     log: Receiver<String>,
@@ -220,11 +223,11 @@
         Ok(RunningProgram { child, log, started })
     }
 
-    /// Waits until it logs the address at which it listens.
+    /// Waits until the program logs its listen address, and returns the address.
     ///
     /// # Errors
     ///
-    /// When the program ends, or logs no address within the start timeout.
+    /// When the program exits, or does not log its address within 30 s of its start.
     pub fn address(&self) -> Result<SocketAddr, ProcessError> {
         let end = self.started + START_TIMEOUT;
         let mut last = String::new();
@@ -237,17 +240,17 @@
         Err(ProcessError::NoStart(last))
     }
 
-    /// When it was started.
+    /// Returns the time at which the program was started.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it has used so far.
+    /// Reads the resource usage so far.
     ///
     /// # Errors
     ///
@@ -256,19 +259,19 @@
         Usage::of(self.id())
     }
 
-    /// All that it has logged since the previous call.
+    /// Returns the lines logged since the previous call.
     pub fn take_log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
-    /// Waits until it logs a line with this text; false where none comes in time.
+    /// Waits until the program logs a line that contains `text`; returns false if it does not within the given time.
     pub fn wait_for_log_line(&self, text: &str, within: Duration) -> bool {
         let end = Instant::now() + within;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
         std::iter::from_fn(next).any(|line| line.contains(text))
     }
 
-    /// Makes it reload its files (SIGHUP).
+    /// Makes the program reload its files (SIGHUP).
     ///
     /// # Errors
     ///
@@ -277,7 +280,7 @@
         self.signal(Signal::HUP)
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the program.
     ///
     /// # Errors
     ///
@@ -287,11 +290,11 @@
         sent.map_err(|why| io_error(format!("{signal:?}"))(why.into()))
     }
 
-    /// How it has ended, once it has; none where it still runs after this time.
+    /// Waits for the program's exit and returns its status; returns `None` if it still runs after the given time.
     ///
     /// # Errors
     ///
-    /// When it cannot be waited for.
+    /// When the status of the process cannot be read.
     pub fn wait_for_exit(&mut self, within: Duration) -> Result<Option<ExitStatus>, ProcessError> {
         let end = Instant::now() + within;
         loop {
@@ -311,16 +314,16 @@
     }
 }
 
-/// A running controller; it is killed when dropped.
+/// A running controller process. It is killed when dropped.
 pub struct Controller {
-    /// Its process.
+    /// The process.
     pub process: RunningProgram,
     address: SocketAddr,
     _folder: tempfile::TempDir,
 }
 
 impl Controller {
-    /// Starts it, and waits until it listens.
+    /// Starts a controller and waits until it listens.
     ///
     /// # Errors
     ///
@@ -343,17 +346,17 @@
         Ok(Controller { process, address, _folder: folder })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// When it was started.
+    /// Returns the time at which the controller was started.
     pub fn started(&self) -> Instant {
         self.process.started()
     }
 
-    /// What it has used so far.
+    /// Reads the resource usage so far.
     ///
     /// # Errors
     ///
@@ -362,7 +365,7 @@
         self.process.usage()
     }
 
-    /// All that it has logged since the previous call.
+    /// Returns the lines logged since the previous call.
     pub fn take_log_lines(&self) -> Vec<String> {
         self.process.take_log_lines()
     }
@@ -378,7 +381,8 @@
     }
 }
 
-/// Sends a PING on an open connection and waits for the PONG: all lines sent there before it have been read.
+/// Sends a PING on an open connection and waits for the PONG. The PONG shows that the peer has read all lines that were
+/// sent before the PING.
 ///
 /// # Errors
 ///
--- a/crates/scale-tests/src/results.rs
+++ b/crates/scale-tests/src/results.rs
@@ -1,4 +1,4 @@
-//! Results of a scale test in a folder: rows as Parquet, tables as Markdown, charts as SVG.
+//! Writes the results of a scale test to a folder: rows as Parquet, tables as Markdown, charts as SVG.
 
 use crate::fit::LinearFit;
 use plotters::prelude::*;
@@ -8,8 +8,8 @@
 
 /// Width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 480);
-/// Colours of the series, in rotation.
-const COLOURS: [RGBColor; 5] = [
+/// Colours of the series; they repeat after the last.
+const SERIES_COLOURS: [RGBColor; 5] = [
     RGBColor(31, 119, 180),
     RGBColor(255, 127, 14),
     RGBColor(44, 160, 44),
@@ -17,7 +17,7 @@
     RGBColor(127, 127, 127),
 ];
 
-/// Why results could not be written.
+/// The reason why results could not be written.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {source}")]
 pub struct ResultsError {
@@ -31,12 +31,12 @@
     }
 }
 
-/// The folder that a scale test writes to.
+/// The folder that a scale test writes its results to.
 #[derive(Clone, Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Creates the folder where it is missing.
+    /// Creates the folder if it does not exist.
     ///
     /// # Errors
     ///
@@ -80,25 +80,25 @@
 /// A straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// The value at 0.
+    /// The vertical value at horizontal position 0.
     pub intercept: f64,
-    /// The rise for each unit of the horizontal axis.
+    /// The increase per unit of the horizontal axis.
     pub slope: f64,
 }
 
-/// Points of one kind, and the line fitted to them where there is one.
+/// A series of points with an optional fitted line.
 #[derive(Clone, Debug, Default)]
 pub struct Series {
-    /// What the legend says.
+    /// The name in the legend.
     pub name: String,
-    /// Where they lie.
+    /// The points, as horizontal and vertical values.
     pub points: Vec<(f64, f64)>,
-    /// The line fitted to them.
+    /// The line fitted to the points.
     pub line: Option<Line>,
 }
 
 impl Series {
-    /// Points with the line of a fit that has one regressor.
+    /// Creates a series with the line of a fit that has one regressor.
     pub fn fitted(name: &str, points: Vec<(f64, f64)>, fit: &LinearFit) -> Self {
         let line = fit.slopes.first().map(|slope| Line { intercept: fit.intercept, slope: *slope });
         Series { name: name.into(), points, line }
@@ -108,28 +108,28 @@
 /// A chart of measured points.
 #[derive(Clone, Debug, Default)]
 pub struct Chart {
-    /// Its title.
+    /// The title.
     pub title: String,
-    /// Label of the horizontal axis.
+    /// The label of the horizontal axis.
     pub x_label: String,
-    /// Label of the vertical axis.
+    /// The label of the vertical axis.
     pub y_label: String,
-    /// What is drawn.
+    /// The series to draw.
     pub series: Vec<Series>,
-    /// A horizontal line, where there is a budget.
+    /// The budget, drawn as a horizontal line.
     pub budget: Option<f64>,
 }
 
 impl Chart {
-    fn greatest(&self, coordinate: impl Fn(&(f64, f64)) -> f64) -> f64 {
+    fn max_coordinate(&self, coordinate: impl Fn(&(f64, f64)) -> f64) -> f64 {
         self.series.iter().flat_map(|series| &series.points).map(coordinate).fold(f64::MIN_POSITIVE, f64::max)
     }
 
     fn draw(&self, path: &Path) -> Result<(), Box<dyn Error>> {
-        /// The axes reach beyond the greatest value by this factor.
-        const MARGIN: f64 = 1.06;
-        let right = self.greatest(|point| point.0) * MARGIN;
-        let top = self.greatest(|point| point.1).max(self.budget.unwrap_or(0.0)) * MARGIN;
+        /// Ratio of the end of each axis to the largest value.
+        const AXIS_MARGIN: f64 = 1.06;
+        let right = self.max_coordinate(|point| point.0) * AXIS_MARGIN;
+        let top = self.max_coordinate(|point| point.1).max(self.budget.unwrap_or(0.0)) * AXIS_MARGIN;
         let area = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
@@ -139,7 +139,7 @@
             .y_label_area_size(70)
             .build_cartesian_2d(0.0..right, 0.0..top)?;
         chart.configure_mesh().x_desc(&self.x_label).y_desc(&self.y_label).draw()?;
-        for (series, colour) in self.series.iter().zip(COLOURS.iter().cycle()) {
+        for (series, colour) in self.series.iter().zip(SERIES_COLOURS.iter().cycle()) {
             let colour = *colour;
             let points = series.points.iter().map(|point| Circle::new(*point, 4, colour.filled()));
             let key = move |(x, y)| Circle::new((x + 8, y), 4, colour.filled());
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for collectors: connections to the controller that name their zone (SOURCE) and then send report lines at
-//! a pace, or as fast as the controller reads them.
+//! Fake collectors: connections to the controller that send their zone (SOURCE) and then report lines, either at a
+//! configured rate or as fast as the controller reads them.
 
 use super::fleet::{FleetSize, Random, ReportShape};
 use super::traffic::Traffic;
@@ -11,22 +11,23 @@
 use std::thread::{self, JoinHandle, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
-/// Periods generated in advance; a collector sends them in rotation, so that sending costs the harness little.
+/// Number of periods whose lines are generated in advance. A collector repeats them, which keeps the harness's own CPU
+/// time low.
 const GENERATED_PERIODS: u64 = 4;
-/// Time between two checks of a waiting collector whether it is to stop.
+/// Time between two checks of the stop flag while a collector waits.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A block of lines, ready to be written.
+/// Report lines that are sent in one write.
 #[derive(Clone, Debug, Default)]
 pub struct ReportBlock {
-    /// The lines, each with its LF.
+    /// The lines, each terminated by LF.
     pub bytes: Vec<u8>,
     /// The number of lines.
     pub lines: usize,
 }
 
 impl ReportBlock {
-    /// Joins lines.
+    /// Joins lines, each terminated by LF.
     pub fn from_lines(lines: &[String]) -> Self {
         let mut bytes = Vec::with_capacity(lines.iter().map(|line| line.len() + 1).sum());
         for line in lines {
@@ -40,18 +41,18 @@
 /// The report lines of one connection, and when they are sent.
 #[derive(Clone, Debug)]
 pub struct ReportSchedule {
-    /// The zone of its SOURCE line.
+    /// The zone in the SOURCE line.
     pub zone: String,
-    /// Between the beginnings of two periods.
+    /// The time between the starts of two periods.
     pub period: Duration,
-    /// From the start to the first period.
+    /// The time from the start of the collectors to the first period.
     pub offset: Duration,
-    /// Periods in rotation; each consists of blocks that are spread evenly over it.
+    /// The periods, which are repeated in this order. The blocks of a period are spread evenly over it.
     pub periods: Vec<Vec<ReportBlock>>,
 }
 
 impl ReportSchedule {
-    /// A zone's collector that reports the shape once each period, in `writes` writes.
+    /// Creates the schedule of a zone's collector that sends the lines of `shape` each period, in `writes` writes.
     pub fn for_zone(size: &FleetSize, shape: &ReportShape, zone: usize, writes: usize) -> Self {
         let period = Duration::from_secs_f64(shape.window_ms / 1000.0);
         let generate = |period_index: u64| {
@@ -69,24 +70,24 @@
     }
 }
 
-/// Running collectors; they end when dropped.
+/// Running collectors. They end when dropped.
 pub struct Collectors {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Collectors {
-    /// Connects a collector for each schedule, and has them begin together.
+    /// Connects a collector for each schedule. The offsets of all schedules count from the same point in time.
     ///
     /// # Errors
     ///
-    /// When a connection to the controller fails; collectors that were started before end with it.
+    /// When a connection to the controller fails. Collectors that were already started end as well.
     pub fn start(
         controller: SocketAddr,
         schedules: Vec<ReportSchedule>,
         traffic: &Arc<Traffic>,
     ) -> std::io::Result<Collectors> {
-        // Dropped where one fails to connect, and the others end with it.
+        // If a collector fails to connect, dropping this value ends the others.
         let mut collectors = Collectors { stop: Arc::new(AtomicBool::new(false)), threads: Vec::new() };
         let start = Instant::now();
         for schedule in schedules {
@@ -108,7 +109,7 @@
     }
 }
 
-/// Opens a collector's connection and names its zone.
+/// Opens a collector's connection and sends the SOURCE line with its zone.
 ///
 /// # Errors
 ///
@@ -152,7 +153,7 @@
     }
 }
 
-/// Waits for a moment; false where the collectors are stopped before it.
+/// Waits until `due`; returns false if the collectors are stopped earlier.
 fn wait_until(due: Instant, stop: &AtomicBool) -> bool {
     loop {
         if stop.load(Ordering::Relaxed) {
@@ -166,17 +167,17 @@
     }
 }
 
-/// What a flood wrote, and how long it took until the controller had read it.
+/// The number of lines of a flood, and the time that the controller took to read them.
 #[derive(Clone, Copy, Debug)]
 pub struct FloodOutcome {
     /// Lines written on all connections.
     pub lines: u64,
-    /// From the first write until each connection had answered a PING.
+    /// The time from the first write until each connection has answered a PING.
     pub elapsed: Duration,
 }
 
-/// Writes the schedules' periods as fast as the controller takes them, `periods` of them on one connection for each
-/// schedule, and waits until all lines have been read.
+/// Opens one connection per schedule, writes `periods` periods to each as fast as the controller reads them, and waits
+/// until all lines have been read.
 ///
 /// # Errors
 ///
@@ -210,7 +211,9 @@
             .map(|(stream, schedule)| scope.spawn(move || write(stream, schedule)))
             .collect();
         let mut ended = writers.into_iter().map(ScopedJoinHandle::join);
-        ended.try_for_each(|outcome| outcome.unwrap_or(Err(ProcessError::NoPong("a panic".into()))))
+        ended.try_for_each(|outcome| {
+            outcome.unwrap_or(Err(ProcessError::NoPong("panic of a writer thread".into())))
+        })
     });
     outcome.map(|()| FloodOutcome {
         lines: traffic.reports.read().since(before).lines,
--- a/crates/scale-tests/src/stand_ins/counting_proxy.rs
+++ b/crates/scale-tests/src/stand_ins/counting_proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy in front of a controller, which counts the bytes and lines in each direction.
+//! A TCP proxy in front of a controller that counts bytes and lines in each direction.
 
 use super::loopback_server::LoopbackServer;
 use super::traffic::Counter;
@@ -10,7 +10,7 @@
 /// Size of the buffer for each direction, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// Bytes and lines that went through a proxy.
+/// Bytes and lines forwarded by a counting proxy.
 #[derive(Debug, Default)]
 pub struct ProxyTraffic {
     /// To the controller.
@@ -19,20 +19,20 @@
     pub from_controller: Counter,
 }
 
-/// The proxy. It closes connections until its target is known, and takes none any more once it is dropped.
+/// The proxy. It closes new connections while its target is unknown, and stops accepting connections when dropped.
 pub struct CountingProxy {
     server: LoopbackServer,
     target: Arc<Mutex<Option<SocketAddr>>>,
-    /// What went through it.
+    /// The bytes and lines forwarded so far.
     pub traffic: Arc<ProxyTraffic>,
 }
 
 impl CountingProxy {
-    /// Listens, without a target.
+    /// Starts the proxy without a target.
     ///
     /// # Errors
     ///
-    /// When no port of loopback can be bound.
+    /// When no port on loopback can be bound.
     pub fn start() -> std::io::Result<CountingProxy> {
         let target: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         let traffic: Arc<ProxyTraffic> = Arc::default();
@@ -45,7 +45,7 @@
         Ok(CountingProxy { server, target, traffic })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
@@ -64,12 +64,12 @@
     });
 }
 
-/// Forwards until one side ends, then closes both.
+/// Forwards bytes until either connection ends, then closes both.
 fn forward(mut from: &TcpStream, mut to: &TcpStream, counter: &Counter) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer) {
         let lines = buffer[..read].iter().filter(|byte| **byte == b'\n').count();
-        // Counted before it is written: once a peer has read an answer, the counters include it.
+        // Bytes are counted before they are written, so that the counters include an answer once the peer has read it.
         counter.add(read, lines);
         if to.write_all(&buffer[..read]).is_err() {
             break;
--- a/crates/scale-tests/src/stand_ins/discovery.rs
+++ b/crates/scale-tests/src/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-in for discovery's agent: the registry's endpoint list over HTTP, complete or as a chunked watch.
+//! Fake discovery agent: serves the registry's endpoint list over HTTP, as one complete answer or as a chunked watch.
 
 use super::fleet::{EntryState, FleetSize, ReplicaState};
 use super::loopback_server::LoopbackServer;
@@ -13,13 +13,13 @@
 /// Time between two keep-alive lines of a watch while nothing changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// An entry of the list, and the version in which it changed last.
+/// An entry of the list, and the version of its last change.
 struct VersionedEntry {
     state: EntryState,
     changed_in_version: u64,
 }
 
-/// How a new version of the list is sent to open watches.
+/// The form in which a new version of the list is sent to open watches.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Delivery {
     Changes,
@@ -30,15 +30,15 @@
 struct Registry {
     size: FleetSize,
     version: u64,
-    /// The entries by the replicas' numbers.
+    /// The entries by replica index.
     entries: BTreeMap<usize, VersionedEntry>,
-    /// Watches whose last version is below this one receive the complete list.
+    /// A watch whose last sent version is lower receives the complete list.
     full_list_since: u64,
     ended: bool,
 }
 
 impl Registry {
-    /// The entries that changed after a version, or all of them.
+    /// Returns the entries that changed after version `since`, or the complete list for `None`.
     fn list(&self, since: Option<u64>) -> Value {
         let is_included = |entry: &VersionedEntry| match since {
             Some(since) => entry.changed_in_version > since,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The registry and the signal that it has changed, shared by all connections.
+/// The registry, and the condition variable that signals its changes; shared by all connections.
 #[derive(Clone)]
 struct Shared(Arc<(Mutex<Registry>, Condvar)>);
 
@@ -61,18 +61,18 @@
     }
 }
 
-/// The agent; its watches end when it is dropped.
+/// The fake agent. Its watches end when it is dropped.
 pub struct Discovery {
     server: LoopbackServer,
     shared: Shared,
 }
 
 impl Discovery {
-    /// Lists all replicas of a fleet as active.
+    /// Starts an agent that lists all replicas of the fleet as active.
     ///
     /// # Errors
     ///
-    /// When no port of loopback can be bound.
+    /// When no port on loopback can be bound.
     pub fn start(size: &FleetSize, traffic: &Arc<Traffic>) -> std::io::Result<Discovery> {
         let state = EntryState { state: ReplicaState::Active, started_ms: 0 };
         let entry = |number| (number, VersionedEntry { state, changed_in_version: 1 });
@@ -86,17 +86,17 @@
         Ok(Discovery { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Changes the entries of some replicas in one version; watches receive the change at once.
+    /// Changes entries in one new version. Open watches receive the changed entries immediately.
     pub fn change(&self, changes: impl IntoIterator<Item = (usize, EntryState)>) {
         self.publish_version(changes, Delivery::Changes);
     }
 
-    /// The same, but watches receive the complete list, as after an outage.
+    /// Changes entries in one new version. Open watches receive the complete list immediately, as after an outage.
     pub fn change_and_send_full_list(&self, changes: impl IntoIterator<Item = (usize, EntryState)>) {
         self.publish_version(changes, Delivery::FullList);
     }
@@ -114,7 +114,7 @@
         self.shared.0 .1.notify_all();
     }
 
-    /// Bytes of the complete list as one object.
+    /// Returns the size of the complete list as one JSON object, in bytes.
     pub fn full_list_bytes(&self) -> usize {
         self.shared.lock().list(None).to_string().len()
     }
@@ -146,7 +146,7 @@
     }
 }
 
-/// The version after which a watch is asked for; none for a request that is no watch.
+/// Returns the version that a watch request starts from; `None` if the request is not for a watch.
 fn since(path: &str) -> Option<u64> {
     let query = path.strip_prefix("/registry/instances?")?;
     let value = |key: &str| query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
@@ -165,10 +165,10 @@
     Ok(())
 }
 
-/// Whether the peer has closed the connection; it sends nothing more once it has asked for a watch.
+/// Returns true if the peer has closed the connection. The peer sends nothing after its watch request.
 fn is_closed(stream: &TcpStream) -> bool {
-    let at_once = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0]));
-    let ended = match at_once {
+    let peeked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0]));
+    let ended = match peeked {
         Ok(read) => read == 0,
         Err(why) => why.kind() != std::io::ErrorKind::WouldBlock,
     };
@@ -200,7 +200,7 @@
         };
         sent_version = Some(registry.version);
         drop(registry);
-        // Bytes written to an abandoned watch would be counted without ever arriving.
+        // Bytes written to a watch that the peer has closed would be counted although the peer never reads them.
         if is_closed(stream) {
             return Ok(());
         }
--- a/crates/scale-tests/src/stand_ins/fleet.rs
+++ b/crates/scale-tests/src/stand_ins/fleet.rs
@@ -1,13 +1,13 @@
-//! The fleet that the stand-ins emulate: names of replicas and zones, the registry's entries, and the report lines
-//! about them, all drawn from a seed.
+//! The fleet that the fakes describe: names of replicas and zones, entries of the registry, and report lines with values
+//! drawn from a seeded random generator.
 
 use serde_json::{json, Value};
 
-/// Names of request classes that the settings and reports agree on.
-const CLASSES: [&str; 4] = ["lookup", "post", "search", "batch"];
-/// The least mean latency in a report line, in milliseconds.
+/// Names of the request classes in the settings and in the report lines.
+const REQUEST_CLASS_NAMES: [&str; 4] = ["lookup", "post", "search", "batch"];
+/// The lowest mean latency in a report line, in milliseconds.
 const MIN_LATENCY_MS: f64 = 20.0;
-/// The range of mean latencies above the least, in milliseconds.
+/// The width of the range of mean latencies above the lowest, in milliseconds.
 const LATENCY_RANGE_MS: f64 = 40.0;
 /// The mean number of requests in flight in a report line.
 const MEAN_IN_FLIGHT: f64 = 4.0;
@@ -15,16 +15,16 @@
 /// A replica's lifecycle state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It takes requests.
+    /// The replica accepts requests.
     Active,
-    /// It drains: it finishes what it has and takes nothing new.
+    /// The replica drains: it completes its requests and accepts no new ones.
     Leaving,
-    /// It is gone; a complete list does not name it.
+    /// The replica is gone; a complete list does not contain it.
     Left,
 }
 
 impl ReplicaState {
-    /// The word of the registry's wire format.
+    /// Returns the state's name in the registry's wire format.
     pub fn as_str(self) -> &'static str {
         match self {
             ReplicaState::Active => "active",
@@ -34,16 +34,16 @@
     }
 }
 
-/// What the list says of one replica, beside its constant fields.
+/// The variable fields of a replica's entry in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryState {
-    /// Its lifecycle state.
+    /// The lifecycle state.
     pub state: ReplicaState,
-    /// When it was started last, in Unix milliseconds; 0 for long ago.
+    /// The time of its last start, in Unix milliseconds; 0 means long ago.
     pub started_ms: u64,
 }
 
-/// How large the fleet of one controller is.
+/// The size of the fleet as one controller sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSize {
     /// Replicas in the list.
@@ -52,18 +52,18 @@
     pub zones: usize,
     /// Slices owned by the controller.
     pub slices: usize,
-    /// Proxies that are subscribed.
+    /// Proxies subscribed to the relay.
     pub proxies: usize,
-    /// Request classes, 1 to 4.
+    /// Number of request classes, 1 to 4.
     pub classes: usize,
-    /// Controllers of the tier, as the settings name them.
+    /// Number of controllers in the settings.
     pub controllers: usize,
-    /// Requests a second to all replicas.
+    /// Requests per second to all replicas.
     pub requests: f64,
 }
 
 impl FleetSize {
-    /// The target's size at one controller: 2,200 replicas, 9 zones, 20 slices, 650 controllers, 58,000 requests a second.
+    /// Returns the target size: 2,200 replicas, 9 zones, 650 controllers with 20 slices each, 58,000 requests per second.
     pub fn target() -> Self {
         FleetSize {
             replicas: 2200,
@@ -76,34 +76,34 @@
         }
     }
 
-    /// The name of a replica.
+    /// Returns the name of a replica.
     pub fn replica(&self, at: usize) -> String {
         format!("s-{:08x}", (at as u32).wrapping_mul(0x9e37_79b1))
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone.
     pub fn zone(&self, at: usize) -> String {
         format!("z{}", at % self.zones)
     }
 
-    /// The replica that owns a slice at the start.
+    /// Returns the index of the replica that owns a slice initially.
     pub fn owner(&self, slice: usize) -> usize {
-        // Spread over the fleet, so that a controller's slices sit on many replicas.
+        // The slices are spread evenly over the replicas.
         (slice * self.replicas / self.slices.max(1)) % self.replicas.max(1)
     }
 
-    /// The registry's entry of a replica in a state.
+    /// Returns the registry's entry of a replica in the given state.
     pub fn entry(&self, at: usize, entry: EntryState) -> Value {
         json!({"id": self.replica(at), "addr": format!("10.1.{}.{}:8443", at / 256, at % 256),
             "zone": self.zone(at), "kind": "m2", "cell": at % 16, "state": entry.state.as_str(), "weight": 1.0,
             "started_ms": entry.started_ms})
     }
 
-    /// The settings of one controller of the tier.
+    /// Returns the settings of the controller.
     pub fn settings(&self) -> Value {
         let class = |name: &&str| json!({"name": name, "value": 2.0, "targetNs": 1_200_000_000u64});
         json!({
-            "classes": CLASSES[..self.classes].iter().map(class).collect::<Vec<_>>(),
+            "classes": REQUEST_CLASS_NAMES[..self.classes].iter().map(class).collect::<Vec<_>>(),
             "familyInfo": {
                 "periodNs": 1_000_000_000u64, "levelKind": "fraction", "singleWriter": false,
                 "partitionsN": self.slices * self.controllers, "tenureNs": 4_000_000_000u64,
@@ -122,7 +122,7 @@
         })
     }
 
-    /// The whole configuration file of a controller in front of this relay.
+    /// Returns the content of the configuration file of a controller that uses the given relay.
     pub fn configuration(&self, relay: std::net::SocketAddr) -> Value {
         json!({
             "name": "n0", "seed": "8c1f30d27a5be964",
@@ -134,17 +134,17 @@
     }
 }
 
-/// A small generator of uniform numbers (xorshift64*), the same in each run.
+/// A deterministic generator of uniform random numbers (xorshift64*).
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
 impl Random {
-    /// Begins with a seed.
+    /// Creates a generator with a seed.
     pub fn new(seed: u64) -> Self {
         Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    /// Uniform from 0 up to 1.
+    /// Returns a uniform random number from 0 up to, but not including, 1.
     pub fn uniform(&mut self) -> f64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
@@ -152,32 +152,32 @@
         (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A whole number near the mean, from 0 to twice the mean.
+    /// Returns a random integer from 0 to twice the mean.
     fn integer_near(&mut self, mean: f64) -> u64 {
         (mean * 2.0 * self.uniform()).round() as u64
     }
 }
 
-/// What one collector sends in one period.
+/// The report lines that one collector sends in one period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportShape {
-    /// Replicas that it reports on: those with these positions, step by step.
+    /// The indices of the replicas that it reports on.
     pub replicas: std::ops::Range<usize>,
-    /// The time that each line covers.
+    /// The window that each line covers, in milliseconds.
     pub window_ms: f64,
-    /// Of how many zones a line is the sum.
+    /// The number of zones that each line sums up.
     pub zones_summed: usize,
-    /// Whether it reports on each slice of the controller too.
+    /// True to report on each slice of the controller as well.
     pub includes_slices: bool,
 }
 
 impl ReportShape {
-    /// Reports of a zone's collector on the complete fleet, once a second.
+    /// The reports of a zone's collector on all replicas and slices, with a window of one second.
     pub fn full(size: &FleetSize) -> Self {
         ReportShape { replicas: 0..size.replicas, window_ms: 1000.0, zones_summed: 1, includes_slices: true }
     }
 
-    /// Lines of one period.
+    /// Generates the lines of one period.
     pub fn lines(&self, size: &FleetSize, zone: usize, random: &mut Random) -> Vec<String> {
         let mut lines: Vec<String> =
             self.replicas.clone().map(|at| self.endpoint_line(size, zone, at, random)).collect();
@@ -189,7 +189,7 @@
         lines
     }
 
-    /// Requests to the whole fleet that fall to one report line, on average.
+    /// Returns the mean number of requests to the whole fleet in one window of the zones that a line covers.
     fn expected_requests(&self, size: &FleetSize) -> f64 {
         size.requests * self.window_ms / 1000.0 * self.zones_summed as f64 / size.zones as f64
     }
@@ -212,7 +212,7 @@
         let requests = random.integer_near(self.expected_requests(size) / slice_classes);
         format!(
             "{{\"@type\":\"SHARD\",\"partition\":{slice},\"kind\":\"{}\",\"n\":{requests},\"bad\":0,\"window\":{:.1}}}",
-            CLASSES[class], self.window_ms
+            REQUEST_CLASS_NAMES[class], self.window_ms
         )
     }
 }
--- a/crates/scale-tests/src/stand_ins/loopback_server.rs
+++ b/crates/scale-tests/src/stand_ins/loopback_server.rs
@@ -1,4 +1,4 @@
-//! A listener on loopback that serves each connection on a thread of its own.
+//! A TCP server on loopback with one thread per connection.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,18 +6,18 @@
 use std::thread;
 use std::time::Duration;
 
-/// A peer that does not read for so long is disconnected.
+/// Time limit for one write. A peer that does not read is disconnected after it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A listener on a free port of loopback with a thread for each connection; it ends when dropped.
+/// A TCP server on a free port of loopback. It stops accepting connections when dropped.
 pub(super) struct LoopbackServer {
-    /// Where it listens.
+    /// The listen address.
     pub(super) address: SocketAddr,
     stop: Arc<AtomicBool>,
 }
 
 impl LoopbackServer {
-    /// Listens, and serves each connection on a thread of its own.
+    /// Starts the server, which calls `serve` for each connection on a separate thread.
     pub(super) fn start(
         serve: impl Fn(TcpStream) + Clone + Send + 'static,
     ) -> std::io::Result<LoopbackServer> {
@@ -42,7 +42,7 @@
 impl Drop for LoopbackServer {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // The accepting thread sees the flag once a connection comes.
+        // The accepting thread checks the flag only after a connection, so open one to wake it.
         _ = TcpStream::connect(self.address).map(|stream| stream.shutdown(Shutdown::Both));
     }
 }
--- a/crates/scale-tests/src/stand_ins/mod.rs
+++ b/crates/scale-tests/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for the peers of a controller. Each paces what it sends and counts the bytes and lines in each
-//! direction; each ends when it is dropped.
+//! Fakes of a controller's peers, on loopback sockets. They speak the real protocols, send at a configured rate and count
+//! the bytes and lines in each direction. A fake ends when it is dropped.
 
 pub mod collectors;
 pub mod counting_proxy;
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the relay: the store of routing tables and the path to the proxies. It sends a snapshot and keep-alives
-//! to its watchers, executes relay requests, and has all proxies acknowledge versions at once.
+//! Fake relay: stores the routing tables, sends a snapshot and keep-alive lines to its watchers, applies relay requests,
+//! and acknowledges each version immediately on behalf of all proxies.
 
 use super::fleet::FleetSize;
 use super::loopback_server::LoopbackServer;
@@ -15,27 +15,27 @@
 
 /// Time between two keep-alive lines.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// The lag in an acknowledgement, in milliseconds.
+/// The lag that each acknowledgement reports, in milliseconds.
 const ACK_LAG_MS: f64 = 90.5;
 
-/// A request of the controller, and when it was read.
+/// A relay request of the controller, with the time at which it was read.
 #[derive(Clone, Debug)]
 pub struct RelayRequest {
-    /// When it was read.
+    /// The time at which the request was read.
     pub at: Instant,
-    /// Its commands.
+    /// The commands of the request.
     pub commands: Vec<String>,
 }
 
 struct RelayState {
     size: FleetSize,
-    /// Of each slice, the weights by replica.
+    /// The weights by replica for each slice.
     tables: BTreeMap<usize, BTreeMap<String, f64>>,
     watchers: Vec<TcpStream>,
 }
 
 impl RelayState {
-    /// What a new watcher receives.
+    /// Returns the lines that a new watcher receives.
     fn snapshot(&self) -> String {
         let mut text = String::from("OK\r\n");
         for proxy in 0..self.size.proxies {
@@ -52,14 +52,14 @@
         text
     }
 
-    /// Applies one command; false where it is invalid.
+    /// Applies one command; returns false if it is invalid.
     fn apply_command(&mut self, command: &str) -> bool {
         match command.split(',').collect::<Vec<_>>()[..] {
             ["SET", slice, replica, weight] => {
                 let (Ok(slice), Ok(weight)) = (slice.parse::<usize>(), weight.parse::<f64>()) else {
                     return false;
                 };
-                // Commands for a slice that the controller does not own change nothing.
+                // A command for a slice that the controller does not own has no effect.
                 if let Some(table) = self.tables.get_mut(&slice) {
                     table.insert(replica.into(), weight);
                     table.retain(|_, weight| *weight > 0.0);
@@ -96,7 +96,7 @@
     }
 }
 
-/// The relay of one controller; it ends when dropped.
+/// The fake relay of one controller. It ends when dropped.
 pub struct Relay {
     server: LoopbackServer,
     shared: Shared,
@@ -105,11 +105,11 @@
 }
 
 impl Relay {
-    /// Starts with one replica for each slice of the fleet.
+    /// Starts a relay whose routing tables have one replica per slice of the fleet.
     ///
     /// # Errors
     ///
-    /// When no port of loopback can be bound.
+    /// When no port on loopback can be bound.
     pub fn start(size: &FleetSize, traffic: &Arc<Traffic>) -> std::io::Result<Relay> {
         let table = |slice: usize| (slice, BTreeMap::from([(size.replica(size.owner(slice)), 1.0)]));
         let state = RelayState {
@@ -134,22 +134,22 @@
         Ok(Relay { server, shared, relay_requests, stop })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// The next request, if one comes in this time.
+    /// Waits for the next relay request; returns `None` if it does not arrive within the given time.
     pub fn next_request(&self, within: Duration) -> Option<RelayRequest> {
         self.relay_requests.recv_timeout(within).ok()
     }
 
-    /// All relay requests that have come since the previous call.
+    /// Returns the relay requests received since the previous call.
     pub fn take_requests(&self) -> Vec<RelayRequest> {
         self.relay_requests.try_iter().collect()
     }
 
-    /// Of each slice, the replica of the greatest weight.
+    /// Returns the replica with the highest weight for each slice.
     pub fn owners(&self) -> BTreeMap<usize, String> {
         let state = self.shared.lock();
         let owner = |(slice, table): (&usize, &BTreeMap<String, f64>)| {
@@ -199,7 +199,7 @@
     }
 }
 
-/// Applies commands up to the first invalid one; the response says how many.
+/// Applies the commands before the first invalid one. The response contains their number.
 fn apply(commands: &str, shared: &Shared, traffic: &Traffic, sender: &Sender<RelayRequest>) -> String {
     let commands: Vec<String> = commands.split(';').map(String::from).collect();
     let mut state = shared.lock();
@@ -211,7 +211,7 @@
         let lines = state.size.proxies;
         state.broadcast(&acks, lines, traffic);
     }
-    // The receiver may be dropped already.
+    // The send fails if the receiver was dropped, which is expected at the end of a test.
     _ = sender.send(RelayRequest { at: Instant::now(), commands });
     format!("OK {accepted}\r\n")
 }
--- a/crates/scale-tests/src/stand_ins/traffic.rs
+++ b/crates/scale-tests/src/stand_ins/traffic.rs
@@ -1,53 +1,53 @@
-//! Counters of the bytes and lines that go over the channels of one controller.
+//! Counters of the bytes and lines on the connections of one controller.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes and lines of one kind in one direction.
+/// Counts bytes and lines of one kind of traffic in one direction.
 #[derive(Debug, Default)]
 pub struct Counter {
     bytes: AtomicU64,
     lines: AtomicU64,
 }
 
-/// The value of a counter at one moment.
+/// The value of a counter at a point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Bytes so far, without those of TCP and IP.
+    /// Payload bytes so far, without TCP and IP headers.
     pub bytes: u64,
     /// Lines so far.
     pub lines: u64,
 }
 
 impl Counter {
-    /// Adds bytes that hold this many lines.
+    /// Adds a number of bytes and the number of lines that they contain.
     pub fn add(&self, bytes: usize, lines: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.lines.fetch_add(lines as u64, Ordering::Relaxed);
     }
 
-    /// The count at this moment.
+    /// Returns the current count.
     pub fn read(&self) -> Count {
         Count { bytes: self.bytes.load(Ordering::Relaxed), lines: self.lines.load(Ordering::Relaxed) }
     }
 }
 
 impl Count {
-    /// What was added since an earlier count.
+    /// Returns the difference to an earlier count.
     pub fn since(self, earlier: Count) -> Count {
         Count { bytes: self.bytes - earlier.bytes, lines: self.lines - earlier.lines }
     }
 }
 
-/// Counters of all channels of one controller.
+/// Counters of all connections of one controller.
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// From collectors: reports on replicas and slices.
     pub reports: Counter,
     /// From the relay: the lines of its watch.
     pub relay_events: Counter,
-    /// From the relay: answers to relay requests.
+    /// From the relay: responses to relay requests.
     pub relay_responses: Counter,
-    /// From discovery: the list and its changes.
+    /// From discovery: the endpoint list and its changes.
     pub endpoint_list: Counter,
     /// To the relay: relay requests.
     pub relay_requests: Counter,
@@ -55,16 +55,16 @@
     pub discovery_requests: Counter,
 }
 
-/// All counters at one moment.
+/// The values of all counters at a point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// From collectors.
+    /// Reports from collectors.
     pub reports: Count,
-    /// Events of the relay.
+    /// Lines of the relay's watch.
     pub relay_events: Count,
-    /// Answers to relay requests.
+    /// Responses to relay requests.
     pub relay_responses: Count,
-    /// The list and its changes.
+    /// The endpoint list and its changes.
     pub endpoint_list: Count,
     /// Requests to the relay.
     pub relay_requests: Count,
@@ -73,7 +73,7 @@
 }
 
 impl Traffic {
-    /// All counts at this moment.
+    /// Returns the current counts.
     pub fn read(&self) -> TrafficCount {
         TrafficCount {
             reports: self.reports.read(),
@@ -87,7 +87,7 @@
 }
 
 impl TrafficCount {
-    /// What was added since an earlier count.
+    /// Returns the difference to an earlier count.
     pub fn since(self, earlier: TrafficCount) -> TrafficCount {
         TrafficCount {
             reports: self.reports.since(earlier.reports),
@@ -99,12 +99,12 @@
         }
     }
 
-    /// Bytes that were sent to the controller on all channels.
+    /// Returns the bytes sent to the controller on all connections.
     pub fn bytes_in(&self) -> u64 {
         self.reports.bytes + self.relay_events.bytes + self.relay_responses.bytes + self.endpoint_list.bytes
     }
 
-    /// Bytes that the controller sent on all channels.
+    /// Returns the bytes sent by the controller on all connections.
     pub fn bytes_out(&self) -> u64 {
         self.relay_requests.bytes + self.discovery_requests.bytes
     }
--- a/crates/scale-tests/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -1,8 +1,8 @@
-//! The sweep of the number of controllers, at small size.
+//! Sweeps of the number of controllers with a small fleet.
 
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_policy::time::Span;
-use whinwall_scale_tests::decisions::{paired_differences, play_all, table, Plan, ScenarioKind};
+use whinwall_scale_tests::decisions::{paired_differences, run_all, table, Plan, ScenarioKind};
 
 fn plan(kinds: Vec<ScenarioKind>) -> Plan {
     let fleet = ScenarioConfig {
@@ -36,19 +36,19 @@
 #[test]
 fn sweep_is_deterministic_and_violates_no_rule() {
     let plan = plan(vec![ScenarioKind::Replaced, ScenarioKind::Zone]);
-    let (first, again) = (play_all(&plan, 2).unwrap(), play_all(&plan, 1).unwrap());
-    let outcomes = |played: &[whinwall_scale_tests::decisions::PlayedScenario]| {
-        played.iter().map(|one| one.outcome.clone()).collect::<Vec<_>>()
+    let (first, again) = (run_all(&plan, 2).unwrap(), run_all(&plan, 1).unwrap());
+    let outcomes = |runs: &[whinwall_scale_tests::decisions::ScenarioRun]| {
+        runs.iter().map(|run| run.outcome.clone()).collect::<Vec<_>>()
     };
-    assert!(outcomes(&first) == outcomes(&again), "two plays of one plan differ");
-    for one in &first {
+    assert!(outcomes(&first) == outcomes(&again), "two runs of the same plan differ");
+    for run in &first {
         assert!(
-            one.outcome.violation_counts.is_empty(),
+            run.outcome.violation_counts.is_empty(),
             "{:?}: {:?}",
-            one.scenario,
-            one.outcome.violations.first()
+            run.scenario,
+            run.outcome.violations.first()
         );
-        assert!(one.outcome.requests > 0 && one.outcome.migrations > 0);
+        assert!(run.outcome.requests > 0 && run.outcome.migrations > 0);
     }
     let text = table(&first);
     assert_eq!(text.lines().count(), 2 + 2 * 2 * 2, "{text}");
--- a/crates/scale-tests/tests/fit.rs
+++ b/crates/scale-tests/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Least squares against lines that are known.
+//! Least-squares fits of points with known coefficients.
 
 use whinwall_scale_tests::fit::{FitError, LinearFit, Point};
 
@@ -19,12 +19,12 @@
     assert!(fit.covers(&[19_800.0, 2200.0]) && !fit.covers(&[20_000.0, 2200.0]));
 }
 
-/// Worked out by hand: y = 1/6 + 3/2 x over 0, 1, 2 with 0, 2, 3.
+/// The least-squares line through (0, 0), (1, 2) and (2, 3) is y = 1/6 + 3/2 x.
 #[test]
 fn residuals_and_r_squared_match_a_hand_calculation() {
     let points = [point(&[0.0], 0.0), point(&[1.0], 2.0), point(&[2.0], 3.0)];
     let fit = LinearFit::least_squares(&points).unwrap();
-    let near = |a: f64, b: f64| assert!((a - b).abs() < 1e-12, "{a} is not {b}");
+    let near = |a: f64, b: f64| assert!((a - b).abs() < 1e-12, "{a} differs from {b}");
     near(fit.intercept, 1.0 / 6.0);
     near(fit.slopes[0], 1.5);
     let expected = [-1.0 / 6.0, 1.0 / 3.0, -1.0 / 6.0];
@@ -37,9 +37,9 @@
 fn undetermined_fit_is_an_error() {
     let few = LinearFit::least_squares(&[point(&[1.0], 1.0)]);
     assert_eq!(few, Err(FitError::TooFewPoints { points: 1, coefficients: 2 }));
-    let ragged = LinearFit::least_squares(&[point(&[1.0], 1.0), point(&[1.0, 2.0], 1.0)]);
-    assert_eq!(ragged, Err(FitError::Ragged));
+    let mismatched = LinearFit::least_squares(&[point(&[1.0], 1.0), point(&[1.0, 2.0], 1.0)]);
+    assert_eq!(mismatched, Err(FitError::RegressorCountMismatch));
     let same = [point(&[1.0, 2.0], 1.0), point(&[2.0, 4.0], 2.0), point(&[3.0, 6.0], 3.0)];
-    assert_eq!(LinearFit::least_squares(&same), Err(FitError::Dependent));
+    assert_eq!(LinearFit::least_squares(&same), Err(FitError::DependentRegressors));
     assert_eq!(LinearFit::least_squares(&[]), Err(FitError::TooFewPoints { points: 0, coefficients: 1 }));
 }
--- a/crates/scale-tests/tests/help.rs
+++ b/crates/scale-tests/tests/help.rs
@@ -1,5 +1,5 @@
-//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
-//! name may change; it reads `PROGRAM` here.
+//! Compares the help texts literally with the fixtures, because scripts, manuals and completions depend on their wording.
+//! The program's own name may change; the fixtures contain `PROGRAM` for it.
 
 use whinwall_test_support::help_text::help_text;
 
