--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -5,7 +5,7 @@
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_emulator::fault::{Fault, FaultKind};
 
-/// What happens in a scenario.
+/// The kind of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum ScenarioKind {
     /// Nothing.
@@ -22,8 +22,8 @@
 
 /// Duration of a fault other than a zone loss, in virtual milliseconds.
 const FAULT_DURATION_MS: u64 = 10_000;
-/// Duration of a zone loss, in virtual milliseconds. It is shorter than that of other faults because the zone's replicas
-/// still have to warm up before the scenario ends.
+/// Duration of a zone loss, in virtual milliseconds. It is shorter than that of other faults because the zone's
+/// replicas still have to warm up before the scenario ends.
 const ZONE_LOSS_DURATION_MS: u64 = 5_000;
 /// Factor by which the load of the hot slice grows.
 const HOT_FACTOR: f64 = 20.0;
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -31,7 +31,8 @@
         Group { kind, subset, controllers: self.scenario.fleet.controllers }
     }
 
-    /// Converts the run to a row in the format of the experiments' results. The varied value is the number of controllers.
+    /// Converts the run to a row in the format of the experiments' results. The varied value is the number of
+    /// controllers.
     pub fn row(&self, commit: &str) -> ResultRow {
         let Outcome { requests, succeeded, late, rejected, failed, commands, ejections, .. } = self.outcome;
         ResultRow {
@@ -127,9 +128,9 @@
     text
 }
 
-/// Returns a table of the differences in service level to the runs with the same seeds and `reference` controllers, with
-/// the 95% confidence interval of their mean. The reference runs have no subsets; if the plan has none without subsets,
-/// they have the same subset size.
+/// Returns a table of the differences in service level to the runs with the same seeds and `reference` controllers,
+/// with the 95% confidence interval of their mean. The reference runs have no subsets; if the plan has none without
+/// subsets, they have the same subset size.
 pub fn paired_differences(runs: &[ScenarioRun], reference: usize) -> String {
     let groups = group_runs(runs);
     let mut text = format!(
--- a/crates/scale-tests/src/lib.rs
+++ b/crates/scale-tests/src/lib.rs
@@ -1,7 +1,7 @@
-//! Harness of the scale tests behind `docs/CAPACITY.md`: `one` measures one real controller process against rate-limited
-//! fakes, `many` runs real processes together with simulated controllers, `decisions` sweeps the number of controllers
-//! in the emulator. `process` starts and observes a controller, `stand_ins` contains the fake peers that it connects to,
-//! `fit` and `results` turn measurements into regression fits, tables and charts.
+//! Harness of the scale tests behind `docs/CAPACITY.md`: `one` measures one real controller process against
+//! rate-limited fakes, `many` runs real processes together with simulated controllers, `decisions` sweeps the number of
+//! controllers in the emulator. `process` starts and observes a controller, `stand_ins` contains the fake peers that it
+//! connects to, `fit` and `results` turn measurements into regression fits, tables and charts.
 #![warn(clippy::unwrap_used)]
 
 pub mod decisions;
--- a/crates/scale-tests/src/main.rs
+++ b/crates/scale-tests/src/main.rs
@@ -1,4 +1,5 @@
-//! `whinwall-scale-tests`: runs the scale tests. The subcommands write their results as Parquet files, tables and charts.
+//! `whinwall-scale-tests`: runs the scale tests. The subcommands write their results as Parquet files, tables and
+//! charts.
 #![warn(clippy::unwrap_used)]
 
 use clap::{Parser, Subcommand};
--- a/crates/scale-tests/src/many/catalog.rs
+++ b/crates/scale-tests/src/many/catalog.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it: complete, or the changes since a version.
+//! The endpoint list as discovery sends it: complete, or as the changes since a version.
 
 use super::plan::Plan;
 use serde_json::{json, Value};
@@ -7,23 +7,23 @@
 use tokio::sync::watch;
 use whinwall_protocol::discovery::{self, List};
 
-/// The state of a replica that drains.
-pub const LEAVING: &str = "leaving";
-/// The state of a replica that takes requests.
-const ACTIVE: &str = "active";
+/// The registry's state of a replica that drains.
+pub const STATE_LEAVING: &str = "leaving";
+/// The registry's state of a replica that accepts requests.
+const STATE_ACTIVE: &str = "active";
 
-/// One answer of discovery.
+/// One update of the list that discovery sends.
 #[derive(Debug)]
 pub struct ListUpdate {
-    /// The version that the list has with it.
+    /// The version of the list after the update.
     pub version: u64,
-    /// The line as it is written on the watch.
+    /// The line as written to the watch.
     pub line: String,
-    /// The same, decoded.
+    /// The decoded line.
     pub list: List,
 }
 
-/// The list, shared by all stand-ins for discovery.
+/// The endpoint list, shared by all fake discovery agents.
 pub struct Catalog {
     state: Mutex<State>,
     version: watch::Sender<u64>,
@@ -32,7 +32,7 @@
 struct State {
     version: u64,
     replicas: Vec<Replica>,
-    /// Answers at this version, by the version that they start from.
+    /// Updates to the current version, by the version that they start from.
     cached_updates: BTreeMap<u64, Arc<ListUpdate>>,
 }
 
@@ -53,12 +53,12 @@
 }
 
 impl Catalog {
-    /// Version 1 of the list: every replica is active and warm.
+    /// Creates version 1 of the list, in which every replica is active and warm.
     pub fn new(plan: &Plan) -> Self {
         let replica = |number| Replica {
             id: plan.replica(number),
             zone: plan.zone(plan.zone_of(number)),
-            state: ACTIVE,
+            state: STATE_ACTIVE,
             started_ms: 0,
             changed_at: 1,
         };
@@ -71,25 +71,25 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The version at this moment, and a way to wait for the next.
+    /// Returns a receiver of the current version and of later ones.
     pub fn versions(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// The version at this moment.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         *self.version.borrow()
     }
 
-    /// Drains one replica and lists others as started again, in one new version, which is returned.
-    pub fn change(&self, drained: usize, restarted: std::ops::Range<usize>, started_ms: u64) -> u64 {
+    /// Publishes a new version in which one replica drains and others have been restarted, and returns the version.
+    pub fn publish_change(&self, drained: usize, restarted: std::ops::Range<usize>, started_ms: u64) -> u64 {
         let mut state = self.state();
         state.version += 1;
         let version = state.version;
         state.cached_updates.clear();
         for (number, replica) in state.replicas.iter_mut().enumerate() {
             if number == drained {
-                (replica.state, replica.changed_at) = (LEAVING, version);
+                (replica.state, replica.changed_at) = (STATE_LEAVING, version);
             } else if restarted.contains(&number) {
                 (replica.started_ms, replica.changed_at) = (started_ms, version);
             }
@@ -99,8 +99,9 @@
         version
     }
 
-    /// What has changed after this version, or the complete list for 0.
-    pub fn since(&self, since: u64) -> Arc<ListUpdate> {
+    /// Returns the changes after version `since`, or the complete list for 0 and for versions newer than the current
+    /// one.
+    pub fn update_since(&self, since: u64) -> Arc<ListUpdate> {
         let mut state = self.state();
         if let Some(update) = state.cached_updates.get(&since) {
             return update.clone();
--- a/crates/scale-tests/src/many/cost.rs
+++ b/crates/scale-tests/src/many/cost.rs
@@ -1,18 +1,18 @@
-//! CPU time and memory of processes, as the kernel counts them.
+//! CPU time and memory of processes, as reported by the kernel.
 
 use rustix::param::clock_ticks_per_second;
 use rustix::time::{clock_gettime, ClockId};
 use std::ops::{AddAssign, Sub};
 use std::time::Duration;
 
-/// What a process, or several, have cost.
+/// Resources used by one or more processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// CPU time since the start.
+    /// CPU time since the start of the process.
     pub processor_time: Duration,
-    /// Resident memory.
+    /// Resident memory, in kB.
     pub memory_kb: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// CPU time spent since an earlier reading; memory and threads as they are now.
+/// The difference in CPU time to an earlier reading; memory and threads are those of the later reading.
 impl Sub for Cost {
     type Output = Cost;
     fn sub(self, earlier: Cost) -> Cost {
@@ -32,23 +32,23 @@
     }
 }
 
-/// The cost of this process.
+/// Returns the cost of this process.
 pub fn of_self() -> Cost {
     of_process(std::process::id()).unwrap_or_default()
 }
 
-/// The cost of a process; none where it is gone.
+/// Returns the cost of a process; `None` if it does not exist.
 pub fn of_process(process: u32) -> Option<Cost> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
-    // The name in brackets may hold spaces; user and system time are the 12th and 13th fields behind it.
+    // The process name in parentheses may contain spaces. User and system time are the 12th and 13th fields after it.
     let fields: Vec<_> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
     let figure = |key: &str| -> Option<u64> {
         let line = status.lines().find_map(|line| line.strip_prefix(key))?;
         line.split_whitespace().next()?.parse().ok()
     };
-    // A process that has ended and was not waited for yet holds no memory.
+    // A process that has exited but has not been waited for has no memory fields.
     Some(Cost {
         processor_time: Duration::from_secs_f64(ticks as f64 / clock_ticks_per_second() as f64),
         memory_kb: figure("VmRSS:").unwrap_or(0),
@@ -56,13 +56,13 @@
     })
 }
 
-/// CPU time of the calling thread.
+/// Returns the CPU time of the calling thread.
 pub fn of_current_thread() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.max(0) as u64, time.tv_nsec.max(0) as u32)
 }
 
-/// Half of the machine's memory.
+/// Returns half of the machine's memory, in kB.
 pub fn half_of_memory_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
--- a/crates/scale-tests/src/many/error.rs
+++ b/crates/scale-tests/src/many/error.rs
@@ -1,98 +1,99 @@
-//! Why a run of many controllers could not be made, or has failed.
+//! Errors of a run of many controllers.
 
 use std::path::PathBuf;
 use std::time::TryFromFloatSecsError;
 use thiserror::Error;
 
-/// Why a run could not be made, or has failed.
+/// The reason why a run could not be started, or failed.
 #[derive(Debug, Error)]
 pub enum ManyError {
-    /// The controller program was not built.
+    /// The controller program does not exist.
     #[error(
-        "no whinwall-controller beside this program: cargo build --release --locked -p whinwall-controller"
+        "whinwall-controller not found next to this program: cargo build --release --locked -p whinwall-controller"
     )]
     NoProgram,
-    /// It can't be started.
-    #[error("{}: {why}", program.display())]
+    /// The controller program could not be started.
+    #[error("cannot start {}: {error}", program.display())]
     Start {
-        /// Its path.
+        /// The path of the program.
         program: PathBuf,
-        /// What the system says.
-        why: std::io::Error,
+        /// The I/O error.
+        error: std::io::Error,
     },
-    /// It ended, or closed its log, before it had named its address.
-    #[error("governor n{controller} does not serve")]
+    /// A controller exited or closed its log before it logged its address, or did not become ready within the time
+    /// limit.
+    #[error("controller n{controller} did not start serving")]
     NotServing {
-        /// Its number.
+        /// The number of the controller.
         controller: usize,
     },
-    /// A process ended that had not been signalled.
-    #[error("governor n{controller} has ended by itself")]
+    /// A controller process exited without a signal of the harness.
+    #[error("controller n{controller} exited unexpectedly")]
     Ended {
-        /// Its number.
+        /// The number of the controller.
         controller: usize,
     },
-    /// A thread can't be started.
-    #[error("a thread: {0}")]
+    /// A thread could not be started.
+    #[error("cannot start thread: {0}")]
     Thread(std::io::Error),
-    /// A file, a folder or a socket.
-    #[error("{what}: {why}")]
+    /// An operation on a file, folder, socket or the runtime failed.
+    #[error("{operation}: {error}")]
     Io {
-        /// What was done.
-        what: String,
-        /// What the system says.
-        why: std::io::Error,
+        /// The failed operation or the path.
+        operation: String,
+        /// The I/O error.
+        error: std::io::Error,
     },
     /// An argument is out of range.
     #[error(transparent)]
     Sizes(#[from] SizesError),
-    /// Controllers and harness took more memory than they may.
-    #[error("{taken_kb} kB of memory are taken, {limit_kb} may be")]
+    /// Controllers and harness used more memory than the limit.
+    #[error("memory use of {used_kb} kB exceeds the limit of {limit_kb} kB")]
     Memory {
-        /// What they took.
-        taken_kb: u64,
-        /// What they may take.
+        /// The memory in use, in kB.
+        used_kb: u64,
+        /// The limit, in kB.
         limit_kb: u64,
     },
-    /// A signal ended the run.
-    #[error("ended by a signal")]
+    /// The run was terminated by a signal.
+    #[error("terminated by a signal")]
     Signal,
-    /// Some controllers did not complete an event.
-    #[error("{event}: {missing} governors did not come to its end; the report says which")]
+    /// Some controllers did not complete an event within the time limit.
+    #[error("{event}: {missing} controllers did not complete the event; see the report")]
     Missing {
-        /// The event's name.
+        /// The name of the event.
         event: &'static str,
-        /// How many.
+        /// The number of these controllers.
         missing: usize,
     },
 }
 
-/// Which argument of a run is out of range.
+/// An argument of a run that is out of range.
 #[derive(Clone, Debug, Error)]
 pub enum SizesError {
-    /// No process at all, or more than are started.
-    #[error("--real: from 1 to 290")]
+    /// The number of processes is 0 or above the limit.
+    #[error("--real must be from 1 to 290")]
     Processes,
-    /// Fewer controllers than processes.
-    #[error("--governors: no fewer than --real")]
+    /// The number of controllers is lower than the number of processes.
+    #[error("--governors must be at least --real")]
     Controllers,
-    /// A size is below its least value.
-    #[error("--replicas 4, --slices 2, --zones, --proxies and --workers 1 at the least")]
+    /// A size is below its minimum.
+    #[error("minimum values: --replicas 4, --slices 2, --zones 1, --proxies 1, --workers 1")]
     TooSmall,
-    /// A number of seconds that is no duration.
-    #[error("{seconds} s: {why}")]
+    /// A number of seconds does not convert to a duration.
+    #[error("invalid duration of {seconds} s: {error}")]
     Duration {
-        /// The argument.
+        /// The value of the argument.
         seconds: f64,
-        /// What is wrong with it.
-        why: TryFromFloatSecsError,
+        /// The conversion error.
+        error: TryFromFloatSecsError,
     },
 }
 
 impl ManyError {
-    /// Wraps an I/O error with what was attempted.
-    pub(super) fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ManyError {
-        let what = what.into();
-        move |why| ManyError::Io { what, why }
+    /// Returns a function that adds the failed operation to an I/O error.
+    pub(super) fn io(operation: impl Into<String>) -> impl FnOnce(std::io::Error) -> ManyError {
+        let operation = operation.into();
+        move |error| ManyError::Io { operation, error }
     }
 }
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -1,4 +1,4 @@
-//! The events of a run, one after another, and what each has cost.
+//! Runs the events of a run in sequence and measures the cost of each.
 
 use super::catalog::Catalog;
 use super::cost::{self, Cost};
@@ -6,7 +6,7 @@
 use super::plan::{ControllerId, Plan, DRAINED_DURING_PARTITION, DRAINED_WHILE_IDLE, PARTITIONED_REGION};
 use super::process::Process;
 use super::simulated::Environment;
-use super::stand_ins::{self, Addresses, Link, StandInState};
+use super::stand_ins::{self, Addresses, FakePeersState, Link};
 use super::tracker::{Condition, EventProgress, Site, Tracker};
 use super::workers::Workers;
 use crate::process::machine_load;
@@ -20,62 +20,64 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Threads for the stand-ins' sockets.
+/// Number of threads for the sockets of the fakes.
 const SOCKET_THREADS: usize = 2;
 /// Time between two checks of the memory of this process.
 const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// One replica in this many starts again while a region is partitioned from the network.
+/// One replica in 100 restarts while a region is partitioned from the network.
 const RESTARTED_REPLICA_INTERVAL: usize = 100;
 
-/// What controllers and harness have cost in a period.
+/// Resources used by controllers and harness in a period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Costs {
-    /// How long the period was.
+    /// The duration of the period.
     pub elapsed: Duration,
-    /// All real controllers together.
+    /// The sum over all real controllers.
     pub real: Cost,
-    /// This process: stand-ins, and the reducers of the simulated controllers.
+    /// This process: the fakes and the reducers of the simulated controllers.
     pub harness: Cost,
-    /// CPU time of these reducers.
+    /// CPU time of the reducers of the simulated controllers.
     pub simulated: Duration,
 }
 
-/// One event.
+/// The result of one event.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Its name.
+    /// The name of the event.
     pub event: &'static str,
-    /// How long it took to trigger: to write files and signal, or to end processes.
+    /// The time taken to trigger the event, by writing files and sending signals, or by ending processes.
     pub trigger_time: Duration,
-    /// When controllers had completed it, and what was sent.
+    /// The times at which controllers completed the event, and the bytes sent meanwhile.
     pub progress: EventProgress,
-    /// What it has cost.
+    /// The cost of the event.
     pub costs: Costs,
 }
 
-/// All events of a run.
+/// The results of a run.
 #[derive(Debug)]
 pub struct Results {
-    /// In the order in which they were played.
+    /// The results of the events, in the order in which they were run.
     pub outcomes: Vec<Outcome>,
-    /// What the controllers cost while nothing happened.
+    /// The cost of the controllers while no event took place.
     pub idle: Costs,
     /// Memory of this process before the simulated controllers were started.
     pub bare_harness: Cost,
-    /// Bytes of the complete list.
+    /// Size of the complete endpoint list, in bytes.
     pub list_bytes: usize,
-    /// Real controllers that had a slice on the replica that was drained while idle, just before that.
-    pub holders: usize,
-    /// The machine's load over a minute, before the run and after it.
+    /// Number of real controllers that had a slice on the replica that was drained while idle, just before it was
+    /// drained.
+    pub controllers_on_drained_replica: usize,
+    /// The machine's load average over one minute, before and after the run.
     pub machine_load: [f64; 2],
 }
 
-/// Plays all events. When it returns, every process that it started has ended.
+/// Runs all events. All processes that it started have ended when it returns.
 ///
 /// # Errors
 ///
-/// When a process or stand-in cannot be started, a process ends unasked, memory exceeds its limit, or a signal comes.
-pub fn play(plan: &Plan) -> Result<Results, ManyError> {
+/// When a process or fake cannot be started, a process exits unexpectedly, memory use exceeds its limit, or SIGTERM or
+/// SIGINT arrives.
+pub fn run_events(plan: &Plan) -> Result<Results, ManyError> {
     let runtime = Builder::new_multi_thread().worker_threads(SOCKET_THREADS).enable_all().build();
     let runtime = runtime.map_err(ManyError::io("runtime"))?;
     let limit_kb = plan.memory_limit_kb;
@@ -84,7 +86,7 @@
         let mut interrupt = signal(SignalKind::interrupt()).map_err(ManyError::io("signals"))?;
         tokio::select! {
             result = run(plan) => result,
-            taken_kb = wait_for_memory_excess(limit_kb) => Err(ManyError::Memory { taken_kb, limit_kb }),
+            used_kb = wait_for_memory_excess(limit_kb) => Err(ManyError::Memory { used_kb, limit_kb }),
             _ = terminate.recv() => Err(ManyError::Signal),
             _ = interrupt.recv() => Err(ManyError::Signal),
         }
@@ -94,12 +96,12 @@
     result
 }
 
-/// Returns once this process holds more than it may.
+/// Waits until the resident memory of this process exceeds the limit, and returns it in kB.
 async fn wait_for_memory_excess(limit_kb: u64) -> u64 {
     loop {
-        let taken = cost::of_self().memory_kb;
-        if taken > limit_kb {
-            return taken;
+        let used_kb = cost::of_self().memory_kb;
+        if used_kb > limit_kb {
+            return used_kb;
         }
         sleep(MEMORY_POLL_INTERVAL).await;
     }
@@ -107,39 +109,39 @@
 
 async fn run(plan: &Plan) -> Result<Results, ManyError> {
     let mut fleet = Fleet::open(plan).await?;
-    let results = fleet.play().await;
+    let results = fleet.run_events().await;
     fleet.end().await;
     results
 }
 
-/// All controllers of a run with their stand-ins.
+/// All controllers of a run with their fakes.
 struct Fleet {
     plan: Arc<Plan>,
     catalog: Arc<Catalog>,
     tracker: Arc<Tracker>,
-    /// The link to the region that is partitioned from the network.
-    region: watch::Sender<Link>,
-    /// The link to all others.
-    elsewhere: watch::Sender<Link>,
-    stand_in_states: Vec<Arc<StandInState>>,
+    /// The state of the link to the region that is partitioned during the run.
+    partitioned_region_link: watch::Sender<Link>,
+    /// The state of the link to all other regions, which stays up.
+    other_regions_link: watch::Sender<Link>,
+    fake_peers_states: Vec<Arc<FakePeersState>>,
     sites: Vec<BTreeMap<Site, Addresses>>,
     processes: Vec<Process>,
     workers: Workers,
-    /// Holds the configuration files.
+    /// The folder of the configuration files.
     folder: tempfile::TempDir,
 }
 
 impl Fleet {
-    /// Opens all stand-ins; no controller runs yet.
+    /// Starts all fakes. No controller runs yet.
     async fn open(plan: &Plan) -> Result<Self, ManyError> {
         let (catalog, tracker) = (Arc::new(Catalog::new(plan)), Arc::new(Tracker::new(plan.real)));
         let mut fleet = Fleet {
             plan: Arc::new(plan.clone()),
             catalog,
             tracker,
-            region: watch::Sender::new(Link::Up),
-            elsewhere: watch::Sender::new(Link::Up),
-            stand_in_states: Vec::new(),
+            partitioned_region_link: watch::Sender::new(Link::Up),
+            other_regions_link: watch::Sender::new(Link::Up),
+            fake_peers_states: Vec::new(),
             sites: Vec::new(),
             processes: Vec::new(),
             workers: Workers::default(),
@@ -147,9 +149,10 @@
         };
         let load = stand_ins::load_reports(plan);
         for controller in 0..plan.real {
-            let partition = plan.region(controller) == PARTITIONED_REGION;
-            let link = if partition { &fleet.region } else { &fleet.elsewhere };
-            let state = StandInState::new(
+            let is_partitioned = plan.region(controller) == PARTITIONED_REGION;
+            let link =
+                if is_partitioned { &fleet.partitioned_region_link } else { &fleet.other_regions_link };
+            let state = FakePeersState::new(
                 plan,
                 controller,
                 link.subscribe(),
@@ -167,31 +170,31 @@
                 let (plan, state) = (fleet.plan.clone(), state.clone());
                 tokio::spawn(stand_ins::run_collector(plan, state, zone, load.clone(), process.address()));
             }
-            fleet.stand_in_states.push(state);
+            fleet.fake_peers_states.push(state);
             fleet.sites.push(sites);
             fleet.processes.push(process);
         }
         Ok(fleet)
     }
 
-    async fn play(&mut self) -> Result<Results, ManyError> {
-        let list_bytes = self.catalog.since(0).line.len();
+    async fn run_events(&mut self) -> Result<Results, ManyError> {
+        let list_bytes = self.catalog.update_since(0).line.len();
         let (bare_harness, load_before) = (cost::of_self(), machine_load());
         let mut outcomes = vec![self.start().await?];
         let before = self.costs();
         sleep(self.plan.idle).await;
         let idle = self.costs_since(&before);
         outcomes.push(self.configure().await?);
-        let holders = self.holders();
+        let controllers_on_drained_replica = self.controllers_on_drained_replica();
         outcomes.push(self.drain().await?);
         outcomes.push(self.restart().await?);
-        outcomes.extend(self.play_partition_events().await?);
+        outcomes.extend(self.run_partition_events().await?);
         self.check_all_running()?;
         let machine_load = [load_before, machine_load()];
-        Ok(Results { outcomes, idle, bare_harness, list_bytes, holders, machine_load })
+        Ok(Results { outcomes, idle, bare_harness, list_bytes, controllers_on_drained_replica, machine_load })
     }
 
-    /// All controllers start together, without any state.
+    /// Starts all controllers at the same time, without any state.
     async fn start(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         for (process, sites) in self.processes.iter().zip(&self.sites) {
@@ -205,20 +208,20 @@
         self.workers = Workers::start(&Arc::new(environment))?;
         self.start_processes(|_| true).await?;
         let trigger_time = began.elapsed();
-        self.outcome("all start together", trigger_time, &before).await
+        self.outcome("simultaneous start", trigger_time, &before).await
     }
 
-    /// Starts these processes at once and waits until they serve.
-    async fn start_processes(&mut self, which: impl Fn(ControllerId) -> bool) -> Result<(), ManyError> {
+    /// Starts the selected processes at the same time and waits until they are ready.
+    async fn start_processes(&mut self, is_selected: impl Fn(ControllerId) -> bool) -> Result<(), ManyError> {
         for (controller, process) in self.processes.iter_mut().enumerate() {
-            if which(controller) {
+            if is_selected(controller) {
                 process.start(&self.plan)?;
             }
         }
         let mut serving = JoinSet::new();
         for (controller, mut process) in std::mem::take(&mut self.processes).into_iter().enumerate() {
             let (tracker, is_started, event_timeout) =
-                (self.tracker.clone(), which(controller), self.plan.event_timeout);
+                (self.tracker.clone(), is_selected(controller), self.plan.event_timeout);
             serving.spawn(async move {
                 let served = match is_started {
                     true => timeout(event_timeout, process.wait_until_ready(&tracker)).await,
@@ -238,7 +241,7 @@
         failed.map_or(Ok(()), Err)
     }
 
-    /// A change of the configuration that reaches all: relay and discovery have other addresses from now on.
+    /// Changes the configuration of all controllers to other addresses of relay and discovery.
     async fn configure(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         let at_second_site = [Condition::RelaySnapshotFrom(Site::Second), Condition::ListFrom(Site::Second)];
@@ -253,22 +256,22 @@
         self.outcome("configuration change", trigger_time, &before).await
     }
 
-    /// Real controllers with a slice on the replica that is drained while idle.
-    fn holders(&self) -> usize {
+    /// Returns the number of real controllers with a slice on the replica that is drained while idle.
+    fn controllers_on_drained_replica(&self) -> usize {
         let replica = self.plan.replica(DRAINED_WHILE_IDLE);
-        self.stand_in_states.iter().filter(|state| state.store().has_replica(&replica)).count()
+        self.fake_peers_states.iter().filter(|state| state.store().has_replica(&replica)).count()
     }
 
-    /// A replica is drained, and the list sent to all.
+    /// Drains a replica in a new version of the endpoint list, which is sent to all controllers.
     async fn drain(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         self.tracker.set_drained_replica(self.plan.replica(DRAINED_WHILE_IDLE));
         self.tracker.begin_event(0..self.plan.controllers(), &[Condition::Withdrawn]);
-        self.catalog.change(DRAINED_WHILE_IDLE, 0..0, 0);
+        self.catalog.publish_change(DRAINED_WHILE_IDLE, 0..0, 0);
         self.outcome("replica drained", Duration::ZERO, &before).await
     }
 
-    /// Nine in ten controllers end and start again at once.
+    /// Ends nine in ten controllers and restarts them at the same time.
     async fn restart(&mut self) -> Result<Outcome, ManyError> {
         let before = self.costs();
         let (began, plan) = (Instant::now(), self.plan.clone());
@@ -293,9 +296,9 @@
         self.outcome("nine in ten restarted", trigger_time, &before).await
     }
 
-    /// A region is partitioned from the network; meanwhile a replica is drained and others restart; then the region is
-    /// connected again.
-    async fn play_partition_events(&mut self) -> Result<Vec<Outcome>, ManyError> {
+    /// Partitions a region from the network. During the partition one replica is drained and others restart. Then the
+    /// region is reconnected.
+    async fn run_partition_events(&mut self) -> Result<Vec<Outcome>, ManyError> {
         let plan = self.plan.clone();
         let is_partitioned = |controller: &ControllerId| plan.region(*controller) == PARTITIONED_REGION;
         let partitioned = || (0..plan.controllers()).filter(is_partitioned);
@@ -303,28 +306,28 @@
         let before = self.costs();
         let began = Instant::now();
         self.tracker.begin_event(partitioned(), &[Condition::PartitionDetected]);
-        self.region.send_replace(Link::Partitioned);
+        self.partitioned_region_link.send_replace(Link::Partitioned);
         self.workers.partition();
-        let partition = self.outcome("region cut off: noticed", Duration::ZERO, &before).await?;
+        let partition = self.outcome("region partitioned: detected", Duration::ZERO, &before).await?;
 
         let before = self.costs();
         let version = self.catalog.version() + 1;
-        let agreed = [Condition::ListVersion(version), Condition::Withdrawn];
+        let converged = [Condition::ListVersion(version), Condition::Withdrawn];
         self.tracker.set_drained_replica(plan.replica(DRAINED_DURING_PARTITION));
-        self.tracker.begin_event(connected(), &agreed);
+        self.tracker.begin_event(connected(), &converged);
         let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let restarted = 2..2 + plan.replicas / RESTARTED_REPLICA_INTERVAL;
-        self.catalog.change(DRAINED_DURING_PARTITION, restarted, now_ms);
+        self.catalog.publish_change(DRAINED_DURING_PARTITION, restarted, now_ms);
         let drained_meanwhile =
-            self.outcome("replica drained meanwhile: other regions", Duration::ZERO, &before).await?;
+            self.outcome("replica drained during partition: other regions", Duration::ZERO, &before).await?;
 
         sleep(plan.partition_duration.saturating_sub(began.elapsed())).await;
         let before = self.costs();
         let snapshot = Condition::RelaySnapshotFrom(Site::Second);
-        self.tracker.begin_event(partitioned(), &[snapshot, agreed[0], agreed[1]]);
-        self.region.send_replace(Link::Up);
+        self.tracker.begin_event(partitioned(), &[snapshot, converged[0], converged[1]]);
+        self.partitioned_region_link.send_replace(Link::Up);
         self.workers.reconnect();
-        let reconnected = self.outcome("region back: all agree", Duration::ZERO, &before).await?;
+        let reconnected = self.outcome("region reconnected: all converged", Duration::ZERO, &before).await?;
         Ok(vec![partition, drained_meanwhile, reconnected])
     }
 
@@ -336,24 +339,28 @@
     ) -> Result<Outcome, ManyError> {
         let progress = self.tracker.wait_for_completion(self.plan.event_timeout).await;
         let costs = self.costs_since(before);
-        let (taken_kb, limit_kb) =
-            (costs.real.memory_kb + costs.harness.memory_kb, self.plan.memory_limit_kb);
-        if taken_kb > limit_kb {
-            return Err(ManyError::Memory { taken_kb, limit_kb });
+        let (used_kb, limit_kb) = (costs.real.memory_kb + costs.harness.memory_kb, self.plan.memory_limit_kb);
+        if used_kb > limit_kb {
+            return Err(ManyError::Memory { used_kb, limit_kb });
         }
         let (completed, missing) = (progress.times.len(), progress.missing.len());
         eprintln!(
-            "{event}: {completed} governors, {missing} missing, after {:.1} s",
+            "{event}: {completed} controllers completed, {missing} missing, after {:.1} s",
             self.tracker.age().as_secs_f64()
         );
         Ok(Outcome { event, trigger_time, progress, costs })
     }
 
-    /// All that was spent so far.
+    /// Returns the resources used since the start of the run.
     fn costs(&self) -> Costs {
         let mut real = Cost::default();
         self.processes.iter().for_each(|process| real += process.cost());
-        Costs { elapsed: self.tracker.age(), real, harness: cost::of_self(), simulated: self.workers.cost() }
+        Costs {
+            elapsed: self.tracker.age(),
+            real,
+            harness: cost::of_self(),
+            simulated: self.workers.processor_time(),
+        }
     }
 
     fn costs_since(&self, before: &Costs) -> Costs {
--- a/crates/scale-tests/src/many/mod.rs
+++ b/crates/scale-tests/src/many/mod.rs
@@ -1,6 +1,6 @@
-//! Many controllers: real processes beside simulated ones inside this process, and events that concern all of them.
-//! Relay, discovery and collectors are stand-ins inside this process, on loopback sockets for the real controllers and
-//! as function calls for the simulated ones.
+//! Many controllers: real processes together with controllers simulated inside this process, and events that affect all
+//! of them. The fake relay, discovery and collectors run inside this process. Real controllers connect to them over
+//! loopback sockets; simulated controllers use function calls.
 
 mod catalog;
 mod cost;
@@ -17,7 +17,7 @@
 
 pub use cost::Cost;
 pub use error::{ManyError, SizesError};
-pub use events::{play, Costs, Outcome, Results};
+pub use events::{run_events, Costs, Outcome, Results};
 pub use plan::Plan;
 pub use process::find_program;
 pub use report::table;
@@ -26,9 +26,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The most controllers that are started as processes.
+/// Upper limit of controllers that run as processes.
 const MAX_PROCESSES: usize = 290;
-/// The name of the report's file.
+/// The file name of the report.
 const REPORT_FILE: &str = "many.md";
 
 /// Sizes of a run, from the command line.
@@ -98,7 +98,7 @@
             return Err(SizesError::TooSmall.into());
         }
         let time = |seconds: f64| {
-            Duration::try_from_secs_f64(seconds).map_err(|why| SizesError::Duration { seconds, why })
+            Duration::try_from_secs_f64(seconds).map_err(|error| SizesError::Duration { seconds, error })
         };
         let program = args.program.clone().map_or_else(find_program, Ok)?;
         Ok(Plan {
@@ -122,16 +122,17 @@
     }
 }
 
-/// Plays all events and writes the report; an event that some controller did not complete is an error.
+/// Runs all events and writes the report.
 ///
 /// # Errors
 ///
-/// When the sizes are out of range, a process fails, the report cannot be written, or an event is incomplete.
+/// When an argument is out of range, a process fails, the report cannot be written, or a controller did not complete an
+/// event. In the last case the report is written first.
 pub fn run(args: Args) -> Result<(), ManyError> {
     let plan = Plan::try_from(&args)?;
     let file = args.out.join(REPORT_FILE);
     std::fs::create_dir_all(&args.out).map_err(ManyError::io(args.out.display().to_string()))?;
-    let results = play(&plan)?;
+    let results = run_events(&plan)?;
     let text = table(&plan, &results);
     std::fs::write(&file, &text).map_err(ManyError::io(file.display().to_string()))?;
     println!("{text}");
--- a/crates/scale-tests/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -1,22 +1,24 @@
-//! The sizes of one run, and which replica, slice and region belongs where.
+//! The sizes and durations of a run, and the assignment of replicas to zones, slices to replicas and controllers to
+//! regions.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Position of a controller in the fleet: the real processes come first, the simulated ones after them.
+/// The index of a controller in the fleet. The real processes come first, followed by the simulated controllers.
 pub type ControllerId = usize;
 
-/// The replica that is drained in the event of that name; every controller has a slice on it.
+/// The replica that is drained while no other event takes place. Every controller initially has a slice on it.
 pub const DRAINED_WHILE_IDLE: usize = 0;
-/// The replica that is drained while a region is partitioned from the network; every controller has a slice on it.
+/// The replica that is drained while a region is partitioned from the network. Every controller initially has a slice
+/// on it.
 pub const DRAINED_DURING_PARTITION: usize = 1;
 /// The region that is partitioned from the network.
 pub const PARTITIONED_REGION: usize = 0;
-/// The request class that all load is reported for.
+/// The request class of all demand reports.
 pub const REQUEST_CLASS: &str = "lookup";
-/// One controller in this many keeps running when the others are restarted.
+/// One controller in ten keeps running while the others are restarted.
 const UNRESTARTED_INTERVAL: usize = 10;
 
 /// The sizes and durations of a run.
@@ -30,70 +32,70 @@
     pub replicas: usize,
     /// Zones, each with a collector.
     pub zones: usize,
-    /// Regions that the controllers are spread over.
+    /// Regions that the controllers are distributed over.
     pub regions: usize,
     /// Slices owned by each controller.
     pub slices: usize,
-    /// Proxies that keep their streams to each controller.
+    /// Proxies subscribed to the relay of each controller.
     pub proxies: usize,
     /// Threads that the simulated controllers share.
     pub workers: usize,
-    /// Time between the reports about one replica to a process.
+    /// Time between two reports on a replica to a process.
     pub report_period: Duration,
-    /// Time between the reports about one replica to a simulated controller.
+    /// Time between two reports on a replica to a simulated controller.
     pub simulated_report_period: Duration,
-    /// How long the costs without an event are measured.
+    /// Duration of the cost measurement without an event.
     pub idle: Duration,
-    /// How long the region is partitioned from the network, at least, for the real processes.
+    /// Minimum duration of the region's network partition for the real processes.
     pub partition_duration: Duration,
-    /// How long the region is partitioned from the network for the simulated controllers, in their own time.
+    /// Duration of the region's network partition for the simulated controllers, by their own clocks.
     pub virtual_partition_duration: Duration,
-    /// An event that takes longer than this has failed.
+    /// Time limit for an event.
     pub event_timeout: Duration,
-    /// Memory that controllers and harness may take together.
+    /// Limit of the memory of controllers and harness together, in kB.
     pub memory_limit_kb: u64,
-    /// The controller program.
+    /// The path of the controller program.
     pub program: PathBuf,
 }
 
 impl Plan {
-    /// All controllers.
+    /// Returns the number of all controllers.
     pub fn controllers(&self) -> usize {
         self.real + self.simulated
     }
 
-    /// Whether this controller runs as a process.
+    /// Returns true if the controller runs as a process.
     pub fn is_real(&self, controller: ControllerId) -> bool {
         controller < self.real
     }
 
-    /// The region of a controller.
+    /// Returns the region of a controller.
     pub fn region(&self, controller: ControllerId) -> usize {
         controller % self.regions.max(1)
     }
 
-    /// Whether this controller is restarted in a release that takes nine in ten at once.
+    /// Returns true if the controller is restarted in a release that restarts nine in ten controllers at the same time.
     pub fn is_restarted(&self, controller: ControllerId) -> bool {
         !controller.is_multiple_of(UNRESTARTED_INTERVAL)
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone.
     pub fn zone(&self, zone: usize) -> String {
         format!("zone-{zone}")
     }
 
-    /// The zone of a replica.
+    /// Returns the zone of a replica.
     pub fn zone_of(&self, replica: usize) -> usize {
         replica % self.zones.max(1)
     }
 
-    /// The id of a replica, as long as the ids in the protocol's examples.
+    /// Returns the id of a replica, of the same length as the ids in the protocol's examples.
     pub fn replica(&self, replica: usize) -> String {
         format!("s-{replica:08x}")
     }
 
-    /// The tables that the store holds for this controller at the start: its first two slices sit on the replicas that
-    /// the events drain, the others are spread over the rest.
+    /// Returns the initial routing tables of a controller in the relay's store. Its first two slices are on the
+    /// replicas that the events drain; the others are distributed over the remaining replicas.
     pub fn tables(&self, controller: ControllerId) -> BTreeMap<u32, BTreeMap<String, f64>> {
         let first = controller * self.slices;
         let spread = self.replicas.saturating_sub(2).max(1);
@@ -105,7 +107,7 @@
         (0..self.slices).map(|at| ((first + at) as u32, table(at))).collect()
     }
 
-    /// The configuration file of a controller, but for its addresses.
+    /// Returns the content of a controller's configuration file, without the addresses of relay and discovery.
     pub fn configuration(&self, controller: ControllerId) -> Value {
         let mut file: Value =
             serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap_or_default();
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -1,4 +1,4 @@
-//! Controllers as processes: each is started with a configuration file of its own, and ended by its process id.
+//! Controller processes. Each is started with its own configuration file, and ended by its process id.
 
 use super::cost::{self, Cost};
 use super::error::ManyError;
@@ -20,41 +20,41 @@
 use tokio::time::{sleep, timeout};
 
 /// The name of the controller program.
-const PROGRAM: &str = "whinwall-controller";
+const CONTROLLER_PROGRAM: &str = "whinwall-controller";
 /// Time between SIGTERM and SIGKILL for a controller that does not exit.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(5);
-/// Pause between two pings of a controller that does not answer yet.
+/// Pause between two pings while a controller does not answer.
 const PING_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// The process of one controller, which may not run at the moment.
+/// The process of one controller, which may be stopped.
 pub struct Process {
     controller: ControllerId,
     configuration_file: PathBuf,
     child: Option<Child>,
-    /// Where collectors find it.
+    /// The address that collectors connect to; `None` while the process is stopped or not ready.
     address: watch::Sender<Option<SocketAddr>>,
-    /// The cost of this controller's processes that have exited.
+    /// The cost of the earlier processes of this controller.
     exited_cost: Cost,
 }
 
 impl Process {
-    /// A controller whose configuration file is in this folder; it is not started yet.
+    /// Creates a stopped controller whose configuration file is in `folder`.
     pub fn new(controller: ControllerId, folder: &Path) -> Self {
         let (configuration_file, address) =
             (folder.join(format!("n{controller}.json")), watch::Sender::new(None));
         Process { controller, configuration_file, child: None, address, exited_cost: Cost::default() }
     }
 
-    /// Where collectors find it, and when that changes.
+    /// Returns a receiver of the address that collectors connect to.
     pub fn address(&self) -> watch::Receiver<Option<SocketAddr>> {
         self.address.subscribe()
     }
 
-    /// Writes its configuration.
-    pub fn configure(&self, plan: &Plan, at: Addresses) -> std::io::Result<()> {
+    /// Writes the configuration file, with the addresses of relay and discovery.
+    pub fn configure(&self, plan: &Plan, addresses: Addresses) -> std::io::Result<()> {
         let mut configuration = plan.configuration(self.controller);
-        configuration["distributor"]["address"] = json!(at.relay.to_string());
-        configuration["discovery"] = json!(at.discovery.to_string());
+        configuration["distributor"]["address"] = json!(addresses.relay.to_string());
+        configuration["discovery"] = json!(addresses.discovery.to_string());
         std::fs::write(&self.configuration_file, configuration.to_string())
     }
 
@@ -63,16 +63,17 @@
         let mut command = Command::new(&plan.program);
         command.env_clear().env("PROXY_CONFIG", &self.configuration_file).kill_on_drop(true);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let child = command.spawn().map_err(|why| ManyError::Start { program: plan.program.clone(), why })?;
+        let child =
+            command.spawn().map_err(|error| ManyError::Start { program: plan.program.clone(), error })?;
         self.child = Some(child);
         Ok(())
     }
 
-    /// Waits until it has answered a ping, and gives its address to the collectors.
+    /// Waits until the controller has answered a ping, and publishes its address to the collectors.
     pub async fn wait_until_ready(&mut self, tracker: &Arc<Tracker>) -> Result<(), ManyError> {
-        let silent = ManyError::NotServing { controller: self.controller };
+        let not_serving = ManyError::NotServing { controller: self.controller };
         let stderr = self.child.as_mut().and_then(|child| child.stderr.take());
-        let Some(stderr) = stderr else { return Err(silent) };
+        let Some(stderr) = stderr else { return Err(not_serving) };
         let mut lines = BufReader::new(stderr).lines();
         let address = loop {
             match lines.next_line().await {
@@ -81,10 +82,10 @@
                         break address;
                     }
                 }
-                _ => return Err(silent),
+                _ => return Err(not_serving),
             }
         };
-        tokio::spawn(drain(lines));
+        tokio::spawn(discard_log(lines));
         while ping(address).await.is_err() {
             sleep(PING_RETRY_DELAY).await;
         }
@@ -93,18 +94,18 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, where one runs.
+    /// Sends a signal to the process if it runs.
     pub fn signal(&self, signal: Signal) {
         let process = self.child.as_ref().and_then(Child::id).and_then(|id| Pid::from_raw(id as i32));
         if let Some(process) = process {
-            // It may have exited by itself; the wait for its exit notices.
+            // The process may have exited; `wait_for_exit` handles that.
             _ = kill_process(process, signal);
         }
     }
 
-    /// Waits for its end after SIGTERM; one that does not end is killed.
+    /// Waits for the exit of the process after SIGTERM, and kills it if it does not exit within the grace period.
     pub async fn wait_for_exit(&mut self) {
-        self.exited_cost += Cost { memory_kb: 0, threads: 0, ..self.running() };
+        self.exited_cost += Cost { memory_kb: 0, threads: 0, ..self.running_cost() };
         self.address.send_replace(None);
         let Some(mut child) = self.child.take() else { return };
         if timeout(SHUTDOWN_GRACE, child.wait()).await.is_err() {
@@ -112,25 +113,25 @@
         }
     }
 
-    fn running(&self) -> Cost {
+    fn running_cost(&self) -> Cost {
         let process = self.child.as_ref().and_then(Child::id);
         process.and_then(cost::of_process).unwrap_or_default()
     }
 
-    /// What this controller has cost since its first start.
+    /// Returns the cost of this controller since its first start.
     pub fn cost(&self) -> Cost {
-        let running = self.running();
+        let running = self.running_cost();
         Cost { processor_time: self.exited_cost.processor_time + running.processor_time, ..running }
     }
 
-    /// Whether its process still runs.
+    /// Returns true if the process runs.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 }
 
-/// Reads the rest of the log, so that the controller never waits for its reader.
-async fn drain(mut lines: Lines<BufReader<ChildStderr>>) {
+/// Reads and discards the rest of the log, so that the controller does not block on a full pipe.
+async fn discard_log(mut lines: Lines<BufReader<ChildStderr>>) {
     while let Ok(Some(_)) = lines.next_line().await {}
 }
 
@@ -145,7 +146,7 @@
     }
 }
 
-/// The controller program beside this one, or in the other profile's folder: the one that was built last.
+/// Returns the most recently built controller program in the folder of this program or of the other build profile.
 ///
 /// # Errors
 ///
@@ -153,8 +154,9 @@
 pub fn find_program() -> Result<PathBuf, ManyError> {
     let this = std::env::current_exe().map_err(|_| ManyError::NoProgram)?;
     let folders = this.ancestors().skip(1).take(3);
-    let candidates =
-        folders.flat_map(|folder| ["", "debug", "release"].map(|profile| folder.join(profile).join(PROGRAM)));
+    let candidates = folders.flat_map(|folder| {
+        ["", "debug", "release"].map(|profile| folder.join(profile).join(CONTROLLER_PROGRAM))
+    });
     let built = candidates.filter_map(|path| {
         let time = std::fs::metadata(&path).ok().filter(std::fs::Metadata::is_file)?.modified().ok()?;
         Some((time, path))
--- a/crates/scale-tests/src/many/simulated/effects.rs
+++ b/crates/scale-tests/src/many/simulated/effects.rs
@@ -1,8 +1,8 @@
-//! The other end of a simulated controller's effects: relay and discovery answer at once, or not at all while its region
-//! is partitioned from the network.
+//! Executes the effects of a simulated controller. Relay and discovery answer immediately, or not at all while the
+//! controller's region is partitioned from the network.
 
 use super::environment::to_span;
-use super::{PendingFailure, SimulatedController, COLLECTOR};
+use super::{PendingFailure, SimulatedController, COLLECTOR_CONNECTION};
 use crate::many::plan::REQUEST_CLASS;
 use crate::many::tracker::{Condition, Traffic};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use whinwall_transport::{limits, RequestError, StreamError};
 
 impl SimulatedController {
-    /// Plays the other end of an effect: its answers are added to `events`, what it achieves to `conditions`.
+    /// Executes an effect. Adds the resulting events to `events` and the reached conditions to `conditions`.
     pub(super) fn execute_effect(
         &mut self,
         now: Moment,
@@ -22,14 +22,14 @@
         events: &mut Vec<Event>,
         conditions: &mut Vec<Condition>,
     ) {
-        let after = |time: Duration| now + to_span(time);
+        let time_after = |delay: Duration| now + to_span(delay);
         match effect {
             Effect::Pong { .. } => conditions.push(Condition::PingAnswered),
             Effect::WakeAt(at) => self.wake_at = self.wake_at.min(at),
             Effect::WatchRelay { .. } if self.is_partitioned() => {
                 let event = Event::RelayWatchLost(StreamError::TimedOut);
                 self.relay_watch_failure =
-                    Some(PendingFailure { due_at: after(limits::RELAY_WATCH_RESPONSE_TIMEOUT), event });
+                    Some(PendingFailure { due_at: time_after(limits::RELAY_WATCH_RESPONSE_TIMEOUT), event });
             }
             Effect::WatchRelay { .. } => {
                 self.relay_watch_failure = None;
@@ -37,13 +37,14 @@
                 conditions.push(Condition::RelaySnapshotFrom(self.site));
             }
             Effect::WatchRegistry { .. } if self.is_partitioned() => {
-                let due_at = after(limits::REGISTRY_REQUEST_INTERVAL * limits::MAX_CONNECT_ATTEMPTS as u32);
+                let due_at =
+                    time_after(limits::REGISTRY_REQUEST_INTERVAL * limits::MAX_CONNECT_ATTEMPTS as u32);
                 self.registry_watch_failure = Some(PendingFailure {
                     due_at,
                     event: Event::EndpointListWatchLost(StreamError::TimedOut),
                 });
             }
-            // The watch that it renews times out by itself.
+            // The existing watch times out on its own.
             Effect::RenewRegistryWatch { .. } if self.is_partitioned() => {}
             Effect::WatchRegistry { since, .. } | Effect::RenewRegistryWatch { since, .. } => {
                 self.registry_watch_failure = None;
@@ -57,7 +58,7 @@
             Effect::RelayRequest { .. } if self.is_partitioned() => {
                 let event = Event::RelayResponse(Err(RequestError::NotSent(StreamError::TimedOut)));
                 self.relay_request_failure =
-                    Some(PendingFailure { due_at: after(limits::RELAY_RESPONSE_TIMEOUT), event });
+                    Some(PendingFailure { due_at: time_after(limits::RELAY_RESPONSE_TIMEOUT), event });
             }
             Effect::RelayRequest { line, .. } => {
                 events.extend(self.apply_relay_request(&line));
@@ -84,15 +85,16 @@
     }
 
     fn decode_relay_lines(&self, lines: &[String]) -> Vec<Event> {
-        // Each ends in CRLF on the wire.
+        // Each line ends in CRLF on the wire, which counts as 2 bytes.
         let bytes = lines.iter().map(|line| line.len() + 2).sum();
         self.environment.tracker.add_sent_bytes(self.controller, Traffic::RelayEvent, bytes);
         lines.iter().filter_map(|line| decode_event(line).ok()).map(Event::Relay).collect()
     }
 
-    /// The endpoint list, or what has changed in it since a version, as the event that discovery's watch sends.
+    /// Returns the changes of the endpoint list after version `since`, or the complete list for 0, as the event of a
+    /// discovery watch.
     pub(super) fn list_event(&mut self, since: u64) -> Event {
-        let update = self.environment.catalog.since(since);
+        let update = self.environment.catalog.update_since(since);
         self.environment.tracker.add_sent_bytes(self.controller, Traffic::List, update.line.len());
         self.list_version = update.version;
         Event::EndpointListReceived(update.list.clone())
@@ -102,7 +104,7 @@
         self.record_condition(Condition::ListVersion(self.list_version));
     }
 
-    /// The reports of one period, resolved to names as a reader of the ingest pool does.
+    /// Returns the reports of one period, with names resolved as by a reader of the ingest pool.
     pub(super) fn load_report_event(&mut self, now: Moment) -> Event {
         let plan = self.environment.plan.clone();
         if let Some(report_names) = self.reducer.report_names(Some(self.report_names.version)) {
@@ -131,6 +133,6 @@
         let lines =
             endpoint_reports.chain(demand_reports).filter_map(|line| self.report_names.resolve(&line));
         let reports = lines.map(|body| Report { at: now, line_count: 1.0, body }).collect();
-        Event::Reports { from: COLLECTOR, reports }
+        Event::Reports { from: COLLECTOR_CONNECTION, reports }
     }
 }
--- a/crates/scale-tests/src/many/simulated/environment.rs
+++ b/crates/scale-tests/src/many/simulated/environment.rs
@@ -1,4 +1,4 @@
-//! What the simulated controllers of a run share: its sizes, the endpoint list, the tracker and the clock.
+//! State shared by the simulated controllers of a run: its sizes, the endpoint list, the tracker and the clock.
 
 use crate::many::catalog::Catalog;
 use crate::many::plan::Plan;
@@ -9,12 +9,12 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_transport::Targets;
 
-/// The moment at which a run began.
+/// The time at which a run began, on two clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct RunStart {
-    /// On the monotonic clock.
+    /// The time on the monotonic clock.
     monotonic: Instant,
-    /// On the wall clock.
+    /// The time on the wall clock.
     wall_clock: Moment,
 }
 
@@ -24,32 +24,32 @@
         RunStart { monotonic: Instant::now(), wall_clock: Moment::at_ns(since_epoch.as_nanos() as u64) }
     }
 
-    /// The time now: the wall clock of the start plus the monotonic time since then.
+    /// Returns the current time: the wall clock time of the start plus the monotonic time since then.
     pub fn current_time(&self) -> Moment {
         self.wall_clock + to_span(self.monotonic.elapsed())
     }
 }
 
-/// What the simulated controllers of a run share.
+/// State shared by the simulated controllers of a run.
 pub struct Environment {
-    /// Sizes of the run.
+    /// The sizes of the run.
     pub plan: Arc<Plan>,
     /// The endpoint list.
     pub catalog: Arc<Catalog>,
-    /// Records which conditions the controllers have reached.
+    /// The tracker of the conditions that the controllers have reached.
     pub tracker: Arc<Tracker>,
-    /// When the run began, on both clocks.
+    /// The time at which the run began, on both clocks.
     pub run_start: RunStart,
 }
 
 impl Environment {
-    /// The environment of a run that begins now.
+    /// Creates the environment of a run that begins now.
     pub fn new(plan: Arc<Plan>, catalog: Arc<Catalog>, tracker: Arc<Tracker>) -> Self {
         Environment { plan, catalog, tracker, run_start: RunStart::now() }
     }
 }
 
-/// Placeholder addresses of the relay and discovery of a site; nothing listens there.
+/// Returns placeholder addresses of the relay and discovery of a site. Nothing listens on them.
 pub(super) fn site_targets(site: Site) -> Targets {
     let port = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
     match site {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A duration of the standard library as a span of the policy.
-pub(super) fn to_span(time: Duration) -> Span {
-    Span::ns(time.as_nanos() as u64)
+/// Converts a duration of the standard library to one of the policy.
+pub(super) fn to_span(duration: Duration) -> Span {
+    Span::ns(duration.as_nanos() as u64)
 }
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated controller: the real reducer behind stand-ins that answer at once, with a clock of its own that can be
-//! moved forward. It has no sockets; timeouts and resets reach it as the events that the transport would send.
+//! A simulated controller: the real reducer with fakes that answer immediately, and with its own clock that can be
+//! advanced. It has no sockets; time-outs and connection resets arrive as the events that the transport would emit.
 
 mod effects;
 mod environment;
@@ -22,29 +22,29 @@
 use whinwall_settings::{Settings, SettingsError};
 use whinwall_transport::{limits, ConnectionId, RequestError, StreamError};
 
-/// The connection that its reports come on.
-const COLLECTOR: ConnectionId = 1;
-/// By how much the clock of a partitioned controller is moved forward in one step.
+/// The id of the connection that reports arrive on.
+const COLLECTOR_CONNECTION: ConnectionId = 1;
+/// Step by which the clock of a partitioned controller is advanced.
 const PARTITION_CLOCK_STEP: Duration = Duration::from_secs(60);
-/// The least time between two turns of a controller that takes no part in an event: each rebalancing round looks at all
-/// replicas, and hundreds of controllers share a few threads here.
+/// Minimum time between two turns of a controller that is not involved in an event. Each rebalancing round processes
+/// all replicas, and hundreds of controllers share a few threads.
 const IDLE_TURN_INTERVAL: Duration = Duration::from_secs(10);
-/// The longest time without a turn, as in the event loop of the program.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
-/// Combined with a controller's number into its seed.
+/// Maximum time without a turn, the same as in the event loop of the controller program.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
+/// Constant from which the seed of each controller is derived.
 const BASE_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The failure that the transport would report for an unanswered request or a silent watch, and when.
+/// A failure that the transport would report for an unanswered request or a silent watch, with its time.
 struct PendingFailure {
     due_at: Moment,
     event: Event,
 }
 
-/// Whether its region can be reached.
+/// The connectivity of the controller's region.
 #[derive(Clone, Copy, PartialEq)]
 enum Connectivity {
     Connected,
-    /// Partitioned from the network; the remaining time is by its own clock.
+    /// The region is partitioned from the network. The remaining time is by the controller's own clock.
     Partitioned {
         remaining: Duration,
     },
@@ -60,9 +60,9 @@
     site: Site,
     store: Store,
     report_names: ReportNames,
-    /// The version of the list that it received.
+    /// The last received version of the endpoint list.
     list_version: u64,
-    /// How far its clock is ahead of the others'.
+    /// Time by which the controller's clock is ahead of the run's clock.
     clock_advance: Span,
     connectivity: Connectivity,
     relay_watch_failure: Option<PendingFailure>,
@@ -70,17 +70,17 @@
     relay_request_failure: Option<PendingFailure>,
     wake_at: Moment,
     last_turn: Moment,
-    /// An event has reached it and may not be complete: its turns are not delayed.
+    /// True while an event has reached the controller and may be incomplete. Its turns are not delayed then.
     in_event: bool,
-    /// CPU time that its turns have taken since the event came to it.
+    /// CPU time of the controller's turns since the event reached it.
     event_processor_time: Duration,
     next_report_at: Moment,
-    /// Nanoseconds of CPU time that the turns of all controllers have taken.
+    /// CPU time of the turns of all controllers, in nanoseconds.
     total_processor_time: Arc<AtomicU64>,
 }
 
 impl SimulatedController {
-    /// A controller that has just started.
+    /// Creates a controller and processes its start-up events.
     pub fn start(
         controller: ControllerId,
         environment: Arc<Environment>,
@@ -127,12 +127,12 @@
         Ok(simulated_controller)
     }
 
-    /// Its number.
+    /// Returns the index of the controller.
     pub fn controller(&self) -> ControllerId {
         self.controller
     }
 
-    /// Starts again from nothing, as a restarted process does; the store keeps its tables.
+    /// Restarts without state, as a restarted process does. The store keeps its routing tables.
     pub fn restart(&mut self) {
         let now = self.now();
         self.incarnation += 1;
@@ -148,8 +148,8 @@
     fn send_startup_events(&mut self, now: Moment) {
         self.mark_event_started();
         let zone = self.environment.plan.zone(0);
-        let source = Event::Message { from: COLLECTOR, message: Message::Source { zone } };
-        let ping = Event::Message { from: COLLECTOR, message: Message::Ping };
+        let source = Event::Message { from: COLLECTOR_CONNECTION, message: Message::Source { zone } };
+        let ping = Event::Message { from: COLLECTOR_CONNECTION, message: Message::Ping };
         self.process_events(now, vec![Event::Started, source, ping]);
     }
 
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Its configuration names another site.
+    /// Configures another site.
     pub fn configure(&mut self, site: Site) {
         self.site = site;
         self.mark_event_started();
         self.process_events(self.now(), vec![Event::TargetsConfigured(site_targets(site))]);
     }
 
-    /// Partitions its region from the network, for the time in the plan by its own clock.
+    /// Partitions the controller's region from the network for the duration in the plan, by the controller's own clock.
     pub fn partition(&mut self) {
         let now = self.now();
         self.connectivity =
@@ -190,7 +190,7 @@
         });
     }
 
-    /// Connects its region again: pending requests and watches are reset, and it retries them.
+    /// Reconnects the region. Pending requests and watches are reset, and the controller retries them.
     pub fn reconnect(&mut self) {
         self.connectivity = Connectivity::Connected;
         self.mark_event_started();
@@ -206,18 +206,18 @@
         self.process_events(self.now(), events);
     }
 
-    /// Whether its region is partitioned from the network.
+    /// Returns true while the region is partitioned from the network.
     pub fn is_partitioned(&self) -> bool {
         self.connectivity != Connectivity::Connected
     }
 
-    /// Does what is due; true where it is to be called again without a pause.
+    /// Performs all due work; returns true if it must be called again without a pause.
     pub fn run_due_work(&mut self) -> bool {
         if let Connectivity::Partitioned { remaining } = self.connectivity {
             return self.step_through_partition(remaining);
         }
         let now = self.now();
-        // The cost of an event is measured without noise: controllers that take no part in it pause meanwhile.
+        // Controllers that are not involved in an event pause during it, so that they do not distort its measured cost.
         let is_paused = !self.in_event && self.environment.tracker.is_event_in_progress();
         let mut events = Vec::new();
         let has_new_list = self.list_version < self.environment.catalog.version() && self.list_version > 0;
@@ -238,8 +238,8 @@
         false
     }
 
-    /// One step of its clock while its region is partitioned from the network; nothing arrives but
-    /// the failures that the transport would report.
+    /// Advances the clock by one step while the region is partitioned from the network. Only the failures that the
+    /// transport would report arrive. Returns true if time of the partition remains.
     fn step_through_partition(&mut self, remaining: Duration) -> bool {
         let step = PARTITION_CLOCK_STEP.min(remaining);
         if step.is_zero() {
@@ -263,7 +263,7 @@
         step < remaining
     }
 
-    /// When its next turn is, if nothing comes before.
+    /// Returns the time of the next turn if no event arrives earlier.
     fn next_turn_at(&self) -> Moment {
         match self.in_event {
             true => self.wake_at,
@@ -271,20 +271,20 @@
         }
     }
 
-    /// When it next has something to do, from now on.
+    /// Returns the time until the controller next has work to do.
     pub fn next_work_in(&self) -> Duration {
         let next = match self.connectivity {
             Connectivity::Connected => self.next_turn_at().min(self.next_report_at),
-            Connectivity::Partitioned { .. } => return LONGEST_SLEEP,
+            Connectivity::Partitioned { .. } => return MAX_SLEEP,
         };
         Duration::from_nanos((next - self.now()).as_ns())
     }
 
-    /// Applies events to the reducer and executes its effects, until no effect leads to another event.
+    /// Applies events to the reducer and executes its effects, until no effect results in another event.
     fn process_events(&mut self, now: Moment, events: Vec<Event>) {
         let mut events = events;
         let mut conditions = Vec::new();
-        (self.wake_at, self.last_turn) = (now + to_span(LONGEST_SLEEP), now);
+        (self.wake_at, self.last_turn) = (now + to_span(MAX_SLEEP), now);
         loop {
             let began = cost::of_current_thread();
             let mut effects: Vec<_> =
--- a/crates/scale-tests/src/many/stand_ins.rs
+++ b/crates/scale-tests/src/many/stand_ins.rs
@@ -1,5 +1,5 @@
-//! Relay, discovery and collectors for the real processes, on loopback sockets: for each controller a relay and a
-//! discovery at two sites, and one collector for each zone. All of them run as tasks of this process.
+//! Fake relay, discovery and collectors for the real processes, on loopback sockets. Each controller has a relay and a
+//! discovery agent at each of two sites, and one collector per zone. All of them run as tasks of this process.
 
 use super::catalog::Catalog;
 use super::plan::{ControllerId, Plan, REQUEST_CLASS};
@@ -19,21 +19,21 @@
 const RELAY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two keep-alive lines of discovery.
 const DISCOVERY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Acknowledgements queued for a watcher of the relay, in messages.
+/// Capacity of the acknowledgement queue of a relay watcher, in messages.
 const ACK_QUEUE_CAPACITY: usize = 4096;
-/// Pause before a collector connects again.
+/// Pause before a collector reconnects, and after a failed accept.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether a region is partitioned from the network.
+/// The state of the network link to a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// Bytes pass.
+    /// Data is sent.
     Up,
-    /// Nothing is sent, and connections stay open.
+    /// No data is sent, and connections stay open.
     Partitioned,
 }
 
-/// Where one controller finds its relay and its discovery.
+/// The addresses of one controller's relay and discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// The relay.
@@ -42,8 +42,8 @@
     pub discovery: SocketAddr,
 }
 
-/// What the stand-ins of one controller share.
-pub struct StandInState {
+/// State shared by the fakes of one controller.
+pub struct FakePeersState {
     controller: ControllerId,
     store: Mutex<Store>,
     acks: broadcast::Sender<String>,
@@ -52,8 +52,8 @@
     tracker: Arc<Tracker>,
 }
 
-impl StandInState {
-    /// The stand-ins of a controller, without a connection yet.
+impl FakePeersState {
+    /// Creates the state of a controller's fakes, before any connection.
     pub fn new(
         plan: &Plan,
         controller: ControllerId,
@@ -62,7 +62,7 @@
         tracker: Arc<Tracker>,
     ) -> Self {
         let store = Mutex::new(Store::new(plan, controller));
-        StandInState {
+        FakePeersState {
             controller,
             store,
             acks: broadcast::Sender::new(ACK_QUEUE_CAPACITY),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The store of its relay.
+    /// Locks the store of the relay.
     pub fn store(&self) -> MutexGuard<'_, Store> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -90,8 +90,8 @@
     }
 }
 
-/// Opens relay and discovery of one site; they serve as long as the runtime does.
-pub async fn open_site(state: &Arc<StandInState>, site: Site) -> io::Result<Addresses> {
+/// Starts relay and discovery of one site. They serve until the runtime shuts down.
+pub async fn open_site(state: &Arc<FakePeersState>, site: Site) -> io::Result<Addresses> {
     let relay = TcpListener::bind("127.0.0.1:0").await?;
     let discovery = TcpListener::bind("127.0.0.1:0").await?;
     let addresses = Addresses { relay: relay.local_addr()?, discovery: discovery.local_addr()? };
@@ -100,33 +100,34 @@
     Ok(addresses)
 }
 
-/// The service that a listener stands in for.
+/// The kind of service behind a listener.
 #[derive(Clone, Copy)]
 enum Service {
     Relay,
     Discovery,
 }
 
-async fn accept(listener: TcpListener, state: Arc<StandInState>, service: Service, site: Site) {
+async fn accept(listener: TcpListener, state: Arc<FakePeersState>, service: Service, site: Site) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => _ = tokio::spawn(serve_until_partition(state.clone(), service, site, stream)),
-            // No descriptor is free, for instance.
+            // For example, no file descriptor is available.
             Err(_) => sleep(RECONNECT_DELAY).await,
         }
     }
 }
 
-/// Serves a connection until it ends or its region is partitioned from the network. A connection that was open or came
-/// during the partition sends nothing, and is closed once the region is connected again.
+/// Serves a connection until it ends or its region is partitioned from the network. A connection that is open when the
+/// partition begins, or is accepted during it, sends nothing, and is closed when the region is reconnected.
 async fn serve_until_partition(
-    state: Arc<StandInState>,
+    state: Arc<FakePeersState>,
     service: Service,
     site: Site,
     mut stream: TcpStream,
 ) {
     let mut link = state.link.clone();
-    // Controllers renew their watches of discovery from time to time also while nothing is wrong.
+    // Only a new relay connection shows that the controller has detected the partition: controllers renew their
+    // discovery watches regularly, even without a failure.
     if matches!(service, Service::Relay) && *link.borrow() == Link::Partitioned {
         state.record_condition(Condition::PartitionDetected);
     }
@@ -139,14 +140,19 @@
     _ = link.wait_for(|link| *link == Link::Up).await;
 }
 
-async fn serve(state: &StandInState, service: Service, site: Site, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve(
+    state: &FakePeersState,
+    service: Service,
+    site: Site,
+    stream: &mut TcpStream,
+) -> io::Result<()> {
     match service {
         Service::Relay => serve_relay(state, site, stream).await,
         Service::Discovery => serve_discovery(state, site, stream).await,
     }
 }
 
-async fn serve_relay(state: &StandInState, site: Site, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve_relay(state: &FakePeersState, site: Site, stream: &mut TcpStream) -> io::Result<()> {
     let (read, mut write) = stream.split();
     let mut lines = BufReader::new(read).lines();
     while let Some(line) = lines.next_line().await? {
@@ -160,7 +166,7 @@
         };
         write.write_all(format!("OK {}\r\n", applied.commands).as_bytes()).await?;
         if !applied.acks.is_empty() {
-            // No watcher may be subscribed.
+            // The send fails if no watcher is subscribed.
             _ = state.acks.send(format!("{}\r\n", applied.acks.join("\r\n")));
         }
         if state.tracker.drained_replica().is_some_and(|replica| state.store().is_drained(&replica)) {
@@ -171,7 +177,7 @@
 }
 
 async fn serve_watch<R: AsyncBufRead + Unpin, W: AsyncWrite + Unpin>(
-    state: &StandInState,
+    state: &FakePeersState,
     site: Site,
     lines: &mut Lines<R>,
     write: &mut W,
@@ -200,7 +206,7 @@
     }
 }
 
-async fn serve_discovery(state: &StandInState, site: Site, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve_discovery(state: &FakePeersState, site: Site, stream: &mut TcpStream) -> io::Result<()> {
     let (read, mut write) = stream.split();
     let mut lines = BufReader::new(read).lines();
     let request = lines.next_line().await?.unwrap_or_default();
@@ -210,7 +216,7 @@
     write.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
     loop {
         versions.mark_unchanged();
-        let update = state.catalog.since(since);
+        let update = state.catalog.update_since(since);
         write.write_all(chunk(&update.line).as_bytes()).await?;
         since = update.version;
         state.add_sent_bytes(Traffic::List, update.line.len());
@@ -234,7 +240,7 @@
     }
 }
 
-/// The version in `GET /registry/instances?follow=1&since=41 HTTP/1.1`; 0 where none is named.
+/// Returns the version in a request line like `GET /registry/instances?follow=1&since=41 HTTP/1.1`; 0 if there is none.
 fn request_version(request: &str) -> u64 {
     let version = request.split_once("since=").and_then(|(_, rest)| rest.split([' ', '&']).next());
     version.and_then(|version| version.parse().ok()).unwrap_or(0)
@@ -244,7 +250,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What each zone's collector says of its replicas in one period; the same for all controllers.
+/// Returns the report lines of each zone's collector for one period. They are the same for all controllers.
 pub fn load_reports(plan: &Plan) -> Vec<Arc<str>> {
     let window = plan.report_period.as_secs_f64() * 1e3;
     let line = |replica: usize| {
@@ -254,12 +260,12 @@
             "window": window, "report": report});
         format!("{line}\n")
     };
-    let of_zone =
+    let zone_reports =
         |zone: usize| (zone..plan.replicas).step_by(plan.zones.max(1)).map(line).collect::<String>();
-    (0..plan.zones).map(|zone| of_zone(zone).into()).collect()
+    (0..plan.zones).map(|zone| zone_reports(zone).into()).collect()
 }
 
-fn slice_reports(plan: &Plan, state: &StandInState) -> String {
+fn slice_reports(plan: &Plan, state: &FakePeersState) -> String {
     let window = plan.report_period.as_secs_f64() * 1e3;
     let line = |slice: u32| {
         let line = json!({"@type": "SHARD", "partition": slice, "kind": REQUEST_CLASS, "n": 4, "bad": 0,
@@ -269,11 +275,11 @@
     state.store().slices().map(line).collect()
 }
 
-/// The collector of one zone: it reports as long as the controller has an address, and connects again when it must. The
-/// first zone's also reports on the controller's slices.
+/// Runs the collector of one zone. It reports while the controller has an address, and reconnects after a failure. The
+/// first zone's collector also reports on the controller's slices.
 pub async fn run_collector(
     plan: Arc<Plan>,
-    state: Arc<StandInState>,
+    state: Arc<FakePeersState>,
     zone: usize,
     load: Arc<str>,
     mut address: watch::Receiver<Option<SocketAddr>>,
@@ -281,7 +287,7 @@
     loop {
         let Ok(at) = address.wait_for(Option::is_some).await.map(|at| *at) else { return };
         if let Some(at) = at.filter(|_| !state.is_partitioned()) {
-            // Its failure needs no handling: the next attempt follows.
+            // A failure is not handled, because the loop reconnects.
             _ = send_reports(&plan, &state, zone, &load, at).await;
         }
         sleep(RECONNECT_DELAY).await;
@@ -290,7 +296,7 @@
 
 async fn send_reports(
     plan: &Plan,
-    state: &StandInState,
+    state: &FakePeersState,
     zone: usize,
     load: &str,
     at: SocketAddr,
@@ -305,7 +311,7 @@
     loop {
         due.tick().await;
         if *link.borrow() == Link::Partitioned {
-            // Silent for as long as the partition lasts, and then gone.
+            // Sends nothing during the partition, and closes the connection after it.
             _ = link.wait_for(|link| *link == Link::Up).await;
             return Ok(());
         }
--- a/crates/scale-tests/src/many/store.rs
+++ b/crates/scale-tests/src/many/store.rs
@@ -1,31 +1,31 @@
-//! The store of one controller's relay: its tables, the proxies that are subscribed, and the replicas that are withdrawn.
+//! The store of one controller's fake relay: routing tables, subscribed proxies and withdrawn replicas.
 
 use super::plan::{ControllerId, Plan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the relay holds for one controller.
+/// The state that the relay stores for one controller.
 pub struct Store {
     tables: BTreeMap<u32, BTreeMap<String, f64>>,
     proxies: usize,
     withdrawn: BTreeSet<String>,
 }
 
-/// The result of a request.
+/// The result of a relay request.
 #[derive(Debug, PartialEq)]
 pub struct Applied {
-    /// Commands that were applied.
+    /// The number of applied commands.
     pub commands: usize,
-    /// Acknowledgements of the proxies, one line each, without line ends.
+    /// Acknowledgements of the proxies, one line each, without line terminators.
     pub acks: Vec<String>,
 }
 
 impl Store {
-    /// The store before the run.
+    /// Creates the initial store of a controller.
     pub fn new(plan: &Plan, controller: ControllerId) -> Self {
         Store { tables: plan.tables(controller), proxies: plan.proxies, withdrawn: BTreeSet::new() }
     }
 
-    /// The lines that open a watch: all proxies and tables as they are.
+    /// Returns the first lines of a watch: all proxies and the current routing tables.
     pub fn snapshot(&self) -> Vec<String> {
         let mut lines = vec!["OK".to_string()];
         lines.extend((0..self.proxies).map(|proxy| format!("* SUBSCRIBE {proxy} zone-0 21.5 1")));
@@ -37,7 +37,8 @@
         lines
     }
 
-    /// Executes a request; all proxies acknowledge its version at once. None where the line is no valid request.
+    /// Applies a relay request, which all proxies acknowledge immediately. Returns `None` at the first invalid command,
+    /// or if the line is not a request.
     pub fn apply(&mut self, line: &str) -> Option<Applied> {
         let commands: Vec<_> = line.strip_prefix("APPLY ")?.split(';').collect();
         let mut acks = Vec::new();
@@ -68,17 +69,17 @@
         }
     }
 
-    /// Whether no table names this replica any more, or it is withdrawn.
+    /// Returns true if the replica is withdrawn or in no routing table.
     pub fn is_drained(&self, replica: &str) -> bool {
         self.withdrawn.contains(replica) || !self.has_replica(replica)
     }
 
-    /// Whether a table names this replica.
+    /// Returns true if the replica is in a routing table.
     pub fn has_replica(&self, replica: &str) -> bool {
         self.tables.values().any(|table| table.contains_key(replica))
     }
 
-    /// The slices owned by the controller.
+    /// Returns the slices owned by the controller.
     pub fn slices(&self) -> impl Iterator<Item = u32> + '_ {
         self.tables.keys().copied()
     }
--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -1,5 +1,5 @@
-//! Progress of an event: which conditions each controller still has to reach, when it had reached all, and how much
-//! was sent to it meanwhile.
+//! Tracks the progress of an event: the conditions that each controller has not reached yet, the time at which it
+//! reached all of them, and the bytes sent during the event.
 
 use super::plan::ControllerId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,61 +7,61 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Sent bytes are summed over periods of this length; the highest sum is the peak.
-const BIN_LENGTH: Duration = Duration::from_millis(100);
+/// Duration of the bins in which sent bytes are summed. The peak rate is that of the bin with the highest sum.
+const BIN_DURATION: Duration = Duration::from_millis(100);
 
-/// A condition that a controller reaches in the course of an event.
+/// A condition that a controller reaches during an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
-    /// It has answered a ping since its start.
+    /// The controller has answered a ping since its start.
     PingAnswered,
-    /// The relay of this site has sent it a snapshot.
+    /// The relay of this site has sent a snapshot to the controller.
     RelaySnapshotFrom(Site),
-    /// The discovery of this site has sent it the list.
+    /// The discovery agent of this site has sent the endpoint list to the controller.
     ListFrom(Site),
-    /// It has received this version of the list, or a newer one.
+    /// The controller has received this version of the endpoint list, or a newer one.
     ListVersion(u64),
-    /// It has withdrawn the drained replica from its proxies.
+    /// The controller has withdrawn the drained replica from its proxies.
     Withdrawn,
-    /// It has noticed that it is partitioned from the network, and retries.
+    /// The controller has detected the network partition, and retries.
     PartitionDetected,
 }
 
-/// Where relay and discovery of a controller are: before and after a change of the configuration.
+/// The site of a controller's relay and discovery, which a configuration change replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Site {
-    /// As the first configuration says.
+    /// The site in the first configuration.
     First,
-    /// As the changed configuration says.
+    /// The site in the changed configuration.
     Second,
 }
 
-/// What controllers are sent on request.
+/// A kind of data that is sent to controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Traffic {
-    /// Discovery's lists.
+    /// Endpoint lists of discovery.
     List,
-    /// The relay's events.
+    /// Events of the relay.
     RelayEvent,
-    /// The collectors' reports.
+    /// Reports of collectors.
     Reports,
 }
 
-/// What was sent during an event.
+/// The bytes sent during an event.
 #[derive(Clone, Debug, Default)]
 pub struct SentBytes {
     bins: BTreeMap<(Traffic, u128), u64>,
 }
 
 impl SentBytes {
-    /// All bytes of this kind.
+    /// Returns the total bytes of this kind.
     pub fn bytes(&self, traffic: Traffic) -> u64 {
         self.bins_of(traffic).sum()
     }
 
-    /// The highest rate of this kind over one bin, in bytes a second.
+    /// Returns the highest rate of this kind in one bin, in bytes per second.
     pub fn peak_bytes_per_second(&self, traffic: Traffic) -> f64 {
-        self.bins_of(traffic).max().unwrap_or(0) as f64 / BIN_LENGTH.as_secs_f64()
+        self.bins_of(traffic).max().unwrap_or(0) as f64 / BIN_DURATION.as_secs_f64()
     }
 
     fn bins_of(&self, traffic: Traffic) -> impl Iterator<Item = u64> + '_ {
@@ -69,18 +69,18 @@
     }
 }
 
-/// How far the controllers have come in an event.
+/// The progress of the controllers in an event.
 #[derive(Clone, Debug, Default)]
 pub struct EventProgress {
-    /// From the event's beginning until a controller had reached all its conditions.
+    /// Time from the start of the event until a controller had reached all its conditions.
     pub times: BTreeMap<ControllerId, Duration>,
-    /// CPU time that it took a simulated controller, from when the event reached it.
+    /// CPU time of a simulated controller from the time at which the event reached it.
     pub processor_time: BTreeMap<ControllerId, Duration>,
     /// The conditions that controllers have not reached yet.
     pub missing: BTreeMap<ControllerId, BTreeSet<Condition>>,
-    /// What was sent meanwhile, to the real processes and to the others.
+    /// Bytes sent to the real processes during the event.
     pub real: SentBytes,
-    /// The same for the simulated controllers.
+    /// Bytes sent to the simulated controllers during the event.
     pub simulated: SentBytes,
 }
 
@@ -90,7 +90,8 @@
     progress: EventProgress,
 }
 
-/// Shared by all stand-ins: they record what was reached, and the task that plays the event waits for it.
+/// Shared by all fakes, which record the conditions that controllers reach. The task that runs the events waits for
+/// them.
 pub struct Tracker {
     real: usize,
     created: Instant,
@@ -99,7 +100,7 @@
 }
 
 impl Tracker {
-    /// The first `real` controllers are processes.
+    /// Creates a tracker for a fleet whose first `real` controllers are processes.
     pub fn new(real: usize) -> Self {
         let current_event =
             CurrentEvent { began: Instant::now(), drained: None, progress: EventProgress::default() };
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Time since it was created.
+    /// Returns the time since the tracker was created.
     pub fn age(&self) -> Duration {
         self.created.elapsed()
     }
@@ -120,7 +121,7 @@
         self.current_event.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins an event: each of these controllers is to reach all of these conditions.
+    /// Begins an event, which is complete when each of the controllers has reached all of the conditions.
     pub fn begin_event(&self, controllers: impl IntoIterator<Item = ControllerId>, conditions: &[Condition]) {
         let awaited: BTreeSet<_> = conditions.iter().copied().collect();
         let missing = controllers.into_iter().map(|controller| (controller, awaited.clone())).collect();
@@ -129,17 +130,17 @@
         current_event.began = Instant::now();
     }
 
-    /// Sets the replica that controllers are to withdraw.
+    /// Sets the replica that controllers are expected to withdraw.
     pub fn set_drained_replica(&self, replica: String) {
         self.current_event().drained = Some(replica);
     }
 
-    /// The replica that controllers are to withdraw.
+    /// Returns the replica that controllers are expected to withdraw.
     pub fn drained_replica(&self) -> Option<String> {
         self.current_event().drained.clone()
     }
 
-    /// Records that a controller has reached a condition; true where it was the last one of that controller.
+    /// Records that a controller has reached a condition; returns true if it was the controller's last open condition.
     pub fn record_condition(&self, controller: ControllerId, condition: Condition) -> bool {
         let mut current_event = self.current_event();
         let took = current_event.began.elapsed();
@@ -157,31 +158,31 @@
         false
     }
 
-    /// Records the CPU time that the event has cost a simulated controller.
+    /// Records the CPU time that a simulated controller has used for the event.
     pub fn record_processor_time(&self, controller: ControllerId, processor_time: Duration) {
         self.current_event().progress.processor_time.insert(controller, processor_time);
     }
 
-    /// Whether the event waits for this controller yet.
+    /// Returns true while the controller has not completed the event.
     pub fn is_waiting_for(&self, controller: ControllerId) -> bool {
         self.current_event().progress.missing.contains_key(&controller)
     }
 
-    /// Whether some controller has not completed the event yet.
+    /// Returns true while any controller has not completed the event.
     pub fn is_event_in_progress(&self) -> bool {
         !self.current_event().progress.missing.is_empty()
     }
 
-    /// Counts bytes that were sent to a controller.
+    /// Adds bytes sent to a controller.
     pub fn add_sent_bytes(&self, controller: ControllerId, traffic: Traffic, bytes: usize) {
         let mut current_event = self.current_event();
-        let bin = current_event.began.elapsed().as_nanos() / BIN_LENGTH.as_nanos();
+        let bin = current_event.began.elapsed().as_nanos() / BIN_DURATION.as_nanos();
         let progress = &mut current_event.progress;
         let sent_bytes = if controller < self.real { &mut progress.real } else { &mut progress.simulated };
         *sent_bytes.bins.entry((traffic, bin)).or_default() += bytes as u64;
     }
 
-    /// Waits until all controllers have reached all conditions, at most for `event_timeout`, and returns the progress.
+    /// Waits until all controllers have completed the event, for up to `event_timeout`, and returns the progress.
     pub async fn wait_for_completion(&self, event_timeout: Duration) -> EventProgress {
         let end = tokio::time::Instant::now() + event_timeout;
         while !self.current_event().progress.missing.is_empty() {
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -1,4 +1,4 @@
-//! Threads that share the simulated controllers between them.
+//! Worker threads that run the simulated controllers.
 
 use super::error::ManyError;
 use super::plan::{ControllerId, PARTITIONED_REGION};
@@ -10,18 +10,18 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time between two checks for a change of the endpoint list.
+/// Time between two checks for a new version of the endpoint list.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A command to all simulated controllers of a thread.
 #[derive(Clone)]
 enum Command {
     Configure(Site),
-    /// Nine in ten of them start again.
+    /// Restarts nine in ten controllers.
     Restart,
-    /// The region is partitioned from the network.
-    Partitioned,
-    /// The region is connected again.
+    /// Partitions the region from the network.
+    Partition,
+    /// Reconnects the region.
     Reconnect,
 }
 
@@ -30,7 +30,7 @@
     thread: JoinHandle<()>,
 }
 
-/// All simulated controllers.
+/// The worker threads of all simulated controllers.
 #[derive(Default)]
 pub struct Workers {
     workers: Vec<Worker>,
@@ -38,13 +38,13 @@
 }
 
 impl Workers {
-    /// Starts the threads; each starts its controllers at once.
+    /// Starts the threads. Each starts its controllers immediately.
     pub fn start(environment: &Arc<Environment>) -> Result<Self, ManyError> {
         let (plan, mut workers, total_processor_time) =
             (&environment.plan, Vec::new(), Arc::new(AtomicU64::new(0)));
         for worker in 0..plan.workers {
-            let all = plan.real..plan.controllers();
-            let own: Vec<ControllerId> = all.skip(worker).step_by(plan.workers).collect();
+            let simulated = plan.real..plan.controllers();
+            let own: Vec<ControllerId> = simulated.skip(worker).step_by(plan.workers).collect();
             let (commands, received) = channel();
             let (environment, total_processor_time) = (environment.clone(), total_processor_time.clone());
             let thread = std::thread::Builder::new().name(format!("simulated-{worker}"));
@@ -57,32 +57,32 @@
     }
 
     fn broadcast(&self, command: &Command) {
-        // A worker that has ended shows in the event: its controllers stay incomplete.
+        // A worker that has ended needs no handling: its controllers do not complete the event, which fails.
         self.workers.iter().for_each(|worker| _ = worker.commands.send(command.clone()));
     }
 
-    /// Gives all of them a configuration that names another site.
+    /// Configures another site in all controllers.
     pub fn configure(&self, site: Site) {
         self.broadcast(&Command::Configure(site));
     }
 
-    /// Restarts nine in ten of them.
+    /// Restarts nine in ten controllers.
     pub fn restart(&self) {
         self.broadcast(&Command::Restart);
     }
 
     /// Partitions the region [`PARTITIONED_REGION`] from the network.
     pub fn partition(&self) {
-        self.broadcast(&Command::Partitioned);
+        self.broadcast(&Command::Partition);
     }
 
-    /// Connects the partitioned region again.
+    /// Reconnects the partitioned region.
     pub fn reconnect(&self) {
         self.broadcast(&Command::Reconnect);
     }
 
-    /// CPU time of all reducers so far.
-    pub fn cost(&self) -> Duration {
+    /// Returns the CPU time of all reducers so far.
+    pub fn processor_time(&self) -> Duration {
         Duration::from_nanos(self.total_processor_time.load(Ordering::Relaxed))
     }
 
@@ -90,7 +90,7 @@
     pub fn end(self) {
         for Worker { commands, thread } in self.workers {
             drop(commands);
-            // Where it panicked the event has failed for want of its controllers.
+            // If the thread panicked, the event has already failed because its controllers did not complete it.
             _ = thread.join();
         }
     }
@@ -129,7 +129,7 @@
                 controllers.iter_mut().filter(|controller| plan.is_restarted(controller.controller()));
             restarted.for_each(SimulatedController::restart);
         }
-        Command::Partitioned => {
+        Command::Partition => {
             let partition = controllers
                 .iter_mut()
                 .filter(|controller| plan.region(controller.controller()) == PARTITIONED_REGION);
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -1,5 +1,5 @@
-//! One real controller behind real aggregators: collectors of all zones report the whole fleet to each aggregator, the
-//! aggregators report its subset to the controller, and a counting proxy between them counts what it receives.
+//! One real controller behind real aggregators. Collectors of all zones report on the whole fleet to each aggregator,
+//! and the aggregators report the controller's subset to it through a counting proxy.
 
 use super::error::MeasureError;
 use super::steady::Times;
@@ -17,89 +17,89 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Aggregators that have sent no report by then have failed.
+/// Time limit for the first report of the aggregators.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between two checks for the first report.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The fleet's part of the operators' file.
+/// The subsetting section of the operators' file.
 #[derive(Clone, Debug)]
 pub struct Subsetting {
-    /// Aggregators that run.
+    /// Number of aggregators.
     pub aggregators: usize,
-    /// Replicas that a controller is meant to have in its subset.
+    /// Target number of replicas in a controller's subset.
     pub subset: usize,
-    /// The budget for reports to a controller, in bytes a second.
+    /// The budget for reports to a controller, in bytes per second.
     pub bytes_per_second: u64,
 }
 
-/// What one aggregator used during the measurement.
+/// Resources used by one aggregator during the measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct AggregatorUsage {
-    /// Its CPU time during the measurement.
+    /// CPU time during the measurement.
     pub processor_time: Duration,
-    /// Its usage at the end.
+    /// Resource usage at the end of the measurement.
     pub at_end: Usage,
 }
 
-/// What the controller and the aggregators used during the measurement.
+/// Resources used by the controller and the aggregators during the measurement.
 #[derive(Clone, Debug)]
 pub struct AggregatedMeasurement {
-    /// How it was set up.
+    /// The subsetting of the fleet.
     pub subsetting: Subsetting,
-    /// From the controller's start to its first PONG.
+    /// Time from the controller's start to its first PONG.
     pub time_to_ready: Duration,
-    /// From the aggregators' start until the first report came to the controller, where one came.
+    /// Time from the aggregators' start until the controller received the first report; `None` if none arrived in time.
     pub first_report: Option<Duration>,
-    /// For how long it was measured.
+    /// Duration of the measurement.
     pub measured_for: Duration,
-    /// Bytes of reports that came to the controller.
-    pub reports: u64,
-    /// Lines of reports that came to the controller.
-    pub lines: u64,
-    /// Bytes that came to the controller in all.
+    /// Bytes of reports received by the controller.
+    pub report_bytes: u64,
+    /// Lines of reports received by the controller.
+    pub report_lines: u64,
+    /// Bytes received by the controller on all connections.
     pub bytes_in: u64,
-    /// Bytes that the controller sent in all.
+    /// Bytes sent by the controller on all connections.
     pub bytes_out: u64,
-    /// Its CPU time.
+    /// CPU time of the controller.
     pub processor_time: Duration,
-    /// Its memory.
+    /// Resource usage of the controller at the end of the measurement.
     pub usage: Usage,
-    /// What each aggregator used.
+    /// Resources used by each aggregator.
     pub aggregators: Vec<AggregatorUsage>,
-    /// Bytes that all collectors sent to all aggregators.
-    pub sent_to_aggregators: u64,
-    /// The last lines of the controller's log.
+    /// Bytes sent by all collectors to all aggregators.
+    pub bytes_to_aggregators: u64,
+    /// The lines of the controller's log after its start-up.
     pub log: Vec<String>,
-    /// Average number of runnable processes on the machine in the last minute.
+    /// Load average of the machine over one minute.
     pub machine_load: f64,
 }
 
 impl AggregatedMeasurement {
-    /// A count as a rate a second.
+    /// Converts a count to a rate per second.
     pub fn rate(&self, count: u64) -> f64 {
         count as f64 / self.measured_for.as_secs_f64()
     }
 
-    /// The part of one core that the controller used.
+    /// Returns the CPU use of the controller as a fraction of one core.
     pub fn processor_share(&self) -> f64 {
         self.processor_time.as_secs_f64() / self.measured_for.as_secs_f64()
     }
 
-    /// The part of one core that an aggregator used, on average.
+    /// Returns the mean CPU use of an aggregator as a fraction of one core.
     pub fn aggregator_share(&self) -> f64 {
         let total: f64 = self.aggregators.iter().map(|used| used.processor_time.as_secs_f64()).sum();
         total / self.measured_for.as_secs_f64() / self.aggregators.len().max(1) as f64
     }
 
-    /// The most memory that any aggregator held.
+    /// Returns the highest peak of resident memory among the aggregators, in bytes.
     pub fn aggregator_peak(&self) -> u64 {
         self.aggregators.iter().map(|used| used.at_end.resident_peak).max().unwrap_or(0)
     }
 }
 
-/// The operators' file of a fleet in which one controller is served: `n0`, behind the counting proxy. The others are members
-/// without an address.
+/// Returns the operators' file of a fleet in which the aggregators serve only controller `n0`, through the counting
+/// proxy. The other controllers are members without an address.
 fn operators(
     setup: &Setup,
     subsetting: &Subsetting,
@@ -122,7 +122,7 @@
     )
 }
 
-/// Free addresses on loopback; each is released at once, for a program to listen at.
+/// Returns free addresses on loopback. The ports are released on return, so that programs can listen on them.
 fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     let listeners: Vec<_> =
         (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<std::io::Result<_>>()?;
@@ -162,7 +162,8 @@
     }
 }
 
-/// Waits until more than the first line of a connection has gone to the controller.
+/// Waits until more than two lines have been sent to the controller, because the first line of a connection is not a
+/// report. Returns the time since `since`, or `None` after the time limit.
 fn wait_for_reports(counting_proxy: &CountingProxy, since: Instant) -> Option<Duration> {
     while since.elapsed() < FIRST_REPORT_TIMEOUT {
         if counting_proxy.traffic.to_controller.read().lines > 2 {
@@ -173,11 +174,11 @@
     None
 }
 
-/// Measures the controller in a steady state behind its aggregators.
+/// Measures a controller in a steady state behind aggregators.
 ///
 /// # Errors
 ///
-/// When a program or stand-in cannot be started or observed.
+/// When a program or fake cannot be started or observed.
 pub fn measure(
     controller: &Path,
     aggregator: &Path,
@@ -211,14 +212,14 @@
     thread::sleep(times.warm_up);
 
     let (usage, aggregators_before, began) = (controller.usage()?, aggregators.usages()?, Instant::now());
-    let (stand_in_traffic, to_controller, all_sent_to_aggregators) =
+    let (fake_peer_traffic, to_controller, all_sent_to_aggregators) =
         (traffic.read(), counting_proxy.traffic.to_controller.read(), sent_to_aggregators.read());
     let from_controller = counting_proxy.traffic.from_controller.read();
     thread::sleep(times.measured);
     let measured_for = began.elapsed();
     let (usage_after, aggregators_after) = (controller.usage()?, aggregators.usages()?);
-    let (stand_in_traffic, to_controller) = (
-        traffic.read().since(stand_in_traffic),
+    let (fake_peer_traffic, to_controller) = (
+        traffic.read().since(fake_peer_traffic),
         counting_proxy.traffic.to_controller.read().since(to_controller),
     );
     let from_controller = counting_proxy.traffic.from_controller.read().since(from_controller);
@@ -232,14 +233,14 @@
         time_to_ready,
         first_report,
         measured_for,
-        reports: to_controller.bytes,
-        lines: to_controller.lines,
-        bytes_in: to_controller.bytes + stand_in_traffic.bytes_in(),
-        bytes_out: from_controller.bytes + stand_in_traffic.bytes_out(),
+        report_bytes: to_controller.bytes,
+        report_lines: to_controller.lines,
+        bytes_in: to_controller.bytes + fake_peer_traffic.bytes_in(),
+        bytes_out: from_controller.bytes + fake_peer_traffic.bytes_out(),
         processor_time: usage_after.processor_time - usage.processor_time,
         usage: usage_after,
         aggregators: aggregators_after.into_iter().zip(aggregators_before).map(used).collect(),
-        sent_to_aggregators: sent_to_aggregators.read().since(all_sent_to_aggregators).reports.bytes,
+        bytes_to_aggregators: sent_to_aggregators.read().since(all_sent_to_aggregators).reports.bytes,
         log: controller.take_log_lines(),
         machine_load: machine_load(),
     })
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -1,5 +1,5 @@
-//! One controller in events: what it uses, how much it receives, and how soon it acts, when some entries of the list
-//! change at once, when the complete list is sent again, and when it starts.
+//! Measures one controller during events: its resource usage, the bytes that it receives, and its reaction time when
+//! entries of the endpoint list change at the same time, when the complete list is sent again, and at start-up.
 
 use super::error::MeasureError;
 use super::steady::Times;
@@ -13,36 +13,36 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A controller that has not acted by then has failed to.
+/// Time limit for the controller's reaction to an event.
 const ACTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the controller logs when it has reloaded its files.
-const RELOADED: &str = "configuration reloaded";
+/// Text of the log line that the controller writes after reloading its files.
+const RELOADED_LOG_TEXT: &str = "configuration reloaded";
 
 /// An event that a controller has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Nothing: what the same time costs while idle.
+    /// No event: measures the cost of the same time while idle.
     Nothing,
-    /// The configuration file is read again, on SIGHUP.
+    /// The configuration file is reloaded on SIGHUP.
     ConfigurationReload,
-    /// This many replicas begin to drain at once, an owner of slices among them.
+    /// The given number of replicas begin to drain at the same time, among them an owner of a slice.
     Drain(usize),
-    /// This many replicas are active again at once, without a warm-up.
+    /// The given number of replicas become active again at the same time, cold.
     Return(usize),
-    /// The complete list is sent again, with one owner of a slice that drains.
+    /// The complete endpoint list is sent again, in which one owner of a slice drains.
     FullList,
 }
 
 impl Event {
-    /// A name for tables.
+    /// Returns the name of the event in the result tables.
     pub fn name(&self) -> String {
         match self {
             Event::Nothing => "nothing".into(),
-            Event::ConfigurationReload => "SIGHUP, until it is logged as read".into(),
+            Event::ConfigurationReload => "SIGHUP, until the reload is logged".into(),
             Event::Drain(count) => format!("{count} replicas drain"),
-            Event::Return(count) => format!("{count} replicas are back, cold"),
-            Event::FullList => "the whole list again, one owner drains".into(),
+            Event::Return(count) => format!("{count} replicas active again, cold"),
+            Event::FullList => "full endpoint list sent again, one slice owner drains".into(),
         }
     }
 }
@@ -50,27 +50,29 @@
 /// The result of an event.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// What happened.
+    /// The name of the event.
     pub name: String,
-    /// Until the first request that withdraws a replica, where one must come, or until the files were reloaded.
+    /// Time until the first request that withdraws a draining replica, until the files were reloaded, or, for a start,
+    /// until the first command on a routing table. `None` for other events, or after the time limit.
     pub first_command: Option<Duration>,
-    /// Until no slice is owned by a replica that drains, where one was.
+    /// Time until no draining replica owns a slice; `None` if no replica drains.
     pub last_command: Option<Duration>,
-    /// What went over its connections until it had settled.
+    /// Traffic of the controller during the measurement.
     pub traffic: TrafficCount,
-    /// CPU time until it had settled.
+    /// CPU time of the controller during the measurement.
     pub processor_time: Duration,
-    /// For how long that was taken.
+    /// Duration of the measurement.
     pub measured_for: Duration,
-    /// The most memory resident so far.
+    /// Peak resident memory of the controller so far, in bytes.
     pub resident_peak: u64,
     /// Commands sent during the measurement.
     pub commands: usize,
-    /// Average number of runnable processes on the machine in the last minute.
+    /// Load average of the machine over one minute.
     pub machine_load: f64,
 }
 
-/// Plays a start: from the process's creation until the first command that sets an entry of a routing table.
+/// Measures a start of the controller, from the creation of the process until the first command that sets an entry of a
+/// routing table.
 ///
 /// # Errors
 ///
@@ -80,7 +82,7 @@
     let first = test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
     let usage = test_bed.controller.usage()?;
     Ok(Outcome {
-        name: format!("a start, ready after {:.1} ms", test_bed.time_to_ready.as_secs_f64() * 1e3),
+        name: format!("start, ready after {:.1} ms", test_bed.time_to_ready.as_secs_f64() * 1e3),
         first_command: first.latency,
         last_command: None,
         traffic: test_bed.traffic.read(),
@@ -92,12 +94,12 @@
     })
 }
 
-/// Plays the events in turn at one controller that receives reports all along.
+/// Runs the events in sequence against one controller that receives reports throughout.
 ///
 /// # Errors
 ///
 /// When the test bed cannot be started or observed.
-pub fn play(
+pub fn run_events(
     program: &Path,
     setup: &Setup,
     events: &[Event],
@@ -106,10 +108,10 @@
     let mut test_bed = TestBed::start(program, setup)?;
     test_bed.start_collectors(setup)?;
     thread::sleep(times.warm_up);
-    events.iter().map(|event| play_one(&test_bed, setup, *event, times.measured)).collect()
+    events.iter().map(|event| run_event(&test_bed, setup, *event, times.measured)).collect()
 }
 
-fn play_one(
+fn run_event(
     test_bed: &TestBed,
     setup: &Setup,
     event: Event,
@@ -127,7 +129,7 @@
             first_command = test_bed
                 .controller
                 .process
-                .wait_for_log_line(RELOADED, ACTION_TIMEOUT)
+                .wait_for_log_line(RELOADED_LOG_TEXT, ACTION_TIMEOUT)
                 .then(|| began.elapsed());
         }
         Event::FullList => test_bed.discovery.change_and_send_full_list(change.entries()),
@@ -160,16 +162,16 @@
     })
 }
 
-/// Which replicas an event changes.
+/// The selection of the replicas that an event changes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Selection {
-    /// A replica that owns a slice comes first, so that the event demands action.
+    /// A replica that owns a slice comes first, so that the controller has to react to the event.
     OwnerFirst,
-    /// The first of the list, whether or not they own slices.
+    /// The first replicas of the list, regardless of whether they own slices.
     ListOrder,
 }
 
-/// Replicas that change, and to what.
+/// The replicas that an event changes, and their new state.
 struct Change {
     replicas: Vec<usize>,
     entry_state: EntryState,
@@ -181,15 +183,18 @@
     }
 }
 
-/// Which replicas change, and to what.
+/// Selects the replicas that the event changes, and their new state.
 fn select_change(test_bed: &TestBed, setup: &Setup, event: Event) -> Change {
-    let cold = || SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
+    let cold_started_ms =
+        || SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
     let leaving = EntryState { state: ReplicaState::Leaving, started_ms: 0 };
     let (count, entry_state) = match event {
         Event::Nothing | Event::ConfigurationReload => (0, leaving),
         Event::Drain(count) => (count, leaving),
         Event::FullList => (1, leaving),
-        Event::Return(count) => (count, EntryState { state: ReplicaState::Active, started_ms: cold() }),
+        Event::Return(count) => {
+            (count, EntryState { state: ReplicaState::Active, started_ms: cold_started_ms() })
+        }
     };
     let selection = match entry_state.state {
         ReplicaState::Leaving => Selection::OwnerFirst,
@@ -198,7 +203,7 @@
     Change { replicas: replicas_to_change(test_bed, setup, count, selection), entry_state }
 }
 
-/// The numbers of the replicas that change.
+/// Returns the indices of the replicas that change.
 fn replicas_to_change(test_bed: &TestBed, setup: &Setup, count: usize, selection: Selection) -> Vec<usize> {
     let owned = test_bed.relay.owners();
     let owned = |at: &usize| owned.values().any(|owner| *owner == setup.size.replica(*at));
@@ -214,28 +219,28 @@
     relay_requests.iter().find(|request| request.commands.iter().any(withdraws))
 }
 
-/// What a controller uses while it is flooded.
+/// Throughput and resource usage of a controller during a flood.
 #[derive(Clone, Copy, Debug)]
 pub struct FloodCost {
-    /// Lines that it read, a second.
+    /// Lines read per second.
     pub lines_per_second: f64,
-    /// CPU time for a line, in seconds.
+    /// CPU time per line, in seconds.
     pub cpu_seconds_per_line: f64,
-    /// Its usage at the end.
+    /// Resource usage at the end of the flood.
     pub usage: Usage,
 }
 
-/// Floods the controller with lines: `periods` periods of each collector.
+/// Floods the controller with report lines, `periods` periods from each collector.
 ///
 /// # Errors
 ///
 /// When the test bed cannot be started or observed, or a collector fails.
 pub fn flood(program: &Path, setup: &Setup, periods: usize) -> Result<FloodCost, MeasureError> {
     let test_bed = TestBed::start(program, setup)?;
-    // Reports on replicas that are not listed yet would be ignored.
+    // The controller ignores reports on replicas that it does not know from the endpoint list yet.
     test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
     let schedules = setup.schedules();
-    // A first flood without a measurement fills names, windows and buffers.
+    // A first flood, which is not measured, fills the controller's name tables, windows and buffers.
     collectors::flood(test_bed.controller.address(), &schedules, 1, &test_bed.traffic)?;
     let before = test_bed.controller.usage()?;
     let flooded = collectors::flood(test_bed.controller.address(), &schedules, periods, &test_bed.traffic)?;
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -1,6 +1,6 @@
-//! One real controller process at size, against paced stand-ins on loopback: `test_bed` sets it up, `steady` measures it
-//! in a steady state, `events` in events, `aggregated` behind real aggregators, `sweep` lists the cases, `report` turns
-//! the measurements into fits, tables and charts.
+//! One real controller process with a large fleet, against rate-limited fakes on loopback. `test_bed` sets it up,
+//! `steady` measures it in a steady state, `events` during events, `aggregated` behind real aggregators, `sweep` lists
+//! the cases, `report` turns the measurements into fits, tables and charts.
 
 pub mod aggregated;
 mod error;
@@ -56,7 +56,7 @@
     pub only: Vec<String>,
 }
 
-/// Plays all sweeps and writes what came of them.
+/// Runs the selected sweeps and writes their results.
 ///
 /// # Errors
 ///
@@ -68,24 +68,24 @@
         warm_up: Duration::from_secs_f64(args.warm_up),
         measured: Duration::from_secs_f64(args.measured),
     };
-    let wanted = |sweep: &str| args.only.is_empty() || args.only.iter().any(|only| only == sweep);
+    let is_selected = |sweep: &str| args.only.is_empty() || args.only.iter().any(|only| only == sweep);
     let mut points = Vec::new();
-    let cases: Vec<_> = sweep::steady_cases().into_iter().filter(|case| wanted(case.sweep)).collect();
+    let cases: Vec<_> = sweep::steady_cases().into_iter().filter(|case| is_selected(case.sweep)).collect();
     for case in (0..args.plays).flat_map(|_| &cases) {
         let point = steady::measure(&program, case, times)?;
         eprintln!("{}", report::progress_line(&point));
         points.push(point);
         report::write_steady(&folder, &points)?;
     }
-    if wanted("events") {
-        let outcomes = sweep::play_events(&program, times)?;
+    if is_selected("events") {
+        let outcomes = sweep::run_events(&program, times)?;
         report::write_events(&folder, &outcomes)?;
     }
-    if wanted("flood") {
-        let floods = sweep::play_floods(&program)?;
+    if is_selected("flood") {
+        let floods = sweep::run_floods(&program)?;
         report::write_floods(&folder, &floods)?;
     }
-    if let Some(aggregator) = args.aggregator.as_ref().filter(|_| wanted("aggregated")) {
+    if let Some(aggregator) = args.aggregator.as_ref().filter(|_| is_selected("aggregated")) {
         measure_aggregated(&args, &program, aggregator, &folder, times)?;
     }
     Ok(())
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -1,4 +1,4 @@
-//! What was measured, as rows, tables with least-squares fits, and charts.
+//! Writes the measurements as rows, tables with least-squares fits, and charts.
 
 use super::aggregated::AggregatedMeasurement;
 use super::events::Outcome;
@@ -9,19 +9,19 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Bytes in a kilobyte, as the tables count them.
+/// Bytes per kilobyte in the results.
 const KILOBYTE: f64 = 1000.0;
-/// Bytes in a megabyte, as the tables count them.
+/// Bytes per megabyte in the results.
 const MEGABYTE: f64 = 1e6;
 /// The target's budget for one controller, in cores.
-const PROCESSOR_BUDGET: f64 = 0.029;
-/// The target's budget for reports to one controller, in bytes a second.
-const BYTES_BUDGET: f64 = 27.0 * KILOBYTE;
+const PROCESSOR_BUDGET_CORES: f64 = 0.029;
+/// The target's budget for reports to one controller, in bytes per second.
+const REPORT_BUDGET_BYTES_PER_SECOND: f64 = 27.0 * KILOBYTE;
 
 /// The target's budget for one controller, in megabytes.
 const MEMORY_BUDGET_MB: f64 = 64.0;
 
-/// One point in a line of progress output.
+/// Returns the line of progress output for one measurement.
 pub fn progress_line(point: &SteadyMeasurement) -> String {
     let size = &point.case.setup.size;
     format!(
@@ -70,10 +70,11 @@
     ]
 }
 
-/// A name, and its value at a point.
+/// The name of a regressor, and the function that returns its value at a point.
 type Regressor = (&'static str, fn(&SteadyMeasurement) -> f64);
 
-/// A fitted quantity: how it is called, the sweep, its regressors and what is measured.
+/// A quantity to fit: its name, the sweeps whose points are used, the regressors, and the function that returns the
+/// measured value.
 struct Quantity {
     name: &'static str,
     sweeps: &'static [&'static str],
@@ -81,75 +82,75 @@
     measured: fn(&SteadyMeasurement) -> f64,
 }
 
-const LINES: Regressor = ("lines/s", |p| p.rate(p.traffic.reports.lines));
-const REPLICAS: Regressor = ("replicas", |p| p.case.setup.size.replicas as f64);
-const REPLICAS_ZONES: Regressor =
+const REPORT_LINE_RATE: Regressor = ("lines/s", |p| p.rate(p.traffic.reports.lines));
+const REPLICA_COUNT: Regressor = ("replicas", |p| p.case.setup.size.replicas as f64);
+const REPLICA_ZONE_PAIRS: Regressor =
     ("replicas x zones", |p| (p.case.setup.size.replicas * p.case.setup.size.zones) as f64);
-const SLICES: Regressor = ("slices", |p| p.case.setup.size.slices as f64);
-const SLICES_ZONES: Regressor =
+const SLICE_COUNT: Regressor = ("slices", |p| p.case.setup.size.slices as f64);
+const SLICE_ZONE_PAIRS: Regressor =
     ("slices x zones", |p| (p.case.setup.size.slices * p.case.setup.size.zones) as f64);
-const PROXIES: Regressor = ("proxies", |p| p.case.setup.size.proxies as f64);
-const CHURN: Regressor = ("entries/s", |p| p.case.churn);
+const PROXY_COUNT: Regressor = ("proxies", |p| p.case.setup.size.proxies as f64);
+const CHURN_RATE: Regressor = ("entries/s", |p| p.case.churn);
 
 const QUANTITIES: [Quantity; 10] = [
     Quantity {
         name: "reports, bytes/s",
         sweeps: &["size", "slices"],
-        regressors: &[REPLICAS_ZONES, SLICES_ZONES],
+        regressors: &[REPLICA_ZONE_PAIRS, SLICE_ZONE_PAIRS],
         measured: |p| p.rate(p.traffic.reports.bytes),
     },
     Quantity {
         name: "processor, cores",
         sweeps: &["size"],
-        regressors: &[LINES, REPLICAS],
+        regressors: &[REPORT_LINE_RATE, REPLICA_COUNT],
         measured: SteadyMeasurement::processor_share,
     },
     Quantity {
-        name: "processor, cores, by lines alone",
+        name: "processor, cores, by report lines only",
         sweeps: &["size"],
-        regressors: &[LINES],
+        regressors: &[REPORT_LINE_RATE],
         measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor without reports, cores",
         sweeps: &["silent"],
-        regressors: &[REPLICAS],
+        regressors: &[REPLICA_COUNT],
         measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by slices, cores",
         sweeps: &["slices"],
-        regressors: &[SLICES],
+        regressors: &[SLICE_COUNT],
         measured: SteadyMeasurement::processor_share,
     },
     Quantity {
         name: "processor by proxies, cores",
         sweeps: &["proxies"],
-        regressors: &[PROXIES],
+        regressors: &[PROXY_COUNT],
         measured: SteadyMeasurement::processor_share,
     },
     Quantity {
-        name: "processor by churn of the list, cores",
+        name: "processor by endpoint list churn, cores",
         sweeps: &["churn"],
-        regressors: &[CHURN],
+        regressors: &[CHURN_RATE],
         measured: SteadyMeasurement::processor_share,
     },
     Quantity {
-        name: "list by churn, bytes/s",
+        name: "endpoint list by churn, bytes/s",
         sweeps: &["churn"],
-        regressors: &[CHURN],
+        regressors: &[CHURN_RATE],
         measured: |p| p.rate(p.traffic.endpoint_list.bytes),
     },
     Quantity {
         name: "memory resident, bytes",
         sweeps: &["size"],
-        regressors: &[REPLICAS, REPLICAS_ZONES],
+        regressors: &[REPLICA_COUNT, REPLICA_ZONE_PAIRS],
         measured: |p| p.usage.resident as f64,
     },
     Quantity {
         name: "memory by slices, bytes",
         sweeps: &["slices"],
-        regressors: &[SLICES],
+        regressors: &[SLICE_COUNT],
         measured: |p| p.usage.resident as f64,
     },
 ];
@@ -198,7 +199,7 @@
     text
 }
 
-/// Writes rows, table, fits and charts of the cases in a steady state.
+/// Writes rows, table, fits and charts of the steady-state cases.
 ///
 /// # Errors
 ///
@@ -206,32 +207,41 @@
 pub fn write_steady(folder: &Folder, points: &[SteadyMeasurement]) -> Result<(), ResultsError> {
     let columns = columns(points);
     folder.write_rows("steady", &columns)?;
-    let text =
-        format!("# One governor at rest\n\n{}\n# Least squares\n\n{}", markdown(&columns), fits(points));
+    let text = format!(
+        "# One controller in a steady state\n\n{}\n# Least squares\n\n{}",
+        markdown(&columns),
+        fits(points)
+    );
     folder.write_text("steady.md", &text)?;
     folder.write_chart(
         "processor",
         &chart(
             points,
-            "processor share of one governor",
+            "CPU use of one controller",
             "cores",
-            PROCESSOR_BUDGET,
+            PROCESSOR_BUDGET_CORES,
             SteadyMeasurement::processor_share,
         ),
     )?;
     let bytes = |p: &SteadyMeasurement| p.rate(p.traffic.bytes_in()) / KILOBYTE;
     folder.write_chart(
         "bytes",
-        &chart(points, "bytes told to one governor", "KB/s", BYTES_BUDGET / KILOBYTE, bytes),
+        &chart(
+            points,
+            "bytes sent to one controller",
+            "KB/s",
+            REPORT_BUDGET_BYTES_PER_SECOND / KILOBYTE,
+            bytes,
+        ),
     )?;
     let memory = |p: &SteadyMeasurement| p.usage.resident as f64 / MEGABYTE;
     folder.write_chart(
         "memory",
-        &chart(points, "memory of one governor", "MB resident", MEMORY_BUDGET_MB, memory),
+        &chart(points, "memory of one controller", "MB resident", MEMORY_BUDGET_MB, memory),
     )
 }
 
-/// The sizes measured, a series for each number of zones.
+/// Returns a chart of the sweep `size` over the number of replicas, with one series per number of zones.
 fn chart(
     points: &[SteadyMeasurement],
     title: &str,
@@ -288,7 +298,7 @@
         real("machine_load", |o| o.machine_load),
     ];
     folder.write_rows("events", &columns)?;
-    folder.write_text("events.md", &format!("# One governor in events\n\n{}", markdown(&columns)))
+    folder.write_text("events.md", &format!("# One controller during events\n\n{}", markdown(&columns)))
 }
 
 /// Writes rows and table of the floods.
@@ -309,7 +319,7 @@
     folder.write_text("floods.md", &format!("# Floods\n\n{}", markdown(&columns)))
 }
 
-/// Writes rows, table and fits of a controller behind aggregators, and the last log of the controller.
+/// Writes rows, table and fits of a controller behind aggregators, and the controller's log of the last run.
 ///
 /// # Errors
 ///
@@ -323,8 +333,8 @@
         whole("subset", |m| m.subsetting.subset as u64),
         whole("budget", |m| m.subsetting.bytes_per_second),
         whole("aggregators", |m| m.aggregators.len() as u64),
-        real("reports_kb_a_second", |m| m.rate(m.reports) / KILOBYTE),
-        real("lines_a_second", |m| m.rate(m.lines)),
+        real("reports_kb_a_second", |m| m.rate(m.report_bytes) / KILOBYTE),
+        real("lines_a_second", |m| m.rate(m.report_lines)),
         real("in_kb_a_second", |m| m.rate(m.bytes_in) / KILOBYTE),
         real("out_kb_a_second", |m| m.rate(m.bytes_out) / KILOBYTE),
         real("cores", AggregatedMeasurement::processor_share),
@@ -334,7 +344,7 @@
         real("first_report_s", |m| m.first_report.map_or(f64::NAN, |took| took.as_secs_f64())),
         real("aggregator_cores", AggregatedMeasurement::aggregator_share),
         real("aggregator_peak_mb", |m| m.aggregator_peak() as f64 / MEGABYTE),
-        real("told_to_aggregators_kb_a_second", |m| m.rate(m.sent_to_aggregators) / KILOBYTE),
+        real("told_to_aggregators_kb_a_second", |m| m.rate(m.bytes_to_aggregators) / KILOBYTE),
         real("measured_s", |m| m.measured_for.as_secs_f64()),
         real("machine_load", |m| m.machine_load),
     ];
@@ -349,14 +359,14 @@
     .collect();
     let log = measured.last().map(|last| last.log.join("\n")).unwrap_or_default();
     let text = format!(
-        "# One governor behind aggregators\n\n{}\n{}\nThe governor's log in the last play:\n\n```\n{log}\n```\n",
+        "# One controller behind aggregators\n\n{}\n{}\nLog of the controller in the last run:\n\n```\n{log}\n```\n",
         markdown(&columns),
         fits.concat()
     );
     folder.write_text("aggregated.md", &text)
 }
 
-/// A quantity by the size of the subset.
+/// Returns a line with the fit of a quantity by subset size.
 fn fit_subset(
     name: &str,
     measured: &[AggregatedMeasurement],
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -1,4 +1,4 @@
-//! One controller in a steady state: what it uses while the stand-ins send at a constant pace.
+//! Measures one controller in a steady state, while the fakes send at a constant rate.
 
 use super::error::MeasureError;
 use super::test_bed::{Setup, TestBed};
@@ -10,23 +10,23 @@
 use std::time::{Duration, Instant};
 use whinwall_protocol::collector;
 
-/// A setup, and which sweep it is a point of.
+/// A setup that is one point of a sweep.
 #[derive(Clone, Debug)]
 pub struct Case {
-    /// The sweep.
+    /// The name of the sweep.
     pub sweep: &'static str,
     /// The setup.
     pub setup: Setup,
-    /// Entries of the list that change a second.
+    /// Entries of the endpoint list that change per second.
     pub churn: f64,
 }
 
 /// Durations of the phases of a case.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// Before the measurement, until windows and tables have filled.
+    /// Time before the measurement, in which windows and tables fill.
     pub warm_up: Duration,
-    /// The measurement.
+    /// Duration of the measurement.
     pub measured: Duration,
 }
 
@@ -35,44 +35,45 @@
 pub struct SteadyMeasurement {
     /// The case.
     pub case: Case,
-    /// From the controller's start to its first PONG.
+    /// Time from the controller's start to its first PONG.
     pub time_to_ready: Duration,
-    /// For how long it was measured.
+    /// Actual duration of the measurement.
     pub measured_for: Duration,
-    /// What went over its connections during the measurement.
+    /// Traffic of the controller during the measurement.
     pub traffic: TrafficCount,
-    /// Its CPU time during the measurement.
+    /// CPU time of the controller during the measurement.
     pub processor_time: Duration,
-    /// Its memory at the end, and the most so far.
+    /// Resource usage of the controller at the end of the measurement.
     pub usage: Usage,
     /// CPU time of the harness during the measurement.
     pub harness: Duration,
     /// Commands that the controller sent during the measurement.
     pub commands: usize,
-    /// Average number of runnable processes on the machine in the last minute.
+    /// Load average of the machine over one minute.
     pub machine_load: f64,
-    /// CPU time of decoding one report line, measured in the harness right after: how fast the machine was then.
+    /// CPU time of decoding one report line in the harness right after the measurement. It shows the speed of the
+    /// machine at that time.
     pub decoding: Option<Duration>,
 }
 
 impl SteadyMeasurement {
-    /// The part of one core that the controller used.
+    /// Returns the CPU use of the controller as a fraction of one core.
     pub fn processor_share(&self) -> f64 {
         self.processor_time.as_secs_f64() / self.measured_for.as_secs_f64()
     }
 
-    /// The part of one core that the harness used.
+    /// Returns the CPU use of the harness as a fraction of one core.
     pub fn harness_share(&self) -> f64 {
         self.harness.as_secs_f64() / self.measured_for.as_secs_f64()
     }
 
-    /// A count as a rate a second.
+    /// Converts a count to a rate per second.
     pub fn rate(&self, count: u64) -> f64 {
         count as f64 / self.measured_for.as_secs_f64()
     }
 }
 
-/// Plays a case.
+/// Measures a case.
 ///
 /// # Errors
 ///
@@ -84,7 +85,7 @@
     test_bed.relay.take_requests();
     let (usage, harness) = (test_bed.controller.usage()?, Usage::of_self()?);
     let (traffic, began) = (test_bed.traffic.read(), Instant::now());
-    churn(&test_bed, case, began + times.measured);
+    run_churn(&test_bed, case, began + times.measured);
     let measured_for = began.elapsed();
     let (usage_after, harness_after) = (test_bed.controller.usage()?, Usage::of_self()?);
     Ok(SteadyMeasurement {
@@ -94,16 +95,18 @@
         traffic: test_bed.traffic.read().since(traffic),
         processor_time: usage_after.processor_time - usage.processor_time,
         usage: usage_after,
-        // The CPU time of harness threads that ended in between is no longer counted.
+        // Saturating, because the later reading lacks the CPU time of harness threads that ended during the
+        // measurement.
         harness: harness_after.processor_time.saturating_sub(harness.processor_time),
         commands: test_bed.relay.take_requests().iter().map(|request| request.commands.len()).sum(),
         machine_load: machine_load(),
-        decoding: decoding_time(),
+        decoding: decoding_time_per_line(),
     })
 }
 
-/// Changes entries at the case's pace until the end: replicas that own no slice leave and come back in turn.
-fn churn(test_bed: &TestBed, case: &Case, end: Instant) {
+/// Changes entries of the endpoint list at the case's rate until `end`: one replica after another drains and becomes
+/// active again.
+fn run_churn(test_bed: &TestBed, case: &Case, end: Instant) {
     let pause = if case.churn > 0.0 { Duration::from_secs_f64(1.0 / case.churn) } else { Duration::MAX };
     let mut next = Instant::now();
     for step in 0.. {
@@ -119,13 +122,14 @@
     thread::sleep(end.saturating_duration_since(Instant::now()));
 }
 
-/// CPU time of decoding one report line, on average over as many as the target's collectors send in a second.
-fn decoding_time() -> Option<Duration> {
+/// Returns the mean CPU time of decoding one report line, over as many lines as the target's collectors send per
+/// second.
+fn decoding_time_per_line() -> Option<Duration> {
     let size = FleetSize::target();
     let lines = ReportShape::full(&size).lines(&size, 0, &mut Random::new(1));
     let before = current_thread_processor_time()?;
     let decode_all = || lines.iter().filter(|line| collector::decode_report(line).is_some()).count();
     let decoded: usize = (0..size.zones).map(|_| decode_all()).sum();
-    let took = current_thread_processor_time()? - before;
-    Some(took / decoded.max(1) as u32)
+    let elapsed = current_thread_processor_time()? - before;
+    Some(elapsed / decoded.max(1) as u32)
 }
--- a/crates/scale-tests/src/one/test_bed.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -1,4 +1,4 @@
-//! A controller with all its stand-ins, set up for one case.
+//! A controller with its fake peers, set up for one case.
 
 use super::error::MeasureError;
 use crate::process::{Controller, Launch};
@@ -11,32 +11,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which one receive of a request of the controller blocks.
+/// Time limit for one receive of a relay request.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a controller is set up and what it receives.
+/// The set-up of a controller, and the reports that it receives.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The fleet.
     pub size: FleetSize,
-    /// What each zone's collector sends; none for silence.
+    /// The reports of each zone's collector; `None` for no reports.
     pub reports: Option<ReportShape>,
-    /// Collectors, one for each of the first zones.
+    /// Number of collectors; each reports for one of the first zones.
     pub collectors: usize,
-    /// Writes in which a collector's lines of one period leave.
+    /// Number of writes in which a collector sends the lines of one period.
     pub writes: usize,
-    /// The text of the operators' file, where there is one.
+    /// The content of the operators' file; `None` to start without one.
     pub operators: Option<String>,
 }
 
 impl Setup {
-    /// Every zone's collector reports on every replica and slice each second, in one write.
+    /// Creates a set-up in which every zone's collector reports on every replica and slice each second, in one write.
     pub fn reported(size: FleetSize) -> Self {
         let reports = Some(ReportShape::full(&size));
         Setup { collectors: size.zones, size, reports, writes: 1, operators: None }
     }
 
-    /// The schedules of all its collectors.
+    /// Returns the schedules of all collectors.
     pub fn schedules(&self) -> Vec<ReportSchedule> {
         let schedule = |shape, zone| ReportSchedule::for_zone(&self.size, shape, zone, self.writes);
         let schedules = |shape| (0..self.collectors).map(|zone| schedule(shape, zone)).collect();
@@ -47,34 +47,34 @@
 /// The first command on a routing table after a start.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstTableCommand {
-    /// From the controller's start to the command; none where none came in time.
+    /// Time from the controller's start to the command; `None` if it was not sent in time.
     pub latency: Option<Duration>,
-    /// Commands sent until then.
+    /// Number of commands received up to and including those of that request.
     pub commands: usize,
 }
 
-/// A running controller with its stand-ins; all end when it is dropped.
+/// A running controller with its fake peers. All end when it is dropped.
 pub struct TestBed {
-    /// The collectors; declared first, so that they end before the controller does.
+    /// The collectors. This field is declared first, so that collectors are dropped before the controller.
     pub collectors: Option<Collectors>,
     /// The controller.
     pub controller: Controller,
-    /// Its relay.
+    /// The fake relay.
     pub relay: Relay,
-    /// Its discovery agent.
+    /// The fake discovery agent.
     pub discovery: Discovery,
-    /// What went over all connections.
+    /// Traffic on all connections of the controller.
     pub traffic: Arc<Traffic>,
-    /// From its start to its first PONG.
+    /// Time from the controller's start to its first PONG.
     pub time_to_ready: Duration,
 }
 
 impl TestBed {
-    /// Starts the stand-ins, then the controller, and pings it; the collectors are not started yet.
+    /// Starts the fake relay and discovery, then the controller, and pings it. The collectors are not started.
     ///
     /// # Errors
     ///
-    /// When a stand-in or the controller cannot be started, or the controller does not answer a PING.
+    /// When a fake or the controller cannot be started, or the controller does not answer a PING.
     pub fn start(program: &Path, setup: &Setup) -> Result<TestBed, MeasureError> {
         let traffic = Arc::new(Traffic::default());
         let relay = Relay::start(&setup.size, &traffic)?;
@@ -90,8 +90,8 @@
         Ok(TestBed { collectors: None, controller, relay, discovery, traffic, time_to_ready })
     }
 
-    /// Waits for the first command that sets an entry of a routing table, which a controller sends once it knows the
-    /// endpoint list and the tables in the relay's store.
+    /// Waits for the first command that sets an entry of a routing table. The controller sends it after it has received
+    /// the endpoint list and the tables in the relay's store.
     pub fn wait_for_first_table_command(&self, timeout: Duration) -> FirstTableCommand {
         let started = self.controller.started();
         let mut commands = 0;
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -32,10 +32,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// An operation on a file, pipe, socket or process failed.
-    #[error("{what}: {source}")]
+    #[error("{operation}: {source}")]
     Io {
         /// The failed operation or the path of the file.
-        what: String,
+        operation: String,
         /// The I/O error.
         source: std::io::Error,
     },
@@ -53,9 +53,9 @@
     NoPong(String),
 }
 
-fn io_error(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ProcessError {
-    let what = what.into();
-    |source| ProcessError::Io { what, source }
+fn io_error(operation: impl Into<String>) -> impl FnOnce(std::io::Error) -> ProcessError {
+    let operation = operation.into();
+    |source| ProcessError::Io { operation, source }
 }
 
 /// Returns the path of the controller's program in the folder of the running executable. Under cargo, builds it first.
@@ -67,8 +67,8 @@
     program(CONTROLLER_PROGRAM, CONTROLLER_PROGRAM)
 }
 
-/// Returns the path of a program of the workspace in the folder of the running executable. Under cargo, builds it first,
-/// so that the program matches the sources.
+/// Returns the path of a program of the workspace in the folder of the running executable. Under cargo, builds it
+/// first, so that the program matches the sources.
 ///
 /// # Errors
 ///
@@ -287,7 +287,7 @@
     /// When the signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         let sent = kill_process(Pid::from_child(&self.child), signal);
-        sent.map_err(|why| io_error(format!("{signal:?}"))(why.into()))
+        sent.map_err(|error| io_error(format!("{signal:?}"))(error.into()))
     }
 
     /// Waits for the program's exit and returns its status; returns `None` if it still runs after the given time.
--- a/crates/scale-tests/src/results.rs
+++ b/crates/scale-tests/src/results.rs
@@ -42,7 +42,7 @@
     ///
     /// When the folder cannot be created.
     pub fn create(path: &Path) -> Result<Folder, ResultsError> {
-        std::fs::create_dir_all(path).map_err(|why| ResultsError::new(path, why))?;
+        std::fs::create_dir_all(path).map_err(|error| ResultsError::new(path, error))?;
         Ok(Folder(path.into()))
     }
 
@@ -53,7 +53,7 @@
     /// When the file cannot be written.
     pub fn write_rows(&self, name: &str, columns: &[Column]) -> Result<(), ResultsError> {
         let path = self.0.join(format!("{name}.parquet"));
-        write_parquet(&path, columns).map_err(|why| ResultsError::new(&path, why))
+        write_parquet(&path, columns).map_err(|error| ResultsError::new(&path, error))
     }
 
     /// Writes a text file.
@@ -63,7 +63,7 @@
     /// When the file cannot be written.
     pub fn write_text(&self, name: &str, text: &str) -> Result<(), ResultsError> {
         let path = self.0.join(name);
-        std::fs::write(&path, text).map_err(|why| ResultsError::new(&path, why))
+        std::fs::write(&path, text).map_err(|error| ResultsError::new(&path, error))
     }
 
     /// Draws the chart as `NAME.svg`.
@@ -73,7 +73,7 @@
     /// When the chart cannot be drawn or the file cannot be written.
     pub fn write_chart(&self, name: &str, chart: &Chart) -> Result<(), ResultsError> {
         let path = self.0.join(format!("{name}.svg"));
-        chart.draw(&path).map_err(|why| ResultsError::new(&path, why))
+        chart.draw(&path).map_err(|error| ResultsError::new(&path, error))
     }
 }
 
--- a/crates/scale-tests/src/stand_ins/collectors.rs
+++ b/crates/scale-tests/src/stand_ins/collectors.rs
@@ -188,7 +188,7 @@
     periods: usize,
     traffic: &Arc<Traffic>,
 ) -> Result<FloodOutcome, ProcessError> {
-    let failed = |source| ProcessError::Io { what: "flood".into(), source };
+    let failed = |source| ProcessError::Io { operation: "flood".into(), source };
     let streams: Vec<_> = schedules
         .iter()
         .map(|schedule| connect_collector(controller, &schedule.zone, traffic))
--- a/crates/scale-tests/src/stand_ins/discovery.rs
+++ b/crates/scale-tests/src/stand_ins/discovery.rs
@@ -170,7 +170,7 @@
     let peeked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0]));
     let ended = match peeked {
         Ok(read) => read == 0,
-        Err(why) => why.kind() != std::io::ErrorKind::WouldBlock,
+        Err(error) => error.kind() != std::io::ErrorKind::WouldBlock,
     };
     ended || stream.set_nonblocking(false).is_err()
 }
--- a/crates/scale-tests/src/stand_ins/fleet.rs
+++ b/crates/scale-tests/src/stand_ins/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet that the fakes describe: names of replicas and zones, entries of the registry, and report lines with values
-//! drawn from a seeded random generator.
+//! The fleet that the fakes describe: names of replicas and zones, entries of the registry, and report lines with
+//! values drawn from a seeded random generator.
 
 use serde_json::{json, Value};
 
@@ -63,7 +63,8 @@
 }
 
 impl FleetSize {
-    /// Returns the target size: 2,200 replicas, 9 zones, 650 controllers with 20 slices each, 58,000 requests per second.
+    /// Returns the target size: 2,200 replicas, 9 zones, 650 controllers with 20 slices each, 58,000 requests per
+    /// second.
     pub fn target() -> Self {
         FleetSize {
             replicas: 2200,
--- a/crates/scale-tests/src/stand_ins/mod.rs
+++ b/crates/scale-tests/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Fakes of a controller's peers, on loopback sockets. They speak the real protocols, send at a configured rate and count
-//! the bytes and lines in each direction. A fake ends when it is dropped.
+//! Fakes of a controller's peers, on loopback sockets. They speak the real protocols, send at a configured rate and
+//! count the bytes and lines in each direction. A fake ends when it is dropped.
 
 pub mod collectors;
 pub mod counting_proxy;
--- a/crates/scale-tests/src/stand_ins/relay.rs
+++ b/crates/scale-tests/src/stand_ins/relay.rs
@@ -1,5 +1,5 @@
-//! Fake relay: stores the routing tables, sends a snapshot and keep-alive lines to its watchers, applies relay requests,
-//! and acknowledges each version immediately on behalf of all proxies.
+//! Fake relay: stores the routing tables, sends a snapshot and keep-alive lines to its watchers, applies relay
+//! requests, and acknowledges each version immediately on behalf of all proxies.
 
 use super::fleet::FleetSize;
 use super::loopback_server::LoopbackServer;
--- a/crates/scale-tests/tests/aggregated.rs
+++ b/crates/scale-tests/tests/aggregated.rs
@@ -1,5 +1,5 @@
-//! One real controller behind two real aggregators at small size: it receives reports on its subset only, each replica and slice
-//! in lines that it reads, and by both programs as their file says. Nothing here depends on how fast the machine is.
+//! One real controller behind two real aggregators, with a small fleet. The controller must receive reports on its
+//! subset only, within the budget, in lines that it accepts. No check depends on the speed of the machine.
 
 use std::time::Duration;
 use whinwall_scale_tests::one::aggregated::{measure, Subsetting};
@@ -8,11 +8,11 @@
 use whinwall_scale_tests::process::{controller_program, program};
 use whinwall_scale_tests::stand_ins::fleet::FleetSize;
 
-const MEMORY_BOUND: u64 = 64 << 20;
+const MEMORY_LIMIT_BYTES: u64 = 64 << 20;
 const TIMES: Times = Times { warm_up: Duration::from_secs(2), measured: Duration::from_secs(4) };
 
 #[test]
-fn aggregators_send_a_controller_less_than_collectors_send_them() {
+fn controller_receives_fewer_report_bytes_than_its_aggregators() {
     let size =
         FleetSize { replicas: 60, zones: 3, slices: 6, proxies: 5, controllers: 20, ..FleetSize::target() };
     let setup = Setup::reported(size);
@@ -20,10 +20,11 @@
     let aggregator = program("whinwall-aggregation", "whinwall-aggregator").unwrap();
     let measured = measure(&controller_program().unwrap(), &aggregator, &setup, &subsetting, TIMES).unwrap();
     assert!(measured.first_report.is_some(), "{measured:?}");
-    // 3 zones and 60 replicas become one line each for about 8 replicas: a small part, whatever came late.
-    assert!(measured.reports * 2 * 2 < measured.sent_to_aggregators, "{measured:?}");
-    assert!(measured.rate(measured.reports) < 27_000.0, "{measured:?}");
-    assert!(measured.usage.resident_peak < MEMORY_BOUND, "{measured:?}");
+    // Reports on 60 replicas from 3 zones become one line each for about 8 replicas. The factor leaves room for late
+    // reports.
+    assert!(measured.report_bytes * 2 * 2 < measured.bytes_to_aggregators, "{measured:?}");
+    assert!(measured.rate(measured.report_bytes) < 27_000.0, "{measured:?}");
+    assert!(measured.usage.resident_peak < MEMORY_LIMIT_BYTES, "{measured:?}");
     assert_eq!(measured.aggregators.len(), 2);
     assert!(
         !measured.log.iter().any(|line| line.contains(" warn ") || line.contains(" error ")),
--- a/crates/scale-tests/tests/help.rs
+++ b/crates/scale-tests/tests/help.rs
@@ -1,5 +1,5 @@
-//! Compares the help texts literally with the fixtures, because scripts, manuals and completions depend on their wording.
-//! The program's own name may change; the fixtures contain `PROGRAM` for it.
+//! Compares the help texts literally with the fixtures, because scripts, manuals and completions depend on their
+//! wording. The program's own name may change; the fixtures contain `PROGRAM` for it.
 
 use whinwall_test_support::help_text::help_text;
 
--- a/crates/scale-tests/tests/many.rs
+++ b/crates/scale-tests/tests/many.rs
@@ -1,8 +1,8 @@
-//! A few controller processes beside some tens of simulated ones: every event completes at all of them. Times are
-//! measured and printed, and not judged.
+//! Runs all events with 3 controller processes and 27 simulated controllers. Every event must complete at all
+//! controllers involved. Times are measured and printed, but not checked.
 
 use std::time::Duration;
-use whinwall_scale_tests::many::{find_program, play, table, Plan, Results, Traffic};
+use whinwall_scale_tests::many::{find_program, run_events, table, Plan, Results, Traffic};
 
 fn plan() -> Plan {
     Plan {
@@ -27,25 +27,25 @@
 
 fn completed_count(results: &Results, event: &str) -> usize {
     let outcome = results.outcomes.iter().find(|outcome| outcome.event == event);
-    outcome.unwrap_or_else(|| panic!("no event {event:?}")).progress.times.len()
+    outcome.unwrap_or_else(|| panic!("event {event:?} missing in the results")).progress.times.len()
 }
 
 #[test]
 fn every_event_completes_at_all_controllers() {
     let plan = plan();
-    let results = play(&plan).unwrap();
+    let results = run_events(&plan).unwrap();
     println!("{}", table(&plan, &results));
     for outcome in &results.outcomes {
         assert!(outcome.progress.missing.is_empty(), "{}: {:?}", outcome.event, outcome.progress.missing);
     }
-    assert_eq!(completed_count(&results, "all start together"), 30);
+    assert_eq!(completed_count(&results, "simultaneous start"), 30);
     assert_eq!(completed_count(&results, "configuration change"), 30);
     assert_eq!(completed_count(&results, "replica drained"), 30);
-    // All but numbers 0, 10 and 20.
+    // Controllers 0, 10 and 20 keep running.
     assert_eq!(completed_count(&results, "nine in ten restarted"), 27);
-    assert_eq!(completed_count(&results, "region cut off: noticed"), 10);
-    assert_eq!(completed_count(&results, "replica drained meanwhile: other regions"), 20);
-    assert_eq!(completed_count(&results, "region back: all agree"), 10);
+    assert_eq!(completed_count(&results, "region partitioned: detected"), 10);
+    assert_eq!(completed_count(&results, "replica drained during partition: other regions"), 20);
+    assert_eq!(completed_count(&results, "region reconnected: all converged"), 10);
     let started = &results.outcomes[0].progress;
     let [real, simulated] =
         [&started.real, &started.simulated].map(|sent_bytes| sent_bytes.bytes(Traffic::List) as usize);
@@ -58,14 +58,14 @@
 #[test]
 fn missing_program_is_named_in_the_error() {
     let plan = Plan { program: "/nowhere/whinwall-controller".into(), ..plan() };
-    let failure = play(&plan).unwrap_err().to_string();
+    let failure = run_events(&plan).unwrap_err().to_string();
     assert!(failure.contains("/nowhere/whinwall-controller"), "{failure}");
 }
 
 #[test]
 fn controller_that_does_not_serve_ends_the_run() {
-    // It ends at once, without a word.
+    // The program exits immediately without logging an address.
     let plan = Plan { program: "/bin/true".into(), ..plan() };
-    let failure = play(&plan).unwrap_err().to_string();
-    assert!(failure.contains("does not serve"), "{failure}");
+    let failure = run_events(&plan).unwrap_err().to_string();
+    assert!(failure.contains("did not start serving"), "{failure}");
 }
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -1,5 +1,5 @@
-//! One real controller at small size: lines arrive and are counted as computed, figures fit, memory is bounded, a drain
-//! is acted on. Nothing here depends on how fast the machine is.
+//! One real controller with a small fleet: report lines are counted correctly, measurements fit a line, memory is
+//! bounded, and the controller reacts to draining replicas. No check depends on the speed of the machine.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -15,13 +15,14 @@
 use whinwall_scale_tests::stand_ins::collectors::{connect_collector, flood};
 use whinwall_scale_tests::stand_ins::fleet::{FleetSize, Random, ReportShape};
 
-/// What a small controller never needs, in a debug build with much room.
-const MEMORY_BOUND: u64 = 64 << 20;
-/// Far longer than anything takes: a test that waits so long has failed.
+/// Limit of the resident memory of a controller with a small fleet. It leaves a wide margin for debug builds.
+const MEMORY_LIMIT_BYTES: u64 = 64 << 20;
+/// Time limit for each wait, far longer than any step takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// What the controller logs of a report that can't be used.
-const IGNORED_REPORT: &str = "report ignored";
-const SHORT: Times = Times { warm_up: Duration::from_millis(100), measured: Duration::from_millis(500) };
+/// Text of the log line that the controller writes for an invalid report.
+const IGNORED_REPORT_LOG_TEXT: &str = "report ignored";
+const SHORT_TIMES: Times =
+    Times { warm_up: Duration::from_millis(100), measured: Duration::from_millis(500) };
 
 fn program() -> &'static PathBuf {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
@@ -39,7 +40,7 @@
     for (replicas, zones) in [(20, 1), (20, 3), (60, 1), (60, 3), (180, 3)] {
         let setup = setup(replicas, zones);
         let test_bed = TestBed::start(program(), &setup).unwrap();
-        // Reports on what is not listed yet would be passed over.
+        // The controller ignores reports on replicas that it does not know from the endpoint list yet.
         assert!(test_bed.wait_for_first_table_command(TIMEOUT).latency.is_some());
         let schedules = setup.schedules();
         let before = test_bed.traffic.read().reports;
@@ -56,16 +57,21 @@
         assert_eq!(received.bytes as usize, bytes + source_lines);
         assert_eq!(flooded.lines as usize, line_count);
         assert_eq!(line_count, PERIODS * zones * (replicas + 6 * 2));
-        // A line that could not be read would be logged, or have cost the connection before its PONG.
-        let complaints: Vec<String> = test_bed
+        // An invalid line would be logged, or would close the connection before its PONG.
+        let log_problems: Vec<String> = test_bed
             .controller
             .take_log_lines()
             .into_iter()
-            .filter(|line| [IGNORED_REPORT, " warn ", " error "].iter().any(|sign| line.contains(sign)))
+            .filter(|line| {
+                [IGNORED_REPORT_LOG_TEXT, " warn ", " error "].iter().any(|text| line.contains(text))
+            })
             .collect();
-        assert!(complaints.is_empty(), "{complaints:?}");
+        assert!(log_problems.is_empty(), "{log_problems:?}");
         let usage = test_bed.controller.usage().unwrap();
-        assert!(usage.resident_peak < MEMORY_BOUND && usage.resident <= usage.resident_peak, "{usage:?}");
+        assert!(
+            usage.resident_peak < MEMORY_LIMIT_BYTES && usage.resident <= usage.resident_peak,
+            "{usage:?}"
+        );
         assert!(!usage.processor_time.is_zero() && usage.threads >= 1, "{usage:?}");
         points.push(Point { regressors: vec![line_count as f64], measured: received.bytes as f64 });
     }
@@ -73,15 +79,15 @@
     assert!(fit.r_squared > 0.99 && (80.0..150.0).contains(&fit.slopes[0]), "{fit:?}");
 }
 
-/// The check for complaints in the test above would find a line that can't be used.
+/// Ensures that the log check of `report_lines_are_counted_as_written_and_fit_a_line` detects an invalid line.
 #[test]
 fn invalid_report_line_is_logged() {
     let setup = setup(20, 1);
     let test_bed = TestBed::start(program(), &setup).unwrap();
     let mut collector = connect_collector(test_bed.controller.address(), "z0", &test_bed.traffic).unwrap();
-    let spoilt = setup.reports.unwrap().lines(&setup.size, 0, &mut Random::new(1)).remove(0);
-    writeln!(collector, "{}", spoilt.replace("\"bad\":0", "\"bad\":-1")).unwrap();
-    assert!(test_bed.controller.process.wait_for_log_line(IGNORED_REPORT, TIMEOUT));
+    let valid_line = setup.reports.unwrap().lines(&setup.size, 0, &mut Random::new(1)).remove(0);
+    writeln!(collector, "{}", valid_line.replace("\"bad\":0", "\"bad\":-1")).unwrap();
+    assert!(test_bed.controller.process.wait_for_log_line(IGNORED_REPORT_LOG_TEXT, TIMEOUT));
 }
 
 #[test]
@@ -96,20 +102,26 @@
 
 #[test]
 fn draining_replica_is_withdrawn_and_loses_its_slices() {
-    let played = events::play(program(), &setup(40, 2), &[Event::Drain(1), Event::FullList], SHORT).unwrap();
-    for outcome in &played {
+    let outcomes =
+        events::run_events(program(), &setup(40, 2), &[Event::Drain(1), Event::FullList], SHORT_TIMES)
+            .unwrap();
+    for outcome in &outcomes {
         let (first, last) = (outcome.first_command.unwrap(), outcome.last_command.unwrap());
         assert!(first <= outcome.measured_for && last <= outcome.measured_for, "{outcome:?}");
         assert!(outcome.commands > 0 && outcome.traffic.endpoint_list.bytes > 0, "{outcome:?}");
     }
-    // The second received all entries, the first one of them.
-    assert!(played[1].traffic.endpoint_list.bytes > 10 * played[0].traffic.endpoint_list.bytes, "{played:?}");
+    // The full list contains all entries; the first event sends only one.
+    assert!(
+        outcomes[1].traffic.endpoint_list.bytes > 10 * outcomes[0].traffic.endpoint_list.bytes,
+        "{outcomes:?}"
+    );
 }
 
 #[test]
 fn configuration_reload_sends_no_command() {
-    let played = events::play(program(), &setup(40, 2), &[Event::ConfigurationReload], SHORT).unwrap();
-    assert!(played[0].first_command.is_some() && played[0].last_command.is_none(), "{played:?}");
+    let outcomes =
+        events::run_events(program(), &setup(40, 2), &[Event::ConfigurationReload], SHORT_TIMES).unwrap();
+    assert!(outcomes[0].first_command.is_some() && outcomes[0].last_command.is_none(), "{outcomes:?}");
 }
 
 #[test]
@@ -121,17 +133,20 @@
 #[test]
 fn results_are_written_as_rows_table_and_charts() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut few, mut more) = (setup(20, 1), setup(40, 1));
-    // Sums over zones in long windows: the shape that aggregated reports have.
-    few.reports = Some(ReportShape { window_ms: 200.0, zones_summed: 9, ..ReportShape::full(&few.size) });
-    more.reports = Some(ReportShape { replicas: 0..10, ..ReportShape::full(&more.size) });
+    let (mut small, mut large) = (setup(20, 1), setup(40, 1));
+    // Sums over zones with their own window, as in aggregated reports.
+    small.reports = Some(ReportShape { window_ms: 200.0, zones_summed: 9, ..ReportShape::full(&small.size) });
+    large.reports = Some(ReportShape { replicas: 0..10, ..ReportShape::full(&large.size) });
     let case = |setup| Case { sweep: "size", setup, churn: 4.0 };
-    let points: Vec<_> = [few, more]
+    let points: Vec<_> = [small, large]
         .into_iter()
-        .map(|setup| steady::measure(program(), &case(setup), SHORT).unwrap())
+        .map(|setup| steady::measure(program(), &case(setup), SHORT_TIMES).unwrap())
         .collect();
     for point in &points {
-        assert!(point.measured_for >= SHORT.measured && point.usage.resident < MEMORY_BOUND, "{point:?}");
+        assert!(
+            point.measured_for >= SHORT_TIMES.measured && point.usage.resident < MEMORY_LIMIT_BYTES,
+            "{point:?}"
+        );
     }
     report::write_steady(&Folder::create(folder.path()).unwrap(), &points).unwrap();
     let table = std::fs::read_to_string(folder.path().join("steady.md")).unwrap();
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/stand_ins.rs
@@ -1,4 +1,5 @@
-//! The stand-ins by themselves: what they send follows the protocol, and what they count is what was sent.
+//! The fakes without a controller: the lines that they send follow the protocol, and their counters match the sent
+//! bytes.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -44,9 +45,10 @@
     let lines = ReportShape::full(&size).lines(&size, 1, &mut Random::new(7));
     assert_eq!(lines.len(), size.replicas + size.slices * size.classes);
     for line in &lines {
-        collector::decode_report(line).unwrap_or_else(|| panic!("{line} is no report"));
+        collector::decode_report(line).unwrap_or_else(|| panic!("invalid report line: {line}"));
     }
-    // The reports of all zones for a second add up to the requests to the fleet, within the random spread.
+    // The attempts in the reports of all zones for one second add up to the requests to the fleet, within the random
+    // variation.
     let total_attempts: f64 = (0..size.zones)
         .flat_map(|zone| ReportShape::full(&size).lines(&size, zone, &mut Random::new(zone as u64)))
         .filter_map(|line| match collector::decode(&line) {
@@ -56,7 +58,7 @@
         .sum();
     assert!(
         (0.7..1.3).contains(&(total_attempts / size.requests)),
-        "{total_attempts} tries of {}",
+        "{total_attempts} attempts for {} requests",
         size.requests
     );
 }
@@ -96,7 +98,7 @@
         acks += usize::from(watcher.line().starts_with("* ACK "));
     }
     assert_eq!(traffic.read().relay_responses.bytes, client.read as u64);
-    // Keep-alives may follow what was read here.
+    // Keep-alive lines may have been sent after the lines read here.
     assert!(traffic.read().relay_events.bytes >= watcher.read as u64);
 }
 
@@ -107,7 +109,7 @@
     let request = "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nhost: x\r\n\r\n";
     let mut watch = Peer::connect(discovery.address(), request);
     while !watch.line().is_empty() {}
-    // A chunk is its length, its line, and an empty line; keep-alives may come between.
+    // A chunk consists of its length, its line and an empty line. Keep-alive chunks may come in between.
     let mut next = || loop {
         let length = usize::from_str_radix(&watch.line(), 16).unwrap();
         let line = watch.line();
@@ -117,8 +119,8 @@
             return (list, length);
         }
     };
-    let (whole, length) = next();
-    assert!(whole.is_complete && whole.entries.len() == size.replicas);
+    let (full_list, length) = next();
+    assert!(full_list.is_complete && full_list.entries.len() == size.replicas);
     assert_eq!(length, discovery.full_list_bytes() + 1);
     let leaving = EntryState { state: ReplicaState::Leaving, started_ms: 0 };
     discovery.change([(3, leaving), (4, leaving)]);
@@ -156,14 +158,15 @@
     assert_eq!(counts(&counting_proxy.traffic.from_controller), (client.read as u64, 1));
 }
 
-/// Collectors that were started before one failed to connect ran on, and went on reporting to a controller of a test that had failed.
+/// Guards against collectors that keep running after another one failed to connect: they would continue to send reports
+/// to the controller of a failed test.
 #[test]
-fn collectors_end_where_one_of_them_fails_to_connect() {
+fn collectors_end_if_one_of_them_fails_to_connect() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let first = std::thread::spawn(move || {
         let (stream, _) = listener.accept().unwrap();
-        // Nobody listens there from now on.
+        // Further connections are refused from here on.
         drop(listener);
         stream
     });
@@ -177,6 +180,6 @@
     let began = std::time::Instant::now();
     let mut bytes = [0; 4096];
     while stream.read(&mut bytes).is_ok_and(|read| read > 0) {
-        assert!(began.elapsed() < TIMEOUT / 4, "it still reports");
+        assert!(began.elapsed() < TIMEOUT / 4, "a collector still sends reports after the failed start");
     }
 }
