--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -1,5 +1,6 @@
-//! The reader pool on loopback sockets, with an owner that records what it applies: stalls and panics at each stage,
-//! order, many connections, the same sums for any number of readers.
+//! Tests of the reader pool over loopback sockets. The owner of the pool records the reports that it applies. Covered
+//! are stalls and panics at each stage, the order of reports, many connections, and equal sums for any number of
+//! readers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,45 +25,45 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The reports that were applied, in order.
+/// An input that the owner applied.
 #[derive(Clone, Debug, PartialEq)]
-enum Counted {
-    /// The requests for a slice, and the number of lines.
+enum Applied {
+    /// Connection, slice, number of requests, number of lines.
     DemandReport(ConnectionId, u32, f64, f64),
     EndpointReport(ConnectionId, u32, f64),
     Ping(ConnectionId),
-    Lost(ConnectionId),
-    Ended(ConnectionId),
+    ChunkLost(ConnectionId),
+    ConnectionEnded(ConnectionId),
 }
 
-/// The owner of the state, on its own thread.
+/// The thread that owns the reader pool and applies its batches.
 struct Owner {
     address: SocketAddr,
-    counted: Arc<Mutex<Vec<Counted>>>,
+    applied: Arc<Mutex<Vec<Applied>>>,
     events: Arc<Mutex<Vec<String>>>,
     metrics: Arc<ReaderMetrics>,
-    held: Arc<Mutex<(usize, usize)>>,
-    _end: tokio::sync::oneshot::Sender<()>,
+    pool_size: Arc<Mutex<(usize, usize)>>,
+    _shutdown: tokio::sync::oneshot::Sender<()>,
 }
 
 struct OwnerState {
     pool: Rc<RefCell<ReaderPool>>,
-    counted: Arc<Mutex<Vec<Counted>>>,
+    applied: Arc<Mutex<Vec<Applied>>>,
 }
 
 impl OwnerState {
     fn apply(&self, from: ConnectionId, ready: ReadyChunks<ReportBatch>) {
-        let mut counted = self.counted.lock().unwrap();
+        let mut applied = self.applied.lock().unwrap();
         for batch in ready.chunks {
             for item in batch.items {
                 match item {
                     BatchItem::Reports(reports) => {
-                        counted.extend(reports.iter().map(|report| match report.body {
-                            ReportBody::Demand { slice, report: asked } => {
-                                Counted::DemandReport(from, slice, asked.requests, report.line_count)
+                        applied.extend(reports.iter().map(|report| match report.body {
+                            ReportBody::Demand { slice, report: demand } => {
+                                Applied::DemandReport(from, slice, demand.requests, report.line_count)
                             }
-                            ReportBody::Endpoint { replica, report: met, .. } => {
-                                Counted::EndpointReport(from, replica, met.attempts)
+                            ReportBody::Endpoint { replica, report: endpoint, .. } => {
+                                Applied::EndpointReport(from, replica, endpoint.attempts)
                             }
                         }));
                     }
@@ -70,11 +71,11 @@
                         _ = batch.commands.try_send(ConnectionCommand::MarkAuthenticated);
                     }
                     BatchItem::Message(Message::Ping) => {
-                        counted.push(Counted::Ping(from));
+                        applied.push(Applied::Ping(from));
                         _ = batch.commands.try_send(ConnectionCommand::Send("PONG".into()));
                     }
                     BatchItem::Panicked => {
-                        counted.push(Counted::Lost(from));
+                        applied.push(Applied::ChunkLost(from));
                         _ = batch.commands.try_send(ConnectionCommand::Close(None));
                     }
                     BatchItem::Message(other) => panic!("{other:?}"),
@@ -83,20 +84,20 @@
             }
         }
         if ready.is_ended {
-            counted.push(Counted::Ended(from));
+            applied.push(Applied::ConnectionEnded(from));
         }
     }
 }
 
 impl Owner {
     fn start(readers: usize, hook: StageHook) -> Self {
-        let (counted, events) = (Arc::<Mutex<Vec<_>>>::default(), Arc::<Mutex<Vec<_>>>::default());
-        let (metrics, held) =
+        let (applied, events) = (Arc::<Mutex<Vec<_>>>::default(), Arc::<Mutex<Vec<_>>>::default());
+        let (metrics, pool_size) =
             (Arc::new(ReaderMetrics::new(readers)), Arc::<Mutex<(usize, usize)>>::default());
-        let (end, mut ended) = tokio::sync::oneshot::channel();
+        let (shutdown, mut is_shut_down) = tokio::sync::oneshot::channel();
         let (started, address) = std_mpsc::channel();
-        let (into_counted, into_events, counts, holds) =
-            (counted.clone(), events.clone(), metrics.clone(), held.clone());
+        let (owner_applied, owner_events, counter, owner_pool_size) =
+            (applied.clone(), events.clone(), metrics.clone(), pool_size.clone());
         thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let listener = Rc::new(actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
@@ -104,18 +105,18 @@
                 let (inbox, mut arrived) = mpsc::channel(64);
                 let (bounds, clock) = (Bounds::new(3000, 4 << 20), Clock::start());
                 let config =
-                    PoolConfig { readers, clock, bounds: bounds.clone(), inbox, metrics: counts, hook };
+                    PoolConfig { readers, clock, bounds: bounds.clone(), inbox, metrics: counter, hook };
                 let (pool, mut batches) = ReaderPool::start(config).unwrap();
                 let replicas = (0..10).map(|n| (format!("s-{n}"), n)).collect();
                 let (zones, request_classes) = (vec!["north".into()], vec!["lookup".into()]);
                 pool.publish_names(ReportNames { zones, request_classes, replicas, version: 1 });
-                let owner = OwnerState { pool: Rc::new(RefCell::new(pool)), counted: into_counted };
+                let owner = OwnerState { pool: Rc::new(RefCell::new(pool)), applied: owner_applied };
                 actix_rt::spawn(listener::listen(listener, bounds, PoolHandle(owner.pool.clone())));
-                let mut looks = tokio::time::interval(Duration::from_millis(100));
+                let mut supervision_interval = tokio::time::interval(Duration::from_millis(100));
                 loop {
                     tokio::select! {
                         biased;
-                        _ = &mut ended => return,
+                        _ = &mut is_shut_down => return,
                         Some(input) = arrived.recv() => {
                             let Input::Disconnected(id, chunks) = input else { panic!("{input:?}") };
                             let ready = owner.pool.borrow_mut().end_connection(clock.now(), id, chunks);
@@ -126,44 +127,48 @@
                             let ready = owner.pool.borrow_mut().accept_batch(clock.now(), batch);
                             owner.apply(from, ready);
                         }
-                        _ = looks.tick() => {
+                        _ = supervision_interval.tick() => {
                             let events = owner.pool.borrow_mut().supervise(clock.now());
                             for event in events {
                                 match event {
                                     PoolEvent::ConnectionsLost(ids) => {
-                                        owner.counted.lock().unwrap().extend(ids.into_iter().map(Counted::Ended));
+                                        owner.applied.lock().unwrap().extend(ids.into_iter().map(Applied::ConnectionEnded));
                                     }
-                                    event => into_events.lock().unwrap().push(format!("{event:?}")),
+                                    event => owner_events.lock().unwrap().push(format!("{event:?}")),
                                 }
                             }
                             let size = owner.pool.borrow().size();
-                            *holds.lock().unwrap() = (size.connections, size.early_batches);
+                            *owner_pool_size.lock().unwrap() = (size.connections, size.early_batches);
                         }
                     }
                 }
             });
         });
-        Owner { address: address.recv().unwrap(), counted, events, metrics, held, _end: end }
+        Owner { address: address.recv().unwrap(), applied, events, metrics, pool_size, _shutdown: shutdown }
     }
 
-    fn quiet(readers: usize) -> Self {
+    fn without_faults(readers: usize) -> Self {
         Owner::start(readers, Arc::new(|_, _| {}))
     }
 
-    fn counted(&self) -> Vec<Counted> {
-        self.counted.lock().unwrap().clone()
+    fn applied(&self) -> Vec<Applied> {
+        self.applied.lock().unwrap().clone()
     }
 
-    fn wait_until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
+    fn wait_until(&self, description: &str, condition: impl Fn(&Self) -> bool) {
         let end = Instant::now() + TEST_TIMEOUT;
-        while !is_so(self) {
-            assert!(Instant::now() < end, "{what} never comes; events {:?}", self.events.lock().unwrap());
+        while !condition(self) {
+            assert!(
+                Instant::now() < end,
+                "timed out waiting for {description}; events {:?}",
+                self.events.lock().unwrap()
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    fn has_event(&self, with: &str) -> bool {
-        self.events.lock().unwrap().iter().any(|event| event.contains(with))
+    fn has_event(&self, text: &str) -> bool {
+        self.events.lock().unwrap().iter().any(|event| event.contains(text))
     }
 }
 
@@ -179,7 +184,7 @@
         Collector { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
-    fn join(owner: &Owner) -> Self {
+    fn connect_authenticated(owner: &Owner) -> Self {
         let mut collector = Collector::connect(owner);
         collector.send_line("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
         assert!(collector.ping());
@@ -194,7 +199,7 @@
         self.send_line(&demand_report(slice, requests));
     }
 
-    /// False where the connection is no more.
+    /// Returns false if the connection is closed.
     fn ping(&mut self) -> bool {
         self.send_line("{\"@type\":\"PING\"}");
         let mut answer = String::new();
@@ -208,12 +213,12 @@
     )
 }
 
-/// The demand of each slice as reported on one connection, or on all.
-fn sums(counted: &[Counted], of: Option<ConnectionId>) -> BTreeMap<u32, f64> {
+/// Returns the total demand of each slice, as reported on one connection or on all connections.
+fn sums(applied: &[Applied], connection: Option<ConnectionId>) -> BTreeMap<u32, f64> {
     let mut sums = BTreeMap::new();
-    for one in counted {
-        if let Counted::DemandReport(from, slice, requests, _) = one {
-            if of.is_none_or(|of| of == *from) {
+    for item in applied {
+        if let Applied::DemandReport(from, slice, requests, _) = item {
+            if connection.is_none_or(|connection| connection == *from) {
                 *sums.entry(*slice).or_default() += requests;
             }
         }
@@ -223,44 +228,48 @@
 
 #[test]
 fn reports_of_a_connection_apply_in_order_whichever_reader_decodes_them() {
-    let takers = Arc::new(Mutex::new(BTreeMap::<usize, u32>::new()));
-    let noted = takers.clone();
+    let chunks_by_reader = Arc::new(Mutex::new(BTreeMap::<usize, u32>::new()));
+    let hook_chunks = chunks_by_reader.clone();
     let owner = Owner::start(
         3,
         Arc::new(move |core, stage| {
             if stage == ReaderStage::ChunkTaken {
-                *noted.lock().unwrap().entry(core).or_default() += 1;
-                // One of them is slow: chunks overtake each other on their way.
+                *hook_chunks.lock().unwrap().entry(core).or_default() += 1;
+                // Reader 0 is slow, so chunks overtake each other.
                 thread::sleep(Duration::from_millis(if core == 0 { 5 } else { 0 }));
             }
         }),
     );
-    let mut collector = Collector::join(&owner);
-    // Sums are in the order of slices within a chunk: over all, the order is that of the chunks.
+    let mut collector = Collector::connect_authenticated(&owner);
+    // Sums within a chunk are in the order of slices, so the overall order is that of the chunks.
     let text: String = (0..20_000).map(|n| demand_report(n, 1) + "\n").collect();
     for piece in text.as_bytes().chunks(50_000) {
         collector.stream.write_all(piece).unwrap();
     }
     assert!(collector.ping());
-    let slices = |counted: &[Counted]| -> Vec<u32> {
+    let slices = |applied: &[Applied]| -> Vec<u32> {
         let slice =
-            |one: &Counted| if let Counted::DemandReport(_, slice, ..) = one { Some(*slice) } else { None };
-        counted.iter().filter_map(slice).collect()
+            |item: &Applied| if let Applied::DemandReport(_, slice, ..) = item { Some(*slice) } else { None };
+        applied.iter().filter_map(slice).collect()
     };
-    assert_eq!(slices(&owner.counted()), (0..20_000).collect::<Vec<_>>());
-    assert_eq!(takers.lock().unwrap().len(), 3, "the work moves: {takers:?}");
+    assert_eq!(slices(&owner.applied()), (0..20_000).collect::<Vec<_>>());
+    assert_eq!(
+        chunks_by_reader.lock().unwrap().len(),
+        3,
+        "not all 3 readers took chunks: {chunks_by_reader:?}"
+    );
 }
 
 #[test]
 fn sums_are_the_same_for_any_number_of_readers() {
     let mut expected = None;
     for readers in [1, 2, 4, 8] {
-        let owner = Owner::quiet(readers);
+        let owner = Owner::without_faults(readers);
         thread::scope(|scope| {
             for connection in 0..4u32 {
                 let owner = &owner;
                 scope.spawn(move || {
-                    let mut collector = Collector::join(owner);
+                    let mut collector = Collector::connect_authenticated(owner);
                     let lines: Vec<_> =
                         (0..3000).map(|n| demand_report((n * 7 + connection) % 50, n % 9) + "\n").collect();
                     collector.stream.write_all(lines.concat().as_bytes()).unwrap();
@@ -268,71 +277,76 @@
                 });
             }
         });
-        let counted = owner.counted();
-        let lines: f64 = counted
+        let applied = owner.applied();
+        let lines: f64 = applied
             .iter()
-            .map(|one| if let Counted::DemandReport(.., lines) = one { *lines } else { 0.0 })
+            .map(|item| if let Applied::DemandReport(.., lines) = item { *lines } else { 0.0 })
             .sum();
-        assert_eq!(lines, 12_000.0, "over {readers}");
-        let sums = sums(&counted, None);
-        assert_eq!(*expected.get_or_insert_with(|| sums.clone()), sums, "over {readers}");
+        assert_eq!(lines, 12_000.0, "{readers} readers");
+        let sums = sums(&applied, None);
+        assert_eq!(*expected.get_or_insert_with(|| sums.clone()), sums, "{readers} readers");
     }
 }
 
-/// The first of two readers stalls at this stage, once. All others go on meanwhile; its chunk is applied as a whole or not
-/// at all; it is replaced, and nothing of it is applied when it goes on.
+/// One of two readers stalls once at each stage. The other connections are served meanwhile, and the stalled reader is
+/// replaced. Its chunk is applied completely or not at all, and nothing of it is applied after the reader resumes.
 #[test]
 fn reader_that_stalls_at_any_stage_is_replaced_and_delays_no_other() {
     for stage in
         [ReaderStage::Connected, ReaderStage::ChunkTaken, ReaderStage::HalfDecoded, ReaderStage::Decoded]
     {
         let (armed, stalled) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
-        let (arms, stalls) = (armed.clone(), stalled.clone());
+        let (hook_armed, hook_stalled) = (armed.clone(), stalled.clone());
         let owner = Owner::start(
             2,
             Arc::new(move |_, at| {
-                let first = || arms.compare_exchange(1, 2, Ordering::SeqCst, Ordering::SeqCst).is_ok();
+                let first = || hook_armed.compare_exchange(1, 2, Ordering::SeqCst, Ordering::SeqCst).is_ok();
                 if at == stage && first() {
-                    stalls.store(1, Ordering::SeqCst);
-                    while stalls.load(Ordering::SeqCst) == 1 {
+                    hook_stalled.store(1, Ordering::SeqCst);
+                    while hook_stalled.load(Ordering::SeqCst) == 1 {
                         thread::sleep(Duration::from_millis(5));
                     }
                 }
             }),
         );
-        let mut collectors: Vec<_> = (0..4).map(|_| Collector::join(&owner)).collect();
+        let mut collectors: Vec<_> = (0..4).map(|_| Collector::connect_authenticated(&owner)).collect();
         armed.store(1, Ordering::SeqCst);
-        // The one that has the reader stop: a new connection, or a chunk of an old one.
-        let mut victim = match stage {
+        // The connection on which the reader stalls: a new one, or an existing one that sends a chunk.
+        let mut affected = match stage {
             ReaderStage::Connected => Collector::connect(&owner),
             _ => collectors.remove(0),
         };
-        (0..40).for_each(|n| victim.send_demand(1000 + n, 1));
+        (0..40).for_each(|n| affected.send_demand(1000 + n, 1));
         owner.wait_until("the stall", |_| stalled.load(Ordering::SeqCst) == 1);
         let began = Instant::now();
-        // Some of the others are read by the one that stopped: they end and come back. All go on soon.
+        // Connections of the stalled reader are closed and reconnect. All are served again soon.
         for collector in &mut collectors {
             collector.stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
             if !collector.ping() {
-                *collector = Collector::join(&owner);
+                *collector = Collector::connect_authenticated(&owner);
             }
             collector.send_demand(7, 3);
             assert!(collector.ping());
         }
         assert!(began.elapsed() < Duration::from_secs(4), "{stage:?}: {:?}", began.elapsed());
-        owner.wait_until("its replacement", |owner| owner.has_event("ReaderRestarted"));
+        owner.wait_until("the replacement of the stalled reader", |owner| owner.has_event("ReaderRestarted"));
         assert!(owner.has_event("ReaderStalled"), "{stage:?}");
         let expected = 3.0 * collectors.len() as f64;
-        owner.wait_until("the sums", |owner| sums(&owner.counted(), None).get(&7) == Some(&expected));
-        let before = sums(&owner.counted(), None);
+        owner.wait_until("the sums", |owner| sums(&owner.applied(), None).get(&7) == Some(&expected));
+        let before = sums(&owner.applied(), None);
         stalled.store(2, Ordering::SeqCst);
-        // It goes on, and what it has is nobody's; the victim comes back and is heard.
-        let mut anew = Collector::join(&owner);
-        anew.send_demand(8, 1);
-        assert!(anew.ping());
-        let after = sums(&owner.counted(), None);
-        let late = |sums: &BTreeMap<u32, f64>| sums.range(1000..).map(|(_, demand)| demand).sum::<f64>();
-        assert_eq!(late(&before), late(&after), "{stage:?}: late reports passed for fresh");
+        // The stalled reader resumes and its chunk is discarded. A new connection is served.
+        let mut reconnected = Collector::connect_authenticated(&owner);
+        reconnected.send_demand(8, 1);
+        assert!(reconnected.ping());
+        let after = sums(&owner.applied(), None);
+        let late_demand =
+            |sums: &BTreeMap<u32, f64>| sums.range(1000..).map(|(_, demand)| demand).sum::<f64>();
+        assert_eq!(
+            late_demand(&before),
+            late_demand(&after),
+            "{stage:?}: reports of the stalled reader were applied after it resumed"
+        );
         let text = owner.metrics.encode();
         assert!(
             text.lines().any(|line| line.starts_with("whinwall_reader_stalls") && line.ends_with(" 1")),
@@ -342,51 +356,53 @@
 }
 
 #[test]
-fn panic_at_any_stage_loses_a_whole_chunk_or_its_reader() {
-    // To print where it happened takes longer, in a fresh build on a busy machine, than a reader may stand still: it would
-    // be taken for stalled before it is dead.
-    let usual = std::panic::take_hook();
+fn panic_at_any_stage_discards_the_whole_chunk_or_restarts_the_reader() {
+    // Printing the panic location can take longer than the stall time-out (fresh build, busy machine), so the reader
+    // would be reported as stalled before it is reported as dead.
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         if panic.payload().downcast_ref::<&str>() != Some(&"on purpose") {
-            usual(panic);
+            default_hook(panic);
         }
     }));
     for stage in
         [ReaderStage::Connected, ReaderStage::ChunkTaken, ReaderStage::HalfDecoded, ReaderStage::Decoded]
     {
         let armed = Arc::new(AtomicU32::new(0));
-        let arms = armed.clone();
+        let hook_armed = armed.clone();
         let owner = Owner::start(
             2,
             Arc::new(move |_, at| {
-                if at == stage && arms.compare_exchange(1, 2, Ordering::SeqCst, Ordering::SeqCst).is_ok() {
+                if at == stage
+                    && hook_armed.compare_exchange(1, 2, Ordering::SeqCst, Ordering::SeqCst).is_ok()
+                {
                     panic!("on purpose");
                 }
             }),
         );
-        let mut others: Vec<_> = (0..4).map(|_| Collector::join(&owner)).collect();
+        let mut others: Vec<_> = (0..4).map(|_| Collector::connect_authenticated(&owner)).collect();
         armed.store(1, Ordering::SeqCst);
-        let mut victim = match stage {
+        let mut affected = match stage {
             ReaderStage::Connected => Collector::connect(&owner),
             _ => others.remove(0),
         };
-        victim
+        affected
             .stream
             .write_all(((0..40).map(|n| demand_report(1000 + n, 1) + "\n").collect::<String>()).as_bytes())
             .unwrap();
         let mut rest = Vec::new();
-        _ = victim.reader.read_to_end(&mut rest);
-        let requests = sums(&owner.counted(), None).range(1000..).count();
-        assert_eq!(requests, 0, "{stage:?}: half of a chunk counted");
+        _ = affected.reader.read_to_end(&mut rest);
+        let requests = sums(&owner.applied(), None).range(1000..).count();
+        assert_eq!(requests, 0, "{stage:?}: part of a chunk was applied");
         match stage {
-            ReaderStage::Connected => owner.wait_until("its replacement", |owner| {
+            ReaderStage::Connected => owner.wait_until("the replacement of the dead reader", |owner| {
                 owner.has_event("ReaderDied") && owner.has_event("ReaderRestarted")
             }),
-            _ => assert!(owner.counted().iter().any(|one| matches!(one, Counted::Lost(_)))),
+            _ => assert!(owner.applied().iter().any(|item| matches!(item, Applied::ChunkLost(_)))),
         }
         for other in &mut others {
             if !other.ping() {
-                *other = Collector::join(&owner);
+                *other = Collector::connect_authenticated(&owner);
             }
             assert!(other.ping(), "{stage:?}");
         }
@@ -395,7 +411,7 @@
 
 #[test]
 fn thousands_of_short_connections_leave_no_state_behind() {
-    let owner = Owner::quiet(3);
+    let owner = Owner::without_faults(3);
     thread::scope(|scope| {
         for worker in 0..8 {
             let owner = &owner;
@@ -416,17 +432,17 @@
             });
         }
     });
-    owner.wait_until("an empty pool", |owner| *owner.held.lock().unwrap() == (0, 0));
-    assert_eq!(sums(&owner.counted(), None)[&5], 800.0, "each that said something was heard once");
-    let ended = owner.counted().iter().filter(|one| matches!(one, Counted::Ended(_))).count();
+    owner.wait_until("an empty pool", |owner| *owner.pool_size.lock().unwrap() == (0, 0));
+    assert_eq!(sums(&owner.applied(), None)[&5], 800.0, "each report is applied exactly once");
+    let ended = owner.applied().iter().filter(|item| matches!(item, Applied::ConnectionEnded(_))).count();
     assert_eq!(ended, 2000);
 }
 
-/// Half a line at the end of a chunk, and lines that arrive byte by byte.
+/// Chunks that end within a line, and lines that arrive byte by byte.
 #[test]
 fn lines_split_at_any_byte_are_decoded_whole() {
-    let owner = Owner::quiet(2);
-    let mut collector = Collector::join(&owner);
+    let owner = Owner::without_faults(2);
+    let mut collector = Collector::connect_authenticated(&owner);
     let text: String = (0..2000).map(|n| demand_report(n, 1) + "\r\n").collect();
     for piece in text.as_bytes().chunks(777) {
         collector.stream.write_all(piece).unwrap();
@@ -435,40 +451,42 @@
         collector.stream.write_all(&[*byte]).unwrap();
     }
     assert!(collector.ping());
-    assert_eq!(sums(&owner.counted(), None).len(), 2001);
-    // A last line without its end is no line.
+    assert_eq!(sums(&owner.applied(), None).len(), 2001);
+    // A last line without a line end is ignored.
     collector.stream.write_all(demand_report(3000, 1).as_bytes()).unwrap();
     collector.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    owner.wait_until("its end", |owner| owner.counted().iter().any(|one| matches!(one, Counted::Ended(_))));
-    assert!(!sums(&owner.counted(), None).contains_key(&3000));
+    owner.wait_until("the end of the connection", |owner| {
+        owner.applied().iter().any(|item| matches!(item, Applied::ConnectionEnded(_)))
+    });
+    assert!(!sums(&owner.applied(), None).contains_key(&3000));
 }
 
-/// Every connection stalls its reader permanently: the number of abandoned threads is bounded, and once they go on, the
-/// pool works as before.
+/// Every connection stalls its reader. The number of abandoned threads is bounded, and the pool serves connections
+/// again once the threads resume.
 #[test]
-fn threads_of_readers_that_stop_repeatedly_are_bounded() {
-    let (sticks, stuck) = (Arc::new(AtomicU32::new(1)), Arc::new(AtomicU32::new(0)));
-    let (stick, counts) = (sticks.clone(), stuck.clone());
+fn number_of_abandoned_reader_threads_is_bounded() {
+    let (stalling, stalled_readers) = (Arc::new(AtomicU32::new(1)), Arc::new(AtomicU32::new(0)));
+    let (hook_stalling, counter) = (stalling.clone(), stalled_readers.clone());
     let owner = Owner::start(
         1,
         Arc::new(move |_, stage| {
             if stage == ReaderStage::Connected {
-                counts.fetch_add(1, Ordering::SeqCst);
-                while stick.load(Ordering::SeqCst) == 1 {
+                counter.fetch_add(1, Ordering::SeqCst);
+                while hook_stalling.load(Ordering::SeqCst) == 1 {
                     thread::sleep(Duration::from_millis(5));
                 }
-                counts.fetch_sub(1, Ordering::SeqCst);
+                counter.fetch_sub(1, Ordering::SeqCst);
             }
         }),
     );
-    let (end, mut most) = (Instant::now() + Duration::from_secs(15), 0);
+    let (end, mut max_stalled) = (Instant::now() + Duration::from_secs(15), 0);
     while Instant::now() < end {
         _ = Collector::connect(&owner);
-        most = most.max(stuck.load(Ordering::SeqCst));
+        max_stalled = max_stalled.max(stalled_readers.load(Ordering::SeqCst));
         thread::sleep(Duration::from_millis(50));
     }
-    assert!((3..=5).contains(&most), "{most} threads stand still");
-    sticks.store(0, Ordering::SeqCst);
+    assert!((3..=5).contains(&max_stalled), "{max_stalled} threads are stalled");
+    stalling.store(0, Ordering::SeqCst);
     let end = Instant::now() + TEST_TIMEOUT;
     let answers = || {
         let mut collector = Collector::connect(&owner);
@@ -477,7 +495,7 @@
         collector.ping()
     };
     while !answers() {
-        assert!(Instant::now() < end, "it does not come back");
+        assert!(Instant::now() < end, "the pool does not serve connections after its readers resumed");
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -1,4 +1,4 @@
-//! The reducer's answers to one event after another, without sockets.
+//! Tests of the reducer without sockets: events are applied one at a time, and the resulting effects are checked.
 
 mod support;
 
@@ -14,20 +14,23 @@
 use whinwall_transport::{RequestError, StreamError, Targets};
 
 #[test]
-fn commands_rest_on_complete_routing_tables() {
+fn commands_are_based_on_complete_routing_tables() {
     let mut rig = Rig::new();
     rig.send_list();
     for line in ["OK", "* SUBSCRIBE 0 north 9.5 1", "* GRANT 3 1"] {
         rig.relay_event(line);
     }
-    // The piece ends here: the row is still under way, and the table must not be taken for empty.
+    // The input ends before the row of slice 3 arrives. The reducer must not treat the table as empty.
     rig.advance_ms(900);
     assert!(!rig.requests.join(" ").contains("SET"), "{:?}", rig.requests);
     rig.relay_event("* ROW 3 s-3 1.0");
     rig.advance_ms(3000);
-    let made = rig.requests.join(" ");
-    assert!(!made.contains("SET,3,s-3,") && made.contains("SET,3,"), "who stands by is all it lacks: {made}");
-    // A line that comes late is in the table all the same, and leaves it with its replica.
+    let requests = rig.requests.join(" ");
+    assert!(
+        !requests.contains("SET,3,s-3,") && requests.contains("SET,3,"),
+        "only the standby endpoint is missing: {requests}"
+    );
+    // A row that arrives later belongs to the table, and is removed when its replica drains.
     rig.relay_event("* ROW 3 s-5 1.0");
     rig.relay_event("*");
     rig.store.insert(3, BTreeMap::from([("s-3".into(), 1.0), ("s-5".into(), 1.0)]));
@@ -51,47 +54,51 @@
     let mut rig = Rig::serving();
     let before = rig.requests.len();
     rig.drain("s-2");
-    let call = rig.requests[before..].first().expect("no call follows a drain").clone();
+    let request = rig.requests[before..].first().expect("no relay request after a drain").clone();
     assert!(
-        call.starts_with("APPLY OUT,s-2;") && call.contains("SET,2,s-2,0") && call.contains("SET,8,s-2,0")
+        request.starts_with("APPLY OUT,s-2;")
+            && request.contains("SET,2,s-2,0")
+            && request.contains("SET,8,s-2,0")
     );
     rig.advance_ms(1000);
     assert!(!rig.owners().contains("s-2"));
 }
 
-/// Lists doubled, out of order, lower in version, empty, of places that nobody knows, with absurd starts: one that leaves
-/// gets nothing again until it is listed as active.
+/// Endpoint lists with duplicate entries, in reversed order, of a lower version, empty, with an unknown zone or with
+/// absurd start times. A draining replica gets no slice until a list has it as active.
 #[test]
 fn outdated_lists_do_not_return_a_draining_replica() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     rig.advance_ms(1000);
     let entry = |id: &str, state: &str, zone: &str, started: u64| json!({"id": id, "zone": zone, "state": state, "started_ms": started});
-    let (leaves, far) = (entry("s-2", "leaving", "north", 0), entry("s-1", "active", "north", u64::MAX));
+    let (draining, future_start) =
+        (entry("s-2", "leaving", "north", 0), entry("s-1", "active", "north", u64::MAX));
     let others = |zone: &str| [0, 1, 3, 4, 5].map(|n| entry(&format!("s-{n}"), "active", zone, 0));
-    let whole = |zone: &str| [vec![leaves.clone()], others(zone).to_vec()].concat();
-    let twice = [others("north").to_vec(), whole("south")].concat();
-    let odd = [
-        json!({"version": 42, "full": false, "servers": [leaves, leaves, leaves]}),
-        json!({"version": 7, "full": false, "servers": [leaves]}),
+    let all = |zone: &str| [vec![draining.clone()], others(zone).to_vec()].concat();
+    let duplicates = [others("north").to_vec(), all("south")].concat();
+    let lists = [
+        json!({"version": 42, "full": false, "servers": [draining, draining, draining]}),
+        json!({"version": 7, "full": false, "servers": [draining]}),
         json!({"version": 43, "full": false, "servers": []}),
-        json!({"version": 44, "full": true, "servers": whole("nowhere")}),
-        json!({"version": 45, "full": true, "servers": whole("north").into_iter().rev().collect::<Vec<_>>()}),
-        json!({"version": 46, "full": false, "servers": [far, leaves]}),
-        json!({"version": 46, "full": true, "servers": twice}),
+        json!({"version": 44, "full": true, "servers": all("nowhere")}),
+        json!({"version": 45, "full": true, "servers": all("north").into_iter().rev().collect::<Vec<_>>()}),
+        json!({"version": 46, "full": false, "servers": [future_start, draining]}),
+        json!({"version": 46, "full": true, "servers": duplicates}),
     ];
     let before = rig.requests.len();
-    for list in odd {
+    for list in lists {
         rig.apply(Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap()));
         rig.advance_ms(700);
     }
-    let again =
-        |call: &String| call.contains("IN,s-2") || call.contains(",s-2,1") || call.contains(",s-2,0.");
-    assert!(!rig.requests[before..].iter().any(again), "{:?}", &rig.requests[before..]);
-    let back = json!({"version": 50, "full": false, "servers": [entry("s-2", "active", "north", 0)]});
-    rig.apply(Event::EndpointListReceived(discovery::decode(&back.to_string()).unwrap().unwrap()));
+    let assigns_slices = |request: &String| {
+        request.contains("IN,s-2") || request.contains(",s-2,1") || request.contains(",s-2,0.")
+    };
+    assert!(!rig.requests[before..].iter().any(assigns_slices), "{:?}", &rig.requests[before..]);
+    let active_again = json!({"version": 50, "full": false, "servers": [entry("s-2", "active", "north", 0)]});
+    rig.apply(Event::EndpointListReceived(discovery::decode(&active_again.to_string()).unwrap().unwrap()));
     rig.advance_ms(3000);
-    assert!(rig.requests[before..].iter().any(|call| call.contains("IN,s-2")));
+    assert!(rig.requests[before..].iter().any(|request| request.contains("IN,s-2")));
 }
 
 #[test]
@@ -100,15 +107,15 @@
     rig.drain("s-2");
     let first = rig.pending_request.take().unwrap();
     rig.apply(UNKNOWN);
-    // What is learnt meanwhile makes no call of its own.
+    // Events that arrive meanwhile cause no request of their own.
     rig.drain("s-3");
-    assert_eq!(rig.pending_request.as_ref(), Some(&first), "the first repeat is made at once");
+    assert_eq!(rig.pending_request.as_ref(), Some(&first), "the first retry is sent at once");
     rig.pending_request = None;
     rig.apply(UNKNOWN);
     rig.drain_input();
     assert_eq!(
         rig.pending_request, None,
-        "the second repeat waits, or a broken relay would be called without end"
+        "the second retry waits for a backoff, so that a failing relay gets no endless series of requests"
     );
     rig.now = rig.now + Span::ms(100);
     rig.drain_input();
@@ -119,25 +126,26 @@
     assert!(!rig.owners().contains("s-2") && !rig.owners().contains("s-3"));
 }
 
-/// The relay carries out each call and its answers are lost: what lies in the channel then is each of them
-/// (seen on `join+mass`, seed 112: 733,986 lines waited where 551,400 may).
+/// The relay applies each request but its responses are lost, so that each retry adds its lines to the command channel
+/// again. Unlimited retries overfilled the channel (`join+mass`, seed 112: 733,986 lines waiting, limit 551,400).
 #[test]
 fn requests_of_unknown_outcome_do_not_overfill_the_channel() {
     let cap = 400;
     let mut rig = Rig::with(300, |settings| settings["familyInfo"]["queueCap"] = json!(cap)).start_serving();
     rig.drain("s-2");
-    let (mut waiting, mut calls) = (0, 0);
+    let (mut waiting_lines, mut requests) = (0, 0);
     for _ in 0..20 {
-        if let Some(call) = rig.pending_request.take() {
-            (waiting, calls) = (waiting + (call.split(';').count() + 8) * rig.proxies as usize, calls + 1);
+        if let Some(request) = rig.pending_request.take() {
+            (waiting_lines, requests) =
+                (waiting_lines + (request.split(';').count() + 8) * rig.proxies as usize, requests + 1);
             rig.apply(UNKNOWN);
         }
-        assert!(waiting <= cap, "{waiting} lines in {calls} calls");
+        assert!(waiting_lines <= cap, "{waiting_lines} lines waiting after {requests} requests, limit {cap}");
         rig.now = rig.now + Span::ms(100);
         rig.drain_input();
     }
-    assert!(calls > 1, "it is said again at once where there is room");
-    // Nothing is acked for so long that nothing can wait any more: it was never carried out.
+    assert!(requests > 1, "a request is retried while the channel has room");
+    // After 3 s without an acknowledgement no line can still be waiting, so the request was not applied.
     rig.now = rig.now + Span::ms(3000);
     rig.drain_input();
     rig.advance_ms(20_000);
@@ -145,19 +153,19 @@
 }
 
 #[test]
-fn new_targets_are_watched_and_a_pending_request_stays_the_first() {
+fn new_targets_are_watched_and_a_pending_request_is_sent_first() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let first = rig.pending_request.clone().unwrap();
     rig.apply(Event::RelayWatchLost(StreamError::Closed));
     rig.other_effects.clear();
-    let moved = |port, other| Targets {
-        relay: SocketAddr::new(RELAY.ip(), port),
-        discovery: SocketAddr::new(RELAY.ip(), other),
+    let targets_at = |relay_port, discovery_port| Targets {
+        relay: SocketAddr::new(RELAY.ip(), relay_port),
+        discovery: SocketAddr::new(RELAY.ip(), discovery_port),
     };
-    rig.apply(Event::TargetsConfigured(moved(RELAY.port(), DISCOVERY.port())));
-    assert_eq!(rig.other_effects, [], "nothing has moved");
-    let (targets, before) = (moved(6401, 8501), rig.requests.len());
+    rig.apply(Event::TargetsConfigured(targets_at(RELAY.port(), DISCOVERY.port())));
+    assert_eq!(rig.other_effects, [], "unchanged targets open no watch");
+    let (targets, before) = (targets_at(6401, 8501), rig.requests.len());
     rig.apply(Event::TargetsConfigured(targets));
     let expected = [
         Effect::WatchRelay { relay: targets.relay },
@@ -171,7 +179,7 @@
     rig.other_effects.clear();
     rig.send_snapshot(&[]);
     rig.advance_ms(1000);
-    assert_eq!(rig.other_effects, [], "what was to be asked for again is asked for already");
+    assert_eq!(rig.other_effects, [], "both watches are already reopened");
     assert!(rig.requests.len() > before && !rig.owners().contains("s-2") && !rig.owners().contains("s-3"));
 }
 
@@ -179,30 +187,37 @@
 fn only_a_command_refused_twice_is_skipped() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    let call = rig.pending_request.clone().unwrap();
-    let orders: Vec<_> = call.strip_prefix("APPLY ").unwrap().split(';').collect();
-    // What was taken, as the relay says, and where the next call begins: a figure that can't be says nothing,
-    // one that is wrong costs a repeat and no order.
-    let mut from = 0;
-    for (taken, next) in [(usize::MAX, 0), (orders.len() + 1, 0), (0, 0), (2, 2), (1, 3), (0, 4)] {
+    let request = rig.pending_request.clone().unwrap();
+    let commands: Vec<_> = request.strip_prefix("APPLY ").unwrap().split(';').collect();
+    // The number of commands that the relay reports as accepted, and the index at which the next request begins. An
+    // impossible number is ignored. A wrong number costs a retry, but no command is lost.
+    let mut start = 0;
+    for (accepted, next) in [(usize::MAX, 0), (commands.len() + 1, 0), (0, 0), (2, 2), (1, 3), (0, 4)] {
         let before = rig.logs.len();
         rig.pending_request = None;
-        rig.apply(Event::RelayResponse(Ok(Response::Accepted(taken))));
+        rig.apply(Event::RelayResponse(Ok(Response::Accepted(accepted))));
         rig.drain_input();
         if rig.pending_request.is_none() {
             rig.now = rig.now + Span::ms(100);
             rig.drain_input();
         }
-        // With the order that is skipped goes what it would have gone with: the old line alone would leave the table bare.
-        let with_skipped = orders[3].split(',').take(2).collect::<Vec<_>>().join(",") + ",";
-        let stays = |order: &&&str| next < 4 || !order.starts_with(&with_skipped);
-        let rest: Vec<_> = orders[next..].iter().filter(stays).copied().collect();
-        assert!(next < 4 || rest.len() + 1 == orders.len() - 4, "{with_skipped} has an old line behind it");
-        assert_eq!(rig.pending_request, Some(format!("APPLY {}", rest.join(";"))), "{taken} from {from}");
+        // The later command for the slice of the skipped one is dropped too: it would leave the table empty.
+        let skipped_slice_prefix = commands[3].split(',').take(2).collect::<Vec<_>>().join(",") + ",";
+        let is_kept = |command: &&&str| next < 4 || !command.starts_with(&skipped_slice_prefix);
+        let rest: Vec<_> = commands[next..].iter().filter(is_kept).copied().collect();
+        assert!(
+            next < 4 || rest.len() + 1 == commands.len() - 4,
+            "one later command begins with {skipped_slice_prefix}"
+        );
+        assert_eq!(
+            rig.pending_request,
+            Some(format!("APPLY {}", rest.join(";"))),
+            "{accepted} accepted of the request that began at {start}"
+        );
         let skipped =
-            rig.logs[before..].iter().any(|note| note.contains("skipped") && note.contains(orders[3]));
+            rig.logs[before..].iter().any(|line| line.contains("skipped") && line.contains(commands[3]));
         assert_eq!(skipped, next == 4);
-        from = next;
+        start = next;
     }
     for line in ["OK", "OK -1", "OK 2 3", "OK x", "?????", "unavailablex", "ERR"] {
         assert!(decode_response(line).is_err(), "{line}");
@@ -220,45 +235,49 @@
     rig.accept_request();
     rig.proxies = proxies;
     rig.advance_ms(500);
-    let moved =
-        |rig: &Rig| rig.requests.iter().any(|call| call.contains("SET,2,") && call.contains("SET,8,"));
-    assert!(!moved(&rig), "a single writer waits until all know that ops are held back");
+    let moved = |rig: &Rig| {
+        rig.requests.iter().any(|request| request.contains("SET,2,") && request.contains("SET,8,"))
+    };
+    assert!(
+        !moved(&rig),
+        "a slice moves only after all proxies acknowledged that its requests are held back"
+    );
     rig.drain("s-3");
     rig.advance_ms(1000);
-    assert!(moved(&rig), "who is through with what came later has the former too: {:?}", rig.requests);
+    assert!(moved(&rig), "the acknowledgement of a later version covers the earlier one: {:?}", rig.requests);
 }
 
 #[test]
-fn replicas_can_be_replaced_without_end() {
+fn replaced_replicas_are_forgotten() {
     let mut rig = Rig::serving();
-    let known = |rig: &mut Rig| {
+    let known_replicas = |rig: &mut Rig| {
         rig.apply(Event::RelayWatchLost(StreamError::Closed));
         rig.advance_ms(100);
         rig.send_snapshot(&[]);
-        let note = rig.logs.last().unwrap().clone();
-        note.rsplit('=').next().unwrap().parse::<usize>().unwrap()
+        let line = rig.logs.last().unwrap().clone();
+        line.rsplit('=').next().unwrap().parse::<usize>().unwrap()
     };
-    assert_eq!(known(&mut rig), 6);
+    assert_eq!(known_replicas(&mut rig), 6);
     for n in 0..2000 {
-        // One drains, leaves, and is replaced; now and then one comes back whose name was heard before.
+        // One replica drains, leaves and is replaced. Every 50th replacement has the name of an earlier replica.
         let name = if n % 50 == 49 { format!("s-{}", 6 + n - 49) } else { format!("s-{}", 6 + n) };
-        let former = rig.replicas.keys().nth(n % 6).unwrap().clone();
-        rig.drain(&former);
+        let drained = rig.replicas.keys().nth(n % 6).unwrap().clone();
+        rig.drain(&drained);
         rig.advance_ms(500);
-        assert!(!rig.owners().contains(former.as_str()));
-        rig.replicas.remove(&former);
+        assert!(!rig.owners().contains(drained.as_str()));
+        rig.replicas.remove(&drained);
         rig.replicas.insert(name, "active");
         rig.send_list();
         rig.advance_ms(1500);
     }
     rig.advance_ms(30_000);
-    let calls = rig.requests.join(" ");
-    assert!(calls.contains("OUT,s-100;") && calls.contains("IN,s-100;"));
-    assert_eq!(known(&mut rig), 6, "those that went are forgotten");
+    let requests = rig.requests.join(" ");
+    assert!(requests.contains("OUT,s-100;") && requests.contains("IN,s-100;"));
+    assert_eq!(known_replicas(&mut rig), 6, "replicas that left are forgotten");
 }
 
 #[test]
-fn rejected_request_is_dropped_and_the_store_read_again() {
+fn rejected_request_is_dropped_and_the_relay_watch_reopened() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     rig.pending_request = None;
@@ -267,13 +286,13 @@
     assert_eq!(rig.other_effects, [Effect::WatchRelay { relay: RELAY }]);
     rig.send_snapshot(&[]);
     rig.advance_ms(1000);
-    assert!(!rig.owners().contains("s-2"), "what was dropped is ordered again");
+    assert!(!rig.owners().contains("s-2"), "the dropped commands are sent again");
 }
 
 #[test]
-fn broken_relay_watch_is_made_up_for() {
+fn lost_relay_watch_is_reopened_and_its_partial_snapshot_discarded() {
     let mut rig = Rig::serving();
-    // A break in the middle of a table: the half is forgotten.
+    // The watch is lost in the middle of a table. The partial table is discarded.
     rig.relay_event("OK");
     rig.relay_event("* GRANT 3 1");
     rig.apply(Event::RelayWatchLost(StreamError::Closed));
@@ -281,13 +300,13 @@
     assert_eq!(
         rig.other_effects.last(),
         Some(&Effect::WatchRegistry { discovery: DISCOVERY, since: 0 }),
-        "it pauses first"
+        "the relay watch is reopened only after a backoff"
     );
     let before = rig.logs.len();
     rig.advance_ms(100);
     assert_eq!(rig.other_effects.last(), Some(&Effect::WatchRelay { relay: RELAY }));
-    assert_eq!(rig.logs.len(), before, "half a snapshot was taken for all that stands");
-    // Meanwhile two proxies left, slice 4 went to another controller, and slice 5 to another replica.
+    assert_eq!(rig.logs.len(), before, "a partial snapshot was treated as complete");
+    // Meanwhile two proxies left, slice 4 moved to another controller and slice 5 to another replica.
     rig.store.insert(5, BTreeMap::from([("s-0".into(), 1.0)]));
     rig.proxies = 2;
     rig.send_snapshot(&[4]);
@@ -312,15 +331,15 @@
     rig.relay_event("* GRANT 8 0");
     rig.apply(UNKNOWN);
     rig.drain_input();
-    let again = rig.pending_request.clone().unwrap();
-    assert!(again.contains("SET,2,s-2,0") && !again.contains(",8,"), "{again}");
+    let retry = rig.pending_request.clone().unwrap();
+    assert!(retry.contains("SET,2,s-2,0") && !retry.contains(",8,"), "{retry}");
 }
 
 #[test]
 fn newer_commands_for_a_slice_that_changed_hands_are_sent() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    // Another controller had it meanwhile; it comes back on a replica that drains.
+    // Another controller owned slice 8 meanwhile. The slice returns with a draining replica in its table.
     rig.store.insert(8, BTreeMap::from([("s-2".into(), 1.0)]));
     for line in ["* GRANT 8 0", "* GRANT 8 1", "* ROW 8 s-2 1.0", "*"] {
         rig.relay_event(line);
@@ -330,7 +349,7 @@
     assert_eq!(
         rig.other_effects,
         [Effect::WatchRelay { relay: RELAY }],
-        "the open call may have met the slice, or not"
+        "the pending request may or may not have been applied to the slice"
     );
     rig.send_snapshot(&[]);
     rig.advance_ms(1000);
@@ -341,36 +360,34 @@
 fn routing_tables_under_a_pending_request_do_not_count_as_changed() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
-    let call = rig.pending_request.take().unwrap();
+    let request = rig.pending_request.take().unwrap();
     rig.apply(Event::RelayResponse(Err(RequestError::NotSent(StreamError::Closed))));
-    // The relay is back with the tables as they were: the call is still to come, and it alone.
+    // The relay returns with unchanged tables: only the pending request is sent again.
     rig.send_snapshot(&[]);
-    assert_eq!(rig.pending_request.as_ref(), Some(&call));
+    assert_eq!(rig.pending_request.as_ref(), Some(&request));
     rig.accept_request();
     rig.advance_ms(250);
-    let again = rig.requests.iter().filter(|made| made.contains("SET,2,s-2,0")).count();
-    assert_eq!(again, 2, "{:?}", rig.requests);
+    let times_sent = rig.requests.iter().filter(|sent| sent.contains("SET,2,s-2,0")).count();
+    assert_eq!(times_sent, 2, "{:?}", rig.requests);
 }
 
 #[test]
 fn lost_registry_watch_is_opened_again() {
     let mut rig = Rig::serving();
     rig.logs.clear();
-    for (why, since) in
-        [(StreamError::Closed, 41), (StreamError::Unreadable("a list that is none".into()), 0)]
-    {
-        rig.apply(Event::EndpointListWatchLost(why));
+    for (error, since) in [(StreamError::Closed, 41), (StreamError::Unreadable("malformed list".into()), 0)] {
+        rig.apply(Event::EndpointListWatchLost(error));
         rig.drain_input();
         rig.advance_ms(100);
         assert_eq!(rig.other_effects.last(), Some(&Effect::WatchRegistry { discovery: DISCOVERY, since }));
     }
     rig.send_list();
-    let notes = ["registry watch failed reason=\"closed by peer\"", "registry watch recovered failures=2"];
-    assert_eq!(rig.logs, notes, "an outage is worth two lines, not one an attempt");
+    let expected = ["registry watch failed reason=\"closed by peer\"", "registry watch recovered failures=2"];
+    assert_eq!(rig.logs, expected, "an outage logs two lines, not one per attempt");
 }
 
 #[test]
-fn list_is_polled_though_the_relay_is_silent() {
+fn endpoint_list_is_polled_while_a_relay_request_is_pending() {
     let mut rig = Rig::with(12, |settings| settings["membershipMode"] = "ask".into());
     rig.drain_input();
     assert_eq!(
@@ -391,40 +408,41 @@
 }
 
 #[test]
-fn reply_too_large_for_a_request_becomes_several_in_order() {
+fn commands_that_exceed_one_request_are_sent_in_several_in_order() {
     let mut rig = Rig::with(5000, |_| {});
     rig.send_list();
     rig.send_snapshot(&[]);
     rig.advance_ms(4000);
-    let [first, second] = &rig.requests.iter().filter(|call| call.contains("SET,")).collect::<Vec<_>>()[..]
+    let [first, second] =
+        &rig.requests.iter().filter(|request| request.contains("SET,")).collect::<Vec<_>>()[..]
     else {
-        panic!("{} calls", rig.requests.len())
+        panic!("{} requests", rig.requests.len())
     };
     assert!(first.len() < 60_010 && !first.contains("SYNC"));
-    // Some proxies may have got the first piece only: all are asked whether they are through.
+    // Some proxies may have received the first request only, so the SYNC is addressed to all proxies.
     assert!(second.contains("SYNC,") && second.ends_with(",1"));
     assert!(rig.store.values().all(|table| table.len() == 2));
 }
 
-/// What happens, in any order: every call is answered, lost before or after it was carried out, or turned
-/// away; news break off; replicas drain and return; slices go and come.
+/// Random actions: relay requests are answered, lost before or after they were applied, or refused; watches are lost;
+/// replicas drain and return; slices are revoked and granted.
 #[derive(Clone, Debug)]
-struct Deeds(Vec<(u8, u32)>);
+struct RandomActions(Vec<(u8, u32)>);
 
-impl Arbitrary for Deeds {
+impl Arbitrary for RandomActions {
     fn arbitrary(gen: &mut Gen) -> Self {
-        Deeds(Vec::arbitrary(gen))
+        RandomActions(Vec::arbitrary(gen))
     }
 }
 
 #[test]
-fn store_ends_as_commanded_under_drawn_failures() {
+fn store_ends_as_commanded_under_random_failures() {
     for seed in 0..100 {
-        let deeds = Deeds::arbitrary(&mut Gen::from_size_and_seed(80, seed));
+        let actions = RandomActions::arbitrary(&mut Gen::from_size_and_seed(80, seed));
         let mut rig = Rig::serving();
-        for (deed, n) in &deeds.0 {
+        for (action, n) in &actions.0 {
             let replica = format!("s-{}", n % 6);
-            match deed % 9 {
+            match action % 9 {
                 0 if rig.replicas.values().filter(|state| **state == "active").count() > 2 => {
                     rig.drain(&replica);
                 }
@@ -434,9 +452,9 @@
                     rig.drain_input();
                 }
                 2 | 3 => {
-                    if let Some(call) = rig.pending_request.take() {
-                        if deed % 9 == 2 {
-                            rig.carry_out(&call);
+                    if let Some(request) = rig.pending_request.take() {
+                        if action % 9 == 2 {
+                            rig.carry_out(&request);
                         }
                         rig.apply(UNKNOWN);
                         rig.drain_input();
@@ -474,9 +492,9 @@
         rig.apply(Event::RelayWatchLost(StreamError::Closed));
         rig.advance_ms(100);
         rig.send_snapshot(&[]);
-        let stands = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
-        assert_eq!(rig.logs.last().unwrap(), stands, "seed {seed}: {deeds:?}");
+        let expected_line = "relay snapshot complete proxies=4 slices=12 changed_slices=0 replicas=6";
+        assert_eq!(rig.logs.last().unwrap(), expected_line, "seed {seed}: {actions:?}");
         let drained = rig.owners().into_iter().find(|replica| rig.replicas[*replica] == "leaving");
-        assert_eq!(drained, None, "seed {seed}: {deeds:?}");
+        assert_eq!(drained, None, "seed {seed}: {actions:?}");
     }
 }
--- a/crates/controller/tests/reducer_reports.rs
+++ b/crates/controller/tests/reducer_reports.rs
@@ -1,4 +1,4 @@
-//! Messages of collectors and batches of reports in the reducer, without sockets.
+//! Tests of collector messages and report batches in the reducer, without sockets.
 
 mod support;
 
@@ -14,8 +14,8 @@
 fn invalid_messages_change_nothing() {
     let mut rigs = [Rig::serving(), Rig::serving()];
     rigs.iter_mut().for_each(|rig| rig.collector_line(1, r#"{"@type":"SOURCE","az":"north"}"#));
-    let [rig, twin] = &mut rigs;
-    let spoilt = [
+    let [rig, reference] = &mut rigs;
+    let invalid_lines = [
         r#"{"@type":"LOAD","az":"nowhere","host":"s-1","n":200,"bad":0,"avg":1,"window":9000.0}"#,
         r#"{"@type":"LOAD","az":"north","host":"s-99","n":200,"bad":200,"avg":0,"window":9000.0}"#,
         r#"{"@type":"LOAD","az":"north","host":"s-1","n":200,"bad":201,"avg":1,"window":9000.0}"#,
@@ -33,7 +33,7 @@
         r#"{"@type":7}"#,
     ];
     for second in 0..30 {
-        for rig in [&mut *rig, &mut *twin] {
+        for rig in [&mut *rig, &mut *reference] {
             for n in 0..12 {
                 let (replica, failed) = (n % 6, if n == 1 && second > 9 { 9 } else { 0 });
                 rig.collector_line(1, &format!(
@@ -45,14 +45,17 @@
             }
             rig.advance_ms(1000);
         }
-        spoilt.iter().for_each(|line| rig.collector_line(1, line));
+        invalid_lines.iter().for_each(|line| rig.collector_line(1, line));
     }
     for line in ["* CLOSED 77", "* ACK 77 9 1.5", "* ACK 0 65535 1.5", "* GRANT 400 0", "* ROW 401 s-1 1.0"] {
         rig.relay_event(line);
         rig.drain_input();
     }
-    assert!(twin.requests.iter().any(|call| call.contains("OUT,s-1")), "good reports count");
-    assert_eq!(rig.requests, twin.requests);
+    assert!(
+        reference.requests.iter().any(|request| request.contains("OUT,s-1")),
+        "valid reports lead to commands"
+    );
+    assert_eq!(rig.requests, reference.requests);
     assert!(!rig.other_effects.iter().any(|effect| matches!(effect, Effect::Disconnect { .. })));
     for line in ["", "[]", "{", r#"{"@type":"LOAD","az":"a{"@type":"LOAD"}"#, "GET / HTTP/1.1", "7"] {
         rig.collector_line(1, r#"{"@type":"SOURCE","az":"north"}"#);
@@ -61,10 +64,10 @@
         assert_eq!(
             rig.other_effects,
             [Effect::Disconnect { to: 1, reason: None }],
-            "{line}: a collector is told nothing"
+            "{line}: a collector is disconnected without a reason"
         );
-        rig.collector_line(1, spoilt[0]);
-        assert_eq!(rig.other_effects.len(), 2, "{line}: it has not joined any more");
+        rig.collector_line(1, invalid_lines[0]);
+        assert_eq!(rig.other_effects.len(), 2, "{line}: the collector is no longer authenticated");
     }
     for line in ["", "GRANT 1 1", "* GRANT", "* GRANT x 1", "* ROW 1 s-1 NaN", "* ACK 1 70000 1", "* NEWS"] {
         assert!(decode_event(line).is_err(), "{line}");
@@ -74,12 +77,14 @@
 #[test]
 fn unauthenticated_peers_are_disconnected() {
     let mut rig = Rig::serving();
-    let met = r#"{"@type":"LOAD","az":"north","host":"s-1","n":9,"bad":9,"avg":1,"window":1000}"#;
+    let endpoint_report = r#"{"@type":"LOAD","az":"north","host":"s-1","n":9,"bad":9,"avg":1,"window":1000}"#;
     rig.collector_line(1, r#"{"@type":"SOURCE","az":"north"}"#);
     assert_eq!(rig.other_effects.last(), Some(&Effect::Admit { to: 1 }));
-    rig.collector_line(1, met);
+    rig.collector_line(1, endpoint_report);
     rig.apply(Event::Disconnected(1));
-    for line in [met, r#"{"@type":"SOURCE","az":"nowhere"}"#, r#"{"@type":"SET","partition":1}"#, "GET /"] {
+    for line in
+        [endpoint_report, r#"{"@type":"SOURCE","az":"nowhere"}"#, r#"{"@type":"SET","partition":1}"#, "GET /"]
+    {
         rig.other_effects.clear();
         rig.collector_line(1, line);
         assert!(
@@ -92,11 +97,11 @@
     assert_eq!(rig.other_effects.last(), Some(&Effect::Pong { to: 2 }));
 }
 
-/// A line of a report with some of its bytes lost, doubled or changed, or some of its values another's.
+/// A report line in which some values are replaced and some bytes are removed, duplicated or changed.
 #[derive(Clone, Debug)]
-struct Garbled(String);
+struct MutatedLine(String);
 
-impl Arbitrary for Garbled {
+impl Arbitrary for MutatedLine {
     fn arbitrary(gen: &mut Gen) -> Self {
         let lines = [
             r#"{"@type":"LOAD","az":"north","host":"s-0","n":9,"bad":1,"avg":41.7,"window":100.0,"report":{"inflight":3}}"#,
@@ -121,65 +126,64 @@
                 _ => bytes[at] = u8::arbitrary(gen) % 128,
             }
         }
-        Garbled(String::from_utf8_lossy(&bytes).into_owned())
+        MutatedLine(String::from_utf8_lossy(&bytes).into_owned())
     }
 }
 
 #[test]
 fn fast_decoding_agrees_with_diagnosing_decoding() {
-    fn holds(line: Garbled) -> bool {
+    fn holds(line: MutatedLine) -> bool {
         collector::decode_report(&line.0).is_none_or(|report| {
             collector::decode_with_diagnosis(&line.0) == Ok(collector::Message::from(report))
         })
     }
     let line = r#"{"@type":"SHARD","partition":1,"kind":"lookup","n":9,"bad":9,"window":100.0}"#;
     assert!(collector::decode_report(line).is_some());
-    quickcheck::QuickCheck::new().tests(20_000).quickcheck(holds as fn(Garbled) -> bool);
+    quickcheck::QuickCheck::new().tests(20_000).quickcheck(holds as fn(MutatedLine) -> bool);
 }
 
-/// Reports of three places on all replicas and slices, in chunks as readers make them; s-3 fails what it is
-/// asked.
+/// Reports of three zones on all replicas and slices, in chunks as the readers make them. All attempts at s-3 fail.
 fn chunks() -> Vec<(u64, Vec<Report>)> {
-    let covers = Span::ms(1000);
-    let told = |what| Report { at: Moment::default(), line_count: 1.0, body: what };
-    let met = |zone, replica: u32| {
+    let covered = Span::ms(1000);
+    let report = |report_body| Report { at: Moment::default(), line_count: 1.0, body: report_body };
+    let endpoint = |zone, replica: u32| {
         let failed = if replica == 3 { 9.0 } else { 0.0 };
         let mean_latency = Span::ms(40);
-        let met = EndpointReport { zone, window: covers, attempts: 9.0, failed, mean_latency };
-        told(ReportBody::Endpoint { replica, report: met, latest_latency: mean_latency })
+        let endpoint_report = EndpointReport { zone, window: covered, attempts: 9.0, failed, mean_latency };
+        report(ReportBody::Endpoint { replica, report: endpoint_report, latest_latency: mean_latency })
     };
-    let asked = |slice, request_class| {
-        told(ReportBody::Demand {
+    let demand = |slice, request_class| {
+        report(ReportBody::Demand {
             slice,
-            report: DemandReport { request_class, window: covers, requests: 9.0, failed: 0.0 },
+            report: DemandReport { request_class, window: covered, requests: 9.0, failed: 0.0 },
         })
     };
     let chunk = |from: u64| {
-        let met = (0..6).map(move |replica| met(from as usize, replica));
-        let asked =
-            (0..12).flat_map(move |slice| (0..2).map(move |request_class| asked(slice, request_class)));
-        met.chain(asked).collect::<Vec<_>>()
+        let endpoints = (0..6).map(move |replica| endpoint(from as usize, replica));
+        let demands =
+            (0..12).flat_map(move |slice| (0..2).map(move |request_class| demand(slice, request_class)));
+        endpoints.chain(demands).collect::<Vec<_>>()
     };
     (0..3)
         .flat_map(|from| chunk(from).chunks(7).map(move |piece| (from, piece.to_vec())).collect::<Vec<_>>())
         .collect()
 }
 
-fn joined(rig: &mut Rig) {
+fn authenticate_collectors(rig: &mut Rig) {
     for (from, zone) in ["north", "south", "west"].iter().enumerate() {
         rig.collector_line(from as u64, &format!("{{\"@type\":\"SOURCE\",\"az\":\"{zone}\"}}"));
     }
 }
 
-/// The order in which chunks of several connections count changes no table, and is the same each time it is
-/// played from its record.
+/// The order in which chunks of several connections are applied changes no command, and a repetition of the same order
+/// gives the same commands.
 #[test]
 fn interleavings_of_chunks_lead_to_the_same_commands() {
-    fn played(orders: &[Vec<usize>]) -> Vec<String> {
+    fn commands_for(chunk_orders: &[Vec<usize>]) -> Vec<String> {
         let mut rig = Rig::serving();
-        joined(&mut rig);
+        authenticate_collectors(&mut rig);
         let chunks = chunks();
-        for order in orders {
+        for order in chunk_orders {
             for at in order {
                 let (from, mut reports) = chunks[*at].clone();
                 reports.iter_mut().for_each(|report| report.at = rig.now);
@@ -191,19 +195,19 @@
         rig.requests
     }
     fn holds(seeds: Vec<u64>) -> bool {
-        let many = chunks().len();
+        let chunk_count = chunks().len();
         let shuffled = |seed: u64| {
             let mut random = whinwall_policy::random::Random::from_seed(seed);
-            let mut order: Vec<_> = (0..many).collect();
-            (1..many).for_each(|at| order.swap(at, (random.draw() * (at + 1) as f64) as usize));
+            let mut order: Vec<_> = (0..chunk_count).collect();
+            (1..chunk_count).for_each(|at| order.swap(at, (random.draw() * (at + 1) as f64) as usize));
             order
         };
-        let record: Vec<Vec<_>> =
+        let recorded_orders: Vec<Vec<_>> =
             (0..8).map(|n| shuffled(seeds.get(n).copied().unwrap_or(n as u64))).collect();
-        let plain = vec![(0..many).collect::<Vec<_>>(); 8];
-        let (calls, again) = (played(&record), played(&record));
-        assert!(calls.join(" ").contains("OUT,s-3"), "the reports are acted on: {calls:?}");
-        calls == again && calls == played(&plain)
+        let sequential_orders = vec![(0..chunk_count).collect::<Vec<_>>(); 8];
+        let (requests, repeated) = (commands_for(&recorded_orders), commands_for(&recorded_orders));
+        assert!(requests.join(" ").contains("OUT,s-3"), "the reports lead to commands: {requests:?}");
+        requests == repeated && requests == commands_for(&sequential_orders)
     }
     quickcheck::QuickCheck::new().tests(20).quickcheck(holds as fn(Vec<u64>) -> bool);
 }
@@ -211,24 +215,27 @@
 #[test]
 fn chunk_for_a_revoked_slice_or_from_a_closed_connection_is_ignored() {
     let mut rig = Rig::serving();
-    joined(&mut rig);
+    authenticate_collectors(&mut rig);
     rig.relay_event("* GRANT 4 0");
-    let fails = |slice| {
-        let asked = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1e6, failed: 1e6 };
+    let failed_reports = |slice| {
+        let demand = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1e6, failed: 1e6 };
         vec![Report {
             at: Moment::default(),
             line_count: 1.0,
-            body: ReportBody::Demand { slice, report: asked },
+            body: ReportBody::Demand { slice, report: demand },
         }]
     };
     let before = rig.requests.len();
     for _ in 0..5 {
-        rig.apply(Event::Reports { from: 0, reports: fails(4) });
+        rig.apply(Event::Reports { from: 0, reports: failed_reports(4) });
         rig.advance_ms(1000);
     }
-    assert!(!rig.requests[before..].join(" ").contains("LIMIT"), "nobody's ops cut no levels");
+    assert!(
+        !rig.requests[before..].join(" ").contains("LIMIT"),
+        "reports on a revoked slice change no admission rate"
+    );
     rig.apply(Event::Disconnected(1));
     rig.other_effects.clear();
-    rig.apply(Event::Reports { from: 1, reports: fails(5) });
+    rig.apply(Event::Reports { from: 1, reports: failed_reports(5) });
     assert!(matches!(rig.other_effects[..], [Effect::Disconnect { to: 1, .. }]));
 }
