--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -1,5 +1,5 @@
-//! The exact names of the keys of the file that `PROXY_CONFIG` names, and of the environment variables. The fixture
-//! has every key, each with a value that is not its default; operator mistakes are answered with the key's name.
+//! Tests of the exact key names of the file that `PROXY_CONFIG` names, and of the environment variables. The fixture
+//! has every key, each with a value other than its default. Errors name the key that is wrong.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-fn every_key() -> Value {
+fn config_with_every_key() -> Value {
     serde_json::from_slice(&std::fs::read(fixture("config.json")).unwrap()).unwrap()
 }
 
-/// The environment that names the fixture's files.
+/// Returns an environment that names the files of the fixture.
 fn environment() -> ProcessEnvironment {
     ProcessEnvironment {
         config_file: Some(fixture("config.json")),
@@ -28,28 +28,31 @@
     }
 }
 
-/// Loads the files; an error is the text that the operator sees.
-fn read(environment: ProcessEnvironment) -> Result<ControllerConfig, String> {
+/// Loads the files. Returns errors as the text that the operator sees.
+fn load_config(environment: ProcessEnvironment) -> Result<ControllerConfig, String> {
     load(environment).map_err(|error| error.to_string())
 }
 
 /// Loads a configuration file with this content.
 fn config_from(file: &Value) -> Result<ControllerConfig, String> {
-    let written = tempfile::NamedTempFile::new().unwrap();
-    std::fs::write(written.path(), file.to_string()).unwrap();
-    read(ProcessEnvironment { config_file: Some(written.path().into()), ..ProcessEnvironment::default() })
+    let temporary_file = tempfile::NamedTempFile::new().unwrap();
+    std::fs::write(temporary_file.path(), file.to_string()).unwrap();
+    load_config(ProcessEnvironment {
+        config_file: Some(temporary_file.path().into()),
+        ..ProcessEnvironment::default()
+    })
 }
 
-/// The error where the value at `pointer` is another.
+/// Returns the error for a file with `value` at `pointer`.
 fn error_with(pointer: &str, value: Value) -> String {
-    let mut file = every_key();
+    let mut file = config_with_every_key();
     *file.pointer_mut(pointer).unwrap() = value;
     config_from(&file).unwrap_err()
 }
 
-/// The file without a key of the object at `pointer`.
+/// Returns the file without `key` of the object at `pointer`.
 fn without(pointer: &str, key: &str) -> Value {
-    let mut file = every_key();
+    let mut file = config_with_every_key();
     file.pointer_mut(pointer).unwrap().as_object_mut().unwrap().remove(key).unwrap();
     file
 }
@@ -60,13 +63,13 @@
 
 #[test]
 fn every_key_of_the_file_is_read() {
-    let config = read(environment()).unwrap();
+    let config = load_config(environment()).unwrap();
     assert_eq!(config.name, "g0");
     assert_eq!(config.listen, address(7101));
     assert_eq!(config.targets.discovery, address(7102));
     assert_eq!(config.targets.relay, address(7103));
     assert_eq!(config.seed, 255);
-    assert_eq!(config.cores, 2, "the fewer of the file's limits and the operators' most");
+    assert_eq!(config.cores, 2, "the lower of limits.cores and the maximum of the operators' file");
     assert_eq!(config.settings.request_classes, ["lookup"]);
     let entry = Entry {
         replica: "s-1".into(),
@@ -81,15 +84,15 @@
 
 #[test]
 fn operators_file_is_loaded() {
-    let config = read(environment()).unwrap();
+    let config = load_config(environment()).unwrap();
     assert_eq!(config.operators.as_ref().and_then(|file| file.max_cores), Some(8));
     assert!(config.fleet.is_some());
 }
 
 #[test]
 fn limits_of_sockets_and_memory_are_applied() {
-    let one_core = without("/limits", "cores");
-    let config = config_from(&one_core).unwrap();
+    let without_cores = without("/limits", "cores");
+    let config = config_from(&without_cores).unwrap();
     assert_eq!(config.line_memory_bytes, 64_000_000 / whinwall_transport::limits::LINE_MEMORY_DIVISOR);
     assert_eq!(config.max_connections, 500 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
 }
@@ -101,7 +104,7 @@
     assert_eq!(config.max_connections, 1024 - whinwall_transport::limits::RESERVED_DESCRIPTORS);
     assert_eq!(config_from(&without("", "known")).unwrap().known_endpoints, List::default());
     let seeds = [json!(255), json!("ff")].map(|seed| {
-        let mut file = every_key();
+        let mut file = config_with_every_key();
         file["seed"] = seed;
         config_from(&file).unwrap().seed
     });
@@ -110,7 +113,7 @@
 
 #[test]
 fn environment_variables_take_precedence_over_the_file() {
-    let config = read(ProcessEnvironment {
+    let config = load_config(ProcessEnvironment {
         name: Some("g1".into()),
         listen: Some("127.0.0.1:8101".into()),
         discovery: Some("127.0.0.1:8102".into()),
@@ -149,30 +152,33 @@
 
 #[test]
 fn unreadable_file_is_named_in_the_error() {
-    let why = read(ProcessEnvironment::default()).unwrap_err();
-    assert_eq!(why, "PROXY_CONFIG is not set; set it to the path of the configuration file");
-    let why = read(ProcessEnvironment {
+    let message = load_config(ProcessEnvironment::default()).unwrap_err();
+    assert_eq!(message, "PROXY_CONFIG is not set; set it to the path of the configuration file");
+    let message = load_config(ProcessEnvironment {
         config_file: Some("/absent/file".into()),
         ..ProcessEnvironment::default()
     });
-    assert!(why.unwrap_err().starts_with("PROXY_CONFIG: /absent/file: "));
-    let why = read(ProcessEnvironment { operators_file: Some("/absent/operators".into()), ..environment() });
-    assert!(why.unwrap_err().starts_with("/absent/operators: "));
+    assert!(message.unwrap_err().starts_with("PROXY_CONFIG: /absent/file: "));
+    let message =
+        load_config(ProcessEnvironment { operators_file: Some("/absent/operators".into()), ..environment() });
+    assert!(message.unwrap_err().starts_with("/absent/operators: "));
 }
 
 #[test]
-fn changed_keys_that_need_a_restart_are_named_to_the_letter() {
-    let written = tempfile::NamedTempFile::new().unwrap();
-    let mut file = every_key();
-    std::fs::write(written.path(), file.to_string()).unwrap();
-    let environment =
-        ProcessEnvironment { config_file: Some(written.path().into()), ..ProcessEnvironment::default() };
-    let mut config = read(environment).unwrap();
+fn changed_keys_that_need_a_restart_are_named() {
+    let temporary_file = tempfile::NamedTempFile::new().unwrap();
+    let mut file = config_with_every_key();
+    std::fs::write(temporary_file.path(), file.to_string()).unwrap();
+    let environment = ProcessEnvironment {
+        config_file: Some(temporary_file.path().into()),
+        ..ProcessEnvironment::default()
+    };
+    let mut config = load_config(environment).unwrap();
     file["name"] = json!("g1");
     file["listen"] = json!("127.0.0.1:9101");
     file["limits"]["sockets"] = json!(400);
     file["settings"]["membershipMode"] = json!("ask");
-    std::fs::write(written.path(), file.to_string()).unwrap();
+    std::fs::write(temporary_file.path(), file.to_string()).unwrap();
     assert_eq!(config.reload().unwrap(), ["name", "listen", "limits", "settings"]);
 }
 
@@ -186,19 +192,20 @@
     };
     assert_eq!(logging(None, None), Ok((LevelFilter::INFO, 40)));
     assert_eq!(logging(Some("debug"), Some("7")), Ok((LevelFilter::DEBUG, 7)));
-    let why = logging(Some("loud"), None).unwrap_err();
-    assert_eq!(why, "WHINWALL_LOG: invalid log level, expected error, warn, info or debug");
-    let why = logging(None, Some("x")).unwrap_err();
-    assert_eq!(why, "WHINWALL_LOG_LINES: invalid number: invalid digit found in string");
+    let message = logging(Some("loud"), None).unwrap_err();
+    assert_eq!(message, "WHINWALL_LOG: invalid log level, expected error, warn, info or debug");
+    let message = logging(None, Some("x")).unwrap_err();
+    assert_eq!(message, "WHINWALL_LOG_LINES: invalid number: invalid digit found in string");
 }
 
-/// Set for the process that only prints its environment.
-const SHOW: &str = "TEST_SHOWS_ITS_ENVIRONMENT";
+/// Environment variable that makes `process_environment_is_printed` print.
+const PRINT_VARIABLE: &str = "TEST_SHOWS_ITS_ENVIRONMENT";
 
-/// Does nothing but in a process that the next test starts: variables of this one are shared by all tests.
+/// Prints the environment, but only in the process that the next test starts: all tests of this process share its
+/// variables.
 #[test]
-fn environment_of_a_process_is_shown() {
-    if std::env::var_os(SHOW).is_some() {
+fn process_environment_is_printed() {
+    if std::env::var_os(PRINT_VARIABLE).is_some() {
         println!("{:?}", ProcessEnvironment::from_process());
     }
 }
@@ -206,9 +213,9 @@
 #[test]
 fn environment_variables_are_read_by_their_names() {
     let output = Command::new(std::env::current_exe().unwrap())
-        .args(["--exact", "environment_of_a_process_is_shown", "--nocapture"])
+        .args(["--exact", "process_environment_is_printed", "--nocapture"])
         .env_clear()
-        .env(SHOW, "1")
+        .env(PRINT_VARIABLE, "1")
         .env("PROXY_NAME", "the-name")
         .env("PROXY_LISTEN", "the-listen")
         .env("PROXY_DISCOVERY", "the-discovery")
@@ -227,6 +234,6 @@
         log_lines: Some("the-lines".into()),
         operators_file: Some("the-operators".into()),
     };
-    let shown = String::from_utf8(output.stdout).unwrap();
-    assert!(shown.contains(&format!("{expected:?}")), "{shown}");
+    let printed = String::from_utf8(output.stdout).unwrap();
+    assert!(printed.contains(&format!("{expected:?}")), "{printed}");
 }
--- a/crates/controller/tests/store_file.rs
+++ b/crates/controller/tests/store_file.rs
@@ -1,6 +1,5 @@
-//! A store file written by the release of commit f5ac591 (tests/fixtures/overrides.redb), and what has to be
-//! read from it: file name, tables, keys, record encoding and stamp. A later release must read it as this one
-//! does.
+//! Tests that the store file written by the release of commit f5ac591 (tests/fixtures/overrides.redb) is read: file
+//! name, tables, keys, record encoding and stamp. Later releases must read it in the same way.
 
 use std::path::{Path, PathBuf};
 use whinwall_override_store::{OverrideStore, StoreContents};
@@ -11,13 +10,13 @@
 };
 use whinwall_policy::time::{Moment, Span};
 
-/// The name of the store's file within its folder.
+/// The file name of the store within its folder.
 const STORE_FILE: &str = "overrides.redb";
 /// Wall time of the stamp, in seconds since the epoch.
 const STAMP_WALL_S: u64 = 1_800_000_000;
-/// Uptime of the machine at the stamp.
-const STAMP_SINCE_BOOT_S: u64 = 5_000;
-/// How far the persistent timeline was ahead of the wall clock at the stamp.
+/// Uptime of the machine at the stamp, in seconds.
+const STAMP_UPTIME_S: u64 = 5_000;
+/// Lead of the persistent timeline over the wall clock at the stamp, in seconds.
 const TIMELINE_AHEAD_S: u64 = 7;
 
 fn at_s(seconds: u64) -> Moment {
@@ -32,7 +31,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(STORE_FILE)
 }
 
-/// A copy, as opening a store may write to it.
+/// Opens a copy of the fixture, because opening a store may write to it.
 fn open_copy() -> StoreContents {
     let folder = tempfile::tempdir().unwrap();
     std::fs::copy(fixture(), folder.path().join(STORE_FILE)).unwrap();
@@ -42,13 +41,13 @@
 fn stamp() -> ClockStamp {
     let reading = ClockReading {
         boot_id: "2d9f6c1e-boot".into(),
-        uptime: seconds(STAMP_SINCE_BOOT_S),
+        uptime: seconds(STAMP_UPTIME_S),
         wall_time: at_s(STAMP_WALL_S),
     };
     ClockStamp { reading, position: at_s(STAMP_WALL_S + TIMELINE_AHEAD_S) }
 }
 
-/// The clocks of the same boot at the moment of the stamp, in a process that counts from the stamp's line.
+/// The timeline of a process of the same boot that resumes at the stamp.
 fn timeline() -> Timeline {
     let stamp = stamp();
     Timeline::resume(stamp.position, &stamp.reading, Some(&stamp)).timeline
@@ -101,11 +100,12 @@
 
 #[test]
 fn store_file_of_an_earlier_release_is_read() {
-    let found = open_copy();
-    assert_eq!(found.set_aside, None);
+    let contents = open_copy();
+    assert_eq!(contents.set_aside, None);
     let timeline = timeline();
-    let read = found.records.iter().map(|(_, bytes)| encoding::decode_override(bytes, &timeline).unwrap());
-    assert_eq!(read.collect::<Vec<_>>(), expected_records());
+    let decoded =
+        contents.records.iter().map(|(_, bytes)| encoding::decode_override(bytes, &timeline).unwrap());
+    assert_eq!(decoded.collect::<Vec<_>>(), expected_records());
 }
 
 #[test]
@@ -121,25 +121,26 @@
 }
 
 #[test]
-fn records_of_an_earlier_release_are_written_again_byte_for_byte() {
-    let found = open_copy();
+fn records_of_an_earlier_release_are_encoded_to_the_same_bytes() {
+    let contents = open_copy();
     let timeline = timeline();
-    let written =
-        expected_records().into_iter().map(|one| (one.number, encoding::encode_override(&one, &timeline)));
-    assert_eq!(written.collect::<Vec<_>>(), found.records);
-    assert_eq!(encoding::encode_stamp(&stamp()), found.stamp.unwrap());
+    let encoded = expected_records()
+        .into_iter()
+        .map(|record| (record.number, encoding::encode_override(&record, &timeline)));
+    assert_eq!(encoded.collect::<Vec<_>>(), contents.records);
+    assert_eq!(encoding::encode_stamp(&stamp()), contents.stamp.unwrap());
 }
 
 #[test]
 fn registry_is_restored_from_a_store_file_of_an_earlier_release() {
-    let found = open_copy();
-    let stamp = encoding::decode_stamp(&found.stamp.unwrap()).unwrap();
+    let contents = open_copy();
+    let stamp = encoding::decode_stamp(&contents.stamp.unwrap()).unwrap();
     let restored = OverrideRegistry::restore(
         OverrideLimits::default(),
         stamp.position,
         &stamp.reading,
         Some(&stamp),
-        &found.records,
+        &contents.records,
     );
     assert_eq!(restored.unreadable, Vec::<RecordError>::new());
 }
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -1,5 +1,5 @@
-//! Subsetting in the controller: the decisions are told what the pure package computes, for the registry and the fleet
-//! as they are known; off where the operators' file does not name a fleet.
+//! Tests of subsetting in the controller: the subset memberships equal those that the subsetting package computes for
+//! the current registry and fleet. Subsetting is disabled without a fleet in the operators' file.
 
 mod support;
 
@@ -41,26 +41,26 @@
 }
 
 fn fleet(names: &[String]) -> Fleet {
-    Fleet::new(&config(names), OWN_NAME).expect("its own name is there")
+    Fleet::new(&config(names), OWN_NAME).expect("the own name is in the fleet")
 }
 
-/// A replica as the registry lists it, and as the pure package is given it.
+/// A replica as the registry lists it, convertible into the input of the subsetting package.
 #[derive(Clone)]
-struct Listed {
+struct ListedReplica {
     id: String,
     zone: &'static str,
     state: &'static str,
     weight: f64,
 }
 
-impl Listed {
-    fn lend(&self) -> Replica<'_> {
+impl ListedReplica {
+    fn as_replica(&self) -> Replica<'_> {
         Replica { id: &self.id, zone: self.zone, group: "m2", weight: self.weight }
     }
 }
 
-fn registry() -> Vec<Listed> {
-    let listed = |number: usize| Listed {
+fn registry() -> Vec<ListedReplica> {
+    let listed = |number: usize| ListedReplica {
         id: format!("s-{number}"),
         zone: ZONES[number % ZONES.len()],
         state: "active",
@@ -69,41 +69,46 @@
     (0..REPLICAS).map(listed).collect()
 }
 
-fn list(rig: &mut Rig, version: u64, whole: bool, registry: &[Listed]) {
-    let entry = |listed: &Listed| {
-        let Listed { id, zone, state, weight } = listed;
+fn apply_list(rig: &mut Rig, version: u64, complete: bool, registry: &[ListedReplica]) {
+    let entry = |listed: &ListedReplica| {
+        let ListedReplica { id, zone, state, weight } = listed;
         json!({"id": id, "zone": zone, "kind": "m2", "state": state, "weight": weight})
     };
-    // The stand-in for the store takes lines on these only.
+    // The fake store of the rig accepts commands on known replicas only.
     rig.replicas.extend(registry.iter().map(|listed| (listed.id.clone(), listed.state)));
     let replicas: Vec<_> = registry.iter().map(entry).collect();
-    let line = json!({"version": version, "full": whole, "servers": replicas}).to_string();
-    rig.apply(Event::EndpointListReceived(discovery::decode(&line).expect("a list").expect("a change")));
+    let line = json!({"version": version, "full": complete, "servers": replicas}).to_string();
+    rig.apply(Event::EndpointListReceived(
+        discovery::decode(&line).expect("invalid endpoint list").expect("no change in the endpoint list"),
+    ));
 }
 
-/// What the pure package says of each replica for the controller under test.
-fn expected(names: &[String], registry: &[Listed]) -> BTreeMap<String, SubsetMembership> {
-    let there = registry.iter().filter(|listed| listed.state != "left");
-    let replicas: Vec<_> = there.map(Listed::lend).collect();
-    let membership = Membership::new(names.to_vec()).expect("names differ");
-    let parameters = Parameters::new(SUBSET_SIZE).expect("not 0");
+/// Returns the memberships that the subsetting package computes for the controller under test, by replica.
+fn expected(names: &[String], registry: &[ListedReplica]) -> BTreeMap<String, SubsetMembership> {
+    let present = registry.iter().filter(|listed| listed.state != "left");
+    let replicas: Vec<_> = present.map(ListedReplica::as_replica).collect();
+    let membership = Membership::new(names.to_vec()).expect("duplicate controller names");
+    let parameters = Parameters::new(SUBSET_SIZE).expect("invalid subset size");
     let assignment = Assignment::compute(&membership, &replicas, &parameters);
-    let share = |replica: &Replica| match assignment.position(replica.id, OWN_NAME) {
+    let membership = |replica: &Replica| match assignment.position(replica.id, OWN_NAME) {
         Some(zone) => SubsetMembership::Subset { controllers: zone.controllers, position: zone.position },
         None => SubsetMembership::OtherControllers,
     };
-    replicas.iter().map(|replica| (replica.id.to_string(), share(replica))).collect()
+    replicas.iter().map(|replica| (replica.id.to_string(), membership(replica))).collect()
 }
 
-/// What the decisions were told, of these replicas.
-fn told(rig: &Rig, of: &BTreeMap<String, SubsetMembership>) -> BTreeMap<String, SubsetMembership> {
-    let shares = rig.reducer.subset_memberships();
-    of.keys().filter_map(|id| Some((id.clone(), *shares.get(id.as_str())?))).collect()
+/// Returns the memberships in the reducer of the replicas in `expected`.
+fn memberships(
+    rig: &Rig,
+    expected: &BTreeMap<String, SubsetMembership>,
+) -> BTreeMap<String, SubsetMembership> {
+    let memberships = rig.reducer.subset_memberships();
+    expected.keys().filter_map(|id| Some((id.clone(), *memberships.get(id.as_str())?))).collect()
 }
 
 fn rig() -> Rig {
     let mut rig = Rig::new();
-    list(&mut rig, 41, true, &registry());
+    apply_list(&mut rig, 41, true, &registry());
     rig.send_snapshot(&[]);
     rig
 }
@@ -117,7 +122,7 @@
 }
 
 #[test]
-fn every_controller_steers_every_replica_without_a_fleet() {
+fn every_replica_belongs_to_all_controllers_without_a_fleet() {
     let mut rig = rig();
     rig.apply(Event::SubsettingConfigured(None));
     rig.drain_input();
@@ -126,30 +131,30 @@
         .reducer
         .subset_memberships()
         .values()
-        .all(|share| *share == SubsetMembership::AllControllers));
+        .all(|membership| *membership == SubsetMembership::AllControllers));
     assert_eq!(status(&mut rig), None);
 }
 
 #[test]
 fn memberships_equal_the_subsetting_package_in_any_order_of_events() {
     let expected = expected(&names(CONTROLLERS), &registry());
-    assert!(expected.values().any(|share| *share == SubsetMembership::OtherControllers));
+    assert!(expected.values().any(|membership| *membership == SubsetMembership::OtherControllers));
     let mut list_first = rig();
     list_first.apply(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
-    assert_eq!(told(&list_first, &expected), expected);
+    assert_eq!(memberships(&list_first, &expected), expected);
     let mut fleet_first = Rig::new();
     fleet_first.apply(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
-    list(&mut fleet_first, 41, true, &registry());
+    apply_list(&mut fleet_first, 41, true, &registry());
     fleet_first.drain_input();
-    assert_eq!(told(&fleet_first, &expected), expected);
+    assert_eq!(memberships(&fleet_first, &expected), expected);
 }
 
 #[test]
-fn status_has_the_members_and_the_own_subset() {
+fn status_shows_the_fleet_and_the_own_subset() {
     let mut rig = rig();
     rig.apply(Event::SubsettingConfigured(Some(fleet(&names(CONTROLLERS)))));
     let own = expected(&names(CONTROLLERS), &registry());
-    let own = own.values().filter(|share| matches!(share, SubsetMembership::Subset { .. })).count();
+    let own = own.values().filter(|membership| matches!(membership, SubsetMembership::Subset { .. })).count();
     let expected = SubsettingStatus {
         controllers: CONTROLLERS,
         aggregators: 1,
@@ -170,26 +175,26 @@
     let mut registry = registry();
     registry[3].state = "left";
     registry[4].state = "leaving";
-    let new = Listed { id: "s-new".into(), ..registry[3].clone() };
-    registry.push(Listed { state: "active", ..new });
-    list(&mut rig, 42, false, &registry[3..]);
+    let new = ListedReplica { id: "s-new".into(), ..registry[3].clone() };
+    registry.push(ListedReplica { state: "active", ..new });
+    apply_list(&mut rig, 42, false, &registry[3..]);
     rig.drain_input();
     let first = expected(&fleet_names, &registry);
-    assert_eq!(told(&rig, &first), first);
+    assert_eq!(memberships(&rig, &first), first);
     assert!(
         !first.contains_key("s-3") && first.contains_key("s-4"),
-        "one that drains is steered until it left"
+        "a draining replica stays in its subset until it has left"
     );
 
-    // What follows within a second is computed together; until then a new replica is left to others.
-    registry.push(Listed { id: "s-newer".into(), ..registry[5].clone() });
-    list(&mut rig, 43, false, &registry[registry.len() - 1..]);
+    // Further changes within a second are computed together. Until then a new replica belongs to other controllers.
+    registry.push(ListedReplica { id: "s-newer".into(), ..registry[5].clone() });
+    apply_list(&mut rig, 43, false, &registry[registry.len() - 1..]);
     rig.drain_input();
     assert_eq!(rig.reducer.subset_memberships()["s-newer"], SubsetMembership::OtherControllers);
-    assert_eq!(told(&rig, &first), first);
+    assert_eq!(memberships(&rig, &first), first);
     rig.advance_ms(1000);
     let second = expected(&fleet_names, &registry);
-    assert_eq!(told(&rig, &second), second);
+    assert_eq!(memberships(&rig, &second), second);
 }
 
 #[test]
@@ -198,17 +203,18 @@
     let mut rig = Rig::new();
     rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     let mut registry = registry();
-    list(&mut rig, 41, true, &registry[..10]);
+    apply_list(&mut rig, 41, true, &registry[..10]);
     rig.drain_input();
-    list(&mut rig, 42, true, &registry);
+    apply_list(&mut rig, 42, true, &registry);
     registry[0].state = "leaving";
-    list(&mut rig, 43, false, &registry[..1]);
+    apply_list(&mut rig, 43, false, &registry[..1]);
     rig.drain_input();
     let expected = expected(&fleet_names, &registry);
-    assert_eq!(told(&rig, &expected), expected);
+    assert_eq!(memberships(&rig, &expected), expected);
 }
 
-/// Aggregators compute the same subsets from the registry alone.
+/// Zones without a configured name count by their names in the registry. Aggregators compute the same subsets from the
+/// registry alone.
 #[test]
 fn unnamed_zones_count_by_the_names_of_the_registry() {
     let mut rig = rig();
@@ -216,28 +222,32 @@
     for (number, listed) in replicas.iter_mut().enumerate().filter(|(number, _)| number % 2 == 0) {
         listed.zone = ["islands", "harbour", "valley", "coast", "hills"][number / 2 % 5];
     }
-    list(&mut rig, 42, true, &replicas);
+    apply_list(&mut rig, 42, true, &replicas);
     let names = names(CONTROLLERS);
-    let mut together = replicas.clone();
-    let unnamed = |listed: &&mut Listed| !ZONES.contains(&listed.zone);
-    together.iter_mut().filter(unnamed).for_each(|listed| listed.zone = "");
-    assert_ne!(expected(&names, &replicas), expected(&names, &together), "the zones make a difference");
+    let mut merged_zones = replicas.clone();
+    let unnamed = |listed: &&mut ListedReplica| !ZONES.contains(&listed.zone);
+    merged_zones.iter_mut().filter(unnamed).for_each(|listed| listed.zone = "");
+    assert_ne!(
+        expected(&names, &replicas),
+        expected(&names, &merged_zones),
+        "the zone names do not affect the subsets"
+    );
     rig.apply(Event::SubsettingConfigured(Some(fleet(&names))));
     let expected = expected(&names, &replicas);
-    assert_eq!(told(&rig, &expected), expected);
+    assert_eq!(memberships(&rig, &expected), expected);
 }
 
 #[test]
-fn zone_lost_and_back_leaves_the_memberships_unchanged() {
+fn lost_zone_that_returns_leaves_the_memberships_unchanged() {
     let fleet_names = names(CONTROLLERS);
     let mut rig = rig();
     rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
     let rest: Vec<_> = registry().into_iter().filter(|listed| listed.zone != "west").collect();
     for (version, registry) in [(42, rest), (43, registry())] {
-        list(&mut rig, version, true, &registry);
+        apply_list(&mut rig, version, true, &registry);
         rig.advance_ms(2000);
         let expected = expected(&fleet_names, &registry);
-        assert_eq!(told(&rig, &expected), expected);
+        assert_eq!(memberships(&rig, &expected), expected);
     }
 }
 
@@ -247,25 +257,25 @@
     for controllers in [CONTROLLERS, CONTROLLERS - 1, 1] {
         rig.apply(Event::SubsettingConfigured(Some(fleet(&names(controllers)))));
         let expected = expected(&names(controllers), &registry());
-        assert_eq!(told(&rig, &expected), expected);
+        assert_eq!(memberships(&rig, &expected), expected);
         assert!(rig
             .logs
             .pop()
-            .is_some_and(|note| note.contains(&format!("subset assigned controllers={controllers} "))));
+            .is_some_and(|line| line.contains(&format!("subset assigned controllers={controllers} "))));
     }
     rig.logs.clear();
     rig.apply(Event::SubsettingConfigured(Some(fleet(&names(1)))));
-    assert_eq!(rig.logs, [""; 0], "the same fleet again is no change");
+    assert_eq!(rig.logs, [""; 0], "an unchanged fleet is logged again");
     rig.apply(Event::SubsettingConfigured(None));
     assert!(rig
         .reducer
         .subset_memberships()
         .values()
-        .all(|share| *share == SubsetMembership::AllControllers));
+        .all(|membership| *membership == SubsetMembership::AllControllers));
 }
 
 #[test]
-fn day_of_changes_keeps_the_memberships_exact() {
+fn memberships_stay_exact_over_many_changes() {
     let (mut registry, mut fleet_names) = (registry(), names(CONTROLLERS));
     let mut rig = rig();
     rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
@@ -277,15 +287,15 @@
         } else {
             let at = change * 7 % registry.len();
             registry[at].id = format!("s-{}", REPLICAS + change);
-            list(&mut rig, 42 + change as u64, true, &registry);
+            apply_list(&mut rig, 42 + change as u64, true, &registry);
         }
         rig.advance_ms(1000);
         let expected = expected(&fleet_names, &registry);
-        assert_eq!(told(&rig, &expected), expected, "change {change}");
+        assert_eq!(memberships(&rig, &expected), expected, "change {change}");
     }
 }
 
-fn element(names: &[&str]) -> String {
+fn subsetting_element(names: &[&str]) -> String {
     let controllers: String = names.iter().map(|name| format!("<governor name=\"{name}\"/>")).collect();
     format!(
         "<subsetting subset=\"4\" bytes-per-second=\"27000\">{controllers}\
@@ -293,71 +303,77 @@
     )
 }
 
-/// Asks until the status shows so many controllers.
-fn becomes(managed: &ManagedController, controllers: Option<usize>) -> Option<SubsettingState> {
+/// Requests the status until it shows this number of controllers and all replicas.
+fn wait_for_subsetting(managed: &ManagedController, controllers: Option<usize>) -> Option<SubsettingState> {
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
-        let status = managed.request(async |client| client.status().await).expect("a status");
+        let status =
+            managed.request(async |client| client.status().await).expect("the status request failed");
         let listed = status.subsetting.as_ref().is_none_or(|subsetting| subsetting.listed_replicas == 12);
         if status.subsetting.as_ref().map(|subsetting| subsetting.controllers) == controllers && listed {
             return status.subsetting;
         }
-        assert!(Instant::now() < end, "{status:?} stays as it is");
+        assert!(
+            Instant::now() < end,
+            "timed out waiting for {controllers:?} controllers, last status {status:?}"
+        );
     }
 }
 
-/// As the pure package has it, for the registry of the stand-in.
-fn own_subset(names: &[&str]) -> usize {
-    let membership =
-        Membership::new(names.iter().map(std::string::ToString::to_string)).expect("names differ");
+/// Returns the size of this controller's subset as the subsetting package computes it, for the registry of the fake
+/// discovery.
+fn own_subset_size(names: &[&str]) -> usize {
+    let membership = Membership::new(names.iter().map(std::string::ToString::to_string))
+        .expect("duplicate controller names");
     let ids: Vec<_> = (0..12).map(|number| format!("s-{number}")).collect();
-    let lend = |id| Replica { id, zone: "north", group: "m2", weight: 1.0 };
-    let replicas: Vec<_> = ids.iter().map(String::as_str).map(lend).collect();
+    let replica = |id| Replica { id, zone: "north", group: "m2", weight: 1.0 };
+    let replicas: Vec<_> = ids.iter().map(String::as_str).map(replica).collect();
     Assignment::compute(&membership, &replicas, &Parameters { subset_size: 4 }).subset_of(OWN_NAME).len()
 }
 
 #[test]
-fn program_takes_over_another_fleet_on_sighup() {
+fn program_applies_a_changed_fleet_on_sighup() {
     let mut managed = ManagedController::start(12, 24);
-    assert_eq!(becomes(&managed, None), None);
+    assert_eq!(wait_for_subsetting(&managed, None), None);
     let fleets: [&[&str]; 3] = [&["n0", "n1", "n2"], &["n0", "n1", "n2", "n3", "n4"], &["n4", "n0"]];
     for names in fleets {
-        managed.write_operators_file(&element(names));
+        managed.write_operators_file(&subsetting_element(names));
         managed.program().signal(Signal::HUP);
         managed.wait_for_log(&format!("subset assigned controllers={} ", names.len()));
-        let subsetting = becomes(&managed, Some(names.len())).expect("subsets");
-        assert_eq!((subsetting.own_replicas, subsetting.aggregators), (own_subset(names), 1));
+        let subsetting =
+            wait_for_subsetting(&managed, Some(names.len())).expect("no subsetting in the status");
+        assert_eq!((subsetting.own_replicas, subsetting.aggregators), (own_subset_size(names), 1));
     }
-    // A fleet without this controller changes nothing.
-    managed.write_operators_file(&element(&["n1", "n2"]));
+    // A fleet without this controller is rejected.
+    managed.write_operators_file(&subsetting_element(&["n1", "n2"]));
     managed.program().signal(Signal::HUP);
-    let refused = managed.wait_for_log("configuration reload failed, keeping the previous configuration");
+    let log_line = managed.wait_for_log("configuration reload failed, keeping the previous configuration");
     let expected = "<subsetting>: this governor's own name, \"n0\", is not among its governors";
-    assert!(refused.contains(expected), "{refused}");
+    assert!(log_line.contains(expected), "{log_line}");
     assert_eq!(
-        becomes(&managed, Some(2)).map(|subsetting| subsetting.own_replicas),
-        Some(own_subset(fleets[2]))
+        wait_for_subsetting(&managed, Some(2)).map(|subsetting| subsetting.own_replicas),
+        Some(own_subset_size(fleets[2]))
     );
-    // Over a restart it is there from the beginning.
-    managed.write_operators_file(&element(fleets[0]));
+    // After a restart the fleet applies from the start.
+    managed.write_operators_file(&subsetting_element(fleets[0]));
     managed.restart();
     assert_eq!(
-        becomes(&managed, Some(3)).map(|subsetting| subsetting.own_replicas),
-        Some(own_subset(fleets[0]))
+        wait_for_subsetting(&managed, Some(3)).map(|subsetting| subsetting.own_replicas),
+        Some(own_subset_size(fleets[0]))
     );
     managed.write_operators_file("<overrides/>");
     managed.program().signal(Signal::HUP);
     managed.wait_for_log("subsetting disabled");
-    assert_eq!(becomes(&managed, None), None);
+    assert_eq!(wait_for_subsetting(&managed, None), None);
 }
 
 #[test]
-fn start_refuses_a_fleet_without_this_controller() {
+fn start_rejects_a_fleet_without_this_controller() {
     let managed = ManagedController::start(3, 6);
-    managed.write_operators_file(&element(&["n1", "n2"]));
+    managed.write_operators_file(&subsetting_element(&["n1", "n2"]));
     let (mut command, _file) = managed.command();
-    let output = command.arg("--check").output().expect("it runs");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("this governor's own name, \"n0\", is not among its governors"), "{said}");
+    let output = command.arg("--check").output().expect("failed to run the program");
+    let printed = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{printed}");
+    assert!(printed.contains("this governor's own name, \"n0\", is not among its governors"), "{printed}");
 }
