--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -1,5 +1,5 @@
-//! The exact text between the controller and the relay. Each expected line is written out, so that a renamed
-//! word, a moved field or another separator fails here.
+//! Tests of the exact text exchanged between the controller and the relay. Expected lines are written out in full, so
+//! that a renamed word, a reordered field or a changed separator fails a test.
 
 use whinwall_protocol::relay::{
     decode_event, decode_response, encode_request, Command, RelayEvent, Response, SyncScope,
@@ -7,7 +7,7 @@
 };
 
 fn event(line: &str) -> RelayEvent {
-    decode_event(line).unwrap_or_else(|why| panic!("{line:?}: {why}"))
+    decode_event(line).unwrap_or_else(|error| panic!("{line:?}: {error}"))
 }
 
 fn event_error(line: &str) -> String {
@@ -30,13 +30,13 @@
 
 #[test]
 fn admission_commands_are_encoded() {
-    let limit = |slice, request_classes: &[&str], share, retries| {
+    let encode_admission = |slice, request_classes: &[&str], share, retries| {
         let request_classes = request_classes.iter().map(std::string::ToString::to_string).collect();
         Command::SetAdmission { slice, request_classes, share, retries }.encode(SyncScope::ReachedProxies)
     };
-    assert_eq!(limit(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
-    assert_eq!(limit(Some(7), &["lookup"], 0.5, 3), "LIMIT,7,lookup,0.5,3");
-    assert_eq!(limit(None, &[], 1.0, 0), "LIMIT,*,*,1,0");
+    assert_eq!(encode_admission(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
+    assert_eq!(encode_admission(Some(7), &["lookup"], 0.5, 3), "LIMIT,7,lookup,0.5,3");
+    assert_eq!(encode_admission(None, &[], 1.0, 0), "LIMIT,*,*,1,0");
 }
 
 #[test]
@@ -48,13 +48,13 @@
 
 #[test]
 fn weights_are_encoded_without_superfluous_digits() {
-    let set = |weight| {
+    let encode_weight = |weight| {
         Command::SetEndpoint { slice: 0, replica: "s".into(), weight }.encode(SyncScope::ReachedProxies)
     };
-    assert_eq!(set(0.0), "SET,0,s,0");
-    assert_eq!(set(1.0), "SET,0,s,1");
-    assert_eq!(set(0.1), "SET,0,s,0.1");
-    assert_eq!(set(1e-7), "SET,0,s,0.0000001");
+    assert_eq!(encode_weight(0.0), "SET,0,s,0");
+    assert_eq!(encode_weight(1.0), "SET,0,s,1");
+    assert_eq!(encode_weight(0.1), "SET,0,s,0.1");
+    assert_eq!(encode_weight(1e-7), "SET,0,s,0.0000001");
 }
 
 #[test]
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn watch_request_is_one_word() {
+fn watch_request_is_encoded() {
     assert_eq!(WATCH_REQUEST, "WATCH");
 }
 
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn joined_proxy_is_decoded_with_whether_it_has_no_table() {
+fn joined_proxy_is_decoded_with_its_table_state() {
     for set in ["1", "true", "yes"] {
         assert_eq!(
             event(&format!("* SUBSCRIBE 4 a 120.5 {set}")),
--- a/crates/controller/tests/request_bytes.rs
+++ b/crates/controller/tests/request_bytes.rs
@@ -1,24 +1,25 @@
-//! The exact bytes that the controller's transport writes to discovery and the relay, read from a plain socket.
+//! Tests of the exact bytes that the controller's transport writes to discovery and the relay, read from a plain
+//! socket.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
-use tokio::sync::{mpsc, watch as at};
+use tokio::sync::{mpsc, watch as watch_channel};
 use whinwall_protocol::discovery::watch_path;
 use whinwall_protocol::relay::{encode_request, WATCH_REQUEST};
 use whinwall_transport::{registry_watch, relay_requests, relay_watch};
 
 /// Far longer than a request takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Takes one connection, and returns what is written to it until its last bytes are these.
+/// Accepts one connection. The thread returns the bytes received up to and including `until`.
 fn listen(until: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let read = move || {
         let (mut stream, _) = listener.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         let (mut text, mut byte) = (Vec::new(), [0]);
         while !text.ends_with(until.as_bytes()) && stream.read(&mut byte).is_ok_and(|read| read > 0) {
             text.extend(byte);
@@ -28,9 +29,9 @@
     (address, thread::spawn(read))
 }
 
-/// The lines of a request's head with its header fields in order, because the client writes them in no certain
-/// one, and without the value of the date.
-fn lines_in_order(head: &str) -> Vec<&str> {
+/// Returns the lines of a request's head without the value of the date. The header fields are sorted, because the
+/// client writes them in no fixed order.
+fn sorted_lines(head: &str) -> Vec<&str> {
     let without_date = |line| if str::starts_with(line, "date: ") { "date: _" } else { line };
     let mut lines: Vec<_> = head.split("\r\n").map(without_date).collect();
     lines[1..].sort_unstable();
@@ -39,7 +40,7 @@
 
 #[test]
 fn registry_watch_is_one_get_request() {
-    let (discovery, heard) = listen("\r\n\r\n");
+    let (discovery, received) = listen("\r\n\r\n");
     let head = actix_rt::System::new().block_on(async {
         let (inbox, _arrived) = mpsc::channel(1);
         let url = format!("http://{discovery}{}", watch_path(41));
@@ -49,7 +50,7 @@
             url,
             inbox,
         ));
-        actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
+        actix_rt::task::spawn_blocking(|| received.join().unwrap()).await.unwrap()
     });
     let host = format!("host: {discovery}");
     let expected = [
@@ -62,30 +63,33 @@
         "date: _",
         host.as_str(),
     ];
-    assert_eq!(lines_in_order(&head), expected, "{head:?}");
+    assert_eq!(sorted_lines(&head), expected, "{head:?}");
 }
 
 #[test]
 fn relay_watch_is_one_line() {
-    let (relay, heard) = listen("\n");
+    let (relay, received) = listen("\n");
     let line = actix_rt::System::new().block_on(async {
         let (inbox, _arrived) = mpsc::channel(1);
         actix_rt::spawn(relay_watch::follow(1, relay, WATCH_REQUEST, inbox));
-        actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
+        actix_rt::task::spawn_blocking(|| received.join().unwrap()).await.unwrap()
     });
     assert_eq!(line, "WATCH\r\n");
 }
 
 #[test]
 fn relay_request_is_one_line() {
-    let (relay, heard) = listen("\n");
+    let (relay, received) = listen("\n");
     let line = actix_rt::System::new().block_on(async {
-        let ((make, to_make), (inbox, _arrived)) = (mpsc::channel(1), mpsc::channel(1));
-        let (_at, at_relay) = at::channel(Some(relay));
-        actix_rt::spawn(relay_requests::serve(to_make, at_relay, inbox));
+        let ((request_sender, request_receiver), (inbox, _arrived)) = (mpsc::channel(1), mpsc::channel(1));
+        let (_relay_sender, relay_receiver) = watch_channel::channel(Some(relay));
+        actix_rt::spawn(relay_requests::serve(request_receiver, relay_receiver, inbox));
         let line = encode_request(&["SET,1,s-1,1", "SYNC,9,0"]);
-        make.send(relay_requests::RelayRequest { relay, line, needs_new_connection: false }).await.unwrap();
-        actix_rt::task::spawn_blocking(|| heard.join().unwrap()).await.unwrap()
+        request_sender
+            .send(relay_requests::RelayRequest { relay, line, needs_new_connection: false })
+            .await
+            .unwrap();
+        actix_rt::task::spawn_blocking(|| received.join().unwrap()).await.unwrap()
     });
     assert_eq!(line, "APPLY SET,1,s-1,1;SYNC,9,0\r\n");
 }
--- a/crates/controller/tests/shutdown.rs
+++ b/crates/controller/tests/shutdown.rs
@@ -1,10 +1,11 @@
-//! The end of the program by signals, as its clients see it. The process is stopped while requests and signals are produced,
-//! so that it meets them all at once, in the most unfortunate order, every time.
+//! Tests of the shutdown by signals, as clients see it. The process is paused while requests and signals are sent, so
+//! that it finds all of them at once, in the least favourable order, in each run.
 //!
-//! Before, callers saw connections closed without an answer: the drain did not take management requests, a second signal
-//! ended it at once, the management server cancelled its connections when it was dropped, and nothing told a request
-//! that had been read from one that had not. In 12 runs with 24 clients, 8 whole requests and 280 of which 20 bytes had been
-//! sent had no answer, and of the pings at the collectors' listener 198 whole ones.
+//! They guard against connections that are closed without a response. Four faults caused that: the graceful shutdown
+//! accepted no management requests, a second signal ended it at once, the management server cancelled its connections
+//! when it was dropped, and requests that had been read were not told apart from those that had not. In 12 runs with 24
+//! clients, 8 complete requests, 280 requests of which 20 bytes had been sent, and 198 complete pings to the
+//! collectors' listener got no response.
 
 mod support;
 
@@ -15,7 +16,7 @@
 use support::managed_controller::{out, ManagedController};
 use support::*;
 
-/// The kill comes 0.7 s after the first signal.
+/// SIGKILL follows 0.7 s after the first signal.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 const STATUS: &str = "GET /v1/status HTTP/1.1\r\nhost: n0\r\n\r\n";
 const PING: &str = "{\"@type\":\"PING\"}\n";
@@ -33,8 +34,8 @@
     stream
 }
 
-/// A connection that is kept after its first response.
-fn kept_connection(managed: &ManagedController) -> UnixStream {
+/// Returns a connection that stays open after its first response.
+fn persistent_connection(managed: &ManagedController) -> UnixStream {
     let mut stream = connect_to_management(managed);
     stream.write_all(STATUS.as_bytes()).unwrap();
     let mut head = Vec::new();
@@ -49,17 +50,17 @@
     stream
 }
 
-/// All that is received until the connection ends, which it has to do in order.
-fn read_to_end(mut stream: impl Read, what: &str) -> String {
+/// Returns all that is received until the connection ends. Panics if it ends with an error.
+fn read_to_end(mut stream: impl Read, connection: &str) -> String {
     let mut text = Vec::new();
     if let Err(error) = stream.read_to_end(&mut text) {
-        panic!("{what}: {error} after {:?}", String::from_utf8_lossy(&text));
+        panic!("{connection}: connection failed: {error}; received {:?}", String::from_utf8_lossy(&text));
     }
     String::from_utf8(text).unwrap()
 }
 
-/// Sends these signals to the stopped process, lets it go on, and waits until it has ended, in time for the kill.
-fn end_with(program: &mut ControllerProcess, signals: &[Signal]) {
+/// Sends the signals to the paused process and resumes it. Asserts that it exits successfully before SIGKILL is due.
+fn send_signals_and_wait_for_exit(program: &mut ControllerProcess, signals: &[Signal]) {
     signals.iter().for_each(|signal| program.signal(*signal));
     let began = Instant::now();
     program.resume();
@@ -75,9 +76,10 @@
     managed.wait_for_log("relay snapshot complete");
 }
 
-/// Requests that the program handled once it had noticed the signal, from the log of a process that has ended. One that was
-/// handled a moment earlier, though the signal had been sent, can't say that its connection ends (seen once beside load: the
-/// management thread had its reply before the event loop had the signal).
+/// Returns the number of requests that the program handled after it had noticed the signal, from the log of the process
+/// that has exited. A request that is handled just before that, although the signal has been sent, gets a response
+/// without `connection: close`: on a loaded machine the management thread can reply before the event loop receives the
+/// signal.
 fn requests_after_the_signal(program: &mut ControllerProcess) -> usize {
     program.wait_for_log("shutdown complete");
     let lines = program.log.skipped.iter().map(String::as_str);
@@ -87,7 +89,7 @@
         .count()
 }
 
-const SERIES: [&[Signal]; 5] = [
+const SIGNAL_SEQUENCES: [&[Signal]; 5] = [
     &[Signal::TERM],
     &[Signal::TERM, Signal::INT],
     &[Signal::HUP, Signal::TERM],
@@ -96,45 +98,50 @@
 ];
 
 #[test]
-fn management_requests_read_by_the_end_have_their_responses() {
-    for series in SERIES {
+fn management_requests_received_before_the_shutdown_get_responses() {
+    for signals in SIGNAL_SEQUENCES {
         let mut managed = ManagedController::start(4, 12);
         restart_with_debug_log(&mut managed);
-        let mut kept = kept_connection(&managed);
-        let mut kept_in_part = kept_connection(&managed);
+        let mut persistent = persistent_connection(&managed);
+        let mut persistent_partial = persistent_connection(&managed);
         managed.program().pause();
-        kept.write_all(STATUS.as_bytes()).unwrap();
-        kept_in_part.write_all(&STATUS.as_bytes()[..20]).unwrap();
+        persistent.write_all(STATUS.as_bytes()).unwrap();
+        persistent_partial.write_all(&STATUS.as_bytes()[..20]).unwrap();
         // Connections that the program has not accepted yet.
         let mut new = connect_to_management(&managed);
         new.write_all(STATUS.as_bytes()).unwrap();
-        let mut new_in_part = connect_to_management(&managed);
-        new_in_part.write_all(&STATUS.as_bytes()[..20]).unwrap();
-        let mut body_in_part = connect_to_management(&managed);
+        let mut new_partial = connect_to_management(&managed);
+        new_partial.write_all(&STATUS.as_bytes()[..20]).unwrap();
+        let mut truncated_body = connect_to_management(&managed);
         let set = set_request("half", "s-2");
-        body_in_part.write_all(&set.as_bytes()[..set.len() - 5]).unwrap();
-        end_with(managed.program(), series);
-        let mut last_responses = 0;
-        for (what, stream) in [("kept", kept), ("new", new)] {
-            let response = read_to_end(stream, what);
-            assert!(response.starts_with("HTTP/1.1 200"), "{series:?}, {what}: {response:?}");
-            last_responses += usize::from(response.contains("connection: close"));
+        truncated_body.write_all(&set.as_bytes()[..set.len() - 5]).unwrap();
+        send_signals_and_wait_for_exit(managed.program(), signals);
+        let mut closing_responses = 0;
+        for (connection, stream) in [("persistent", persistent), ("new", new)] {
+            let response = read_to_end(stream, connection);
+            assert!(response.starts_with("HTTP/1.1 200"), "{signals:?}, {connection}: {response:?}");
+            closing_responses += usize::from(response.contains("connection: close"));
         }
-        let due = requests_after_the_signal(managed.program());
-        assert!(last_responses >= due, "{series:?}: {last_responses} of {due} say that the connection ends");
-        for (what, stream) in
-            [("kept in part", kept_in_part), ("new in part", new_in_part), ("body in part", body_in_part)]
-        {
-            let response = read_to_end(stream, what);
-            assert!(response.starts_with("HTTP/1.1 503"), "{series:?}, {what}: {response:?}");
-            assert!(response.contains("shutting down"), "{series:?}, {what}: {response:?}");
+        let expected = requests_after_the_signal(managed.program());
+        assert!(
+            closing_responses >= expected,
+            "{signals:?}: {closing_responses} responses with connection: close, at least {expected} expected"
+        );
+        for (connection, stream) in [
+            ("persistent, partial request", persistent_partial),
+            ("new, partial request", new_partial),
+            ("truncated body", truncated_body),
+        ] {
+            let response = read_to_end(stream, connection);
+            assert!(response.starts_with("HTTP/1.1 503"), "{signals:?}, {connection}: {response:?}");
+            assert!(response.contains("shutting down"), "{signals:?}, {connection}: {response:?}");
         }
     }
 }
 
-/// Cut at each byte, a request has a response.
+/// A request truncated at any byte gets a response.
 #[test]
-fn management_request_cut_at_any_byte_has_a_response_at_the_end() {
+fn management_request_truncated_at_any_byte_gets_a_response_at_shutdown() {
     let mut managed = ManagedController::start(4, 12);
     managed.program().pause();
     let mut streams = Vec::new();
@@ -143,7 +150,7 @@
         stream.write_all(&STATUS.as_bytes()[..bytes]).unwrap();
         streams.push((bytes, stream));
     }
-    end_with(managed.program(), &[Signal::TERM]);
+    send_signals_and_wait_for_exit(managed.program(), &[Signal::TERM]);
     for (bytes, stream) in streams {
         let response = read_to_end(stream, &format!("{bytes} bytes"));
         assert!(response.starts_with("HTTP/1.1 503"), "{bytes} bytes: {response:?}");
@@ -151,8 +158,8 @@
 }
 
 #[test]
-fn override_set_at_the_end_says_so_and_is_there_after_the_start() {
-    for series in SERIES {
+fn response_to_an_override_set_at_shutdown_matches_the_overrides_after_restart() {
+    for signals in SIGNAL_SEQUENCES {
         let mut managed = ManagedController::start(4, 12);
         managed.program().pause();
         let streams: Vec<_> = (0..8)
@@ -162,27 +169,30 @@
                 stream
             })
             .collect();
-        end_with(managed.program(), series);
+        send_signals_and_wait_for_exit(managed.program(), signals);
         let responses: Vec<_> = streams.into_iter().map(|stream| read_to_end(stream, "set")).collect();
         managed.restart();
         let listed: Vec<_> = managed.list().into_iter().map(|item| item.id).collect();
         for (n, response) in responses.iter().enumerate() {
             let id = format!("o{n}");
             let is_set = response.starts_with("HTTP/1.1 201");
-            assert!(is_set || response.starts_with("HTTP/1.1 50"), "{series:?} {id}: {response:?}");
-            // 504 is an unknown outcome; any other says what is so.
+            assert!(is_set || response.starts_with("HTTP/1.1 50"), "{signals:?} {id}: {response:?}");
+            // 504 means that the outcome is unknown. Any other status has to match the overrides after the restart.
             let is_unknown = response.starts_with("HTTP/1.1 504");
-            assert!(is_unknown || is_set == listed.contains(&id), "{series:?} {id}: {response:?} {listed:?}");
+            assert!(
+                is_unknown || is_set == listed.contains(&id),
+                "{signals:?} {id}: {response:?} {listed:?}"
+            );
         }
         let set = responses.iter().filter(|response| response.starts_with("HTTP/1.1 201")).count();
-        assert_eq!(set, responses.len(), "{series:?}: the disk was quick enough for all: {responses:?}");
+        assert_eq!(set, responses.len(), "{signals:?}: not all overrides were set: {responses:?}");
     }
 }
 
 #[test]
-fn pings_read_by_the_end_have_their_answers() {
+fn pings_received_before_the_shutdown_get_answers() {
     for cores in [1.0, 4.0] {
-        for series in SERIES {
+        for signals in SIGNAL_SEQUENCES {
             let (mut relay, mut discovery) = (FakeRelay::start(), FakeDiscovery::start());
             let mut program = ControllerProcess::start_with(&relay, &discovery, |file| {
                 file["limits"]["cores"] = serde_json::json!(cores);
@@ -202,29 +212,36 @@
             let mut authenticating = program.connect();
             let source = r#"{"@type":"SOURCE","az":"north"}"#;
             authenticating.stream.write_all(format!("{source}\n{PING}").as_bytes()).unwrap();
-            let mut in_part = program.connect();
-            in_part.stream.write_all(&PING.as_bytes()[..9]).unwrap();
-            let mut source_in_part = program.connect();
-            source_in_part.stream.write_all(&source.as_bytes()[..20]).unwrap();
-            end_with(&mut program, series);
-            for (what, peer, expected) in [
+            let mut partial_line = program.connect();
+            partial_line.stream.write_all(&PING.as_bytes()[..9]).unwrap();
+            let mut partial_source = program.connect();
+            partial_source.stream.write_all(&source.as_bytes()[..20]).unwrap();
+            send_signals_and_wait_for_exit(&mut program, signals);
+            for (connection, peer, expected) in [
                 ("collector", collector, PONG.repeat(2)),
                 ("open", open, PONG.repeat(2)),
                 ("new", new, PONG.into()),
                 ("authenticating", authenticating, PONG.into()),
             ] {
-                assert_eq!(read_to_end(peer.reader, what), expected, "{cores} {series:?} {what}");
+                assert_eq!(
+                    read_to_end(peer.reader, connection),
+                    expected,
+                    "{cores} {signals:?} {connection}"
+                );
             }
-            for (what, peer) in [("in part", in_part), ("source in part", source_in_part)] {
-                let answer = read_to_end(peer.reader, what);
-                assert!(answer.contains("NACK") && answer.contains("shutting down"), "{what}: {answer:?}");
+            for (connection, peer) in [("partial line", partial_line), ("partial source", partial_source)] {
+                let answer = read_to_end(peer.reader, connection);
+                assert!(
+                    answer.contains("NACK") && answer.contains("shutting down"),
+                    "{connection}: {answer:?}"
+                );
             }
             drop(watch);
         }
     }
 }
 
-/// Their default action would have ended the program at once.
+/// The default action of these signals terminates a process.
 #[test]
 fn user_signals_and_broken_pipes_do_not_end_the_program() {
     let (_relay, _discovery, mut program) = start_all();
@@ -235,27 +252,27 @@
     assert!(program.child.try_wait().unwrap().is_none());
 }
 
-/// A peer with half a line held the end of the program up for all of the time that connections have to close (200 ms in place of 60
-/// from the signal to the end, on days of the bench), and a controller that ends late is replaced late.
+/// A peer that had sent part of a line delayed the exit by the whole time that connections have to close (200 ms
+/// instead of 60 ms from the signal to the exit), and a controller that exits late is replaced late.
 #[test]
-fn half_a_line_does_not_hold_the_end_up() {
-    /// What the program waits for at the least, and what the rest of a line, of a peer that is there, may take.
-    const QUIET_PERIOD_AND_REST_OF_LINE: Duration = Duration::from_millis(50 + 20);
+fn partial_line_does_not_delay_the_shutdown() {
+    /// The quiet period of the shutdown (50 ms), and the time limit for the rest of a line (20 ms).
+    const QUIET_PERIOD_AND_PARTIAL_LINE_TIMEOUT: Duration = Duration::from_millis(50 + 20);
     let (_relay, _discovery, mut program) = start_all();
-    let mut took = Vec::new();
+    let mut exit_times = Vec::new();
     for _ in 0..5 {
-        let mut in_part = program.connect();
-        in_part.stream.write_all(&PING.as_bytes()[..9]).unwrap();
+        let mut partial_line = program.connect();
+        partial_line.stream.write_all(&PING.as_bytes()[..9]).unwrap();
         program.connect().ping();
         program.signal(Signal::TERM);
         let began = Instant::now();
         assert!(program.wait_for_exit().success());
-        took.push(began.elapsed());
-        assert!(read_to_end(in_part.reader, "in part").contains("shutting down"));
+        exit_times.push(began.elapsed());
+        assert!(read_to_end(partial_line.reader, "partial line").contains("shutting down"));
         let (_, _, next) = start_all();
         program = next;
     }
-    took.sort();
-    // The median, and twice the time: other processes want the machine too.
-    assert!(took[2] < 2 * QUIET_PERIOD_AND_REST_OF_LINE, "{took:?}");
+    exit_times.sort();
+    // The median, and twice the expected time, because other processes use the machine too.
+    assert!(exit_times[2] < 2 * QUIET_PERIOD_AND_PARTIAL_LINE_TIMEOUT, "{exit_times:?}");
 }
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The program as it is started in service, over loopback sockets, with fake servers for all its peers.
+//! Tests of the controller program over loopback sockets, with fakes for all its peers.
 
 mod support;
 
@@ -11,14 +11,14 @@
 
 #[test]
 fn invalid_configuration_is_rejected_with_its_key() {
-    let refuses = |text: &str, expected: &str| {
+    let assert_rejected = |text: &str, expected: &str| {
         let file = ConfigFile::write(text);
         let output = command(&file).output().unwrap();
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains(expected), "{said:?} lacks {expected:?}");
+        let printed = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{printed}");
+        assert!(printed.contains(expected), "expected {expected:?} in {printed:?}");
     };
-    refuses("{ no JSON", "line 1");
+    assert_rejected("{ no JSON", "line 1");
     type Change = fn(&mut Value);
     let cases: [(Change, &str); 11] = [
         (|file| file["settings"]["familyInfo"]["fixedCost"] = json!("eight"), "familyInfo.fixedCost"),
@@ -36,10 +36,10 @@
     for (change, expected) in cases {
         let mut file = example_config();
         change(&mut file);
-        refuses(&file.to_string(), expected);
+        assert_rejected(&file.to_string(), expected);
     }
-    let gone = ConfigFile("/nowhere/at/all.json".into());
-    let output = command(&gone).output().unwrap();
+    let missing = ConfigFile("/nowhere/at/all.json".into());
+    let output = command(&missing).output().unwrap();
     assert!(String::from_utf8_lossy(&output.stderr).contains("PROXY_CONFIG"));
 }
 
@@ -48,12 +48,12 @@
     let (mut relay, mut discovery, mut program) = start_all();
     program.connect().ping();
     let watch = discovery.serve_snapshot();
-    let _news = relay.serve_snapshot();
+    let _relay_watch = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["active", "leaving"]);
-    let call = relay.accept_requests_until("OUT,s-1;");
-    assert!(call.line.contains("SET,1,s-1,0") && call.line.contains("SET,4,s-1,0"), "{}", call.line);
-    call.accept();
+    let request = relay.accept_requests_until("OUT,s-1;");
+    assert!(request.line.contains("SET,1,s-1,0") && request.line.contains("SET,4,s-1,0"), "{}", request.line);
+    request.accept();
     kill_process(Pid::from_child(&program.child), Signal::TERM).unwrap();
     assert!(program.wait_for_exit().success());
 }
@@ -62,16 +62,16 @@
 fn collector_reports_lead_to_commands() {
     let (mut relay, mut discovery, program) = start_all();
     let _watch = discovery.serve_snapshot();
-    let _news = relay.serve_snapshot();
+    let _relay_watch = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     let mut collector = program.connect();
     collector.send_line(r#"{"@type":"SOURCE","az":"north"}"#);
-    // One that fails all it is asked, quickly, in between lines that say nothing of use.
+    // All attempts at s-1 fail fast. An invalid line and reports on other subjects are in between.
     let end = Instant::now() + TEST_TIMEOUT;
-    while !relay.messages.receiver.try_iter().any(|said| {
-        let out = said.line.contains("OUT,s-1;");
-        said.accept();
-        out
+    while !relay.messages.receiver.try_iter().any(|request| {
+        let is_withdrawal = request.line.contains("OUT,s-1;");
+        request.accept();
+        is_withdrawal
     }) {
         assert!(Instant::now() < end, "s-1 is not withdrawn");
         for line in [
@@ -92,58 +92,59 @@
 fn relay_request_is_retried_until_its_outcome_is_known() {
     let (mut relay, mut discovery, _program) = start_all();
     let watch = discovery.serve_snapshot();
-    let _news = relay.serve_snapshot();
+    let _relay_watch = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["active", "leaving"]);
     let first = relay.accept_requests_until("OUT,s-1;");
     let line = first.line.clone();
-    let mut way = first.stream;
-    // Silence; a break; half an answer and a break; something that is no answer; a refusal for now.
-    for (answer, ends) in
+    let mut connection = first.stream;
+    // No response; a lost connection; a truncated response and a lost connection; a malformed response; a retryable
+    // refusal.
+    for (response, closes) in
         [("", false), ("", true), ("OK 1", true), ("HELLO\r\n", false), ("ERR unavailable\r\n", false)]
     {
-        _ = way.write_all(answer.as_bytes());
-        if ends {
-            _ = way.shutdown(std::net::Shutdown::Both);
+        _ = connection.write_all(response.as_bytes());
+        if closes {
+            _ = connection.shutdown(std::net::Shutdown::Both);
         }
-        let again = relay.wait_for_request("APPLY ");
-        assert_eq!(again.line, line, "after {answer:?}");
-        way = again.stream;
+        let retry = relay.wait_for_request("APPLY ");
+        assert_eq!(retry.line, line, "after {response:?}");
+        connection = retry.stream;
     }
-    // A late answer on an old connection is nobody's.
-    RelayRequest { line, stream: way }.accept();
+    // A late response on an earlier connection is ignored.
+    RelayRequest { line, stream: connection }.accept();
 }
 
 #[test]
 fn relay_watch_is_reopened_when_it_is_lost() {
     let (mut relay, mut discovery, mut program) = start_all();
     let _watch = discovery.serve_snapshot();
-    let stands = |line: &String| line.contains("proxies=3 slices=6 ");
-    let mut news = relay.serve_snapshot();
-    program.log.wait("a snapshot", stands);
-    // Half a line and the end; what can't be read; silence (no sign of life for seconds).
-    for (last, ends) in [("* CLOSED 2", true), ("* WHAT 7\r\n", false), ("\u{0}\r\n", false), ("", false)] {
-        news.write_all(last.as_bytes()).unwrap();
-        if ends {
-            news.shutdown(std::net::Shutdown::Both).unwrap();
+    let is_complete = |line: &String| line.contains("proxies=3 slices=6 ");
+    let mut relay_watch = relay.serve_snapshot();
+    program.log.wait("a complete snapshot", is_complete);
+    // A truncated line and the end of the connection; malformed lines; no data until the idle time-out.
+    for (last, closes) in [("* CLOSED 2", true), ("* WHAT 7\r\n", false), ("\u{0}\r\n", false), ("", false)] {
+        relay_watch.write_all(last.as_bytes()).unwrap();
+        if closes {
+            relay_watch.shutdown(std::net::Shutdown::Both).unwrap();
         }
-        news = relay.serve_snapshot();
-        program.log.wait("a snapshot", stands);
+        relay_watch = relay.serve_snapshot();
+        program.log.wait("a complete snapshot", is_complete);
     }
 }
 
 #[test]
 fn registry_watch_is_reopened_when_it_is_lost() {
     let (_relay, mut discovery, program) = start_all();
-    discovery.serve_snapshot().list(43, false, &["active"]); // and the answer ends
+    discovery.serve_snapshot().list(43, false, &["active"]); // then the response ends
     let watch = discovery.watch(43);
     watch.lines.send("{\"version\":44,\"full\":false,\"ser".into()).unwrap();
-    drop(watch); // cut in half, it counts for nothing
+    drop(watch); // a truncated list is ignored
     let watch = discovery.watch(43);
     watch.lines.send("\nno list\n".into()).unwrap();
-    let watch = discovery.watch(0); // who says such things may have said wrong ones before
+    let watch = discovery.watch(0); // after a malformed list earlier lists are not trusted either
     watch.list(45, true, &["active"]);
-    let silent = discovery.watch(45); // silence
+    let silent = discovery.watch(45); // no data
     program.connect().ping();
     drop((watch, silent));
 }
@@ -152,21 +153,21 @@
 fn controller_recovers_when_all_connections_fail_at_once() {
     let (mut relay, mut discovery, program) = start_all();
     let watch = discovery.serve_snapshot();
-    let news = relay.serve_snapshot();
+    let relay_watch = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["leaving"]);
-    let open = relay.accept_requests_until("OUT,s-0;");
+    let pending = relay.accept_requests_until("OUT,s-0;");
     drop(watch);
-    _ = news.shutdown(std::net::Shutdown::Both);
-    _ = open.stream.shutdown(std::net::Shutdown::Both);
+    _ = relay_watch.shutdown(std::net::Shutdown::Both);
+    _ = pending.stream.shutdown(std::net::Shutdown::Both);
     let _strangers: Vec<_> = (0..40).map(|_| program.connect()).collect();
-    // All are back, and more has happened: what was open is carried out, then what is new.
+    // All peers are back and the list has changed. The pending request is applied first, then the new commands.
     let watch = discovery.watch(42);
     watch.list(43, false, &["leaving", "leaving"]);
-    let _news = relay.serve_snapshot();
+    let _relay_watch = relay.serve_snapshot();
     relay.wait_for_request("OUT,s-0;").accept();
-    let call = relay.accept_requests_until("OUT,s-1;");
-    assert!(call.line.contains("SET,1,s-1,0") && call.line.contains("SET,4,s-1,0"), "{}", call.line);
+    let request = relay.accept_requests_until("OUT,s-1;");
+    assert!(request.line.contains("SET,1,s-1,0") && request.line.contains("SET,4,s-1,0"), "{}", request.line);
 }
 
 #[test]
@@ -177,54 +178,58 @@
     });
     let mut collector = program.connect();
     collector.join_zone();
-    let mut strangers: Vec<_> = (0..64).map(|_| program.connect()).collect();
+    let mut unauthenticated: Vec<_> = (0..64).map(|_| program.connect()).collect();
     collector.ping();
-    assert!(strangers[0].is_disconnected(), "64 strangers fit where 32 connections may be");
-    let held = || std::fs::read_dir(format!("/proc/{}/fd", program.child.id())).unwrap().count();
-    assert!(held() < 64, "{} descriptors", held());
+    assert!(
+        unauthenticated[0].is_disconnected(),
+        "64 unauthenticated connections are open, at most 32 are allowed"
+    );
+    let open_descriptors = || std::fs::read_dir(format!("/proc/{}/fd", program.child.id())).unwrap().count();
+    assert!(open_descriptors() < 64, "{} descriptors are open", open_descriptors());
     collector.ping();
 }
 
 #[test]
-fn invalid_peer_is_told_the_reason_and_disconnected() {
+fn invalid_peer_gets_the_reason_and_is_disconnected() {
     let (_relay, _discovery, mut program) = start_all();
     let mut collector = program.connect();
     collector.join_zone();
-    let met = r#"{"@type":"LOAD","az":"north","host":"s-0","n":9,"bad":0,"avg":41.7,"window":100.0}"#;
+    let endpoint_report =
+        r#"{"@type":"LOAD","az":"north","host":"s-0","n":9,"bad":0,"avg":41.7,"window":100.0}"#;
     for line in [
         "GET / HTTP/1.1\r\nHost: x\r\n\r",
         "{\"@type\":",
         "\0\0\0\u{7f}",
-        met,
+        endpoint_report,
         r#"{"@type":"SOURCE","az":"nowhere"}"#,
         r#"{"@type":"SUBSCRIBE","sidecar":3,"az":"north","share":1.5,"standing":true}"#,
         r#"{"@type":"SET","partition":1,"host":"s-0","weight":1.0}"#,
     ] {
-        let mut stranger = program.connect();
-        stranger.send_line(line);
+        let mut peer = program.connect();
+        peer.send_line(line);
         let mut answer = String::new();
-        _ = stranger.reader.read_line(&mut answer);
+        _ = peer.reader.read_line(&mut answer);
         assert!(answer.starts_with(r#"{"@type":"NACK""#), "{line}: {answer}");
-        assert!(stranger.is_disconnected());
+        assert!(peer.is_disconnected());
     }
-    // Nothing, half a line, no end of a line, a sign of life now and then: all gain no time.
+    // No data, a partial line, an endless line and repeated pings: none of them extends the authentication time-out.
     let began = Instant::now();
-    let mut strangers: Vec<_> = (0..4).map(|_| program.connect()).collect();
-    strangers[1].stream.write_all(b"{\"@type\":\"SOU").unwrap();
-    while strangers[2].stream.write_all(&[b'x'; 4096]).is_ok() {}
-    while strangers[3].stream.write_all(b"{\"@type\":\"PING\"}\n").is_ok() {
+    let mut unauthenticated: Vec<_> = (0..4).map(|_| program.connect()).collect();
+    unauthenticated[1].stream.write_all(b"{\"@type\":\"SOU").unwrap();
+    while unauthenticated[2].stream.write_all(&[b'x'; 4096]).is_ok() {}
+    while unauthenticated[3].stream.write_all(b"{\"@type\":\"PING\"}\n").is_ok() {
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(strangers.iter_mut().all(|stranger| stranger.is_disconnected_within(Duration::from_millis(10))));
+    assert!(unauthenticated.iter_mut().all(|peer| peer.is_disconnected_within(Duration::from_millis(10))));
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     collector.ping();
-    // A spoilt report is passed over; one that can't be read ends the connection, so that it comes back.
+    // An invalid report is ignored. A line that is not JSON closes the connection, so that the collector reconnects.
     collector.send_line(
         r#"{"@type":"LOAD","az":"north","host":"s-0","n":"nan","bad":0,"avg":41.7,"window":100.0}"#,
     );
-    program.log.wait("a note", |line: &String| line.contains("report ignored"));
+    program.log.wait("the log line of an ignored report", |line: &String| line.contains("report ignored"));
     collector.ping();
-    collector.send_line(&format!("{}{met}", &met[..40]));
+    collector.send_line(&format!("{}{endpoint_report}", &endpoint_report[..40]));
     assert!(collector.is_disconnected());
 }
 
@@ -232,10 +237,10 @@
 fn configuration_is_reloaded_on_sighup() {
     let (mut relay, mut discovery, mut program) = start_all();
     let watch = discovery.serve_snapshot();
-    let _news = relay.serve_snapshot();
+    let _relay_watch = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     watch.list(42, false, &["active", "leaving"]);
-    let open = relay.accept_requests_until("OUT,s-1;");
+    let pending = relay.accept_requests_until("OUT,s-1;");
     let mut file = example_config();
     for (text, key) in [("{\"name\":", "PROXY_CONFIG"), ("{\"distributor\":{}}", "distributor")] {
         program.reload_with(text);
@@ -245,26 +250,26 @@
         program.connect().ping();
     }
     for round in 0..2 {
-        // The second time the variable names what the file named in between.
-        let (mut second, mut agent) = (FakeRelay::start(), FakeDiscovery::start());
-        file["distributor"]["address"] = json!(second.address.to_string());
-        file["discovery"] = json!(agent.address.to_string());
+        // Each round moves both peers to new addresses.
+        let (mut new_relay, mut new_discovery) = (FakeRelay::start(), FakeDiscovery::start());
+        file["distributor"]["address"] = json!(new_relay.address.to_string());
+        file["discovery"] = json!(new_discovery.address.to_string());
         file["limits"]["sockets"] = json!(500 + round);
         program.reload_with(&file.to_string());
         program.log.wait("limits", |line: &String| {
             line.contains("a changed configuration key needs a restart key=limits")
         });
-        let watch = agent.watch(42 + round);
-        _ = open.stream.shutdown(std::net::Shutdown::Both);
-        let _news = second.serve_snapshot();
+        let watch = new_discovery.watch(42 + round);
+        _ = pending.stream.shutdown(std::net::Shutdown::Both);
+        let _relay_watch = new_relay.serve_snapshot();
         if round == 0 {
-            let again = second.wait_for_request("APPLY ");
-            assert_eq!(again.line, open.line, "the open call is the first at the new address");
-            again.accept();
+            let retry = new_relay.wait_for_request("APPLY ");
+            assert_eq!(retry.line, pending.line, "the pending request is sent first to the new relay");
+            retry.accept();
         }
         watch.list(43 + round, false, &["leaving", "leaving"]);
         if round == 0 {
-            second.accept_requests_until("OUT,s-0;").accept();
+            new_relay.accept_requests_until("OUT,s-0;").accept();
         }
     }
     kill_process(Pid::from_child(&program.child), Signal::TERM).unwrap();
@@ -279,7 +284,7 @@
     assert!(program.wait_for_exit().success());
 }
 
-/// The same settings with other forms of numbers, and an unreadable list of a former run.
+/// Settings with other number formats, and an invalid endpoint list of an earlier run.
 #[test]
 fn settings_in_other_number_formats_are_accepted() {
     type Change = fn(&mut Value);
@@ -301,8 +306,8 @@
         change(&mut file);
         let file = ConfigFile::write(&file.to_string());
         let output = command(&file).arg("--check").output().unwrap();
-        let said = String::from_utf8_lossy(&output.stderr) + String::from_utf8_lossy(&output.stdout);
-        assert!(said.contains(expected), "{said:?} lacks {expected:?}");
-        assert_eq!(output.status.success(), !expected.contains('.') && expected != "peersTotal", "{said}");
+        let printed = String::from_utf8_lossy(&output.stderr) + String::from_utf8_lossy(&output.stdout);
+        assert!(printed.contains(expected), "expected {expected:?} in {printed:?}");
+        assert_eq!(output.status.success(), !expected.contains('.') && expected != "peersTotal", "{printed}");
     }
 }
--- a/crates/controller/tests/transport.rs
+++ b/crates/controller/tests/transport.rs
@@ -1,4 +1,5 @@
-//! The transport alone: dials that are slow or hang, and connections of a life that is over.
+//! Tests of the transport: slow and hanging connect attempts, connections of an incarnation that has ended, and replies
+//! during the shutdown.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,116 +21,127 @@
     actix_rt::System::new().block_on(work)
 }
 
-/// Each dial takes three times as long as we wait before the next: begun anew each time, none would ever succeed.
+/// Each connect attempt takes three times the interval between attempts. It has to continue when the next one starts,
+/// otherwise none would succeed.
 #[test]
 fn slow_connect_attempts_succeed() {
-    let every = Duration::from_millis(20);
-    let begun = Cell::new(0);
+    let interval = Duration::from_millis(20);
+    let attempts_started = Cell::new(0);
     let slow = async || {
-        begun.set(begun.get() + 1);
-        actix_rt::time::sleep(every * 3).await;
-        Ok(begun.get())
+        attempts_started.set(attempts_started.get() + 1);
+        actix_rt::time::sleep(interval * 3).await;
+        Ok(attempts_started.get())
     };
-    let reached = run(first_success(every, 8, slow));
-    assert!(reached.is_ok_and(|dials| dials > 1), "another is begun meanwhile");
+    let result = run(first_success(interval, 8, slow));
+    assert!(result.is_ok_and(|attempts| attempts > 1), "another attempt starts meanwhile");
     let hangs = async || std::future::pending::<Result<(), StreamError>>().await;
     assert_eq!(
-        run(first_success(every, 2, hangs)),
+        run(first_success(interval, 2, hangs)),
         Err(StreamError::TimedOut),
-        "for ever it is not waited for"
+        "hanging attempts time out"
     );
 }
 
-/// One that is refused says so at once; one that is lost on its way is made up for by the next.
+/// A refused attempt fails at once. After an attempt that gets no response the next one succeeds.
 #[test]
 fn refused_and_lost_connect_attempts_cost_no_time() {
     let refused = async || Err::<(), _>(StreamError::Unreachable("refused".into()));
-    let long = Duration::from_secs(60);
-    assert_eq!(run(first_success(long, 8, refused)), Err(StreamError::Unreachable("refused".into())));
-    let dials = Cell::new(0);
+    let long_interval = Duration::from_secs(60);
+    assert_eq!(
+        run(first_success(long_interval, 8, refused)),
+        Err(StreamError::Unreachable("refused".into()))
+    );
+    let attempts = Cell::new(0);
     let first_is_lost = async || {
-        dials.set(dials.get() + 1);
-        match dials.get() {
+        attempts.set(attempts.get() + 1);
+        match attempts.get() {
             1 => std::future::pending().await,
-            dial => Ok(dial),
+            attempt => Ok(attempt),
         }
     };
     assert_eq!(run(first_success(Duration::from_millis(5), 8, first_is_lost)), Ok(2));
 }
 
-/// Nobody takes connections from its backlog, which is full: a dial there is neither taken nor refused.
-fn mute() -> (std::net::TcpListener, Vec<std::net::TcpStream>, SocketAddr) {
+/// Returns a listener with a full backlog that accepts no connections, so that a connect attempt to its address is
+/// neither accepted nor refused.
+fn unresponsive_listener() -> (std::net::TcpListener, Vec<std::net::TcpStream>, SocketAddr) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&listener, 0).unwrap();
     let address = listener.local_addr().unwrap();
-    let dial = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(300));
-    let held = std::iter::from_fn(|| dial().ok()).collect();
-    (listener, held, address)
+    let connect = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(300));
+    let queued = std::iter::from_fn(|| connect().ok()).collect();
+    (listener, queued, address)
 }
 
-/// A dial that hangs holds up neither a move to another relay nor the end: the call is given up as not sent.
+/// A hanging connect attempt delays neither a change of the relay nor the shutdown: the request fails as not sent.
 #[test]
-fn hanging_connect_is_abandoned_where_requests_go_elsewhere() {
-    let (_listener, _held, relay) = mute();
-    for elsewhere in [None, Some(SocketAddr::from(([127, 0, 0, 1], 9)))] {
+fn hanging_connect_is_abandoned_when_the_relay_changes() {
+    let (_listener, _queued, relay) = unresponsive_listener();
+    for new_relay in [None, Some(SocketAddr::from(([127, 0, 0, 1], 9)))] {
         run(async {
-            let ((make, to_make), (inbox, mut arrived)) = (mpsc::channel(1), mpsc::channel(1));
-            let (at, at_relay) = watch::channel(Some(relay));
-            actix_rt::spawn(relay_requests::serve(to_make, at_relay, inbox));
-            make.send(relay_requests::RelayRequest {
-                relay,
-                line: "APPLY SYNC,1,1".into(),
-                needs_new_connection: false,
-            })
-            .await
-            .unwrap();
-            // It is dialling: another call would find no room.
-            while make.capacity() == 0 {
+            let ((request_sender, request_receiver), (inbox, mut arrived)) =
+                (mpsc::channel(1), mpsc::channel(1));
+            let (relay_sender, relay_receiver) = watch::channel(Some(relay));
+            actix_rt::spawn(relay_requests::serve(request_receiver, relay_receiver, inbox));
+            request_sender
+                .send(relay_requests::RelayRequest {
+                    relay,
+                    line: "APPLY SYNC,1,1".into(),
+                    needs_new_connection: false,
+                })
+                .await
+                .unwrap();
+            // Waits until the request is taken from the channel and the connect attempt has started.
+            while request_sender.capacity() == 0 {
                 actix_rt::task::yield_now().await;
             }
-            at.send(elsewhere).unwrap();
-            let bound = limits::CONNECT_RETRY_INTERVAL * limits::MAX_CONNECT_ATTEMPTS as u32 / 2;
-            let answer =
-                actix_rt::time::timeout(bound, arrived.recv()).await.expect("before the dial's own end");
-            let Some(Input::RelayResponse(Err(RequestError::NotSent(_)))) = answer else {
-                panic!("{answer:?}")
+            relay_sender.send(new_relay).unwrap();
+            let time_limit = limits::CONNECT_RETRY_INTERVAL * limits::MAX_CONNECT_ATTEMPTS as u32 / 2;
+            let response = actix_rt::time::timeout(time_limit, arrived.recv())
+                .await
+                .expect("no response before the connect attempt times out");
+            let Some(Input::RelayResponse(Err(RequestError::NotSent(_)))) = response else {
+                panic!("{response:?}")
             };
         });
     }
 }
 
-/// After a panic another life takes connections: those of the former one end, though they say nothing.
+/// After a panic a new incarnation accepts connections. Those of the previous incarnation are closed, even if they are
+/// idle.
 #[test]
 fn connections_end_with_the_incarnation_that_accepted_them() {
-    let (say, address) = channel();
-    let (over, is_over) = tokio::sync::oneshot::channel::<()>();
+    let (address_sender, address) = channel();
+    let (end_incarnation, incarnation_ended) = tokio::sync::oneshot::channel::<()>();
     let incarnation = std::thread::spawn(move || {
         run(async {
             let listener = Rc::new(actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
-            say.send(listener.local_addr().unwrap()).unwrap();
+            address_sender.send(listener.local_addr().unwrap()).unwrap();
             let (inbox, mut arrived) = mpsc::channel(8);
-            let here = LocalReader { bounds: Bounds::new(8, 1 << 20), inputs: inbox };
+            let reader = LocalReader { bounds: Bounds::new(8, 1 << 20), inputs: inbox };
             let bounds = Bounds::new(8, 1 << 20);
-            let taking = actix_rt::spawn(listener::listen(listener.clone(), bounds, here));
+            let accept_task = actix_rt::spawn(listener::listen(listener.clone(), bounds, reader));
             let line = arrived.recv().await;
             assert!(matches!(line, Some(Input::Line { .. })), "{line:?}");
-            taking.abort();
-            _ = is_over.await;
+            accept_task.abort();
+            _ = incarnation_ended.await;
         });
     });
-    let mut silent = std::net::TcpStream::connect(address.recv().unwrap()).unwrap();
-    silent.write_all(b"{\"@type\":\"PING\"}\n").unwrap();
-    // Shorter than it may stay without having joined.
-    silent.set_read_timeout(Some(limits::AUTHENTICATION_TIMEOUT / 2)).unwrap();
-    let ended = silent.read(&mut [0; 64]);
+    let mut idle = std::net::TcpStream::connect(address.recv().unwrap()).unwrap();
+    idle.write_all(b"{\"@type\":\"PING\"}\n").unwrap();
+    // Shorter than the time that an unauthenticated peer may stay connected.
+    idle.set_read_timeout(Some(limits::AUTHENTICATION_TIMEOUT / 2)).unwrap();
+    let ended = idle.read(&mut [0; 64]);
     assert!(
-        matches!(ended, Ok(0)) || ended.is_err_and(|why| why.kind() == std::io::ErrorKind::ConnectionReset)
+        matches!(ended, Ok(0))
+            || ended.is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset)
     );
-    over.send(()).unwrap();
+    end_incarnation.send(()).unwrap();
     incarnation.join().unwrap();
 }
 
-/// Marks begin at a number drawn from the seed: in a life after a panic no ack of the former one may pass for one of its.
+/// Versions start at a number derived from the seed, so that after a panic an acknowledgement for the previous
+/// incarnation is not taken for one of the new incarnation.
 #[test]
 fn incarnation_after_a_panic_draws_a_new_seed() {
     let file = std::env::temp_dir().join(format!("whinwall-incarnation-{}.json", std::process::id()));
@@ -143,25 +155,25 @@
     let mut versions = std::collections::BTreeSet::from([config.seed as u16]);
     for _ in 0..20 {
         config.begin_new_incarnation();
-        assert!(versions.insert(config.seed as u16), "an incarnation begins where another did");
+        assert!(versions.insert(config.seed as u16), "two incarnations start at the same version");
     }
 }
 
-/// A collector that went on pinging as its connection closed was cut off after 20 ms, with replies due to lines that had been
-/// read: the time that the rest of a line may take ended the connection as if nothing were owed.
+/// A collector that keeps sending during the shutdown gets a reply to each line that was read. The connection used to
+/// be closed after 20 ms, when the time-out for the rest of a partial line expired, although replies were pending.
 #[test]
-fn collector_that_keeps_sending_has_a_reply_to_each_line_that_was_read() {
-    let (say, address) = channel();
+fn collector_that_keeps_sending_gets_a_reply_to_each_line_that_was_read() {
+    let (address_sender, address) = channel();
     let owner = std::thread::spawn(move || {
         run(async {
             let listener = Rc::new(actix_rt::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
-            say.send(listener.local_addr().unwrap()).unwrap();
+            address_sender.send(listener.local_addr().unwrap()).unwrap();
             let (inbox, mut arrived) = mpsc::channel(8);
             let bounds = Bounds::new(8, 1 << 20);
-            let here = LocalReader { bounds: bounds.clone(), inputs: inbox };
+            let reader = LocalReader { bounds: bounds.clone(), inputs: inbox };
             let (trigger, signal, mut running) = shutdown::channel();
-            let ending = ConnectionShutdown { signal, notice: "".into() };
-            actix_rt::spawn(listener::listen_until(listener, bounds, here, ending));
+            let connection_shutdown = ConnectionShutdown { signal, notice: "".into() };
+            actix_rt::spawn(listener::listen_until(listener, bounds, reader, connection_shutdown));
             let mut lines = 0;
             loop {
                 tokio::select! {
@@ -173,7 +185,7 @@
                             20 => trigger.close(tokio::time::Instant::now() + limits::CLOSE_TIMEOUT),
                             _ => {}
                         }
-                        // Replies take a moment, so that some are due at any time.
+                        // Replies are delayed by 10 ms, so that some are pending at any time.
                         actix_rt::spawn(async move {
                             actix_rt::time::sleep(Duration::from_millis(10)).await;
                             _ = commands.try_send(ConnectionCommand::Send("reply".into()));
@@ -192,7 +204,8 @@
             std::thread::sleep(Duration::from_millis(1));
         }
     });
-    // The connection may end with a reset, as the collector goes on; what came before counts.
+    // The connection may end with a reset, because the collector keeps sending. Replies received before the reset
+    // count.
     let (mut replies, mut byte) = (0, [0]);
     while matches!(stream.read(&mut byte), Ok(1)) {
         replies += usize::from(byte[0] == b'\n');
