--- a/crates/controller/tests/overrides.rs
+++ b/crates/controller/tests/overrides.rs
@@ -361,7 +361,7 @@
     let operators = managed.path("operators.xml");
     let operators = operators.to_str().unwrap();
     let (code, text) = run(&["--check", "--operators", operators], "");
-    assert!(code == Some(0) && text.contains("are fine"), "{text}");
+    assert!(code == Some(0) && text.contains("are valid"), "{text}");
     let (code, text) =
         run(&["--check", "--operators", operators], "<operators version=\"1\">\n<stor/></operators>");
     assert!(code == Some(2) && text.contains("line 2, column 1: <stor>"), "{text}");
