--- a/crates/experiments/src/arguments.rs
+++ b/crates/experiments/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line. Its words and its help stay as they are, for the sake of scripts and manuals.
+//! The command line. Its argument names and help texts must not change, because scripts and manuals rely on them.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
--- a/crates/experiments/src/charts.rs
+++ b/crates/experiments/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts as SVG.
+//! SVG charts of the results.
 
 use crate::experiment::POLICIES;
 use crate::results::ResultRow;
@@ -19,16 +19,16 @@
 ];
 /// The size of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 480);
-/// The highest service level on the axis, so that points at 1 are clear of the edge.
-const AXIS_TOP: f64 = 1.02;
-/// The space below the lowest interval.
-const AXIS_MARGIN: f64 = 0.03;
-/// Labels of the axis of a varied parameter.
-const VALUE_LABELS: usize = 10;
+/// The upper end of the service axis, above 1 so that points at 1 do not touch the edge.
+const SERVICE_AXIS_MAX: f64 = 1.02;
+/// The space on the service axis below the lowest confidence interval.
+const SERVICE_AXIS_MARGIN: f64 = 0.03;
+/// The number of labels on the axis of a varied parameter.
+const VALUE_LABEL_COUNT: usize = 10;
 
 type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
-/// Why charts could not be written.
+/// The reasons why charts cannot be written.
 #[derive(Debug, Error)]
 pub enum ChartError {
     /// The folder could not be created.
@@ -49,11 +49,11 @@
     },
 }
 
-/// Writes charts of the service levels of each policy and returns their file names: one chart over the cases, or
-/// for each case one over the parameter that is varied.
+/// Writes charts of the service level of each policy and returns their file names. If no parameter is varied, there
+/// is one chart over all cases, otherwise one chart per case over the values of the varied parameter.
 ///
 /// # Errors
-/// Where the folder can't be created or a chart can't be written.
+/// Returns an error if the folder cannot be created or a chart cannot be written.
 pub fn write_charts(rows: &[ResultRow], varied: &str, folder: &Path) -> Result<Vec<String>, ChartError> {
     let folder_error = |source| ChartError::Folder { folder: folder.into(), source };
     std::fs::create_dir_all(folder).map_err(folder_error)?;
@@ -67,14 +67,14 @@
     Ok(names)
 }
 
-/// A point of a chart.
+/// A point of a chart: a position on the horizontal axis and the mean service level there.
 struct Point {
-    across: f64,
+    x: f64,
     mean: Mean,
 }
 
 impl Point {
-    /// The half width of the interval, as far as there is one.
+    /// The half width of the confidence interval, or 0 if there is only a single value.
     fn half_width(&self) -> f64 {
         if self.mean.half_width.is_finite() {
             self.mean.half_width
@@ -84,17 +84,17 @@
     }
 }
 
-/// Points by policy.
+/// The points of each policy, by the name of the policy.
 type Series = BTreeMap<String, Vec<Point>>;
 
 struct Chart {
     file_name: String,
     title: String,
-    /// The name of the parameter that is varied; empty where the chart is over cases.
+    /// The name of the varied parameter; empty if the chart is over cases.
     varied: String,
-    across: Range<f64>,
+    x_range: Range<f64>,
     series: Series,
-    /// The names of the cases, where the chart is over cases.
+    /// The names of the cases; empty if the chart is over a varied parameter.
     cases: Vec<String>,
 }
 
@@ -109,7 +109,7 @@
         file_name: "service.svg".to_string(),
         title: "service by case".to_string(),
         varied: String::new(),
-        across: -0.5..cases.len() as f64 - 0.5,
+        x_range: -0.5..cases.len() as f64 - 0.5,
         series: series(rows, position),
         cases,
     }
@@ -126,7 +126,7 @@
             file_name: format!("service-{file_part}.svg"),
             title: format!("service, {case}"),
             varied: varied.to_string(),
-            across: low - margin..high + margin,
+            x_range: low - margin..high + margin,
             series: series(&rows, |row| row.value),
             cases: Vec::new(),
         }
@@ -134,25 +134,24 @@
     case_names(rows).into_iter().map(chart).collect()
 }
 
-fn series(rows: &[ResultRow], across: impl Fn(&ResultRow) -> f64) -> Series {
+fn series(rows: &[ResultRow], x_of: impl Fn(&ResultRow) -> f64) -> Series {
     let mut values: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     for row in rows {
         let points = values.entry(row.policy.clone()).or_default();
-        points.entry(across(row).to_bits()).or_default().push(row.service_level);
+        points.entry(x_of(row).to_bits()).or_default().push(row.service_level);
     }
     let points = |points: BTreeMap<u64, Vec<f64>>| {
-        let point = |(bits, values): (u64, Vec<f64>)| {
-            Some(Point { across: f64::from_bits(bits), mean: mean(&values)? })
-        };
+        let point =
+            |(bits, values): (u64, Vec<f64>)| Some(Point { x: f64::from_bits(bits), mean: mean(&values)? });
         let mut points: Vec<_> = points.into_iter().filter_map(point).collect();
-        points.sort_by(|one, other| one.across.total_cmp(&other.across));
+        points.sort_by(|left, right| left.x.total_cmp(&right.x));
         points
     };
     values.into_iter().map(|(policy, by_value)| (policy, points(by_value))).collect()
 }
 
 impl Chart {
-    /// The label at a position of the axis: the value, or the case that stands there.
+    /// Returns the axis label at a position: the value of the varied parameter or the name of the case.
     fn label(&self, at: f64) -> String {
         if !self.varied.is_empty() {
             return format!("{at:.2}");
@@ -171,8 +170,11 @@
             .margin(12)
             .x_label_area_size(46)
             .y_label_area_size(56)
-            .build_cartesian_2d(self.across.clone(), (lowest - AXIS_MARGIN).max(0.0)..AXIS_TOP)?;
-        let labels = if self.varied.is_empty() { self.cases.len() } else { VALUE_LABELS };
+            .build_cartesian_2d(
+                self.x_range.clone(),
+                (lowest - SERVICE_AXIS_MARGIN).max(0.0)..SERVICE_AXIS_MAX,
+            )?;
+        let labels = if self.varied.is_empty() { self.cases.len() } else { VALUE_LABEL_COUNT };
         chart
             .configure_mesh()
             .x_labels(labels.max(2) * 2 + 1)
@@ -184,14 +186,14 @@
             let colour = policy_colour(policy);
             let bars = points.iter().map(|point| {
                 let (mean, half_width) = (point.mean.mean, point.half_width());
-                let high = (mean + half_width).min(AXIS_TOP);
-                ErrorBar::new_vertical(point.across, mean - half_width, mean, high, colour.filled(), 6)
+                let high = (mean + half_width).min(SERVICE_AXIS_MAX);
+                ErrorBar::new_vertical(point.x, mean - half_width, mean, high, colour.filled(), 6)
             });
             let bars = chart.draw_series(bars)?.label(policy);
             bars.legend(move |(x, y)| Circle::new((x + 8, y), 4, colour.filled()));
-            // A line between cases would suggest values where there are none.
+            // Cases are not connected by a line, because there are no values between them.
             if !self.varied.is_empty() {
-                let line = points.iter().map(|point| (point.across, point.mean.mean));
+                let line = points.iter().map(|point| (point.x, point.mean.mean));
                 chart.draw_series(LineSeries::new(line, &colour))?;
             }
         }
@@ -200,7 +202,7 @@
     }
 }
 
-/// A policy has the same colour in each chart.
+/// Returns the colour of a policy, which is the same in all charts.
 fn policy_colour(policy: &str) -> RGBColor {
     let position = POLICIES.iter().position(|(name, _)| *name == policy).unwrap_or(0);
     COLOURS[position % COLOURS.len()]
--- a/crates/experiments/src/columns.rs
+++ b/crates/experiments/src/columns.rs
@@ -1,4 +1,4 @@
-//! Tables by columns: written as one Parquet file, completely or not at all, and as Markdown.
+//! Tables stored by column, written atomically as a Parquet file or formatted as Markdown.
 
 use parquet::data_type::{ByteArray, ByteArrayType, DoubleType, Int64Type};
 use parquet::file::properties::WriterProperties;
@@ -14,33 +14,33 @@
 pub enum Values {
     /// UTF-8 text.
     Text(Vec<String>),
-    /// Whole numbers.
+    /// Integers.
     Whole(Vec<i64>),
-    /// Real numbers.
+    /// Floating-point numbers.
     Real(Vec<f64>),
 }
 
 /// A named column.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Column {
-    /// Its name: a word of letters, digits and underscores.
+    /// The name of the column: letters, digits and underscores.
     pub name: &'static str,
-    /// A value for each row.
+    /// One value per row.
     pub values: Values,
 }
 
 impl Column {
-    /// A column of text.
+    /// Creates a column of text.
     pub fn text(name: &'static str, values: impl IntoIterator<Item = String>) -> Self {
         Column { name, values: Values::Text(values.into_iter().collect()) }
     }
 
-    /// A column of whole numbers.
+    /// Creates a column of integers.
     pub fn whole(name: &'static str, values: impl IntoIterator<Item = i64>) -> Self {
         Column { name, values: Values::Whole(values.into_iter().collect()) }
     }
 
-    /// A column of real numbers.
+    /// Creates a column of floating-point numbers.
     pub fn real(name: &'static str, values: impl IntoIterator<Item = f64>) -> Self {
         Column { name, values: Values::Real(values.into_iter().collect()) }
     }
@@ -65,13 +65,13 @@
         match &self.values {
             Values::Text(values) => values[row].clone(),
             Values::Whole(values) => values[row].to_string(),
-            Values::Real(values) => rounded(values[row]),
+            Values::Real(values) => format_rounded(values[row]),
         }
     }
 }
 
-/// With as many decimals as leave about four digits.
-fn rounded(value: f64) -> String {
+/// Formats a number with about four significant digits.
+fn format_rounded(value: f64) -> String {
     let decimals = match value.abs() {
         size if size >= 1000.0 || size == 0.0 => 0,
         size if size >= 10.0 => 1,
@@ -81,10 +81,10 @@
     format!("{value:.decimals$}")
 }
 
-/// Writes the columns as one row group, to a draft that is renamed once it is complete.
+/// Writes the columns as one row group to a temporary file, which is renamed to `path` when it is complete.
 ///
 /// # Errors
-/// Where the file can't be written or renamed; a file of that name that existed before is left as it was.
+/// Returns an error if the file cannot be written or renamed. An existing file at `path` is then unchanged.
 pub fn write_parquet(path: &Path, columns: &[Column]) -> parquet::errors::Result<()> {
     let draft = path.with_extension("draft");
     let fields: String = columns.iter().map(Column::schema).collect();
@@ -115,7 +115,7 @@
     writer.close()
 }
 
-/// The columns as a Markdown table.
+/// Formats the columns as a Markdown table.
 pub fn markdown(columns: &[Column]) -> String {
     let line = |cells: Vec<String>| format!("| {} |\n", cells.join(" | "));
     let mut text = line(columns.iter().map(|column| column.name.replace('_', " ")).collect());
--- a/crates/experiments/src/commands.rs
+++ b/crates/experiments/src/commands.rs
@@ -8,24 +8,24 @@
 use whinwall_emulator::policy::Policy;
 use whinwall_emulator::scenario::{run_scenario, run_with_timeline, Outcome};
 use whinwall_experiments::charts;
-use whinwall_experiments::experiment::{self, Case, CaseFaults, Experiment, Play};
+use whinwall_experiments::experiment::{self, Case, CaseFaults, Experiment, Run};
 use whinwall_experiments::report::{comparison, table};
-use whinwall_experiments::results::{self, PlayKey, ResultRow};
+use whinwall_experiments::results::{self, ResultRow, RunKey};
 use whinwall_experiments::search::{self, RatedScenario, SearchSpace};
 use whinwall_experiments::statistics;
 
-/// Plays between two files of rows: what an interrupted run loses at the most.
-const BATCH: usize = 64;
-/// The commit of runs that are only made to be compared.
+/// The number of runs per result file, which is the most that an interrupted command loses.
+const RUNS_PER_FILE: usize = 64;
+/// The commit name in rows that are written only for a comparison.
 const UNNAMED_COMMIT: &str = "unnamed";
-/// The fraction of the worst scenario's badness that a smaller one must keep.
-const KEPT_BADNESS: f64 = 0.8;
+/// The fraction of the badness above the fault-free baseline that a reduced scenario must keep.
+const KEPT_BADNESS_FRACTION: f64 = 0.8;
 
-/// What a subcommand has found.
+/// The result of a subcommand, from which the exit code follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Conclusion {
     Good,
-    /// A rule was violated, or a difference is significantly for the worse.
+    /// A rule was violated, or the second results are significantly worse.
     Bad,
 }
 
@@ -43,17 +43,17 @@
     }
 }
 
-/// Which scenario of an experiment to explain: the first that fits.
-pub(crate) struct ScenarioFilter {
+/// Selects the run of an experiment to explain: the first one that matches.
+pub(crate) struct RunFilter {
     pub(crate) case: Option<String>,
     pub(crate) seed: Option<u64>,
 }
 
-impl ScenarioFilter {
-    fn matches(&self, play: &Play) -> bool {
-        play.policy == Policy::Controlled
-            && self.case.as_ref().is_none_or(|case| play.case == *case)
-            && self.seed.is_none_or(|seed| play.seed == seed)
+impl RunFilter {
+    fn matches(&self, run: &Run) -> bool {
+        run.policy == Policy::Controlled
+            && self.case.as_ref().is_none_or(|case| run.case == *case)
+            && self.seed.is_none_or(|seed| run.seed == seed)
     }
 }
 
@@ -68,13 +68,14 @@
 }
 
 fn progress_bar(count: usize) -> ProgressBar {
-    let style = ProgressStyle::with_template("{bar:40} {pos} of {len} days, {eta} left {msg}");
+    let style = ProgressStyle::with_template("{bar:40} {pos} of {len} runs, {eta} left {msg}");
     let bar = ProgressBar::new(count as u64);
     style.into_iter().for_each(|style| bar.set_style(style));
     bar
 }
 
-/// Rows that an earlier run has left in the folder, which must be of the same experiment and build.
+/// Returns the rows that an earlier, interrupted command left in the folder. They must belong to the same experiment
+/// and build.
 fn known_rows(out: &Path, experiment: &str, commit: &str) -> Result<Vec<ResultRow>, CommandError> {
     let known = if out.exists() { results::read(out)? } else { Vec::new() };
     match known.iter().find(|row| row.experiment != experiment || row.commit != commit) {
@@ -94,23 +95,25 @@
     let name = format!("{}-{:08x}", experiment.name, experiment.hash());
     let known = known_rows(out, &name, commit)?;
     let done: BTreeSet<_> = known.iter().map(ResultRow::key).collect();
-    let is_left = |play: &Play| !done.contains(&PlayKey::of_play(play));
-    let left: Vec<_> = experiment.plays().into_iter().filter(is_left).collect();
-    let bar = progress_bar(left.len());
+    let is_pending = |run: &Run| !done.contains(&RunKey::of_run(run));
+    let pending: Vec<_> = experiment.runs().into_iter().filter(is_pending).collect();
+    let bar = progress_bar(pending.len());
     let mut violations: i64 = known.iter().map(|row| row.violations).sum();
-    for batch in left.chunks(BATCH) {
-        let row = |one: &Play| {
-            let outcome = run_scenario(&one.config, one.policy, &one.faults, one.seed);
+    for batch in pending.chunks(RUNS_PER_FILE) {
+        let row = |run: &Run| {
+            let outcome = run_scenario(&run.config, run.policy, &run.faults, run.seed);
             bar.inc(1);
-            ResultRow::new(&name, commit, one, &outcome)
+            ResultRow::new(&name, commit, run, &outcome)
         };
         let rows: Vec<_> = batch.par_iter().map(row).collect();
         violations += rows.iter().map(|row| row.violations).sum::<i64>();
         results::append(out, &rows)?;
     }
     bar.finish_and_clear();
-    let (played, known) = (left.len(), done.len());
-    println!("{name}: {played} days played, {known} were there already; {violations} rules broken");
+    let (completed, known) = (pending.len(), done.len());
+    println!(
+        "{name}: {completed} runs completed, {known} already in the results; {violations} rule violations"
+    );
     Ok(Conclusion::good_if(violations == 0))
 }
 
@@ -119,12 +122,12 @@
     let rows = results::read(results)?;
     let charts = charts::write_charts(&rows, experiment.varied_name(), out)?;
     let table = table(&rows, experiment.varied_name());
-    let pictures: Vec<_> = charts.iter().map(|name| format!("![{name}]({name})")).collect();
+    let images: Vec<_> = charts.iter().map(|name| format!("![{name}]({name})")).collect();
     let commit = rows.first().map_or("", |row| &row.commit);
     let text = format!(
-        "# {}\n\nSimulated figures of our own model. Build {commit}; service is the payoff served in time, mean over seeds with its 95% interval.\n\n{table}\n{}\n",
+        "# {}\n\nSimulated results of the emulator. Build {commit}. Service is the priority weight of the requests served in time as a share of all; the table shows the mean over the seeds with its 95% confidence interval.\n\n{table}\n{}\n",
         experiment.name,
-        pictures.join("\n")
+        images.join("\n")
     );
     write_file(&out.join("report.md"), &text)?;
     print!("{table}");
@@ -132,9 +135,9 @@
 }
 
 pub(crate) fn compare(first: &Path, second: &Path) -> Result<Conclusion, CommandError> {
-    let compared = statistics::compare(&results::read(first)?, &results::read(second)?);
-    print!("{}", comparison(&compared));
-    let is_worse = compared.pairs.iter().any(|pair| pair.is_significant() && pair.difference.mean < 0.0);
+    let result = statistics::compare(&results::read(first)?, &results::read(second)?);
+    print!("{}", comparison(&result));
+    let is_worse = result.pairs.iter().any(|pair| pair.is_significant() && pair.difference.mean < 0.0);
     Ok(Conclusion::good_if(!is_worse))
 }
 
@@ -143,7 +146,7 @@
     let status =
         std::process::Command::new(other).arg("run").arg(path).arg("--out").arg(&other_rows).status();
     let status = status.map_err(|source| CommandError::File { path: other.into(), source })?;
-    // 1 says that a rule was violated; the rows are there.
+    // Exit code 1 means that a rule was violated; the rows have been written.
     if !matches!(status.code(), Some(0 | 1)) {
         return Err(CommandError::OtherBuild { program: other.into(), status });
     }
@@ -155,44 +158,43 @@
     let experiment = read_experiment(path)?;
     let bar = progress_bar(space.scenarios as usize);
     let worst = search::find_worst(&experiment.config, space, || bar.inc(1));
-    let worst = worst.ok_or(CommandError::NothingPlayed)?;
+    let worst = worst.ok_or(CommandError::NoScenarios)?;
     bar.finish_and_clear();
     let RatedScenario { seed, outcome, .. } = &worst;
     println!(
-        "worst of {}: seed {seed}, service {:.3}, rules broken {:?}",
+        "worst of {} scenarios: seed {seed}, service {:.3}, rule violations {:?}",
         space.scenarios, outcome.service_level, outcome.violation_counts
     );
-    let least = search::shrink(&experiment.config, &worst, KEPT_BADNESS);
+    let smallest = search::shrink(&experiment.config, &worst, KEPT_BADNESS_FRACTION);
     println!(
-        "the least that shows it: {} of {} troubles, service {:.3}",
-        least.faults.len(),
+        "smallest scenario that reproduces it: {} of {} faults, service {:.3}",
+        smallest.faults.len(),
         worst.faults.len(),
-        least.outcome.service_level
+        smallest.outcome.service_level
     );
-    let shown = Experiment {
+    let reproduction = Experiment {
         name: format!("{}-worst", experiment.name),
-        seeds: vec![least.seed],
+        seeds: vec![smallest.seed],
         policies: vec![Policy::Controlled, Policy::StaticTables],
-        cases: vec![Case { name: format!("seed-{}", least.seed), faults: CaseFaults::Given(least.faults) }],
+        cases: vec![Case {
+            name: format!("seed-{}", smallest.seed),
+            faults: CaseFaults::Given(smallest.faults),
+        }],
         varied: None,
         values: vec![0.0],
         ..experiment
     };
-    write_file(out, &shown.to_xml())?;
-    Ok(Conclusion::of(&least.outcome))
+    write_file(out, &reproduction.to_xml())?;
+    Ok(Conclusion::of(&smallest.outcome))
 }
 
-pub(crate) fn explain(
-    path: &Path,
-    filter: &ScenarioFilter,
-    subject: &str,
-) -> Result<Conclusion, CommandError> {
-    let plays = read_experiment(path)?.plays();
-    let one = plays.iter().find(|play| filter.matches(play)).ok_or(CommandError::NoMatchingScenario)?;
-    let (outcome, timeline) = run_with_timeline(&one.config, &one.faults, one.seed, subject);
+pub(crate) fn explain(path: &Path, filter: &RunFilter, subject: &str) -> Result<Conclusion, CommandError> {
+    let runs = read_experiment(path)?.runs();
+    let run = runs.iter().find(|run| filter.matches(run)).ok_or(CommandError::NoMatchingRun)?;
+    let (outcome, timeline) = run_with_timeline(&run.config, &run.faults, run.seed, subject);
     println!(
-        "case {}, seed {}: service {:.3}, rules broken {:?}",
-        one.case, one.seed, outcome.service_level, outcome.violation_counts
+        "case {}, seed {}: service {:.3}, rule violations {:?}",
+        run.case, run.seed, outcome.service_level, outcome.violation_counts
     );
     for entry in timeline {
         println!("{:8.2} s  {}", entry.at.seconds(), entry.text);
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand fails.
+//! The errors of the subcommands.
 
 use std::path::PathBuf;
 use std::process::ExitStatus;
@@ -17,12 +17,12 @@
     Results(#[from] ResultsError),
     #[error(transparent)]
     Charts(#[from] ChartError),
-    #[error("{}: it holds {held} of {held_commit}, not {experiment} of {commit}", folder.display())]
+    #[error("{}: contains results of experiment {held} at commit {held_commit}, expected experiment {experiment} at commit {commit}", folder.display())]
     OtherResults { folder: PathBuf, held: String, held_commit: String, experiment: String, commit: String },
-    #[error("{}: it ended with {status}", program.display())]
+    #[error("{}: run failed: {status}", program.display())]
     OtherBuild { program: PathBuf, status: ExitStatus },
-    #[error("no day was played")]
-    NothingPlayed,
-    #[error("no governed day of the experiment fits")]
-    NoMatchingScenario,
+    #[error("no scenario was run: --days must be at least 1")]
+    NoScenarios,
+    #[error("no run with policy governed matches --case and --seed")]
+    NoMatchingRun,
 }
--- a/crates/experiments/src/experiment/attributes.rs
+++ b/crates/experiments/src/experiment/attributes.rs
@@ -1,33 +1,33 @@
-//! Values of XML attributes.
+//! Parsers for the values of XML attributes.
 
 use std::str::FromStr;
 use thiserror::Error;
 use whinwall_overrides::text;
 use whinwall_policy::time::Span;
 
-/// Numbers must be below this.
+/// The exclusive upper limit of numbers, and of durations in seconds with a fraction.
 const NUMBER_LIMIT: f64 = 1e6;
 
-/// Why an attribute's value is rejected.
+/// The reasons why the value of an attribute is rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub(super) enum AttributeError {
-    #[error("{text:?} is none of {}", names.join(", "))]
+    #[error("unknown name {text:?}, expected one of {}", names.join(", "))]
     UnknownName { text: String, names: Vec<&'static str> },
-    #[error("{0:?} is no such number")]
-    NotANumber(String),
-    #[error("{0:?} is not over 0")]
-    NotPositive(String),
-    #[error("{number} is not below {limit}")]
+    #[error("invalid number {0:?}")]
+    InvalidNumber(String),
+    #[error("{0:?} is out of range: must be greater than 0 and less than 1000000")]
+    OutOfRange(String),
+    #[error("{number} is out of range: must be less than {limit}")]
     TooLarge { number: usize, limit: usize },
-    #[error("{text:?} is not {supported:?}")]
+    #[error("unsupported version {text:?}, expected {supported:?}")]
     UnsupportedVersion { text: String, supported: &'static str },
-    #[error("letters, digits and dashes only")]
-    NotAName,
+    #[error("must be one or more letters, digits and dashes")]
+    InvalidName,
     #[error("{0}")]
-    NotADuration(String),
+    InvalidDuration(String),
 }
 
-/// The value that a name stands for.
+/// Looks up the value with the name `text`.
 pub(super) fn named<T: Copy>(text: &str, values: &[(&'static str, T)]) -> Result<T, AttributeError> {
     let found = values.iter().find(|(name, _)| *name == text).map(|(_, value)| *value);
     found.ok_or_else(|| AttributeError::UnknownName {
@@ -37,27 +37,29 @@
 }
 
 pub(super) fn number<T: FromStr>(text: &str) -> Result<T, AttributeError> {
-    text.parse().map_err(|_| AttributeError::NotANumber(text.to_string()))
+    text.parse().map_err(|_| AttributeError::InvalidNumber(text.to_string()))
 }
 
-/// A number over 0.
+/// Parses a number greater than 0 and less than [`NUMBER_LIMIT`].
 pub(super) fn positive(text: &str) -> Result<f64, AttributeError> {
     let value: f64 = number(text)?;
     let is_valid = value > 0.0 && value < NUMBER_LIMIT;
-    is_valid.then_some(value).ok_or_else(|| AttributeError::NotPositive(text.to_string()))
+    is_valid.then_some(value).ok_or_else(|| AttributeError::OutOfRange(text.to_string()))
 }
 
-/// A whole number below a limit.
+/// Parses a non-negative integer less than `limit`.
 pub(super) fn number_below(text: &str, limit: usize) -> Result<usize, AttributeError> {
     let number: usize = number(text)?;
     (number < limit).then_some(number).ok_or(AttributeError::TooLarge { number, limit })
 }
 
-/// A time in seconds with a fraction, as in `12.5s`, or with units as operators write it.
+/// Parses a duration in seconds with a fraction, such as `12.5s`, or in the notation of the operators' file.
 pub(super) fn duration(text: &str) -> Result<Span, AttributeError> {
     let seconds = text.strip_suffix('s').and_then(|seconds| seconds.parse::<f64>().ok());
     match seconds.filter(|seconds| (0.0..NUMBER_LIMIT).contains(seconds)) {
         Some(seconds) => Ok(Span::ms((seconds * 1000.0).round() as u64)),
-        None => text::parse_duration(text).map_err(|error| AttributeError::NotADuration(error.to_string())),
+        None => {
+            text::parse_duration(text).map_err(|error| AttributeError::InvalidDuration(error.to_string()))
+        }
     }
 }
--- a/crates/experiments/src/experiment/fault_xml.rs
+++ b/crates/experiments/src/experiment/fault_xml.rs
@@ -1,4 +1,4 @@
-//! Faults as XML elements.
+//! Reads and writes faults as XML elements.
 
 use super::attributes::{duration, named, number_below, positive};
 use std::fmt::Write;
@@ -8,10 +8,10 @@
 use whinwall_operator_config::xml::Element;
 use whinwall_operator_config::ConfigError;
 
-/// A list without every entry would say nothing.
+/// The smallest interval of a partial list. An interval of 1 would drop every entry.
 const MIN_PARTIAL_INTERVAL: usize = 2;
 
-/// The kinds of faults, and the attributes that each has beside its times.
+/// The kinds of faults and the attributes of each, besides `kind`, `begins` and `lasts`.
 const KINDS: [(&str, &[&str]); 27] = [
     ("crash", &["server"]),
     ("hang", &["server"]),
@@ -42,13 +42,13 @@
     ("out-of-service", &["server"]),
 ];
 
-/// The element of a fault, read against the fleet that it is injected into.
+/// The XML element of a fault, with the fleet whose sizes limit its attributes.
 struct FaultElement<'a> {
     element: &'a Element,
     config: &'a ScenarioConfig,
 }
 
-/// Reads a fault.
+/// Parses a fault from its `trouble` element.
 pub(super) fn parse_fault(element: &Element, config: &ScenarioConfig) -> Result<Fault, ConfigError> {
     let attributes = element.required("kind", |text| named(text, &KINDS))?;
     element.allow_only(&[&["kind", "begins", "lasts"], attributes].concat(), &[])?;
@@ -77,7 +77,7 @@
     fn range(&self, limit: usize) -> Result<Range<usize>, ConfigError> {
         let (from, to) = (self.index("from", limit)?, self.index("to", limit + 1)?);
         if to <= from {
-            return Err(self.element.error("to: it ends before it begins"));
+            return Err(self.element.error("to: must be greater than from"));
         }
         Ok(from..to)
     }
@@ -127,7 +127,7 @@
             _ => {
                 let interval = self.index("each", self.config.replicas)?;
                 if interval < MIN_PARTIAL_INTERVAL {
-                    let reason = "each: a list without any server tells nothing; 2 or more";
+                    let reason = "each: must be at least 2, otherwise the list would contain no server";
                     return Err(self.element.error(reason));
                 }
                 ListAnomaly::Partial(interval)
@@ -161,7 +161,7 @@
     }
 }
 
-/// Writes a fault as an element of its case.
+/// Writes a fault as a `trouble` element of its case.
 pub(super) fn write_fault(text: &mut String, fault: &Fault) {
     let attributes = attributes_text(&fault.kind);
     let (begins, lasts) = (fault.starts_after.seconds(), fault.duration.seconds());
--- a/crates/experiments/src/experiment/mod.rs
+++ b/crates/experiments/src/experiment/mod.rs
@@ -1,5 +1,6 @@
-//! What is played: a fleet, cases with their faults, policies, seeds, and a parameter that is varied. Read from
-//! XML with the same errors as the operators' file; written again by the search for the worst scenario.
+//! The definition of an experiment: a fleet, cases with their faults, policies, seeds and a varied parameter. It is
+//! read from XML with the same error type as the operators' file. The search for the worst scenario writes its result
+//! in the same format.
 
 mod attributes;
 mod fault_xml;
@@ -18,46 +19,46 @@
 /// An experiment.
 #[derive(Clone, Debug)]
 pub struct Experiment {
-    /// Its name: letters, digits and dashes.
+    /// The name: letters, digits and dashes.
     pub name: String,
     /// The fleet.
     pub config: ScenarioConfig,
-    /// The fleet's size that the configuration was derived from.
+    /// The fleet size that provides the defaults of `config`.
     pub size: FleetSize,
-    /// The seeds, in a row.
+    /// The seeds: consecutive numbers.
     pub seeds: Vec<u64>,
     /// The policies to compare.
     pub policies: Vec<Policy>,
-    /// The cases, by unique names.
+    /// The cases, whose names are unique.
     pub cases: Vec<Case>,
-    /// The parameter that is varied.
+    /// The varied parameter, if any.
     pub varied: Option<VariedParameter>,
-    /// Its values; a single one without meaning where nothing is varied.
+    /// The values of the varied parameter; a single unused value if no parameter is varied.
     pub values: Vec<f64>,
 }
 
 /// A case of an experiment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Case {
-    /// Its name.
+    /// The name.
     pub name: String,
     /// The faults that are injected.
     pub faults: CaseFaults,
 }
 
-/// Which faults a case injects.
+/// The faults that a case injects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CaseFaults {
-    /// These.
+    /// The listed faults.
     Given(Vec<Fault>),
-    /// So many, drawn anew for each seed.
+    /// A number of random faults, generated separately for each seed.
     Random(usize),
 }
 
-/// One play of an experiment.
+/// One simulated run of an experiment.
 #[derive(Clone, Debug)]
-pub struct Play {
-    /// The name of its case.
+pub struct Run {
+    /// The name of the case.
     pub case: String,
     /// The value of the varied parameter.
     pub value: f64,
@@ -65,16 +66,16 @@
     pub policy: Policy,
     /// The seed.
     pub seed: u64,
-    /// The fleet, with the value in it.
+    /// The fleet, with the value of the varied parameter applied.
     pub config: ScenarioConfig,
     /// The faults.
     pub faults: Vec<Fault>,
 }
 
 impl Experiment {
-    /// All plays, each of which depends on nothing but itself.
-    pub fn plays(&self) -> Vec<Play> {
-        let mut plays = Vec::new();
+    /// Returns all runs. They are independent of each other.
+    pub fn runs(&self) -> Vec<Run> {
+        let mut runs = Vec::new();
         for case in &self.cases {
             for value in &self.values {
                 let config = self.config_with(*value);
@@ -83,7 +84,7 @@
                         CaseFaults::Given(faults) => faults.clone(),
                         CaseFaults::Random(count) => random_faults(*seed, *count, &config),
                     };
-                    plays.extend(self.policies.iter().map(|policy| Play {
+                    runs.extend(self.policies.iter().map(|policy| Run {
                         case: case.name.clone(),
                         value: *value,
                         policy: *policy,
@@ -94,7 +95,7 @@
                 }
             }
         }
-        plays
+        runs
     }
 
     fn config_with(&self, value: f64) -> ScenarioConfig {
@@ -109,7 +110,7 @@
         config
     }
 
-    /// The name of the varied parameter; empty where nothing is varied.
+    /// Returns the name of the varied parameter, or an empty string if no parameter is varied.
     pub fn varied_name(&self) -> &'static str {
         self.varied.map_or("", VariedParameter::name)
     }
--- a/crates/experiments/src/experiment/names.rs
+++ b/crates/experiments/src/experiment/names.rs
@@ -1,4 +1,4 @@
-//! The words of the experiment's file, which stay as they are for the sake of files and results that exist.
+//! The names used in experiment files. They must not change, because existing files and results use them.
 
 use whinwall_emulator::policy::Policy;
 
@@ -23,12 +23,12 @@
     ("governors", VariedParameter::Controllers),
 ];
 
-/// A size of fleets, whose parameters a file may replace one by one.
+/// A fleet size, which provides the defaults of the fleet's parameters. An experiment file can override each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetSize {
-    /// A small fleet of one controller.
+    /// A small fleet with one controller.
     Small,
-    /// As large as a large partner's.
+    /// A fleet as large as that of a large partner.
     Large,
 }
 
@@ -45,7 +45,7 @@
     Load,
     /// The number of proxies.
     Proxies,
-    /// The rate of the controllers' channels, in lines per second.
+    /// The rate of the controllers' command channels, in lines per second.
     LinesPerSecond,
     /// The number of controllers.
     Controllers,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The name of a policy in files, results and reports.
+/// Returns the name of a policy in files, results and reports.
 pub fn policy_name(policy: Policy) -> &'static str {
     name_of(policy, &POLICIES)
 }
--- a/crates/experiments/src/experiment/parse.rs
+++ b/crates/experiments/src/experiment/parse.rs
@@ -12,46 +12,46 @@
 use whinwall_operator_config::ConfigError;
 use whinwall_overrides::text;
 
-/// Plays of one experiment at most: a typing error must not take days.
-const MAX_PLAYS: usize = 100_000;
-/// Replicas, slices, proxies or controllers at most.
-const MAX_FLEET: usize = 100_000;
+/// The maximum number of runs of an experiment, so that a typing error does not cause days of computation.
+const MAX_RUNS: usize = 100_000;
+/// The maximum number of replicas, of slices, of proxies and of controllers.
+const MAX_FLEET_COUNT: usize = 100_000;
 
 /// The fleet of an experiment.
-struct World {
+struct Fleet {
     config: ScenarioConfig,
     size: FleetSize,
 }
 
-/// What an experiment varies.
+/// The varied parameter of an experiment and its values.
 struct Variation {
     parameter: Option<VariedParameter>,
     values: Vec<f64>,
 }
 
-/// Reads an experiment.
+/// Parses an experiment.
 ///
 /// # Errors
-/// Where the XML is malformed, or an element or attribute is unknown, missing or out of range.
+/// Returns an error if the XML is malformed, or if an element or attribute is unknown, missing or out of range.
 pub fn parse(text: &str) -> Result<Experiment, ConfigError> {
     let root = xml::parse(text)?;
     if root.name != "experiment" {
-        return Err(root.error("the outermost element must be <experiment>"));
+        return Err(root.error("the root element must be <experiment>"));
     }
     root.allow_only(&["name", "version"], &["world", "seeds", "way", "case", "vary"])?;
     root.required("version", check_version)?;
     let name = root.required("name", parse_name)?;
-    let default_world = World { config: ScenarioConfig::small(), size: FleetSize::Small };
-    let World { config, size } =
-        root.optional_child("world")?.map(parse_world).transpose()?.unwrap_or(default_world);
+    let default_fleet = Fleet { config: ScenarioConfig::small(), size: FleetSize::Small };
+    let Fleet { config, size } =
+        root.optional_child("world")?.map(parse_fleet).transpose()?.unwrap_or(default_fleet);
     let seeds =
         root.optional_child("seeds")?.map(parse_seeds).transpose()?.unwrap_or_else(|| (1..=5).collect());
     let Variation { parameter: varied, values } = parse_variation(root.optional_child("vary")?)?;
     let policies = parse_policies(&root)?;
     let cases = parse_cases(&root, &config)?;
-    let plays = cases.len() * policies.len() * seeds.len() * values.len();
-    if plays > MAX_PLAYS {
-        return Err(root.error(format!("{plays} plays are more than {MAX_PLAYS}")));
+    let runs = cases.len() * policies.len() * seeds.len() * values.len();
+    if runs > MAX_RUNS {
+        return Err(root.error(format!("{runs} runs, at most {MAX_RUNS} allowed")));
     }
     Ok(Experiment { name, config, size, seeds, policies, cases, varied, values })
 }
@@ -66,7 +66,7 @@
 fn parse_name(text: &str) -> Result<String, AttributeError> {
     let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || letter == '-';
     let is_valid = !text.is_empty() && text.chars().all(is_allowed);
-    is_valid.then(|| text.to_string()).ok_or(AttributeError::NotAName)
+    is_valid.then(|| text.to_string()).ok_or(AttributeError::InvalidName)
 }
 
 fn parse_variation(element: Option<&Element>) -> Result<Variation, ConfigError> {
@@ -75,7 +75,7 @@
     let values = |text: &str| text.split_whitespace().map(positive).collect::<Result<Vec<_>, _>>();
     let values = element.required("values", values)?;
     if values.is_empty() {
-        return Err(element.error("values: there is none"));
+        return Err(element.error("values: must contain at least one number"));
     }
     let parameter = element.required("what", |text| named(text, &VARIED_PARAMETERS))?;
     Ok(Variation { parameter: Some(parameter), values })
@@ -97,8 +97,8 @@
     let mut cases: Vec<Case> = Vec::new();
     for element in root.children.iter().filter(|child| child.name == "case") {
         let case = parse_case(element, config)?;
-        if cases.iter().any(|known| known.name == case.name) {
-            return Err(element.error(format!("name: {:?} is there twice", case.name)));
+        if cases.iter().any(|earlier| earlier.name == case.name) {
+            return Err(element.error(format!("name: duplicate case name {:?}", case.name)));
         }
         cases.push(case);
     }
@@ -108,7 +108,7 @@
     Ok(cases)
 }
 
-fn parse_world(world: &Element) -> Result<World, ConfigError> {
+fn parse_fleet(world: &Element) -> Result<Fleet, ConfigError> {
     world.allow_only(&["size", "governors", "load", "lasts", "servers", "slices", "proxies"], &[])?;
     let size = world.required("size", |text| named(text, &FLEET_SIZES))?;
     let mut config = match size {
@@ -122,17 +122,17 @@
     config.slices = world.optional("slices", number)?.unwrap_or(config.slices);
     config.proxies = world.optional("proxies", number)?.unwrap_or(config.proxies);
     let counts = [config.controllers, config.replicas, config.slices, config.proxies];
-    if counts.iter().any(|count| *count == 0 || *count > MAX_FLEET) {
-        return Err(world.error("there must be some of each, and no more than 100,000"));
+    if counts.iter().any(|count| *count == 0 || *count > MAX_FLEET_COUNT) {
+        return Err(world.error("governors, servers, slices and proxies must each be between 1 and 100,000"));
     }
-    Ok(World { config, size })
+    Ok(Fleet { config, size })
 }
 
 fn parse_seeds(seeds: &Element) -> Result<Vec<u64>, ConfigError> {
     seeds.allow_only(&["from", "to"], &[])?;
     let (from, to) = (seeds.required("from", number::<u64>)?, seeds.required("to", number::<u64>)?);
-    if to < from || to - from >= MAX_PLAYS as u64 {
-        return Err(seeds.error("they end before they begin, or are too many"));
+    if to < from || to - from >= MAX_RUNS as u64 {
+        return Err(seeds.error("to: must not be less than from, and at most 100,000 seeds are allowed"));
     }
     Ok((from..=to).collect())
 }
@@ -142,7 +142,7 @@
     let name = case.required("name", |text| Ok::<_, Infallible>(text.to_string()))?;
     if let Some(count) = case.optional("drawn", number)? {
         if !case.children.is_empty() {
-            return Err(case.error("its troubles are either drawn or given"));
+            return Err(case.error("drawn: a case with this attribute must not have <trouble> elements"));
         }
         return Ok(Case { name, faults: CaseFaults::Random(count) });
     }
--- a/crates/experiments/src/experiment/write.rs
+++ b/crates/experiments/src/experiment/write.rs
@@ -7,11 +7,11 @@
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_overrides::text;
 
-/// The version of the file's format.
+/// The version of the file format.
 pub(super) const VERSION: &str = "1";
 
 impl Experiment {
-    /// The file in its canonical form: its hash names the experiment whatever its white space.
+    /// Formats the experiment in its canonical form, whose hash does not depend on the white space of the original file.
     pub fn to_xml(&self) -> String {
         let mut text = format!("<experiment name=\"{}\" version=\"{VERSION}\">\n", self.name);
         let ScenarioConfig { controllers, load, duration, replicas, slices, proxies, .. } = &self.config;
@@ -30,7 +30,7 @@
         text + "</experiment>\n"
     }
 
-    /// The hash of the canonical form.
+    /// Returns the CRC-32 of the canonical form, which identifies the experiment in results.
     pub fn hash(&self) -> u32 {
         crc32fast::hash(self.to_xml().as_bytes())
     }
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,8 +1,9 @@
 //! Experiments on the emulator.
 //!
-//! [`experiment`] is the file that says what is played, [`results`] the rows of the outcomes, [`columns`] their
-//! form as Parquet and Markdown, [`statistics`] means, confidence intervals and pairs, [`report`] tables,
-//! [`charts`] charts, and [`search`] finds the worst scenario and the fewest faults that still show it.
+//! [`experiment`] defines the runs of an experiment and reads and writes its XML file, [`results`] stores one row per
+//! run, [`columns`] writes tables as Parquet and Markdown, [`statistics`] computes means, confidence intervals and
+//! paired differences, [`report`] formats tables, [`charts`] draws charts, and [`search`] finds the worst random
+//! scenario and reduces its faults.
 #![warn(clippy::unwrap_used)]
 
 pub mod charts;
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -7,13 +7,13 @@
 
 use arguments::{Arguments, Command};
 use clap::Parser;
-use commands::{Conclusion, ScenarioFilter};
+use commands::{Conclusion, RunFilter};
 use std::process::ExitCode;
 use whinwall_experiments::search::SearchSpace;
 
-/// A rule was violated, or a difference is significantly for the worse.
+/// The exit code if a rule was violated or the second results are significantly worse.
 const EXIT_BAD_RESULT: u8 = 1;
-/// A file or an argument is faulty.
+/// The exit code if a file or an argument is invalid.
 const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
@@ -28,7 +28,7 @@
         Command::Explain { experiment, case, seed, replica, slice } => {
             let replica = replica.map(|index| format!("s-{index}"));
             let subject = replica.or(slice.map(|slice| slice.to_string())).unwrap_or_default();
-            commands::explain(&experiment, &ScenarioFilter { case, seed }, &subject)
+            commands::explain(&experiment, &RunFilter { case, seed }, &subject)
         }
     };
     match result {
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -1,14 +1,14 @@
-//! Tables as Markdown.
+//! Markdown tables of results and comparisons.
 
 use crate::results::ResultRow;
 use crate::statistics::{groups, mean, Comparison, Mean, Pair};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// The name of the policy whose commands are counted.
+/// The name of the policy whose commands the table counts.
 const CONTROLLED: &str = "governed";
-/// Columns beside those of the policies: the case, commands and violations.
-const FIXED_COLUMNS: usize = 3;
+/// The number of columns that are always there: the case, commands and violations.
+const FIXED_COLUMN_COUNT: usize = 3;
 
 fn plus_minus(mean: &Mean) -> String {
     if mean.half_width.is_finite() {
@@ -18,8 +18,8 @@
     }
 }
 
-/// A row for each case and value, a column for each policy: the mean service level with its 95% confidence
-/// interval, and the least.
+/// Formats a table with a row for each case and value and a column for each policy. A cell has the mean service level
+/// with its 95% confidence interval, and the lowest service level.
 pub fn table(rows: &[ResultRow], varied: &str) -> String {
     let policies: BTreeSet<_> = rows.iter().map(|row| row.policy.as_str()).collect();
     let mut text = table_head(&policies, varied);
@@ -52,28 +52,28 @@
     }
     policies.iter().for_each(|policy| _ = write!(text, " {policy} (least) |"));
     text.push_str(" orders | rules broken |\n|");
-    let columns = policies.len() + FIXED_COLUMNS + usize::from(!varied.is_empty());
+    let columns = policies.len() + FIXED_COLUMN_COUNT + usize::from(!varied.is_empty());
     (0..columns).for_each(|_| text.push_str(" --- |"));
     text.push('\n');
     text
 }
 
-/// A row for each pair, with whether its difference is significant.
+/// Formats a table with a row for each pair, which states whether the difference is significant.
 pub fn comparison(Comparison { pairs, unpaired }: &Comparison) -> String {
     let mut text =
-        String::from("| case | way | value | second less first | |\n| --- | --- | --- | --- | --- |\n");
+        String::from("| case | way | value | second minus first | |\n| --- | --- | --- | --- | --- |\n");
     for pair in pairs {
-        let verdict = match pair.is_significant() {
+        let rating = match pair.is_significant() {
             true if pair.difference.mean > 0.0 => "better",
             true => "worse",
-            false => "within the spread",
+            false => "not significant",
         };
         let Pair { case, policy, value, difference } = pair;
         let (mean, count) = (plus_minus(difference), difference.count);
-        _ = writeln!(text, "| {case} | {policy} | {value} | {mean} of {count} | {verdict} |");
+        _ = writeln!(text, "| {case} | {policy} | {value} | {mean} of {count} | {rating} |");
     }
     if *unpaired > 0 {
-        _ = writeln!(text, "\n{unpaired} plays of the first have no other in the second.");
+        _ = writeln!(text, "\n{unpaired} runs of the first results have no counterpart in the second.");
     }
     text
 }
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -1,8 +1,8 @@
-//! Rows of results in a folder, as Parquet: one file for each batch of plays, written completely or not at all, so
-//! that an interrupted run can be resumed.
+//! Result rows in a folder of Parquet files. Each batch of runs is written atomically to a file of its own, so that an
+//! interrupted experiment can be resumed.
 
 use crate::columns::{write_parquet, Column};
-use crate::experiment::{policy_name, Play};
+use crate::experiment::{policy_name, Run};
 use parquet::errors::ParquetError;
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
@@ -11,10 +11,10 @@
 use thiserror::Error;
 use whinwall_emulator::scenario::Outcome;
 
-/// Why results could not be read or written.
+/// The reasons why results cannot be read or written.
 #[derive(Debug, Error)]
 pub enum ResultsError {
-    /// A folder can't be created or listed.
+    /// A folder cannot be created or listed.
     #[error("{}: {source}", folder.display())]
     Folder {
         /// The folder.
@@ -22,7 +22,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// A file can't be read or written.
+    /// A file cannot be read or written.
     #[error("{}: {source}", file.display())]
     File {
         /// The file.
@@ -32,12 +32,12 @@
     },
 }
 
-/// The result of one play.
+/// The result of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResultRow {
     /// The experiment's name and hash.
     pub experiment: String,
-    /// The build that was played.
+    /// The build that ran the experiment.
     pub commit: String,
     /// The name of the case.
     pub case: String,
@@ -55,42 +55,42 @@
     pub succeeded: i64,
     /// Requests that succeeded after their latency objective.
     pub late: i64,
-    /// Requests that provably never ran.
+    /// Requests that were certainly not executed.
     pub rejected: i64,
-    /// Requests that failed otherwise.
+    /// Requests that failed for another reason.
     pub failed: i64,
     /// Commands that the relay accepted.
     pub commands: i64,
     /// Replicas that were ejected as outliers.
     pub ejections: i64,
-    /// The most lines that were on their way in one channel.
+    /// The highest number of lines in flight on one command channel.
     pub peak_queued_lines: f64,
-    /// How often rules were violated.
+    /// The number of rule violations.
     pub violations: i64,
 }
 
-/// What identifies a play within an experiment.
+/// Identifies a run within an experiment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PlayKey {
+pub struct RunKey {
     case: String,
     policy: String,
     value_bits: u64,
     seed: i64,
 }
 
-impl PlayKey {
-    /// The key that the row of a play has.
-    pub fn of_play(play: &Play) -> Self {
-        PlayKey {
-            case: play.case.clone(),
-            policy: policy_name(play.policy).to_string(),
-            value_bits: play.value.to_bits(),
-            seed: play.seed as i64,
+impl RunKey {
+    /// Returns the key of the row of a run.
+    pub fn of_run(run: &Run) -> Self {
+        RunKey {
+            case: run.case.clone(),
+            policy: policy_name(run.policy).to_string(),
+            value_bits: run.value.to_bits(),
+            seed: run.seed as i64,
         }
     }
 }
 
-/// The rows by columns, whose names and order are those of files that exist.
+/// Converts rows to columns. The names and the order of the columns must match existing result files.
 fn columns(rows: &[ResultRow]) -> Vec<Column> {
     let text =
         |name, value: fn(&ResultRow) -> &str| Column::text(name, rows.iter().map(|row| value(row).into()));
@@ -117,15 +117,15 @@
 }
 
 impl ResultRow {
-    /// The row of a play.
-    pub fn new(experiment: &str, commit: &str, play: &Play, outcome: &Outcome) -> Self {
+    /// Creates the row of a run.
+    pub fn new(experiment: &str, commit: &str, run: &Run, outcome: &Outcome) -> Self {
         ResultRow {
             experiment: experiment.into(),
             commit: commit.into(),
-            case: play.case.clone(),
-            policy: policy_name(play.policy).into(),
-            value: play.value,
-            seed: play.seed as i64,
+            case: run.case.clone(),
+            policy: policy_name(run.policy).into(),
+            value: run.value,
+            seed: run.seed as i64,
             service_level: outcome.service_level,
             requests: outcome.requests as i64,
             succeeded: outcome.succeeded as i64,
@@ -139,9 +139,9 @@
         }
     }
 
-    /// What identifies the same play in another run.
-    pub fn key(&self) -> PlayKey {
-        PlayKey {
+    /// Returns the key that identifies the same run in other results.
+    pub fn key(&self) -> RunKey {
+        RunKey {
             case: self.case.clone(),
             policy: self.policy.clone(),
             value_bits: self.value.to_bits(),
@@ -150,23 +150,23 @@
     }
 }
 
-/// Adds a file with these rows to a folder.
+/// Writes the rows to a new file in the folder.
 ///
 /// # Errors
-/// Where the folder can't be created or the file can't be written; there is no file then.
+/// Returns an error if the folder cannot be created or the file cannot be written; the new file does not exist then.
 pub fn append(folder: &Path, rows: &[ResultRow]) -> Result<(), ResultsError> {
     let folder_error = |source| ResultsError::Folder { folder: folder.into(), source };
     std::fs::create_dir_all(folder).map_err(folder_error)?;
-    let part = |number: u32| folder.join(format!("part-{number:05}.parquet"));
-    let is_free = |number: &u32| !part(*number).exists();
-    let file = part((0..).find(is_free).unwrap_or_default());
+    let file_path = |number: u32| folder.join(format!("part-{number:05}.parquet"));
+    let is_free = |number: &u32| !file_path(*number).exists();
+    let file = file_path((0..).find(is_free).unwrap_or_default());
     write_parquet(&file, &columns(rows)).map_err(|source| ResultsError::File { file, source })
 }
 
-/// Reads all rows of a folder, or of one file.
+/// Reads all rows of a folder or of a single file.
 ///
 /// # Errors
-/// Where the folder can't be listed or a file can't be read.
+/// Returns an error if the folder cannot be listed or a file cannot be read.
 pub fn read(path: &Path) -> Result<Vec<ResultRow>, ResultsError> {
     let mut files = if path.is_dir() { parquet_files(path)? } else { vec![path.into()] };
     files.sort();
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -1,4 +1,4 @@
-//! The worst of random scenarios, and the fewest and shortest faults that still show it.
+//! Searches random scenarios for the worst one and reduces it to fewer and shorter faults with a similar effect.
 
 use rayon::prelude::*;
 use whinwall_emulator::config::ScenarioConfig;
@@ -8,21 +8,21 @@
 use whinwall_emulator::scenario::{run_scenario, Outcome};
 use whinwall_policy::time::Span;
 
-/// What a violated rule adds to the badness: more than any loss of service.
+/// The badness added if any rule is violated: higher than any loss of service, which is at most 1.
 const VIOLATION_BADNESS: f64 = 10.0;
-/// Faults are not shortened below this.
-const MIN_DURATION: Span = Span::ms(500);
+/// Faults of this duration or less are not shortened further.
+const MIN_SHORTENED_DURATION: Span = Span::ms(500);
 
-/// A scenario that was played.
+/// A scenario that was run, with its badness.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RatedScenario {
-    /// Its seed.
+    /// The seed.
     pub seed: u64,
-    /// Its faults.
+    /// The injected faults.
     pub faults: Vec<Fault>,
-    /// How bad it is: the lost service level, and more for a violated rule.
+    /// The loss of service level, plus a fixed amount if any rule was violated.
     pub badness: f64,
-    /// Its figures.
+    /// The results of the run.
     pub outcome: Outcome,
 }
 
@@ -36,57 +36,57 @@
     RatedScenario { seed, faults, badness: badness(&outcome), outcome }
 }
 
-/// Which random scenarios are searched.
+/// The random scenarios to search.
 #[derive(Clone, Copy, Debug)]
 pub struct SearchSpace {
     /// The first seed.
     pub first_seed: u64,
     /// The number of scenarios.
     pub scenarios: u64,
-    /// The number of faults of each.
+    /// The number of faults per scenario.
     pub faults: usize,
 }
 
-/// Finds the worst scenario; `on_played` is called after each. None of no scenarios.
+/// Returns the worst scenario, or `None` if the search space is empty. Calls `on_completed` after each run.
 pub fn find_worst(
     config: &ScenarioConfig,
     space: SearchSpace,
-    on_played: impl Fn() + Sync,
+    on_completed: impl Fn() + Sync,
 ) -> Option<RatedScenario> {
     let seeds = space.first_seed..space.first_seed + space.scenarios;
     let rated = seeds.into_par_iter().map(|seed| {
         let rated = rate(config, seed, random_faults(seed, space.faults, config));
-        on_played();
+        on_completed();
         rated
     });
-    // Among equals the least seed, whichever thread was first.
-    rated.max_by(|one, other| one.badness.total_cmp(&other.badness).then(other.seed.cmp(&one.seed)))
+    // Of equally bad scenarios the lowest seed is taken, so that the result does not depend on thread timing.
+    rated.max_by(|left, right| left.badness.total_cmp(&right.badness).then(right.seed.cmp(&left.seed)))
 }
 
-/// Removes and shortens faults as long as the scenario stays nearly as bad: it keeps this fraction of its badness
-/// beyond that of a scenario without faults.
+/// Removes and shortens faults while the scenario keeps at least `kept_fraction` of its badness above the baseline,
+/// which is the badness of the same seed without faults.
 pub fn shrink(config: &ScenarioConfig, worst: &RatedScenario, kept_fraction: f64) -> RatedScenario {
     let baseline = rate(config, worst.seed, Vec::new()).badness;
-    let least_badness = baseline + (worst.badness - baseline) * kept_fraction;
+    let min_badness = baseline + (worst.badness - baseline) * kept_fraction;
     let mut best = worst.clone();
     loop {
         let candidates = smaller_candidates(&best.faults);
         let rated = candidates.into_par_iter().map(|faults| rate(config, best.seed, faults));
-        match rated.find_first(|rated| rated.badness >= least_badness) {
+        match rated.find_first(|rated| rated.badness >= min_badness) {
             Some(smaller) => best = smaller,
             None => return best,
         }
     }
 }
 
-/// The next smaller sets: one fault less, or one of them half as long.
+/// Returns the next smaller sets of faults: those with one fault removed, then those with one fault half as long.
 fn smaller_candidates(faults: &[Fault]) -> Vec<Vec<Fault>> {
     let without = (0..faults.len()).map(|index| {
         let mut fewer = faults.to_vec();
         fewer.remove(index);
         fewer
     });
-    let is_long = |index: &usize| faults[*index].duration > MIN_DURATION;
+    let is_long = |index: &usize| faults[*index].duration > MIN_SHORTENED_DURATION;
     let shorter = (0..faults.len()).filter(is_long).map(|index| {
         let mut shorter = faults.to_vec();
         shorter[index].duration = Span::ms(faults[index].duration.as_ns() / 2_000_000);
--- a/crates/experiments/src/statistics.rs
+++ b/crates/experiments/src/statistics.rs
@@ -1,6 +1,6 @@
-//! Means with their confidence intervals, and pairs of plays.
+//! Means with confidence intervals, and paired differences between two sets of results.
 
-use crate::results::{PlayKey, ResultRow};
+use crate::results::{ResultRow, RunKey};
 use std::collections::BTreeMap;
 
 /// A mean with its 95% confidence interval.
@@ -8,11 +8,11 @@
 pub struct Mean {
     /// The mean.
     pub mean: f64,
-    /// How far from it the true mean may be; infinite for a single value.
+    /// Half the width of the confidence interval; infinite for a single value.
     pub half_width: f64,
     /// The number of values.
     pub count: usize,
-    /// The least value.
+    /// The lowest value.
     pub least: f64,
 }
 
@@ -21,32 +21,32 @@
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 ];
-/// The normal distribution's 97.5% quantile, near enough for more degrees of freedom.
+/// The 97.5% quantile of the normal distribution, an approximation for more than 30 degrees of freedom.
 const NORMAL_QUANTILE: f64 = 1.96;
 
-/// The mean of some values; none of no values.
+/// Returns the mean of the values, or `None` if there are none.
 pub fn mean(values: &[f64]) -> Option<Mean> {
     let count = values.len();
     if count == 0 {
         return None;
     }
     let mean = values.iter().sum::<f64>() / count as f64;
-    let squares = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
+    let squared_deviations = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
     let half_width = if count == 1 {
         f64::INFINITY
     } else {
         let quantile = STUDENT_QUANTILES.get(count - 2).copied().unwrap_or(NORMAL_QUANTILE);
-        quantile * (squares / (count - 1) as f64 / count as f64).sqrt()
+        quantile * (squared_deviations / (count - 1) as f64 / count as f64).sqrt()
     };
     Some(Mean { mean, half_width, count, least: values.iter().copied().fold(f64::INFINITY, f64::min) })
 }
 
-/// A case with a value of the varied parameter.
+/// A case and a value of the varied parameter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CaseKey {
     /// The name of the case.
     pub case: String,
-    /// The bits of the value, which order as the value does while it is not negative.
+    /// The bits of the value, which sort in the same order as the values because these are not negative.
     value_bits: u64,
 }
 
@@ -60,7 +60,7 @@
 /// Rows by case and value, then by policy.
 pub type Groups<'a> = BTreeMap<CaseKey, BTreeMap<String, Vec<&'a ResultRow>>>;
 
-/// Groups rows.
+/// Groups rows by case and value, then by policy.
 pub fn groups(rows: &[ResultRow]) -> Groups<'_> {
     let mut groups = Groups::new();
     for row in rows {
@@ -70,7 +70,7 @@
     groups
 }
 
-/// How the same plays differ between two runs.
+/// The difference in service level between two sets of results, for one case, policy and value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pair {
     /// The name of the case.
@@ -79,37 +79,38 @@
     pub policy: String,
     /// The value of the varied parameter.
     pub value: f64,
-    /// The service levels of the second run less those of the first.
+    /// The service level in the second results minus that in the first, averaged over the seeds.
     pub difference: Mean,
 }
 
 impl Pair {
-    /// Whether zero is outside the difference's confidence interval.
+    /// Returns true if zero is outside the confidence interval of the difference.
     pub fn is_significant(&self) -> bool {
         self.difference.mean.abs() > self.difference.half_width
     }
 }
 
-/// The plays of two runs, paired.
+/// The paired comparison of two sets of results.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// By case, policy and value.
+    /// The differences, by case, policy and value.
     pub pairs: Vec<Pair>,
-    /// Plays of the first run that the second does not have.
+    /// The number of runs in the first results that the second results do not have.
     pub unpaired: usize,
 }
 
-/// Pairs each play of the first run with the same play of the second.
+/// Pairs each run of the first results with the same run of the second.
 pub fn compare(first: &[ResultRow], second: &[ResultRow]) -> Comparison {
-    let others: BTreeMap<PlayKey, f64> = second.iter().map(|row| (row.key(), row.service_level)).collect();
+    let second_levels: BTreeMap<RunKey, f64> =
+        second.iter().map(|row| (row.key(), row.service_level)).collect();
     let mut differences: BTreeMap<(String, String, u64), Vec<f64>> = BTreeMap::new();
     let mut unpaired = 0;
     for row in first {
-        match others.get(&row.key()) {
+        match second_levels.get(&row.key()) {
             None => unpaired += 1,
-            Some(other) => {
+            Some(second_level) => {
                 let key = (row.case.clone(), row.policy.clone(), row.value.to_bits());
-                differences.entry(key).or_default().push(other - row.service_level);
+                differences.entry(key).or_default().push(second_level - row.service_level);
             }
         }
     }
--- a/crates/experiments/tests/help.rs
+++ b/crates/experiments/tests/help.rs
@@ -1,5 +1,5 @@
-//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
-//! name may change; it reads `PROGRAM` here.
+//! Compares the help texts with fixtures exactly, because scripts, manuals and shell completions depend on them. Only
+//! the name of the program may differ; it is replaced by `PROGRAM`.
 
 use whinwall_test_support::help_text::help_text;
 
--- a/crates/experiments/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -1,4 +1,5 @@
-//! Experiments from their file to their table, interrupted runs, pairs, the worst scenario and its time-line.
+//! Experiment files, result files, statistics, resumed experiments, reports and comparisons, and the search for the
+//! worst scenario with its explanation.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -49,9 +50,9 @@
 }
 
 #[test]
-fn experiment_survives_its_file_and_errors_name_the_position() {
+fn experiment_round_trips_through_xml_and_errors_name_the_position() {
     let experiment = experiment::parse(SMALL).unwrap();
-    assert_eq!(experiment.plays().len(), 2 * 2 * 3);
+    assert_eq!(experiment.runs().len(), 2 * 2 * 3);
     let again = experiment::parse(&experiment.to_xml()).unwrap();
     assert_eq!((again.to_xml(), again.hash()), (experiment.to_xml(), experiment.hash()));
     assert_eq!(again.cases, experiment.cases);
@@ -60,24 +61,36 @@
         cases: vec![experiment::Case { name: "all".into(), faults: experiment::CaseFaults::Given(drawn) }],
         ..experiment.clone()
     };
-    assert_eq!(experiment::parse(&all.to_xml()).unwrap().cases, all.cases, "each kind survives its file");
+    assert_eq!(
+        experiment::parse(&all.to_xml()).unwrap().cases,
+        all.cases,
+        "each kind of fault round-trips through XML"
+    );
     for (from, to, expected) in [
-        ("kind=\"crash\"", "kind=\"crush\"", "line 6, column 22: <trouble>: kind: \"crush\" is none of"),
-        ("server=\"3\"", "server=\"12\"", "12 is not below 12"),
+        (
+            "kind=\"crash\"",
+            "kind=\"crush\"",
+            "line 6, column 22: <trouble>: kind: unknown name \"crush\", expected one of",
+        ),
+        ("server=\"3\"", "server=\"12\"", "12 is out of range: must be less than 12"),
         ("server=\"3\"", "slice=\"3\"", "unknown attribute \"slice\""),
         ("governed", "guided", "line 4, column 3: <way>"),
         ("from=\"1\" to=\"3\"", "from=\"3\" to=\"1\"", "<seeds>"),
-        ("drawn=\"2\"/>", "drawn=\"2\"><trouble/></case>", "either drawn or given"),
-        ("name=\"drawn\"", "name=\"crash\"", "twice"),
+        (
+            "drawn=\"2\"/>",
+            "drawn=\"2\"><trouble/></case>",
+            "drawn: a case with this attribute must not have <trouble> elements",
+        ),
+        ("name=\"drawn\"", "name=\"crash\"", "duplicate case name \"crash\""),
         ("5.5s", "soon", "lasts"),
     ] {
-        let wrong = experiment::parse(&SMALL.replace(from, to)).unwrap_err().to_string();
-        assert!(wrong.contains(expected), "{wrong:?} lacks {expected:?}");
+        let error = experiment::parse(&SMALL.replace(from, to)).unwrap_err().to_string();
+        assert!(error.contains(expected), "{error:?} does not contain {expected:?}");
     }
 }
 
 #[test]
-fn rows_are_read_as_written_and_drafts_ignored() {
+fn rows_are_read_as_written_and_draft_files_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let rows: Vec<_> = (0..100).map(|n| row(n, n as f64 / 100.0)).collect();
     append(folder.path(), &rows[..60]).unwrap();
@@ -88,9 +101,10 @@
     assert!(read(folder.path()).unwrap_err().to_string().contains("part-00002.parquet"));
 }
 
-/// Three values with a mean of 2 and a deviation of 1: Student's quantile for two degrees of freedom is 4.303.
+/// The three values have a mean of 2 and a standard deviation of 1. Student's 97.5% quantile for two degrees of freedom
+/// is 4.303.
 #[test]
-fn means_have_confidence_intervals_and_pairs_significance() {
+fn confidence_intervals_and_significance_are_computed() {
     let three = mean(&[1.0, 2.0, 3.0]).unwrap();
     assert!((three.half_width - 4.303 / 3f64.sqrt()).abs() < 1e-3 && three.mean == 2.0 && three.least == 1.0);
     assert!(mean(&[5.0]).unwrap().half_width.is_infinite() && mean(&[]).is_none());
@@ -106,23 +120,27 @@
 }
 
 #[test]
-fn experiment_runs_is_resumed_reported_and_compared() {
+fn experiment_is_run_resumed_reported_and_compared() {
     let folder = tempfile::tempdir().unwrap();
     let (file, out) = (path(folder.path(), "e.xml"), path(folder.path(), "rows"));
     std::fs::write(&file, SMALL).unwrap();
     let first = run_program(&["run", &file, "--out", &out, "--commit", "abc"]);
     assert!(
-        first.status.success() && output_text(&first).contains("12 days played"),
+        first.status.success() && output_text(&first).contains("12 runs completed"),
         "{}",
         output_text(&first)
     );
     let rows = read(Path::new(&out)).unwrap();
     assert_eq!(rows.len(), 12);
-    // Part of the rows is lost: only those plays are repeated, with the same results.
+    // If a part of the rows is lost, only the missing runs are repeated, with the same results.
     std::fs::remove_dir_all(&out).unwrap();
     append(Path::new(&out), &rows[..5]).unwrap();
     let again = run_program(&["run", &file, "--out", &out, "--commit", "abc"]);
-    assert!(output_text(&again).contains("7 days played, 5 were there already"), "{}", output_text(&again));
+    assert!(
+        output_text(&again).contains("7 runs completed, 5 already in the results"),
+        "{}",
+        output_text(&again)
+    );
     let sorted = |mut rows: Vec<ResultRow>| {
         rows.sort_by_key(ResultRow::key);
         rows
@@ -130,7 +148,7 @@
     assert_eq!(sorted(read(Path::new(&out)).unwrap()), sorted(rows));
     let other = run_program(&["run", &file, "--out", &out, "--commit", "def"]);
     assert!(
-        other.status.code() == Some(2) && output_text(&other).contains("of abc, not"),
+        other.status.code() == Some(2) && output_text(&other).contains("at commit abc, expected experiment"),
         "{}",
         output_text(&other)
     );
@@ -145,11 +163,11 @@
     assert!(std::fs::read_to_string(Path::new(&out).join("service.svg")).unwrap().contains("governed"));
     let same = run_program(&["compare", &out, &out]);
     assert!(
-        same.status.success() && output_text(&same).contains("within the spread"),
+        same.status.success() && output_text(&same).contains("not significant"),
         "{}",
         output_text(&same)
     );
-    // This build stands in for another one.
+    // This build is also used as the other build, so that all differences are 0.
     let both = path(folder.path(), "both");
     let against = run_program(&[
         "against",
@@ -176,16 +194,18 @@
     let (file, out) = (path(folder.path(), "e.xml"), path(folder.path(), "worst.xml"));
     std::fs::write(&file, SMALL.replace("0.4", "0.7")).unwrap();
     let found = run_program(&["worst", &file, "--days", "12", "--many", "4", "--out", &out]);
-    assert!(output_text(&found).contains("the least that shows it"), "{}", output_text(&found));
+    assert!(output_text(&found).contains("smallest scenario that reproduces it"), "{}", output_text(&found));
     let shown = experiment::parse(&std::fs::read_to_string(&out).unwrap()).unwrap();
-    let experiment::CaseFaults::Given(faults) = &shown.cases[0].faults else { panic!("given ones") };
+    let experiment::CaseFaults::Given(faults) = &shown.cases[0].faults else {
+        panic!("the faults must be listed")
+    };
     assert!((1..=4).contains(&faults.len()));
-    // Its outcome is the same when it is played from its file.
+    // The written scenario gives the same result when it is run from its file.
     let explained = run_program(&["explain", &out, "--server", "3"]);
     let service =
         |text: &str| text.split("service ").last().unwrap().split([',', '\n']).next().unwrap().to_string();
-    let least = output_text(&found);
-    assert_eq!(service(output_text(&explained).lines().next().unwrap()), service(least.trim_end()));
+    let worst_output = output_text(&found);
+    assert_eq!(service(output_text(&explained).lines().next().unwrap()), service(worst_output.trim_end()));
     assert!(
         output_text(&explained).contains("fault starts") && output_text(&explained).contains("attempts, "),
         "{}",
