--- a/crates/experiments/src/charts.rs
+++ b/crates/experiments/src/charts.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-const COLOURS: [RGBColor; 5] = [
+const POLICY_COLOURS: [RGBColor; 5] = [
     RGBColor(31, 119, 180),
     RGBColor(127, 127, 127),
     RGBColor(255, 127, 14),
@@ -205,5 +205,5 @@
 /// Returns the colour of a policy, which is the same in all charts.
 fn policy_colour(policy: &str) -> RGBColor {
     let position = POLICIES.iter().position(|(name, _)| *name == policy).unwrap_or(0);
-    COLOURS[position % COLOURS.len()]
+    POLICY_COLOURS[position % POLICY_COLOURS.len()]
 }
--- a/crates/experiments/src/experiment/attributes.rs
+++ b/crates/experiments/src/experiment/attributes.rs
@@ -28,7 +28,7 @@
 }
 
 /// Looks up the value with the name `text`.
-pub(super) fn named<T: Copy>(text: &str, values: &[(&'static str, T)]) -> Result<T, AttributeError> {
+pub(super) fn lookup_name<T: Copy>(text: &str, values: &[(&'static str, T)]) -> Result<T, AttributeError> {
     let found = values.iter().find(|(name, _)| *name == text).map(|(_, value)| *value);
     found.ok_or_else(|| AttributeError::UnknownName {
         text: text.to_string(),
@@ -36,25 +36,25 @@
     })
 }
 
-pub(super) fn number<T: FromStr>(text: &str) -> Result<T, AttributeError> {
+pub(super) fn parse_number<T: FromStr>(text: &str) -> Result<T, AttributeError> {
     text.parse().map_err(|_| AttributeError::InvalidNumber(text.to_string()))
 }
 
 /// Parses a number greater than 0 and less than [`NUMBER_LIMIT`].
-pub(super) fn positive(text: &str) -> Result<f64, AttributeError> {
-    let value: f64 = number(text)?;
+pub(super) fn parse_positive(text: &str) -> Result<f64, AttributeError> {
+    let value: f64 = parse_number(text)?;
     let is_valid = value > 0.0 && value < NUMBER_LIMIT;
     is_valid.then_some(value).ok_or_else(|| AttributeError::OutOfRange(text.to_string()))
 }
 
 /// Parses a non-negative integer less than `limit`.
-pub(super) fn number_below(text: &str, limit: usize) -> Result<usize, AttributeError> {
-    let number: usize = number(text)?;
+pub(super) fn parse_number_below(text: &str, limit: usize) -> Result<usize, AttributeError> {
+    let number: usize = parse_number(text)?;
     (number < limit).then_some(number).ok_or(AttributeError::TooLarge { number, limit })
 }
 
 /// Parses a duration in seconds with a fraction, such as `12.5s`, or in the notation of the operators' file.
-pub(super) fn duration(text: &str) -> Result<Span, AttributeError> {
+pub(super) fn parse_duration(text: &str) -> Result<Span, AttributeError> {
     let seconds = text.strip_suffix('s').and_then(|seconds| seconds.parse::<f64>().ok());
     match seconds.filter(|seconds| (0.0..NUMBER_LIMIT).contains(seconds)) {
         Some(seconds) => Ok(Span::ms((seconds * 1000.0).round() as u64)),
--- a/crates/experiments/src/experiment/fault_xml.rs
+++ b/crates/experiments/src/experiment/fault_xml.rs
@@ -1,6 +1,6 @@
 //! Reads and writes faults as XML elements.
 
-use super::attributes::{duration, named, number_below, positive};
+use super::attributes::{lookup_name, parse_duration, parse_number_below, parse_positive};
 use std::fmt::Write;
 use std::ops::Range;
 use whinwall_emulator::config::ScenarioConfig;
@@ -12,7 +12,7 @@
 const MIN_PARTIAL_INTERVAL: usize = 2;
 
 /// The kinds of faults and the attributes of each, besides `kind`, `begins` and `lasts`.
-const KINDS: [(&str, &[&str]); 27] = [
+const FAULT_KINDS: [(&str, &[&str]); 27] = [
     ("crash", &["server"]),
     ("hang", &["server"]),
     ("silence", &["server"]),
@@ -50,20 +50,20 @@
 
 /// Parses a fault from its `trouble` element.
 pub(super) fn parse_fault(element: &Element, config: &ScenarioConfig) -> Result<Fault, ConfigError> {
-    let attributes = element.required("kind", |text| named(text, &KINDS))?;
+    let attributes = element.required("kind", |text| lookup_name(text, &FAULT_KINDS))?;
     element.allow_only(&[&["kind", "begins", "lasts"], attributes].concat(), &[])?;
     let kind = FaultElement { element, config }.kind()?;
-    let starts_after = element.required("begins", duration)?;
-    Ok(Fault { starts_after, duration: element.required("lasts", duration)?, kind })
+    let starts_after = element.required("begins", parse_duration)?;
+    Ok(Fault { starts_after, duration: element.required("lasts", parse_duration)?, kind })
 }
 
 impl FaultElement<'_> {
     fn index(&self, attribute: &str, limit: usize) -> Result<usize, ConfigError> {
-        self.element.required(attribute, |text| number_below(text, limit))
+        self.element.required(attribute, |text| parse_number_below(text, limit))
     }
 
     fn positive(&self, attribute: &str) -> Result<f64, ConfigError> {
-        self.element.required(attribute, positive)
+        self.element.required(attribute, parse_positive)
     }
 
     fn replica(&self) -> Result<usize, ConfigError> {
@@ -121,7 +121,7 @@
 
     fn list_anomaly(&self) -> Result<ListAnomaly, ConfigError> {
         let anomaly = match self.element.attribute("kind").unwrap_or_default() {
-            "list-late" => ListAnomaly::Delayed(self.element.required("by", duration)?),
+            "list-late" => ListAnomaly::Delayed(self.element.required("by", parse_duration)?),
             "list-again" => ListAnomaly::Repeated,
             "list-back" => ListAnomaly::Reverted,
             _ => {
--- a/crates/experiments/src/experiment/parse.rs
+++ b/crates/experiments/src/experiment/parse.rs
@@ -1,6 +1,6 @@
 //! Reads an experiment from XML.
 
-use super::attributes::{named, number, positive, AttributeError};
+use super::attributes::{lookup_name, parse_number, parse_positive, AttributeError};
 use super::fault_xml::parse_fault;
 use super::names::{FleetSize, VariedParameter, FLEET_SIZES, POLICIES, VARIED_PARAMETERS};
 use super::write::VERSION;
@@ -72,12 +72,12 @@
 fn parse_variation(element: Option<&Element>) -> Result<Variation, ConfigError> {
     let Some(element) = element else { return Ok(Variation { parameter: None, values: vec![0.0] }) };
     element.allow_only(&["what", "values"], &[])?;
-    let values = |text: &str| text.split_whitespace().map(positive).collect::<Result<Vec<_>, _>>();
+    let values = |text: &str| text.split_whitespace().map(parse_positive).collect::<Result<Vec<_>, _>>();
     let values = element.required("values", values)?;
     if values.is_empty() {
         return Err(element.error("values: must contain at least one number"));
     }
-    let parameter = element.required("what", |text| named(text, &VARIED_PARAMETERS))?;
+    let parameter = element.required("what", |text| lookup_name(text, &VARIED_PARAMETERS))?;
     Ok(Variation { parameter: Some(parameter), values })
 }
 
@@ -85,7 +85,7 @@
     let mut policies = Vec::new();
     for element in root.children.iter().filter(|child| child.name == "way") {
         element.allow_only(&["policy"], &[])?;
-        policies.push(element.required("policy", |text| named(text, &POLICIES))?);
+        policies.push(element.required("policy", |text| lookup_name(text, &POLICIES))?);
     }
     if policies.is_empty() {
         policies.push(Policy::Controlled);
@@ -110,17 +110,17 @@
 
 fn parse_fleet(world: &Element) -> Result<Fleet, ConfigError> {
     world.allow_only(&["size", "governors", "load", "lasts", "servers", "slices", "proxies"], &[])?;
-    let size = world.required("size", |text| named(text, &FLEET_SIZES))?;
+    let size = world.required("size", |text| lookup_name(text, &FLEET_SIZES))?;
     let mut config = match size {
         FleetSize::Small => ScenarioConfig::small(),
         FleetSize::Large => ScenarioConfig::large(),
     };
-    config.controllers = world.optional("governors", number)?.unwrap_or(config.controllers);
-    config.load = world.optional("load", positive)?.unwrap_or(config.load);
+    config.controllers = world.optional("governors", parse_number)?.unwrap_or(config.controllers);
+    config.load = world.optional("load", parse_positive)?.unwrap_or(config.load);
     config.duration = world.optional("lasts", text::parse_duration)?.unwrap_or(config.duration);
-    config.replicas = world.optional("servers", number)?.unwrap_or(config.replicas);
-    config.slices = world.optional("slices", number)?.unwrap_or(config.slices);
-    config.proxies = world.optional("proxies", number)?.unwrap_or(config.proxies);
+    config.replicas = world.optional("servers", parse_number)?.unwrap_or(config.replicas);
+    config.slices = world.optional("slices", parse_number)?.unwrap_or(config.slices);
+    config.proxies = world.optional("proxies", parse_number)?.unwrap_or(config.proxies);
     let counts = [config.controllers, config.replicas, config.slices, config.proxies];
     if counts.iter().any(|count| *count == 0 || *count > MAX_FLEET_COUNT) {
         return Err(world.error("governors, servers, slices and proxies must each be between 1 and 100,000"));
@@ -130,7 +130,8 @@
 
 fn parse_seeds(seeds: &Element) -> Result<Vec<u64>, ConfigError> {
     seeds.allow_only(&["from", "to"], &[])?;
-    let (from, to) = (seeds.required("from", number::<u64>)?, seeds.required("to", number::<u64>)?);
+    let (from, to) =
+        (seeds.required("from", parse_number::<u64>)?, seeds.required("to", parse_number::<u64>)?);
     if to < from || to - from >= MAX_RUNS as u64 {
         return Err(seeds.error("to: must not be less than from, and at most 100,000 seeds are allowed"));
     }
@@ -140,7 +141,7 @@
 fn parse_case(case: &Element, config: &ScenarioConfig) -> Result<Case, ConfigError> {
     case.allow_only(&["name", "drawn"], &["trouble"])?;
     let name = case.required("name", |text| Ok::<_, Infallible>(text.to_string()))?;
-    if let Some(count) = case.optional("drawn", number)? {
+    if let Some(count) = case.optional("drawn", parse_number)? {
         if !case.children.is_empty() {
             return Err(case.error("drawn: a case with this attribute must not have <trouble> elements"));
         }
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -10,7 +10,7 @@
 /// The number of columns that are always there: the case, commands and violations.
 const FIXED_COLUMN_COUNT: usize = 3;
 
-fn plus_minus(mean: &Mean) -> String {
+fn format_mean(mean: &Mean) -> String {
     if mean.half_width.is_finite() {
         format!("{:.3} ± {:.3}", mean.mean, mean.half_width)
     } else {
@@ -32,7 +32,7 @@
             let rows = by_policy.get(*policy).into_iter().flatten();
             let service_levels: Vec<_> = rows.map(|row| row.service_level).collect();
             match mean(&service_levels) {
-                Some(mean) => _ = write!(text, " {} ({:.3}) |", plus_minus(&mean), mean.least),
+                Some(mean) => _ = write!(text, " {} ({:.3}) |", format_mean(&mean), mean.least),
                 None => text.push_str(" - |"),
             }
         }
@@ -69,7 +69,7 @@
             false => "not significant",
         };
         let Pair { case, policy, value, difference } = pair;
-        let (mean, count) = (plus_minus(difference), difference.count);
+        let (mean, count) = (format_mean(difference), difference.count);
         _ = writeln!(text, "| {case} | {policy} | {value} | {mean} of {count} | {rating} |");
     }
     if *unpaired > 0 {
