--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -55,15 +55,15 @@
     pub succeeded: i64,
     /// Requests that succeeded after their latency objective.
     pub late: i64,
-    /// Requests that were certainly not executed.
+    /// Unsuccessful requests whose last attempt provably did not run.
     pub rejected: i64,
-    /// Requests that failed for another reason.
+    /// Other unsuccessful requests.
     pub failed: i64,
-    /// Commands that the relay accepted.
+    /// Commands that the relay applied.
     pub commands: i64,
     /// Replicas that were ejected as outliers.
     pub ejections: i64,
-    /// The highest number of lines in flight on one command channel.
+    /// The maximum number of lines queued on one command channel.
     pub peak_queued_lines: f64,
     /// The number of rule violations.
     pub violations: i64,
