--- a/crates/experiments/src/experiment/fault_xml.rs
+++ b/crates/experiments/src/experiment/fault_xml.rs
@@ -1,6 +1,6 @@
-//! Faults as XML elements.
+//! Reads and writes faults as XML elements.
 
-use super::attributes::{duration, named, number_below, positive};
+use super::attributes::{lookup_name, parse_duration, parse_number_below, parse_positive};
 use std::fmt::Write;
 use std::ops::Range;
 use whinwall_emulator::config::ScenarioConfig;
@@ -8,11 +8,11 @@
 use whinwall_operator_config::xml::Element;
 use whinwall_operator_config::ConfigError;
 
-/// A list without every entry would say nothing.
+/// The smallest interval of a partial list. An interval of 1 would drop every entry.
 const MIN_PARTIAL_INTERVAL: usize = 2;
 
-/// The kinds of faults, and the attributes that each has beside its times.
-const KINDS: [(&str, &[&str]); 27] = [
+/// The kinds of faults and the attributes of each, besides `kind`, `begins` and `lasts`.
+const FAULT_KINDS: [(&str, &[&str]); 27] = [
     ("crash", &["server"]),
     ("hang", &["server"]),
     ("silence", &["server"]),
@@ -42,28 +42,28 @@
     ("out-of-service", &["server"]),
 ];
 
-/// The element of a fault, read against the fleet that it is injected into.
+/// The XML element of a fault, with the fleet whose sizes limit its attributes.
 struct FaultElement<'a> {
     element: &'a Element,
     config: &'a ScenarioConfig,
 }
 
-/// Reads a fault.
+/// Parses a fault from its `trouble` element.
 pub(super) fn parse_fault(element: &Element, config: &ScenarioConfig) -> Result<Fault, ConfigError> {
-    let attributes = element.required("kind", |text| named(text, &KINDS))?;
+    let attributes = element.required("kind", |text| lookup_name(text, &FAULT_KINDS))?;
     element.allow_only(&[&["kind", "begins", "lasts"], attributes].concat(), &[])?;
     let kind = FaultElement { element, config }.kind()?;
-    let starts_after = element.required("begins", duration)?;
-    Ok(Fault { starts_after, duration: element.required("lasts", duration)?, kind })
+    let starts_after = element.required("begins", parse_duration)?;
+    Ok(Fault { starts_after, duration: element.required("lasts", parse_duration)?, kind })
 }
 
 impl FaultElement<'_> {
     fn index(&self, attribute: &str, limit: usize) -> Result<usize, ConfigError> {
-        self.element.required(attribute, |text| number_below(text, limit))
+        self.element.required(attribute, |text| parse_number_below(text, limit))
     }
 
     fn positive(&self, attribute: &str) -> Result<f64, ConfigError> {
-        self.element.required(attribute, positive)
+        self.element.required(attribute, parse_positive)
     }
 
     fn replica(&self) -> Result<usize, ConfigError> {
@@ -77,7 +77,7 @@
     fn range(&self, limit: usize) -> Result<Range<usize>, ConfigError> {
         let (from, to) = (self.index("from", limit)?, self.index("to", limit + 1)?);
         if to <= from {
-            return Err(self.element.error("to: it ends before it begins"));
+            return Err(self.element.error("to: must be greater than from"));
         }
         Ok(from..to)
     }
@@ -121,13 +121,13 @@
 
     fn list_anomaly(&self) -> Result<ListAnomaly, ConfigError> {
         let anomaly = match self.element.attribute("kind").unwrap_or_default() {
-            "list-late" => ListAnomaly::Delayed(self.element.required("by", duration)?),
+            "list-late" => ListAnomaly::Delayed(self.element.required("by", parse_duration)?),
             "list-again" => ListAnomaly::Repeated,
             "list-back" => ListAnomaly::Reverted,
             _ => {
                 let interval = self.index("each", self.config.replicas)?;
                 if interval < MIN_PARTIAL_INTERVAL {
-                    let reason = "each: a list without any server tells nothing; 2 or more";
+                    let reason = "each: must be at least 2, otherwise the list would contain no server";
                     return Err(self.element.error(reason));
                 }
                 ListAnomaly::Partial(interval)
@@ -161,7 +161,7 @@
     }
 }
 
-/// Writes a fault as an element of its case.
+/// Writes a fault as a `trouble` element of its case.
 pub(super) fn write_fault(text: &mut String, fault: &Fault) {
     let attributes = attributes_text(&fault.kind);
     let (begins, lasts) = (fault.starts_after.seconds(), fault.duration.seconds());
