--- a/crates/fault-injection/src/injector.rs
+++ b/crates/fault-injection/src/injector.rs
@@ -1,6 +1,6 @@
-//! What becomes of the bytes of one direction of one connection, without I/O or clock: given bytes and the time, an
-//! [`Injector`] says what is passed on, when, and what else is done. The same rules, seed and bytes make the same
-//! faults; how the bytes were divided into reads does not matter, but for `after`.
+//! Applies faults to the bytes of one direction of one connection, without I/O or clock. Given bytes and the time, an
+//! [`Injector`] returns the [`Step`]s to carry out. The same rules, seed and bytes give the same faults, independent of
+//! how the bytes are split into reads, except for `after` rules.
 
 use crate::schedule::{FaultKind, Garble, Rule, Schedule, Trigger};
 use crate::{ConnectionNumber, Direction};
@@ -9,40 +9,40 @@
 use whinwall_policy::random::Random;
 use whinwall_policy::time::Span;
 
-/// A line that has not ended is held back for a rule about lines up to this size, in bytes.
+/// The limit of an incomplete line that is held back for a rule that needs the whole line.
 const MAX_HELD_LINE_BYTES: usize = 1 << 20;
 
-/// What is to be done, in order.
+/// A step to carry out. Steps are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Pass these bytes on.
+    /// Forward these bytes.
     Pass(Bytes),
     /// Wait before the next step.
     Wait(Span),
     /// Reset both sides of the connection.
     Cut,
-    /// End both sides of the connection in order.
+    /// Close both sides of the connection gracefully.
     End,
-    /// End this direction in order; the other goes on.
+    /// Close this direction gracefully; the other one stays open.
     HalfClose,
-    /// Pass nothing more in this direction, and tell nobody.
+    /// Discard all further bytes of this direction and keep the connection open.
     Silence,
 }
 
-/// A fault as it was injected, by its cause.
+/// An injected fault, with the values that were drawn for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InjectedFault {
     /// The connection.
     pub connection: ConnectionNumber,
     /// The direction.
     pub direction: Direction,
-    /// Bytes that had come in this direction.
+    /// The number of bytes received in this direction before the fault.
     pub offset: u64,
     /// The fault.
     pub kind: FaultKind,
-    /// The wait that was drawn for it, or zero.
+    /// The drawn wait, or zero.
     pub wait: Span,
-    /// The bytes that were drawn for it.
+    /// The drawn bytes.
     pub bytes: Vec<u8>,
 }
 
@@ -51,41 +51,41 @@
     connection: ConnectionNumber,
     direction: Direction,
     rules: Vec<(Rule, Option<u32>)>,
-    /// Injected again instead of rules, in this order.
+    /// Recorded faults to inject in this order, used without rules.
     replay: Option<VecDeque<InjectedFault>>,
     random: Random,
-    /// Bytes that have come, lines that have begun.
+    /// The number of bytes received and of lines begun.
     offset: u64,
     lines: u64,
     is_at_line_start: bool,
-    /// A line that is held back until its end, for a rule that looks at it whole.
+    /// An incomplete line that is held back for a rule that needs the whole line.
     held: BytesMut,
-    /// Where in what came it begins.
+    /// The offset at which `held` begins in the received bytes.
     held_offset: u64,
-    /// With its place. Empty until the line is there that is to change places with the next.
+    /// A line to be sent after the next one, with its offset. The line is empty until it has been received.
     swapped_line: Option<(u64, Bytes)>,
-    /// What is to be done to bytes that have not passed, by their place in what came.
+    /// Corruptions of bytes that have not been forwarded, by offset in the received bytes.
     pending_garbles: BTreeMap<u64, (Garble, u8)>,
-    /// Where the line that is now passing began.
+    /// The offset at which the current line began.
     line_start: u64,
     rate: Option<u64>,
     chunk_bytes: Option<u64>,
     /// The faults injected since the caller last took them.
     pub injected: Vec<InjectedFault>,
-    is_over: bool,
-    /// A rule looks at a line that has come and not passed.
+    is_finished: bool,
+    /// True while rules are matched with a line that has been received and not forwarded.
     is_line_under_decision: bool,
 }
 
 impl Injector {
-    /// An injector for the rules of the schedule that are for this direction.
+    /// Creates an injector for the rules of the schedule that apply to this connection and direction.
     pub fn new(schedule: &Schedule, connection: ConnectionNumber, direction: Direction) -> Self {
-        let for_it = |rule: &&Rule| {
+        let applies = |rule: &&Rule| {
             rule.connection.is_none_or(|only| only == connection)
                 && rule.direction.is_none_or(|only| only == direction)
         };
-        let rules = schedule.rules.iter().filter(for_it).map(|rule| (rule.clone(), rule.times)).collect();
-        // Each injector draws from a generator of its own: what others do must not change what is drawn here.
+        let rules = schedule.rules.iter().filter(applies).map(|rule| (rule.clone(), rule.times)).collect();
+        // Each injector has its own random generator, so that its draws do not depend on other connections.
         let seed = schedule.seed ^ connection.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (direction as u64) << 63;
         Injector {
             connection,
@@ -104,37 +104,37 @@
             rate: None,
             chunk_bytes: None,
             injected: Vec::new(),
-            is_over: false,
+            is_finished: false,
             is_line_under_decision: false,
         }
     }
 
-    /// An injector for recorded faults, in order of their offsets.
+    /// Creates an injector for recorded faults, which have to be sorted by offset.
     pub fn replaying(connection: ConnectionNumber, direction: Direction, faults: Vec<InjectedFault>) -> Self {
         let mut injector = Injector::new(&Schedule::default(), connection, direction);
         injector.replay = Some(faults.into());
         injector
     }
 
-    /// What is done before any byte.
+    /// Returns the steps before the first byte.
     pub fn on_connect(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
         self.fire_rules(&mut steps, |trigger, _| *trigger == Trigger::Start, &[]);
         steps
     }
 
-    /// What is due by this time after the connection was accepted.
-    pub fn on_time(&mut self, gone: Span) -> Vec<Step> {
+    /// Returns the steps of `after` rules that are due at `elapsed` after the connection was accepted.
+    pub fn on_time(&mut self, elapsed: Span) -> Vec<Step> {
         let mut steps = Vec::new();
         self.fire_rules(
             &mut steps,
-            |trigger, _| matches!(trigger, Trigger::After(span) if *span <= gone),
+            |trigger, _| matches!(trigger, Trigger::After(span) if *span <= elapsed),
             &[],
         );
         steps
     }
 
-    /// When [`Injector::on_time`] is to be called next, counted from the connection's start.
+    /// Returns the time of the next [`Injector::on_time`] call, counted from the acceptance of the connection.
     pub fn next_deadline(&self) -> Option<Span> {
         let after = |(rule, left): &(Rule, Option<u32>)| match rule.trigger {
             Trigger::After(span) if *left != Some(0) => Some(span),
@@ -143,13 +143,13 @@
         self.rules.iter().filter_map(after).min()
     }
 
-    /// Bytes were read.
+    /// Processes received bytes.
     pub fn on_bytes(&mut self, bytes: &[u8]) -> Vec<Step> {
         let mut steps = Vec::new();
         let mut rest = bytes;
-        while !rest.is_empty() && !self.is_over {
-            // Up to the end of a line, or to where something is due: what is done never depends on how it was
-            // read.
+        while !rest.is_empty() && !self.is_finished {
+            // Processes bytes up to the end of a line or the next offset with a fault, so that the result does not
+            // depend on how the bytes were split into reads.
             let line_end = rest.iter().position(|byte| *byte == b'\n').map_or(rest.len(), |at| at + 1);
             let due = self.next_offset().map_or(rest.len(), |at| (at - self.offset) as usize);
             if due == 0 {
@@ -159,22 +159,22 @@
                     |trigger, _| matches!(trigger, Trigger::Offset(at) if *at == offset),
                     &[],
                 );
-                // One that holds more often is not due again at the same place.
+                // A rule that applies several times does not apply twice at the same offset.
                 self.mark_offset_rules_spent(offset);
                 self.fire_replayed(&mut steps);
                 continue;
             }
-            let (now, later) = rest.split_at(line_end.min(due).min(rest.len()));
-            rest = later;
-            self.line_part(now, &mut steps);
+            let (current, remaining) = rest.split_at(line_end.min(due).min(rest.len()));
+            rest = remaining;
+            self.process_line_part(current, &mut steps);
         }
-        if !self.is_over {
+        if !self.is_finished {
             self.fire_replayed(&mut steps);
         }
         steps
     }
 
-    /// The sender has ended this direction: what was held back is passed on.
+    /// Handles the end of this direction: forwards the bytes held back.
     pub fn on_end(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
         let (held, swapped_line) = (self.held.split().freeze(), self.swapped_line.take());
@@ -201,14 +201,14 @@
         }
     }
 
-    /// Bytes up to an end of a line, or part of a line.
-    fn line_part(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
+    /// Processes a part of a line, which may include its end.
+    fn process_line_part(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         if self.is_at_line_start {
             self.lines += 1;
             self.line_start = self.offset;
             let line = self.lines;
             self.fire_rules(steps, |trigger, _| *trigger == Trigger::Line(line), &[]);
-            if self.is_over {
+            if self.is_finished {
                 return;
             }
         }
@@ -218,12 +218,12 @@
         self.offset += bytes.len() as u64;
         self.is_at_line_start = bytes.ends_with(b"\n");
         self.held.extend_from_slice(bytes);
-        // A rule that looks into lines has to see them whole.
-        let looks = self
+        // A rule that matches text in lines needs the whole line.
+        let needs_whole_line = self
             .rules
             .iter()
             .any(|(rule, left)| matches!(rule.trigger, Trigger::Matches(_)) && *left != Some(0));
-        if (looks || self.swapped_line.is_some())
+        if (needs_whole_line || self.swapped_line.is_some())
             && !self.is_at_line_start
             && self.held.len() < MAX_HELD_LINE_BYTES
         {
@@ -238,7 +238,7 @@
             &text,
         );
         self.is_line_under_decision = false;
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         self.emit(self.held_offset, line, steps);
@@ -248,7 +248,7 @@
         if bytes.is_empty() {
             return;
         }
-        // The line that was to change places with the next goes behind it.
+        // A line that is to be swapped is sent after the next one.
         if self.swapped_line.as_ref().is_some_and(|(_, line)| line.is_empty()) && self.is_at_line_start {
             self.swapped_line = Some((from, bytes));
             return;
@@ -258,10 +258,10 @@
         for (from, bytes) in all {
             let size = self.chunk_bytes.map_or(bytes.len(), |size| size as usize).max(1);
             let bytes = self.apply_garbles(from, bytes);
-            for line_part in (0..bytes.len()).step_by(size) {
-                let line_part = bytes.slice(line_part..(line_part + size).min(bytes.len()));
-                let wait = self.rate.map(|rate| Span::ms(line_part.len() as u64 * 1000 / rate.max(1)));
-                steps.push(Step::Pass(line_part));
+            for chunk in (0..bytes.len()).step_by(size) {
+                let chunk = bytes.slice(chunk..(chunk + size).min(bytes.len()));
+                let wait = self.rate.map(|rate| Span::ms(chunk.len() as u64 * 1000 / rate.max(1)));
+                steps.push(Step::Pass(chunk));
                 steps.extend(wait.map(Step::Wait));
             }
         }
@@ -270,7 +270,7 @@
     fn fire_rules(&mut self, steps: &mut Vec<Step>, due: impl Fn(&Trigger, &[u8]) -> bool, line: &[u8]) {
         for at in 0..self.rules.len() {
             let (rule, left) = &mut self.rules[at];
-            if self.is_over || *left == Some(0) || !due(&rule.trigger, line) {
+            if self.is_finished || *left == Some(0) || !due(&rule.trigger, line) {
                 continue;
             }
             *left = left.map(|left| left - 1);
@@ -280,7 +280,7 @@
         }
     }
 
-    /// What a record says was done here.
+    /// Injects the recorded faults up to the current offset.
     fn fire_replayed(&mut self, steps: &mut Vec<Step>) {
         let offset = self.offset;
         while let Some(fault) =
@@ -288,13 +288,13 @@
         {
             self.replay.iter_mut().for_each(|faults| _ = faults.pop_front());
             self.inject(fault.kind, fault.wait, fault.bytes, steps);
-            if self.is_over {
+            if self.is_finished {
                 return;
             }
         }
     }
 
-    /// The recorded faults that were injected before any byte.
+    /// Returns the steps of recorded faults that were injected before the first byte.
     pub fn replay_on_connect(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
         self.fire_replayed(&mut steps);
@@ -305,19 +305,19 @@
         match kind {
             FaultKind::Delay(from, to) => (from + (to - from).times(self.random.draw()), Vec::new()),
             FaultKind::Stall(span) => (span, Vec::new()),
-            FaultKind::Garble(_, many) => {
+            FaultKind::Garble(_, count) => {
                 let byte = |_| (self.random.draw() * 256.0) as u8;
-                (Span::default(), (0..many).map(byte).collect())
+                (Span::default(), (0..count).map(byte).collect())
             }
             _ => (Span::default(), Vec::new()),
         }
     }
 
     fn inject(&mut self, kind: FaultKind, wait: Span, bytes: Vec<u8>, steps: &mut Vec<Step>) {
-        // What is done to a line that had to be seen whole was done before it.
+        // A fault that is caused by the content of a line applies at the beginning of the line.
         let offset = if self.is_line_under_decision { self.line_start } else { self.offset };
         let (connection, direction) = (self.connection, self.direction);
-        let apply_garbles = bytes.clone();
+        let drawn_bytes = bytes.clone();
         self.injected.push(InjectedFault { connection, direction, offset, kind, wait, bytes });
         match kind {
             FaultKind::Delay(..) | FaultKind::Stall(_) => steps.push(Step::Wait(wait)),
@@ -327,11 +327,11 @@
             FaultKind::Cut | FaultKind::Refuse => self.end_with(Step::Cut, steps),
             FaultKind::End => self.end_with(Step::End, steps),
             FaultKind::HalfClose => self.end_with(Step::HalfClose, steps),
-            // One that waits for its place already keeps it.
+            // A line that already waits to be swapped stays in place.
             FaultKind::Swap => _ = self.swapped_line.get_or_insert_default(),
             FaultKind::Garble(kind, _) => {
-                let places = (offset..).zip(apply_garbles);
-                self.pending_garbles.extend(places.map(|(at, byte)| (at, (kind, byte))));
+                let garbles = (offset..).zip(drawn_bytes);
+                self.pending_garbles.extend(garbles.map(|(at, byte)| (at, (kind, byte))));
             }
         }
     }
@@ -342,10 +342,10 @@
             steps.push(Step::Pass(held));
         }
         steps.push(step);
-        self.is_over = true;
+        self.is_finished = true;
     }
 
-    /// What becomes of bytes that pass.
+    /// Applies the pending corruptions to forwarded bytes.
     fn apply_garbles(&mut self, from: u64, bytes: Bytes) -> Bytes {
         if self.pending_garbles.is_empty() {
             return bytes;
@@ -353,7 +353,7 @@
         let mut out = BytesMut::with_capacity(bytes.len() + self.pending_garbles.len());
         for (at, byte) in (from..).zip(bytes) {
             match self.pending_garbles.remove(&at) {
-                // Never to what it was.
+                // A mask of 0 would leave the byte unchanged.
                 Some((Garble::Flip, mask)) => out.extend([byte ^ mask.max(1)]),
                 Some((Garble::Drop, _)) => {}
                 Some((Garble::Repeat, _)) => out.extend([byte, byte]),
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,6 +1,6 @@
-//! Fault injection between two loopback sockets. `schedule` parses which fault is injected when and where,
-//! `injector` says what becomes of the bytes of one direction (without I/O or clock), `record` stores injected faults
-//! by their cause so that they can be replayed, and `proxy` carries bytes between the sockets.
+//! Fault injection between two loopback sockets. `schedule` parses the rules that define the faults, `injector` applies
+//! them to the bytes of one direction of a connection (without I/O or clock), `record` encodes injected faults so that
+//! they can be replayed, and `proxy` forwards bytes between the sockets.
 #![warn(clippy::unwrap_used)]
 
 pub mod injector;
@@ -8,7 +8,7 @@
 pub mod record;
 pub mod schedule;
 
-/// The number of a connection, from 1 in the order in which they were accepted.
+/// The number of a connection, counted from 1 in the order of acceptance.
 pub type ConnectionNumber = u64;
 
 /// A direction of a connection.
@@ -21,7 +21,7 @@
 }
 
 impl Direction {
-    /// The word for it in schedules.
+    /// Returns the keyword of the direction in schedules.
     pub fn name(self) -> &'static str {
         match self {
             Direction::Up => "up",
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -56,43 +56,44 @@
 }
 
 fn main() -> ExitCode {
-    let faulty = |wrong: String| {
-        eprintln!("whinwall-fault-proxy: {wrong}");
+    let report_faulty_file = |error: String| {
+        eprintln!("whinwall-fault-proxy: {error}");
         ExitCode::from(2)
     };
-    let read = |path: &Path| std::fs::read(path).map_err(|why| format!("{}: {why}", path.display()));
-    let scheduled = |path: &Path| {
-        let text = String::from_utf8(read(path)?).map_err(|why| format!("{}: {why}", path.display()))?;
-        schedule::read(&text).map_err(|why| format!("{}: {why}", path.display()))
+    let read_file = |path: &Path| std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()));
+    let read_schedule = |path: &Path| {
+        let text =
+            String::from_utf8(read_file(path)?).map_err(|error| format!("{}: {error}", path.display()))?;
+        schedule::read(&text).map_err(|error| format!("{}: {error}", path.display()))
     };
     let (source, addresses, out) = match Arguments::parse().command {
         Command::Check { schedule } => {
-            return match scheduled(&schedule) {
+            return match read_schedule(&schedule) {
                 Ok(schedule) => {
-                    println!("{} rules, fine", schedule.rules.len());
+                    println!("schedule is valid: {} rules", schedule.rules.len());
                     ExitCode::SUCCESS
                 }
-                Err(wrong) => faulty(wrong),
+                Err(error) => report_faulty_file(error),
             };
         }
-        Command::Run { schedule, addresses, record } => match scheduled(&schedule) {
+        Command::Run { schedule, addresses, record } => match read_schedule(&schedule) {
             Ok(schedule) => (FaultSource::Schedule(Arc::new(schedule)), addresses, record),
-            Err(wrong) => return faulty(wrong),
+            Err(error) => return report_faulty_file(error),
         },
         Command::Replay { recorded, addresses, record } => {
-            let faults = read(&recorded).and_then(|bytes| {
-                record::read(&bytes).map_err(|why| format!("{}: {why}", recorded.display()))
+            let faults = read_file(&recorded).and_then(|bytes| {
+                record::read(&bytes).map_err(|error| format!("{}: {error}", recorded.display()))
             });
             match faults {
                 Ok(faults) => (FaultSource::Replay(Arc::new(faults)), addresses, record),
-                Err(wrong) => return faulty(wrong),
+                Err(error) => return report_faulty_file(error),
             }
         }
     };
     match serve(source, &addresses, out.as_deref()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("whinwall-fault-proxy: {why}");
+        Err(error) => {
+            eprintln!("whinwall-fault-proxy: {error}");
             ExitCode::FAILURE
         }
     }
@@ -103,7 +104,7 @@
     let log = InjectionLog::default();
     runtime.block_on(async {
         let listener = TcpListener::bind(addresses.listen).await?;
-        println!("{} leads to {}", listener.local_addr()?, addresses.target);
+        println!("{} forwards to {}", listener.local_addr()?, addresses.target);
         tokio::select! {
             failed = forward(listener, addresses.target, source, log.clone()) => failed,
             ended = tokio::signal::ctrl_c() => ended,
--- a/crates/fault-injection/src/proxy.rs
+++ b/crates/fault-injection/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Carries bytes between two loopback sockets, as the injectors say.
+//! Forwards bytes between two loopback sockets and carries out the steps of the injectors.
 
 use crate::injector::{InjectedFault, Injector, Step};
 use crate::record::RecordedFaults;
@@ -14,12 +14,12 @@
 use tokio::sync::{watch, Semaphore};
 use whinwall_policy::time::Span;
 
-/// Connections at once; more wait to be accepted.
+/// The limit of open connections; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 256;
-/// What is read at once, and so all that one direction holds but for a line that a rule has to see complete.
+/// The size of the read buffer. A direction buffers no more than that, except for a line that a rule needs whole.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Where the faults come from.
+/// The source of the faults.
 #[derive(Clone)]
 pub enum FaultSource {
     /// The rules of a schedule.
@@ -43,11 +43,11 @@
 /// The faults injected so far, shared by all connections.
 pub type InjectionLog = Arc<Mutex<Vec<InjectedFault>>>;
 
-/// Accepts connections for ever and forwards each to the target.
+/// Accepts connections until an error occurs and forwards each to the target.
 ///
 /// # Errors
 ///
-/// Where an address is not on loopback, or the listener fails.
+/// Fails if an address is not a loopback address, or if the listener fails.
 pub async fn forward(
     listener: TcpListener,
     target: SocketAddr,
@@ -55,7 +55,7 @@
     log: InjectionLog,
 ) -> io::Result<()> {
     if !target.ip().is_loopback() || !listener.local_addr()?.ip().is_loopback() {
-        return Err(io::Error::other("this is for loopback addresses only"));
+        return Err(io::Error::other("listen and target address must be loopback addresses"));
     }
     let capacity = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     for number in 1.. {
@@ -72,13 +72,13 @@
     Ok(())
 }
 
-/// The state of a connection in both of its directions.
+/// The state of a connection, shared by both directions.
 #[derive(Clone, Copy, PartialEq)]
 enum ConnectionState {
     Open,
-    /// Both sides are to see a reset.
+    /// Both sides are to be reset.
     Cut,
-    /// Both sides are to see an orderly end.
+    /// Both sides are to be closed gracefully.
     Ended,
 }
 
@@ -91,7 +91,7 @@
 ) {
     let _ = stream.set_nodelay(true);
     let up_steps = first_steps(&mut up, log);
-    // Refused or mute before the target sees a connection.
+    // A connection that is refused or muted at its start is not opened to the target.
     match up_steps.iter().find(|step| matches!(step, Step::Cut | Step::End | Step::Silence)) {
         Some(Step::Cut) => return reset_on_close(&stream),
         Some(Step::End) => return,
@@ -105,19 +105,32 @@
     let began = Instant::now();
     let (client_read, client_write) = stream.into_split();
     let (target_read, target_write) = target_stream.into_split();
-    let upward = OneWay { read: client_read, write: target_write, injector: up, began, state: &state, log };
-    let downward =
-        OneWay { read: target_read, write: client_write, injector: down, began, state: &state, log };
+    let upward = DirectionForwarder {
+        read: client_read,
+        write: target_write,
+        injector: up,
+        began,
+        state: &state,
+        log,
+    };
+    let downward = DirectionForwarder {
+        read: target_read,
+        write: client_write,
+        injector: down,
+        began,
+        state: &state,
+        log,
+    };
     let (up, down) = tokio::join!(upward.run(up_steps), downward.run(down_steps));
     if *state.borrow() == ConnectionState::Cut {
-        // Both ends see it at once, and not as an orderly end.
+        // Resets both sides at the same time, without a graceful close.
         for (read, write) in [(up.0, down.1), (down.0, up.1)] {
             read.reunite(write).into_iter().for_each(|stream| reset_on_close(&stream));
         }
     }
 }
 
-/// What is done in one direction before any byte.
+/// Returns the steps of one direction before the first byte.
 fn first_steps(injector: &mut Injector, log: &InjectionLog) -> Vec<Step> {
     let mut steps = injector.on_connect();
     steps.extend(injector.replay_on_connect());
@@ -126,18 +139,18 @@
 }
 
 fn reset_on_close(stream: &TcpStream) {
-    #[allow(deprecated)] // it is deprecated for lingers that block; one of zero never does
+    #[allow(deprecated)] // deprecated since a linger time may block; a linger time of zero does not
     let _ = stream.set_linger(Some(Duration::ZERO));
 }
 
-/// Keeps the connection open; what comes on it goes nowhere.
+/// Keeps the connection open and discards all received bytes.
 async fn read_and_discard(mut stream: TcpStream) {
     let mut buffer = [0; 1024];
     while matches!(stream.read(&mut buffer).await, Ok(1..)) {}
 }
 
-/// Returns once the connection is to end in both directions.
-async fn closed(state: &mut watch::Receiver<ConnectionState>) {
+/// Completes when the connection is to end in both directions.
+async fn connection_ended(state: &mut watch::Receiver<ConnectionState>) {
     let has_changed = state.wait_for(|state| *state != ConnectionState::Open).await.is_ok();
     if !has_changed {
         std::future::pending::<()>().await;
@@ -151,7 +164,7 @@
 }
 
 /// One direction of a connection.
-struct OneWay<'a> {
+struct DirectionForwarder<'a> {
     read: OwnedReadHalf,
     write: OwnedWriteHalf,
     injector: Injector,
@@ -161,22 +174,22 @@
     log: &'a InjectionLog,
 }
 
-impl OneWay<'_> {
-    /// Carries bytes until an end, and returns both halves.
+impl DirectionForwarder<'_> {
+    /// Forwards bytes until this direction or the connection ends. Returns both halves.
     async fn run(mut self, first_steps: Vec<Step>) -> (OwnedReadHalf, OwnedWriteHalf) {
         let mut state = self.state.subscribe();
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut steps = first_steps;
-        // Ended or silent in this direction: what comes is read and goes nowhere.
+        // This direction is closed or silent: received bytes are discarded.
         let mut is_closed = false;
         loop {
             for step in std::mem::take(&mut steps) {
                 tokio::select! {
-                    // An error: nobody reads there any more, and the other direction ends by itself.
+                    // On a write error the receiver is closed; the other direction ends by itself.
                     outcome = self.carry_out(step, &mut is_closed) => if outcome.is_err() {
                         return (self.read, self.write);
                     },
-                    _ = closed(&mut state) => return (self.read, self.write),
+                    _ = connection_ended(&mut state) => return (self.read, self.write),
                 }
             }
             if *state.borrow() != ConnectionState::Open {
@@ -185,7 +198,7 @@
             let deadline = self.injector.next_deadline().map(|at| at - self.elapsed());
             let wait = deadline.map(|span| Duration::from_nanos(span.as_ns()));
             tokio::select! {
-                _ = closed(&mut state) => return (self.read, self.write),
+                _ = connection_ended(&mut state) => return (self.read, self.write),
                 _ = tokio::time::sleep(wait.unwrap_or_default()), if wait.is_some() => {
                     steps = self.injector.on_time(self.elapsed());
                 }
@@ -223,7 +236,7 @@
         }
     }
 
-    /// The sender has ended: passes what was held back, and the end.
+    /// Handles the end of the sender: forwards the bytes held back, then closes the direction.
     async fn end(mut self, is_closed: bool) -> (OwnedReadHalf, OwnedWriteHalf) {
         for step in self.injector.on_end() {
             if let (Step::Pass(bytes), false) = (step, is_closed) {
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -1,5 +1,5 @@
-//! Records of injected faults, each by its cause: which connection, which direction, after how many bytes. A file
-//! of length-delimited protobuf messages, behind a head with the version, and with a checksum over all at the end.
+//! Records of injected faults. Each fault is identified by its connection, its direction and its offset in bytes. A
+//! file has a header with the version, length-delimited protobuf messages, and a checksum of all preceding bytes.
 
 use crate::injector::InjectedFault;
 use crate::schedule::{FaultKind, Garble};
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use whinwall_policy::time::Span;
 
-/// The first bytes of a record, with the version.
+/// The header of a record, which includes the version.
 const MAGIC: &[u8; 8] = b"wwfault1";
 
 #[derive(Clone, PartialEq, Message)]
@@ -30,7 +30,7 @@
     bytes: Vec<u8>,
 }
 
-/// The number of a kind in the file, and its parameter. Numbers are only ever added.
+/// Returns the number of a kind in the file, and its parameter. Numbers are stable: new kinds get new numbers.
 fn encode_kind(kind: FaultKind) -> (u32, u64) {
     match kind {
         FaultKind::Delay(..) => (1, 0),
@@ -41,10 +41,10 @@
         FaultKind::Cut => (6, 0),
         FaultKind::End => (7, 0),
         FaultKind::HalfClose => (8, 0),
-        FaultKind::Garble(Garble::Flip, many) => (9, many),
-        FaultKind::Garble(Garble::Drop, many) => (10, many),
-        FaultKind::Garble(Garble::Insert, many) => (11, many),
-        FaultKind::Garble(Garble::Repeat, many) => (12, many),
+        FaultKind::Garble(Garble::Flip, count) => (9, count),
+        FaultKind::Garble(Garble::Drop, count) => (10, count),
+        FaultKind::Garble(Garble::Insert, count) => (11, count),
+        FaultKind::Garble(Garble::Repeat, count) => (12, count),
         FaultKind::Swap => (13, 0),
         FaultKind::Refuse => (14, 0),
         FaultKind::Mute => (15, 0),
@@ -73,7 +73,7 @@
     })
 }
 
-/// Encodes a record, in the order of connections, directions and offsets: the same faults make the same file.
+/// Encodes a record, sorted by connection, direction and offset, so that equal faults give equal files.
 pub fn write(faults: &[InjectedFault]) -> Vec<u8> {
     let mut sorted: Vec<_> = faults.iter().collect();
     sorted.sort_by_key(|fault| (fault.connection, fault.direction, fault.offset));
@@ -91,8 +91,8 @@
         };
         bytes.extend(entry.encode_length_delimited_to_vec());
     }
-    let sum = crc32fast::hash(&bytes);
-    bytes.extend(sum.to_be_bytes());
+    let checksum = crc32fast::hash(&bytes);
+    bytes.extend(checksum.to_be_bytes());
     bytes
 }
 
@@ -102,20 +102,20 @@
 /// Why a file is not a usable record.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// It is shorter than its checksum.
-    #[error("it is cut off")]
+    /// The file is shorter than a checksum.
+    #[error("fault record is truncated")]
     Truncated,
-    /// It does not begin as a record of this version does.
-    #[error("it is no record of faults, or of another version")]
+    /// The header is not that of a record of this version.
+    #[error("not a fault record, or a fault record of another version")]
     UnknownFormat,
-    /// Its checksum does not fit.
-    #[error("its checksum is wrong")]
+    /// The checksum does not match the content.
+    #[error("checksum of the fault record does not match")]
     Checksum,
-    /// A message in it can't be decoded.
-    #[error("{0}")]
+    /// A message cannot be decoded.
+    #[error("malformed entry in the fault record: {0}")]
     Message(#[from] prost::DecodeError),
     /// A fault of an unknown kind.
-    #[error("it has a fault that this version does not know")]
+    #[error("fault of a kind unknown to this version")]
     UnknownFault,
 }
 
@@ -123,11 +123,11 @@
 ///
 /// # Errors
 ///
-/// Where the bytes are no complete record of this version.
+/// Fails if the bytes are not a complete record of this version.
 pub fn read(bytes: &[u8]) -> Result<RecordedFaults, RecordError> {
-    let (body, sum) = bytes.split_last_chunk::<4>().ok_or(RecordError::Truncated)?;
+    let (body, checksum) = bytes.split_last_chunk::<4>().ok_or(RecordError::Truncated)?;
     let mut rest = body.strip_prefix(MAGIC).ok_or(RecordError::UnknownFormat)?;
-    if crc32fast::hash(body).to_be_bytes() != *sum {
+    if crc32fast::hash(body).to_be_bytes() != *checksum {
         return Err(RecordError::Checksum);
     }
     let mut faults = RecordedFaults::new();
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,7 +1,7 @@
-//! The language of schedules, one rule a line:
+//! The language of schedules, one statement per line:
 //!
 //! ```text
-//! # seeds the generator, where something is drawn
+//! # seed of the random generator
 //! seed 7
 //! on conn 2 up line 5: garble flip 3
 //! on down offset 1000: cut
@@ -10,8 +10,8 @@
 //! on start: refuse
 //! ```
 //!
-//! Without `conn` a rule is for all connections, without `up` or `down` for both directions. It holds once
-//! for each of them, or as often as it says, or `always`.
+//! Without `conn` a rule applies to all connections, without `up` or `down` to both directions. For each connection and
+//! direction it applies once, or N times with `N times`, or each time with `always`.
 
 use crate::{ConnectionNumber, Direction};
 use thiserror::Error;
@@ -25,93 +25,93 @@
 /// A schedule of faults.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// Seeds what is drawn.
+    /// The seed of the random generator.
     pub seed: u64,
-    /// The rules, in the order in which they apply.
+    /// The rules, in the order of application.
     pub rules: Vec<Rule>,
 }
 
-/// One rule.
+/// A rule: injects a fault each time its trigger matches, up to a number of times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// The only connection that it is for, or all.
+    /// The connection to which the rule applies, or none for all.
     pub connection: Option<ConnectionNumber>,
-    /// The only direction that it is for, or both.
+    /// The direction to which the rule applies, or none for both.
     pub direction: Option<Direction>,
     /// When the fault is injected.
     pub trigger: Trigger,
     /// The fault.
     pub kind: FaultKind,
-    /// How often for each connection and direction; none for always.
+    /// The maximum number of times for each connection and direction; none for `always`.
     pub times: Option<u32>,
 }
 
 /// When a fault is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trigger {
-    /// Before any byte.
+    /// Before the first byte.
     Start,
-    /// Once so many bytes have passed.
+    /// After this number of bytes.
     Offset(u64),
-    /// At the beginning of this line, from 1.
+    /// At the beginning of this line, counted from 1.
     Line(u64),
-    /// At the beginning of a line with this in it.
+    /// At the beginning of a line that contains this text.
     Matches(String),
-    /// So long after the connection came.
+    /// This duration after the connection was accepted.
     After(Span),
 }
 
 /// How bytes are corrupted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Garble {
-    /// Bits are flipped.
+    /// Bits of a byte are flipped.
     Flip,
-    /// Bytes are left out.
+    /// Bytes are dropped.
     Drop,
-    /// Bytes are added before them.
+    /// Random bytes are inserted before them.
     Insert,
-    /// Bytes are doubled.
+    /// Bytes are sent twice.
     Repeat,
 }
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Drawn between both; what is behind waits too.
+    /// Delays the bytes by a duration drawn from this range; later bytes wait too.
     Delay(Span, Span),
-    /// From here on no more bytes a second.
+    /// From here on limits the rate to this number of bytes per second.
     Rate(u64),
-    /// From here on in pieces of this size.
+    /// From here on splits writes into chunks of at most this number of bytes.
     Pieces(u64),
-    /// Nothing passes for so long, then all at once.
+    /// Passes nothing for this duration, then all pending bytes.
     Stall(Span),
-    /// From here on nothing passes, and nobody hears of it.
+    /// From here on discards all bytes and keeps the connection open.
     Silence,
-    /// Both directions are reset.
+    /// Resets both sides of the connection.
     Cut,
-    /// Both directions end in order.
+    /// Closes both directions gracefully.
     End,
-    /// This direction ends in order, the other goes on.
+    /// Closes this direction gracefully; the other one stays open.
     HalfClose,
-    /// So many bytes.
+    /// Corrupts this number of bytes.
     Garble(Garble, u64),
-    /// This line and the next change places.
+    /// Swaps this line with the next one.
     Swap,
-    /// The connection is closed before anything passes.
+    /// Resets the connection before any byte is passed.
     Refuse,
-    /// It is taken, and leads nowhere.
+    /// Accepts the connection, but does not forward it.
     Mute,
 }
 
-/// Why a schedule can't be used, and where.
+/// The first syntax error of a schedule, with its position.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("line {line}, column {column}: {expectation}")]
 pub struct ScheduleError {
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// The column, counted from 1.
     pub column: usize,
-    /// What was expected there.
+    /// The description of the expected input.
     pub expectation: String,
 }
 
@@ -124,17 +124,17 @@
 ///
 /// # Errors
 ///
-/// The first line that is not a statement, with the column where it stops being one.
+/// Fails at the first line that is not a valid statement; the error names its line and column.
 pub fn read(text: &str) -> Result<Schedule, ScheduleError> {
     let mut schedule = Schedule::default();
-    for (at, whole) in text.lines().enumerate() {
-        // A comment lasts to the end of its line; text in quotes has no part in that.
+    for (at, full_line) in text.lines().enumerate() {
+        // A comment extends to the end of the line; a `#` in quotes does not begin one.
         let mut quoted = false;
-        let comment = whole.find(|c| {
+        let comment = full_line.find(|c| {
             quoted ^= c == '"';
             c == '#' && !quoted
         });
-        let line = whole[..comment.unwrap_or(whole.len())].trim_end();
+        let line = full_line[..comment.unwrap_or(full_line.len())].trim_end();
         if line.trim().is_empty() {
             continue;
         }
@@ -143,11 +143,11 @@
         match { statement }.parse(line) {
             Ok(Statement::Seed(seed)) => schedule.seed = seed,
             Ok(Statement::Rule(rule)) => schedule.rules.push(rule),
-            Err(wrong) => {
-                let column = line[..wrong.offset().min(line.len())].chars().count() + 1;
-                let expectation = wrong.inner().to_string().replace('\n', ", ");
+            Err(error) => {
+                let column = line[..error.offset().min(line.len())].chars().count() + 1;
+                let expectation = error.inner().to_string().replace('\n', ", ");
                 let expectation =
-                    if expectation.is_empty() { "this is not understood".into() } else { expectation };
+                    if expectation.is_empty() { "invalid statement".into() } else { expectation };
                 return Err(ScheduleError { line: at + 1, column, expectation });
             }
         }
@@ -172,8 +172,11 @@
 fn span(input: &mut &str) -> ModalFree<Span> {
     let unit = alt(("ms".value(1u64), "s".value(1000), "m".value(60_000)));
     let span = (dec_uint::<_, u64, _>, unit)
-        .verify_map(|(many, unit)| many.checked_mul(unit).filter(|ms| *ms < 1 << 40));
-    terminated(span, space0).map(Span::ms).context(expected("a span like 50ms, 2s or 1m")).parse_next(input)
+        .verify_map(|(count, unit)| count.checked_mul(unit).filter(|ms| *ms < 1 << 40));
+    terminated(span, space0)
+        .map(Span::ms)
+        .context(expected("a duration such as 50ms, 2s or 1m"))
+        .parse_next(input)
 }
 
 fn statement(input: &mut &str) -> ModalFree<Statement> {
@@ -190,7 +193,7 @@
         connection: connection,
         direction: direction,
         trigger: trigger,
-        _: word(":").context(expected("`:` and what is done")),
+        _: word(":").context(expected("`:` and a fault")),
         kind: kind,
         times: times,
     }}
@@ -220,11 +223,12 @@
     ));
     let bytes = || number.verify(|n| (1..=1 << 20).contains(n));
     alt((
-        preceded(("delay", space1), drawn.verify(|(from, to)| from <= to)).map(|(from, to)| FaultKind::Delay(from, to)),
+        preceded(("delay", space1), drawn.verify(|(from, to)| from <= to))
+            .map(|(from, to)| FaultKind::Delay(from, to)),
         preceded(("rate", space1), bytes()).map(FaultKind::Rate),
         preceded(("pieces", space1), bytes()).map(FaultKind::Pieces),
         preceded(("stall", space1), span).map(FaultKind::Stall),
-        preceded(("garble", space1), (kind, bytes())).map(|(kind, many)| FaultKind::Garble(kind, many)),
+        preceded(("garble", space1), (kind, bytes())).map(|(kind, count)| FaultKind::Garble(kind, count)),
         word("silence").value(FaultKind::Silence),
         word("half-close").value(FaultKind::HalfClose),
         word("cut").value(FaultKind::Cut),
@@ -233,7 +237,9 @@
         word("refuse").value(FaultKind::Refuse),
         word("mute").value(FaultKind::Mute),
     ))
-    .context(expected("what is done: delay, rate, pieces, stall, silence, cut, end, half-close, garble, swap, refuse or mute"))
+    .context(expected(
+        "a fault: delay, rate, pieces, stall, silence, cut, end, half-close, garble, swap, refuse or mute",
+    ))
     .parse_next(input)
 }
 
--- a/crates/fault-injection/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Schedules, lanes and records without sockets; then each kind of fault between two sockets, and a record
-//! that is replayed twice with the same result.
+//! Tests of schedules, injectors and records without sockets, then of each kind of fault between two sockets and of the
+//! replay of a record.
 
 use quickcheck::{Arbitrary, Gen};
 use std::io::{Read, Write};
@@ -15,7 +15,7 @@
 use whinwall_policy::time::Span;
 
 fn read(text: &str) -> Schedule {
-    schedule::read(text).unwrap_or_else(|wrong| panic!("{wrong}"))
+    schedule::read(text).unwrap_or_else(|error| panic!("{error}"))
 }
 
 #[test]
@@ -44,13 +44,13 @@
         ("off start: cut", 1, 1),
         ("on line 1: delay 9s..1s", 1, 18),
     ] {
-        let wrong = schedule::read(text).unwrap_err();
-        assert_eq!(wrong.line, line, "{text}: {wrong}");
-        assert!(wrong.column.abs_diff(column) <= 6, "{text}: {wrong}");
+        let error = schedule::read(text).unwrap_err();
+        assert_eq!(error.line, line, "{text}: {error}");
+        assert!(error.column.abs_diff(column) <= 6, "{text}: {error}");
     }
 }
 
-/// What passes, with waits as `~` and ends as `!`.
+/// Returns the forwarded text, with each wait as `~` and each step that ends the stream as `!`.
 fn passed(steps: Vec<Step>) -> String {
     let one = |step| match step {
         Step::Pass(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn rules_hold_where_they_say_and_as_often() {
+fn rules_apply_at_their_trigger_and_as_often_as_given() {
     let text = b"one\ntwo\nthree\nfour\n";
     for (rules, expected) in [
         ("on line 2: stall 1s", "one\n~two\nthree\nfour\n"),
@@ -91,31 +91,31 @@
 }
 
 #[derive(Clone, Debug)]
-struct Cuts(Vec<usize>);
+struct ReadSizes(Vec<usize>);
 
-impl Arbitrary for Cuts {
+impl Arbitrary for ReadSizes {
     fn arbitrary(gen: &mut Gen) -> Self {
-        Cuts((0..12).map(|_| usize::arbitrary(gen) % 7 + 1).collect())
+        ReadSizes((0..12).map(|_| usize::arbitrary(gen) % 7 + 1).collect())
     }
 }
 
-const ALL: &str =
+const ALL_RULES: &str =
     "seed 9\non line 2: garble insert 3\non offset 9: garble flip 2\non line ~ \"five\": delay 1ms..9ms\n\
     on line 4: swap\non line ~ \"six\": garble drop 1\non offset 30: pieces 2\non line 9: end";
 const TEXT: &[u8] = b"one\ntwo\nthree\nfour\nfive\nsix\nseven\neight\nnine\nten\n";
 
-/// The faults of a stream and all that came out of it, read in pieces of these sizes.
-fn through(
+/// Passes `TEXT` through an injector in reads of these sizes. Returns the forwarded bytes and the injected faults.
+fn run_through(
     mut injector: Injector,
-    cuts: &[usize],
-    replays: bool,
+    sizes_of_reads: &[usize],
+    is_replay: bool,
 ) -> (Vec<u8>, Vec<whinwall_fault_injection::injector::InjectedFault>) {
-    let mut steps = if replays { injector.replay_on_connect() } else { injector.on_connect() };
-    let (mut rest, mut sizes) = (TEXT, cuts.iter().cycle());
+    let mut steps = if is_replay { injector.replay_on_connect() } else { injector.on_connect() };
+    let (mut rest, mut sizes) = (TEXT, sizes_of_reads.iter().cycle());
     while !rest.is_empty() {
-        let (now, later) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
-        steps.extend(injector.on_bytes(now));
-        rest = later;
+        let (current, remaining) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
+        steps.extend(injector.on_bytes(current));
+        rest = remaining;
     }
     steps.extend(injector.on_end());
     let out = steps
@@ -124,187 +124,192 @@
     (out.flatten().collect(), injector.injected)
 }
 
-/// However the bytes are cut into reads, what is done to them and what is recorded of it is the same; and so
-/// it is when the record is replayed.
+/// The forwarded bytes and the recorded faults do not depend on how the bytes are split into reads. A replay of the
+/// record gives the same bytes and faults.
 #[test]
 fn faults_depend_on_bytes_and_not_on_reads_and_replays_are_the_same() {
-    fn holds(cuts: Cuts, others: Cuts) -> bool {
-        let (out, injected) = through(injector(ALL), &cuts.0, false);
-        assert_eq!((out.clone(), injected.clone()), through(injector(ALL), &others.0, false));
+    fn gives_same_faults(sizes_of_reads: ReadSizes, others: ReadSizes) -> bool {
+        let (out, injected) = run_through(injector(ALL_RULES), &sizes_of_reads.0, false);
+        assert_eq!((out.clone(), injected.clone()), run_through(injector(ALL_RULES), &others.0, false));
         let recorded = record::read(&record::write(&injected)).unwrap();
         let again = || Injector::replaying(1, Up, recorded[&(1, Up)].clone());
-        let (replayed, same) = through(again(), &others.0, true);
+        let (replayed, same) = run_through(again(), &others.0, true);
         assert_eq!(String::from_utf8_lossy(&replayed), String::from_utf8_lossy(&out));
         record::write(&same) == record::write(&injected)
     }
-    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(Cuts, Cuts) -> bool);
+    quickcheck::QuickCheck::new()
+        .tests(300)
+        .quickcheck(gives_same_faults as fn(ReadSizes, ReadSizes) -> bool);
 }
 
 #[test]
-fn a_spoilt_record_is_refused_whatever_byte_it_is() {
-    let (_, injected) = through(injector(ALL), &[3], false);
+fn corrupt_or_truncated_record_is_rejected_at_any_byte() {
+    let (_, injected) = run_through(injector(ALL_RULES), &[3], false);
     let bytes = record::write(&injected);
     for at in 0..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= 0x10;
-        assert!(record::read(&spoilt).is_err(), "byte {at}");
-        assert!(record::read(&bytes[..at]).is_err(), "cut at {at}");
+        let mut corrupt = bytes.clone();
+        corrupt[at] ^= 0x10;
+        assert!(record::read(&corrupt).is_err(), "byte {at}");
+        assert!(record::read(&bytes[..at]).is_err(), "truncated at {at}");
     }
 }
 
-/// A tool between the test and an echoing target.
-struct Between {
+/// A fault proxy between the test and an echo server.
+struct TestProxy {
     address: SocketAddr,
     log: InjectionLog,
 }
 
-fn between(source: FaultSource) -> Between {
+fn start_proxy(source: FaultSource) -> TestProxy {
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
-    let to = target.local_addr().unwrap();
+    let target_address = target.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in target.incoming().map_while(Result::ok) {
             thread::spawn(move || {
                 let (mut buffer, mut reader) = ([0; 4096], stream.try_clone().unwrap());
-                while let Ok(many @ 1..) = reader.read(&mut buffer) {
-                    if stream.write_all(&buffer[..many]).is_err() {
+                while let Ok(count @ 1..) = reader.read(&mut buffer) {
+                    if stream.write_all(&buffer[..count]).is_err() {
                         return;
                     }
                 }
-                // Whoever has half-closed still hears this.
+                // A client that has half-closed its connection still receives this.
                 _ = stream.write_all(b"heard the end\n");
             });
         }
     });
-    let (say, address) = std::sync::mpsc::channel();
+    let (address_sender, address) = std::sync::mpsc::channel();
     let log = InjectionLog::default();
-    let logs = log.clone();
+    let proxy_log = log.clone();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-            say.send(listener.local_addr().unwrap()).unwrap();
-            _ = forward(listener, to, source, logs).await;
+            address_sender.send(listener.local_addr().unwrap()).unwrap();
+            _ = forward(listener, target_address, source, proxy_log).await;
         });
     });
-    Between { address: address.recv().unwrap(), log }
+    TestProxy { address: address.recv().unwrap(), log }
 }
 
-fn scheduled(text: &str) -> Between {
-    between(FaultSource::Schedule(Arc::new(read(text))))
+fn start_with_schedule(text: &str) -> TestProxy {
+    start_proxy(FaultSource::Schedule(Arc::new(read(text))))
 }
 
-impl Between {
+impl TestProxy {
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         stream
     }
 
-    /// Says this, ends its side where it should, and hears all that comes.
-    fn says(&self, text: &[u8], on_end: bool) -> (Vec<u8>, std::io::Result<()>) {
+    /// Sends the text, closes the sending side if `on_end` is set, and reads until the connection ends.
+    fn exchange(&self, text: &[u8], on_end: bool) -> (Vec<u8>, std::io::Result<()>) {
         let mut stream = self.connect();
-        // A reset is told once, by whatever is done next: by this, where it came before.
-        let said = stream.write_all(text);
+        // A reset is reported once, by the next operation. That is the write if the reset came before it.
+        let write_result = stream.write_all(text);
         if on_end {
             _ = stream.shutdown(Shutdown::Write);
         }
-        let (mut heard, mut buffer) = (Vec::new(), [0; 4096]);
+        let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
         loop {
             match stream.read(&mut buffer) {
-                Ok(0) => return (heard, said),
-                Ok(many) => heard.extend(&buffer[..many]),
-                Err(why) => return (heard, Err(why)),
+                Ok(0) => return (received, write_result),
+                Ok(count) => received.extend(&buffer[..count]),
+                Err(error) => return (received, Err(error)),
             }
         }
     }
 }
 
-fn text(heard: (Vec<u8>, std::io::Result<()>)) -> String {
-    heard.1.unwrap();
-    String::from_utf8_lossy(&heard.0).into_owned()
+fn text(received: (Vec<u8>, std::io::Result<()>)) -> String {
+    received.1.unwrap();
+    String::from_utf8_lossy(&received.0).into_owned()
 }
 
 #[test]
-fn one_direction_is_half_closed_and_the_other_goes_on() {
-    let tool = scheduled("on up line 2: half-close");
-    let mut stream = tool.connect();
+fn half_close_ends_one_direction_and_keeps_the_other_open() {
+    let proxy = start_with_schedule("on up line 2: half-close");
+    let mut stream = proxy.connect();
     stream.write_all(b"one\ntwo\n").unwrap();
-    // The target has heard the end; what it says still comes, and our own side is open.
-    let mut heard = [0; 18];
-    stream.read_exact(&mut heard).unwrap();
-    assert_eq!(&heard, b"one\nheard the end\n");
+    // The target has received the end; its reply still arrives, and the client's sending side is open.
+    let mut received = [0; 18];
+    stream.read_exact(&mut received).unwrap();
+    assert_eq!(&received, b"one\nheard the end\n");
     stream.write_all(b"nobody hears this\n").unwrap();
-    assert_eq!(stream.read(&mut heard).unwrap(), 0);
+    assert_eq!(stream.read(&mut received).unwrap(), 0);
 }
 
 #[test]
-fn each_way_to_end_or_hold_a_connection_is_as_it_says() {
-    assert_eq!(text(scheduled("").says(b"one\ntwo\n", true)), "one\ntwo\nheard the end\n");
-    let cut = scheduled("on down line 2: cut").says(b"one\ntwo\nthree\n", false);
-    assert!(cut.1.is_err() && cut.0.len() <= 4, "a reset, no end: {cut:?}");
-    assert_eq!(text(scheduled("on down line 2: end").says(b"one\ntwo\n", false)), "one\n");
-    assert!(scheduled("on start: refuse").says(b"one\n", false).1.is_err());
+fn cut_end_refuse_mute_and_silence_act_as_documented() {
+    assert_eq!(text(start_with_schedule("").exchange(b"one\ntwo\n", true)), "one\ntwo\nheard the end\n");
+    let cut = start_with_schedule("on down line 2: cut").exchange(b"one\ntwo\nthree\n", false);
+    assert!(cut.1.is_err() && cut.0.len() <= 4, "expected a reset, not a graceful close: {cut:?}");
+    assert_eq!(text(start_with_schedule("on down line 2: end").exchange(b"one\ntwo\n", false)), "one\n");
+    assert!(start_with_schedule("on start: refuse").exchange(b"one\n", false).1.is_err());
     for rules in ["on start: mute", "on up line 1: silence"] {
-        let mut stream = scheduled(rules).connect();
+        let mut stream = start_with_schedule(rules).connect();
         stream.write_all(b"one\n").unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
-        let nothing = stream.read(&mut [0; 8]).unwrap_err();
+        let timeout_error = stream.read(&mut [0; 8]).unwrap_err();
         assert!(
-            matches!(nothing.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
+            matches!(timeout_error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
             "{rules}"
         );
     }
-    // A rule for one connection leaves the others alone.
-    let second = scheduled("on conn 2 up line 1: end");
-    assert_eq!(text(second.says(b"one\n", true)), "one\nheard the end\n");
-    assert!(!text(second.says(b"one\n", true)).contains("one"));
-    assert_eq!(text(second.says(b"one\n", true)), "one\nheard the end\n");
+    // A rule for one connection does not affect the others.
+    let second = start_with_schedule("on conn 2 up line 1: end");
+    assert_eq!(text(second.exchange(b"one\n", true)), "one\nheard the end\n");
+    assert!(!text(second.exchange(b"one\n", true)).contains("one"));
+    assert_eq!(text(second.exchange(b"one\n", true)), "one\nheard the end\n");
 }
 
 #[test]
-fn delays_keep_the_order_and_time_ends_what_says_nothing() {
+fn delays_keep_the_order_and_after_rules_apply_without_traffic() {
     let began = Instant::now();
-    let heard = text(scheduled("on up line 2: delay 300ms").says(b"one\ntwo\nthree\n", true));
-    assert_eq!(heard, "one\ntwo\nthree\nheard the end\n");
+    let received =
+        text(start_with_schedule("on up line 2: delay 300ms").exchange(b"one\ntwo\nthree\n", true));
+    assert_eq!(received, "one\ntwo\nthree\nheard the end\n");
     assert!(began.elapsed() >= Duration::from_millis(300));
     let began = Instant::now();
-    assert_eq!(text(scheduled("on up after 200ms: end").says(b"one\n", false)), "one\n");
+    assert_eq!(text(start_with_schedule("on up after 200ms: end").exchange(b"one\n", false)), "one\n");
     assert!(began.elapsed() >= Duration::from_millis(200) && began.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
-fn a_recorded_night_is_replayed_twice_alike() {
-    let night = "seed 3\non up line 2: garble flip 4\non down offset 20: garble insert 3\non conn 2 up line 3: swap\n\
+fn replays_of_a_record_repeat_bytes_and_faults() {
+    let rules = "seed 3\non up line 2: garble flip 4\non down offset 20: garble insert 3\non conn 2 up line 3: swap\n\
         on up line ~ \"five\": delay 1ms..20ms\non conn 3 down line 4: end\non conn 4 start: refuse";
-    let play = |tool: &Between| -> Vec<Vec<u8>> { (0..4).map(|_| tool.says(TEXT, true).0).collect() };
-    let first = scheduled(night);
-    let heard = play(&first);
+    let run = |proxy: &TestProxy| -> Vec<Vec<u8>> { (0..4).map(|_| proxy.exchange(TEXT, true).0).collect() };
+    let first = start_with_schedule(rules);
+    let received = run(&first);
     let recorded = record::write(&first.log.lock().unwrap());
     let faults: Arc<RecordedFaults> = Arc::new(record::read(&recorded).unwrap());
     for round in 0..2 {
-        let again = between(FaultSource::Replay(faults.clone()));
-        assert_eq!(play(&again), heard, "round {round}");
+        let again = start_proxy(FaultSource::Replay(faults.clone()));
+        assert_eq!(run(&again), received, "round {round}");
         assert_eq!(record::write(&again.log.lock().unwrap()), recorded, "round {round}");
     }
     assert!(faults.keys().any(|(_, direction)| *direction == Down));
 }
 
-/// Bytes of any kind through rules of any kind: it neither ends nor grows.
+/// Random bytes pass through rules with corruption, swaps and small chunks: the connection stays open and forwards most
+/// of them.
 #[test]
-fn whatever_passes_it_goes_on() {
-    let tool =
-        scheduled("on line 1: garble flip 9, always\non line ~ \"a\": swap, always\non offset 100: pieces 7");
+fn connection_stays_open_for_random_bytes() {
+    let proxy = start_with_schedule(
+        "on line 1: garble flip 9, always\non line ~ \"a\": swap, always\non offset 100: pieces 7",
+    );
     for seed in 0..20u64 {
         let mut random = whinwall_policy::random::Random::from_seed(seed);
         let bytes: Vec<u8> = (0..20_000).map(|_| (random.draw() * 256.0) as u8).collect();
-        let (heard, _) = tool.says(&bytes, true);
-        assert!(heard.len() > 15_000, "{} of 20,000 bytes", heard.len());
+        let (received, _) = proxy.exchange(&bytes, true);
+        assert!(received.len() > 15_000, "{} of 20,000 bytes", received.len());
     }
 }
 
-/// The five troubles that operators name ship as schedules.
+/// The five example schedules are valid.
 #[test]
-fn the_examples_are_good_schedules() {
+fn examples_are_valid_schedules() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples");
     let files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
     assert_eq!(files.len(), 5);
--- a/crates/fault-injection/tests/help.rs
+++ b/crates/fault-injection/tests/help.rs
@@ -1,5 +1,5 @@
-//! The help texts, to the letter: scripts, manuals and completions follow their words. Only the program's own
-//! name may change; it reads `PROGRAM` here.
+//! Compares the help texts with fixtures letter by letter, since scripts, manuals and completions depend on them. The
+//! name of the program is replaced by `PROGRAM`.
 
 use whinwall_test_support::help_text::help_text;
 
