--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -119,7 +119,7 @@
         Some(Fault { kind, from, until })
     }
 
-    /// Draws signals that do not end the program, then one that does, then further ones of any kind.
+    /// Draws signals that do not end the program, then one that does, then possibly further ones.
     fn draw_signals(&mut self) -> Vec<(Duration, Signal)> {
         let before = [Signal::HUP, Signal::USR1, Signal::USR2, Signal::PIPE];
         let after = [Signal::TERM, Signal::INT, Signal::HUP, Signal::USR1, Signal::PIPE];
