--- a/crates/soak/src/clients/management.rs
+++ b/crates/soak/src/clients/management.rs
@@ -1,9 +1,11 @@
 //! A client of the management API that sets, clears and lists its own overrides and requests the status.
 
 use super::http::{connect, exchange, request_text, Outcome, Response};
-use super::{Shared, RECONNECT_DELAY};
+use super::{Shared, MANAGEMENT_CLIENTS, RECONNECT_DELAY};
 use crate::incarnation::Incarnation;
 use crate::ledger::ExpectedState;
+use crate::program::MAX_LISTED_ENDED;
+use crate::unconfirmed_clears::UnconfirmedClears;
 use crate::violation::Violation;
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
@@ -55,12 +57,21 @@
     random: Random,
     next_id: u64,
     active: Vec<String>,
+    unconfirmed_clears: UnconfirmedClears,
     connection: Option<(UnixStream, Arc<Incarnation>)>,
 }
 
 pub(super) fn run(shared: &Shared, number: u64, random: Random) {
-    let (prefix, active) = (format!("m{number}-"), Vec::new());
-    let mut client = ManagementClient { shared, prefix, random, next_id: 0, active, connection: None };
+    let mut client = ManagementClient {
+        shared,
+        prefix: format!("m{number}-"),
+        random,
+        next_id: 0,
+        active: Vec::new(),
+        // The last ends of the other clients may not be recorded yet, one for each client.
+        unconfirmed_clears: UnconfirmedClears::new(MAX_LISTED_ENDED - MANAGEMENT_CLIENTS as usize),
+        connection: None,
+    };
     while !shared.is_stopped() {
         client.step();
     }
@@ -74,10 +85,11 @@
             return;
         };
         let call = self.draw_call();
+        let ended_before = self.shared.ledger.possibly_ended();
         match exchange(&mut stream, &call.text(), &mut self.random) {
             Outcome::Response(response) => {
                 self.shared.count_answer();
-                self.note_response(&call, &response);
+                self.note_response(&call, &response, ended_before);
                 if !response.is_last {
                     self.connection = Some((stream, incarnation));
                 }
@@ -123,7 +135,10 @@
         Call::Set(format!("{}{}", self.prefix, self.next_id))
     }
 
-    fn note_response(&mut self, call: &Call, response: &Response) {
+    /// Records and checks a response. `ended_before` is [`Ledger::possibly_ended`] from before the request was sent.
+    ///
+    /// [`Ledger::possibly_ended`]: crate::ledger::Ledger::possibly_ended
+    fn note_response(&mut self, call: &Call, response: &Response, ended_before: usize) {
         let is_on_disk = response.body.contains("\"kept\":\"on disk\"");
         let record = |id: &String, expected| self.shared.ledger.record(id, expected);
         match (call, response.status) {
@@ -138,9 +153,13 @@
             // The override stays in force until the clear is persisted; the clear may have to be repeated.
             (Call::Clear(id), 202) => {
                 record(id, ExpectedState::Unknown);
+                self.unconfirmed_clears.note(id, ended_before);
                 self.active.push(id.clone());
             }
             (Call::Clear(id), 503 | 507) => self.active.push(id.clone()),
+            (Call::Clear(id), 404) if self.may_be_pruned(id) => {
+                record(id, ExpectedState::Ended);
+            }
             (_, 503) => {}
             (Call::Set(_) | Call::Clear(_), 408 | 504) => self.note_unknown(call),
             (_, 408 | 504) => {}
@@ -151,6 +170,10 @@
         }
     }
 
+    fn may_be_pruned(&self, id: &str) -> bool {
+        self.unconfirmed_clears.may_be_pruned(id, self.shared.ledger.possibly_ended())
+    }
+
     fn check_list(&self, body: &str) {
         match serde_json::from_str(body) {
             Ok(list) => self.shared.ledger.check(&self.prefix, &list, &self.shared.violations),
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -39,6 +39,14 @@
             .count()
     }
 
+    /// Returns the number of overrides that have ended or may have ended.
+    pub fn possibly_ended(&self) -> usize {
+        self.lock()
+            .values()
+            .filter(|expected| matches!(expected, ExpectedState::Ended | ExpectedState::Unknown))
+            .count()
+    }
+
     /// Compares an override list with the expected states of the ids that begin with `prefix`. No request that changes
     /// these overrides may be in flight.
     pub fn check(&self, prefix: &str, list: &Value, violations: &Violations) {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod plan;
 mod program;
 pub mod run;
+pub mod unconfirmed_clears;
 pub mod violation;
 
 pub use program::SoakError;
--- a/crates/soak/src/program.rs
+++ b/crates/soak/src/program.rs
@@ -11,6 +11,8 @@
 
 /// The time limit from process start until the override store has been read.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// The limit of active overrides and of listed ended overrides, the default of the operators' file.
+pub(crate) const MAX_LISTED_ENDED: usize = 1000;
 /// Ignores SIGXFSZ, which would end the process: writes beyond the file size limit fail with EFBIG instead.
 const IGNORE_FILE_SIZE_SIGNAL: &str = "trap '' XFSZ; exec \"$@\"";
 
@@ -64,7 +66,8 @@
         write(
             "operators.xml",
             format!(
-                "<operators version=\"1\">\n<store folder=\"{}\"/>\n<management socket=\"{}\"/>\n</operators>\n",
+                "<operators version=\"1\">\n<store folder=\"{}\"/>\n<management socket=\"{}\"/>\n\
+                 <overrides most=\"{MAX_LISTED_ENDED}\"/>\n</operators>\n",
                 store.display(),
                 socket.display()
             ),
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -4,6 +4,7 @@
 use whinwall_scale_tests::process::controller_program;
 use whinwall_soak::plan::Plan;
 use whinwall_soak::run::run_seed;
+use whinwall_soak::unconfirmed_clears::UnconfirmedClears;
 
 const SEEDS: std::ops::Range<u64> = 1..4;
 const DURATION: Duration = Duration::from_secs(15);
@@ -18,6 +19,18 @@
     assert_ne!(rounds(7), rounds(8));
 }
 
+/// A clear that was answered before it was persisted may be repeated after the ended override was removed from the list.
+#[test]
+fn unknown_override_is_expected_only_after_an_unconfirmed_clear_and_enough_later_ends() {
+    let mut clears = UnconfirmedClears::new(1000);
+    assert!(!clears.may_be_pruned("a", 5000), "never cleared");
+    clears.note("a", 200);
+    clears.note("a", 700);
+    assert!(!clears.may_be_pruned("a", 1199), "the list still has room for it");
+    assert!(clears.may_be_pruned("a", 1200));
+    assert!(!clears.may_be_pruned("b", 1200), "another override");
+}
+
 #[test]
 fn program_answers_and_persists_changes_under_signals_kills_and_faults() {
     let program = controller_program().unwrap();
