--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -74,7 +74,7 @@
     Cached,
 }
 
-/// A temporary override, set by an operator, of what the replica list says.
+/// An operator's temporary change to a replica's listed properties, or to the placement of slices.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OverrideSpec {
     /// Multiplies a replica's listed weight by a factor.
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -2,8 +2,8 @@
 //! state.
 //!
 //! It avoids commands that change nothing. Where a slice has a single writer, it also prevents two simultaneous
-//! owners: a proxy that learns of a change late still writes to the previous owner, so the slice's requests are
-//! held back and the writes in flight are given time to end before another owner gets them.
+//! owners: a proxy that applies a change late still writes to the previous owner, so the slice's requests are held
+//! back and the writes in flight are given time to end before another owner gets them.
 
 use crate::api::{Action, ReplicaId, SliceId};
 use crate::state::admission::HALTED_REDUCTION;
@@ -24,8 +24,8 @@
 }
 
 impl ControllerState {
-    /// Sends the difference of one slice, the most urgent first, if the channel has room. Only the part that
-    /// matches the slice's priority is sent.
+    /// Sends the pending changes of one slice, the most urgent first, if the channel has room. Only the part of the
+    /// changes that is needed at the slice's priority is sent.
     pub(crate) fn dispatch(&mut self) -> bool {
         let may_be_sent = |(_, id): &(Priority, SliceId)| self.may_send_table(&self.slices[id]);
         let Some((priority, id)) = self.pending_slices.iter().find(may_be_sent) else { return false };
@@ -40,8 +40,8 @@
         true
     }
 
-    /// Returns the part of a slice's difference that is needed at this priority. Tables without an endpoint get
-    /// one first, then owners are replaced; admission rates and standbys can wait.
+    /// Returns the part of a slice's pending changes that is needed at this priority. Tables without an endpoint
+    /// get one first, then owners are replaced; admission rates and standbys can wait.
     fn next_update(&self, id: SliceId, priority: Priority) -> SliceUpdate {
         let slice = &self.slices[&id];
         let table = &slice.table;
@@ -62,12 +62,12 @@
         let endpoints = if must_halt_first {
             Vec::new()
         } else {
-            table.diff(self.removals()).into_iter().filter(is_needed_now).collect()
+            table.diff(self.removal_mode()).into_iter().filter(is_needed_now).collect()
         };
         SliceUpdate { slice: id, endpoints, reduction, changes_single_writer }
     }
 
-    fn removals(&self) -> Removals {
+    fn removal_mode(&self) -> Removals {
         if self.deployment.single_writer {
             Removals::Implied
         } else {
@@ -93,7 +93,7 @@
     fn record_sent(&mut self, update: &SliceUpdate, command_count: usize) {
         let version = (command_count > 0).then(|| self.add_lines(command_count as f64));
         self.pending_slices.clear(update.slice);
-        let removals = self.removals();
+        let removals = self.removal_mode();
         let Some(slice) = self.slices.get_mut(&update.slice) else { return };
         if slice.applied_reduction != update.reduction && update.reduction == HALTED_REDUCTION {
             slice.halted_at = Some(self.now);
@@ -108,7 +108,7 @@
         self.change_table(update.slice, |table| table.record_applied(&update.endpoints, removals));
     }
 
-    /// Marks the part of the slice's difference that was not sent as pending.
+    /// Marks the part of the slice's changes that was not sent as pending.
     fn mark_remainder_pending(&mut self, id: SliceId, priority: Priority, changes_single_writer: bool) {
         let slice = &self.slices[&id];
         let remainder_priority = match priority {
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -151,7 +151,7 @@
             // The delay of the link is not the replica's; without the correction a slow link would look like an
             // overloaded zone.
             let link_delay_seconds = self.links.delays.get(&link).copied().unwrap_or(0.0);
-            replica.shared.report_window = report.window;
+            replica.shared_load.report_window = report.window;
             replica.reports.record(at, report, latest_latency, link_delay_seconds);
             self.links.latencies.entry(link).or_default().record(at, report);
         }
@@ -169,7 +169,8 @@
         let Some(slice) = self.slices.get_mut(&id) else { return };
         slice.admitted.add_over(at, report.window, admitted);
         slice.failed.add_over(at, report.window, report.failed);
-        // Requests are expected at a replica only if all proxies have known its endpoint for a while.
+        // Requests are expected at a replica only once all proxies have had its endpoint in their tables for the
+        // recent window.
         for (replica, share) in slice.table.request_shares().filter(|_| is_table_settled) {
             if let Some(replica) = self.replicas.get_mut(&replica) {
                 replica.reports.expected.add_over(at, report.window, admitted * share);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -170,8 +170,8 @@
         self.run_rules(now);
     }
 
-    /// Handles an interruption of the relay's events. No acknowledgement can arrive during it, so a missing one
-    /// means nothing.
+    /// Handles an interruption of the relay's events. No acknowledgement can arrive during it, so none counts as
+    /// overdue.
     pub fn acks_interrupted(&mut self) {
         self.state.channel.interrupt_acks();
     }
--- a/crates/policy/src/measure/admission.rs
+++ b/crates/policy/src/measure/admission.rs
@@ -1,4 +1,4 @@
-//! Maps a reduction to admission rates.
+//! Maps a reduction (see [`crate::state::admission`]) to admission rates.
 
 use crate::api::{Action, SliceId};
 use crate::deployment::RequestClass;
@@ -39,8 +39,8 @@
         u8::from(reduction == 0.0)
     }
 
-    /// Returns the commands that change a slice from one reduction to another. If all request classes get the same
-    /// rate, one command is enough.
+    /// Returns the commands that change a slice from the applied reduction to the desired one. If all request
+    /// classes get the same rate, one command is enough.
     pub(crate) fn admission_commands(&self, slice: SliceId, applied: f64, desired: f64) -> Vec<Action> {
         let class_count = self.deployment.request_classes.len();
         let retries = self.allowed_retries(desired);
--- a/crates/policy/src/measure/fleet_averages.rs
+++ b/crates/policy/src/measure/fleet_averages.rs
@@ -1,11 +1,13 @@
-//! Averages over the fleet: AvgL of DDMC and related values.
+//! Averages over the fleet: the mean utilization (AvgL of DDMC, see [`crate::rules::rebalance`]) and related
+//! values.
 
 use crate::measure::windows::LOAD_WINDOW;
 use crate::state::controller::ControllerState;
 use crate::state::fleet_averages::FleetAverages;
 use crate::state::replica::Replica;
 
-/// phi of DDMC, as a share of AvgL. With the paper's 0.1 most moves react to noise (docs/design.md).
+/// Half the width of the band (phi of DDMC) as a share of the mean utilization. With 0.1, the value in the DDMC
+/// paper, most moves react to noise (docs/design.md).
 const BAND_HALF_WIDTH: f64 = 0.35;
 /// Lower bound of a sum of capacities used as a divisor.
 const MIN_CAPACITY: f64 = 0.01;
@@ -13,7 +15,7 @@
 impl ControllerState {
     /// Returns the ratio of all controllers' slices to this controller's slices, at least 1. Returns 1 where
     /// replicas are shared, because the load of all controllers is known there.
-    pub(crate) fn fleet_multiple(&self) -> f64 {
+    pub(crate) fn fleet_slice_ratio(&self) -> f64 {
         if self.sharing.is_active {
             return 1.0;
         }
@@ -31,7 +33,7 @@
         let utilization = load / capacity;
         let averages = FleetAverages {
             utilization,
-            band_half_width: BAND_HALF_WIDTH * utilization * self.fleet_multiple().sqrt(),
+            band_half_width: BAND_HALF_WIDTH * utilization * self.fleet_slice_ratio().sqrt(),
             observed_service_rate: self.measure_observed_service_rate(),
             burst_ratio: burst_load / load.max(0.01),
             mean_burst_load: burst_load / self.replicas.len().max(1) as f64,
--- a/crates/policy/src/measure/load_estimates.rs
+++ b/crates/policy/src/measure/load_estimates.rs
@@ -88,13 +88,13 @@
                 _ if recent.attempts > 0.0 => latency_ratio(replica.reports.last_latency_seconds, target),
                 _ => 0.0,
             };
-            replica.recent = recent;
+            replica.recent_counts = recent;
         }
     }
 
-    /// Refreshes mu of DDMC: the listed weight times the square root of the replica's relative speed. The square
-    /// root is used because an overloaded replica also looks slow; with the full ratio it would lose the slices
-    /// whose keys it has cached.
+    /// Refreshes the capacity of each replica (mu of DDMC): the listed weight times the square root of its relative
+    /// speed. The square root is used because an overloaded replica also looks slow; with the full ratio it would
+    /// lose the slices whose keys it has cached.
     fn refresh_capacities(&mut self) {
         let relative_latencies = self.relative_latencies(LOAD_WINDOW + self.reporting.lag);
         let ownerships: Vec<_> =
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns the share of admitted requests that failed, for the request class with the lowest share; 0 if
-    /// nothing is known.
+    /// Returns the share of admitted requests that failed, for the request class with the lowest share; 0 if no
+    /// class has enough requests.
     pub(crate) fn lowest_failed_share(&self) -> f64 {
         let window = RECENT_WINDOW + self.reporting.lag;
         let failed_shares = self.class_outcomes.iter().filter_map(|class| {
@@ -170,11 +170,11 @@
                 && slice.table.is_applied()
         };
         let pins = &self.operator_overrides.pins;
-        let is_pinned_here = |id: SliceId| pins.get(id).is_some_and(|(replica, _)| replica == owner);
+        let is_pinned_to_owner = |id: SliceId| pins.get(id).is_some_and(|(replica, _)| replica == owner);
         let mut movable = Vec::new();
         for id in replica.slices.iter().copied() {
             let slice = &self.slices[&id];
-            if is_free(slice) && !is_pinned_here(id) {
+            if is_free(slice) && !is_pinned_to_owner(id) {
                 movable.push(MovableSlice { id, load: slice.load, move_count: slice.move_count });
             }
         }
--- a/crates/policy/src/measure/relative_latency.rs
+++ b/crates/policy/src/measure/relative_latency.rs
@@ -35,17 +35,17 @@
     pub(crate) fn relative_latencies(&self, window: Span) -> Vec<f64> {
         let latency = |replica: &Replica| replica.reports.mean_latency_seconds(self.now, window, MIN_SAMPLES);
         let latencies: Vec<_> = self.replicas.values().map(latency).collect();
-        let mut by_kind: BTreeMap<&str, LatencySum> = BTreeMap::new();
+        let mut by_machine_type: BTreeMap<&str, LatencySum> = BTreeMap::new();
         for (replica, latency) in self.replicas.values().zip(&latencies) {
             if self.is_usable(replica) {
-                let sum = by_kind.entry(self.machine_kind(replica)).or_default();
+                let sum = by_machine_type.entry(self.machine_type(replica)).or_default();
                 sum.seconds += latency.unwrap_or(0.0);
                 sum.count += f64::from(u8::from(latency.is_some()));
             }
         }
         let relative = |(replica, latency): (&Replica, Option<f64>)| match (
             latency,
-            by_kind.get(self.machine_kind(replica)),
+            by_machine_type.get(self.machine_type(replica)),
         ) {
             (Some(latency), Some(sum)) if sum.seconds > 0.0 => latency * sum.count / sum.seconds,
             _ => 1.0,
@@ -53,9 +53,9 @@
         self.replicas.values().zip(latencies).map(relative).collect()
     }
 
-    /// Returns the replica's machine type if listed weights distinguish types; otherwise all replicas count as one
-    /// type.
-    fn machine_kind<'a>(&self, replica: &'a Replica) -> &'a str {
+    /// Returns the replica's machine type if the listed weights are known, since these already cover differences in
+    /// speed between types. Otherwise all replicas count as one type.
+    fn machine_type<'a>(&self, replica: &'a Replica) -> &'a str {
         if self.deployment.weights_known {
             &replica.machine
         } else {
--- a/crates/policy/src/measure/shared_load.rs
+++ b/crates/policy/src/measure/shared_load.rs
@@ -1,4 +1,4 @@
-//! The load that other controllers put on replicas shared with this controller.
+//! The load from other controllers on replicas shared with this controller.
 //!
 //! A replica's load is the sum of what all proxies report for it. Because reports lag, a controller replaces its
 //! own part of the reported load by the current load of its own slices.
@@ -30,41 +30,43 @@
         if !self.sharing.is_active {
             return;
         }
-        self.draw_for_round();
+        self.renew_round_draws();
         self.sample_own_load();
         self.refresh_window_excess();
         let now = self.now;
-        let newest = self.replicas.values().map(|replica| replica.reports.attempts.newest_bucket_end()).max();
+        let newest_report_end =
+            self.replicas.values().map(|replica| replica.reports.attempts.newest_bucket_end()).max();
         // The windows of aggregated reports may be longer than `MAX_REPORT_SILENCE`.
         let allowed_silence = MAX_REPORT_SILENCE.max(self.reporting.lag + self.deployment.report_period);
-        let oldest = newest.unwrap_or_default() - allowed_silence;
+        let earliest_end = newest_report_end.unwrap_or_default() - allowed_silence;
         for replica in self.replicas.values_mut() {
             // No other controller adds load to a replica that this controller steers alone.
             if matches!(replica.subset, SubsetMembership::Subset { controllers: 1, .. }) {
                 continue;
             }
-            let end =
-                replica.reports.attempts.newest_bucket_end().max(oldest).min(now) - SAMPLE_BUCKET_DURATION;
+            let end = replica.reports.attempts.newest_bucket_end().max(earliest_end).min(now)
+                - SAMPLE_BUCKET_DURATION;
             let rate = others_rate(replica, end, OTHERS_WINDOW);
-            let retried = RETRIED_SHARE_OF_FAILURES * replica.recent.failed_share();
-            replica.shared.others_demand = rate.max(others_rate(replica, end, OTHERS_BURST_WINDOW));
-            replica.shared.others_load = rate * (1.0 - retried);
-            replica.demand += replica.shared.others_demand;
-            replica.load += replica.shared.others_load;
+            let retried = RETRIED_SHARE_OF_FAILURES * replica.recent_counts.failed_share();
+            replica.shared_load.others_demand = rate.max(others_rate(replica, end, OTHERS_BURST_WINDOW));
+            replica.shared_load.others_load = rate * (1.0 - retried);
+            replica.demand += replica.shared_load.others_demand;
+            replica.load += replica.shared_load.others_load;
         }
     }
 
     fn refresh_window_excess(&mut self) {
         let steered = self.replicas.values().filter(|replica| !replica.is_steered_by_others());
-        let longest_window = steered.map(|replica| replica.shared.report_window).max().unwrap_or_default();
+        let longest_window =
+            steered.map(|replica| replica.shared_load.report_window).max().unwrap_or_default();
         self.sharing.window_excess = longest_window - self.deployment.report_period;
     }
 
-    fn draw_for_round(&mut self) {
+    fn renew_round_draws(&mut self) {
         let round = self.now.elapsed_periods(DRAW_PERIOD);
         if replace(&mut self.sharing.drawn_round, round) != round {
             for replica in self.replicas.values_mut() {
-                replica.shared.round_draw = self.random.draw();
+                replica.shared_load.round_draw = self.random.draw();
             }
         }
     }
@@ -74,15 +76,15 @@
     fn sample_own_load(&mut self) {
         let now = self.now;
         // Before the first sample, and for the time of an interruption, the current tables are assumed.
-        let longest = SAMPLE_BUCKET_DURATION.times(SAMPLE_BUCKET_COUNT as f64);
+        let max_elapsed = SAMPLE_BUCKET_DURATION.times(SAMPLE_BUCKET_COUNT as f64);
         let sampled_at = self.sharing.sampled_at.replace(now);
-        let elapsed = sampled_at.map_or(longest, |since| (now - since).min(longest));
+        let elapsed = sampled_at.map_or(max_elapsed, |since| (now - since).min(max_elapsed));
         for slice in self.slices.values() {
             let total_weight: f64 = slice.table.applied.values().sum();
             for (id, weight) in &slice.table.applied {
                 if let Some(replica) = self.replicas.get_mut(id) {
                     let requests = slice.demand * elapsed.seconds() * weight / total_weight;
-                    replica.shared.own_requests.add_over(now, elapsed, requests);
+                    replica.shared_load.own_requests.add_over(now, elapsed, requests);
                 }
             }
         }
@@ -97,6 +99,6 @@
 /// Returns the rate of requests per second from other controllers to a replica within a window.
 fn others_rate(replica: &Replica, end: Moment, window: Span) -> f64 {
     let reported = replica.reports.attempts.sum(end, window);
-    let own = replica.shared.own_requests.sum(end, window);
+    let own = replica.shared_load.own_requests.sum(end, window);
     (reported - own).max(0.0) / window.seconds()
 }
--- a/crates/policy/src/measure/slow_start.rs
+++ b/crates/policy/src/measure/slow_start.rs
@@ -3,7 +3,8 @@
 use crate::state::controller::ControllerState;
 use crate::state::replica::Replica;
 
-/// The used share of the load that would make a cold replica collapse (docs/design.md, Evacuation).
+/// A slow-start budget as a share of the load that would make the cold replica collapse (docs/design.md,
+/// Evacuation).
 const SLOW_START_SAFETY_FACTOR: f64 = 0.55;
 /// Lower bound of the warm-up time used as a divisor, in seconds.
 const MIN_WARM_UP_SECONDS: f64 = 0.1;
@@ -13,9 +14,9 @@
     /// start-up to 1.
     fn warm_capacity_share(&self, replica: &Replica) -> f64 {
         let age = (self.now - replica.started.unwrap_or_default()).seconds();
-        let warmed = age / self.deployment.warm_up.seconds().max(MIN_WARM_UP_SECONDS);
+        let warmed_share = age / self.deployment.warm_up.seconds().max(MIN_WARM_UP_SECONDS);
         let initial = self.deployment.cold_capacity_share;
-        (initial + (1.0 - initial) * warmed).min(1.0)
+        (initial + (1.0 - initial) * warmed_share).min(1.0)
     }
 
     /// Returns the requests per second, including retries, that a replica may currently be sent; infinite for a
@@ -33,18 +34,18 @@
             * SLOW_START_SAFETY_FACTOR
     }
 
-    /// Returns this controller's part of a replica, in multiples of an even part. A cold replica is assigned to a
-    /// single controller by a draw that gives the same result at all controllers, because an even part of its
-    /// budget per controller would be less than most slices need. There is no draw if no other controller has
-    /// slices, or if slices are not distributed among controllers.
+    /// Returns this controller's part of a replica, as a multiple of the part that each controller would have if
+    /// the replica were divided evenly. A cold replica is assigned to a single controller by a draw that gives the
+    /// same result at all controllers, because an even part of its budget would be less than most slices need.
+    /// There is no draw if no other controller has slices, or if slices are not distributed among controllers.
     pub(crate) fn measure_ownership(&self, replica: &Replica) -> f64 {
-        let fleet_multiple = self.fleet_multiple();
-        if fleet_multiple == 1.0 || !self.is_warming_up(replica) {
+        let fleet_slice_ratio = self.fleet_slice_ratio();
+        if fleet_slice_ratio == 1.0 || !self.is_warming_up(replica) {
             return 1.0;
         }
         let drawn = replica.draw_controller(self.deployment.controller_count);
         if drawn == self.deployment.controller_index {
-            fleet_multiple
+            fleet_slice_ratio
         } else {
             0.0
         }
--- a/crates/policy/src/measure/table_changes.rs
+++ b/crates/policy/src/measure/table_changes.rs
@@ -58,7 +58,8 @@
         named.into_iter().for_each(|replica_id| self.update_rank(replica_id));
     }
 
-    /// Replaces one endpoint by another, either of which may be missing, and marks the slice as pending.
+    /// Replaces the endpoint `from` by `to` and marks the slice as pending. Only adds an endpoint if `from` is
+    /// `None`, and only removes one if `to` is `None`.
     pub(crate) fn replace_endpoint(
         &mut self,
         id: SliceId,
@@ -70,7 +71,7 @@
         self.mark_pending(id, priority);
     }
 
-    /// Like `replace_endpoint`, for a change of owners.
+    /// Like `replace_endpoint`, but for owners: also restarts the time for which the slice has been settled.
     pub(crate) fn replace_owner(
         &mut self,
         id: SliceId,
--- a/crates/policy/src/rules/acknowledgements.rs
+++ b/crates/policy/src/rules/acknowledgements.rs
@@ -1,8 +1,8 @@
 //! Waiting for acknowledgements: a slice whose table has changed is not changed again until all proxies have
 //! applied the change.
 //!
-//! This prevents a slice from moving again before the proxies know its previous move. Under single writer it also
-//! prevents writes to two owners at once.
+//! This prevents a slice from moving again before all proxies have applied its previous move. Under single writer
+//! it also prevents writes to two owners at once.
 
 use crate::state::controller::ControllerState;
 use crate::state::pending_slices::Priority;
@@ -16,8 +16,8 @@
 impl ControllerState {
     /// Releases the slices that wait for a version, once all acknowledgements have arrived or `MAX_ACK_WAIT` has
     /// passed. Lines still count as queued until they are acknowledged. Under single writer, a proxy that has not
-    /// acknowledged may still write to the previous owner, so there is no time limit and all proxies are asked
-    /// again instead.
+    /// acknowledged may still write to the previous owner, so there is no time limit and all proxies are asked for
+    /// another acknowledgement instead.
     pub(crate) fn finish_versions(&mut self) -> bool {
         let single_writer = self.deployment.single_writer;
         let is_finished = |version: u16, message: &SentMessage| {
--- a/crates/policy/src/rules/evacuation.rs
+++ b/crates/policy/src/rules/evacuation.rs
@@ -64,10 +64,10 @@
         let replica = from.and_then(|from| self.replicas.get(&from));
         let scope = self.destination_scope(replica);
         let must_leave = scope != DestinationScope::WithCapacity;
-        let named = from.filter(|from| slice.table.desired.contains_key(from));
-        if let Some(standby) = named.filter(|from| slice.table.is_standby(from)) {
+        let desired_from = from.filter(|from| slice.table.desired.contains_key(from));
+        if let Some(standby) = desired_from.filter(|from| slice.table.is_standby(from)) {
             self.replace_standby(id, standby);
-        } else if named != from {
+        } else if desired_from != from {
             // The slice is already being moved, but the update must not wait behind commands of normal priority.
             if replica.is_some_and(|replica| replica.withdrawn || must_leave) {
                 self.mark_pending(id, Priority::Urgent);
@@ -146,16 +146,16 @@
         if self.deployment.single_writer {
             return false;
         }
-        let is_named = !replica.slices.is_empty();
+        let is_in_any_table = !replica.slices.is_empty();
         if self.must_be_evacuated(replica) {
-            return is_named || (replica.withdrawn && !replica.is_removable(self.now));
+            return is_in_any_table || (replica.withdrawn && !replica.is_removable(self.now));
         }
         let is_owner = |slice: &SliceId| self.slices[slice].table.owners().any(|owner| owner == id);
         let owns_slices = || replica.slices.iter().any(is_owner);
         if self.is_ejected(replica) {
-            (replica.withdrawn || is_named) && !owns_slices()
+            (replica.withdrawn || is_in_any_table) && !owns_slices()
         } else {
-            replica.withdrawn && is_named && !owns_slices()
+            replica.withdrawn && is_in_any_table && !owns_slices()
         }
     }
 }
--- a/crates/policy/src/rules/load_shedding.rs
+++ b/crates/policy/src/rules/load_shedding.rs
@@ -16,8 +16,8 @@
 /// The decrease of a reduction per round when the latency ratio is just below `LOW_LATENCY_RATIO`; up to twice
 /// this for lower latencies. The reduction of an overloaded cold replica grows by the same step.
 const REDUCTION_STEP: f64 = 0.15;
-/// The weight of the answered share in the growth of a reduction: per step, a reduction grows by (1 - this *
-/// answered share) of what is left up to 1.
+/// The weight of the answered share in the growth of a reduction: each step adds the share (1 - this * answered
+/// share) of the difference between the reduction and 1.
 const ANSWERED_SHARE_WEIGHT: f64 = 0.85;
 /// The lower bound applied to the share of answered requests.
 const MIN_ANSWERED_SHARE: f64 = 0.5;
@@ -48,7 +48,7 @@
         }
         // Missing answers have no latency to measure. If every request class and the median replica lack answers,
         // the whole fleet is overloaded, rather than one class or some replicas failing.
-        let median_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
+        let median_failed_share = self.median_of_usable(|replica| replica.recent_counts.failed_share());
         let failed_share = self.lowest_failed_share().min(median_failed_share);
         let fleet_latency_ratio = self.fleet_latency_ratio(failed_share);
         self.refresh_global_reduction(fleet_latency_ratio, failed_share);
@@ -111,7 +111,7 @@
             // The global reduction already covers overload of the whole fleet.
             previous
         } else if is_late {
-            next_reduction(previous, replica.latency_ratio, 1.0 - replica.recent.failed_share())
+            next_reduction(previous, replica.latency_ratio, 1.0 - replica.recent_counts.failed_share())
         } else if replica.demand > self.slow_start_budget(replica) {
             // Prevents a cold replica from collapsing if its slices have no other destination.
             (previous + REDUCTION_STEP).min(1.0)
--- a/crates/policy/src/rules/outlier_ejection.rs
+++ b/crates/policy/src/rules/outlier_ejection.rs
@@ -47,7 +47,7 @@
 
     /// Returns the outliers that are not ejected yet, with the cause.
     fn find_outliers(&self) -> Vec<(ReplicaId, &'static str)> {
-        let median_failed_share = self.median_of_usable(|replica| replica.recent.failed_share());
+        let median_failed_share = self.median_of_usable(|replica| replica.recent_counts.failed_share());
         let is_candidate = |replica: &Replica| {
             !self.must_be_evacuated(replica)
                 && !self.is_ejected(replica)
@@ -66,7 +66,7 @@
             return Some("answers nothing");
         }
         // An overloaded replica rejects requests too, but then other replicas do as well, or its answers are late.
-        let recent = &replica.recent;
+        let recent = &replica.recent_counts;
         let failing_share = FAILED_SHARE_THRESHOLD + MEDIAN_FAILED_SHARE_MULTIPLE * median_failed_share;
         let is_failing = recent.failed >= MIN_SAMPLES && recent.failed_share() >= failing_share;
         let answers_quickly = recent.succeeded > 0.0 && replica.latency_ratio < LOW_LATENCY_RATIO;
@@ -75,9 +75,9 @@
 
     /// Returns true if ejecting this number of new outliers would exceed the limit on the share of ejected
     /// replicas.
-    fn would_eject_too_many(&self, outliers: usize) -> bool {
+    fn would_eject_too_many(&self, outlier_count: usize) -> bool {
         let counted = || self.replicas.values().filter(|replica| !self.must_be_evacuated(replica));
-        let ejected = outliers + counted().filter(|replica| self.is_ejected(replica)).count();
+        let ejected = outlier_count + counted().filter(|replica| self.is_ejected(replica)).count();
         ejected as f64 > MAX_EJECTED_SHARE * counted().count() as f64
     }
 
@@ -92,12 +92,12 @@
         if was_late && reports.succeeded.sum(self.now, window.times(2.0)) > 0.0 {
             return false;
         }
-        let recent = &replica.recent;
+        let recent = &replica.recent_counts;
         if recent.succeeded == 0.0 && recent.expected >= MIN_EXPECTED_REQUESTS {
             return true;
         }
-        let newest = reports.attempts.newest_bucket_end().min(self.now).max(self.now - window);
-        let last = reports.recent_counts(newest, RECENT_WINDOW);
-        recent.failed >= MIN_SAMPLES && last.failed >= MIN_SAMPLES && last.succeeded == 0.0
+        let newest_end = reports.attempts.newest_bucket_end().min(self.now).max(self.now - window);
+        let newest_counts = reports.recent_counts(newest_end, RECENT_WINDOW);
+        recent.failed >= MIN_SAMPLES && newest_counts.failed >= MIN_SAMPLES && newest_counts.succeeded == 0.0
     }
 }
--- a/crates/policy/src/rules/overrides.rs
+++ b/crates/policy/src/rules/overrides.rs
@@ -85,31 +85,32 @@
         let known = self.replicas.get(&id).filter(|replica| replica.listed || replica.out_of_service);
         let Some(replica) = known else { return Absent };
         let is_warm = self.is_usable_and_warm(replica);
-        let was_out = replica.out_of_service;
+        let was_out_of_service = replica.out_of_service;
         let others_are_warm = fleet.warm > usize::from(is_warm);
-        let unavailable = fleet.unavailable + usize::from(!was_out && !self.is_ejected(replica));
+        let unavailable = fleet.unavailable + usize::from(!was_out_of_service && !self.is_ejected(replica));
         let too_many_unavailable = unavailable * 2 > fleet.ready;
         let just_suspended = entry.suspended_at.is_some_and(|at| self.now - at < BASE_EJECTION_DURATION);
-        let may_be_out = was_out || !(too_many_unavailable || just_suspended);
-        let is_out = replica.state == ReplicaState::Draining || (others_are_warm && may_be_out);
-        if is_out && !was_out {
+        let may_be_out_of_service = was_out_of_service || !(too_many_unavailable || just_suspended);
+        let is_out_of_service =
+            replica.state == ReplicaState::Draining || (others_are_warm && may_be_out_of_service);
+        if is_out_of_service && !was_out_of_service {
             fleet.warm -= usize::from(is_warm);
             fleet.unavailable = unavailable;
         }
         let is_owner = |slice: &SliceId| self.slices[slice].table.owners().any(|owner| owner == id);
         let status = match () {
-            _ if !is_out && !others_are_warm => Suspended("rule 1: no other warm server is well"),
-            _ if !is_out && just_suspended => Suspended("rule 1: it stood back a moment ago"),
-            _ if !is_out => Suspended("rule 1: over half of the servers would be missing"),
+            _ if !is_out_of_service && !others_are_warm => Suspended("rule 1: no other warm server is well"),
+            _ if !is_out_of_service && just_suspended => Suspended("rule 1: it stood back a moment ago"),
+            _ if !is_out_of_service => Suspended("rule 1: over half of the servers would be missing"),
             _ if self.withdrawals.pending.contains_key(&id) => {
                 Waiting("rule 5: its withdrawal waits for room")
             }
             _ if replica.slices.iter().any(is_owner) => Waiting("its slices leave"),
             _ => InForce,
         };
-        self.pending_work.evacuation |= was_out != is_out;
+        self.pending_work.evacuation |= was_out_of_service != is_out_of_service;
         if let Some(replica) = self.replicas.get_mut(&id) {
-            replica.out_of_service = is_out;
+            replica.out_of_service = is_out_of_service;
         }
         status
     }
@@ -134,26 +135,26 @@
     fn apply_pins(&mut self) -> BTreeMap<OverrideNumber, OverrideStatus> {
         let mut statuses = BTreeMap::new();
         let mut moves = BTreeMap::new();
-        for (first, last, (to, id)) in self.operator_overrides.pins.ranges() {
+        for (first, last, (to, override_id)) in self.operator_overrides.pins.ranges() {
             for (slice_id, slice) in self.slices.range(first..=last) {
-                let slice_status = self.pin_status(*slice_id, slice, to, id);
-                let status = statuses.entry(id).or_insert(InForce);
+                let slice_status = self.pin_status(*slice_id, slice, to, override_id);
+                let status = statuses.entry(override_id).or_insert(InForce);
                 if *status == InForce {
                     *status = slice_status;
                 }
                 if slice_status == MOVING_TO_PIN {
-                    moves.entry(to).or_insert((*slice_id, id));
+                    moves.entry(to).or_insert((*slice_id, override_id));
                 }
             }
         }
-        for (to, (slice, id)) in moves {
-            self.move_to_pin(slice, to, id);
+        for (to, (slice, override_id)) in moves {
+            self.move_to_pin(slice, to, override_id);
         }
         statuses
     }
 
-    /// Makes a replica the only owner of a slice.
-    fn move_to_pin(&mut self, id: SliceId, to: ReplicaId, by: OverrideNumber) {
+    /// Makes a replica the only owner of a slice, as required by an override.
+    fn move_to_pin(&mut self, id: SliceId, to: ReplicaId, override_id: OverrideNumber) {
         let others: Vec<_> = self.slices[&id].table.owners().filter(|owner| *owner != to).collect();
         for other in others.iter().skip(1) {
             self.replace_endpoint(id, Some(*other), None, Priority::Normal);
@@ -161,15 +162,21 @@
         let from = others.first().copied().unwrap_or(to);
         self.move_slice(SliceMove { slice: id, from, to }, Priority::Normal);
         if let Some(slice) = self.slices.get_mut(&id) {
-            slice.pin_moves.record(by);
+            slice.pin_moves.record(override_id);
         }
     }
 
-    /// Returns the status of a slice's pin. Each time that a rule moves the slice away, its return is delayed
-    /// longer.
-    fn pin_status(&self, id: SliceId, slice: &Slice, to: ReplicaId, by: OverrideNumber) -> OverrideStatus {
+    /// Returns the status of a slice's pin. The delay before the slice returns grows each time that a rule moves it
+    /// away.
+    fn pin_status(
+        &self,
+        id: SliceId,
+        slice: &Slice,
+        to: ReplicaId,
+        override_id: OverrideNumber,
+    ) -> OverrideStatus {
         let Some(replica) = self.replicas.get(&to).filter(|replica| replica.listed) else { return Absent };
-        let backoff_steps = f64::from(slice.pin_moves.count_by(by)).min(MAX_PIN_BACKOFF_STEPS);
+        let backoff_steps = f64::from(slice.pin_moves.count_by(override_id)).min(MAX_PIN_BACKOFF_STEPS);
         let backoff = PIN_BACKOFF.times(backoff_steps);
         let is_at_pin = self.is_at_pin(id, slice);
         match () {
--- a/crates/policy/src/rules/placement.rs
+++ b/crates/policy/src/rules/placement.rs
@@ -144,8 +144,9 @@
                 && !self.is_warming_up(replica)
         };
         let candidates = self.replicas.iter().filter(|(id, replica)| is_healthy(replica) && !owns(id));
-        let drawn = candidates
-            .min_by(|(_, one), (_, other)| one.shared.round_draw.total_cmp(&other.shared.round_draw));
+        let drawn = candidates.min_by(|(_, one), (_, other)| {
+            one.shared_load.round_draw.total_cmp(&other.shared_load.round_draw)
+        });
         drawn.map(|(id, _)| *id)
     }
 }
--- a/crates/policy/src/rules/rate_limit.rs
+++ b/crates/policy/src/rules/rate_limit.rs
@@ -32,7 +32,7 @@
     /// room in the queue if nothing is unacknowledged; further messages are spaced so that overhead does not fill
     /// the channel.
     pub(crate) fn has_channel_room(&self, lines: f64, priority: Priority) -> bool {
-        let proxies = self.channel.recipients();
+        let proxies = self.channel.recipient_count();
         let unacked = self.channel.unacked_lines(self.now);
         let opens_message = self.channel.open_version.is_none();
         let can_wait = priority != Priority::NoEndpoint;
@@ -60,7 +60,7 @@
         self.deployment.message_overhead_lines + 1.0
     }
 
-    /// See [`crate::Policy::may_resend`].
+    /// Implements [`crate::Policy::may_resend`].
     pub(crate) fn may_resend(&self, now: Moment, version: u16) -> bool {
         let lines = self.channel.unacked_lines(now) + self.channel.lines_of_version(version);
         let fits = lines <= self.deployment.queue_capacity_lines * USABLE_QUEUE_SHARE;
@@ -93,8 +93,8 @@
             .then(|| OpenableMessages { remaining, next_available_in: window - (self.now - oldest) })
     }
 
-    /// Returns true if each remaining message could wait for its share of the drain grace period until the window
-    /// permits another one.
+    /// Returns true if the messages that remain after the next one suffice until the window permits another one,
+    /// with one sent per `MAX_WAIT_SHARE_OF_GRACE` of the drain grace period.
     fn has_spare_messages(&self) -> bool {
         self.openable_messages(1.0).is_none_or(|openable| {
             let wait_share = MAX_WAIT_SHARE_OF_GRACE * (openable.remaining - 1.0);
@@ -123,7 +123,7 @@
     /// overdue. Such a message fits into the part of the queue that commands leave free, and each proxy's
     /// acknowledgement of it also covers everything sent before.
     pub(crate) fn needs_sync(&self) -> bool {
-        let proxies = self.channel.recipients();
+        let proxies = self.channel.recipient_count();
         let unacked = self.channel.unacked_lines(self.now);
         let overhead = self.message_overhead() * proxies;
         let capacity = self.deployment.queue_capacity_lines;
--- a/crates/policy/src/rules/rebalance.rs
+++ b/crates/policy/src/rules/rebalance.rs
@@ -74,12 +74,12 @@
         if !self.pending_work.rebalancing {
             return false;
         }
-        let found = match self.find_return_move() {
+        let moves = match self.find_return_move() {
             Some(return_move) => Some(vec![return_move]),
             None => self.find_moves(),
         };
-        self.pending_work.rebalancing = found.is_some();
-        for slice_move in found.into_iter().flatten() {
+        self.pending_work.rebalancing = moves.is_some();
+        for slice_move in moves.into_iter().flatten() {
             self.move_slice(slice_move, Priority::Normal);
             if let Some(source) = self.replicas.get_mut(&slice_move.from) {
                 source.moved_this_round = true;
@@ -114,8 +114,9 @@
         }
         let returnable = self.movable_slices(transfer.destination_id, transfer.destination);
         movable().find_map(|slice| {
-            let may_return = |other: &&MovableSlice| {
-                transfer.may_move_again(other) && self.is_transferable(transfer, slice.load - other.load)
+            let may_return = |candidate: &&MovableSlice| {
+                transfer.may_move_again(candidate)
+                    && self.is_transferable(transfer, slice.load - candidate.load)
             };
             let returned = returnable.iter().rev().find(may_return)?;
             Some(vec![transfer.transfer_slice(slice), transfer.return_slice(returned)])
@@ -160,10 +161,11 @@
             -replica.rounds_outside_band >= MIN_ROUNDS_OUTSIDE_BAND
                 && replica.utilization() < self.averages.band(replica).low
         };
-        let is_inside = |replica: &Replica| replica.utilization() < self.averages.band(replica).high;
+        let is_below_upper_limit =
+            |replica: &Replica| replica.utilization() < self.averages.band(replica).high;
         let is_light = |replica: &Replica| {
             self.is_rebalancing_candidate(replica)
-                && (is_below_band(replica) || (source_weight_is_reduced && is_inside(replica)))
+                && (is_below_band(replica) || (source_weight_is_reduced && is_below_upper_limit(replica)))
                 && self.can_accept(replica, 0.0)
                 && replica.latency_ratio < LOW_LATENCY_RATIO
         };
--- a/crates/policy/src/rules/replication.rs
+++ b/crates/policy/src/rules/replication.rs
@@ -87,7 +87,7 @@
     }
 
     /// Adds a standby to each slice with a single endpoint. Proxies retry at the standby as soon as the owner
-    /// rejects a request, long before the controller learns of the failure.
+    /// rejects a request, long before reports show the failure to the controller.
     pub(crate) fn add_standbys(&mut self) -> bool {
         if !take(&mut self.pending_work.standbys) || self.deployment.single_writer {
             return false;
--- a/crates/policy/src/rules/shared_replicas.rs
+++ b/crates/policy/src/rules/shared_replicas.rs
@@ -1,9 +1,8 @@
 //! Rules for replicas that several controllers steer ([`SubsetMembership::Subset`]).
 //!
-//! Controllers that share a replica do not know each other's moves until reports show them. Claims
-//! ([`crate::claims`]) ensure that only one of them moves slices to it at a time. Random draws, whose
-//! probabilities add up to the excess over all controllers, ensure that they do not all move slices away from it
-//! at once.
+//! Controllers that share a replica see each other's moves only once reports show them. Claims ([`crate::claims`])
+//! ensure that only one controller moves slices to the replica at a time. Random draws, whose probabilities add up
+//! to the excess over all controllers, ensure that they do not all move slices away from it at once.
 
 use crate::api::{ReplicaId, SliceId, SubsetMembership};
 use crate::state::controller::ControllerState;
@@ -16,23 +15,23 @@
 const ROUNDS_UNTIL_REPORTED: f64 = 3.0;
 
 impl ControllerState {
-    /// Returns true if this controller may move a slice away from a replica. For a shared replica above the
-    /// average utilization this is decided by a random draw, so that not all controllers leave a heavy replica at
-    /// once. Other replicas may take part at any time.
+    /// Returns true if this controller may move a slice away from a replica. For a shared replica above the average
+    /// utilization this is decided by a random draw, so that not all controllers move slices away at once. For all
+    /// other replicas the result is true.
     pub(crate) fn may_offload(&self, replica: &Replica) -> bool {
         let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
         let excess = 1.0 - self.averages.utilization / replica.utilization().max(f64::MIN_POSITIVE);
         let rounds_until_reported = ROUNDS_UNTIL_REPORTED + self.sharing.window_excess.seconds();
         let own_slices = replica.slices.len() as f64;
-        excess <= 0.0 || replica.shared.round_draw < excess * own_slices / rounds_until_reported
+        excess <= 0.0 || replica.shared_load.round_draw < excess * own_slices / rounds_until_reported
     }
 
     /// Returns true if this controller may move a slice away from an overloaded cold replica. The probability is
     /// proportional to the share of the load that comes from this controller's own slices.
     pub(crate) fn may_offload_cold_replica(&self, replica: &Replica) -> bool {
         let SubsetMembership::Subset { controllers: 2.., .. } = replica.subset else { return true };
-        let others_share = replica.shared.others_demand / replica.demand.max(f64::MIN_POSITIVE);
-        replica.shared.round_draw < 1.0 - others_share
+        let others_share = replica.shared_load.others_demand / replica.demand.max(f64::MIN_POSITIVE);
+        replica.shared_load.round_draw < 1.0 - others_share
     }
 
     /// Returns a move of a slice from a replica of other controllers to a claimed replica with room for it; at
@@ -43,8 +42,9 @@
             return None;
         }
         let may_leave = |replica: &Replica| replica.is_steered_by_others() && !replica.moved_this_round;
-        let foreign = self.replicas.iter().filter(|(_, replica)| may_leave(replica));
-        let mut endpoints = foreign.flat_map(|(from, replica)| replica.slices.iter().map(|id| (*id, *from)));
+        let others_replicas = self.replicas.iter().filter(|(_, replica)| may_leave(replica));
+        let mut endpoints =
+            others_replicas.flat_map(|(from, replica)| replica.slices.iter().map(|id| (*id, *from)));
         endpoints.find_map(|(id, from)| self.find_return(id, from))
     }
 
--- a/crates/policy/src/state/command_channel.rs
+++ b/crates/policy/src/state/command_channel.rs
@@ -47,8 +47,8 @@
     last_sequence: u64,
     /// The time at which an acknowledgement was last received or a message was last sent.
     last_activity_at: Moment,
-    /// True while the relay's events arrive. Without them no acknowledgements arrive either, so a missing one
-    /// means nothing.
+    /// True while the relay's events arrive. Without them no acknowledgements arrive either, so none counts as
+    /// overdue.
     acks_can_arrive: bool,
     /// True if acknowledgements may have been lost since the last one that was received or the last message that
     /// was sent.
@@ -85,7 +85,7 @@
 
     /// Returns the number of proxies that a message may reach. It may exceed the number of known connected
     /// proxies, since a message can wait for the relay and the relay's events can be late.
-    pub(crate) fn recipients(&self) -> f64 {
+    pub(crate) fn recipient_count(&self) -> f64 {
         f64::from(self.fleet_size).max(self.proxies.len() as f64)
     }
 
@@ -131,10 +131,16 @@
 
     /// Records that the message with this version is sent as several messages. Each has its own overhead and
     /// counts against the limit.
-    pub(crate) fn record_split(&mut self, now: Moment, version: u16, additional: u32, overhead_lines: f64) {
+    pub(crate) fn record_split(
+        &mut self,
+        now: Moment,
+        version: u16,
+        additional_messages: u32,
+        overhead_lines: f64,
+    ) {
         if let Some(message) = self.sent.get_mut(&version) {
-            message.lines_per_proxy += f64::from(additional) * overhead_lines;
-            self.opened_messages.add(now, f64::from(additional));
+            message.lines_per_proxy += f64::from(additional_messages) * overhead_lines;
+            self.opened_messages.add(now, f64::from(additional_messages));
         }
     }
 
@@ -168,7 +174,7 @@
                 // messages behind it have not.
                 let is_oldest = message.sequence == oldest.sequence;
                 let copies = if is_oldest { oldest.copies } else { message.send_count };
-                message.lines_per_proxy * f64::from(copies) * self.recipients()
+                message.lines_per_proxy * f64::from(copies) * self.recipient_count()
             }
             _ => message.unacked_lines(),
         };
@@ -200,7 +206,7 @@
 
     /// Returns the lines of one copy of the message with this version to all proxies.
     pub(crate) fn lines_of_version(&self, version: u16) -> f64 {
-        let lines = |message: &SentMessage| message.lines_per_proxy * self.recipients();
+        let lines = |message: &SentMessage| message.lines_per_proxy * self.recipient_count();
         self.sent.get(&version).map_or(0.0, lines)
     }
 
--- a/crates/policy/src/state/fleet_averages.rs
+++ b/crates/policy/src/state/fleet_averages.rs
@@ -5,15 +5,15 @@
 /// Averages over the replicas in service.
 #[derive(Default, Clone, Copy)]
 pub(crate) struct FleetAverages {
-    /// AvgL of DDMC: load over effective capacity.
+    /// The mean utilization (AvgL of DDMC): load over effective capacity.
     pub utilization: f64,
-    /// phi of DDMC.
+    /// Half the width of the band around the mean utilization (phi of DDMC).
     pub band_half_width: f64,
     /// Requests per second that were answered per unit of service rate.
     pub observed_service_rate: f64,
-    /// The ratio of the load over the shorter window to the load over the longer one.
+    /// The ratio of the load over `BURST_WINDOW` to the load over `LOAD_WINDOW`.
     pub burst_ratio: f64,
-    /// The mean load per replica over the shorter window, in requests per second.
+    /// The mean load per replica over `BURST_WINDOW`, in requests per second.
     pub mean_burst_load: f64,
 }
 
--- a/crates/policy/src/state/link_latency.rs
+++ b/crates/policy/src/state/link_latency.rs
@@ -32,9 +32,9 @@
 
 impl LinkLatency {
     /// Adds a report.
-    pub(crate) fn record(&mut self, at: Moment, report: &EndpointReport) {
+    pub(crate) fn record(&mut self, window_end: Moment, report: &EndpointReport) {
         let succeeded = (report.attempts - report.failed).max(0.0);
-        self.succeeded.add_over(at, report.window, succeeded);
-        self.latency_seconds.add_over(at, report.window, succeeded * report.mean_latency.seconds());
+        self.succeeded.add_over(window_end, report.window, succeeded);
+        self.latency_seconds.add_over(window_end, report.window, succeeded * report.mean_latency.seconds());
     }
 }
--- a/crates/policy/src/state/ranking.rs
+++ b/crates/policy/src/state/ranking.rs
@@ -16,10 +16,10 @@
 
 impl Ranking {
     /// Inserts a replica, or moves it to its new position.
-    pub(crate) fn insert(&mut self, id: ReplicaId, figure: f64, tie_breaker: f64) {
-        let rank = (order_preserving_bits(figure), order_preserving_bits(tie_breaker));
-        if let Some((figure, tie_breaker)) = self.by_replica.insert(id, rank) {
-            self.order.remove(&(figure, tie_breaker, id));
+    pub(crate) fn insert(&mut self, id: ReplicaId, value: f64, tie_breaker: f64) {
+        let rank = (order_preserving_bits(value), order_preserving_bits(tie_breaker));
+        if let Some((value, tie_breaker)) = self.by_replica.insert(id, rank) {
+            self.order.remove(&(value, tie_breaker, id));
         }
         self.order.insert((rank.0, rank.1, id));
     }
@@ -31,8 +31,8 @@
 }
 
 /// Returns an integer that has the same order as the floating point value.
-fn order_preserving_bits(figure: f64) -> i64 {
-    let bits = figure.to_bits() as i64;
+fn order_preserving_bits(value: f64) -> i64 {
+    let bits = value.to_bits() as i64;
     bits ^ (((bits >> 63) as u64) >> 1) as i64
 }
 
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -25,12 +25,12 @@
     /// The controllers that steer the replica.
     pub(crate) subset: SubsetMembership,
     /// The load from other controllers, if several steer the replica.
-    pub(crate) shared: SharedLoad,
+    pub(crate) shared_load: SharedLoad,
     /// True if the replica is listed and not gone.
     pub(crate) listed: bool,
     pub(crate) reports: ReplicaReports,
     /// The last estimate of the report sums over the recent window.
-    pub(crate) recent: RecentCounts,
+    pub(crate) recent_counts: RecentCounts,
     /// The last estimate of the ratio of its mean latency to the tightest target latency over the recent window.
     pub(crate) latency_ratio: f64,
     /// The time at which the ejection as an outlier ends.
@@ -67,8 +67,9 @@
     pub(crate) effective_capacity: f64,
     /// The capacity factor set by an override.
     pub(crate) weight_factor: f64,
-    /// This controller's part of the replica, in multiples of an even part. It is normally 1. While the replica
-    /// warms up, the controller that is drawn for it owns all of it, and the others have 0.
+    /// This controller's part of the replica, as a multiple of the part that each controller would have if the
+    /// replica were divided evenly. It is normally 1. While the replica warms up, the controller that is drawn for
+    /// it owns all of it, and the others have 0.
     pub(crate) ownership: f64,
     /// True if an override takes the replica out of service.
     pub(crate) out_of_service: bool,
@@ -85,10 +86,10 @@
             started: None,
             stable_hash: 0,
             subset: SubsetMembership::default(),
-            shared: SharedLoad::default(),
+            shared_load: SharedLoad::default(),
             listed: false,
             reports: ReplicaReports::default(),
-            recent: RecentCounts::default(),
+            recent_counts: RecentCounts::default(),
             latency_ratio: 0.0,
             ejected_until: None,
             ejection_count: 0,
@@ -135,7 +136,7 @@
     /// Clears all reports on the replica.
     pub(crate) fn clear_reports(&mut self) {
         self.reports.clear();
-        self.recent = RecentCounts::default();
+        self.recent_counts = RecentCounts::default();
     }
 
     /// Ejects the replica for `base`, or for a multiple of it after a relapse. It is not a relapse if the replica
--- a/crates/policy/src/state/replica_reports.rs
+++ b/crates/policy/src/state/replica_reports.rs
@@ -17,7 +17,7 @@
     pub latency_seconds: WindowedCounter,
     /// Requests expected at the replica according to the demand for its slices.
     pub expected: WindowedCounter,
-    /// The last time at which the reports were known to be incomplete.
+    /// The last time at which reports on the replica were incomplete.
     pub incomplete_at: Option<Moment>,
     /// The time since which there are reports, if there were none before.
     pub observed_since: Moment,
@@ -61,19 +61,23 @@
     /// Adds a report. `link_delay_seconds` is subtracted from its latency.
     pub(crate) fn record(
         &mut self,
-        at: Moment,
+        window_end: Moment,
         report: &EndpointReport,
         latest_latency: Span,
         link_delay_seconds: f64,
     ) {
         let succeeded = (report.attempts - report.failed).max(0.0);
-        let own_seconds = |latency: Span| (latency.seconds() - link_delay_seconds).max(0.0);
-        self.attempts.add_over(at, report.window, report.attempts);
-        self.failed.add_over(at, report.window, report.failed);
-        self.succeeded.add_over(at, report.window, succeeded);
-        self.latency_seconds.add_over(at, report.window, succeeded * own_seconds(report.mean_latency));
+        let without_link_delay = |latency: Span| (latency.seconds() - link_delay_seconds).max(0.0);
+        self.attempts.add_over(window_end, report.window, report.attempts);
+        self.failed.add_over(window_end, report.window, report.failed);
+        self.succeeded.add_over(window_end, report.window, succeeded);
+        self.latency_seconds.add_over(
+            window_end,
+            report.window,
+            succeeded * without_link_delay(report.mean_latency),
+        );
         if succeeded > 0.0 {
-            self.last_latency_seconds = own_seconds(latest_latency);
+            self.last_latency_seconds = without_link_delay(latest_latency);
         }
     }
 
--- a/crates/policy/src/state/replica_status.rs
+++ b/crates/policy/src/state/replica_status.rs
@@ -38,7 +38,7 @@
 
     /// Returns true if the replica may own slices of this controller, and thus counts in the averages.
     pub(crate) fn is_usable(&self, replica: &Replica) -> bool {
-        let answers_unlisted = self.deployment.delisting_is_advisory && replica.recent.succeeded > 0.0;
+        let answers_unlisted = self.deployment.delisting_is_advisory && replica.recent_counts.succeeded > 0.0;
         (replica.listed || answers_unlisted)
             && !replica.is_steered_by_others()
             && !replica.withdrawn
@@ -58,11 +58,11 @@
     }
 
     /// Returns the median of a value over the usable replicas; 0 if there are none.
-    pub(crate) fn median_of_usable(&self, figure: impl Fn(&Replica) -> f64) -> f64 {
+    pub(crate) fn median_of_usable(&self, value: impl Fn(&Replica) -> f64) -> f64 {
         let usable = self.replicas.values().filter(|replica| self.is_usable(replica));
-        let mut figures: Vec<f64> = usable.map(figure).collect();
-        figures.sort_by(f64::total_cmp);
-        figures.get(figures.len() / 2).copied().unwrap_or(0.0)
+        let mut values: Vec<f64> = usable.map(value).collect();
+        values.sort_by(f64::total_cmp);
+        values.get(values.len() / 2).copied().unwrap_or(0.0)
     }
 
     /// Returns the owners of a slice that have a record.
--- a/crates/policy/src/state/replica_withdrawals.rs
+++ b/crates/policy/src/state/replica_withdrawals.rs
@@ -10,9 +10,10 @@
     /// not start during this incarnation may still be withdrawn, by an earlier incarnation, at proxies that have
     /// already joined.
     pub(crate) fn replica_entry(&mut self, id: ReplicaId, started: Option<Moment>) -> &mut Replica {
-        let is_older = started.is_none_or(|at| at < self.started_at);
-        let may_be_withdrawn =
-            self.may_have_earlier_withdrawals() && !self.proxies.applied_until.is_empty() && is_older;
+        let predates_incarnation = started.is_none_or(|at| at < self.started_at);
+        let may_be_withdrawn = self.may_have_earlier_withdrawals()
+            && !self.proxies.applied_until.is_empty()
+            && predates_incarnation;
         if may_be_withdrawn && !self.replicas.contains_key(&id) {
             self.withdrawals.reinstatements.insert(id);
             let reinstate_at = self.now + self.deployment.report_period;
--- a/crates/policy/src/state/routing_table.rs
+++ b/crates/policy/src/state/routing_table.rs
@@ -26,7 +26,7 @@
 pub(crate) struct RoutingTable {
     /// The table as it should be.
     pub desired: Endpoints,
-    /// The table as the proxies were sent it.
+    /// The table as last sent to the proxies.
     pub applied: Endpoints,
 }
 
@@ -37,7 +37,8 @@
         RoutingTable { applied: desired.clone(), desired }
     }
 
-    /// Replaces one endpoint by another in the desired table; either may be missing.
+    /// Replaces the endpoint `from` by `to` in the desired table. Only adds an endpoint if `from` is `None`, and
+    /// only removes one if `to` is `None`.
     pub(crate) fn replace_endpoint(&mut self, from: Option<ReplicaId>, to: Option<(ReplicaId, f64)>) {
         if let Some(id) = from {
             self.desired.remove(&id);
@@ -59,10 +60,10 @@
         self.desired == self.applied
     }
 
-    /// Returns true if an endpoint has less than half of the heaviest weight, so that it is used for retries only.
+    /// Returns true if an endpoint has less than half of the highest weight, so that it is used for retries only.
     pub(crate) fn is_standby(&self, replica: &ReplicaId) -> bool {
-        let heaviest = self.desired.values().fold(0.0, |most: f64, weight| most.max(*weight));
-        self.desired.get(replica).is_some_and(|weight| weight * 2.0 < heaviest)
+        let highest_weight = self.desired.values().fold(0.0, |highest: f64, weight| highest.max(*weight));
+        self.desired.get(replica).is_some_and(|weight| weight * 2.0 < highest_weight)
     }
 
     /// Returns the share of the slice's requests that each endpoint gets.
--- a/crates/policy/src/state/schedule.rs
+++ b/crates/policy/src/state/schedule.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// The rules that still have to process the whole fleet. The other rules cost nothing.
+/// The rules that process the whole fleet and still have to run. The other rules are cheap enough to run after
+/// every event.
 #[derive(Default)]
 pub(crate) struct PendingWork {
     pub load_estimates: bool,
@@ -50,12 +51,12 @@
     /// Marks all work that is done once per tick. Rules that depend on changes in the reports pause while reports
     /// are interrupted.
     pub(crate) fn start_tick(&mut self, flow: ReportFlow) {
-        let reports_come = flow != ReportFlow::Interrupted;
+        let reports_arrive = flow != ReportFlow::Interrupted;
         self.load_estimates = true;
-        self.outliers = reports_come;
+        self.outliers = reports_arrive;
         self.evacuation = true;
-        self.replication = reports_come;
-        self.consolidation = reports_come;
+        self.replication = reports_arrive;
+        self.consolidation = reports_arrive;
         self.standbys = true;
         self.overrides = true;
     }
--- a/crates/policy/src/state/slice.rs
+++ b/crates/policy/src/state/slice.rs
@@ -13,9 +13,9 @@
     pub admitted: WindowedCounter,
     /// Admitted requests that failed.
     pub failed: WindowedCounter,
-    /// The last estimate of requests per second over the longer window, without the estimated retries.
+    /// The last estimate of requests per second over `LOAD_WINDOW`, without the estimated retries.
     pub load: f64,
-    /// The last estimate of requests per second over the shorter window, without the estimated retries.
+    /// The last estimate of requests per second over `BURST_WINDOW`, without the estimated retries.
     pub burst_load: f64,
     /// The last estimate of requests per second including all retries, which is the load on the replica.
     pub demand: f64,
@@ -39,10 +39,10 @@
     pub halted_at: Option<Moment>,
 }
 
-/// The number of moves of a slice to its pin that an override has caused.
+/// The number of moves of a slice to its pin, and the override that caused them.
 #[derive(Default)]
 pub(crate) struct PinMoves {
-    by: OverrideNumber,
+    override_id: OverrideNumber,
     count: u32,
 }
 
@@ -76,13 +76,13 @@
 
 impl PinMoves {
     /// Counts a move caused by this override.
-    pub(crate) fn record(&mut self, by: OverrideNumber) {
-        *self = PinMoves { by, count: self.count_by(by).saturating_add(1) };
+    pub(crate) fn record(&mut self, override_id: OverrideNumber) {
+        *self = PinMoves { override_id, count: self.count_by(override_id).saturating_add(1) };
     }
 
     /// Returns the number of moves caused by this override.
-    pub(crate) fn count_by(&self, by: OverrideNumber) -> u32 {
-        if self.by == by {
+    pub(crate) fn count_by(&self, override_id: OverrideNumber) -> u32 {
+        if self.override_id == override_id {
             self.count
         } else {
             0
--- a/crates/policy/src/windowed_counter.rs
+++ b/crates/policy/src/windowed_counter.rs
@@ -24,8 +24,9 @@
         self.add_over(now, Span::default(), amount);
     }
 
-    /// Adds an amount that is spread evenly over the window that ends at `now`. The part before the first bucket
-    /// is added to the first bucket. `now` may be earlier than in previous calls.
+    /// Adds an amount that is spread evenly over the buckets of the window that ends at `now`. A window that begins
+    /// before time zero, or that is longer than all buckets together, is shortened. `now` may be earlier than in
+    /// previous calls; the part of the amount that belongs to reused buckets is then dropped.
     pub fn add_over(&mut self, now: Moment, window: Span, amount: f64) {
         let last_bucket = now.elapsed_periods(self.bucket_duration);
         let size = self.sums.len() as u64;
@@ -37,7 +38,7 @@
         self.newest_bucket = self.newest_bucket.max(last_bucket);
         let bucket_count =
             window.as_ns().div_ceil(self.bucket_duration.as_ns().max(1)).clamp(1, size.min(last_bucket + 1));
-        // For a late amount, the oldest buckets may already have been reused.
+        // If `now` is earlier than in previous calls, the oldest buckets may already have been reused.
         let oldest_bucket = (self.newest_bucket + 1).saturating_sub(size);
         for bucket in
             (0..bucket_count).map(|back| last_bucket - back).filter(|bucket| *bucket >= oldest_bucket)
