--- a/crates/policy/src/rules/shared_replicas.rs
+++ b/crates/policy/src/rules/shared_replicas.rs
@@ -1,8 +1,9 @@
 //! Rules for replicas that several controllers steer ([`SubsetMembership::Subset`]).
 //!
-//! Controllers that share a replica see each other's moves only once reports show them. Claims ([`crate::claims`])
-//! ensure that only one controller moves slices to the replica at a time. Random draws, whose probabilities add up
-//! to the excess over all controllers, ensure that they do not all move slices away from it at once.
+//! If controllers share a replica, the moves of one become visible to the others only through reports. Claims
+//! ([`crate::claims`]) ensure that only one controller moves slices to the replica at a time. Random draws, whose
+//! probabilities add up to the excess over all controllers, ensure that they do not all move slices away from it at
+//! once.
 
 use crate::api::{ReplicaId, SliceId, SubsetMembership};
 use crate::state::controller::ControllerState;
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,5 +1,12 @@
 //! A simulated small fleet that applies a controller's commands and panics as soon as one of the five rules is
-//! violated.
+//! violated:
+//!
+//! 1. A slice always has a usable endpoint.
+//! 2. A request takes effect at most once: it is retried at most once, and under single writer no two owners of a
+//!    slice are written to at the same time.
+//! 3. A replica that is draining or gone receives no requests after the drain grace period.
+//! 4. A cold replica is not sent more than its slow-start budget.
+//! 5. Neither the queue's capacity nor the message limit is exceeded.
 #![allow(dead_code)] // each test file compiles this module separately and uses a part of it
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -8,7 +15,7 @@
 use whinwall_policy::time::{Moment, Span};
 use whinwall_policy::Policy;
 
-pub const GRACE_MS: u64 = 2500;
+pub const DRAIN_GRACE_MS: u64 = 2500;
 const MAX_MS_WITHOUT_ENDPOINT: u64 = 5000;
 const TICK_MS: u64 = 100;
 
@@ -31,7 +38,7 @@
         cold_capacity_share: 0.2,
         warm_up: Span::ms(10_000),
         collapse_multiple: 3.0,
-        drain_grace: Span::ms(GRACE_MS),
+        drain_grace: Span::ms(DRAIN_GRACE_MS),
         message_overhead_lines: 8.0,
         lines_per_second: 1500.0,
         queue_capacity_lines: 300.0,
@@ -40,12 +47,12 @@
     }
 }
 
-pub fn at(ms: u64) -> Moment {
+pub fn at_ms(ms: u64) -> Moment {
     Moment::at_ns(ms * 1_000_000)
 }
 
 pub fn listing(replica: ReplicaId, state: ReplicaState, started_ms: u64) -> ReplicaListing {
-    let started = (started_ms > 0).then(|| at(started_ms));
+    let started = (started_ms > 0).then(|| at_ms(started_ms));
     let (zone, stable_hash) = (replica as usize % 3, u64::from(replica));
     ReplicaListing {
         replica,
@@ -59,18 +66,24 @@
     }
 }
 
+/// A simulated replica.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Node {
     pub state: ReplicaState,
+    /// The start time of the replica's process; 0 if it was running before the test.
     pub started_ms: u64,
+    /// True if the replica answers requests; otherwise all requests to it fail.
     pub answers: bool,
+    /// The time at which the replica's listing was last sent to the policy.
     pub listed_ms: u64,
 }
 
+/// A message in the command channel to one proxy.
 #[derive(Clone)]
 struct Message {
     proxy: ProxyId,
-    lines: f64,
+    /// The lines that have not been transmitted yet.
+    remaining_lines: f64,
     versions: Vec<u16>,
     actions: Vec<Action>,
 }
@@ -79,10 +92,13 @@
 struct Proxy {
     joined: bool,
     tables: BTreeMap<SliceId, BTreeMap<ReplicaId, f64>>,
+    /// The slices whose requests the proxy holds back.
     halted: BTreeSet<SliceId>,
     withdrawn: BTreeSet<ReplicaId>,
     without_endpoint_since: BTreeMap<SliceId, u64>,
+    /// The times of the messages sent to the proxy within the message window.
     sent_ms: VecDeque<u64>,
+    /// Transmitted messages, each with the time at which the proxy applies it.
     inbox: VecDeque<(u64, Message)>,
 }
 
@@ -91,14 +107,19 @@
     pub deployment: Deployment,
     pub now_ms: u64,
     pub nodes: BTreeMap<ReplicaId, Node>,
+    /// The requests per second for each slice.
     pub request_rates: BTreeMap<SliceId, f64>,
-    /// The subset memberships of the replicas, and the requests per second from other controllers. Replicas that
-    /// are not named are not shared.
+    /// The controllers that steer each replica. A replica without an entry is steered by all controllers.
     pub subsets: BTreeMap<ReplicaId, SubsetMembership>,
+    /// The requests per second to each replica from the slices of other controllers.
     pub others_requests: BTreeMap<ReplicaId, f64>,
+    /// The routing tables as stored by the relay.
     pub store: BTreeMap<SliceId, BTreeMap<ReplicaId, f64>>,
+    /// The number of lines that the command channel transmits per tick.
     pub lines_per_tick: f64,
-    pub slow_since_ms: u64,
+    /// The time at which the command channel stopped being slow; in the far future while it is slow.
+    pub slow_until_ms: u64,
+    /// All actions of the policy.
     pub log: Vec<Action>,
     proxies: BTreeMap<ProxyId, Proxy>,
     queue: VecDeque<Message>,
@@ -110,7 +131,7 @@
     pub fn new(deployment: Deployment, replicas: u32, slices: u32, proxies: u32) -> Self {
         let node = Node { state: ReplicaState::Ready, started_ms: 0, answers: true, listed_ms: 0 };
         let mut fleet = Fleet {
-            policy: Policy::start(deployment.clone(), 7, at(1000)),
+            policy: Policy::start(deployment.clone(), 7, at_ms(1000)),
             deployment,
             now_ms: 1000,
             nodes: (0..replicas).map(|id| (id, node.clone())).collect(),
@@ -119,7 +140,7 @@
             others_requests: BTreeMap::new(),
             store: (0..slices).map(|slice| (slice, BTreeMap::from([(slice % replicas, 1.0)]))).collect(),
             lines_per_tick: 150.0,
-            slow_since_ms: 0,
+            slow_until_ms: 0,
             log: Vec::new(),
             proxies: (0..proxies).map(|id| (id, Proxy::default())).collect(),
             queue: VecDeque::new(),
@@ -132,10 +153,10 @@
 
     /// Starts a new incarnation of the controller with its cached list, its slices and the connected proxies.
     pub fn start_incarnation(&mut self, seed: u64) {
-        let now = at(self.now_ms);
+        let now = at_ms(self.now_ms);
         self.policy = Policy::start(self.deployment.clone(), seed, now);
         (self.queue, self.timers) = (VecDeque::new(), BTreeMap::new());
-        let list: Vec<_> = self.nodes.keys().map(|id| self.entry(*id)).collect();
+        let list: Vec<_> = self.nodes.keys().map(|id| self.current_listing(*id)).collect();
         self.policy.replicas_listed(now, ListScope::Cached, &list);
         self.policy.replicas_listed(now, ListScope::Complete, &list);
         self.nodes.values_mut().for_each(|node| node.listed_ms = self.now_ms);
@@ -149,7 +170,7 @@
         self.collect_reply();
     }
 
-    fn entry(&self, replica: ReplicaId) -> ReplicaListing {
+    fn current_listing(&self, replica: ReplicaId) -> ReplicaListing {
         let node = &self.nodes[&replica];
         let subset = self.subsets.get(&replica).copied().unwrap_or_default();
         ReplicaListing { subset, ..listing(replica, node.state, node.started_ms) }
@@ -159,27 +180,27 @@
         let Some(proxy_state) = self.proxies.get_mut(&proxy) else { return };
         let withdrawn = std::mem::take(&mut proxy_state.withdrawn);
         *proxy_state = Proxy { joined: true, tables: self.store.clone(), withdrawn, ..Proxy::default() };
-        self.policy.proxy_joined(at(self.now_ms), proxy, ProxyTables::Retained);
+        self.policy.proxy_joined(at_ms(self.now_ms), proxy, ProxyTables::Retained);
     }
 
     pub fn disconnect(&mut self, proxy: ProxyId) {
         self.proxies.entry(proxy).or_default().joined = false;
         self.queue.retain(|message| message.proxy != proxy);
         self.last_left_ms = self.now_ms;
-        self.policy.proxy_left(at(self.now_ms), proxy);
+        self.policy.proxy_left(at_ms(self.now_ms), proxy);
     }
 
     pub fn list_replica(&mut self, replica: ReplicaId) {
         let node = self.nodes.get_mut(&replica).expect("replica exists");
         node.listed_ms = self.now_ms;
-        let entry = self.entry(replica);
-        self.policy.replicas_listed(at(self.now_ms), ListScope::Changes, &[entry]);
+        let entry = self.current_listing(replica);
+        self.policy.replicas_listed(at_ms(self.now_ms), ListScope::Changes, &[entry]);
         self.collect_reply();
     }
 
     /// Collects the reply and queues its commands on the channel, in order.
     pub fn collect_reply(&mut self) {
-        let actions = self.policy.collect_actions(at(self.now_ms));
+        let actions = self.policy.collect_actions(at_ms(self.now_ms));
         let versions: Vec<u16> = actions
             .iter()
             .filter_map(|action| if let Action::Sync { version } = action { Some(*version) } else { None })
@@ -217,7 +238,7 @@
                     self.deployment.message_overhead_lines + commands.len() as f64 + versions.len() as f64;
                 self.queue.push_back(Message {
                     proxy: *id,
-                    lines,
+                    remaining_lines: lines,
                     versions: versions.clone(),
                     actions: commands.clone(),
                 });
@@ -225,21 +246,28 @@
                 proxy_state.sent_ms.retain(|ms| ms + 10_000 > self.now_ms);
                 assert!(
                     proxy_state.sent_ms.len() <= self.deployment.message_limit as usize,
-                    "rule 5: more messages than the limit"
+                    "rule 5: {} messages to proxy {id} within 10 s, limit {}",
+                    proxy_state.sent_ms.len(),
+                    self.deployment.message_limit
                 );
             }
         }
-        let queued: f64 = self.queue.iter().map(|message| message.lines).sum();
-        assert!(queued <= self.deployment.queue_capacity_lines, "rule 5: {queued} lines queued");
+        let queued: f64 = self.queue.iter().map(|message| message.remaining_lines).sum();
+        assert!(
+            queued <= self.deployment.queue_capacity_lines,
+            "rule 5: {queued} lines queued, capacity {}",
+            self.deployment.queue_capacity_lines
+        );
         self.log.extend(actions);
     }
 
     fn transmit(&mut self) {
-        let mut remaining_lines = self.lines_per_tick;
+        let mut available_lines = self.lines_per_tick;
         while let Some(message) = self.queue.front_mut() {
-            let sent = remaining_lines.min(message.lines);
-            (message.lines, remaining_lines) = (message.lines - sent, remaining_lines - sent);
-            if message.lines > 0.0 {
+            let sent = available_lines.min(message.remaining_lines);
+            message.remaining_lines -= sent;
+            available_lines -= sent;
+            if message.remaining_lines > 0.0 {
                 return;
             }
             let message = self.queue.pop_front().expect("queue is not empty");
@@ -266,13 +294,13 @@
                         }
                         table.insert(*replica, *weight);
                         table.retain(|_, weight| *weight > 0.0);
-                        let is_held_or_known = |proxy_state: &Proxy| {
+                        let is_halted_or_has_endpoint = |proxy_state: &Proxy| {
                             !proxy_state.joined
                                 || proxy_state.halted.contains(slice)
                                 || proxy_state.tables[slice].contains_key(replica)
                         };
                         assert!(
-                            !single_writer || !is_new || self.proxies.values().all(is_held_or_known),
+                            !single_writer || !is_new || self.proxies.values().all(is_halted_or_has_endpoint),
                             "rule 2: slice {slice} has two owners that are written to"
                         );
                     }
@@ -289,7 +317,7 @@
                 }
             }
             for version in &message.versions {
-                self.policy.ack_received(at(self.now_ms), message.proxy, *version);
+                self.policy.ack_received(at_ms(self.now_ms), message.proxy, *version);
             }
             self.collect_reply();
         }
@@ -297,7 +325,7 @@
 
     fn send_reports(&mut self) {
         let mut sent = self.others_requests.clone();
-        let now = at(self.now_ms);
+        let now = at_ms(self.now_ms);
         let window = Span::ms(1000);
         for (slice, requests) in &self.request_rates {
             let Some(table) = self.store.get(slice) else { continue };
@@ -329,6 +357,7 @@
         self.collect_reply();
     }
 
+    /// Runs the simulation for a time, in ticks.
     pub fn advance(&mut self, ms: u64) {
         for _ in 0..ms / TICK_MS {
             self.now_ms += TICK_MS;
@@ -336,7 +365,7 @@
             self.apply_messages();
             let later = self.timers.split_off(&(self.now_ms + 1));
             for token in std::mem::replace(&mut self.timers, later).into_values().flatten() {
-                self.policy.timer_fired(at(self.now_ms), token);
+                self.policy.timer_fired(at_ms(self.now_ms), token);
             }
             self.collect_reply();
             if self.now_ms.is_multiple_of(1000) {
@@ -350,10 +379,12 @@
     /// violated.
     fn check_rules(&mut self) {
         let now_ms = self.now_ms;
-        let usable = |node: &&Node| node.state == ReplicaState::Ready && node.answers;
-        let warm = |node: &Node| node.started_ms == 0 || node.started_ms + 10_000 < now_ms;
-        let is_quiet = now_ms > self.slow_since_ms + 8000 && now_ms > self.last_left_ms + GRACE_MS;
-        let usable_count = self.nodes.values().filter(usable).filter(|node| warm(node)).count();
+        let is_usable = |node: &&Node| node.state == ReplicaState::Ready && node.answers;
+        let is_warm = |node: &Node| node.started_ms == 0 || node.started_ms + 10_000 < now_ms;
+        // While the channel is slow, or a proxy has just left, commands may arrive later than the rules require.
+        let is_undisturbed =
+            now_ms > self.slow_until_ms + 8000 && now_ms > self.last_left_ms + DRAIN_GRACE_MS;
+        let usable_count = self.nodes.values().filter(is_usable).filter(|node| is_warm(node)).count();
         for proxy_state in self.proxies.values_mut() {
             let withdrawn = &proxy_state.withdrawn;
             let lacks_usable_endpoint =
@@ -370,16 +401,16 @@
             for slice in now_without_endpoint {
                 let since = *proxy_state.without_endpoint_since.entry(slice).or_insert(now_ms);
                 assert!(
-                    !is_quiet || since + MAX_MS_WITHOUT_ENDPOINT >= now_ms,
+                    !is_undisturbed || since + MAX_MS_WITHOUT_ENDPOINT >= now_ms,
                     "rule 1: slice {slice} without usable endpoint since {since} ms, now {now_ms} ms"
                 );
             }
         }
-        if !is_quiet || usable_count * 2 < self.nodes.len() {
+        if !is_undisturbed || usable_count * 2 < self.nodes.len() {
             return;
         }
         for (id, node) in &self.nodes {
-            let grace_has_passed = node.listed_ms + GRACE_MS < now_ms;
+            let grace_has_passed = node.listed_ms + DRAIN_GRACE_MS < now_ms;
             for proxy_state in self
                 .proxies
                 .values()
@@ -403,7 +434,7 @@
             let capacity = 2.0 * 3.0 * self.store.len() as f64 / self.nodes.len() as f64;
             let budget = 3.0 * capacity * (0.2 + 0.8 * age).min(1.0);
             assert!(
-                warm(node) || !grace_has_passed || load <= budget,
+                is_warm(node) || !grace_has_passed || load <= budget,
                 "rule 4: load {load} on cold replica {id}, budget {budget}"
             );
         }
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -3,8 +3,7 @@
 mod fleet;
 mod reports;
 
-use fleet::{at, deployment};
-
+use fleet::{at_ms, deployment};
 use reports::{
     count_ejections, policy_with_replicas, reduces_admission, run_reports, single_writer_deployment,
 };
@@ -36,9 +35,9 @@
 /// If a large fleet is overloaded, one reduction is sent for all slices, even if answers are missing altogether
 /// (i8e8ff8).
 #[test]
-fn overload_of_the_usual_replica_is_shed_by_one_command_for_all_slices() {
-    let failed_attempts = |replica| if replica == 0 { 3.0 } else { 1.5 };
-    let failing = |second, replica, _| (if second > 5 { failed_attempts(replica) } else { 0.0 }, 300);
+fn overload_of_the_median_replica_is_shed_by_one_command_for_all_slices() {
+    let failed_per_second = |replica| if replica == 0 { 3.0 } else { 1.5 };
+    let failing = |second, replica, _| (if second > 5 { failed_per_second(replica) } else { 0.0 }, 300);
     let actions = run_reports(
         &mut policy_with_replicas(Deployment { lines_per_second: 5.0, ..deployment() }, 6),
         1..20,
@@ -52,21 +51,22 @@
     assert!(!actions.iter().any(|action| matches!(action, Action::SetAdmission { slice: Some(_), .. })));
 }
 
-/// With a target latency of 0, the fleet's latency ratio was 0 * infinity = NaN once commands for each slice were
-/// cheap. The reduction for all slices then never changed again.
+/// With a target latency of 0 the median latency ratio is infinite. If the fleet's ratio were that ratio times 0
+/// once commands for each slice are cheap, it would be NaN, and the reduction for all slices would never change
+/// again.
 #[test]
 fn reduction_for_all_slices_ends_also_with_a_latency_objective_of_zero() {
     let mut deployment = Deployment { lines_per_second: 8.0, ..deployment() };
     deployment.request_classes.iter_mut().for_each(|class| class.target_latency = Default::default());
     let mut policy = policy_with_replicas(deployment, 6);
-    policy.proxy_joined(at(0), 1, ProxyTables::Empty);
+    policy.proxy_joined(at_ms(0), 1, ProxyTables::Empty);
     let late = |_, _, _| (0.0, 100);
     let actions = run_reports(&mut policy, 1..20, 1, 6, &late);
     assert!(
         actions.iter().any(|action| reduces_admission(action, None, 1)),
         "no reduction for all slices with two proxies"
     );
-    policy.proxy_left(at(20_000), 1);
+    policy.proxy_left(at_ms(20_000), 1);
     let actions = run_reports(&mut policy, 20..60, 1, 6, &late);
     let last = actions.iter().rev().find_map(|action| match action {
         Action::SetAdmission { slice: None, admission_rate, .. } => Some(*admission_rate),
--- a/crates/policy/tests/outlier_ejection.rs
+++ b/crates/policy/tests/outlier_ejection.rs
@@ -3,7 +3,7 @@
 mod fleet;
 mod reports;
 
-use fleet::{at, deployment, listing, Fleet};
+use fleet::{at_ms, deployment, listing, Fleet};
 use reports::{
     count_ejections, policy_with_replicas, reduces_admission, run_reports, single_writer_deployment,
 };
@@ -11,8 +11,8 @@
 use whinwall_policy::api::*;
 use whinwall_policy::Policy;
 
-/// If all replicas but one stop answering at once, a fault in the observations is assumed, and no slice is
-/// evacuated.
+/// If all replicas but one stop answering at once, a fault in this controller's observations is assumed, and no
+/// slice is evacuated.
 #[test]
 fn no_replica_is_ejected_when_nearly_all_look_dead() {
     let mut fleet = Fleet::new(deployment(), 10, 40, 5);
@@ -66,27 +66,27 @@
     let failing = |_, replica, _| if replica == 0 { (3.0, 0) } else { (0.0, 100) };
     let mut ejected = Vec::new();
     for second in seconds {
-        policy.slice_granted(at(second * 1000), 100 + second as SliceId, &[(0, 1.0)]);
+        policy.slice_granted(at_ms(second * 1000), 100 + second as SliceId, &[(0, 1.0)]);
         let actions = run_reports(policy, second..second + 1, 1, 6, &failing);
         ejected.extend((count_ejections(&actions) > 0).then_some(second));
     }
     ejected
 }
 
-/// `ejection_count` was never reset: each ejection of a replica lasted up to four times as long as the first, for
-/// the controller's whole run, even after a restart that repaired the replica.
+/// If `ejection_count` were not reset, each ejection of a replica would last up to four times as long as the first
+/// for the rest of the controller's run, even after a restart that repaired the replica.
 #[test]
 fn ejection_time_starts_again_after_a_restart_of_the_replica() {
     let mut policy = policy_with_replicas(deployment(), 6);
     let before = ejections_of_failing_replica(&mut policy, 1..110);
     let longest = before.windows(2).map(|pair| pair[1] - pair[0]).max();
     assert!(longest >= Some(32), "ejections do not get longer: {before:?}");
-    policy.replicas_listed(at(110_000), ListScope::Changes, &[listing(0, ReplicaState::Ready, 109_000)]);
+    policy.replicas_listed(at_ms(110_000), ListScope::Changes, &[listing(0, ReplicaState::Ready, 109_000)]);
     let after = ejections_of_failing_replica(&mut policy, 110..150);
     assert!(after.len() > 1 && after[1] - after[0] < 16, "before {before:?}, after {after:?}");
 }
 
-/// A replica that was healthy for a long time has not relapsed.
+/// A failure after a long healthy time is not a relapse, so the ejection is as short as the first one.
 #[test]
 fn ejection_time_starts_again_after_a_long_healthy_time() {
     let mut policy = policy_with_replicas(deployment(), 6);
--- a/crates/policy/tests/overrides.rs
+++ b/crates/policy/tests/overrides.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{at, deployment, owners_of, Fleet};
+use fleet::{at_ms, deployment, owners_of, Fleet};
 use quickcheck::{Arbitrary, Gen};
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
@@ -19,7 +19,7 @@
 }
 
 fn set_overrides(fleet: &mut Fleet, overrides: &[(OverrideNumber, OverrideSpec)]) {
-    fleet.policy.set_overrides(at(fleet.now_ms), overrides);
+    fleet.policy.set_overrides(at_ms(fleet.now_ms), overrides);
     fleet.collect_reply();
 }
 
@@ -52,7 +52,7 @@
     let mut fleet = fleet_with_overrides(&REPLICA_0_OUT);
     let withdrawn = Action::Withdraw { replica: 0 };
     assert!(fleet.log.contains(&withdrawn), "not withdrawn at once");
-    fleet.advance(fleet::GRACE_MS);
+    fleet.advance(fleet::DRAIN_GRACE_MS);
     assert_eq!(slices_naming(&fleet, 0), 0);
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
     set_overrides(&mut fleet, &[]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn half_of_the_fleet_stays_in_service_and_older_overrides_hold() {
+fn half_of_the_fleet_stays_in_service_and_older_overrides_take_precedence() {
     let all_out =
         [0, 1, 2, 3].map(|replica| (u64::from(replica) + 1, OverrideSpec::OutOfService { replica }));
     let mut fleet = fleet_with_overrides(&all_out);
@@ -126,16 +126,20 @@
     set_overrides(&mut fleet, &[(1, OverrideSpec::Weight { replica: 0, factor: 0.25 })]);
     fleet.advance(60_000);
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
-    let owned = |fleet: &Fleet| (0..40).filter(|slice| owners_of(fleet, *slice) == [0]).count();
-    let light = owned(&fleet);
-    assert!(light < 6, "{light} of 40 slices at a weight factor of 0.25");
+    let owned_slices = |fleet: &Fleet| (0..40).filter(|slice| owners_of(fleet, *slice) == [0]).count();
+    let reduced_count = owned_slices(&fleet);
+    assert!(reduced_count < 6, "{reduced_count} of 40 slices at a weight factor of 0.25");
     set_overrides(&mut fleet, &[]);
     // The replica is light now and gets slices as others become heavy.
     for slice in (0..40).filter(|slice| owners_of(&fleet, *slice) == [1]).collect::<Vec<_>>() {
         fleet.request_rates.insert(slice, 7.0);
     }
     fleet.advance(60_000);
-    assert!(owned(&fleet) > light + 1, "{} slices after the override has ended", owned(&fleet));
+    assert!(
+        owned_slices(&fleet) > reduced_count + 1,
+        "{} slices after the override has ended",
+        owned_slices(&fleet)
+    );
 }
 
 #[test]
@@ -165,11 +169,11 @@
     );
     restart(&mut fleet, 0);
     fleet.advance(1500);
-    let owned: f64 = (0..40)
+    let load: f64 = (0..40)
         .filter(|slice| owners_of(&fleet, *slice) == [0])
         .map(|slice| fleet.request_rates[&slice])
         .sum();
-    assert!(owned <= 12.0 && owned > 0.0, "{owned} requests per second");
+    assert!(load <= 12.0 && load > 0.0, "{load} requests per second on the cold replica");
 }
 
 #[test]
@@ -188,7 +192,7 @@
 }
 
 #[test]
-fn newer_pin_counts_where_pins_overlap() {
+fn newer_pin_takes_precedence_where_pins_overlap() {
     let older = (1, OverrideSpec::Pin { first: 0, last: 9, replica: 1 });
     let newer = (2, OverrideSpec::Pin { first: 4, last: 5, replica: 2 });
     let mut fleet = fleet_with_overrides(&[older, newer]);
@@ -212,7 +216,7 @@
     fleet.advance(6000);
     assert_eq!(fleet.policy.override_status(1), Some(InForce));
     set_state(&mut fleet, 2, ReplicaState::Draining);
-    fleet.advance(fleet::GRACE_MS);
+    fleet.advance(fleet::DRAIN_GRACE_MS);
     assert_eq!(slices_naming(&fleet, 2), 0);
     assert_eq!(fleet.policy.override_status(1), Some(Suspended("rule 3: the server drains")));
     set_state(&mut fleet, 2, ReplicaState::Gone);
@@ -262,8 +266,8 @@
     let mut fleet = fleet_with_overrides(&overrides);
     fleet.advance(3000);
     fleet.store.insert(4, [(1, 1.0)].into());
-    fleet.policy.slice_revoked(at(fleet.now_ms), 4);
-    fleet.policy.slice_granted(at(fleet.now_ms), 4, &[(1, 1.0)]);
+    fleet.policy.slice_revoked(at_ms(fleet.now_ms), 4);
+    fleet.policy.slice_granted(at_ms(fleet.now_ms), 4, &[(1, 1.0)]);
     fleet.advance(10_000);
     assert_eq!((owners_of(&fleet, 4), slices_naming(&fleet, 1)), (vec![3], 0));
     // The replica leaves and rejoins. The new process is cold and still out of service.
@@ -327,16 +331,18 @@
     fn holds(run: RandomRun) -> bool {
         let mut fleet = Fleet::new(deployment(), 8, 24, 3);
         let mut overrides: Vec<(OverrideNumber, OverrideSpec)> = Vec::new();
-        for (at, (kind, number)) in run.0.into_iter().enumerate() {
+        for (step, (kind, number)) in run.0.into_iter().enumerate() {
             let (replica, slice) = (number % 8, number / 8 % 24);
             match kind % 10 {
-                0 => overrides.push((at as u64, OverrideSpec::OutOfService { replica })),
+                0 => overrides.push((step as u64, OverrideSpec::OutOfService { replica })),
                 1 => overrides.push((
-                    at as u64,
+                    step as u64,
                     OverrideSpec::Weight { replica, factor: f64::from(number % 100) / 10.0 },
                 )),
-                2 | 3 => overrides
-                    .push((at as u64, OverrideSpec::Pin { first: slice, last: slice + number % 7, replica })),
+                2 | 3 => overrides.push((
+                    step as u64,
+                    OverrideSpec::Pin { first: slice, last: slice + number % 7, replica },
+                )),
                 4 => overrides.truncate(overrides.len() / 2),
                 5 => set_state(&mut fleet, replica, ReplicaState::Draining),
                 6 => {
--- a/crates/policy/tests/random_runs.rs
+++ b/crates/policy/tests/random_runs.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{at, deployment, listing, Fleet};
+use fleet::{at_ms, deployment, listing, Fleet};
 use quickcheck::{Arbitrary, Gen};
 use whinwall_policy::api::*;
 use whinwall_policy::time::Span;
@@ -52,7 +52,7 @@
 fn apply_event(fleet: &mut Fleet, event: &Event) {
     let replicas = fleet.nodes.len() as u32;
     let now = fleet.now_ms;
-    let set = |fleet: &mut Fleet, number: u32, state, answers, restarted: bool| {
+    let set_node = |fleet: &mut Fleet, number: u32, state, answers, restarted: bool| {
         let node = fleet.nodes.get_mut(&(number % replicas)).unwrap();
         if restarted && node.answers && node.state == ReplicaState::Ready {
             return;
@@ -65,9 +65,9 @@
     };
     let number = event.1;
     match event_kind(event) {
-        Drain => set(fleet, number, ReplicaState::Draining, true, false),
-        Vanish => set(fleet, number, ReplicaState::Gone, false, false),
-        Restart => set(fleet, number, ReplicaState::Ready, true, true),
+        Drain => set_node(fleet, number, ReplicaState::Draining, true, false),
+        Vanish => set_node(fleet, number, ReplicaState::Gone, false, false),
+        Restart => set_node(fleet, number, ReplicaState::Ready, true, true),
         FallSilent => fleet.nodes.get_mut(&(number % replicas)).unwrap().answers = false,
         Disconnect => fleet.disconnect(number % 5),
         Connect => fleet.connect(number % 5),
@@ -75,14 +75,14 @@
         ThrottleChannel => {
             let speed = f64::from(number % 4);
             fleet.lines_per_tick = 10.0 + 60.0 * speed;
-            fleet.slow_since_ms = if speed < 2.0 { u64::MAX / 2 } else { now };
+            fleet.slow_until_ms = if speed < 2.0 { u64::MAX / 2 } else { now };
         }
         NewIncarnation => fleet.start_incarnation(u64::from(number)),
         RegrantSlice => {
-            fleet.policy.slice_revoked(at(now), number % 40);
+            fleet.policy.slice_revoked(at_ms(now), number % 40);
             let table: Vec<_> =
                 fleet.store[&(number % 40)].iter().map(|(replica, weight)| (*replica, *weight)).collect();
-            fleet.policy.slice_granted(at(now), number % 40, &table);
+            fleet.policy.slice_granted(at_ms(now), number % 40, &table);
         }
         Wait => fleet.advance(3000),
     }
@@ -132,9 +132,9 @@
 fn random_calls_cause_no_panic_and_no_endless_evaluation() {
     for seed in 300..340 {
         let calls = Vec::<(u8, u32, u16)>::arbitrary(&mut Gen::from_size_and_seed(300, seed));
-        let mut policy = Policy::start(deployment(), seed, at(0));
+        let mut policy = Policy::start(deployment(), seed, at_ms(0));
         for (index, (call, first, second)) in calls.iter().enumerate() {
-            let (now, id, rate) = (at(index as u64 * 130), first % 7, f64::from(*second % 50));
+            let (now, id, rate) = (at_ms(index as u64 * 130), first % 7, f64::from(*second % 50));
             let state =
                 [ReplicaState::Ready, ReplicaState::Draining, ReplicaState::Gone][usize::from(second % 3)];
             let scope = [ListScope::Changes, ListScope::Complete, ListScope::Cached][(first % 3) as usize];
--- a/crates/policy/tests/rebalancing.rs
+++ b/crates/policy/tests/rebalancing.rs
@@ -3,7 +3,7 @@
 mod fleet;
 mod reports;
 
-use fleet::{at, deployment, fleet_with_loads, listing, owners_of};
+use fleet::{at_ms, deployment, fleet_with_loads, listing, owners_of};
 use reports::{collect_acked_reply, policy_with_replicas, report_second};
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
@@ -43,10 +43,10 @@
     let mut moves = 0;
     for _ in 0..20 {
         let owners = owners_of(&fleet, 0);
-        for ballast in 1..3 {
+        for other_slice in 1..3 {
             fleet
                 .request_rates
-                .insert(ballast, if owners_of(&fleet, ballast) == owners { 8.05 } else { 0.1 });
+                .insert(other_slice, if owners_of(&fleet, other_slice) == owners { 8.05 } else { 0.1 });
         }
         fleet.advance(16_000);
         moves += usize::from(owners_of(&fleet, 0) != owners);
@@ -55,19 +55,19 @@
 }
 
 /// A new replica that one controller owns alone has the band of a whole replica. With the wider band of replicas
-/// that other controllers fill too, it was no longer light after its second slice (`join+vast`: warm replicas had
-/// ten times as many).
+/// that other controllers fill too, it would no longer be light after its second slice (in `join+vast`, warm
+/// replicas then had ten times as many).
 #[test]
 fn cold_replica_of_one_controller_has_the_band_of_a_whole_replica() {
-    let endpoints_added = |number| {
+    let count_endpoints_added = |controller_index| {
         let mut policy = policy_with_replicas(
-            Deployment { controller_count: 5, controller_index: number, slice_count: 55, ..deployment() },
+            Deployment { controller_count: 5, controller_index, slice_count: 55, ..deployment() },
             6,
         );
-        (6..11).for_each(|slice| policy.slice_granted(at(0), slice, &[(0, 1.0)]));
+        (6..11).for_each(|slice| policy.slice_granted(at_ms(0), slice, &[(0, 1.0)]));
         let mut endpoints_added = 0;
         for second in 1..15 {
-            let now = at(second * 1000);
+            let now = at_ms(second * 1000);
             report_second(&mut policy, now, |replica| (if replica == 0 { 6.0 } else { 1.0 }, 1.0));
             let demand =
                 DemandReport { request_class: 0, window: Span::ms(1000), requests: 1.0, failed: 0.0 };
@@ -83,6 +83,6 @@
         }
         endpoints_added
     };
-    let most = (0..5).map(endpoints_added).max();
-    assert!(most >= Some(3), "{most:?}");
+    let max_added = (0..5).map(count_endpoints_added).max();
+    assert!(max_added >= Some(3), "at most {max_added:?} slices moved to the new replica");
 }
--- a/crates/policy/tests/replication.rs
+++ b/crates/policy/tests/replication.rs
@@ -3,7 +3,7 @@
 mod fleet;
 mod reports;
 
-use fleet::{at, deployment, owners_of, Fleet};
+use fleet::{at_ms, deployment, owners_of, Fleet};
 use reports::{collect_acked_reply, policy_with_replicas, report_second};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
@@ -42,7 +42,7 @@
         let mut policy = policy_with_replicas(Deployment { slice_count: slices, ..deployment() }, 6);
         let mut owners_added = 0;
         for second in 1..12 {
-            let now = at(second * 1000);
+            let now = at_ms(second * 1000);
             report_second(&mut policy, now, |replica| if replica == 0 { (4.0, 4.0) } else { (2.0, 2.0) });
             let owner_added = |action: &&Action| {
                 matches!(action, Action::SetEndpoint { slice: 0, weight, .. }
--- a/crates/policy/tests/reports/mod.rs
+++ b/crates/policy/tests/reports/mod.rs
@@ -1,7 +1,7 @@
 //! A policy with a few replicas and scripted load reports.
 #![allow(dead_code)] // each test file compiles this module separately and uses a part of it
 
-use crate::fleet::{at, deployment, listing};
+use crate::fleet::{at_ms, deployment, listing};
 use std::ops::Range;
 use whinwall_policy::api::*;
 use whinwall_policy::deployment::Deployment;
@@ -10,11 +10,11 @@
 
 /// Creates a policy with replicas in three zones and one proxy. Replica n owns slice n.
 pub fn policy_with_replicas(deployment: Deployment, replicas: u32) -> Policy {
-    let mut policy = Policy::start(deployment, 1, at(0));
+    let mut policy = Policy::start(deployment, 1, at_ms(0));
     let list: Vec<_> = (0..replicas).map(|replica| listing(replica, ReplicaState::Ready, 0)).collect();
-    policy.replicas_listed(at(0), ListScope::Complete, &list);
-    (0..replicas).for_each(|id| policy.slice_granted(at(0), id, &[(id, 1.0)]));
-    policy.proxy_joined(at(0), 0, ProxyTables::Empty);
+    policy.replicas_listed(at_ms(0), ListScope::Complete, &list);
+    (0..replicas).for_each(|id| policy.slice_granted(at_ms(0), id, &[(id, 1.0)]));
+    policy.proxy_joined(at_ms(0), 0, ProxyTables::Empty);
     policy
 }
 
@@ -26,6 +26,8 @@
 /// of the other attempts in milliseconds.
 pub type Outcomes<'a> = &'a dyn Fn(u64, u32, usize) -> (f64, u64);
 
+/// Reports the outcomes once per period for each replica and its slice, replicas one second apart. Each reply is
+/// acknowledged at once. Returns all actions.
 pub fn run_reports(
     policy: &mut Policy,
     seconds: Range<u64>,
@@ -36,10 +38,10 @@
     let mut actions = Vec::new();
     let requests_factor = period_seconds as f64;
     for second in seconds {
-        let (now, window) = (at(second * 1000), Span::ms(period_seconds * 1000));
+        let (now, window) = (at_ms(second * 1000), Span::ms(period_seconds * 1000));
         for replica in 0..replicas {
-            let since = (second + u64::from(replica)) % period_seconds;
-            for zone in (0..3).filter(|_| since == 0) {
+            let seconds_since_report = (second + u64::from(replica)) % period_seconds;
+            for zone in (0..3).filter(|_| seconds_since_report == 0) {
                 let (failed, ms) = outcomes(second, replica, zone);
                 let (attempts, failed) = (3.0 * requests_factor, failed * requests_factor);
                 policy.endpoint_reported(
@@ -50,7 +52,7 @@
             }
             let (requests, failed) =
                 (9.0 * requests_factor, 3.0 * requests_factor * outcomes(second, replica, 0).0);
-            let classes = (0..2).filter(|_| since == period_seconds / 2);
+            let classes = (0..2).filter(|_| seconds_since_report == period_seconds / 2);
             classes.for_each(|request_class| {
                 policy.demand_reported(
                     now,
@@ -75,9 +77,11 @@
     actions.iter().filter(|action| matches!(action, Action::ReplicaEjected { .. })).count()
 }
 
-pub fn reduces_admission(action: &Action, slice_filter: Option<SliceId>, mask: u64) -> bool {
+/// Returns true if the action lowers the admission rate of a slice, or of all slices if it is `None`, for at least
+/// one of the request classes in the bit mask.
+pub fn reduces_admission(action: &Action, slice_filter: Option<SliceId>, class_mask: u64) -> bool {
     matches!(action, Action::SetAdmission { slice, request_classes, admission_rate, .. }
-        if *slice == slice_filter && request_classes & mask > 0 && *admission_rate < 1.0)
+        if *slice == slice_filter && request_classes & class_mask > 0 && *admission_rate < 1.0)
 }
 
 /// Reports one second: for each of six replicas the attempts, all answered in 100 ms, and the requests for its
--- a/crates/policy/tests/shared_replicas.rs
+++ b/crates/policy/tests/shared_replicas.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{at, deployment, owners_of, Fleet};
+use fleet::{at_ms, deployment, owners_of, Fleet};
 use std::collections::BTreeSet;
 use whinwall_policy::api::*;
 use whinwall_policy::claims::{claim_holder, CLAIM_EPOCH};
@@ -16,9 +16,9 @@
 /// Creates one of `controllers` controllers with `slices` slices each. Each replica is shared by 14 controllers,
 /// and `others` is the load from the other controllers.
 fn shared_fleet(controllers: u32, replicas: u32, slices: u32, others: impl Fn(ReplicaId) -> f64) -> Fleet {
-    let all = controllers * slices;
+    let slice_count = controllers * slices;
     let mut fleet = Fleet::new(
-        Deployment { controller_count: controllers, slice_count: all, ..deployment() },
+        Deployment { controller_count: controllers, slice_count, ..deployment() },
         replicas,
         slices,
         3,
@@ -31,18 +31,20 @@
 
 /// Advances in steps of 100 ms; returns the slice, the new owner and the time of each change of owner.
 fn moves(fleet: &mut Fleet, ms: u64) -> Vec<(SliceId, ReplicaId, Moment)> {
-    let all = |fleet: &Fleet| {
+    let owned_slices = |fleet: &Fleet| {
         let pairs = fleet
             .store
             .keys()
             .flat_map(|slice| owners_of(fleet, *slice).into_iter().map(|replica| (*slice, replica)));
         pairs.collect::<BTreeSet<_>>()
     };
-    let (mut moves, mut before) = (Vec::new(), all(fleet));
+    let (mut moves, mut before) = (Vec::new(), owned_slices(fleet));
     for _ in 0..ms / 100 {
         fleet.advance(100);
-        let after = all(fleet);
-        moves.extend(after.difference(&before).map(|(slice, replica)| (*slice, *replica, at(fleet.now_ms))));
+        let after = owned_slices(fleet);
+        moves.extend(
+            after.difference(&before).map(|(slice, replica)| (*slice, *replica, at_ms(fleet.now_ms))),
+        );
         before = after;
     }
     moves
@@ -154,9 +156,9 @@
         assert!(!to.contains(&0));
         chosen.extend(to);
     }
-    let most = (0..24).map(|replica| chosen.iter().filter(|to| **to == replica).count()).max();
+    let max_per_replica = (0..24).map(|replica| chosen.iter().filter(|to| **to == replica).count()).max();
     let different: BTreeSet<_> = chosen.iter().collect();
-    assert!(different.len() >= 15 && most <= Some(8), "{chosen:?}");
+    assert!(different.len() >= 15 && max_per_replica <= Some(8), "{chosen:?}");
 }
 
 /// AvgL is 10, the band 7 to 14: replica 5 has 20, and the cold replica 3 has no load.
@@ -178,7 +180,7 @@
     let node = fleet.nodes.get_mut(&3).unwrap();
     (node.started_ms, node.state) = (restarted, ReplicaState::Ready);
     fleet.list_replica(3);
-    let cold_until = at(restarted + 10_000);
+    let cold_until = at_ms(restarted + 10_000);
     let moves = moves(&mut fleet, 20_000);
     let onto_cold: Vec<_> = moves.iter().filter(|(_, to, when)| *to == 3 && *when < cold_until).collect();
     assert!(
@@ -202,7 +204,6 @@
     assert!(moves.iter().all(|(_, to, _)| *to != 3), "{moves:?}");
 }
 
-/// Slices on replicas of other controllers return one by one; none moves there.
 #[test]
 fn slices_leave_replicas_of_other_controllers_one_by_one_and_none_moves_there() {
     for seed in 1..6 {
@@ -223,8 +224,8 @@
     }
 }
 
-/// Rule 1 takes precedence over subsets: if all replicas of the subset drain, a warm replica of other controllers
-/// is used.
+/// Rule 1 (a slice always has a usable endpoint) takes precedence over subsets: if all replicas of the subset
+/// drain, a warm replica of other controllers is used.
 #[test]
 fn lost_subset_is_evacuated_to_a_replica_of_other_controllers() {
     let mut fleet = shared_fleet(60, 8, 6, |_| 10.0);
