--- a/crates/management-api/src/messages.rs
+++ b/crates/management-api/src/messages.rs
@@ -37,7 +37,7 @@
     pub proxies: usize,
     /// The number of slices that the controller owns.
     pub slices: usize,
-    /// The number of replicas that the controller knows.
+    /// The number of replicas that the controller tracks, including ones that are no longer in the endpoint list.
     pub replicas: usize,
     /// The operations that currently fail, each with its number of consecutive failures.
     pub failures: Vec<(&'static str, u32)>,
--- a/crates/management-api/src/server.rs
+++ b/crates/management-api/src/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server of the management API, which runs on its own thread. The size, duration and number of requests are
 //! limited. Each request is passed to the controller as one typed value. If the controller does not reply within the
-//! time limit, the response says that the outcome is unknown. When the server closes, every request of which at least
-//! one byte was read still gets a response.
+//! time limit, the response has status code 504, which means that the outcome is unknown. When the server closes, every
+//! request of which at least one byte was read still gets a response.
 
 use crate::messages::{Reply, Request};
 use crate::wire::{self, ErrorBody};
@@ -29,10 +29,11 @@
     request_timeout: Duration::from_secs(2),
     keep_alive: Duration::from_secs(15),
 };
-/// The time limit for the controller's reply. The controller replies within one iteration of its event loop and the disk
-/// answers within milliseconds; the rest is headroom for a busy machine.
+/// The time limit for the controller's reply. The controller replies within one iteration of its event loop, and a
+/// write to disk takes milliseconds; the rest is headroom for a busy machine.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time limit for connections to close when the server is dropped, and the grace period after any deadline.
+/// The time from dropping the server to its shutdown deadline. Connections that are still open this long after a
+/// shutdown deadline are abandoned.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Shorter tokens could be guessed.
 const MIN_TOKEN_BYTES: usize = 16;
@@ -72,10 +73,12 @@
         source: io::Error,
     },
     /// The token is too short or too long.
-    #[error("{}: token must have {MIN_TOKEN_BYTES} to {MAX_TOKEN_BYTES} bytes", path.display())]
+    #[error("{}: token has {length} bytes, expected {MIN_TOKEN_BYTES} to {MAX_TOKEN_BYTES}", path.display())]
     InvalidLength {
         /// The file.
         path: PathBuf,
+        /// The length of the token in bytes.
+        length: usize,
     },
 }
 
@@ -89,14 +92,16 @@
     if (MIN_TOKEN_BYTES..=MAX_TOKEN_BYTES).contains(&token.len()) {
         Ok(token.to_vec())
     } else {
-        Err(TokenError::InvalidLength { path: path.into() })
+        Err(TokenError::InvalidLength { path: path.into(), length: token.len() })
     }
 }
 
 /// A running server. Dropping it closes it and waits a short time until all connections are closed.
 pub struct ManagementServer {
+    /// `None` if the server listens on a Unix socket.
     address: Option<SocketAddr>,
-    handle: ClosingServer,
+    /// The thread and its channels, which [`Self::close`] returns.
+    thread: ClosingServer,
 }
 
 /// A server that no longer listens but still answers the requests that it has read. Dropping it waits until all
@@ -104,14 +109,15 @@
 #[derive(Default)]
 pub struct ClosingServer {
     shutdown: Option<ShutdownTrigger>,
-    /// Receives once the server no longer listens on its address.
+    /// Receives a message once the server no longer listens on its address.
     address_released: Option<std::sync::mpsc::Receiver<()>>,
+    /// Receives a message once the last connection is closed.
     closed: Option<oneshot::Receiver<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl ClosingServer {
-    /// Brings the deadline forward.
+    /// Replaces the deadline by an earlier one.
     pub fn close_by(&self, deadline: Instant) {
         if let Some(shutdown) = &self.shutdown {
             shutdown.close(deadline);
@@ -150,7 +156,7 @@
 
 impl Drop for ManagementServer {
     fn drop(&mut self) {
-        self.handle.close_by(Instant::now() + CLOSE_TIMEOUT);
+        self.thread.close_by(Instant::now() + CLOSE_TIMEOUT);
     }
 }
 
@@ -184,32 +190,33 @@
             _ = on_closed.send(());
         })?;
         let to_start_error = |_| io::Error::other("management server thread ended before it listened");
-        let handle = ClosingServer {
+        let thread = ClosingServer {
             shutdown: Some(shutdown),
             address_released: Some(address_released),
             closed: Some(closed),
             thread: Some(thread),
         };
         let address = started.recv().map_err(to_start_error)??;
-        Ok(ManagementServer { address, handle })
+        Ok(ManagementServer { address, thread })
     }
 
-    /// Returns the TCP address on which the server listens, with the actual port if port 0 was requested.
+    /// Returns the TCP address on which the server listens, with the actual port if port 0 was requested; `None` if it
+    /// listens on a Unix socket.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
     /// Makes every response from now on announce that its connection is closed.
     pub fn drain(&self) {
-        if let Some(shutdown) = &self.handle.shutdown {
+        if let Some(shutdown) = &self.thread.shutdown {
             shutdown.drain();
         }
     }
 
     /// Closes the server. Requests of which at least one byte was read are answered until the deadline.
     pub fn close(mut self, deadline: Instant) -> ClosingServer {
-        self.handle.close_by(deadline);
-        std::mem::take(&mut self.handle)
+        self.thread.close_by(deadline);
+        std::mem::take(&mut self.thread)
     }
 }
 
@@ -308,6 +315,8 @@
         bool::from(received_token.ct_eq(token))
     }
 
+    /// Passes the request to the controller and waits for its reply. Returns the status code and the body of the
+    /// response.
     async fn forward(&self, request: Request) -> (u16, String) {
         let (reply_to, reply) = oneshot::channel();
         match self.requests.try_send(PendingRequest { request, reply_to }) {
--- a/crates/management-api/src/wire/encode.rs
+++ b/crates/management-api/src/wire/encode.rs
@@ -76,9 +76,14 @@
     }
 }
 
-/// Formats the wall-clock time of a process time; `now` and `wall_time` are the same point in time on both clocks.
-fn format_as_wall_time(at: Moment, now: Moment, wall_time: Moment) -> String {
-    format_wall_time(if at >= now { wall_time + (at - now) } else { wall_time - (now - at) })
+/// Converts a process time to wall-clock time and formats it. `now` and `wall_time` are the same point in time on both
+/// clocks.
+fn format_as_wall_time(process_time: Moment, now: Moment, wall_time: Moment) -> String {
+    format_wall_time(if process_time >= now {
+        wall_time + (process_time - now)
+    } else {
+        wall_time - (now - process_time)
+    })
 }
 
 impl OverrideItem {
--- a/crates/management-api/src/wire/mod.rs
+++ b/crates/management-api/src/wire/mod.rs
@@ -112,7 +112,8 @@
 }
 
 impl ChangeOutcome {
-    /// Returns true if a restart of the controller may undo the change. The client has to repeat such a request.
+    /// Returns true if the change is not on disk yet, so that a restart of the controller may undo it. The client has
+    /// to repeat the request until the change is on disk.
     pub fn is_not_on_disk_yet(&self) -> bool {
         self.durability.starts_with(PENDING_DURABILITY_PREFIX)
     }
@@ -133,7 +134,7 @@
     pub proxies: usize,
     /// The number of slices that the controller owns.
     pub slices: usize,
-    /// The number of replicas that the controller knows.
+    /// The number of replicas that the controller tracks, including ones that are no longer in the endpoint list.
     #[serde(rename = "servers")]
     pub replicas: usize,
     /// True while commands to the relay are pending or in flight.
@@ -212,20 +213,20 @@
     /// The error message.
     pub error: String,
     /// The field of the request that is invalid.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub part: Option<String>,
+    #[serde(rename = "part", default, skip_serializing_if = "Option::is_none")]
+    pub field: Option<String>,
 }
 
 impl ErrorBody {
     /// Creates an error that does not concern a particular field.
     pub fn new(error: impl Into<String>) -> Self {
-        ErrorBody { error: error.into(), part: None }
+        ErrorBody { error: error.into(), field: None }
     }
 }
 
 impl From<InvalidField> for ErrorBody {
     fn from(invalid: InvalidField) -> Self {
-        ErrorBody { error: invalid.to_string(), part: Some(invalid.field.into()) }
+        ErrorBody { error: invalid.to_string(), field: Some(invalid.field.into()) }
     }
 }
 
--- a/crates/management-api/tests/http_text.rs
+++ b/crates/management-api/tests/http_text.rs
@@ -33,21 +33,21 @@
     text + &String::from_utf8(body).unwrap()
 }
 
-/// Headers of the HTTP library that vary: one with the time, the other with the enabled features of the build.
-const LIBRARY_HEADERS: [&str; 2] = ["date: ", "accept-encoding: "];
+/// Headers whose values vary: the first with the time, the second with the features with which awc was built.
+const VARYING_HEADERS: [&str; 2] = ["date: ", "accept-encoding: "];
 
-/// Returns the lines of a message with its headers sorted, without [`LIBRARY_HEADERS`] and with the address replaced.
+/// Returns the lines of a message with its headers sorted, without [`VARYING_HEADERS`] and with the address replaced.
 fn normalized_lines(message: &str, address: &str) -> Vec<String> {
     let (head, body) = message.split_once("\r\n\r\n").unwrap();
     let mut lines = head.split("\r\n").map(|line| line.replace(address, "PLACE"));
     let first = lines.next().unwrap();
-    let is_checked = |line: &String| !LIBRARY_HEADERS.iter().any(|header| line.starts_with(header));
-    let mut headers: Vec<String> = lines.filter(is_checked).collect();
+    let is_stable = |line: &String| !VARYING_HEADERS.iter().any(|header| line.starts_with(header));
+    let mut headers: Vec<String> = lines.filter(is_stable).collect();
     headers.sort();
     [vec![first], headers, vec![body.to_string()]].concat()
 }
 
-/// Starts a server that rejects one request; its thread returns the lines of the request.
+/// Starts a server that rejects one request. Its thread returns the lines of that request.
 fn start_rejecting_server() -> (ManagementAddress, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -69,7 +69,7 @@
 ) -> Vec<String> {
     let (address, received) = start_rejecting_server();
     let response = System::new().block_on(async { call(&Client::new(address, Some(TOKEN.into()))).await });
-    let body = ErrorBody { error: "no".into(), part: Some("for".into()) };
+    let body = ErrorBody { error: "no".into(), field: Some("for".into()) };
     assert_eq!(response, Err(ClientError::Rejected { code: 400, body }));
     received.join().unwrap()
 }
@@ -137,8 +137,8 @@
     assert_eq!(request_lines(async |client| client.metrics().await), expected);
 }
 
-/// Starts a server with a fake controller, which replies with the request's debug text, and does not reply to the id
-/// `silent`.
+/// Starts a server with a fake controller. It rejects each request with the request's debug text as the reason, replies
+/// to a metrics request with metrics, and does not reply to a request with the id `silent`.
 fn start_server() -> (ManagementServer, String) {
     let (requests, mut received) = mpsc::channel::<PendingRequest>(16);
     std::thread::spawn(move || {
@@ -181,7 +181,7 @@
     vec![status, length, "content-type: application/json".into(), body.into()]
 }
 
-/// The lines of the response to a request that reaches the fake controller, with the request as reason of the failure.
+/// The lines of the response to a request that the fake controller rejects, with the request as the reason.
 fn echo_response_lines(request: &Request) -> Vec<String> {
     let error = format!("not kept, nothing has changed: {request:?}");
     let body = serde_json::to_string(&ErrorBody::new(error)).unwrap();
@@ -276,6 +276,6 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("token");
     std::fs::write(&file, "short\n").unwrap();
-    let expected = format!("{}: token must have 16 to 4096 bytes", file.display());
+    let expected = format!("{}: token has 5 bytes, expected 16 to 4096", file.display());
     assert_eq!(server::read_token(&file).unwrap_err().to_string(), expected);
 }
--- a/crates/management-api/tests/server_client.rs
+++ b/crates/management-api/tests/server_client.rs
@@ -229,21 +229,22 @@
     let large = "x".repeat(20 << 10);
     let response = exchange(&address, &request("PUT /v1/overrides/a", TOKEN, &large));
     assert!(response.starts_with("HTTP/1.1 413"), "{response}");
-    // A truncated request line, a truncated body, and more idle connections than the server accepts.
+    // One truncated request line, one truncated body, and more idle connections than the server accepts.
     let ManagementAddress::Address(tcp_address) = &address else { panic!("not a TCP address") };
-    let mut open: Vec<_> = (0..80).map(|_| TcpStream::connect(tcp_address).unwrap()).collect();
-    _ = open[0].write_all(b"PUT /v1/over");
-    _ = open[1].write_all(&request("PUT /v1/overrides/a", TOKEN, &large)[..200]);
+    let mut connections: Vec<_> = (0..80).map(|_| TcpStream::connect(tcp_address).unwrap()).collect();
+    _ = connections[0].write_all(b"PUT /v1/over");
+    _ = connections[1].write_all(&request("PUT /v1/overrides/a", TOKEN, &large)[..200]);
     let started_at = Instant::now();
-    let ok = || exchange(&address, &request("GET /v1/status", TOKEN, "")).starts_with("HTTP/1.1 200");
-    while !ok() {
+    let is_status_served =
+        || exchange(&address, &request("GET /v1/status", TOKEN, "")).starts_with("HTTP/1.1 200");
+    while !is_status_served() {
         assert!(started_at.elapsed() < Duration::from_secs(20), "idle connections were not closed");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn missing_reply_is_an_unknown_outcome() {
+fn missing_reply_is_an_unknown_outcome_and_a_closed_server_is_not_reached() {
     let (_folder, server, path) = start_server_on_socket();
     System::new().block_on(async {
         let client = Client::new(ManagementAddress::Socket(path.clone()), None);
@@ -289,7 +290,7 @@
         std::thread::spawn(move || results.send(exchange(&address, &request("GET /v1/status", TOKEN, ""))));
     }
     let responses: Vec<_> = responses.iter().take(6).collect();
-    let busy = responses.iter().filter(|response| response.starts_with("HTTP/1.1 503")).count();
-    let unknown = responses.iter().filter(|response| response.starts_with("HTTP/1.1 504")).count();
-    assert_eq!((busy, unknown), (5, 1), "{responses:?}");
+    let busy_count = responses.iter().filter(|response| response.starts_with("HTTP/1.1 503")).count();
+    let unknown_count = responses.iter().filter(|response| response.starts_with("HTTP/1.1 504")).count();
+    assert_eq!((busy_count, unknown_count), (5, 1), "{responses:?}");
 }
--- a/crates/management-api/tests/shutdown.rs
+++ b/crates/management-api/tests/shutdown.rs
@@ -1,9 +1,12 @@
 //! Shutdown of the server, and the client's handling of connections that are closed early.
 //!
-//! Guards against two failures. A server that is dropped must not cancel its connections: requests that were partly read,
-//! and connections beyond the limit, would be closed without a response. And the client must not report "not sent" if the
-//! connection is closed after the request was written, which awc reports like a failed connect: the override may have been
-//! set nevertheless (11 of 7,055 in 20 runs were active after the next start although the client had exited with code 3).
+//! Guards against two failures:
+//!
+//! - A server that is dropped cancels its connections. Partly read requests, and connections beyond the limit, are then
+//!   closed without a response.
+//! - The client reports "not sent" for a connection that is closed after the request was written, because awc reports
+//!   it like a failed connect. The override may have been set nevertheless: 11 of 7,055 in 20 runs were active after
+//!   the next start although the client had exited with code 3.
 
 use actix_rt::System;
 use std::io::{Read, Write};
@@ -75,19 +78,19 @@
             _ = pending.reply_to.send(Reply::Metrics("# EOF\n".into()));
         }
     });
-    let mut kept_alive = connect(address);
-    kept_alive.write_all(get_request("/v1/metrics").as_bytes()).unwrap();
+    let mut kept_alive_connection = connect(address);
+    kept_alive_connection.write_all(get_request("/v1/metrics").as_bytes()).unwrap();
     let mut start = [0; 12];
-    kept_alive.read_exact(&mut start).unwrap();
+    kept_alive_connection.read_exact(&mut start).unwrap();
     server.drain();
-    kept_alive.write_all(get_request("/v1/metrics").as_bytes()).unwrap();
-    let rest = read_to_end(kept_alive);
+    kept_alive_connection.write_all(get_request("/v1/metrics").as_bytes()).unwrap();
+    let rest = read_to_end(kept_alive_connection);
     let responses: Vec<_> = rest.split("# EOF\n").collect();
     assert!(!responses[0].contains("connection: close"), "{rest:?}");
     assert!(responses[1].contains("HTTP/1.1 200") && responses[1].contains("connection: close"), "{rest:?}");
-    let mut new = connect(address);
-    new.write_all(get_request("/v1/metrics").as_bytes()).unwrap();
-    let response = read_to_end(new);
+    let mut new_connection = connect(address);
+    new_connection.write_all(get_request("/v1/metrics").as_bytes()).unwrap();
+    let response = read_to_end(new_connection);
     assert!(response.starts_with("HTTP/1.1 200") && response.contains("connection: close"), "{response:?}");
 }
 
--- a/crates/management-api/tests/wire_text.rs
+++ b/crates/management-api/tests/wire_text.rs
@@ -125,7 +125,7 @@
 
 #[test]
 fn errors_of_a_set_request_name_the_invalid_field() {
-    for (text, part, error) in [
+    for (text, field, error) in [
         (
             SET_OUT.replace("30m", "soon"),
             "for",
@@ -137,7 +137,7 @@
         (SET_WEIGHT.replace("\"weight\"", "\"out\""), "factor", "factor: it has no meaning for this kind"),
         (SET_PIN.replace("40-47", "47-40"), "slices", "slices: \"47-40\" ends before it begins"),
     ] {
-        let expected = ErrorBody { error: error.into(), part: Some(part.into()) };
+        let expected = ErrorBody { error: error.into(), field: Some(field.into()) };
         assert_eq!(wire::decode_set("a", text.as_bytes()), Err(expected));
     }
 }
@@ -165,7 +165,7 @@
 #[test]
 fn error_of_a_clear_request_names_the_invalid_author() {
     let error = "by: it must have 1 to 64 bytes and no control characters";
-    let expected = ErrorBody { error: error.into(), part: Some("by".into()) };
+    let expected = ErrorBody { error: error.into(), field: Some("by".into()) };
     assert_eq!(wire::decode_clear("a", br#"{"by":" "}"#), Err(expected));
 }
 
@@ -427,8 +427,8 @@
 #[test]
 fn error_bodies_match_their_json() {
     assert_json(&ErrorBody::new("no"), r#"{"error":"no"}"#);
-    let with_part = ErrorBody { error: "for: no".into(), part: Some("for".into()) };
-    assert_json(&with_part, r#"{"error":"for: no","part":"for"}"#);
+    let with_field = ErrorBody { error: "for: no".into(), field: Some("for".into()) };
+    assert_json(&with_field, r#"{"error":"for: no","part":"for"}"#);
 }
 
 #[test]
