--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -106,7 +106,7 @@
         replica: String,
         factor: f64,
         #[command(flatten)]
-        terms: Terms,
+        options: SetOptions,
     },
     /// Takes a server out of service
     #[command(
@@ -116,7 +116,7 @@
         #[arg(value_name = "SERVER")]
         replica: String,
         #[command(flatten)]
-        terms: Terms,
+        options: SetOptions,
     },
     /// Brings a slice, or a range of slices, to a server
     #[command(
@@ -129,12 +129,13 @@
         #[arg(value_name = "SERVER")]
         replica: String,
         #[command(flatten)]
-        terms: Terms,
+        options: SetOptions,
     },
 }
 
+// The options that all kinds of override share. Not a doc comment, for the same reason as that of `ConnectionOptions`.
 #[derive(Args, Clone)]
-pub(crate) struct Terms {
+pub(crate) struct SetOptions {
     /// When it ends, from now: 90s, 30m, 1h30m, 2d
     #[arg(long = "for", value_parser = text::parse_duration, value_name = "SPAN")]
     pub duration: Span,
@@ -151,14 +152,14 @@
 
 impl SetCommand {
     /// Returns the kind of the override and the options that all kinds share.
-    pub fn into_kind_and_terms(self) -> (OverrideKind, Terms) {
+    pub fn into_kind_and_options(self) -> (OverrideKind, SetOptions) {
         match self {
-            SetCommand::Weight { replica, factor, terms } => {
-                (OverrideKind::Weight { replica, factor }, terms)
+            SetCommand::Weight { replica, factor, options } => {
+                (OverrideKind::Weight { replica, factor }, options)
             }
-            SetCommand::Out { replica, terms } => (OverrideKind::Out { replica }, terms),
-            SetCommand::Pin { slices: (first, last), replica, terms } => {
-                (OverrideKind::Pin { first, last, replica }, terms)
+            SetCommand::Out { replica, options } => (OverrideKind::Out { replica }, options),
+            SetCommand::Pin { slices: (first, last), replica, options } => {
+                (OverrideKind::Pin { first, last, replica }, options)
             }
         }
     }
--- a/crates/cli/src/client_calls.rs
+++ b/crates/cli/src/client_calls.rs
@@ -16,7 +16,8 @@
     since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()) << 32
 }
 
-/// Calls each controller. A call that fails, or whose reply is not final, is retried.
+/// Calls each controller. Until the time limit, a call is retried if it fails or if `is_final` returns false for its
+/// reply.
 ///
 /// # Errors
 /// There is no controller address, or the token file cannot be read.
@@ -51,6 +52,7 @@
     Ok(text.trim().to_string())
 }
 
+/// Repeats a call until its reply is final, its error is not retryable, or the schedule allows no further attempt.
 async fn call_with_retries<T>(
     mut retries: RetrySchedule,
     is_final: impl Fn(&T) -> bool,
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -22,11 +22,11 @@
     connection: &ConnectionOptions,
     command: SetCommand,
 ) -> Result<ExitStatus, CommandError> {
-    let (kind, terms) = command.into_kind_and_terms();
-    let id = terms.id.unwrap_or_else(generate_id);
+    let (kind, options) = command.into_kind_and_options();
+    let id = options.id.unwrap_or_else(generate_id);
     // An invalid override is not sent, because all controllers would reject it.
-    validate(&id, &kind, &terms.author, &terms.reason)?;
-    let body = SetBody::new(&kind, &terms.author, &terms.reason, terms.duration);
+    validate(&id, &kind, &options.author, &options.reason)?;
+    let body = SetBody::new(&kind, &options.author, &options.reason, options.duration);
     let replies =
         call_controllers(connection, is_durability_final, async |client| client.set(&id, &body).await)?;
     let status = print_outcomes(&replies);
--- a/crates/cli/src/tables.rs
+++ b/crates/cli/src/tables.rs
@@ -54,14 +54,14 @@
         self.controllers.iter().filter_map(|controller| controller.item.as_ref())
     }
 
-    fn first(&self) -> Option<&OverrideItem> {
+    fn first_item(&self) -> Option<&OverrideItem> {
         self.items().next()
     }
 
     /// Returns true if all controllers list the same override, either active at all of them or ended at all of them,
     /// with expiry times that differ by less than 15 s.
     pub fn agrees(&self) -> bool {
-        let Some(first) = self.first() else { return true };
+        let Some(first) = self.first_item() else { return true };
         self.controllers
             .iter()
             .all(|controller| controller.item.as_ref().is_some_and(|item| is_same_override(item, first)))
@@ -136,7 +136,7 @@
 
 impl TableLine {
     fn new(row: &OverrideRow, controller_count: usize) -> Option<Self> {
-        let item = row.first()?;
+        let item = row.first_item()?;
         let cells = [
             item.id.clone(),
             describe_effect(item),
@@ -197,7 +197,7 @@
             .map(|controller| (controller.address.to_string(), serde_json::json!(controller.item)))
             .collect();
         serde_json::json!({
-            "id": row.first().map(|item| &item.id),
+            "id": row.first_item().map(|item| &item.id),
             "agrees": row.agrees(),
             "governors": items,
         })
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -199,8 +199,8 @@
     assert_eq!(status_and_text(&run_whinwall(&[&controller], &["override", "list"])).1.lines().count(), 2);
 }
 
-/// Guards against exit code 0 for an `override clear` that is not on disk yet. While the disk is full and the controller is
-/// killed before its next write, the override is active again after the restart (seen in 5 of 5 runs of 25 rounds).
+/// Guards against exit code 0 for an `override clear` that is not on disk yet. If the disk is full and the controller
+/// is killed before its next write, the override is active again after the restart (seen in 5 of 5 runs of 25 rounds).
 #[test]
 fn clear_is_retried_until_it_is_on_disk() {
     let folder = tempfile::tempdir().unwrap();
@@ -250,20 +250,20 @@
 }
 
 #[test]
-fn files_are_checked_by_kind_and_completions_are_printed() {
+fn files_are_checked_according_to_their_extension_and_completions_are_printed() {
     let folder = tempfile::tempdir().unwrap();
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    let check = |files: &[PathBuf]| {
+    let check_files = |files: &[PathBuf]| {
         let files: Vec<_> = files.iter().map(|file| file.to_str().unwrap()).collect();
         status_and_text(&run_whinwall(&[], &[&["check"], files.as_slice()].concat()))
     };
-    let (code, text) = check(&[deploy.join("operators.xml"), deploy.join("example.json")]);
+    let (code, text) = check_files(&[deploy.join("operators.xml"), deploy.join("example.json")]);
     assert_eq!((code, text.matches(": fine").count()), (Some(0), 2), "{text}");
     let invalid_file = folder.path().join("faulty.xml");
     std::fs::write(&invalid_file, "<operators version=\"1\">\n  <stor/>\n</operators>").unwrap();
-    let (code, text) = check(&[invalid_file.clone(), deploy.join("example.json")]);
+    let (code, text) = check_files(&[invalid_file.clone(), deploy.join("example.json")]);
     assert!(code == Some(2) && text.contains("faulty.xml: line 2, column 3: <stor>"), "{text}");
-    assert_eq!(check(&[folder.path().join("none.json")]).0, Some(2));
+    assert_eq!(check_files(&[folder.path().join("none.json")]).0, Some(2));
     let (code, text) = status_and_text(&run_whinwall(&[], &["completions", "bash"]));
     assert!(code == Some(0) && text.contains("_whinwall"), "{text}");
 }
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -35,34 +35,38 @@
 
 #[test]
 fn controllers_with_the_same_overrides_agree() {
-    let both =
+    let replies =
         list_replies(&[&[override_item("a", "in force", 600.0)], &[override_item("a", "waiting", 598.0)]]);
-    assert!(collect_rows(&both, Listing::Active).iter().all(OverrideRow::agrees));
+    assert!(collect_rows(&replies, Listing::Active).iter().all(OverrideRow::agrees));
 }
 
 #[test]
-fn controller_that_missed_a_change_is_listed() {
-    let missing = list_replies(&[&[override_item("a", "in force", 600.0)], &[]]);
-    let rows = collect_rows(&missing, Listing::Active);
+fn controllers_disagree_if_an_override_is_missing_ended_or_expires_later_at_one_of_them() {
+    let missing_at_one = list_replies(&[&[override_item("a", "in force", 600.0)], &[]]);
+    let rows = collect_rows(&missing_at_one, Listing::Active);
     assert!(!rows[0].agrees());
     let text = format_rows(&rows, 2);
     assert!(text.contains("! 127.0.0.1:8601: missing"), "{text}");
-    let cleared =
+    let cleared_at_one =
         list_replies(&[&[override_item("a", "ended", 0.0)], &[override_item("a", "in force", 600.0)]]);
-    assert!(!collect_rows(&cleared, Listing::Active)[0].agrees());
-    let later_expiry =
+    assert!(!collect_rows(&cleared_at_one, Listing::Active)[0].agrees());
+    let later_expiry_at_one =
         list_replies(&[&[override_item("a", "in force", 600.0)], &[override_item("a", "in force", 900.0)]]);
-    assert!(!collect_rows(&later_expiry, Listing::Active)[0].agrees());
+    assert!(!collect_rows(&later_expiry_at_one, Listing::Active)[0].agrees());
 }
 
 #[test]
 fn ended_overrides_are_listed_on_request_and_an_unreachable_controller_is_no_disagreement() {
-    let mut both = list_replies(&[&[override_item("a", "ended", 0.0), override_item("b", "in force", 9.0)]]);
+    let mut replies =
+        list_replies(&[&[override_item("a", "ended", 0.0), override_item("b", "in force", 9.0)]]);
     let unreachable = "127.0.0.1:8601".parse().unwrap();
     let error = ClientError::NotSent(NotSentCause::ConnectFailed("away".into()));
-    both.0.push(ControllerReply { address: unreachable, result: Err(error) });
-    assert_eq!((collect_rows(&both, Listing::Active).len(), collect_rows(&both, Listing::All).len()), (1, 2));
-    assert!(collect_rows(&both, Listing::All).iter().all(OverrideRow::agrees));
+    replies.0.push(ControllerReply { address: unreachable, result: Err(error) });
+    assert_eq!(
+        (collect_rows(&replies, Listing::Active).len(), collect_rows(&replies, Listing::All).len()),
+        (1, 2)
+    );
+    assert!(collect_rows(&replies, Listing::All).iter().all(OverrideRow::agrees));
 }
 
 fn controller_state() -> ControllerState {
