--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -43,13 +43,13 @@
     NotWellFormed(String),
     /// An end tag without a start tag.
     #[error("end tag without a start tag")]
-    EndWithoutStart,
+    MissingStartTag,
     /// A start tag without an end tag.
     #[error("missing end tag")]
-    Unclosed,
+    MissingEndTag,
     /// Text between tags.
     #[error("text is not allowed; values are given in attributes")]
-    Text,
+    TextContent,
     /// A processing instruction.
     #[error("processing instructions are not allowed")]
     ProcessingInstruction,
@@ -61,7 +61,7 @@
     SecondRoot,
     /// No root element.
     #[error("missing root element")]
-    NoElement,
+    MissingRoot,
     /// The root element has the wrong name.
     #[error("the root element must be <{0}>")]
     WrongRoot(&'static str),
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -69,7 +69,7 @@
         return Err(root.error(StructureError::WrongRoot("operators")));
     }
     root.allow_only(&["version"], &["log", "store", "management", "cores", "overrides", "subsetting"])?;
-    root.required("version", check_version)?;
+    root.required("version", validate_version)?;
     let (log, store) = (root.optional_child("log")?, root.optional_child("store")?);
     let management = root.optional_child("management")?.map(parse_management).transpose()?;
     let max_cores = root.optional_child("cores")?.map(parse_cores).transpose()?;
@@ -87,7 +87,7 @@
     })
 }
 
-fn check_version(version: &str) -> Result<(), ValueError> {
+fn validate_version(version: &str) -> Result<(), ValueError> {
     if version == VERSION {
         Ok(())
     } else {
--- a/crates/operator-config/src/xml.rs
+++ b/crates/operator-config/src/xml.rs
@@ -68,14 +68,14 @@
                 Event::End(_) => {
                     let element = self.open.pop();
                     let element =
-                        element.ok_or_else(|| self.error(location, &StructureError::EndWithoutStart))?;
+                        element.ok_or_else(|| self.error(location, &StructureError::MissingStartTag))?;
                     self.close_element(element);
                     continue;
                 }
                 Event::Eof => return self.finish(),
                 Event::Comment(_) | Event::Decl(_) => continue,
                 Event::Text(text) if text.trim().is_empty() => continue,
-                Event::Text(_) | Event::CData(_) | Event::GeneralRef(_) => StructureError::Text,
+                Event::Text(_) | Event::CData(_) | Event::GeneralRef(_) => StructureError::TextContent,
                 Event::PI(_) => StructureError::ProcessingInstruction,
                 Event::DocType(_) => StructureError::DocumentType,
             };
@@ -107,13 +107,13 @@
 
     fn finish(self) -> Result<Element, ConfigError> {
         if let Some(unclosed) = self.open.last() {
-            return Err(unclosed.error(StructureError::Unclosed));
+            return Err(unclosed.error(StructureError::MissingEndTag));
         }
         let end = self.location(self.text.len() as u64);
         self.root.ok_or_else(|| ConfigError {
             element: String::new(),
             location: end,
-            reason: StructureError::NoElement.to_string(),
+            reason: StructureError::MissingRoot.to_string(),
         })
     }
 
--- a/crates/operator-config/tests/every_part.rs
+++ b/crates/operator-config/tests/every_part.rs
@@ -121,8 +121,8 @@
         for attribute in attributes.iter().filter(|attribute| !optional.contains(&(element, attribute))) {
             let start = EVERY_PART.find(&format!("<{element} ")).unwrap();
             let begin = start + EVERY_PART[start..].find(&format!(" {attribute}=\"")).unwrap();
-            let value = begin + EVERY_PART[begin..].find('"').unwrap() + 1;
-            let end = value + EVERY_PART[value..].find('"').unwrap() + 1;
+            let value_start = begin + EVERY_PART[begin..].find('"').unwrap() + 1;
+            let end = value_start + EVERY_PART[value_start..].find('"').unwrap() + 1;
             let without = format!("{}{}", &EVERY_PART[..begin], &EVERY_PART[end..]);
             let expected = match (element, *attribute) {
                 ("management", "address") => "either \"socket\" or \"address\" is required".to_string(),
--- a/crates/override-store/src/storage_thread.rs
+++ b/crates/override-store/src/storage_thread.rs
@@ -29,7 +29,7 @@
 /// The request was not queued, as the queue is full or the thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("override store queue is full or its thread has ended")]
-pub struct QueueFull;
+pub struct RequestNotQueued;
 
 enum StoreRequest {
     Open,
@@ -59,22 +59,22 @@
     /// Requests the contents of the store. The reply with the contents is sent once the store can be opened.
     ///
     /// # Errors
-    /// [`QueueFull`].
-    pub fn request_open(&self) -> Result<(), QueueFull> {
+    /// [`RequestNotQueued`].
+    pub fn request_open(&self) -> Result<(), RequestNotQueued> {
         self.send(StoreRequest::Open)
     }
 
     /// Requests a write. Its reply carries `serial`.
     ///
     /// # Errors
-    /// [`QueueFull`]; no reply is sent.
-    pub fn request_write(&self, serial: u64, batch: WriteBatch) -> Result<(), QueueFull> {
+    /// [`RequestNotQueued`]; no reply is sent.
+    pub fn request_write(&self, serial: u64, batch: WriteBatch) -> Result<(), RequestNotQueued> {
         self.send(StoreRequest::Write { serial, batch })
     }
 
-    fn send(&self, request: StoreRequest) -> Result<(), QueueFull> {
+    fn send(&self, request: StoreRequest) -> Result<(), RequestNotQueued> {
         self.0.try_send(request).map_err(|error| match error {
-            TrySendError::Full(_) | TrySendError::Disconnected(_) => QueueFull,
+            TrySendError::Full(_) | TrySendError::Disconnected(_) => RequestNotQueued,
         })
     }
 }
--- a/crates/override-store/tests/override_store.rs
+++ b/crates/override-store/tests/override_store.rs
@@ -52,7 +52,7 @@
             let bytes = std::fs::read(path).unwrap();
             std::fs::write(path, vec![0; bytes.len()]).unwrap();
         }),
-        ("corrupt", |path| {
+        ("flipped bits", |path| {
             let mut bytes = std::fs::read(path).unwrap();
             bytes.iter_mut().skip(64).for_each(|byte| *byte ^= 0x5a);
             std::fs::write(path, bytes).unwrap();
