--- a/crates/overrides/src/manager/mod.rs
+++ b/crates/overrides/src/manager/mod.rs
@@ -46,7 +46,7 @@
     pending_clears: Vec<PendingClear>,
     pending_save: Option<PendingSave>,
     /// The overrides of the operators' file that were cleared before the store was read, by id, with the operator who
-    /// cleared each. At most as many as the file has.
+    /// cleared each. At most as many as the file has overrides.
     early_clears: BTreeMap<String, String>,
     last_serial: u64,
     /// The overrides of the operators' file; `None` until it is read.
@@ -165,8 +165,8 @@
         self.has_changed = true;
     }
 
-    /// Replaces the registry by the contents of the store, then sets the overrides of the operators' file again in
-    /// addition.
+    /// Replaces the registry with the contents of the store. Then repeats the changes that the store lacks: the
+    /// overrides of the operators' file, and the clears from before the store was read.
     pub fn handle_store_read(
         &mut self,
         now: Moment,
@@ -197,7 +197,7 @@
         self.process_queues(now);
     }
 
-    /// Repeats the clears from before the store was read, as the registry restored from the store lacks them.
+    /// Repeats the clears from before the store was read, which the registry restored from the store lacks.
     fn repeat_early_clears(&mut self, now: Moment) {
         for (id, by) in take(&mut self.early_clears) {
             if let Ok(Proposal::Change(change)) = self.registry.propose_clear(now, &id, &by) {
@@ -226,8 +226,8 @@
 
     /// Handles a failure to read the store. A reason that repeats the last one is not logged again.
     pub fn handle_store_unavailable(&mut self, reason: &str) {
-        let is_known = matches!(&self.store, StoreState::Unavailable(known) if known == reason);
-        if !is_known {
+        let is_repeated = matches!(&self.store, StoreState::Unavailable(last) if last == reason);
+        if !is_repeated {
             self.log(StoreEvent::Unavailable { reason: reason.into() });
         }
         self.store = StoreState::Unavailable(reason.into());
--- a/crates/overrides/src/manager/saving.rs
+++ b/crates/overrides/src/manager/saving.rs
@@ -54,11 +54,11 @@
         let serial = self.last_serial;
         let unsaved = self.registry.unsaved();
         let timeline = *self.registry.timeline();
-        let new = set.iter().flat_map(|set| &set.change.writes);
+        let new_overrides = set.iter().flat_map(|set| &set.change.writes);
         let writes = unsaved
             .writes
             .iter()
-            .chain(new)
+            .chain(new_overrides)
             .map(|entry| (entry.number, encoding::encode_override(entry, &timeline)))
             .collect();
         let removals = unsaved.removals.clone();
--- a/crates/overrides/src/record.rs
+++ b/crates/overrides/src/record.rs
@@ -187,8 +187,8 @@
         self.kind == *kind && self.author == author && self.reason == reason
     }
 
-    /// Returns a copy of the override that ended at this time.
-    pub(crate) fn ended(&self, at: Moment, cause: EndCause) -> Override {
+    /// Returns a copy of the override with its end set.
+    pub(crate) fn with_end(&self, at: Moment, cause: EndCause) -> Override {
         Override { ended: Some(Ending { at, cause }), ..self.clone() }
     }
 }
--- a/crates/overrides/src/registry/configured.rs
+++ b/crates/overrides/src/registry/configured.rs
@@ -54,9 +54,11 @@
     }
 }
 
-/// A copy of the registry to which the overrides of the file are applied one by one, as one may replace another.
+/// A copy of the registry to which the overrides of the file are applied one after another. Each may replace an earlier
+/// one, so each is compared with the result of those before it.
 struct Draft {
     registry: OverrideRegistry,
+    /// The difference between the copy and the original registry.
     change: RegistryChange,
 }
 
@@ -65,7 +67,7 @@
         Draft { registry: registry.copy_overrides(), change: RegistryChange::default() }
     }
 
-    fn write(&mut self, writes: Vec<Override>) {
+    fn apply(&mut self, writes: Vec<Override>) {
         for entry in writes {
             self.registry.insert(entry.clone());
             self.change.writes.retain(|other| other.number != entry.number);
@@ -80,8 +82,8 @@
             |entry: &&Override| entry.origin == Origin::File && !configured_ids.contains(entry.id.as_str());
         let ended = self.registry.active().filter(is_removed);
         let ended =
-            ended.map(|entry| entry.ended(now, EndCause::Cleared { by: FILE_AUTHOR.into() })).collect();
-        self.write(ended);
+            ended.map(|entry| entry.with_end(now, EndCause::Cleared { by: FILE_AUTHOR.into() })).collect();
+        self.apply(ended);
     }
 
     fn set(&mut self, clocks: Clocks, configured: &ConfiguredOverride) -> Result<(), OverrideError> {
@@ -116,7 +118,7 @@
         };
         let entry = self.registry.new_entry(clocks.now, &request, Origin::File, Some(*expires_at));
         let change = self.registry.with_replaced(clocks.now, entry)?;
-        self.write(change.writes);
+        self.apply(change.writes);
         Ok(())
     }
 }
--- a/crates/overrides/src/registry/mod.rs
+++ b/crates/overrides/src/registry/mod.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Overrides to write and to remove, in the store and then in the registry.
+/// The difference between two states of the registry, or between the registry and the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegistryChange {
     /// Overrides to write, new or with a changed state.
--- a/crates/overrides/src/registry/proposals.rs
+++ b/crates/overrides/src/registry/proposals.rs
@@ -75,7 +75,7 @@
         let mut writes: Vec<Override> = self
             .active()
             .filter(is_replaced)
-            .map(|other| other.ended(now, EndCause::Replaced { by: entry.id.clone() }))
+            .map(|other| other.with_end(now, EndCause::Replaced { by: entry.id.clone() }))
             .collect();
         let remaining = self.expiries.len().saturating_sub(writes.len());
         if remaining + 1 > self.limits.max_active {
@@ -94,7 +94,7 @@
         if !entry.is_active() {
             return Ok(Proposal::Unchanged(entry.number));
         }
-        let cleared = entry.ended(now, EndCause::Cleared { by: by.into() });
+        let cleared = entry.with_end(now, EndCause::Cleared { by: by.into() });
         Ok(Proposal::Change(RegistryChange::of_writes(vec![cleared])))
     }
 }
--- a/crates/overrides/tests/manager.rs
+++ b/crates/overrides/tests/manager.rs
@@ -9,21 +9,22 @@
 };
 use whinwall_policy::time::{Moment, Span};
 
-fn at(ms: u64) -> Moment {
+/// Returns the time `ms` milliseconds after the start of the test.
+fn moment_ms(ms: u64) -> Moment {
     Moment::at_ns((1_800_000_000_000 + ms) * 1_000_000)
 }
 
 fn reading(ms: u64) -> ClockReading {
-    ClockReading { boot_id: "a".into(), uptime: Span::ms(ms), wall_time: at(ms) }
+    ClockReading { boot_id: "a".into(), uptime: Span::ms(ms), wall_time: moment_ms(ms) }
 }
 
-fn out(id: &str, replica: &str, duration_ms: u64) -> NewOverride {
+fn out_of_service(id: &str, replica: &str, duration_ms: u64) -> NewOverride {
     let (kind, duration) = (OverrideKind::Out { replica: replica.into() }, Span::ms(duration_ms));
     NewOverride { id: id.into(), kind, author: "mb".into(), reason: "disk".into(), duration }
 }
 
-fn set(id: &str) -> ChangeRequest {
-    ChangeRequest::Set(out(id, &format!("s-{id}"), 60_000))
+fn set_request(id: &str) -> ChangeRequest {
+    ChangeRequest::Set(out_of_service(id, &format!("s-{id}"), 60_000))
 }
 
 fn limits() -> OverrideLimits {
@@ -43,11 +44,11 @@
 
 impl Harness {
     fn in_memory() -> Self {
-        Harness::new(OverrideManager::in_memory(at(0), &reading(0), limits()))
+        Harness::new(OverrideManager::in_memory(moment_ms(0), &reading(0), limits()))
     }
 
     fn with_unread_store() -> Self {
-        Harness::new(OverrideManager::with_store(at(0), &reading(0), limits()))
+        Harness::new(OverrideManager::with_store(moment_ms(0), &reading(0), limits()))
     }
 
     fn new(manager: OverrideManager) -> Self {
@@ -71,7 +72,7 @@
     fn read_store(&mut self) {
         let records: Vec<_> = self.stored.iter().map(|(n, bytes)| (*n, bytes.clone())).collect();
         self.manager.handle_store_read(
-            at(self.now_ms),
+            moment_ms(self.now_ms),
             &reading(self.now_ms),
             self.stamp.as_deref(),
             &records,
@@ -101,7 +102,7 @@
     }
 
     fn request(&mut self, request_id: RequestId, request: ChangeRequest) {
-        self.manager.handle_request(at(self.now_ms), request_id, request);
+        self.manager.handle_request(moment_ms(self.now_ms), request_id, request);
         self.take_effects();
     }
 
@@ -111,8 +112,10 @@
         let OverrideEffect::Save { writes, removals, timeline, .. } = effect else { panic!("not a write") };
         self.stored.extend(writes);
         self.stored.retain(|number, _| !removals.contains(number));
-        let stamp =
-            ClockStamp { reading: reading(self.now_ms), position: timeline.to_persistent(at(self.now_ms)) };
+        let stamp = ClockStamp {
+            reading: reading(self.now_ms),
+            position: timeline.to_persistent(moment_ms(self.now_ms)),
+        };
         self.stamp = Some(encoding::encode_stamp(&stamp));
         Some(serial)
     }
@@ -131,15 +134,15 @@
 
     fn report_outcome(&mut self, serial: Option<u64>, outcome: Result<(), SaveError>) -> bool {
         let Some(serial) = serial else { return false };
-        self.manager.handle_save_outcome(at(self.now_ms), serial, outcome);
+        self.manager.handle_save_outcome(moment_ms(self.now_ms), serial, outcome);
         self.take_effects();
         true
     }
 
     fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
-        if self.manager.next_tick_at().is_some_and(|due| due <= at(self.now_ms)) {
-            self.manager.tick(at(self.now_ms));
+        if self.manager.next_tick_at().is_some_and(|due| due <= moment_ms(self.now_ms)) {
+            self.manager.tick(moment_ms(self.now_ms));
             self.take_effects();
         }
     }
@@ -161,7 +164,7 @@
 #[test]
 fn override_is_active_once_it_is_stored() {
     let mut harness = Harness::with_store_read();
-    harness.request(1, set("a"));
+    harness.request(1, set_request("a"));
     assert!(harness.active_ids().is_empty() && harness.replies.is_empty());
     assert!(!harness.manager.take_changed() || harness.active_ids().is_empty());
     harness.complete_save();
@@ -171,30 +174,30 @@
         harness.replies[&1],
         ChangeReply::Set { is_repeat: false, durability: Durability::OnDisk, .. }
     ));
-    harness.request(2, set("a"));
+    harness.request(2, set_request("a"));
     assert!(matches!(harness.replies[&2], ChangeReply::Set { is_repeat: true, .. }));
-    harness.request(3, ChangeRequest::Set(out("a", "other", 60_000)));
+    harness.request(3, ChangeRequest::Set(out_of_service("a", "other", 60_000)));
     assert_eq!(harness.replies[&3], ChangeReply::Rejected(OverrideError::IdInUse { id: "a".into() }));
 }
 
 #[test]
 fn failed_write_is_discarded_even_if_it_was_stored() {
     let mut harness = Harness::with_store_read();
-    harness.request(1, set("a"));
+    harness.request(1, set_request("a"));
     harness.fail_save();
     assert_eq!(harness.replies[&1], ChangeReply::NotStored("full".into()));
     assert!(harness.active_ids().is_empty());
     // The record is stored although the write fails. The next write removes it.
-    harness.request(2, set("b"));
+    harness.request(2, set_request("b"));
     let serial = harness.store_pending().unwrap();
-    harness.manager.handle_save_outcome(at(harness.now_ms), serial, Err(SaveError::new("flush")));
+    harness.manager.handle_save_outcome(moment_ms(harness.now_ms), serial, Err(SaveError::new("flush")));
     harness.take_effects();
     assert_eq!(harness.stored_ids(), ["b"], "stored until the next write");
     harness.advance(5000);
     assert!(harness.complete_save(), "the write is retried without a request");
     assert!(harness.stored_ids().is_empty() && harness.active_ids().is_empty());
     assert!(harness.logged.iter().any(|line| line.contains("override store recovered")));
-    harness.request(3, set("b"));
+    harness.request(3, set_request("b"));
     harness.complete_save();
     assert_eq!(harness.stored_ids(), ["b"]);
 }
@@ -203,11 +206,11 @@
 fn clearing_and_expiry_do_not_wait_for_the_store() {
     let mut harness = Harness::with_store_read();
     for (request_id, id) in [(1, "a"), (2, "b")] {
-        harness.request(request_id, set(id));
+        harness.request(request_id, set_request(id));
         harness.complete_save();
     }
     // The write of a third override stays in flight.
-    harness.request(3, set("c"));
+    harness.request(3, set_request("c"));
     harness.request(4, ChangeRequest::Clear { id: "a".into(), by: "mb".into() });
     assert_eq!(harness.active_ids(), ["b"], "cleared while the write is in flight");
     harness.advance(60_000);
@@ -225,7 +228,7 @@
 #[test]
 fn requests_are_rejected_before_the_store_is_read_and_when_the_queue_is_full() {
     let mut harness = Harness::with_unread_store();
-    harness.request(1, set("a"));
+    harness.request(1, set_request("a"));
     assert!(matches!(harness.replies[&1], ChangeReply::NotStored(_)), "the store is not read yet");
     harness.manager.handle_store_unavailable("in use");
     harness.manager.handle_store_unavailable("in use");
@@ -233,7 +236,7 @@
     assert_eq!(harness.logged.len(), 1, "logged once: {:?}", harness.logged);
     harness.read_store();
     for request_id in 10..300 {
-        harness.request(request_id, set(&request_id.to_string()));
+        harness.request(request_id, set_request(&request_id.to_string()));
     }
     let busy = harness.replies.values().filter(|reply| **reply == ChangeReply::Busy).count();
     assert_eq!(busy, 290 - 256 - 1, "one request is being written and 256 are queued");
@@ -245,7 +248,7 @@
 fn simultaneous_expiries_are_stored_in_one_write() {
     let mut harness = Harness::with_store_read();
     for n in 0..300 {
-        harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), &format!("s-{n}"), 60_000)));
+        harness.request(n, ChangeRequest::Set(out_of_service(&format!("o{n}"), &format!("s-{n}"), 60_000)));
         harness.complete_save();
     }
     harness.advance(60_000);
@@ -258,16 +261,19 @@
 #[test]
 fn configured_overrides_are_active_before_and_after_the_store_is_read() {
     let mut harness = Harness::with_store_read();
-    harness.request(1, set("a"));
+    harness.request(1, set_request("a"));
     harness.complete_save();
     harness.restart();
     let file = |expires_at_ms| {
-        let NewOverride { id, kind, author, reason, .. } = out("f-1", "s-9", 0);
-        vec![ConfiguredOverride { id, kind, author, reason, expires_at: at(expires_at_ms) }]
+        let NewOverride { id, kind, author, reason, .. } = out_of_service("f-1", "s-9", 0);
+        vec![ConfiguredOverride { id, kind, author, reason, expires_at: moment_ms(expires_at_ms) }]
     };
     let mut restarted = Harness::with_unread_store();
     (restarted.stored, restarted.stamp) = (harness.stored.clone(), harness.stamp.clone());
-    restarted.manager.apply_configuration(at(0), at(0), OverrideLimits::default(), file(30_000)).unwrap();
+    restarted
+        .manager
+        .apply_configuration(moment_ms(0), moment_ms(0), OverrideLimits::default(), file(30_000))
+        .unwrap();
     assert_eq!(restarted.active_ids(), ["f-1"]);
     restarted.manager.handle_store_unavailable("in use");
     restarted.read_store();
@@ -275,7 +281,7 @@
     while restarted.complete_save() {}
     assert_eq!(restarted.stored_ids(), ["a", "f-1"]);
     // The wall clock is set forward by 20 s: the file's override then expires in 10 s, the other one in 60 s.
-    restarted.manager.handle_wall_clock_step(at(0), at(20_000));
+    restarted.manager.handle_wall_clock_step(moment_ms(0), moment_ms(20_000));
     restarted.advance(10_000);
     assert_eq!(restarted.active_ids(), ["a"]);
 }
@@ -284,7 +290,7 @@
 fn without_a_store_requests_take_effect_immediately_and_ended_overrides_are_pruned() {
     let mut harness = Harness::in_memory();
     for n in 0..500 {
-        harness.request(n, ChangeRequest::Set(out(&format!("o{n}"), "s-1", 1000)));
+        harness.request(n, ChangeRequest::Set(out_of_service(&format!("o{n}"), "s-1", 1000)));
         harness.advance(1000);
     }
     assert!(matches!(harness.replies[&7], ChangeReply::Set { durability: Durability::InMemory, .. }));
@@ -311,7 +317,7 @@
             let request_id = n as u64;
             match choice % 8 {
                 0..=2 => {
-                    harness.request(request_id, set(&format!("o{}", parameter % 12)));
+                    harness.request(request_id, set_request(&format!("o{}", parameter % 12)));
                 }
                 3 => {
                     let id = format!("o{}", parameter % 12);
@@ -323,7 +329,7 @@
                     1 => {
                         if let Some(serial) = harness.store_pending() {
                             harness.manager.handle_save_outcome(
-                                at(harness.now_ms),
+                                moment_ms(harness.now_ms),
                                 serial,
                                 Err(SaveError::new("flush")),
                             );
@@ -335,7 +341,11 @@
                 _ => harness.restart(),
             }
             for entry in harness.manager.registry().active() {
-                assert!(entry.expires_at > at(harness.now_ms), "{} is active after its expiry", entry.id);
+                assert!(
+                    entry.expires_at > moment_ms(harness.now_ms),
+                    "{} is active after its expiry",
+                    entry.id
+                );
             }
             let stored_ids = harness.stored_ids();
             for id in harness.active_ids() {
@@ -358,7 +368,7 @@
 #[test]
 fn repeated_clear_is_on_disk_only_once_its_end_is_stored() {
     let mut harness = Harness::with_store_read();
-    harness.request(1, set("a"));
+    harness.request(1, set_request("a"));
     harness.complete_save();
     let clear = || ChangeRequest::Clear { id: "a".into(), by: "mb".into() };
     harness.request(2, clear());
@@ -389,7 +399,7 @@
 #[test]
 fn clear_of_an_expired_override_waits_for_its_stored_end() {
     let mut harness = Harness::with_store_read();
-    harness.request(1, set("a"));
+    harness.request(1, set_request("a"));
     harness.complete_save();
     harness.advance(60_000);
     harness.fail_save();
@@ -408,9 +418,9 @@
 #[test]
 fn clear_before_the_store_is_read_stays_in_effect_afterwards() {
     let mut harness = Harness::with_unread_store();
-    let NewOverride { id, kind, author, reason, .. } = out("f-1", "s-9", 0);
-    let configured = ConfiguredOverride { id, kind, author, reason, expires_at: at(30_000) };
-    harness.manager.apply_configuration(at(0), at(0), limits(), vec![configured]).unwrap();
+    let NewOverride { id, kind, author, reason, .. } = out_of_service("f-1", "s-9", 0);
+    let configured = ConfiguredOverride { id, kind, author, reason, expires_at: moment_ms(30_000) };
+    harness.manager.apply_configuration(moment_ms(0), moment_ms(0), limits(), vec![configured]).unwrap();
     let clear = |id: &str| ChangeRequest::Clear { id: id.into(), by: "mb".into() };
     harness.request(1, clear("f-1"));
     assert!(matches!(harness.replies[&1], ChangeReply::Cleared { durability: Durability::Pending(_), .. }));
--- a/crates/overrides/tests/registry.rs
+++ b/crates/overrides/tests/registry.rs
@@ -12,7 +12,7 @@
 const START_S: u64 = 1_800_000_000;
 
 /// Returns the time `offset_s` seconds after [`START_S`].
-fn at(offset_s: u64) -> Moment {
+fn moment_s(offset_s: u64) -> Moment {
     Moment::at_ns((START_S + offset_s) * 1_000_000_000)
 }
 
@@ -21,15 +21,15 @@
 }
 
 fn reading(boot_id: &str, uptime_s: u64, wall_s: u64) -> ClockReading {
-    ClockReading { boot_id: boot_id.into(), uptime: seconds(uptime_s), wall_time: at(wall_s) }
+    ClockReading { boot_id: boot_id.into(), uptime: seconds(uptime_s), wall_time: moment_s(wall_s) }
 }
 
 fn registry() -> OverrideRegistry {
-    let timeline = Timeline::resume(at(0), &reading("a", 100, 0), None).timeline;
+    let timeline = Timeline::resume(moment_s(0), &reading("a", 100, 0), None).timeline;
     OverrideRegistry::new(OverrideLimits { max_active: 5, ..OverrideLimits::default() }, timeline)
 }
 
-fn out(id: &str, replica: &str, duration_s: u64) -> NewOverride {
+fn out_of_service(id: &str, replica: &str, duration_s: u64) -> NewOverride {
     let kind = OverrideKind::Out { replica: replica.into() };
     NewOverride {
         id: id.into(),
@@ -41,7 +41,10 @@
 }
 
 fn pin(id: &str, first: u32, last: u32) -> NewOverride {
-    NewOverride { kind: OverrideKind::Pin { first, last, replica: "s-1".into() }, ..out(id, "", 60) }
+    NewOverride {
+        kind: OverrideKind::Pin { first, last, replica: "s-1".into() },
+        ..out_of_service(id, "", 60)
+    }
 }
 
 fn set(registry: &mut OverrideRegistry, now: Moment, request: &NewOverride) {
@@ -91,92 +94,101 @@
 #[test]
 fn override_is_active_until_its_expiry() {
     let mut registry = registry();
-    set(&mut registry, at(0), &out("a", "s-1", 60));
-    assert_eq!(registry.next_expiry(), Some(at(60)));
-    assert!(!registry.expire_due(at(59)));
-    assert!(registry.expire_due(at(75)));
+    set(&mut registry, moment_s(0), &out_of_service("a", "s-1", 60));
+    assert_eq!(registry.next_expiry(), Some(moment_s(60)));
+    assert!(!registry.expire_due(moment_s(59)));
+    assert!(registry.expire_due(moment_s(75)));
     let entry = registry.get_by_id("a").unwrap();
     assert_eq!(
         (active_ids(&registry).len(), entry.ended.clone()),
-        (0, Some(Ending { at: at(60), cause: EndCause::Expired }))
+        (0, Some(Ending { at: moment_s(60), cause: EndCause::Expired }))
     );
     // A retry after the end finds the ended override and does not set it again.
-    assert_eq!(registry.propose_set(at(76), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
+    assert_eq!(
+        registry.propose_set(moment_s(76), &out_of_service("a", "s-1", 60)),
+        Ok(Proposal::Unchanged(1))
+    );
 }
 
 #[test]
 fn retry_neither_sets_a_second_override_nor_prolongs_the_first() {
     let mut registry = registry();
-    let proposed = registry.propose_set(at(0), &out("a", "s-1", 60)).unwrap();
+    let proposed = registry.propose_set(moment_s(0), &out_of_service("a", "s-1", 60)).unwrap();
     assert_eq!(active_ids(&registry).len(), 0, "a proposal changes nothing");
     let Proposal::Change(change) = proposed else { panic!("new override not accepted") };
     registry.apply(change.clone());
     registry.apply(change);
-    assert_eq!(registry.propose_set(at(30), &out("a", "s-1", 60)), Ok(Proposal::Unchanged(1)));
-    assert_eq!(registry.next_expiry(), Some(at(60)));
-    let other = registry.propose_set(at(30), &out("a", "s-2", 60));
+    assert_eq!(
+        registry.propose_set(moment_s(30), &out_of_service("a", "s-1", 60)),
+        Ok(Proposal::Unchanged(1))
+    );
+    assert_eq!(registry.next_expiry(), Some(moment_s(60)));
+    let other = registry.propose_set(moment_s(30), &out_of_service("a", "s-2", 60));
     assert_eq!(other, Err(OverrideError::IdInUse { id: "a".into() }));
 }
 
 #[test]
 fn newer_override_replaces_conflicting_ones() {
     let mut registry = registry();
-    set(&mut registry, at(0), &out("a", "s-1", 60));
-    set(&mut registry, at(1), &out("b", "s-1", 600));
+    set(&mut registry, moment_s(0), &out_of_service("a", "s-1", 60));
+    set(&mut registry, moment_s(1), &out_of_service("b", "s-1", 600));
     assert_eq!(
         registry.get_by_id("a").unwrap().ended,
-        Some(Ending { at: at(1), cause: EndCause::Replaced { by: "b".into() } })
+        Some(Ending { at: moment_s(1), cause: EndCause::Replaced { by: "b".into() } })
     );
-    set(&mut registry, at(2), &pin("c", 3, 5));
-    set(&mut registry, at(3), &pin("d", 4, 9));
+    set(&mut registry, moment_s(2), &pin("c", 3, 5));
+    set(&mut registry, moment_s(3), &pin("d", 4, 9));
     assert_eq!(active_ids(&registry), ["b", "c", "d"], "a partly overlapped pin keeps its other slices");
-    set(&mut registry, at(4), &pin("e", 0, 9));
+    set(&mut registry, moment_s(4), &pin("e", 0, 9));
     assert_eq!(active_ids(&registry), ["b", "e"]);
 }
 
 #[test]
 fn limits_are_enforced_and_errors_name_the_field() {
     let mut registry = registry();
-    let invalid_field = |request: NewOverride| match registry.propose_set(at(0), &request) {
+    let invalid_field = |request: NewOverride| match registry.propose_set(moment_s(0), &request) {
         Err(OverrideError::InvalidField(InvalidField { field, .. })) => field,
         other => panic!("{other:?}"),
     };
-    assert_eq!(invalid_field(out("a b", "s-1", 60)), "id");
-    assert_eq!(invalid_field(out("a", "", 60)), "server");
-    assert_eq!(invalid_field(out("a", "s-1", 0)), "for");
-    assert_eq!(invalid_field(out("a", "s-1", 90_000)), "for");
-    assert_eq!(invalid_field(NewOverride { reason: " ".into(), ..out("a", "s-1", 60) }), "reason");
-    assert_eq!(invalid_field(NewOverride { author: "x\n".into(), ..out("a", "s-1", 60) }), "author");
+    assert_eq!(invalid_field(out_of_service("a b", "s-1", 60)), "id");
+    assert_eq!(invalid_field(out_of_service("a", "", 60)), "server");
+    assert_eq!(invalid_field(out_of_service("a", "s-1", 0)), "for");
+    assert_eq!(invalid_field(out_of_service("a", "s-1", 90_000)), "for");
+    assert_eq!(invalid_field(NewOverride { reason: " ".into(), ..out_of_service("a", "s-1", 60) }), "reason");
+    assert_eq!(
+        invalid_field(NewOverride { author: "x\n".into(), ..out_of_service("a", "s-1", 60) }),
+        "author"
+    );
     assert_eq!(invalid_field(pin("a", 5, 4)), "slices");
     for factor in [0.0, f64::NAN, -1.0, 1e9] {
         let kind = OverrideKind::Weight { replica: "s-1".into(), factor };
-        assert_eq!(invalid_field(NewOverride { kind, ..out("a", "", 60) }), "factor");
+        assert_eq!(invalid_field(NewOverride { kind, ..out_of_service("a", "", 60) }), "factor");
     }
     for n in 0..5 {
-        set(&mut registry, at(0), &out(&format!("o{n}"), &format!("s-{n}"), 60));
+        set(&mut registry, moment_s(0), &out_of_service(&format!("o{n}"), &format!("s-{n}"), 60));
     }
     assert_eq!(
-        registry.propose_set(at(0), &out("more", "s-9", 60)),
+        registry.propose_set(moment_s(0), &out_of_service("more", "s-9", 60)),
         Err(OverrideError::LimitReached { limit: 5 })
     );
     // Replacing an override does not increase the number of active overrides.
-    set(&mut registry, at(0), &out("instead", "s-0", 60));
+    set(&mut registry, moment_s(0), &out_of_service("instead", "s-0", 60));
 }
 
 #[test]
 fn ended_overrides_are_listed_for_their_retention_and_then_removed() {
     let mut registry = registry();
     for n in 0..20 {
-        set(&mut registry, at(n), &out(&format!("o{n}"), "s-1", 60));
+        set(&mut registry, moment_s(n), &out_of_service(&format!("o{n}"), "s-1", 60));
     }
-    registry.expire_due(at(1000));
-    registry.prune_ended(at(1000));
+    registry.expire_due(moment_s(1000));
+    registry.prune_ended(moment_s(1000));
     assert_eq!(registry.listed().count(), 5);
     assert_eq!(registry.unsaved().removals.len(), 15);
     let change = registry.unsaved();
     registry.mark_saved(&change);
     assert!(registry.unsaved().is_empty());
-    registry.prune_ended(at(200_000));
+    registry.prune_ended(moment_s(200_000));
     assert_eq!((registry.listed().count(), registry.get_by_id("o19")), (0, None));
 }
 
@@ -185,42 +197,46 @@
     let mut registry = registry();
     registry.set_limits(OverrideLimits::default());
     for n in 0..1000 {
-        set(&mut registry, at(0), &out(&format!("o{n}"), &format!("s-{n}"), 60));
+        set(&mut registry, moment_s(0), &out_of_service(&format!("o{n}"), &format!("s-{n}"), 60));
     }
-    assert!(registry.expire_due(at(60)));
+    assert!(registry.expire_due(moment_s(60)));
     assert_eq!((registry.active().count(), registry.next_expiry()), (0, None));
 }
 
 #[test]
 fn restart_neither_prolongs_nor_loses_overrides() {
     let (registry, mut store) = (registry(), Store::default());
-    let Ok(Proposal::Change(change)) = registry.propose_set(at(0), &out("a", "s-1", 60)) else {
+    let Ok(Proposal::Change(change)) = registry.propose_set(moment_s(0), &out_of_service("a", "s-1", 60))
+    else {
         panic!("new override not accepted")
     };
-    store.write(&registry, at(0), reading("a", 100, 0), &change);
+    store.write(&registry, moment_s(0), reading("a", 100, 0), &change);
     // Within one boot the uptime determines the downtime, 20 s here, regardless of the wall clock.
     for wall_s in [20, 5000, 1] {
-        let restored = store.restore(at(wall_s), reading("a", 120, wall_s));
-        assert_eq!(restored.next_expiry(), Some(at(wall_s + 40)), "wall at {wall_s}");
+        let restored = store.restore(moment_s(wall_s), reading("a", 120, wall_s));
+        assert_eq!(restored.next_expiry(), Some(moment_s(wall_s + 40)), "wall at {wall_s}");
     }
     // Across a reboot the wall clock determines the downtime.
-    assert_eq!(store.restore(at(20), reading("b", 3, 20)).next_expiry(), Some(at(60)));
-    let late = store.restore(at(70), reading("b", 3, 70));
-    assert_eq!(late.get_by_id("a").unwrap().ended, Some(Ending { at: at(60), cause: EndCause::Expired }));
+    assert_eq!(store.restore(moment_s(20), reading("b", 3, 20)).next_expiry(), Some(moment_s(60)));
+    let late = store.restore(moment_s(70), reading("b", 3, 70));
+    assert_eq!(
+        late.get_by_id("a").unwrap().ended,
+        Some(Ending { at: moment_s(60), cause: EndCause::Expired })
+    );
     // If the wall clock went back across a reboot, the downtime is unknown.
-    let back = ClockReading { wall_time: at(0) - seconds(7200), ..reading("b", 3, 0) };
-    let restored = store.restore(at(0) - seconds(7200), back);
+    let back = ClockReading { wall_time: moment_s(0) - seconds(7200), ..reading("b", 3, 0) };
+    let restored = store.restore(moment_s(0) - seconds(7200), back);
     assert_eq!(restored.get_by_id("a").unwrap().ended.clone().unwrap().cause, EndCause::ClockWentBack);
 }
 
 #[test]
 fn corrupt_records_are_reported_and_the_others_are_restored() {
     let (mut registry, mut store) = (registry(), Store::default());
-    for (n, request) in [out("a", "s-1", 60), pin("b", 0, 3)].iter().enumerate() {
-        let Ok(Proposal::Change(change)) = registry.propose_set(at(0), request) else {
+    for (n, request) in [out_of_service("a", "s-1", 60), pin("b", 0, 3)].iter().enumerate() {
+        let Ok(Proposal::Change(change)) = registry.propose_set(moment_s(0), request) else {
             panic!("override {n} not accepted")
         };
-        store.write(&registry, at(0), reading("a", 100, 0), &change);
+        store.write(&registry, moment_s(0), reading("a", 100, 0), &change);
         registry.apply(change);
     }
     let intact = store.records[&1].clone();
@@ -230,7 +246,7 @@
         let reading = reading("a", 101, 1);
         let RestoredRegistry { registry: restored, unreadable } = OverrideRegistry::restore(
             OverrideLimits::default(),
-            at(1),
+            moment_s(1),
             &reading,
             store.stamp.as_ref(),
             &records,
@@ -242,22 +258,22 @@
 }
 
 fn configured(id: &str, replica: &str, expires_at_s: u64) -> ConfiguredOverride {
-    let NewOverride { id, kind, author, reason, .. } = out(id, replica, 0);
-    ConfiguredOverride { id, kind, author, reason, expires_at: at(expires_at_s) }
+    let NewOverride { id, kind, author, reason, .. } = out_of_service(id, replica, 0);
+    ConfiguredOverride { id, kind, author, reason, expires_at: moment_s(expires_at_s) }
 }
 
 #[test]
 fn configured_overrides_follow_the_file_and_cleared_ones_stay_cleared() {
     let mut registry = registry();
     let apply = |registry: &mut OverrideRegistry, now_s, configured: &[ConfiguredOverride]| {
-        let change = registry.propose_configured(at(now_s), at(now_s), configured)?;
+        let change = registry.propose_configured(moment_s(now_s), moment_s(now_s), configured)?;
         registry.apply(change);
         Ok::<_, OverrideError>(())
     };
     let file = [configured("f-1", "s-1", 600), configured("f-2", "s-2", 600), configured("old", "s-3", 5)];
     apply(&mut registry, 10, &file).unwrap();
     assert_eq!(active_ids(&registry), ["f-1", "f-2"]);
-    let Ok(Proposal::Change(change)) = registry.propose_clear(at(11), "f-1", "mb") else {
+    let Ok(Proposal::Change(change)) = registry.propose_clear(moment_s(11), "f-1", "mb") else {
         panic!("active override not cleared")
     };
     registry.apply(change);
@@ -275,13 +291,14 @@
 #[test]
 fn wall_clock_step_shortens_but_never_prolongs_overrides() {
     let mut registry = registry();
-    let change = registry.propose_configured(at(0), at(0), &[configured("f-1", "s-1", 600)]).unwrap();
+    let change =
+        registry.propose_configured(moment_s(0), moment_s(0), &[configured("f-1", "s-1", 600)]).unwrap();
     registry.apply(change);
-    set(&mut registry, at(0), &out("a", "s-2", 600));
-    registry.adjust_to_wall_clock(at(10), at(0) - seconds(3600));
-    assert_eq!(registry.next_expiry(), Some(at(600)), "a step back does not change the expiry time");
-    registry.adjust_to_wall_clock(at(20), at(500));
-    assert!(registry.expire_due(at(120)));
+    set(&mut registry, moment_s(0), &out_of_service("a", "s-2", 600));
+    registry.adjust_to_wall_clock(moment_s(10), moment_s(0) - seconds(3600));
+    assert_eq!(registry.next_expiry(), Some(moment_s(600)), "a step back does not change the expiry time");
+    registry.adjust_to_wall_clock(moment_s(20), moment_s(500));
+    assert!(registry.expire_due(moment_s(120)));
     assert_eq!(
         active_ids(&registry),
         ["a"],
@@ -357,7 +374,7 @@
     }
 
     fn now(&self) -> Moment {
-        at((self.process_start_wall_s + (self.true_s - self.process_start_true_s) as i64) as u64)
+        moment_s((self.process_start_wall_s + (self.true_s - self.process_start_true_s) as i64) as u64)
     }
 
     fn read_clocks(&self) -> ClockReading {
@@ -372,7 +389,7 @@
 
     fn set(&mut self, now: Moment, id: &str, parameter: u16) {
         let duration_s = u64::from(parameter % 300) + 1;
-        let request = out(id, &format!("s-{}", parameter % 7), duration_s);
+        let request = out_of_service(id, &format!("s-{}", parameter % 7), duration_s);
         if let Ok(Proposal::Change(change)) = self.registry.propose_set(now, &request) {
             for entry in &change.writes {
                 if entry.is_active() {
@@ -410,7 +427,7 @@
     fn restart(&mut self) {
         self.process_start_wall_s = self.true_s as i64 + self.wall_lead_s;
         self.process_start_true_s = self.true_s;
-        self.registry = self.store.restore(at(self.process_start_wall_s as u64), self.read_clocks());
+        self.registry = self.store.restore(moment_s(self.process_start_wall_s as u64), self.read_clocks());
     }
 
     fn run_step(&mut self, n: usize, (choice, parameter): Step) {
@@ -429,7 +446,7 @@
         }
     }
 
-    fn check_active_overrides(&mut self) {
+    fn assert_expiries_are_kept(&mut self) {
         let Simulation { true_s, registry, expected_expiry_s, .. } = self;
         for entry in registry.active() {
             let expiry_s = expected_expiry_s[&entry.id];
@@ -449,7 +466,7 @@
         let mut simulation = Simulation::new();
         for (n, step) in history.0.into_iter().enumerate() {
             simulation.run_step(n, step);
-            simulation.check_active_overrides();
+            simulation.assert_expiries_are_kept();
         }
         true
     }
--- a/crates/overrides/tests/text.rs
+++ b/crates/overrides/tests/text.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn kinds_are_displayed() {
+fn kinds_are_displayed_as_their_effect() {
     let replica = || "s-3".to_string();
     assert_eq!(OverrideKind::Weight { replica: replica(), factor: 0.5 }.to_string(), "weight 0.5 on s-3");
     assert_eq!(OverrideKind::Out { replica: replica() }.to_string(), "s-3 out of service");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn end_causes_are_displayed() {
+fn end_causes_are_displayed_with_author_or_replacing_id() {
     assert_eq!(EndCause::Expired.to_string(), "expired");
     assert_eq!(EndCause::Cleared { by: "jo".into() }.to_string(), "cleared by jo");
     assert_eq!(EndCause::Replaced { by: "b-2".into() }.to_string(), "replaced by b-2");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn errors_are_displayed() {
+fn errors_are_displayed_with_field_id_or_limit() {
     let id = || "a".to_string();
     assert_eq!(OverrideError::from(InvalidField::new("for", "too long")).to_string(), "for: too long");
     assert_eq!(OverrideError::IdInUse { id: id() }.to_string(), "a is another override already");
