--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -69,17 +69,27 @@
         source: AddrParseError,
     },
     /// The limit of file descriptors leaves none for connections from collectors.
-    #[error("limits.sockets: {sockets} is too low to accept connections")]
+    #[error("limits.sockets: {sockets} is too low to accept connections, minimum {minimum}")]
     TooFewSockets {
         /// The configured limit.
         sockets: f64,
+        /// The lowest limit that leaves file descriptors for one connection.
+        minimum: usize,
     },
     /// `WHINWALL_LOG` is not a log level.
-    #[error("WHINWALL_LOG: invalid log level, expected error, warn, info or debug")]
-    InvalidLogLevel,
+    #[error("WHINWALL_LOG: invalid log level {value:?}, expected error, warn, info or debug")]
+    InvalidLogLevel {
+        /// The value of the variable.
+        value: String,
+    },
     /// `WHINWALL_LOG_LINES` is not a non-negative integer.
-    #[error("WHINWALL_LOG_LINES: invalid number: {0}")]
-    InvalidLogLines(#[source] ParseIntError),
+    #[error("WHINWALL_LOG_LINES: invalid number {value:?}: {source}")]
+    InvalidLogLines {
+        /// The value of the variable.
+        value: String,
+        /// The parse error.
+        source: ParseIntError,
+    },
     /// The operators' file is unreadable or invalid.
     #[error(transparent)]
     OperatorsFile(#[from] OperatorsFileError),
@@ -166,12 +176,14 @@
     /// # Errors
     /// If one of them has an invalid value.
     pub fn logging(&self) -> Result<LoggingConfig, ConfigError> {
-        let level = self.log_level.as_deref().map_or(Ok(LevelFilter::INFO), str::parse);
-        let lines = self.log_lines.as_deref().map_or(Ok(DEFAULT_LOG_LINES_PER_SECOND), str::parse);
-        Ok(LoggingConfig {
-            level: level.map_err(|_| ConfigError::InvalidLogLevel)?,
-            lines_per_second: lines.map_err(ConfigError::InvalidLogLines)?,
-        })
+        let level = self.log_level.as_deref().map_or(Ok(LevelFilter::INFO), |value| {
+            value.parse().map_err(|_| ConfigError::InvalidLogLevel { value: value.into() })
+        })?;
+        let lines_per_second =
+            self.log_lines.as_deref().map_or(Ok(DEFAULT_LOG_LINES_PER_SECOND), |value| {
+                value.parse().map_err(|source| ConfigError::InvalidLogLines { value: value.into(), source })
+            })?;
+        Ok(LoggingConfig { level, lines_per_second })
     }
 }
 
@@ -246,8 +258,9 @@
     fn changed_restart_only_keys(&self, new: &Self) -> Vec<&'static str> {
         let has_changed = |key: &&str| new.file.get(key) != self.file.get(key);
         let mut changes: Vec<_> = RESTART_ONLY_KEYS.into_iter().filter(has_changed).collect();
-        let store = |config: &Self| config.operators.as_ref().and_then(|file| file.store_folder.clone());
-        if store(new) != store(self) {
+        let store_folder =
+            |config: &Self| config.operators.as_ref().and_then(|file| file.store_folder.clone());
+        if store_folder(new) != store_folder(self) {
             changes.push("operators' file: <store>");
         }
         if new.cores != self.cores {
@@ -335,7 +348,8 @@
     let max_connections =
         (sockets as usize).saturating_sub(limits::RESERVED_DESCRIPTORS) / descriptors_per_connection;
     if max_connections == 0 {
-        return Err(ConfigError::TooFewSockets { sockets });
+        let minimum = limits::RESERVED_DESCRIPTORS + descriptors_per_connection;
+        return Err(ConfigError::TooFewSockets { sockets, minimum });
     }
     let name = required_value(environment.name.as_ref(), file.name, "name")?;
     let fleet = build_fleet(operators.as_ref(), &name)?;
--- a/crates/controller/src/program/configuration_file.rs
+++ b/crates/controller/src/program/configuration_file.rs
@@ -10,7 +10,7 @@
     pub(super) name: Option<String>,
     pub(super) listen: Option<String>,
     pub(super) discovery: Option<String>,
-    #[serde(default, deserialize_with = "seed")]
+    #[serde(default, deserialize_with = "decode_seed")]
     pub(super) seed: Option<u64>,
     #[serde(default)]
     pub(super) limits: Limits,
@@ -46,7 +46,7 @@
 }
 
 /// Decodes a seed: a string of up to 16 hexadecimal digits, or a number.
-fn seed<'de, D: Deserializer<'de>>(raw: D) -> Result<Option<u64>, D::Error> {
+fn decode_seed<'de, D: Deserializer<'de>>(raw: D) -> Result<Option<u64>, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
     enum Seed {
@@ -57,7 +57,10 @@
         None => Ok(None),
         Some(Seed::Number(seed)) => Ok(Some(seed)),
         Some(Seed::Digits(digits)) => {
-            u64::from_str_radix(&digits, 16).map(Some).map_err(serde::de::Error::custom)
+            let seed = u64::from_str_radix(&digits, 16);
+            seed.map(Some).map_err(|error| {
+                serde::de::Error::custom(format_args!("invalid hexadecimal number {digits:?}: {error}"))
+            })
         }
     }
 }
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -75,8 +75,8 @@
     /// Time at which the reducer asked to be called next.
     wake_at: Option<Moment>,
     iteration_count: u64,
-    /// Log span of the current iteration. It shows the input of the iteration and the resulting relay request under
-    /// the iteration's number.
+    /// Log span of the current iteration. The log lines about its input and about the resulting relay request contain
+    /// its number.
     iteration_span: Span,
 }
 
--- a/crates/controller/src/program/event_loop.rs
+++ b/crates/controller/src/program/event_loop.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// Returns the time until the reducer, the supervision of readers or the retry of a reload is due.
+/// Returns the maximum time to wait for input: the time until the reducer's wake-up time, but not longer than the
+/// interval at which a failed reload is retried or the readers are checked.
 fn sleep_duration(input: &InputHandler, reloader: &Reloader) -> Duration {
     let max_sleep = if reloader.has_retry() {
         limits::RETRY_BACKOFF
--- a/crates/controller/src/program/incarnation.rs
+++ b/crates/controller/src/program/incarnation.rs
@@ -57,7 +57,7 @@
 /// The input side for reports: the listener, and the reader pool if more than one core is configured.
 struct Ingress {
     readers: Option<Readers>,
-    /// Batches from the reader pool; never yields any without one.
+    /// Batches from the reader pool. Without a pool, the channel is closed and empty.
     batches: Receiver<ReportBatch>,
     _listener_task: Task,
 }
--- a/crates/controller/src/program/metrics.rs
+++ b/crates/controller/src/program/metrics.rs
@@ -40,18 +40,19 @@
 
 impl ReaderFamilies {
     fn register(registry: &mut Registry) -> Self {
-        let mut counters = |name: &str, help: &str| {
+        let mut counter_family = |name: &str, help: &str| {
             let family = Family::<ReaderLabel, Counter>::default();
             registry.register(name, help, family.clone());
             family
         };
-        let lines = counters("reader_lines", "Lines taken apart");
-        let bytes = counters("reader_bytes", "Bytes taken apart");
-        let chunks = counters("reader_chunks", "Chunks taken apart");
-        let busy_microseconds = counters("reader_busy_microseconds", "Time spent taking chunks apart");
-        let stalls = counters("reader_stalls", "Times that it was replaced because it did not go on");
-        let deaths = counters("reader_deaths", "Times that it was replaced because its thread had ended");
-        let panics = counters("reader_panics", "Chunks lost by a fault of ours");
+        let lines = counter_family("reader_lines", "Lines taken apart");
+        let bytes = counter_family("reader_bytes", "Bytes taken apart");
+        let chunks = counter_family("reader_chunks", "Chunks taken apart");
+        let busy_microseconds = counter_family("reader_busy_microseconds", "Time spent taking chunks apart");
+        let stalls = counter_family("reader_stalls", "Times that it was replaced because it did not go on");
+        let deaths =
+            counter_family("reader_deaths", "Times that it was replaced because its thread had ended");
+        let panics = counter_family("reader_panics", "Chunks lost by a fault of ours");
         let connections = Family::<ReaderLabel, Gauge>::default();
         registry.register("reader_connections", "Connections that it reads", connections.clone());
         ReaderFamilies { lines, bytes, chunks, busy_microseconds, stalls, deaths, panics, connections }
@@ -84,7 +85,7 @@
     connections: Gauge,
 }
 
-/// Queue lengths of the reader pool, and its number of late batches.
+/// Queue lengths and the number of late batches of the reader pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolBacklog {
     /// Chunks queued for a reader.
--- a/crates/controller/src/program/services.rs
+++ b/crates/controller/src/program/services.rs
@@ -143,9 +143,9 @@
     fn close_running_server(&mut self) {
         self.closing_servers.retain(|server| !server.is_closed());
         if let Some(replaced) = self.management.take() {
-            let mut end = replaced.server.close(Instant::now() + REPLACED_SERVER_TIMEOUT);
-            end.wait_until_address_released();
-            self.closing_servers.push(end);
+            let mut closing = replaced.server.close(Instant::now() + REPLACED_SERVER_TIMEOUT);
+            closing.wait_until_address_released();
+            self.closing_servers.push(closing);
         }
     }
 
@@ -167,8 +167,8 @@
         self.management.take().map_or_else(ClosingServer::default, |running| running.server.close(deadline))
     }
 
-    /// Drops all waiting clients after the reducer was lost. Their responses say that the outcome of the request is
-    /// unknown.
+    /// Drops all waiting clients after a panic, which loses the reducer. The management server responds to them that
+    /// the outcome of the request is unknown.
     pub(super) fn abandon_clients(&mut self) {
         self.clients.clear();
     }
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -142,12 +142,16 @@
     assert_eq!(error_with("/listen", json!("x")), no_address("listen"));
     assert_eq!(error_with("/discovery", json!("x")), no_address("discovery"));
     assert_eq!(error_with("/distributor/address", json!("x")), no_address("distributor.address"));
-    assert_eq!(error_with("/limits/sockets", json!(0)), "limits.sockets: 0 is too low to accept connections");
+    let too_low = "limits.sockets: 0 is too low to accept connections, minimum 65";
+    assert_eq!(error_with("/limits/sockets", json!(0)), too_low);
     let wrong_type = error_with("/limits/memory_mb", json!("x"));
     assert_eq!(wrong_type, "limits.memory_mb: invalid type: string \"x\", expected f64");
     let wrong_type = error_with("/limits/cores", json!("x"));
     assert_eq!(wrong_type, "limits.cores: invalid type: string \"x\", expected f64");
-    assert_eq!(error_with("/seed", json!("x")), "seed: invalid digit found in string");
+    assert_eq!(
+        error_with("/seed", json!("x")),
+        "seed: invalid hexadecimal number \"x\": invalid digit found in string"
+    );
 }
 
 #[test]
@@ -193,9 +197,9 @@
     assert_eq!(logging(None, None), Ok((LevelFilter::INFO, 40)));
     assert_eq!(logging(Some("debug"), Some("7")), Ok((LevelFilter::DEBUG, 7)));
     let message = logging(Some("loud"), None).unwrap_err();
-    assert_eq!(message, "WHINWALL_LOG: invalid log level, expected error, warn, info or debug");
+    assert_eq!(message, "WHINWALL_LOG: invalid log level \"loud\", expected error, warn, info or debug");
     let message = logging(None, Some("x")).unwrap_err();
-    assert_eq!(message, "WHINWALL_LOG_LINES: invalid number: invalid digit found in string");
+    assert_eq!(message, "WHINWALL_LOG_LINES: invalid number \"x\": invalid digit found in string");
 }
 
 /// Environment variable that makes `process_environment_is_printed` print.
