--- a/crates/ingest/src/aggregate.rs
+++ b/crates/ingest/src/aggregate.rs
@@ -1,6 +1,7 @@
-//! Pre-aggregation: replaces several reports on the same subject by one. The subject is a replica and the zone that
-//! reports on it, or a slice and a request class, and the length of the window. Usually no two reports of the same
-//! second have the same subject; if a collector catches up, or several collectors report for the same zone, most do.
+//! Pre-aggregation: sums reports that have the same subject into one report. The subject of an endpoint report is its
+//! replica, zone and window length; that of a demand report is its slice, request class and window length. The reports
+//! of one second usually have different subjects. If a collector catches up, or several collectors report for the same
+//! zone, most subjects occur more than once.
 
 use whinwall_policy::api::{DemandReport, EndpointReport, Report, ReportBody};
 use whinwall_policy::time::{Moment, Span};
@@ -13,7 +14,7 @@
 }
 
 impl ReportAggregator {
-    /// Starts without reports. All that are added arrived at `arrived_at`.
+    /// Creates an aggregator without reports, for reports that arrived at `arrived_at`.
     pub fn new(arrived_at: Moment) -> Self {
         ReportAggregator { arrived_at, reports: Vec::new() }
     }
@@ -28,8 +29,8 @@
         self.reports.is_empty()
     }
 
-    /// The sums, ordered by subject. Decisions are not affected by the summation, because they are linear in the
-    /// reports, except for the latest latency, which is kept separately.
+    /// Returns the sums, ordered by subject. Summation does not affect decisions, because these depend on the reports
+    /// only through sums, except for the latest latency, which is kept separately.
     pub fn into_reports(self) -> Vec<Report> {
         let mut bodies = self.reports;
         // The sort is stable, so that the latest report on a subject stays the last one.
@@ -56,7 +57,7 @@
     }
 }
 
-/// Adds a later report on the same subject.
+/// Adds a later report to the sum of the earlier ones on the same subject.
 fn add_report(sum: &mut ReportBody, report: ReportBody) {
     match (sum, report) {
         (
@@ -79,10 +80,10 @@
 
 fn add_endpoint_report(sum: &mut EndpointReport, report: &EndpointReport) {
     let (sum_succeeded, report_succeeded) = (succeeded_attempts(sum), succeeded_attempts(report));
-    let latency = sum.mean_latency.times(sum_succeeded) + report.mean_latency.times(report_succeeded);
-    let all_succeeded = sum_succeeded + report_succeeded;
-    if all_succeeded > 0.0 {
-        sum.mean_latency = latency.times(1.0 / all_succeeded);
+    let total_latency = sum.mean_latency.times(sum_succeeded) + report.mean_latency.times(report_succeeded);
+    let total_succeeded = sum_succeeded + report_succeeded;
+    if total_succeeded > 0.0 {
+        sum.mean_latency = total_latency.times(1.0 / total_succeeded);
     }
     sum.attempts += report.attempts;
     sum.failed += report.failed;
--- a/crates/ingest/src/lib.rs
+++ b/crates/ingest/src/lib.rs
@@ -1,5 +1,5 @@
 //! The logic of a reader pool, without I/O or clock. Reader threads read bytes from collectors and split them into
-//! chunks of whole lines. Any reader may decode a chunk, also one that another reader has read. A single owner
+//! chunks of complete lines. Any reader may decode a chunk, even one that another reader has read. A single event loop
 //! applies the decoded reports.
 //!
 //! - `partition` assigns connections to readers.
--- a/crates/ingest/src/liveness.rs
+++ b/crates/ingest/src/liveness.rs
@@ -7,7 +7,8 @@
 /// A reader whose heartbeat counter does not change for longer than this has stalled. A running reader increments it
 /// ten times in this period.
 const HEARTBEAT_TIMEOUT: Span = Span::ms(1000);
-/// If two checks are further apart than this, the whole machine may have paused, and heartbeat time-outs start again.
+/// If two rounds of checks are further apart than this, the whole machine may have been paused, and the heartbeat
+/// time-outs of all readers start again.
 const MAX_CHECK_GAP: Span = Span::ms(400);
 /// The backoff before the first restart of a reader; doubled with each further restart.
 const FIRST_RESTART_BACKOFF: Span = Span::ms(100);
@@ -16,7 +17,7 @@
 /// The backoff of a reader that has run for longer than this is reset to the first one.
 const BACKOFF_RESET_AFTER: Span = Span::ms(60_000);
 
-/// The finding of a check of one reader.
+/// An event that a check of one reader has detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderEvent {
     /// Its thread runs but makes no progress.
@@ -40,7 +41,7 @@
     backoff: Span,
 }
 
-/// The states of all readers.
+/// Monitors the states of all readers.
 #[derive(Clone, Debug)]
 pub struct LivenessMonitor {
     readers: Vec<Reader>,
@@ -48,14 +49,14 @@
 }
 
 impl LivenessMonitor {
-    /// Starts with this number of readers, all started now.
-    pub fn new(readers: usize, now: Moment) -> Self {
+    /// Creates a monitor of readers that were all started at `now`.
+    pub fn new(reader_count: usize, now: Moment) -> Self {
         let state = ReaderState::Running { since: now, heartbeat: 0, last_progress: now };
         let reader = Reader { state, backoff: FIRST_RESTART_BACKOFF };
-        LivenessMonitor { readers: vec![reader; readers], last_check: now }
+        LivenessMonitor { readers: vec![reader; reader_count], last_check: now }
     }
 
-    /// Postpones a due restart that is not possible now by the current backoff.
+    /// Schedules a restart that is due, but not possible yet, again after the current backoff.
     pub fn postpone_restart(&mut self, now: Moment, reader: ReaderId) {
         if let Some(reader) = self.readers.get_mut(reader) {
             reader.state = ReaderState::Stopped { restart_at: now + reader.backoff };
--- a/crates/ingest/src/partition.rs
+++ b/crates/ingest/src/partition.rs
@@ -6,8 +6,9 @@
 
 /// The fraction of a reader's recent bytes that remains after each `decay_load`.
 const LOAD_DECAY: f64 = 0.8;
-/// The load of an open connection that sends nothing, in bytes. Many idle connections are a load, too.
-const IDLE_CONNECTION_BYTES: f64 = 1000.0;
+/// The load of an open connection in addition to the bytes that it sends, so that idle connections are spread evenly,
+/// too.
+const CONNECTION_OVERHEAD_BYTES: f64 = 1000.0;
 
 #[derive(Clone, Debug, Default)]
 struct Reader {
@@ -19,7 +20,7 @@
 
 impl Reader {
     fn load(&self) -> f64 {
-        self.recent_bytes + self.connections as f64 * IDLE_CONNECTION_BYTES
+        self.recent_bytes + self.connections as f64 * CONNECTION_OVERHEAD_BYTES
     }
 }
 
@@ -31,9 +32,9 @@
 }
 
 impl Partitioner {
-    /// Starts with this number of readers, all enabled and idle.
-    pub fn new(readers: usize) -> Self {
-        Partitioner { readers: vec![Reader::default(); readers], connections: BTreeMap::new() }
+    /// Creates a partitioner for readers that are all enabled and have no connections.
+    pub fn new(reader_count: usize) -> Self {
+        Partitioner { readers: vec![Reader::default(); reader_count], connections: BTreeMap::new() }
     }
 
     /// Assigns a new connection to the enabled reader with the least load. Returns `None` if all readers are
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Disables a reader that has stopped: it is assigned no more connections. Returns and removes the connections it
-    /// had.
+    /// Disables a reader that has stopped, so that it is assigned no more connections. Removes its connections and
+    /// returns them.
     pub fn disable(&mut self, reader: ReaderId) -> Vec<ConnectionId> {
         let assigned = self.connections.iter().filter(|(_, assigned)| **assigned == reader);
         let lost: Vec<_> = assigned.map(|(id, _)| *id).collect();
--- a/crates/ingest/src/reorder.rs
+++ b/crates/ingest/src/reorder.rs
@@ -111,8 +111,9 @@
         self.connections.remove(&id).is_some()
     }
 
-    /// Abandons the connections that miss a chunk for longer than the time-out, because the reader that decodes it
-    /// has stopped. Chunks after the missing one are dropped, too: the collector sends all of them again.
+    /// Abandons and returns the connections on which a chunk has been missing for longer than the time-out: the reader
+    /// that was to decode it has stopped. Chunks after the missing one are dropped, too, because the collector sends
+    /// all of them again.
     pub fn take_overdue(&mut self, now: Moment) -> Vec<ConnectionId> {
         let is_overdue = |queue: &ConnectionQueue<C>| {
             queue.missing_since.is_some_and(|since| now - since > self.chunk_timeout)
--- a/crates/ingest/tests/ingest.rs
+++ b/crates/ingest/tests/ingest.rs
@@ -21,8 +21,8 @@
     assert_eq!(assigned.len(), 3, "idle connections are spread evenly");
     let loaded_reader = partitioner.reader_of(0).unwrap();
     partitioner.add_bytes(0, 10_000_000);
-    let others: Vec<_> = (3..23).filter_map(|id| partitioner.assign(id)).collect();
-    assert!(!others.contains(&loaded_reader), "the loaded reader is assigned no connection");
+    let later_assigned: Vec<_> = (3..23).filter_map(|id| partitioner.assign(id)).collect();
+    assert!(!later_assigned.contains(&loaded_reader), "the loaded reader is assigned no connection");
     (0..100).for_each(|_| partitioner.decay_load());
     assert_eq!(
         partitioner.assign(99),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn disabled_reader_is_assigned_no_connections_and_returns_its_own() {
+fn disabling_a_reader_returns_its_connections_and_assigns_it_no_others() {
     let mut partitioner = Partitioner::new(2);
     (0..4).for_each(|id| _ = partitioner.assign(id));
     let lost = partitioner.disable(0);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn missing_chunk_ends_its_connection_after_the_timeout_and_no_other() {
+fn only_connections_with_a_missing_chunk_are_abandoned_after_the_timeout() {
     let mut buffer = ReorderBuffer::new(Span::ms(1000));
     (1..=3).for_each(|id| buffer.open_connection(id));
     buffer.insert_chunk(at(0), 1, 1, "later");
@@ -87,27 +87,28 @@
     (connections, early_chunks)
 }
 
-/// The chunks of five connections, each as connection and number, in random order.
+/// The chunks of five connections in random order, each with its connection and its number.
 #[derive(Clone, Debug)]
-struct Shuffled(Vec<(u64, u64)>);
+struct ShuffledChunks(Vec<(u64, u64)>);
 
-impl Arbitrary for Shuffled {
+impl Arbitrary for ShuffledChunks {
     fn arbitrary(gen: &mut Gen) -> Self {
         let chunk_count = |gen: &mut Gen| u64::from(u8::arbitrary(gen) % 12);
-        let mut all: Vec<_> = (0..5).flat_map(|id| (0..chunk_count(gen)).map(move |n| (id, n))).collect();
-        for at in (1..all.len()).rev() {
-            all.swap(at, usize::arbitrary(gen) % (at + 1));
+        let mut chunks: Vec<_> =
+            (0..5).flat_map(|id| (0..chunk_count(gen)).map(move |number| (id, number))).collect();
+        for last in (1..chunks.len()).rev() {
+            chunks.swap(last, usize::arbitrary(gen) % (last + 1));
         }
-        Shuffled(all)
+        ShuffledChunks(chunks)
     }
 }
 
 #[test]
 fn chunks_inserted_in_any_order_are_ready_once_and_in_order() {
-    fn holds(shuffled: Shuffled) -> bool {
+    fn holds(shuffled: ShuffledChunks) -> bool {
         let mut buffer = ReorderBuffer::new(Span::ms(1000));
-        let mut counted: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-        let mut ended = BTreeSet::new();
+        let mut ready_chunks: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
+        let mut ended_connections = BTreeSet::new();
         (0..5).for_each(|id| buffer.open_connection(id));
         let chunk_count = |id| shuffled.0.iter().filter(|(connection, _)| *connection == id).count() as u64;
         for (position, (id, number)) in shuffled.0.iter().enumerate() {
@@ -117,29 +118,29 @@
                 outcomes.push(buffer.end_connection(at(0), *id, chunk_count(*id)));
             }
             for ready in outcomes {
-                counted.entry(*id).or_default().extend(ready.chunks);
-                assert!(!ready.is_ended || ended.insert(*id), "the connection ends once");
+                ready_chunks.entry(*id).or_default().extend(ready.chunks);
+                assert!(!ready.is_ended || ended_connections.insert(*id), "the connection ends once");
             }
         }
         for id in 0..5 {
             if buffer.end_connection(at(0), id, chunk_count(id)).is_ended {
-                assert!(ended.insert(id));
+                assert!(ended_connections.insert(id));
             }
-            let all: Vec<_> = (0..chunk_count(id)).collect();
-            assert_eq!(counted.get(&id).cloned().unwrap_or_default(), all);
+            let all_chunks: Vec<_> = (0..chunk_count(id)).collect();
+            assert_eq!(ready_chunks.get(&id).cloned().unwrap_or_default(), all_chunks);
         }
-        ended.len() == 5 && size(&buffer) == (0, 0) && buffer.late_chunks() == 0
+        ended_connections.len() == 5 && size(&buffer) == (0, 0) && buffer.late_chunks() == 0
     }
-    quickcheck::QuickCheck::new().tests(500).quickcheck(holds as fn(Shuffled) -> bool);
+    quickcheck::QuickCheck::new().tests(500).quickcheck(holds as fn(ShuffledChunks) -> bool);
 }
 
 #[derive(Clone, Debug)]
-struct Lines(Vec<ReportBody>);
+struct RandomReports(Vec<ReportBody>);
 
-impl Arbitrary for Lines {
+impl Arbitrary for RandomReports {
     fn arbitrary(gen: &mut Gen) -> Self {
         let mut below = |limit: u32| u32::arbitrary(gen) % limit;
-        let line = |below: &mut dyn FnMut(u32) -> u32| {
+        let report = |below: &mut dyn FnMut(u32) -> u32| {
             let window_length = Span::ms(u64::from(1000 * (1 + below(2))));
             if below(2) == 0 {
                 let (attempts, failed) = (f64::from(below(9)), f64::from(below(4)));
@@ -158,7 +159,7 @@
                 )
             }
         };
-        Lines((0..40).map(|_| line(&mut below)).collect())
+        RandomReports((0..40).map(|_| report(&mut below)).collect())
     }
 }
 
@@ -187,13 +188,13 @@
         }
         totals
     }
-    fn holds(lines: Lines) -> bool {
+    fn holds(reports: RandomReports) -> bool {
         let mut aggregator = ReportAggregator::new(at(7));
-        lines.0.iter().for_each(|line| aggregator.add(*line));
+        reports.0.iter().for_each(|report| aggregator.add(*report));
         let summed = aggregator.into_reports();
         assert!(summed.iter().all(|report| report.at == at(7)));
         let (single, summed_totals) = (
-            totals(lines.0.iter().map(|line| (1.0, *line))),
+            totals(reports.0.iter().map(|report| (1.0, *report))),
             totals(summed.iter().map(|report| (report.line_count, report.body))),
         );
         assert_eq!(summed.len(), summed_totals.len(), "each subject has one sum");
@@ -201,25 +202,24 @@
         single.len() == summed_totals.len()
             && single.iter().all(|(key, sum)| are_close(sum, &summed_totals[key]))
     }
-    quickcheck::QuickCheck::new().tests(500).quickcheck(holds as fn(Lines) -> bool);
+    quickcheck::QuickCheck::new().tests(500).quickcheck(holds as fn(RandomReports) -> bool);
 }
 
 #[test]
 fn aggregation_keeps_the_latest_latency() {
-    let line = |attempts, failed, ms| {
+    let report = |attempts, failed, ms| {
         let (window_length, mean_latency) = (Span::ms(1000), Span::ms(ms));
         endpoint_report(1, EndpointReport { zone: 0, window: window_length, attempts, failed, mean_latency })
     };
     let mut aggregator = ReportAggregator::new(at(0));
-    [line(1.0, 0.0, 100), line(3.0, 0.0, 300), line(2.0, 2.0, 900)]
+    [report(1.0, 0.0, 100), report(3.0, 0.0, 300), report(2.0, 2.0, 900)]
         .into_iter()
-        .for_each(|line| aggregator.add(line));
-    let ReportBody::Endpoint { report: sum, latest_latency: latest, .. } = aggregator.into_reports()[0].body
-    else {
+        .for_each(|report| aggregator.add(report));
+    let ReportBody::Endpoint { report: sum, latest_latency, .. } = aggregator.into_reports()[0].body else {
         panic!("the sum is not an endpoint report")
     };
     assert_eq!(
-        (sum.mean_latency, latest),
+        (sum.mean_latency, latest_latency),
         (Span::ms(250), Span::ms(300)),
         "the last report has no successful attempt"
     );
@@ -253,14 +253,14 @@
 #[test]
 fn stalled_reader_is_restarted_with_exponential_backoff() {
     let mut monitor = LivenessMonitor::new(2, at(0));
-    let (mut backoffs, mut stopped, mut heartbeat) = (Vec::new(), None, 0);
+    let (mut backoffs, mut stopped_at, mut heartbeat) = (Vec::new(), None, 0);
     for ms in (0..60_000).step_by(100) {
         heartbeat += 1;
         monitor.begin_check(at(ms));
         assert_eq!(monitor.check(at(ms), 1, heartbeat, true), None, "the reader makes progress");
         match monitor.check(at(ms), 0, 7, true) {
-            Some(ReaderEvent::Stalled) => stopped = Some(ms),
-            Some(ReaderEvent::RestartDue) => backoffs.push(ms - stopped.take().unwrap()),
+            Some(ReaderEvent::Stalled) => stopped_at = Some(ms),
+            Some(ReaderEvent::RestartDue) => backoffs.push(ms - stopped_at.take().unwrap()),
             Some(ReaderEvent::Died) => panic!("a running thread was reported as dead"),
             None => {}
         }
