--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The known version of the registry's endpoint list, and the handling of lists with a lower version.
+//! The known version of the registry's endpoint list, and the comparison of received lists to it.
 
 use whinwall_policy::time::Moment;
 use whinwall_transport::limits;
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -21,8 +21,8 @@
     Started,
     /// The configuration file was reloaded; these are the addresses in it.
     TargetsConfigured(Targets),
-    /// The operators' file was read. The fleet is present if the file enables subsetting, in which each controller
-    /// steers a subset of the replicas.
+    /// The operators' file was read. Holds the fleet if the file enables subsetting, that is, if each controller steers
+    /// only a subset of the replicas.
     SubsettingConfigured(Option<Fleet>),
     /// A message arrived at the controller's own address.
     Message {
@@ -162,7 +162,7 @@
         /// The reply.
         reply: Reply,
     },
-    /// Apply [`Event::InputDrained`] at this time at the latest.
+    /// Apply [`Event::InputDrained`] no later than at this time.
     WakeAt(Moment),
     /// Write an event to the log.
     Log(LogEvent),
--- a/crates/routing/src/log_event.rs
+++ b/crates/routing/src/log_event.rs
@@ -79,7 +79,7 @@
     RequestAttemptFailed {
         /// The attempt.
         request: RequestLabel,
-        /// Tells if the request may have been applied.
+        /// Whether the request may have been applied.
         outcome: Outcome,
         /// The error.
         reason: String,
@@ -129,12 +129,12 @@
     },
     /// Aggregated reports are stale; routing tables and admission rates stay unchanged.
     ReportsStale {
-        /// The time since the last report.
+        /// The time since the last report arrived.
         silence: Span,
     },
     /// Aggregated reports on all replicas and slices arrive again.
     ReportsFresh {
-        /// The duration of the interruption.
+        /// The time from the last report before the interruption until now.
         silence: Span,
     },
     /// Subsetting was switched off; the controller steers all replicas.
--- a/crates/routing/src/outbox.rs
+++ b/crates/routing/src/outbox.rs
@@ -7,20 +7,20 @@
 use whinwall_policy::api::SliceId;
 use whinwall_protocol::relay::{self, Command, SyncScope};
 
-/// The commands of one policy reply, as requests that the relay has not answered yet.
+/// The commands of one reply of the policy, grouped into requests whose outcome is not known yet.
 #[derive(Default)]
 pub(crate) struct Outbox {
     requests: VecDeque<Vec<PendingCommand>>,
     state: State,
     consecutive_failures: u32,
-    /// The next attempt is delayed because the command channel has no room for it.
+    /// True while the next attempt is delayed because the command channel has no room for it.
     is_held: bool,
-    /// All or part of the first request may have been applied: either the outcome of its last attempt is unknown, or
-    /// the relay accepted only some of its commands (partially accepted). Resending it can then apply commands twice.
+    /// True if all or part of the first request may have been applied: either the outcome of its last attempt is
+    /// unknown, or the relay accepted only some of its commands. Resending it can then apply commands twice.
     is_possibly_applied: bool,
-    /// A proxy acknowledged the version of the pending requests, which proves that all of them were applied.
+    /// True if a proxy acknowledged the version of the pending requests, which proves that all of them were applied.
     is_acknowledged: bool,
-    /// The relay stopped at the first command once.
+    /// True if the relay has stopped once at the command that is now the first one.
     has_stopped_at_first_command: bool,
     /// The slices that were revoked or granted since the request in flight was sent.
     reassigned_slices: BTreeSet<SliceId>,
@@ -82,16 +82,16 @@
         self.requests.iter().all(Vec::is_empty)
     }
 
-    /// Queues the commands of one policy reply; nothing may be pending. The commands form one request unless they
-    /// exceed the maximum size of a request. If they form several, only the last request carries the version, and it
-    /// asks all proxies to acknowledge that version: a proxy may have received commands of an earlier request only,
-    /// and a request that carries only a version would reach no proxy otherwise.
+    /// Queues the commands of one reply of the policy. Must be called only while the outbox is empty. The commands
+    /// form one request unless they exceed the maximum size of a request. If they form several requests, only the last
+    /// one carries the version, and it asks all proxies to acknowledge that version: a proxy may have received commands
+    /// of an earlier request only, and a request that carries only a version would reach no proxy otherwise.
     pub fn enqueue(&mut self, commands: &[Command]) {
         self.clear();
         let (mut request, mut bytes) = (Vec::new(), 0);
         for command in commands {
-            let is_scope_all = !self.requests.is_empty() || request.is_empty();
-            let scope = if is_scope_all { SyncScope::AllProxies } else { SyncScope::ReachedProxies };
+            let syncs_all_proxies = !self.requests.is_empty() || request.is_empty();
+            let scope = if syncs_all_proxies { SyncScope::AllProxies } else { SyncScope::ReachedProxies };
             let text = command.encode(scope);
             if bytes + text.len() + 1 > relay::MAX_REQUEST_BYTES {
                 self.requests.push_back(std::mem::take(&mut request));
@@ -132,7 +132,8 @@
         self.requests.iter().flatten().filter_map(|command| command.slice).collect()
     }
 
-    /// The request to send now; `None` if a request is in flight or the next attempt waits for a backoff.
+    /// Marks the first request as in flight and returns it, to be sent now. Returns `None` if there is no request, one
+    /// is in flight already, or the next attempt waits for the end of a backoff.
     pub fn send_next(&mut self) -> Option<NextRequest> {
         if self.state != State::Idle {
             return None;
@@ -170,8 +171,7 @@
         retry
     }
 
-    /// The version of the request to send next if all or part of it may have been applied: if its outcome is unknown
-    /// or it was partially accepted.
+    /// The version of the request to send next, if all or part of that request may have been applied.
     pub fn possibly_applied_version(&self) -> Option<u16> {
         self.version().filter(|_| self.is_possibly_applied && self.state == State::Idle)
     }
@@ -223,10 +223,10 @@
         self.requests.front().map_or(0, Vec::len)
     }
 
-    /// Drops the first `count` commands of the request in flight, which the relay accepted. The rest is sent again,
-    /// because the count may be wrong, and commands are idempotent. A command at which the relay stops twice would
-    /// block the queue forever: it is returned, and dropped together with the other commands of the request for its
-    /// slice.
+    /// Drops the first `count` commands of the request in flight, which the relay accepted. The other commands are sent
+    /// again; if the count is too low, some are applied twice, which is harmless because commands are idempotent. A
+    /// command at which the relay stops twice would block the queue forever: it is returned, and dropped together with
+    /// the other commands of the request for its slice.
     pub fn drop_accepted(&mut self, count: usize) -> Option<String> {
         (self.state, self.consecutive_failures) = (State::Idle, 0);
         let request = self.requests.front_mut()?;
@@ -238,8 +238,8 @@
         let slice = skipped.as_ref().and_then(|command| command.slice);
         request.retain(|command| slice.is_none() || command.slice != slice);
         self.has_stopped_at_first_command = !is_skipping && !request.is_empty();
-        // The accepted commands were sent to proxies as a message of their own, so that the rest is rate limited like
-        // a resend.
+        // The accepted commands were sent to the proxies as a message of their own, so the remaining ones are rate
+        // limited like a resend.
         self.is_possibly_applied = count > 0 && !request.is_empty();
         self.drop_reassigned_commands();
         skipped.map(|command| command.text)
--- a/crates/routing/src/overrides.rs
+++ b/crates/routing/src/overrides.rs
@@ -30,8 +30,8 @@
 }
 
 impl Overrides {
-    /// Starts without overrides.
-    pub fn start(now: Moment, reading: &ClockReading, config: &OverrideConfig) -> Self {
+    /// Creates the state without overrides.
+    pub fn new(now: Moment, reading: &ClockReading, config: &OverrideConfig) -> Self {
         let limits = config.limits.clone();
         let manager = if config.has_store {
             OverrideManager::with_store(now, reading, limits)
@@ -42,7 +42,7 @@
     }
 
     /// Passes the overrides in force to the policy if they, or the ids of their replicas, have changed. An override
-    /// whose replica has no id is left out until the replica is known.
+    /// whose replica has no id is omitted until the replica has one.
     pub fn apply_to_policy(&mut self, now: Moment, names: &ReplicaNames, policy: &mut Policy) {
         self.manager.take_changed();
         let spec = |entry: &Override| {
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -1,6 +1,5 @@
-//! The reducer: passes events to the policy one at a time and returns effects. Commands are issued only after all
-//! input that had arrived was applied, and only while no relay request is pending, so that they are based on the
-//! newest state.
+//! The reducer: passes events to the policy one at a time and returns effects. Commands are issued only when all input
+//! that had arrived has been applied and no relay request is pending, so that they are based on the newest state.
 //!
 //! This module dispatches events. The submodules handle them, and hold the state that only one of them needs.
 
@@ -42,7 +41,7 @@
     policy: Policy,
     settings: Settings,
     targets: Targets,
-    started: Moment,
+    started_at: Moment,
     /// For backoff jitter: controllers that lose their connections at the same time must not reconnect at the same
     /// time.
     random: Random,
@@ -54,7 +53,7 @@
     commands: RelayCommands,
     failures: SourceFailures,
     timers: Timers,
-    /// `None` until the operators' file was read.
+    /// `None` until the operators' file has been read.
     overrides: Option<Overrides>,
     /// Present while aggregators send the reports.
     aggregated: Option<AggregatedReports>,
@@ -71,7 +70,7 @@
             policy: Policy::start(settings.deployment.clone(), seed, now),
             settings,
             targets,
-            started: now,
+            started_at: now,
             random: Random::from_seed(!seed),
             names: ReplicaNames::default(),
             list_version: EndpointListVersion::new(known_list.version),
--- a/crates/routing/src/reducer/endpoint_list.rs
+++ b/crates/routing/src/reducer/endpoint_list.rs
@@ -27,12 +27,13 @@
         self.restart_renewal(now);
     }
 
-    /// Restarts the renewal timer. The watch is renewed only if the list is pushed, where that costs nothing.
+    /// Restarts the renewal timer. The watch is renewed only in deployments that push the endpoint list, where a
+    /// renewal costs nothing.
     fn restart_renewal(&mut self, now: Moment) {
         self.timers.cancel(Timer::RegistryRenewal);
         if self.settings.deployment.list_pushed {
-            let at = now + limits::to_span(limits::REGISTRY_RENEWAL_INTERVAL);
-            self.timers.start(at, Timer::RegistryRenewal);
+            let renew_at = now + limits::to_span(limits::REGISTRY_RENEWAL_INTERVAL);
+            self.timers.start(renew_at, Timer::RegistryRenewal);
         }
     }
 
@@ -57,8 +58,8 @@
         let mut scope = if list.is_complete { ListScope::Complete } else { ListScope::Changes };
         let age = self.list_version.advance(now, list.version);
         if age != ListAge::Current {
-            // A lagging agent can add replicas, but its list is outdated: it neither removes replicas by not listing
-            // them nor makes them ready again.
+            // The list of a lagging agent is outdated: it can add replicas, but it neither removes replicas that it
+            // does not contain nor makes replicas ready again.
             listings.retain(|listing| !self.is_outdated_ready_listing(listing));
             scope = ListScope::Changes;
         }
@@ -85,9 +86,9 @@
     /// Converts the list to the policy's types, and assigns ids to new replicas.
     pub(super) fn listings(&mut self, list: &List) -> Vec<ReplicaListing> {
         for entry in &list.entries {
-            let is_named = self.settings.zones.contains(&entry.zone);
+            let is_configured = self.settings.zones.contains(&entry.zone);
             let replica = self.names.id_or_assign(&entry.replica);
-            self.names.set_unnamed_zone(replica, (!is_named).then_some(entry.zone.as_str()));
+            self.names.set_unconfigured_zone(replica, (!is_configured).then_some(entry.zone.as_str()));
         }
         let listing = |entry: &Entry| ReplicaListing {
             // A zone that is not in the settings is treated as different from all zones.
--- a/crates/routing/src/reducer/management.rs
+++ b/crates/routing/src/reducer/management.rs
@@ -26,8 +26,8 @@
         self.effects.push(Effect::Reply { request_id, reply });
     }
 
-    /// Lists the overrides. Until the store was read the list would be incomplete, so the reply is that it is not
-    /// known yet.
+    /// Lists the overrides. Before the store has been read, the list would be incomplete; the reply then states why
+    /// the store is unavailable.
     fn list_overrides(&self, now: Moment, overrides: &Overrides) -> Reply {
         if let Some(reason) = overrides.manager.store_unavailable_reason() {
             return Reply::StoreUnavailable(reason.into());
@@ -42,7 +42,7 @@
         let failures = self.failures.iter().map(|(source, count)| (source.status_name(), count));
         Status {
             now,
-            started_at: self.started,
+            started_at: self.started_at,
             proxies: self.relay.proxies.len(),
             slices: self.relay.tables.len(),
             replicas: self.names.len(),
--- a/crates/routing/src/reducer/overrides.rs
+++ b/crates/routing/src/reducer/overrides.rs
@@ -9,15 +9,14 @@
 use whinwall_policy::time::Moment;
 
 impl Reducer {
-    /// Applies the overrides of the operators' file. If they are invalid nothing changes, as with the rest of the
-    /// file.
+    /// Applies the overrides of the operators' file. If they are invalid, the previous ones stay in force.
     pub(super) fn overrides_configured(
         &mut self,
         now: Moment,
         config: OverrideConfig,
         reading: &ClockReading,
     ) {
-        self.overrides.get_or_insert_with(|| Overrides::start(now, reading, &config));
+        self.overrides.get_or_insert_with(|| Overrides::new(now, reading, &config));
         let mut rejected = None;
         self.change_overrides(now, |overrides| {
             let result = overrides.manager.apply_configuration(
@@ -33,8 +32,8 @@
         }
     }
 
-    /// Changes the overrides, passes those in force to the policy, and adds their effects. Does nothing before the
-    /// operators' file was read.
+    /// Changes the overrides, passes those in force to the policy, and adds the effects of the change. Does nothing
+    /// before the operators' file was read.
     pub(super) fn change_overrides(&mut self, now: Moment, change: impl FnOnce(&mut Overrides)) {
         let Some(mut overrides) = self.overrides.take() else { return };
         change(&mut overrides);
--- a/crates/routing/src/reducer/peers.rs
+++ b/crates/routing/src/reducer/peers.rs
@@ -10,7 +10,7 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_transport::ConnectionId;
 
-/// The reasons for closing a connection that are sent to the peer; part of the protocol.
+/// The reasons for closing a connection, as sent to the peer. They are part of the protocol and must not change.
 const UNREADABLE_REASON: &str = "unreadable";
 const NOT_AUTHENTICATED_REASON: &str = "of no use from whoever has not joined";
 
@@ -29,7 +29,7 @@
             Message::DemandReport(report) if is_authenticated => {
                 self.demand_report_received(now, from, &report);
             }
-            other => self.ignore_message(from, format!("{other:?}")),
+            unexpected => self.ignore_message(from, format!("unexpected message {unexpected:?}")),
         }
     }
 
@@ -37,7 +37,7 @@
         match error {
             InvalidMessage::Malformed(error) => self.ignore_message(from, error),
             InvalidMessage::Unreadable(error) => {
-                // Messages that still arrive on the connection are ignored, too.
+                // Further messages that were received on the connection are ignored, too.
                 let was_authenticated = self.collectors.remove(&from);
                 if was_authenticated {
                     self.log(LogEvent::CollectorDisconnected { reason: error.to_string() });
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The id of a zone, if it is in the settings. If these name no zones, every zone is accepted.
+    /// The id of a zone, if it is in the settings. If the settings contain no zones, every zone is accepted.
     pub(super) fn known_zone(&self, name: &str) -> Option<ZoneId> {
         crate::report_names::zone_id(&self.settings.zones, name)
     }
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -1,5 +1,5 @@
-//! Commands to the relay: the policy issues them, and they are sent as requests that are resent until their outcome
-//! is known.
+//! Commands to the relay. Those of one reply of the policy are sent as one or more requests, and each request is resent
+//! until its outcome is known.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -14,8 +14,8 @@
 use whinwall_protocol::relay::{Command, Response};
 use whinwall_transport::{Cause, RequestError, StreamError};
 
-/// The maximum number of skipped commands that are remembered. Beyond that all are forgotten, and each costs one more
-/// reading of the store.
+/// The maximum number of skipped commands that are recorded. If there are more, all are forgotten, and the store is
+/// reread once more for each of them that is skipped again.
 const MAX_SKIPPED_COMMANDS: usize = 256;
 
 /// Counts of attempts of relay requests since start-up, by outcome.
@@ -29,7 +29,7 @@
     pub not_applied: u64,
     /// Attempts with an unknown outcome.
     pub unknown: u64,
-    /// Attempts that had to wait for room in the command channel.
+    /// Attempts that were delayed because the command channel had no room for them.
     pub held: u64,
 }
 
@@ -51,7 +51,8 @@
         self.skipped.insert(command)
     }
 
-    /// Forgets the skipped commands when the endpoint list has changed: the relay may know their replicas now.
+    /// Forgets the skipped commands after a change of the endpoint list: the relay may now accept commands for its
+    /// replicas.
     pub fn clear_skipped(&mut self) {
         self.skipped.clear();
     }
@@ -59,18 +60,18 @@
 
 impl Reducer {
     pub(super) fn relay_responded(&mut self, now: Moment, response: Result<Response, RequestError>) {
-        let commands = self.commands.outbox.commands_in_flight();
-        let response = response.and_then(|response| check_accepted_count(response, commands));
+        let command_count = self.commands.outbox.commands_in_flight();
+        let response = response.and_then(|response| validate_accepted_count(response, command_count));
         let is_not_applied = matches!(response, Ok(Response::Retryable(_)) | Err(RequestError::NotSent(_)));
         let mut needs_reread = !is_not_applied && self.commands.outbox.has_reassigned_slices();
         match response {
-            Ok(Response::Accepted(count)) => {
+            Ok(Response::Accepted(accepted_count)) => {
                 self.commands.counts.accepted += 1;
                 self.log(LogEvent::RequestAccepted {
                     request: self.commands.outbox.label(),
-                    accepted: count,
+                    accepted: accepted_count,
                 });
-                needs_reread |= self.request_accepted(now, count, commands);
+                needs_reread |= self.request_accepted(now, accepted_count, command_count);
             }
             Ok(Response::Rejected(reason)) => {
                 self.log(LogEvent::RequestRejected { reason });
@@ -89,16 +90,17 @@
         }
     }
 
-    /// Handles a response that accepts commands of the request. Returns true if the store has to be reread.
-    fn request_accepted(&mut self, now: Moment, count: usize, commands: usize) -> bool {
+    /// Handles a response that states how many commands of the request were accepted. Returns true if the store has to
+    /// be reread.
+    fn request_accepted(&mut self, now: Moment, accepted_count: usize, command_count: usize) -> bool {
         self.source_succeeded(Source::RelayRequests);
-        let has_stopped_at_first_command = count == 0 && commands > 0;
+        let has_stopped_at_first_command = accepted_count == 0 && command_count > 0;
         let mut needs_reread = false;
-        if let Some(command) = self.commands.outbox.drop_accepted(count) {
+        if let Some(command) = self.commands.outbox.drop_accepted(accepted_count) {
             self.log(LogEvent::CommandSkipped { command: command.clone() });
             // The known routing tables include the skipped command; the store does not, unless the responses were
-            // corrupt. A command that was skipped before is one that the relay never accepts, so that rereading the
-            // store does not help.
+            // corrupt. The relay never accepts a command that was skipped before, so rereading the store again would
+            // not help.
             needs_reread = self.commands.record_skipped(command);
         }
         // The count may be wrong, in which case the resend is one more message to the proxies.
@@ -121,9 +123,9 @@
         }
     }
 
-    /// Lets a request that may have been applied be resent only if the rate limit allows for applying it twice (see
-    /// *Rate limiting* in [`whinwall_policy`]); otherwise holds it.
-    fn check_resend_capacity(&mut self, now: Moment) {
+    /// Applies the rate limit to a resend (see *Rate limiting* in [`whinwall_policy`]). A request that may have been
+    /// applied already is held unless the limit leaves room for a second copy of it.
+    fn apply_resend_limit(&mut self, now: Moment) {
         self.commands.outbox.drop_acknowledged();
         let Some(version) = self.commands.outbox.possibly_applied_version() else { return };
         if self.policy.may_resend(now, version) {
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Delays a resend by one backoff. Logs this once per attempt, as it may recur until proxies acknowledge.
+    /// Delays a resend by one backoff. Logged only once per attempt, because an attempt may be delayed repeatedly until
+    /// proxies acknowledge earlier commands.
     fn hold_resend(&mut self, now: Moment) {
         if self.commands.outbox.hold_next_attempt() {
             self.commands.counts.held += 1;
@@ -145,7 +148,7 @@
 
     /// Sends the next request unless one is in flight.
     pub(super) fn send_next_request(&mut self, now: Moment) {
-        self.check_resend_capacity(now);
+        self.apply_resend_limit(now);
         if let Some(request) = self.commands.outbox.send_next() {
             self.commands.counts.sent += 1;
             let label = self.commands.outbox.label();
@@ -156,8 +159,8 @@
         }
     }
 
-    /// Asks the policy for commands if none are pending and the view of the store is current, else for background
-    /// actions only.
+    /// Collects commands from the policy if none are pending and the known state of the store is current. Otherwise
+    /// takes only the actions that need no command channel.
     pub(super) fn issue_commands(&mut self, now: Moment) {
         let is_view_current = self.relay.snapshot.tables_complete_at().is_none() && !self.relay.needs_reread;
         if !(self.commands.outbox.is_empty() && is_view_current) {
@@ -179,7 +182,7 @@
         self.forget_unneeded_replicas(now);
     }
 
-    /// Queues commands, and reports a split into several requests to the policy: each request is a message to the
+    /// Queues commands. Notifies the policy if they form several requests, because each request is a message to the
     /// proxies with its own overhead.
     fn enqueue(&mut self, now: Moment, commands: &[Command]) {
         let outbox = &mut self.commands.outbox;
@@ -196,7 +199,7 @@
         }
         let (policy, snapshot) = (&self.policy, &self.relay.snapshot);
         self.names.retain(|replica| policy.knows_replica(replica) || snapshot.has_replica(replica));
-        self.remove_reports_on_forgotten_replicas();
+        self.remove_coverage_of_forgotten_replicas();
         self.change_overrides(now, |_| {});
     }
 
@@ -249,11 +252,11 @@
 }
 
 /// Rejects a response that accepts more commands than were sent: it belongs to another request or is corrupt.
-fn check_accepted_count(response: Response, commands: usize) -> Result<Response, RequestError> {
+fn validate_accepted_count(response: Response, command_count: usize) -> Result<Response, RequestError> {
     match response {
-        Response::Accepted(count) if count > commands => {
+        Response::Accepted(count) if count > command_count => {
             let cause =
-                Cause::new(format!("relay accepted {count} commands, but the request has {commands}"));
+                Cause::new(format!("relay accepted {count} commands, but the request has {command_count}"));
             Err(RequestError::OutcomeUnknown(StreamError::Unreadable(cause)))
         }
         response => Ok(response),
--- a/crates/routing/src/reducer/relay_watch.rs
+++ b/crates/routing/src/reducer/relay_watch.rs
@@ -82,7 +82,7 @@
     fn slice_revoked(&mut self, now: Moment, slice: SliceId) {
         self.relay.snapshot.remove_slice(slice);
         self.relay.tables.remove(&slice);
-        self.remove_reports_on(slice);
+        self.remove_coverage_of_slice(slice);
         self.commands.outbox.drop_commands_for_slice(slice);
         self.policy.slice_revoked(now, slice);
     }
@@ -93,8 +93,8 @@
         self.apply_tables(now, tables);
     }
 
-    /// Passes each slice to the policy together with all of its endpoints. If the policy got a grant first and the
-    /// endpoints later, or the watch failed in between, it would treat the routing table as empty and fill it.
+    /// Passes each slice to the policy together with all of its endpoints. If the policy got the grant before the
+    /// endpoints, or if the watch failed in between, the policy would treat the routing table as empty and fill it.
     fn apply_tables(&mut self, now: Moment, tables: BTreeMap<SliceId, RoutingTable>) {
         let is_snapshot = self.relay.snapshot.is_in_progress();
         for (slice, table) in tables {
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -1,5 +1,5 @@
-//! Checks reports before they are passed to the policy: their names against the known ones and, with aggregators,
-//! their windows against the time that earlier reports cover.
+//! Validates reports before they are passed to the policy: their names must be known. If aggregators send the reports,
+//! only the part of a window that earlier reports do not cover is counted.
 
 use super::Reducer;
 use crate::log_event::LogEvent;
@@ -38,7 +38,7 @@
         if !is_enabled {
             self.policy.set_report_flow(now, ReportFlow::Direct);
         }
-        self.check_report_freshness(now);
+        self.update_report_flow(now);
     }
 
     /// The number of subjects (replicas, and request classes of slices) that reports of aggregators cover.
@@ -59,7 +59,7 @@
     /// Handles reports that a reader thread decoded.
     pub(super) fn reports_received(&mut self, now: Moment, from: ConnectionId, mut reports: Vec<Report>) {
         if !self.collectors.contains(&from) {
-            return self.ignore_message(from, "reports");
+            return self.ignore_message(from, "reports of an unauthenticated peer");
         }
         reports.retain_mut(|report| {
             let is_known = match report.body {
@@ -107,8 +107,8 @@
         else {
             return self.ignore_message(from, format!("unknown request class {class:?} of slice {slice}"));
         };
-        // Reports on a slice that is not this controller's are dropped: collectors still send them for a while after
-        // a slice was revoked, and the number may be that of no slice at all.
+        // Reports on a slice that was not granted to this controller are dropped. Collectors still send them for a
+        // while after a slice was revoked, and the slice may not even exist.
         if self.relay.tables.contains_key(&slice) {
             let window = span_from_ms(line.window_ms);
             let report = DemandReport { request_class, window, requests: line.requests, failed: line.failed };
@@ -126,15 +126,16 @@
     /// Returns true if all or part of the report counts, and reduces it to that part.
     fn count_report(&mut self, from: ConnectionId, report: &mut Report, missing_zones: u32) -> bool {
         let Some(aggregated) = &mut self.aggregated else { return true };
-        // A reader thread may still know a replica that was forgotten since. Its coverage would never be removed.
+        // The names of a reader thread may still contain a replica that was forgotten in the meantime. Coverage
+        // recorded for it would never be removed.
         if matches!(report.body, ReportBody::Endpoint { replica, .. } if !self.names.has_id(replica)) {
             return false;
         }
         aggregated.count_report(from, report, missing_zones, &mut self.policy)
     }
 
-    /// Passes a change of the report stream's state to the policy, and logs a change of its freshness.
-    pub(super) fn check_report_freshness(&mut self, now: Moment) {
+    /// Passes a change of the report flow to the policy, and logs a change of the freshness of reports.
+    pub(super) fn update_report_flow(&mut self, now: Moment) {
         let Some(aggregated) = &mut self.aggregated else { return };
         let change = aggregated.stream.check_freshness(now);
         let flow = aggregated.stream.flow();
@@ -166,15 +167,13 @@
         })
     }
 
-    /// Removes the coverage of a slice.
-    pub(super) fn remove_reports_on(&mut self, slice: SliceId) {
+    pub(super) fn remove_coverage_of_slice(&mut self, slice: SliceId) {
         if let Some(aggregated) = &mut self.aggregated {
             aggregated.coverage.remove_slice(slice);
         }
     }
 
-    /// Removes the coverage of replicas that were forgotten.
-    pub(super) fn remove_reports_on_forgotten_replicas(&mut self) {
+    pub(super) fn remove_coverage_of_forgotten_replicas(&mut self) {
         if let Some(aggregated) = &mut self.aggregated {
             aggregated.coverage.retain_replicas(|replica| self.names.has_id(replica));
         }
--- a/crates/routing/src/reducer/subsets.rs
+++ b/crates/routing/src/reducer/subsets.rs
@@ -20,7 +20,7 @@
             .collect()
     }
 
-    /// Applies the fleet of the operators' file, or switches subsetting off if it names none.
+    /// Applies the fleet of the operators' file, or switches subsetting off if the file contains none.
     pub(super) fn subsetting_configured(&mut self, now: Moment, fleet: Option<Fleet>) {
         let changed = match (&mut self.subsets, fleet) {
             (None, None) => false,
@@ -66,14 +66,14 @@
     }
 
     fn apply_memberships(&mut self, now: Moment) {
-        let changed = |(name, replica): (&String, &ReplicaId)| {
+        let changed_membership = |(name, replica): (&String, &ReplicaId)| {
             let known = self.policy.subset_membership(*replica)?;
             let membership = self.subset_membership(name);
             (known != membership).then_some((*replica, membership))
         };
-        let changed: Vec<_> = self.names.ids().iter().filter_map(changed).collect();
-        if !changed.is_empty() {
-            self.policy.subsets_changed(now, &changed);
+        let changes: Vec<_> = self.names.ids().iter().filter_map(changed_membership).collect();
+        if !changes.is_empty() {
+            self.policy.subsets_changed(now, &changes);
         }
     }
 
@@ -88,8 +88,8 @@
     }
 }
 
-/// The replicas that are listed and not gone, with the zones of the registry. Aggregators, which have no settings,
-/// compute the same subsets from the same zones.
+/// The replicas that are listed and not gone, with their zones in the registry: aggregators, which have no settings,
+/// must compute the same subsets.
 fn registry_replicas<'a>(
     names: &'a ReplicaNames,
     policy: &'a Policy,
@@ -97,10 +97,10 @@
 ) -> Vec<Replica<'a>> {
     let replica = |(name, replica): (&'a String, &ReplicaId)| {
         let listed = policy.listed_replica(*replica)?;
-        let named = zones.get(listed.zone).map(String::as_str);
+        let configured_zone = zones.get(listed.zone).map(String::as_str);
         Some(Replica {
             id: name,
-            zone: names.unnamed_zone(*replica).or(named).unwrap_or_default(),
+            zone: names.unconfigured_zone(*replica).or(configured_zone).unwrap_or_default(),
             group: &listed.machine,
             weight: listed.weight,
         })
--- a/crates/routing/src/reducer/timers.rs
+++ b/crates/routing/src/reducer/timers.rs
@@ -1,4 +1,4 @@
-//! Handling after all input was applied: due timers first, then new commands.
+//! Handles [`Event::InputDrained`](crate::events::Event::InputDrained): fires the due timers, then issues commands.
 
 use super::Reducer;
 use crate::events::Effect;
@@ -24,7 +24,7 @@
         if self.overrides.as_ref().and_then(Overrides::due_at).is_some_and(|at| at <= now) {
             self.change_overrides(now, |overrides| overrides.manager.tick(now));
         }
-        self.check_report_freshness(now);
+        self.update_report_flow(now);
         self.apply_complete_tables(now);
         self.issue_commands(now);
         self.send_next_request(now);
--- a/crates/routing/src/relay_view.rs
+++ b/crates/routing/src/relay_view.rs
@@ -18,7 +18,7 @@
     /// one of them later belongs to the table of the grant, even if commands for the slice were issued in between.
     pub first_granted_slices: BTreeSet<SliceId>,
     /// True if the store may differ from `tables`, for example because a request was rejected, or was in flight while
-    /// one of its slices was granted or revoked. No commands are issued until the store was read again or the watch is
-    /// lost.
+    /// one of its slices was granted or revoked. No commands are issued until the store has been reread or the watch
+    /// is lost.
     pub needs_reread: bool,
 }
--- a/crates/routing/src/replica_names.rs
+++ b/crates/routing/src/replica_names.rs
@@ -8,7 +8,7 @@
     ids: BTreeMap<String, ReplicaId>,
     names: BTreeMap<ReplicaId, String>,
     /// The registry's zone of each replica whose zone is not in the settings.
-    unnamed_zones: BTreeMap<ReplicaId, String>,
+    unconfigured_zones: BTreeMap<ReplicaId, String>,
     next_id: ReplicaId,
     /// Incremented with each change.
     version: u64,
@@ -19,16 +19,16 @@
         ReplicaNames {
             ids: BTreeMap::new(),
             names: BTreeMap::new(),
-            unnamed_zones: BTreeMap::new(),
+            unconfigured_zones: BTreeMap::new(),
             next_id: 0,
-            // Higher than version 0, which a reader has before it gets any names.
+            // Higher than the version of `ReportNames::default()`, which reader threads start with.
             version: 1,
         }
     }
 }
 
 impl ReplicaNames {
-    /// The id of a replica that the endpoint list or the relay names. Assigns the next id if the replica is new.
+    /// The id of a replica in the endpoint list or a routing table. Assigns the next id if the replica is new.
     pub fn id_or_assign(&mut self, name: &str) -> ReplicaId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -50,17 +50,17 @@
         self.names.get(&id).cloned()
     }
 
-    /// Sets the registry's zone of a replica. `zone` is `None` if the settings name the zone.
-    pub fn set_unnamed_zone(&mut self, id: ReplicaId, zone: Option<&str>) {
+    /// Sets the registry's zone of a replica; `None` if that zone is in the settings.
+    pub fn set_unconfigured_zone(&mut self, id: ReplicaId, zone: Option<&str>) {
         match zone {
-            Some(zone) => _ = self.unnamed_zones.insert(id, zone.to_string()),
-            None => _ = self.unnamed_zones.remove(&id),
+            Some(zone) => _ = self.unconfigured_zones.insert(id, zone.to_string()),
+            None => _ = self.unconfigured_zones.remove(&id),
         }
     }
 
     /// The registry's zone of a replica, if that zone is not in the settings.
-    pub fn unnamed_zone(&self, id: ReplicaId) -> Option<&str> {
-        self.unnamed_zones.get(&id).map(String::as_str)
+    pub fn unconfigured_zone(&self, id: ReplicaId) -> Option<&str> {
+        self.unconfigured_zones.get(&id).map(String::as_str)
     }
 
     /// Returns true if the id belongs to a known replica.
@@ -84,7 +84,7 @@
     pub fn retain(&mut self, is_needed: impl Fn(ReplicaId) -> bool) {
         self.version += 1;
         self.names.retain(|id, _| is_needed(*id));
-        self.unnamed_zones.retain(|id, _| is_needed(*id));
+        self.unconfigured_zones.retain(|id, _| is_needed(*id));
         self.ids.retain(|_, id| is_needed(*id));
     }
 }
--- a/crates/routing/src/report_coverage.rs
+++ b/crates/routing/src/report_coverage.rs
@@ -44,7 +44,7 @@
 pub enum Continuity {
     /// The window continues the covered time, apart from jitter.
     Continuous,
-    /// No line covers this duration between them.
+    /// No line covers this duration before the window.
     Gap(Span),
     /// The subject was not covered, or the covered time is too old to measure a gap from.
     Unknown,
@@ -127,22 +127,23 @@
     Counted { fraction: 1.0, window: line.window, continuity }
 }
 
-/// Counts all of a line. Lines of the same aggregator do not overlap, whatever their delays: each continues where the
-/// previous one ended, so that delays do not count as covered time. An aggregator omits windows in which a slice had
-/// no requests, so that only missing windows of a replica are a gap.
-fn count_on_same_connection(line: &ReportLine, covered: Moment) -> (Counted, Moment) {
-    let expected_end = covered + line.window;
+/// Counts all of a line from the aggregator that covers the subject already. Lines of the same aggregator do not
+/// overlap, whatever their delays: each continues where the previous one ended, so that delays do not count as covered
+/// time. An aggregator omits windows in which a slice had no requests, so that only missing windows of a replica are a
+/// gap.
+fn count_on_same_connection(line: &ReportLine, covered_until: Moment) -> (Counted, Moment) {
+    let expected_end = covered_until + line.window;
     let is_jitter = (expected_end - line.at).max(line.at - expected_end) <= MAX_JITTER;
     let until = if is_jitter { expected_end } else { line.at };
-    let gap = (line.at - line.window) - covered;
+    let gap = (line.at - line.window) - covered_until;
     let is_reported_each_window = matches!(line.subject, Subject::Replica(_));
     let is_gap = is_reported_each_window && gap > MAX_WINDOW;
     (count_all(line, if is_gap { Continuity::Gap(gap) } else { Continuity::Continuous }), until)
 }
 
 /// Counts the part of a line that the other connection does not cover.
-fn count_on_other_connection(line: &ReportLine, covered: Moment) -> Option<Counted> {
-    let uncovered = line.at - covered;
+fn count_on_other_connection(line: &ReportLine, covered_until: Moment) -> Option<Counted> {
+    let uncovered = line.at - covered_until;
     if uncovered == Span::default() {
         return None;
     }
@@ -150,11 +151,11 @@
     if gap > MAX_WINDOW {
         return Some(count_all(line, Continuity::Unknown));
     }
-    // In a sum of several lines only the first line borders on the time that the other connection covered. If there
-    // is a gap before it, its counts are extrapolated over the gap: otherwise the load of the subject that is
-    // reported last would seem to fall.
-    let first_line = uncovered.seconds() / line.window.seconds().max(f64::MIN_POSITIVE);
-    let fraction = (first_line + line.line_count - 1.0) / line.line_count.max(1.0);
+    // In a sum of several lines, only the first line adjoins the time that the other connection covered. If there is a
+    // gap before it, its counts are extrapolated over the gap; otherwise the load of the subject that is reported last
+    // would seem to fall.
+    let first_line_fraction = uncovered.seconds() / line.window.seconds().max(f64::MIN_POSITIVE);
+    let fraction = (first_line_fraction + line.line_count - 1.0) / line.line_count.max(1.0);
     let window = if line.line_count > 1.0 { line.window.max(uncovered) } else { uncovered };
     let continuity = if gap > MAX_JITTER { Continuity::Gap(gap) } else { Continuity::Continuous };
     Some(Counted { fraction, window, continuity })
--- a/crates/routing/src/report_names.rs
+++ b/crates/routing/src/report_names.rs
@@ -1,5 +1,5 @@
-//! The names with which a reader thread resolves reports. They may be out of date: ids are never reused, and reports
-//! with unknown names are passed to the reducer unresolved.
+//! The names that a reader thread needs to convert reports to ids. They may be out of date, which does no harm: ids are
+//! never reused, and reports with unknown names are passed to the reducer unconverted.
 
 use std::collections::BTreeMap;
 use whinwall_policy::api::{DemandReport, EndpointReport, ReplicaId, ReportBody, ZoneId};
@@ -25,8 +25,8 @@
         self.request_classes.iter().position(|known| known == name)
     }
 
-    /// Converts a report to one with ids. Returns `None` if a name is unknown, and also if the report misses zones:
-    /// such a report is not summed with others but passed to the reducer as a message.
+    /// Converts a report to one with ids. Returns `None` if a name is unknown, and also if an aggregator lacked the
+    /// reports of some zones: such a report is not summed with others, but passed to the reducer as a message.
     pub fn resolve(&self, report: &Report) -> Option<ReportBody> {
         match *report {
             Report::EndpointReport { missing: 1.., .. } | Report::DemandReport { missing: 1.., .. } => None,
@@ -59,7 +59,7 @@
     Span::ms(1).times(ms)
 }
 
-/// The id of a zone, if it is in the settings. If these name no zones, every name has the same id.
+/// The id of a zone, if it is in the settings. If the settings contain no zones, all names have the same id.
 pub(crate) fn zone_id(zones: &[String], name: &str) -> Option<ZoneId> {
     let any = zones.is_empty().then_some(ZoneId::MAX);
     zones.iter().position(|known| known == name).or(any)
--- a/crates/routing/src/report_stream.rs
+++ b/crates/routing/src/report_stream.rs
@@ -1,6 +1,6 @@
-//! Detects interruptions of aggregated reports. A pause between two lines is normal up to a limit. In a longer one
-//! the policy keeps its load estimates unchanged, and after [`STALE_AFTER`] the reports are stale, which operators
-//! have to know. No I/O or clock.
+//! Detects interruptions of aggregated reports. A pause between two lines is normal up to a limit. During a longer one
+//! the policy keeps its load estimates unchanged, and after [`STALE_AFTER`] the reports are stale, which is logged for
+//! operators. No I/O or clock.
 
 use super::report_coverage::MAX_WINDOW;
 use whinwall_policy::api::ReportFlow;
@@ -8,10 +8,10 @@
 use whinwall_policy::windowed_counter::WindowedCounter;
 
 /// The amount by which a pause between two lines may exceed the longest recent pause before it is an interruption.
-/// The policy keeps load estimates for one second longer than lines cover, and may learn of an interruption one tick
-/// (250 ms) late, so that with 750 ms estimates never fall because no lines arrive.
+/// The policy keeps load estimates for one second longer than lines cover, and an interruption may be passed to it one
+/// tick (250 ms) late. With 750 ms, estimates therefore never fall just because no lines arrive.
 const PAUSE_TOLERANCE: Span = Span::ms(750);
-/// Reports are stale after three times the longest window. Within the first window the other aggregators notice that
+/// Reports are stale after three times the longest window. Within the first window the other aggregators detect that
 /// an aggregator is gone, within the second its successor reports on all subjects, and the third allows for delays.
 pub const STALE_AFTER: Span = Span::ms(24_000);
 /// The period over which the byte rate is averaged. It is longer than the longest window, because lines may arrive in
@@ -25,7 +25,7 @@
     Interrupted {
         is_stale: bool,
     },
-    /// Lines arrive again. All subjects are reported by `until`.
+    /// Lines arrive again. By the time `until`, lines on all subjects have arrived.
     Recovering {
         until: Moment,
         is_stale: bool,
@@ -46,7 +46,7 @@
 pub struct ReportStream {
     state: State,
     /// The time at which aggregated reports were enabled.
-    started: Moment,
+    enabled_at: Moment,
     last_line: Option<Moment>,
     /// The arrival of the last line before the current or latest interruption.
     interrupted_since: Moment,
@@ -59,7 +59,7 @@
     pub fn start(now: Moment) -> Self {
         ReportStream {
             state: State::Interrupted { is_stale: false },
-            started: now,
+            enabled_at: now,
             last_line: None,
             interrupted_since: now,
             recent: RecentMaxima::default(),
@@ -74,8 +74,8 @@
         let silence = self.silence(now);
         let is_long_silence = self.last_line.is_none() || silence > MAX_WINDOW;
         self.last_line = self.last_line.max(Some(now));
-        // A pause of up to one window may recur, because lines may arrive in bursts. A longer one is not a regular
-        // pause.
+        // A pause of up to one window may recur, because lines may arrive in bursts. A longer one is an exception, and
+        // is not recorded.
         self.recent.record(now, window, if is_long_silence { Span::default() } else { silence });
         let State::Interrupted { is_stale } = self.state else { return false };
         // After a long interruption, and at the start, the interval between lines is unknown.
@@ -95,7 +95,7 @@
         match self.state {
             State::Flowing => {
                 (self.state, self.interrupted_since) =
-                    (State::Interrupted { is_stale: false }, self.last_or_start());
+                    (State::Interrupted { is_stale: false }, self.silent_since());
             }
             State::Recovering { is_stale, .. } => self.state = State::Interrupted { is_stale },
             State::Interrupted { .. } => {}
@@ -107,7 +107,7 @@
         self.bytes.add(now, bytes as f64);
     }
 
-    /// Checks freshness at this time. Returns each change once.
+    /// Updates the state to this time, and returns the change of freshness since the last call, if any.
     pub fn check_freshness(&mut self, now: Moment) -> Option<FreshnessChange> {
         self.detect_interruption(now);
         match self.state {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The state of the stream for the policy.
+    /// The report flow, as passed to the policy.
     pub fn flow(&self) -> ReportFlow {
         match self.state {
             State::Flowing => ReportFlow::Aggregated { longest_window: self.recent.window() },
@@ -141,12 +141,13 @@
         self.last_line.map(|last| now - last)
     }
 
-    fn last_or_start(&self) -> Moment {
-        self.last_line.unwrap_or(self.started)
+    /// The arrival of the last line, or the start if no line arrived yet.
+    fn silent_since(&self) -> Moment {
+        self.last_line.unwrap_or(self.enabled_at)
     }
 
     fn silence(&self, now: Moment) -> Span {
-        now - self.last_or_start()
+        now - self.silent_since()
     }
 
     /// The recent rate of reports, in bytes per second.
--- a/crates/routing/src/source_failures.rs
+++ b/crates/routing/src/source_failures.rs
@@ -1,4 +1,4 @@
-//! The failing sources of information of the controller, with their numbers of failures.
+//! Counts the failures of each source of information of the controller.
 
 use std::collections::BTreeMap;
 
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -9,13 +9,13 @@
 use whinwall_subsetting::{Assignment, Membership, MembershipError, Parameters, Planner, Position, Replica};
 
 /// The minimum time between two computations. Each takes about 10 ms at 650 controllers and 2,200 replicas. Changes
-/// of the registry are batched in between, so that a zone that comes back one replica at a time costs 1% of a core.
+/// of the registry in between are batched, so that a zone whose replicas return one at a time costs 1% of a core.
 const MIN_COMPUTE_INTERVAL: Span = Span::ms(1000);
 
 /// Subsets are computed at once if more than 1 / `IMMEDIATE_COMPUTE_DIVISOR` of the listed replicas are unassigned.
 const IMMEDIATE_COMPUTE_DIVISOR: usize = 16;
 
-/// The fleet in the operators' file, from the point of view of one of its controllers.
+/// The fleet in the operators' file, and the name of this controller in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     own_name: String,
@@ -54,7 +54,7 @@
     }
 
     /// The inputs that must be equal in all controllers for them to compute the same subsets.
-    fn plan(&self) -> (&Membership, Parameters) {
+    fn shared_inputs(&self) -> (&Membership, Parameters) {
         (&self.membership, self.parameters)
     }
 }
@@ -92,7 +92,7 @@
     /// Applies a new configuration; the assignment stays until the next computation. Returns true if the members or
     /// the size of the subsets changed.
     pub fn reconfigure(&mut self, fleet: Fleet) -> bool {
-        let changed = self.fleet.plan() != fleet.plan();
+        let changed = self.fleet.shared_inputs() != fleet.shared_inputs();
         if changed {
             self.planner = Planner::new(fleet.membership.clone(), fleet.parameters);
             self.fingerprint = None;
@@ -122,7 +122,8 @@
         true
     }
 
-    /// The controllers that steer a replica. A replica that is not assigned yet is treated as steered by others.
+    /// The controllers that steer a replica. A replica that is not assigned yet is treated as steered by other
+    /// controllers.
     pub fn membership(&self, replica: &str) -> SubsetMembership {
         match self.assignment.position(replica, &self.fleet.own_name) {
             Some(Position { controllers, position }) => SubsetMembership::Subset { controllers, position },
--- a/crates/routing/src/timers.rs
+++ b/crates/routing/src/timers.rs
@@ -14,7 +14,8 @@
     RelayWatch,
     /// The registry watch is reopened.
     RegistryWatch,
-    /// The registry watch has reported no change for a while; a second one is opened to replace it.
+    /// The registry watch has reported no change for `limits::REGISTRY_RENEWAL_INTERVAL`; a second one is opened to
+    /// replace it.
     RegistryRenewal,
     /// Subsets are computed from the current registry.
     Subsets,
