--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -27,11 +27,11 @@
     /// Reads the clocks of the machine: the time since boot, which includes time in suspend and is not affected by
     /// steps of the wall clock, and the wall clock.
     pub fn read_machine_clocks() -> ClockReading {
-        let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
-        let since = clock_gettime(ClockId::Boottime);
-        let uptime = Duration::new(since.tv_sec.max(0) as u64, since.tv_nsec.max(0) as u32);
+        let boot_id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
+        let since_boot = clock_gettime(ClockId::Boottime);
+        let uptime = Duration::new(since_boot.tv_sec.max(0) as u64, since_boot.tv_nsec.max(0) as u32);
         let uptime = Span::ns(uptime.as_nanos() as u64);
-        ClockReading { boot_id: boot.trim().into(), uptime, wall_time: Clock::wall_time() }
+        ClockReading { boot_id: boot_id.trim().into(), uptime, wall_time: Clock::wall_time() }
     }
 
     /// Returns the machine's wall-clock time, which may be stepped.
--- a/crates/runtime/src/logger.rs
+++ b/crates/runtime/src/logger.rs
@@ -77,7 +77,7 @@
 
 /// The line count of one callsite in the current period.
 struct RateLimit {
-    period_began: Instant,
+    period_start: Instant,
     lines: u32,
     /// The number of lines suppressed since the last written line.
     suppressed: u64,
@@ -132,14 +132,14 @@
 }
 
 impl RateLimit {
-    fn begin(now: Instant) -> Self {
-        RateLimit { period_began: now, lines: 0, suppressed: 0 }
+    fn new(now: Instant) -> Self {
+        RateLimit { period_start: now, lines: 0, suppressed: 0 }
     }
 
     /// Counts a line. Returns the number of lines suppressed before it, or `None` if it must be suppressed too.
     fn admit(&mut self, now: Instant, max_lines: u32) -> Option<u64> {
-        if now - self.period_began >= RATE_LIMIT_PERIOD {
-            self.period_began = now;
+        if now - self.period_start >= RATE_LIMIT_PERIOD {
+            self.period_start = now;
             self.lines = 0;
         }
         if self.lines >= max_lines {
@@ -158,14 +158,14 @@
         let callsite = Callsite { file: metadata.file().map(str::to_string), line: metadata.line() };
         // If a thread panicked while holding the lock, nothing more is logged; the process is about to restart.
         let mut rate_limits = self.rate_limits.lock().ok()?;
-        let rate_limit = rate_limits.entry(callsite).or_insert_with(|| RateLimit::begin(now));
+        let rate_limit = rate_limits.entry(callsite).or_insert_with(|| RateLimit::new(now));
         rate_limit.admit(now, self.lines_per_second)
     }
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>> Layer<S> for Logger {
     fn enabled(&self, metadata: &Metadata, _: Context<S>) -> bool {
-        // Libraries log warnings and errors only.
+        // Of libraries, only warnings and errors are logged.
         let is_own_code = metadata.target().starts_with("whinwall");
         *metadata.level() <= self.level && (is_own_code || *metadata.level() <= Level::WARN)
     }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Sleeps. A reload requested in the meantime is returned by a later call of `next`, since the configuration that
-    /// was read before may be out of date.
+    /// Sleeps for this duration. A reload requested in the meantime is returned by the next call of `next`, since the
+    /// configuration that was read before may be out of date.
     ///
     /// # Errors
     /// Returns the termination without further delay if one is requested.
--- a/crates/serving/src/accept.rs
+++ b/crates/serving/src/accept.rs
@@ -1,5 +1,6 @@
-//! Accepting connections. Most errors of accept(2) concern a single connection that failed before it was accepted, so
-//! the next one is accepted immediately. If file descriptors or memory run out, a connection is closed first.
+//! Accepting connections, with the handling of failed calls of accept(2). Most errors concern a single connection that
+//! failed before it was accepted; the next connection is then accepted immediately. If file descriptors or memory run
+//! out, an open connection is closed first.
 
 use actix_rt::net::{TcpListener, TcpSocket};
 use rustix::io::Errno;
@@ -10,8 +11,8 @@
 
 /// The delay before the next accept(2) if resources are exhausted or the listener fails.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The delay before the next accept(2) if a connection was asked to close to release resources. Its task needs a short
-/// time to close it.
+/// The delay before the next accept(2) if a connection is being closed to release resources. Its task needs a short time
+/// to close it.
 const RELEASED_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 /// The backlog of a closing listener counts as empty if no connection arrives within this time.
@@ -19,9 +20,8 @@
 /// The limit on the time that a closing listener keeps accepting connections from its backlog.
 const MAX_BACKLOG_DRAIN_TIME: Duration = Duration::from_millis(50);
 
-/// The maximum number of connections waiting to be accepted: as many connections as a controller may have. If the
-/// backlog is full, the system drops the first packet of a connection, which the client sends again only after a
-/// second.
+/// The maximum number of connections waiting to be accepted: as many as a controller may have. If the backlog is full,
+/// the system drops the first packet of a connection, which the client sends again only after a second.
 pub(crate) const BACKLOG: u32 = 1024;
 
 /// The cause of a failed accept(2).
@@ -82,7 +82,7 @@
             Err(error) => error,
         };
         match AcceptFailure::from(&error) {
-            // A delay here would hold up all connections behind the failed one.
+            // A delay here would delay all connections that wait behind the failed one.
             AcceptFailure::Connection => {
                 tracing::debug!(%error, "connection failed before it was accepted");
                 tokio::task::yield_now().await;
--- a/crates/serving/src/http.rs
+++ b/crates/serving/src/http.rs
@@ -73,7 +73,7 @@
     /// Accepts a connection.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Prevents new connections where this is possible without losing those that wait to be accepted.
+    /// Prevents new connections if that is possible without losing those that wait to be accepted.
     fn unpublish(&self) {}
 }
 
@@ -103,7 +103,7 @@
     listener: impl Listener,
     limits: HttpLimits,
     handler: Rc<impl Handler>,
-    signal: ShutdownSignal,
+    mut signal: ShutdownSignal,
 ) {
     let server = Server {
         limits,
@@ -112,13 +112,12 @@
         connections: Arc::new(Semaphore::new(limits.max_connections)),
         rejections: Arc::new(Semaphore::new(MAX_REJECTIONS)),
     };
-    let mut closing = signal;
     loop {
         // No connection is closed to release resources: idle connections time out by themselves.
         let accepted = next_connection(async || listener.accept().await, || false);
         tokio::select! {
             biased;
-            _ = closing.closing() => break,
+            _ = signal.closing() => break,
             stream = accepted => server.serve_connection(stream),
         }
     }
--- a/crates/serving/src/http/connection.rs
+++ b/crates/serving/src/http/connection.rs
@@ -45,7 +45,7 @@
 enum WaitOutcome {
     Read(io::Result<usize>),
     TimedOut,
-    /// The server shuts down. Holds the deadline for answering the requests that were read.
+    /// The server is shutting down. Holds the deadline for answering the requests that were read.
     Closing(Instant),
 }
 
@@ -104,7 +104,7 @@
                 Ok(None) => {}
                 Err((status, reason)) => return Incoming::Invalid(status, reason),
             }
-            if partial.take_continue() && self.write(CONTINUE_RESPONSE).await.is_err() {
+            if partial.take_expects_continue() && self.write(CONTINUE_RESPONSE).await.is_err() {
                 return Incoming::Ended;
             }
             if partial.mark_begun(&self.input) {
@@ -117,8 +117,8 @@
                 WaitOutcome::Read(_) => return Incoming::Ended,
                 // The rest of a partial request may still arrive: it is answered when complete, or rejected shortly
                 // before the closing deadline.
-                WaitOutcome::Closing(at) => {
-                    close_by = Some(at);
+                WaitOutcome::Closing(close_deadline) => {
+                    close_by = Some(close_deadline);
                     if !partial.has_begun {
                         deadline = Instant::now() + CLOSE_READ_TIMEOUT;
                     }
@@ -247,7 +247,7 @@
 }
 
 impl PartialRequest {
-    /// Records that a part of the request was read, if so. Returns true only when this is recorded for the first time.
+    /// Sets `has_begun` if a part of the request was read. Returns true if it was not set before.
     fn mark_begun(&mut self, input: &BytesMut) -> bool {
         let begins = !self.has_begun && (!input.is_empty() || self.request.is_some());
         self.has_begun |= begins;
@@ -259,7 +259,7 @@
         self.request = Some(request);
     }
 
-    fn take_continue(&mut self) -> bool {
+    fn take_expects_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects_continue)
     }
 
--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -17,7 +17,8 @@
     Serving,
     /// Requests are served, and responses announce that the connection will close.
     Draining,
-    /// No new connection is accepted and no new request is begun. Requests that were read are answered until then.
+    /// No new connection is accepted and no new request is begun. Requests that were read are answered until the
+    /// deadline.
     Closing {
         deadline: Instant,
     },
@@ -76,7 +77,7 @@
         *self.phase.borrow() != Phase::Serving || self.phase.has_changed().is_err()
     }
 
-    /// Returns a signal for the same shutdown whose holder [`RunningConnections`] does not wait for.
+    /// Returns a signal for the same shutdown. [`RunningConnections`] does not wait for its holder.
     pub fn observer(&self) -> Self {
         ShutdownSignal { _running: None, ..self.clone() }
     }
@@ -86,14 +87,14 @@
         self.closing_before(None).await
     }
 
-    /// Waits for the closing phase with a deadline earlier than `known`, or with any deadline if `known` is `None`.
-    pub async fn closing_before(&mut self, known: Option<Instant>) -> Instant {
+    /// Waits for the closing phase with a deadline earlier than `known_deadline`, or with any deadline if that is `None`.
+    pub async fn closing_before(&mut self, known_deadline: Option<Instant>) -> Instant {
         let is_earlier_deadline = |phase: &Phase| match phase {
-            Phase::Closing { deadline } => known.is_none_or(|known| *deadline < known),
+            Phase::Closing { deadline } => known_deadline.is_none_or(|known| *deadline < known),
             Phase::Serving | Phase::Draining => false,
         };
         let phase = self.phase.wait_for(is_earlier_deadline).await.map(|phase| *phase);
-        match (phase, known) {
+        match (phase, known_deadline) {
             (Ok(Phase::Closing { deadline }), _) => deadline,
             // The trigger was dropped, so the deadline cannot change any more.
             (_, Some(_)) => std::future::pending().await,
@@ -108,8 +109,8 @@
         while self.0.recv().await.is_some() {}
     }
 
-    /// Waits until all holders of the signal have dropped it, at most until the grace period after the closing
-    /// deadline of `signal` has passed. Returns false if some holders remain.
+    /// Waits until all holders of the signal have dropped it, but not longer than `grace_period` after the closing
+    /// deadline of `signal`. Returns false if some holders remain.
     pub async fn ended_by(&mut self, mut signal: ShutdownSignal, grace_period: Duration) -> bool {
         let mut deadline = signal.closing().await;
         loop {
--- a/crates/serving/src/unix_socket.rs
+++ b/crates/serving/src/unix_socket.rs
@@ -121,12 +121,12 @@
 /// Removes a socket on which no process listens. If another process binds the path in the meantime, its socket is
 /// left in place or restored.
 fn remove_stale_socket(path: &Path) -> io::Result<()> {
-    let found = match std::fs::symlink_metadata(path) {
-        Ok(found) => found,
+    let existing = match std::fs::symlink_metadata(path) {
+        Ok(existing) => existing,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
         Err(error) => return Err(error),
     };
-    if !found.file_type().is_socket() {
+    if !existing.file_type().is_socket() {
         return Err(io::Error::new(io::ErrorKind::AlreadyExists, "the path exists and is not a socket"));
     }
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
@@ -140,7 +140,7 @@
     }
     let renamed = path.with_extension(format!("stale-{}", std::process::id()));
     std::fs::rename(path, &renamed)?;
-    if FileId::from(&std::fs::symlink_metadata(&renamed)?) == FileId::from(&found) {
+    if FileId::from(&std::fs::symlink_metadata(&renamed)?) == FileId::from(&existing) {
         return std::fs::remove_file(&renamed);
     }
     rustix::fs::renameat_with(CWD, &renamed, CWD, path, RenameFlags::NOREPLACE)?;
--- a/crates/serving/tests/unix_socket.rs
+++ b/crates/serving/tests/unix_socket.rs
@@ -35,17 +35,17 @@
 #[test]
 fn servers_starting_concurrently_create_private_sockets() {
     let directory = tempfile::tempdir().unwrap();
-    let before = umask();
-    let has_ended = AtomicBool::new(false);
+    let umask_before = umask();
+    let all_have_bound = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        let watching = scope.spawn(|| {
-            while !has_ended.load(Ordering::Relaxed) {
-                assert_eq!(umask(), before, "the umask, which all threads share, has changed");
+        let umask_watcher = scope.spawn(|| {
+            while !all_have_bound.load(Ordering::Relaxed) {
+                assert_eq!(umask(), umask_before, "the umask, which all threads share, has changed");
             }
         });
-        let binding: Vec<_> = (0..4)
-            .map(|thread| {
-                let directory = directory.path().join(thread.to_string());
+        let servers: Vec<_> = (0..4)
+            .map(|server| {
+                let directory = directory.path().join(server.to_string());
                 std::fs::create_dir(&directory).unwrap();
                 scope.spawn(move || {
                     in_runtime(|| {
@@ -60,9 +60,9 @@
                 })
             })
             .collect();
-        binding.into_iter().for_each(|thread| thread.join().unwrap());
-        has_ended.store(true, Ordering::Relaxed);
-        watching.join().unwrap();
+        servers.into_iter().for_each(|server| server.join().unwrap());
+        all_have_bound.store(true, Ordering::Relaxed);
+        umask_watcher.join().unwrap();
     });
 }
 
@@ -92,9 +92,9 @@
         });
         let refused = bound.iter().filter(|outcome| **outcome == Err(ErrorKind::AddrInUse)).count();
         assert_eq!((bound.iter().filter(|outcome| outcome.is_ok()).count(), refused), (1, 3), "{bound:?}");
-        let left: Vec<_> =
+        let left_files: Vec<_> =
             std::fs::read_dir(directory.path()).unwrap().map(|entry| entry.unwrap().path()).collect();
-        assert!(left.is_empty(), "files left behind: {left:?}");
+        assert!(left_files.is_empty(), "files left behind: {left_files:?}");
     }
 }
 
@@ -102,10 +102,10 @@
 fn socket_of_a_listening_program_is_not_replaced() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("m.sock");
-    let other = UnixListener::bind(&path).unwrap();
+    let listener = UnixListener::bind(&path).unwrap();
     in_runtime(|| assert_eq!(bind(path.clone()).err().map(|error| error.kind()), Some(ErrorKind::AddrInUse)));
     assert!(UnixStream::connect(&path).is_ok());
-    drop(other);
+    drop(listener);
 }
 
 /// A regular file that an operator has created at the path by mistake must not be deleted.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! Parses and validates the deployment settings that a controller receives at start-up: JSON with the names and units
-//! of the protocol's first message. The controller and the simulator adapter share this package, so that the policy
-//! does not depend on JSON.
+//! of the simulator's `powerOn` event. The controller and the simulator adapter share this package, so
+//! that the policy does not depend on JSON.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used)]
 
@@ -24,12 +24,12 @@
 }
 
 impl<'de> Deserialize<'de> for Settings {
-    fn deserialize<D: Deserializer<'de>>(raw: D) -> Result<Self, D::Error> {
-        let document = Document::deserialize(raw)?;
-        let classes = document.request_classes.len();
-        if !(1..=MAX_REQUEST_CLASSES).contains(&classes) {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let document = Document::deserialize(deserializer)?;
+        let class_count = document.request_classes.len();
+        if !(1..=MAX_REQUEST_CLASSES).contains(&class_count) {
             let message = format!(
-                "classes: invalid length {classes}, expected 1 to {MAX_REQUEST_CLASSES} request classes"
+                "classes: invalid length {class_count}, expected 1 to {MAX_REQUEST_CLASSES} request classes"
             );
             return Err(D::Error::custom(message));
         }
@@ -135,30 +135,31 @@
 }
 
 /// Reads a duration in nanoseconds. JSON writers may write it as an integer or as a decimal number.
-fn duration<'de, D: Deserializer<'de>>(raw: D) -> Result<Span, D::Error> {
+fn duration<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Span, D::Error> {
     // Clamped to the range of a signed 64-bit integer (292 years), so that sums of times and durations do not
     // overflow.
-    non_negative(raw).map(|ns| Span::ns(ns.min(i64::MAX as f64) as u64))
+    non_negative(deserializer).map(|ns| Span::ns(ns.min(i64::MAX as f64) as u64))
 }
 
 /// Reads an integer that fits into a `u32`. JSON writers may write it as a decimal number, such as `5.0`.
-fn count<'de, D: Deserializer<'de>>(raw: D) -> Result<u32, D::Error> {
-    let count = non_negative(raw)?;
-    let whole = count.fract() == 0.0 && count <= f64::from(u32::MAX);
-    whole.then_some(count as u32).ok_or_else(|| {
+fn count<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u32, D::Error> {
+    let count = non_negative(deserializer)?;
+    let is_u32 = count.fract() == 0.0 && count <= f64::from(u32::MAX);
+    is_u32.then_some(count as u32).ok_or_else(|| {
         D::Error::custom(format!("invalid value {count}, expected an integer from 0 to 4294967295"))
     })
 }
 
-fn optional_count<'de, D: Deserializer<'de>>(raw: D) -> Result<Option<u32>, D::Error> {
-    count(raw).map(Some)
+fn optional_count<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u32>, D::Error> {
+    count(deserializer).map(Some)
 }
 
 /// Reads a number, and rejects negative numbers and NaN.
-fn non_negative<'de, D: Deserializer<'de>>(raw: D) -> Result<f64, D::Error> {
-    let number = f64::deserialize(raw)?;
-    let valid = (number >= 0.0).then_some(number);
-    valid.ok_or_else(|| D::Error::custom(format!("invalid value {number}, expected a number of at least 0")))
+fn non_negative<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let number = f64::deserialize(deserializer)?;
+    let non_negative = (number >= 0.0).then_some(number);
+    non_negative
+        .ok_or_else(|| D::Error::custom(format!("invalid value {number}, expected a number of at least 0")))
 }
 
 impl Document {
@@ -176,7 +177,7 @@
             weights_known: matches!(self.replica_weights.as_str(), "nominal" | "rough"),
             admission_supported: fleet.level_kind == "fraction",
             controller_count: self.controller_count,
-            // One of several controllers that has no index of its own does not take part in random choices among them.
+            // A controller without an index does not take part in random choices among several controllers.
             controller_index: self.controller_index.unwrap_or(if self.controller_count > 1 {
                 u32::MAX
             } else {
--- a/crates/settings/tests/every_key.rs
+++ b/crates/settings/tests/every_key.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn invalid_value_is_named_by_its_path() {
+fn error_names_the_path_of_an_invalid_value() {
     let error = parse_settings(&with_value("/familyInfo/pushRate", "fast".into())).unwrap_err().to_string();
     assert_eq!(error, r#"familyInfo.pushRate: invalid type: string "fast", expected f64"#);
     let error = parse_settings(&with_value("/obligations/coldFrom", (-1).into())).unwrap_err().to_string();
@@ -140,10 +140,10 @@
 
 #[test]
 fn weights_are_known_if_nominal_or_rough() {
-    for (value, known) in [("nominal", true), ("rough", true), ("none", false), ("", false)] {
+    for (value, are_known) in [("nominal", true), ("rough", true), ("none", false), ("", false)] {
         assert_eq!(
             parsed(&with_value("/weights", value.into())).deployment.weights_known,
-            known,
+            are_known,
             "{value:?}"
         );
     }
@@ -151,9 +151,9 @@
 
 #[test]
 fn admission_is_supported_if_the_level_kind_is_fraction() {
-    for (value, supported) in [("fraction", true), ("rate", false), ("", false)] {
+    for (value, is_supported) in [("fraction", true), ("rate", false), ("", false)] {
         let deployment = parsed(&with_value("/familyInfo/levelKind", value.into())).deployment;
-        assert_eq!(deployment.admission_supported, supported, "{value:?}");
+        assert_eq!(deployment.admission_supported, is_supported, "{value:?}");
     }
 }
 
--- a/crates/test-support/src/help_text.rs
+++ b/crates/test-support/src/help_text.rs
@@ -21,23 +21,24 @@
         .env("COLUMNS", "100")
         .env("NO_COLOR", "1")
         .output()
-        .expect("failed to run the program under test");
+        .unwrap_or_else(|error| panic!("failed to run {program} {subcommand} --help: {error}"));
     assert!(output.status.success(), "{program} {subcommand} --help: {}", output.status);
-    assert!(output.stderr.is_empty(), "{}", String::from_utf8_lossy(&output.stderr));
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.is_empty(), "{program} {subcommand} --help wrote to standard error: {stderr}");
     let name = Path::new(program)
         .file_name()
         .and_then(|name| name.to_str())
-        .expect("program path without a UTF-8 file name");
+        .unwrap_or_else(|| panic!("program path {program:?} has no file name"));
     replace_program_name(&String::from_utf8(output.stdout).expect("help text is not UTF-8"), name)
 }
 
-/// Replaces whole-word occurrences of the name; occurrences within a path or a longer name stay.
+/// Replaces whole-word occurrences of the name by the placeholder; occurrences within a path or a longer name stay.
 fn replace_program_name(text: &str, name: &str) -> String {
     let continues_word = |c: char| c.is_ascii_alphanumeric() || "-_/.".contains(c);
     let mut replaced = String::new();
     let mut rest = text;
-    while let Some(at) = rest.find(name) {
-        let (before, after) = (&rest[..at], &rest[at + name.len()..]);
+    while let Some(start) = rest.find(name) {
+        let (before, after) = (&rest[..start], &rest[start + name.len()..]);
         let starts_word = !before.ends_with(continues_word);
         let ends_word = !after.starts_with(continues_word);
         replaced.push_str(before);
--- a/crates/test-support/src/message_queue.rs
+++ b/crates/test-support/src/message_queue.rs
@@ -25,7 +25,7 @@
     ///
     /// # Panics
     ///
-    /// If no matching message arrives within the time-out.
+    /// If no matching message arrives within the time-out, or before the sending end of the channel is closed.
     pub fn wait(&mut self, description: &str, matches: impl Fn(&T) -> bool) -> T {
         if let Some(message) = self.take_skipped(&matches) {
             return message;
@@ -36,7 +36,11 @@
             match self.receiver.recv_timeout(remaining) {
                 Ok(next) if matches(&next) => return next,
                 Ok(next) => self.skipped.push_back(next),
-                Err(_) => panic!("timed out waiting for {description}"),
+                Err(error) => panic!(
+                    "failed to receive {description} within {:?}: {error}; {} other messages received",
+                    self.timeout,
+                    self.skipped.len()
+                ),
             }
         }
     }
