--- a/crates/controller/benches/reducer.rs
+++ b/crates/controller/benches/reducer.rs
@@ -39,7 +39,7 @@
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: local(8500), relay: local(6400) };
-        let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
+        let reducer = Reducer::new(settings, targets, 7, &discovery::List::default(), now);
         let mut fleet = Fleet { reducer, now };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: now };
         let config = OverrideConfig {
--- a/crates/controller/benches/report_coverage.rs
+++ b/crates/controller/benches/report_coverage.rs
@@ -44,7 +44,7 @@
     let now = Moment::default() + Span::ms(1_800_000_000_000);
     let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
     let targets = Targets { discovery: local(8500), relay: local(6400) };
-    let mut reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
+    let mut reducer = Reducer::new(settings, targets, 7, &discovery::List::default(), now);
     reducer.apply(now, Event::Started);
     let entry = |n| json!({"id": format!("s-{n}"), "zone": "north", "state": "active"});
     let list = json!({"version": 1, "full": true, "servers": (0..replicas).map(entry).collect::<Vec<_>>()});
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -171,7 +171,7 @@
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: local(8500), relay: local(6400) };
-        let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
+        let reducer = Reducer::new(settings, targets, 7, &discovery::List::default(), now);
         let test_bed = TestBed::new(reducer, now, lines_per_second, proxies);
         let (own_slices, other_slices) = (0..slices).partition(|slice| slice.is_multiple_of(CONTROLLERS));
         ScenarioRun { test_bed, scenario, replicas, proxies, own_slices, other_slices }
--- a/crates/controller/benches/subsets.rs
+++ b/crates/controller/benches/subsets.rs
@@ -59,7 +59,7 @@
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: local(8500), relay: local(6400) };
-        let reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
+        let reducer = Reducer::new(settings, targets, 7, &discovery::List::default(), now);
         let mut controller = Controller { reducer, now, changes: 0 };
         controller.apply(Event::SubsettingConfigured(build_fleet(controllers, 0)));
         let entries = (0..REPLICAS).map(|number| registry_entry(&format!("s-{number}"), number, "active"));
--- a/crates/controller/src/program/effects.rs
+++ b/crates/controller/src/program/effects.rs
@@ -88,7 +88,7 @@
         watches: Watches,
         services: &'a mut OperatorServices,
     ) -> Self {
-        let reducer = Reducer::start(
+        let reducer = Reducer::new(
             config.settings.clone(),
             config.targets,
             config.seed,
--- a/crates/controller/tests/large_fleet.rs
+++ b/crates/controller/tests/large_fleet.rs
@@ -85,7 +85,7 @@
     let mut now = Moment::default() + Span::ms(1_800_000_000_000);
     let loopback = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
     let targets = Targets { discovery: loopback(8500), relay: loopback(6400) };
-    let mut reducer = Reducer::start(settings, targets, 7, &discovery::List::default(), now);
+    let mut reducer = Reducer::new(settings, targets, 7, &discovery::List::default(), now);
     let listed =
         |list: Value| Event::EndpointListReceived(discovery::decode(&list.to_string()).unwrap().unwrap());
     let relay_event = |line: String| Event::Relay(decode_event(&line).unwrap());
--- a/crates/controller/tests/support/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -59,7 +59,7 @@
         let now = Moment::default() + Span::ms(1_800_000_000_000);
         let targets = Targets { discovery: DISCOVERY, relay: RELAY };
         let mut rig = Rig {
-            reducer: Reducer::start(settings, targets, seed, &discovery::List::default(), now),
+            reducer: Reducer::new(settings, targets, seed, &discovery::List::default(), now),
             now,
             wake_at: None,
             store: (0..slices).map(|n| (n, BTreeMap::from([(format!("s-{}", n % 6), 1.0)]))).collect(),
--- a/crates/emulator/src/scenario/controllers.rs
+++ b/crates/emulator/src/scenario/controllers.rs
@@ -30,7 +30,7 @@
         let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
         let targets = Targets { discovery: local(DISCOVERY_PORT), relay: local(RELAY_PORT) };
         let seed = (self.random.draw() * SEED_RANGE) as u64;
-        let reducer = Reducer::start(settings, targets, seed, &discovery::List::default(), self.now);
+        let reducer = Reducer::new(settings, targets, seed, &discovery::List::default(), self.now);
         let controller = &mut self.controllers[at];
         controller.incarnation += 1;
         controller.reducer = Some(reducer);
--- a/crates/routing/src/reducer.rs
+++ b/crates/routing/src/reducer.rs
@@ -66,7 +66,7 @@
 impl Reducer {
     /// Creates a controller that knows nothing but an endpoint list from before the start. The seed determines all of
     /// its random choices.
-    pub fn start(settings: Settings, targets: Targets, seed: u64, known_list: &List, now: Moment) -> Self {
+    pub fn new(settings: Settings, targets: Targets, seed: u64, known_list: &List, now: Moment) -> Self {
         let mut reducer = Reducer {
             policy: Policy::start(settings.deployment.clone(), seed, now),
             settings,
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -32,7 +32,7 @@
         }
         self.aggregated = is_enabled.then(|| AggregatedReports {
             coverage: ReportCoverage::default(),
-            stream: ReportStream::start(now),
+            stream: ReportStream::new(now),
             applied_flow: ReportFlow::Direct,
         });
         if !is_enabled {
--- a/crates/routing/src/report_stream.rs
+++ b/crates/routing/src/report_stream.rs
@@ -56,7 +56,7 @@
 
 impl ReportStream {
     /// Creates the state of the stream. Called when aggregated reports are enabled.
-    pub fn start(now: Moment) -> Self {
+    pub fn new(now: Moment) -> Self {
         ReportStream {
             state: State::Interrupted { is_stale: false },
             started: now,
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -90,7 +90,7 @@
             whinwall_settings::parse_settings(&environment.plan.configuration(controller)["settings"])?;
         let now = environment.run_start.current_time();
         let site = Site::First;
-        let reducer = Reducer::start(
+        let reducer = Reducer::new(
             settings.clone(),
             site_targets(site),
             BASE_SEED ^ controller as u64,
@@ -138,7 +138,7 @@
         self.incarnation += 1;
         let seed = (BASE_SEED ^ self.controller as u64).wrapping_mul(self.incarnation);
         let (settings, targets) = (self.settings.clone(), site_targets(self.site));
-        self.reducer = Reducer::start(settings, targets, seed, &List::default(), now);
+        self.reducer = Reducer::new(settings, targets, seed, &List::default(), now);
         (self.list_version, self.report_names) = (0, ReportNames::default());
         (self.relay_watch_failure, self.registry_watch_failure, self.relay_request_failure) =
             (None, None, None);
