--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -30,9 +30,10 @@
 
 #[test]
 fn admission_commands_are_encoded() {
-    let encode_admission = |slice, request_classes: &[&str], share, retries| {
+    let encode_admission = |slice, request_classes: &[&str], admission_rate, retries| {
         let request_classes = request_classes.iter().map(std::string::ToString::to_string).collect();
-        Command::SetAdmission { slice, request_classes, share, retries }.encode(SyncScope::ReachedProxies)
+        Command::SetAdmission { slice, request_classes, admission_rate, retries }
+            .encode(SyncScope::ReachedProxies)
     };
     assert_eq!(encode_admission(Some(7), &["lookup", "write"], 0.5, 3), "LIMIT,7,lookup+write,0.5,3");
     assert_eq!(encode_admission(Some(7), &["lookup"], 0.5, 3), "LIMIT,7,lookup,0.5,3");
@@ -41,7 +42,7 @@
 
 #[test]
 fn sync_command_is_encoded_with_its_scope() {
-    let version = Command::Sync { number: 65535 };
+    let version = Command::Sync { version: 65535 };
     assert_eq!(version.encode(SyncScope::AllProxies), "SYNC,65535,1");
     assert_eq!(version.encode(SyncScope::ReachedProxies), "SYNC,65535,0");
 }
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -150,14 +150,14 @@
         /// The request classes that the limits apply to; empty for all.
         request_classes: Vec<String>,
         /// The fraction of requests that is admitted, from 0 to 1.
-        share: f64,
+        admission_rate: f64,
         /// The maximum number of retries per request.
         retries: u8,
     },
     /// Requests that proxies acknowledge all commands up to this one with a version.
     Sync {
         /// The version.
-        number: u16,
+        version: u16,
     },
 }
 
@@ -183,7 +183,7 @@
     /// Returns the version that proxies are to acknowledge, if the command is a `Sync`.
     pub fn version(&self) -> Option<u16> {
         match self {
-            Command::Sync { number } => Some(*number),
+            Command::Sync { version } => Some(*version),
             _ => None,
         }
     }
@@ -194,14 +194,14 @@
             Command::SetEndpoint { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
             Command::Withdraw { replica } => format!("OUT,{replica}"),
             Command::Reinstate { replica } => format!("IN,{replica}"),
-            Command::SetAdmission { slice, request_classes, share, retries } => {
+            Command::SetAdmission { slice, request_classes, admission_rate, retries } => {
                 let slice = slice.map_or("*".into(), |slice| slice.to_string());
                 let request_classes =
                     if request_classes.is_empty() { "*".into() } else { request_classes.join("+") };
-                format!("LIMIT,{slice},{request_classes},{share},{retries}")
+                format!("LIMIT,{slice},{request_classes},{admission_rate},{retries}")
             }
-            Command::Sync { number } => {
-                format!("SYNC,{number},{}", u8::from(scope == SyncScope::AllProxies))
+            Command::Sync { version } => {
+                format!("SYNC,{version},{}", u8::from(scope == SyncScope::AllProxies))
             }
         }
     }
--- a/crates/routing/src/reducer/relay_commands.rs
+++ b/crates/routing/src/reducer/relay_commands.rs
@@ -214,9 +214,9 @@
                 let classes = self.settings.request_classes.iter().enumerate();
                 let selected = classes.filter(|(position, _)| request_classes >> position & 1 == 1);
                 let request_classes = selected.map(|(_, name)| name.clone()).collect();
-                Command::SetAdmission { slice, request_classes, share: admission_rate, retries }
+                Command::SetAdmission { slice, request_classes, admission_rate, retries }
             }
-            Action::Sync { version } => Command::Sync { number: version },
+            Action::Sync { version } => Command::Sync { version },
             Action::RequestReplicaList => {
                 self.open_registry_watch(now);
                 return None;
