--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -85,13 +85,13 @@
     for set in ["1", "true", "yes"] {
         assert_eq!(
             event(&format!("* SUBSCRIBE 4 a 120.5 {set}")),
-            RelayEvent::ProxyJoined { proxy: 4, has_no_table: true }
+            RelayEvent::ProxyJoined { proxy: 4, starts_without_tables: true }
         );
     }
     for unset in ["0", "false", "no"] {
         assert_eq!(
             event(&format!("* SUBSCRIBE 4 a 120.5 {unset}")),
-            RelayEvent::ProxyJoined { proxy: 4, has_no_table: false }
+            RelayEvent::ProxyJoined { proxy: 4, starts_without_tables: false }
         );
     }
 }
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -21,8 +21,8 @@
     ProxyJoined {
         /// The proxy.
         proxy: ProxyId,
-        /// True if the proxy has no routing table from an earlier connection.
-        has_no_table: bool,
+        /// True if the proxy starts without routing tables, that is, has none from an earlier connection.
+        starts_without_tables: bool,
     },
     /// A proxy has disconnected from the relay.
     ProxyLeft {
@@ -74,7 +74,7 @@
         "SUBSCRIBE" => {
             let proxy = fields.number("proxy")?;
             let (_zone, _requests_per_second) = (fields.word("place")?, fields.word("share")?);
-            RelayEvent::ProxyJoined { proxy, has_no_table: fields.flag("standing")? }
+            RelayEvent::ProxyJoined { proxy, starts_without_tables: fields.flag("standing")? }
         }
         "CLOSED" => RelayEvent::ProxyLeft { proxy: fields.number("proxy")? },
         "ACK" => RelayEvent::Acknowledged { proxy: fields.number("proxy")?, version: fields.number("mark")? },
--- a/crates/routing/src/reducer/relay_watch.rs
+++ b/crates/routing/src/reducer/relay_watch.rs
@@ -50,10 +50,10 @@
                 self.relay.first_granted_slices.clear();
             }
             RelayEvent::Heartbeat => {}
-            RelayEvent::ProxyJoined { proxy, has_no_table } => {
+            RelayEvent::ProxyJoined { proxy, starts_without_tables } => {
                 self.relay.snapshot.add_proxy(proxy);
                 self.relay.proxies.insert(proxy);
-                let tables = if has_no_table { ProxyTables::Empty } else { ProxyTables::Retained };
+                let tables = if starts_without_tables { ProxyTables::Empty } else { ProxyTables::Retained };
                 self.policy.proxy_joined(now, proxy, tables);
             }
             RelayEvent::ProxyLeft { proxy } => self.proxy_left(now, proxy),
