--- a/crates/controller/tests/event_races.rs
+++ b/crates/controller/tests/event_races.rs
@@ -71,10 +71,10 @@
 }
 
 /// A proxy that is unknown to this controller may have been connected to the previous controller of a slice until the
-/// slice was granted here. It writes by its old table until the tenure ends.
+/// slice was granted here. It writes by its old table until the lease of that table ends.
 #[test]
 fn granted_single_writer_slice_keeps_its_owner_for_the_tenure() {
-    let tenure = 4000;
+    let table_lease_ms = 4000;
     let mut rig = Rig::with_settings(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true))
         .start_serving();
     rig.advance_ms(20_000);
@@ -85,11 +85,11 @@
     rig.relay_event("*");
     let before = rig.requests.len();
     rig.drain("s-2");
-    rig.advance_ms(tenure - 200);
+    rig.advance_ms(table_lease_ms - 200);
     let is_moved = |rig: &Rig| rig.requests[before..].iter().any(|request| request.contains("SET,2,"));
-    assert!(!is_moved(&rig), "moved within the tenure: {:?}", &rig.requests[before..]);
+    assert!(!is_moved(&rig), "moved within the table lease: {:?}", &rig.requests[before..]);
     rig.advance_ms(3000);
-    assert!(is_moved(&rig), "not moved after the tenure: {:?}", &rig.requests[before..]);
+    assert!(is_moved(&rig), "not moved after the table lease: {:?}", &rig.requests[before..]);
 }
 
 /// Consecutive drains, each in several stages, with a cap on messages. Requests for each draining replica must be
--- a/crates/policy/src/deployment.rs
+++ b/crates/policy/src/deployment.rs
@@ -38,8 +38,9 @@
     pub slice_count: u32,
     /// True if a slice has one owner at a time, so that its table has a single endpoint.
     pub single_writer: bool,
-    /// The time for which a proxy still sends writes after its stream was lost.
-    pub tenure: Span,
+    /// The lease of a routing table at a disconnected proxy: the time for which the proxy still sends writes by
+    /// it after its stream was lost.
+    pub table_lease: Span,
     /// The maximum time for which a write can be in flight.
     pub write_lifetime: Span,
     /// The share of its full capacity that a replica has when it starts.
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns true if the table of the slice may be sent. Under single writer, each stage of a change of owner
-    /// must wait for acknowledgements from all connected proxies, for the end of the tenure of proxies that
+    /// must wait for acknowledgements from all connected proxies, for the end of the table lease of proxies that
     /// disconnected from this controller or from the slice's previous controller, and for the lifetime of a write.
     fn may_send_table(&self, slice: &Slice) -> bool {
         if !self.deployment.single_writer || slice.applied_reduction != HALTED_REDUCTION {
@@ -130,7 +130,7 @@
         }
         let write_lifetime = self.deployment.write_lifetime;
         let left_at = self.proxies.last_left_at.max(slice.granted_at);
-        let absent_proxies_stopped = self.now - left_at >= self.deployment.tenure + write_lifetime;
+        let absent_proxies_stopped = self.now - left_at >= self.deployment.table_lease + write_lifetime;
         let writes_ended = |halted_at: Moment| self.now - halted_at >= write_lifetime;
         slice.awaited_version.is_none() && absent_proxies_stopped && slice.halted_at.is_none_or(writes_ended)
     }
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -26,7 +26,7 @@
         fleet_size: 0,
         slice_count: 0,
         single_writer: false,
-        tenure: Span::ms(1000),
+        table_lease: Span::ms(1000),
         write_lifetime: Span::ms(50),
         cold_capacity_share: 0.2,
         warm_up: Span::ms(10_000),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -105,7 +105,7 @@
     #[serde(rename = "singleWriter", default)]
     single_writer: bool,
     #[serde(rename = "tenureNs", default, deserialize_with = "duration")]
-    tenure: Span,
+    table_lease: Span,
     #[serde(rename = "writeLifeNs", default, deserialize_with = "duration")]
     write_lifetime: Span,
     #[serde(rename = "fixedCost", deserialize_with = "non_negative")]
@@ -185,7 +185,7 @@
             fleet_size: fleet.proxies,
             slice_count: fleet.slices,
             single_writer: fleet.single_writer,
-            tenure: fleet.tenure,
+            table_lease: fleet.table_lease,
             write_lifetime: fleet.write_lifetime,
             cold_capacity_share: rules.cold_capacity_share,
             warm_up: rules.warm_up,
--- a/crates/settings/tests/every_key.rs
+++ b/crates/settings/tests/every_key.rs
@@ -58,7 +58,7 @@
     assert_eq!(deployment.fleet_size, 60);
     assert_eq!(deployment.slice_count, 96);
     assert!(deployment.single_writer);
-    assert_eq!(deployment.tenure, Span::ms(3000));
+    assert_eq!(deployment.table_lease, Span::ms(3000));
     assert_eq!(deployment.write_lifetime, Span::ms(1100));
     assert_eq!(deployment.message_overhead_lines, 12.5);
     assert_eq!(deployment.lines_per_second, 800.0);
@@ -89,7 +89,7 @@
     assert_eq!(deployment_without("/familyInfo", "agents").fleet_size, 0);
     assert_eq!(deployment_without("/familyInfo", "partitionsN").slice_count, 0);
     assert!(!deployment_without("/familyInfo", "singleWriter").single_writer);
-    assert_eq!(deployment_without("/familyInfo", "tenureNs").tenure, Span::default());
+    assert_eq!(deployment_without("/familyInfo", "tenureNs").table_lease, Span::default());
     assert_eq!(deployment_without("/familyInfo", "writeLifeNs").write_lifetime, Span::default());
     assert_eq!(deployment_without("/familyInfo", "updateCap").message_limit, 0);
     assert_eq!(deployment_without("/familyInfo", "reloadSpanNs").message_window, Span::default());
