--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -21,8 +21,8 @@
     ProxyJoined {
         /// The proxy.
         proxy: ProxyId,
-        /// True if the proxy has no routing table from an earlier connection.
-        has_no_table: bool,
+        /// True if the proxy starts without routing tables, that is, has none from an earlier connection.
+        starts_without_tables: bool,
     },
     /// A proxy has disconnected from the relay.
     ProxyLeft {
@@ -74,7 +74,7 @@
         "SUBSCRIBE" => {
             let proxy = fields.number("proxy")?;
             let (_zone, _requests_per_second) = (fields.word("place")?, fields.word("share")?);
-            RelayEvent::ProxyJoined { proxy, has_no_table: fields.flag("standing")? }
+            RelayEvent::ProxyJoined { proxy, starts_without_tables: fields.flag("standing")? }
         }
         "CLOSED" => RelayEvent::ProxyLeft { proxy: fields.number("proxy")? },
         "ACK" => RelayEvent::Acknowledged { proxy: fields.number("proxy")?, version: fields.number("mark")? },
@@ -150,14 +150,14 @@
         /// The request classes that the limits apply to; empty for all.
         request_classes: Vec<String>,
         /// The fraction of requests that is admitted, from 0 to 1.
-        share: f64,
+        admission_rate: f64,
         /// The maximum number of retries per request.
         retries: u8,
     },
     /// Requests that proxies acknowledge all commands up to this one with a version.
     Sync {
         /// The version.
-        number: u16,
+        version: u16,
     },
 }
 
@@ -183,7 +183,7 @@
     /// Returns the version that proxies are to acknowledge, if the command is a `Sync`.
     pub fn version(&self) -> Option<u16> {
         match self {
-            Command::Sync { number } => Some(*number),
+            Command::Sync { version } => Some(*version),
             _ => None,
         }
     }
@@ -194,14 +194,14 @@
             Command::SetEndpoint { slice, replica, weight } => format!("SET,{slice},{replica},{weight}"),
             Command::Withdraw { replica } => format!("OUT,{replica}"),
             Command::Reinstate { replica } => format!("IN,{replica}"),
-            Command::SetAdmission { slice, request_classes, share, retries } => {
+            Command::SetAdmission { slice, request_classes, admission_rate, retries } => {
                 let slice = slice.map_or("*".into(), |slice| slice.to_string());
                 let request_classes =
                     if request_classes.is_empty() { "*".into() } else { request_classes.join("+") };
-                format!("LIMIT,{slice},{request_classes},{share},{retries}")
+                format!("LIMIT,{slice},{request_classes},{admission_rate},{retries}")
             }
-            Command::Sync { number } => {
-                format!("SYNC,{number},{}", u8::from(scope == SyncScope::AllProxies))
+            Command::Sync { version } => {
+                format!("SYNC,{version},{}", u8::from(scope == SyncScope::AllProxies))
             }
         }
     }
