--- a/crates/controller/tests/collector_wire.rs
+++ b/crates/controller/tests/collector_wire.rs
@@ -123,11 +123,26 @@
 #[test]
 fn report_of_the_replica_itself_is_checked() {
     let negative = LOAD.replace(r#""inflight":9"#, r#""inflight":-1"#);
-    assert!(malformed_error(&negative).starts_with("count or time out of range, in "));
+    assert!(malformed_error(&negative)
+        .starts_with("inflight out of range: got -1, expected 0 to 1000000000, in "));
     assert!(decode(&with_renamed_field(&negative, "inflight")).is_ok());
     assert!(decode(&with_renamed_field(&negative, "report")).is_ok());
 }
 
+#[test]
+fn value_out_of_range_is_reported_with_its_field_and_limit() {
+    for (line, valid, invalid, expected) in [
+        (LOAD, r#""n":212"#, r#""n":-1"#, "n out of range: got -1, expected 0 to 1000000000"),
+        (LOAD, r#""bad":3"#, r#""bad":213"#, "bad out of range: got 213, expected 0 to 212"),
+        (LOAD, r#""avg":41.7"#, r#""avg":3600001"#, "avg out of range: got 3600001, expected 0 to 3600000"),
+        (LOAD, r#""window":250.5"#, r#""window":0"#, "window out of range: got 0, expected more than 0"),
+        (SHARD, r#""bad":3"#, r#""bad":-2"#, "bad out of range: got -2, expected 0 to 1000000000"),
+    ] {
+        let error = malformed_error(&line.replace(valid, invalid));
+        assert!(error.starts_with(&format!("{expected}, in ")), "{error}");
+    }
+}
+
 #[test]
 fn unknown_message_is_distinguished_from_an_invalid_line() {
     for name in ["ping", "Load", "HEARTBEAT"] {
--- a/crates/controller/tests/discovery_wire.rs
+++ b/crates/controller/tests/discovery_wire.rs
@@ -62,7 +62,7 @@
 #[test]
 fn implausible_weight_is_invalid() {
     let line = ALL_FIELDS.replace("2.5", "-1");
-    assert!(decode_error(&line).starts_with("weight out of range, in "));
+    assert!(decode_error(&line).starts_with("weight out of range: got -1, expected 0 to 1000000000, in "));
 }
 
 #[test]
--- a/crates/controller/tests/relay_wire.rs
+++ b/crates/controller/tests/relay_wire.rs
@@ -137,7 +137,10 @@
     assert_eq!(event_error("* GRANT 3"), r#"missing field `yes`, in "* GRANT 3""#);
     assert_eq!(event_error("* ROW 3"), r#"missing field `server`, in "* ROW 3""#);
     assert_eq!(event_error("* ROW 3 s"), r#"missing field `weight`, in "* ROW 3 s""#);
-    assert_eq!(event_error("* ROW 3 s -1"), r#"weight out of range, in "* ROW 3 s -1""#);
+    assert_eq!(
+        event_error("* ROW 3 s -1"),
+        r#"weight out of range: got -1, expected 0 to 1000000000, in "* ROW 3 s -1""#
+    );
     assert_eq!(event_error("* CLOSED x"), r#"invalid number "x", in "* CLOSED x""#);
 }
 
--- a/crates/protocol/src/collector.rs
+++ b/crates/protocol/src/collector.rs
@@ -2,7 +2,7 @@
 //! the collectors of the zones.
 
 use super::error::{DecodeError, InvalidLine, InvalidMessage};
-use super::{is_plausible_count, is_plausible_time_ms};
+use super::{validate_count, validate_range, validate_time_ms};
 use serde::{Deserialize, Serialize};
 use serde_json::error::Category;
 
@@ -187,14 +187,14 @@
     match fields.kind {
         "LOAD" => {
             let (zone, replica, mean_latency_ms) = (fields.zone?, fields.replica?, fields.mean_latency_ms?);
-            let is_plausible = is_plausible_endpoint_report(
+            let validity = validate_endpoint_report(
                 count,
                 failed,
                 mean_latency_ms,
                 window_ms,
                 fields.replica_report.as_ref(),
             );
-            is_plausible.then_some(Report::EndpointReport {
+            validity.is_ok().then_some(Report::EndpointReport {
                 zone,
                 replica,
                 attempts: count,
@@ -206,8 +206,8 @@
         }
         "SHARD" => {
             let (slice, request_class) = (fields.slice?, fields.request_class?);
-            let is_plausible = is_plausible_demand_report(count, failed, window_ms);
-            is_plausible.then_some(Report::DemandReport {
+            let validity = validate_demand_report(count, failed, window_ms);
+            validity.is_ok().then_some(Report::DemandReport {
                 slice,
                 request_class,
                 requests: count,
@@ -277,14 +277,14 @@
         Category::Data => malformed(error, line),
         _ => InvalidMessage::Unreadable(DecodeError::new(error, line)),
     })?;
-    let is_plausible = match &message {
+    let validity = match &message {
         Message::EndpointReport(report) => {
             // The replica's own report is not used, but if it is malformed, the whole message is rejected.
             let extension: WithReplicaReport =
                 serde_json::from_str(line).map_err(|error| malformed(error, line))?;
             let (attempts, failed) = (report.attempts, report.failed);
             let replica_report = extension.replica_report.as_ref();
-            is_plausible_endpoint_report(
+            validate_endpoint_report(
                 attempts,
                 failed,
                 report.mean_latency_ms,
@@ -293,37 +293,45 @@
             )
         }
         Message::DemandReport(report) => {
-            is_plausible_demand_report(report.requests, report.failed, report.window_ms)
+            validate_demand_report(report.requests, report.failed, report.window_ms)
         }
-        _ => true,
+        _ => Ok(()),
     };
-    is_plausible.then_some(message).ok_or_else(|| malformed(InvalidLine::OutOfRange("count or time"), line))
+    validity.map(|()| message).map_err(|reason| malformed(reason, line))
 }
 
 fn malformed(reason: impl Into<InvalidLine>, line: &str) -> InvalidMessage {
     InvalidMessage::Malformed(DecodeError::new(reason, line))
 }
 
-fn is_plausible_endpoint_report(
+fn validate_endpoint_report(
     attempts: f64,
     failed: f64,
     mean_latency_ms: f64,
     window_ms: f64,
     replica_report: Option<&ReplicaReport>,
-) -> bool {
-    is_plausible_count(attempts)
-        && (0.0..=attempts).contains(&failed)
-        && is_plausible_time_ms(mean_latency_ms)
-        && is_plausible_window(window_ms)
-        && replica_report.is_none_or(|report| is_plausible_count(report.in_flight.unwrap_or(0.0)))
+) -> Result<(), InvalidLine> {
+    validate_count("n", attempts)?;
+    validate_range("bad", failed, attempts)?;
+    validate_time_ms("avg", mean_latency_ms)?;
+    validate_window(window_ms)?;
+    let in_flight = replica_report.and_then(|report| report.in_flight);
+    validate_count("inflight", in_flight.unwrap_or(0.0))
 }
 
 /// Failures may outnumber requests, because requests that arrived before the window can fail within it.
-fn is_plausible_demand_report(requests: f64, failed: f64, window_ms: f64) -> bool {
-    is_plausible_count(requests) && is_plausible_count(failed) && is_plausible_window(window_ms)
+fn validate_demand_report(requests: f64, failed: f64, window_ms: f64) -> Result<(), InvalidLine> {
+    validate_count("n", requests)?;
+    validate_count("bad", failed)?;
+    validate_window(window_ms)
 }
 
-/// Returns true if a window has a positive, plausible length.
-fn is_plausible_window(window_ms: f64) -> bool {
-    window_ms > 0.0 && is_plausible_time_ms(window_ms)
+/// Returns an error if the length of a window is not plausible, or if it is 0.
+fn validate_window(window_ms: f64) -> Result<(), InvalidLine> {
+    validate_time_ms("window", window_ms)?;
+    if window_ms > 0.0 {
+        Ok(())
+    } else {
+        Err(InvalidLine::NotPositive("window"))
+    }
 }
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The endpoint list of the service registry, as delivered by the registry watch: complete lists and changes.
 
-use super::error::{DecodeError, InvalidLine};
-use super::is_plausible_count;
+use super::error::DecodeError;
+use super::validate_count;
 use serde::Deserialize;
 use whinwall_policy::api::ReplicaState;
 
@@ -84,8 +84,8 @@
         return Ok(None);
     }
     let list: List = serde_json::from_str(line).map_err(|error| DecodeError::new(error, line))?;
-    let is_plausible = list.entries.iter().all(|entry| is_plausible_count(entry.weight));
-    is_plausible
-        .then_some(Some(list))
-        .ok_or_else(|| DecodeError::new(InvalidLine::OutOfRange("weight"), line))
+    for entry in &list.entries {
+        validate_count("weight", entry.weight).map_err(|reason| DecodeError::new(reason, line))?;
+    }
+    Ok(Some(list))
 }
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -39,9 +39,19 @@
     /// A numeric field cannot be parsed as a number of its type. Holds the text of the field.
     #[error("invalid number {0:?}")]
     InvalidNumber(String),
-    /// The named field is out of range.
-    #[error("{0} out of range")]
-    OutOfRange(&'static str),
+    /// A numeric field is negative, greater than its maximum, or not a number.
+    #[error("{field} out of range: got {value}, expected 0 to {max}")]
+    OutOfRange {
+        /// The field's name on the wire.
+        field: &'static str,
+        /// The received value.
+        value: f64,
+        /// The largest valid value.
+        max: f64,
+    },
+    /// A numeric field that must be positive is 0.
+    #[error("{0} out of range: got 0, expected more than 0")]
+    NotPositive(&'static str),
     /// The line does not start with `{`.
     #[error("not a JSON object")]
     NotAnObject,
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -1,7 +1,7 @@
 //! The text protocol of the relay: watch events that the relay sends, requests with commands, and responses to them.
 
 use super::error::{DecodeError, InvalidLine};
-use super::is_plausible_count;
+use super::validate_count;
 use std::str::{FromStr, SplitAsciiWhitespace};
 use whinwall_policy::api::{ProxyId, SliceId};
 
@@ -89,9 +89,7 @@
             let slice = fields.number("slice")?;
             let replica = fields.word("server")?.to_string();
             let weight = fields.number("weight")?;
-            if !is_plausible_count(weight) {
-                return Err(DecodeError::new(InvalidLine::OutOfRange("weight"), line));
-            }
+            validate_count("weight", weight).map_err(|reason| DecodeError::new(reason, line))?;
             RelayEvent::EndpointSet { slice, replica, weight }
         }
         _ => return Err(DecodeError::new(InvalidLine::UnknownEvent, line)),
