--- a/crates/controller/benches/override_expiry.rs
+++ b/crates/controller/benches/override_expiry.rs
@@ -20,7 +20,8 @@
         managed
             .set(&format!("o{n}"), &out_of_service(&format!("s-{n}"), &format!("{duration_seconds}s")))
             .unwrap();
-        // The override begins at an unknown time during the call. Counting from the start of the call never understates the delay.
+        // The override begins at an unknown time during the call. Counting from the start of the call never understates
+        // the delay.
         expected_ends.push(called_at + Duration::from_secs(duration_seconds as u64));
     }
     let mut expiry_delays = Histogram::<u64>::new(3).unwrap();
--- a/crates/controller/benches/reader_pool.rs
+++ b/crates/controller/benches/reader_pool.rs
@@ -106,13 +106,13 @@
             .iter_mut()
             .enumerate()
             .map(|(n, collector)| {
-                let share = lines / connections;
+                let lines_per_connection = lines / connections;
                 scope.spawn(move || {
                     let (blocks, mut sent) = (report_blocks(ZONES[n % 3]), 0);
                     for (bytes, lines) in blocks.iter().cycle() {
                         collector.stream.write_all(bytes).unwrap();
                         sent += lines;
-                        if sent >= share {
+                        if sent >= lines_per_connection {
                             break;
                         }
                     }
@@ -255,11 +255,12 @@
     }
     for (setup, mut runs) in rows.iter().zip(runs) {
         runs.sort_by(|a, b| a.lines_per_second.total_cmp(&b.lines_per_second));
-        let (least, most) = (runs[0].lines_per_second, runs[RUNS_PER_SETUP - 1].lines_per_second);
+        let (lowest_rate, highest_rate) =
+            (runs[0].lines_per_second, runs[RUNS_PER_SETUP - 1].lines_per_second);
         let run = &runs[RUNS_PER_SETUP / 2];
         let ms = |quantile| run.lag_us.value_at_quantile(quantile) as f64 / 1000.0;
         println!(
-            "| {} | {:.0} ({least:.0} to {most:.0}) | {:.2} us | {:.1} MB | {:.1}, {:.1}, {:.1} ms | {:.1} |",
+            "| {} | {:.0} ({lowest_rate:.0} to {highest_rate:.0}) | {:.2} us | {:.1} MB | {:.1}, {:.1}, {:.1} ms | {:.1} |",
             match setup {
                 Setup::Cores(cores) => cores.to_string(),
                 Setup::OtherBuild(_) => "1, former build".into(),
--- a/crates/controller/benches/scale.rs
+++ b/crates/controller/benches/scale.rs
@@ -287,8 +287,8 @@
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
     test_bed.iteration_durations.sort();
-    let quantile = |part: f64| {
-        test_bed.iteration_durations[((test_bed.iteration_durations.len() - 1) as f64 * part) as usize]
+    let quantile = |fraction: f64| {
+        test_bed.iteration_durations[((test_bed.iteration_durations.len() - 1) as f64 * fraction) as usize]
             .as_secs_f64()
             * 1e3
     };
--- a/crates/controller/tests/aggregated.rs
+++ b/crates/controller/tests/aggregated.rs
@@ -90,14 +90,15 @@
     (measured / TOTAL_REQUESTS_PER_SECOND - 1.0).abs() < 0.15
 }
 
-/// Compares the load that a controller measures with two aggregators, without one, and with a third one after the gap
-/// to that of a controller that always has one aggregator.
-fn check_reports_count_once(cores: usize) {
-    let (mut two, mut one) = (start_with_aggregators(cores), start_with_aggregators(cores));
-    let (mut first, mut second) = (Aggregator::join_zone(&mut two), Aggregator::join_zone(&mut two));
-    let mut only = Aggregator::join_zone(&mut one);
-    send_reports_until_observed(&[&two, &one], &mut [&mut first, &mut second, &mut only]);
-    let (by_two, by_one) = (measured_requests_per_second(&two), measured_requests_per_second(&one));
+/// Asserts that a controller measures the total load while two aggregators report to it, as another controller with one
+/// aggregator does, then in a gap without aggregators, and after a third aggregator has taken over.
+fn assert_reports_count_once(cores: usize) {
+    let (mut with_two, mut with_one) = (start_with_aggregators(cores), start_with_aggregators(cores));
+    let (mut first, mut second) =
+        (Aggregator::join_zone(&mut with_two), Aggregator::join_zone(&mut with_two));
+    let mut only = Aggregator::join_zone(&mut with_one);
+    send_reports_until_observed(&[&with_two, &with_one], &mut [&mut first, &mut second, &mut only]);
+    let (by_two, by_one) = (measured_requests_per_second(&with_two), measured_requests_per_second(&with_one));
     println!(
         "{cores} cores: {by_two:.1} of {TOTAL_REQUESTS_PER_SECOND} requests/s measured with two aggregators, {by_one:.1} with one"
     );
@@ -108,10 +109,10 @@
     first.peer.stream.shutdown(Shutdown::Both).unwrap();
     second.peer.stream.shutdown(Shutdown::Both).unwrap();
     thread::sleep(Duration::from_secs(2));
-    let during_gap = measured_requests_per_second(&two);
-    let mut third = Aggregator::join_zone(&mut two);
-    send_reports_until_observed(&[&two], &mut [&mut third, &mut only]);
-    let after_gap = measured_requests_per_second(&two);
+    let during_gap = measured_requests_per_second(&with_two);
+    let mut third = Aggregator::join_zone(&mut with_two);
+    send_reports_until_observed(&[&with_two], &mut [&mut third, &mut only]);
+    let after_gap = measured_requests_per_second(&with_two);
     println!(
         "{cores} cores: {during_gap:.1} of {TOTAL_REQUESTS_PER_SECOND} requests/s measured in the gap, {after_gap:.1} after it"
     );
@@ -119,19 +120,19 @@
         is_near_total(during_gap) && is_near_total(after_gap),
         "{during_gap} and {after_gap} of {TOTAL_REQUESTS_PER_SECOND} requests/s"
     );
-    assert_eq!(metric(&two, "whinwall_aggregated_reports_stale"), 0.0);
-    assert!(metric(&two, "whinwall_aggregated_report_bytes_per_second") > 1000.0);
-    let log = &mut two.program().log;
+    assert_eq!(metric(&with_two, "whinwall_aggregated_reports_stale"), 0.0);
+    assert!(metric(&with_two, "whinwall_aggregated_report_bytes_per_second") > 1000.0);
+    let log = &mut with_two.program().log;
     let mut lines = log.skipped.drain(..).chain(log.receiver.try_iter());
     assert_eq!(lines.find(|line| line.contains("replica ejected")), None);
 }
 
 #[test]
 fn reports_of_two_aggregators_count_once_on_one_core() {
-    check_reports_count_once(1);
+    assert_reports_count_once(1);
 }
 
 #[test]
 fn reports_of_two_aggregators_count_once_on_several_cores() {
-    check_reports_count_once(3);
+    assert_reports_count_once(3);
 }
--- a/crates/controller/tests/channel_limit.rs
+++ b/crates/controller/tests/channel_limit.rs
@@ -13,9 +13,9 @@
 //! when 111 reconnected proxies acknowledged the newest message within 0.2 s. The controller's count fell from
 //! 112,972 to 59,791 lines.
 //!
-//! It is not enough to count the unacknowledged lines of each proxy. In six further runs the relay counted all lines
-//! from the oldest message on that some connected proxy had not received, also those that other proxies had
-//! acknowledged.
+//! It is not enough to count the unacknowledged lines of each proxy. In six further runs the relay counted the lines of
+//! the oldest message that some connected proxy had not received, and of all later messages, including lines that other
+//! proxies had acknowledged.
 
 mod support;
 
@@ -150,8 +150,8 @@
     }
 }
 
-/// Proxies that connect before the relay applies a request also receive it. All proxies of the fleet may do so, also
-/// those that the controller does not know yet.
+/// Proxies that connect before the relay applies a request also receive it. All proxies of the fleet may do so,
+/// including those whose connection has not been reported to the controller yet.
 #[test]
 fn proxies_that_connect_before_a_request_is_applied_are_counted() {
     const KNOWN: u32 = 3;
@@ -338,7 +338,7 @@
     }
 }
 
-/// The same failure with the controller process, on sockets.
+/// The failure described at the top of this file, with the controller process and sockets.
 #[test]
 fn process_keeps_the_channel_limit_while_proxies_return() {
     let step = Duration::from_millis(700);
--- a/crates/controller/tests/discovery_wire.rs
+++ b/crates/controller/tests/discovery_wire.rs
@@ -1,5 +1,5 @@
-//! The exact lines between the discovery agent and the controller. In `ALL_FIELDS` each field has a value other than its
-//! default, so that a renamed field or state fails a test.
+//! The exact lines between the discovery agent and the controller. In `ALL_FIELDS` each field has a value other than
+//! its default, so that a renamed field or state fails a test.
 
 use whinwall_protocol::discovery::{decode, watch_path, Entry, List, State};
 
--- a/crates/controller/tests/event_races.rs
+++ b/crates/controller/tests/event_races.rs
@@ -12,9 +12,9 @@
 use whinwall_routing::{Effect, Event};
 use whinwall_transport::{StreamError, Targets};
 
-/// Drains a replica with a cap on messages and gives each relay request this response after a pause. Checks that no
+/// Drains a replica with a cap on messages and gives each relay request this response after a pause. Asserts that no
 /// window contains more requests than the cap, and that requests continue after the window.
-fn check_message_cap(slices: u32, pause: Span, response: impl Fn() -> Event) {
+fn assert_message_cap(slices: u32, pause: Span, response: impl Fn() -> Event) {
     let (cap, window) = (10, Span::ms(10_000));
     let mut rig = Rig::with_settings(slices, |settings| {
         settings["familyInfo"]["updateCap"] = json!(cap);
@@ -41,13 +41,13 @@
 /// The number of attempts must stay within the cap, however long the relay does not respond.
 #[test]
 fn resends_of_unknown_outcome_keep_the_message_cap() {
-    check_message_cap(12, Span::ms(100), || OUTCOME_UNKNOWN);
+    assert_message_cap(12, Span::ms(100), || OUTCOME_UNKNOWN);
 }
 
 /// When the relay accepts only one command of each request, the remaining commands become a further message.
 #[test]
 fn partially_accepted_requests_keep_the_message_cap() {
-    check_message_cap(60, Span::ms(50), || Event::RelayResponse(Ok(Response::Accepted(1))));
+    assert_message_cap(60, Span::ms(50), || Event::RelayResponse(Ok(Response::Accepted(1))));
 }
 
 /// A proxy whose acknowledgements are delayed still writes by the previous table. A slice must not get a new owner
@@ -94,7 +94,7 @@
 
 /// Consecutive drains, each in several stages, with a cap on messages. Requests for each draining replica must be
 /// held back within the grace period, although the other commands would use up the cap: a controller that had used it
-/// up sent nothing for 4.8 s (kitchen-help, herd+mass 21).
+/// up sent nothing for 4.8 s (site kitchen-help, scenario herd+mass, seed 21).
 #[test]
 fn consecutive_drains_get_a_message_within_the_grace_period() {
     let grace = Span::ms(2000);
@@ -127,7 +127,8 @@
 }
 
 /// With single writers no replica is ever withdrawn. A restarted controller must not reinstate all replicas: these
-/// commands, four messages of 80 lines, delayed the commands that hold requests back (kitchen-help, roll+mass 21).
+/// commands, four messages of 80 lines, delayed the commands that hold requests back (site kitchen-help, scenario
+/// roll+mass, seed 21).
 #[test]
 fn restart_with_single_writers_sends_no_reinstatements() {
     let mut rig = Rig::with_settings(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true));
@@ -141,8 +142,8 @@
 }
 
 /// Acknowledgements are lost while the relay watch is silent. Their lines must not use up the capacity of the channel
-/// permanently: a restarted controller sent no command from 13.0 s until the end of the run (regina-rating,
-/// roll+silent+mass 524).
+/// permanently: a restarted controller sent no command from 13.0 s until the end of the run (site regina-rating,
+/// scenario roll+silent+mass, seed 524).
 #[test]
 fn lost_acknowledgements_leave_capacity_for_drains() {
     let grace = 1500;
@@ -172,8 +173,8 @@
 
 /// A restarted controller reinstates the replicas that it had withdrawn. Before it has slices, such a request reaches
 /// no proxy and is never acknowledged. If its outcome was unknown and more proxies then subscribed, the channel had no
-/// capacity to send it twice, and all commands were delayed for 3 s (regina-rating, roll+silent+mass 524: no request
-/// from 15.8 s to 18.8 s).
+/// capacity to send it twice, and all commands were delayed for 3 s (site regina-rating, scenario roll+silent+mass,
+/// seed 524: no request from 15.8 s to 18.8 s).
 #[test]
 fn reinstatements_without_slices_delay_no_drain() {
     let grace = Span::ms(1500);
@@ -255,7 +256,7 @@
     rig.advance_ms(4000);
     let sent = rig.requests[before..].join(" ");
     assert!(!sent.contains("IN,s-2") && !sent.contains(",s-2,1") && !sent.contains("OUT,s-7"), "{sent}");
-    // A change in the outdated list that the controller does not know yet is applied.
+    // A change in the outdated list that is new to the controller is applied.
     send_list(&mut rig, 41, false, vec![entry("s-3", "leaving", 0)]);
     rig.advance_ms(1000);
     assert!(!rig.owners().contains("s-3") && !rig.owners().contains("s-2"));
@@ -369,8 +370,8 @@
     own_slices: BTreeSet<u32>,
     /// Number of requests that are already checked.
     checked_requests: usize,
-    /// The commands of the last request while the controller does not know its outcome, and true if it was applied.
-    /// An applied request may be resent or replaced by a new one.
+    /// The commands of the last request while its outcome is unknown to the controller, and true if it was applied. An
+    /// applied request may be resent or replaced by a new one.
     unsettled: Option<(BTreeSet<String>, bool)>,
     /// Replicas that are withdrawn from all tables, and slices whose requests are held back. Proxies send them no
     /// requests.
@@ -576,8 +577,8 @@
 }
 
 /// A new owner replaces the previous one in the stored table, and must do so in the controller's copy. Otherwise all
-/// migrated slices look changed after each loss of the relay watch, and the controller forgets which requests are
-/// held back.
+/// migrated slices count as changed after each loss of the relay watch, and the controller no longer treats their
+/// requests as held back.
 #[test]
 fn single_writer_tables_are_unchanged_after_a_lost_watch() {
     let mut rig = Rig::with_settings(12, |settings| settings["familyInfo"]["singleWriter"] = json!(true))
@@ -631,8 +632,8 @@
 }
 
 /// The connection of a request in flight is reset, and the request is resent. The first attempt was not applied and
-/// is never acknowledged. A drain must not wait until the controller stops counting that attempt (kitchen-help, soak:
-/// no request from 44.85 s to 49.0 s).
+/// is never acknowledged. A drain must not wait until the controller stops counting that attempt (site kitchen-help, in
+/// the soak: no request from 44.85 s to 49.0 s).
 #[test]
 fn resends_that_were_never_applied_delay_no_drain() {
     let mut rig = Rig::with_settings(60, |settings| {
@@ -663,8 +664,8 @@
 
 /// The slices of killed controllers are granted to this one while replicas drain, and the cap leaves few messages.
 /// Their requests, each time more than fit twice into the channel, must be held back within the grace period
-/// (kitchen-help, herd+mass 501: 396 slices in 1.8 s, 94 per message; the last ones were held back after 4.2 s, with
-/// a grace period of 3.7 s).
+/// (site kitchen-help, scenario herd+mass, seed 501: 396 slices in 1.8 s, 94 per message; the last ones were held back
+/// after 4.2 s, with a grace period of 3.7 s).
 #[test]
 fn drains_of_slices_from_killed_controllers_get_messages_within_the_grace_period() {
     const OWN_SLICES: u32 = 200;
@@ -712,7 +713,8 @@
 
 /// Commands that can be deferred, the later stages of migrations, must leave messages for drains. Requests for a
 /// draining replica are held back at once, also while these stages would fill each message that the cap allows
-/// (kitchen-help, herd+mass 501: three of twelve messages were left when the controllers were killed).
+/// (site kitchen-help, scenario herd+mass, seed 501: three of twelve messages were left when the controllers were
+/// killed).
 #[test]
 fn deferrable_commands_leave_messages_for_drains() {
     for migration_ms in [5000, 7000, 9000] {
@@ -746,7 +748,7 @@
 
 /// After a restart, slices are granted whose replicas drain, and no messages are used up yet. The commands that hold
 /// their requests back must go in one message, not in small ones that consist mostly of overhead and wait for each
-/// other (edge-meters, roll+mass at full size: 39 commands in four messages 1.3 s apart).
+/// other (site edge-meters, scenario roll+mass at full size: 39 commands in four messages 1.3 s apart).
 #[test]
 fn drains_after_a_restart_are_not_split_into_small_messages() {
     let mut rig = Rig::with_settings(78, |settings| {
--- a/crates/controller/tests/large_fleet.rs
+++ b/crates/controller/tests/large_fleet.rs
@@ -125,9 +125,9 @@
     longest
 }
 
-/// The evacuation of a slice tries replicas in order and does not examine all of them, so that an iteration costs
-/// about linear time. A fleet four times as large takes about 5 times as long in a release build and up to 10 times
-/// in a debug build.
+/// The evacuation of a slice examines replicas in order and stops before it has examined all of them, so that the time
+/// of an iteration is about linear. A fleet four times as large takes about 5 times as long in a release build and up
+/// to 10 times in a debug build.
 #[test]
 fn iteration_time_grows_linearly_with_the_fleet() {
     let shortest = |replicas| (0..3).map(|_| longest_iteration(replicas)).min().unwrap();
--- a/crates/controller/tests/process_races.rs
+++ b/crates/controller/tests/process_races.rs
@@ -43,11 +43,11 @@
 
 #[test]
 fn shutdown_does_not_wait_for_a_response_that_never_comes() {
-    let (_relay, _discovery, mut program, _watch, _open) = start_with_request_in_flight();
+    let (_relay, _discovery, mut program, _watch, _request_in_flight) = start_with_request_in_flight();
     program.signal(Signal::TERM);
     assert!(program.wait_for_exit().success());
     // The same with a second signal at the same instant. The platform kills the process 0.7 s after the first signal.
-    let (_relay, _discovery, mut program, _watch, _open) = start_with_request_in_flight();
+    let (_relay, _discovery, mut program, _watch, _request_in_flight) = start_with_request_in_flight();
     program.pause();
     program.signal(Signal::TERM);
     program.signal(Signal::INT);
@@ -142,9 +142,9 @@
     let _watch_connection = relay.serve_snapshot();
     relay.accept_requests_until("SYNC").accept();
     let is_done = Arc::new(AtomicBool::new(false));
-    let stops_heartbeats = is_done.clone();
+    let heartbeats_done = is_done.clone();
     let heartbeats = thread::spawn(move || {
-        while !stops_heartbeats.load(Ordering::Relaxed) && stale_watch.lines.send("\n".into()).is_ok() {
+        while !heartbeats_done.load(Ordering::Relaxed) && stale_watch.lines.send("\n".into()).is_ok() {
             thread::sleep(Duration::from_millis(200));
         }
     });
--- a/crates/controller/tests/readers.rs
+++ b/crates/controller/tests/readers.rs
@@ -1,6 +1,6 @@
-//! Tests of the reader pool over loopback sockets. The owner of the pool records the reports that it applies. Covered
-//! are stalls and panics at each stage, the order of reports, many connections, and equal sums for any number of
-//! readers.
+//! Tests of the reader pool over loopback sockets. A thread that stands in for the event loop owns the pool and records
+//! the reports that it applies. Covered are stalls and panics at each stage, the order of reports, many connections,
+//! and equal sums for any number of readers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,6 +30,7 @@
 enum Applied {
     /// Connection, slice, number of requests, number of lines.
     DemandReport(ConnectionId, u32, f64, f64),
+    /// Connection, replica, number of attempts.
     EndpointReport(ConnectionId, u32, f64),
     Ping(ConnectionId),
     ChunkLost(ConnectionId),
@@ -42,6 +43,7 @@
     applied: Arc<Mutex<Vec<Applied>>>,
     events: Arc<Mutex<Vec<String>>>,
     metrics: Arc<ReaderMetrics>,
+    /// Number of connections and of early batches.
     pool_size: Arc<Mutex<(usize, usize)>>,
     _shutdown: tokio::sync::oneshot::Sender<()>,
 }
@@ -202,8 +204,8 @@
     /// Returns false if the connection is closed.
     fn ping(&mut self) -> bool {
         self.send_line("{\"@type\":\"PING\"}");
-        let mut answer = String::new();
-        self.reader.read_line(&mut answer).is_ok() && answer == "PONG\n"
+        let mut reply = String::new();
+        self.reader.read_line(&mut reply).is_ok() && reply == "PONG\n"
     }
 }
 
@@ -232,11 +234,11 @@
     let hook_chunks = chunks_by_reader.clone();
     let owner = Owner::start(
         3,
-        Arc::new(move |core, stage| {
+        Arc::new(move |reader, stage| {
             if stage == ReaderStage::ChunkTaken {
-                *hook_chunks.lock().unwrap().entry(core).or_default() += 1;
+                *hook_chunks.lock().unwrap().entry(reader).or_default() += 1;
                 // Reader 0 is slow, so chunks overtake each other.
-                thread::sleep(Duration::from_millis(if core == 0 { 5 } else { 0 }));
+                thread::sleep(Duration::from_millis(if reader == 0 { 5 } else { 0 }));
             }
         }),
     );
@@ -299,9 +301,10 @@
         let (hook_armed, hook_stalled) = (armed.clone(), stalled.clone());
         let owner = Owner::start(
             2,
-            Arc::new(move |_, at| {
-                let first = || hook_armed.compare_exchange(1, 2, Ordering::SeqCst, Ordering::SeqCst).is_ok();
-                if at == stage && first() {
+            Arc::new(move |_, current_stage| {
+                let was_armed =
+                    || hook_armed.compare_exchange(1, 2, Ordering::SeqCst, Ordering::SeqCst).is_ok();
+                if current_stage == stage && was_armed() {
                     hook_stalled.store(1, Ordering::SeqCst);
                     while hook_stalled.load(Ordering::SeqCst) == 1 {
                         thread::sleep(Duration::from_millis(5));
@@ -357,8 +360,8 @@
 
 #[test]
 fn panic_at_any_stage_discards_the_whole_chunk_or_restarts_the_reader() {
-    // Printing the panic location can take longer than the stall time-out (fresh build, busy machine), so the reader
-    // would be reported as stalled before it is reported as dead.
+    // The intended panics are not printed: printing the location can take longer than the stall time-out (fresh build,
+    // busy machine), and the reader would be reported as stalled before it is reported as dead.
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         if panic.payload().downcast_ref::<&str>() != Some(&"on purpose") {
@@ -372,8 +375,8 @@
         let hook_armed = armed.clone();
         let owner = Owner::start(
             2,
-            Arc::new(move |_, at| {
-                if at == stage
+            Arc::new(move |_, current_stage| {
+                if current_stage == stage
                     && hook_armed.compare_exchange(1, 2, Ordering::SeqCst, Ordering::SeqCst).is_ok()
                 {
                     panic!("on purpose");
@@ -488,13 +491,13 @@
     assert!((3..=5).contains(&max_stalled), "{max_stalled} threads are stalled");
     stalling.store(0, Ordering::SeqCst);
     let end = Instant::now() + TEST_TIMEOUT;
-    let answers = || {
+    let is_served = || {
         let mut collector = Collector::connect(&owner);
         collector.send_line("{\"@type\":\"SOURCE\",\"az\":\"north\"}");
         collector.stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
         collector.ping()
     };
-    while !answers() {
+    while !is_served() {
         assert!(Instant::now() < end, "the pool does not serve connections after its readers resumed");
         thread::sleep(Duration::from_millis(50));
     }
--- a/crates/controller/tests/reducer.rs
+++ b/crates/controller/tests/reducer.rs
@@ -65,7 +65,7 @@
 }
 
 /// Endpoint lists with duplicate entries, in reversed order, of a lower version, empty, with an unknown zone or with
-/// absurd start times. A draining replica gets no slice until a list has it as active.
+/// a start time in the far future. A draining replica gets no slice until a list has it as active.
 #[test]
 fn outdated_lists_do_not_return_a_draining_replica() {
     let mut rig = Rig::serving();
@@ -115,7 +115,7 @@
     rig.drain_input();
     assert_eq!(
         rig.pending_request, None,
-        "the second retry waits for a backoff, so that a failing relay gets no endless series of requests"
+        "the second retry waits for a backoff, so that a failing relay does not receive requests continuously"
     );
     rig.now = rig.now + Span::ms(100);
     rig.drain_input();
@@ -127,7 +127,8 @@
 }
 
 /// The relay applies each request but its responses are lost, so that each retry adds its lines to the command channel
-/// again. Unlimited retries overfilled the channel (`join+mass`, seed 112: 733,986 lines waiting, limit 551,400).
+/// again. Unlimited retries overfilled the channel (scenario join+mass, seed 112: 733,986 lines waiting, limit
+/// 551,400).
 #[test]
 fn requests_of_unknown_outcome_do_not_overfill_the_channel() {
     let cap = 400;
@@ -228,28 +229,33 @@
 
 #[test]
 fn lost_acknowledgements_are_covered_by_later_ones() {
-    let single = |settings: &mut serde_json::Value| settings["familyInfo"]["singleWriter"] = true.into();
-    let mut rig = Rig::with_settings(12, single).start_serving();
+    let set_single_writer =
+        |settings: &mut serde_json::Value| settings["familyInfo"]["singleWriter"] = true.into();
+    let mut rig = Rig::with_settings(12, set_single_writer).start_serving();
     rig.advance_ms(5000);
     rig.drain("s-2");
     let proxies = std::mem::take(&mut rig.proxies);
     rig.accept_request();
     rig.proxies = proxies;
     rig.advance_ms(500);
-    let moved = |rig: &Rig| {
+    let is_moved = |rig: &Rig| {
         rig.requests.iter().any(|request| request.contains("SET,2,") && request.contains("SET,8,"))
     };
     assert!(
-        !moved(&rig),
+        !is_moved(&rig),
         "a slice moves only after all proxies acknowledged that its requests are held back"
     );
     rig.drain("s-3");
     rig.advance_ms(1000);
-    assert!(moved(&rig), "the acknowledgement of a later version covers the earlier one: {:?}", rig.requests);
+    assert!(
+        is_moved(&rig),
+        "the acknowledgement of a later version covers the earlier one: {:?}",
+        rig.requests
+    );
 }
 
 #[test]
-fn replaced_replicas_are_forgotten() {
+fn replicas_that_left_are_removed() {
     let mut rig = Rig::serving();
     let known_replicas = |rig: &mut Rig| {
         rig.apply(Event::RelayWatchLost(StreamError::Closed));
@@ -274,7 +280,7 @@
     rig.advance_ms(30_000);
     let requests = rig.requests.join(" ");
     assert!(requests.contains("OUT,s-100;") && requests.contains("IN,s-100;"));
-    assert_eq!(known_replicas(&mut rig), 6, "replicas that left are forgotten");
+    assert_eq!(known_replicas(&mut rig), 6, "known replicas after 2,000 replacements");
 }
 
 #[test]
@@ -325,7 +331,7 @@
 }
 
 #[test]
-fn stale_commands_for_a_slice_that_changed_hands_are_not_resent() {
+fn stale_commands_for_a_revoked_slice_are_not_resent() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     assert!(rig.pending_request.take().unwrap().contains("SET,8,s-2,0"));
@@ -337,7 +343,7 @@
 }
 
 #[test]
-fn newer_commands_for_a_slice_that_changed_hands_are_sent() {
+fn newer_commands_for_a_slice_that_returns_are_sent() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     // Another controller owned slice 8 meanwhile. The slice returns with a draining replica in its table.
@@ -358,7 +364,7 @@
 }
 
 #[test]
-fn routing_tables_under_a_pending_request_do_not_count_as_changed() {
+fn routing_tables_of_a_pending_request_do_not_count_as_changed() {
     let mut rig = Rig::serving();
     rig.drain("s-2");
     let request = rig.pending_request.take().unwrap();
--- a/crates/controller/tests/reducer_overrides.rs
+++ b/crates/controller/tests/reducer_overrides.rs
@@ -14,10 +14,10 @@
 impl Rig {
     /// Enables overrides without a store.
     fn with_overrides(mut self) -> Self {
-        let wanted =
+        let config =
             OverrideConfig { limits: OverrideLimits::default(), configured: Vec::new(), has_store: false };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: self.now };
-        self.apply(Event::OperatorConfigChanged(wanted, reading));
+        self.apply(Event::OperatorConfigChanged(config, reading));
         self
     }
 
@@ -82,7 +82,7 @@
     let mut rig = Rig::serving().with_overrides();
     rig.out("s-1", 3_600_000);
     rig.advance_ms(1000);
-    // The replica leaves, is forgotten, and is listed again under the same name.
+    // The replica leaves, the reducer removes it, and it is listed again under the same name.
     rig.replicas.remove("s-1");
     rig.send_list();
     rig.advance_ms(60_000);
@@ -176,7 +176,7 @@
         }
         rig.advance_ms(20_000);
         let draining: Vec<_> =
-            rig.replicas.iter().filter(|(_, s)| **s == "leaving").map(|(n, _)| n.clone()).collect();
+            rig.replicas.iter().filter(|(_, state)| **state == "leaving").map(|(id, _)| id.clone()).collect();
         rig.active_override_ids().is_empty()
             && draining.iter().all(|replica| !rig.owners().contains(replica.as_str()))
     }
--- a/crates/controller/tests/reducer_reports.rs
+++ b/crates/controller/tests/reducer_reports.rs
@@ -119,11 +119,11 @@
         }
         let mut bytes = line.into_bytes();
         for _ in 0..u8::arbitrary(gen) % 3 {
-            let at = usize::arbitrary(gen) % bytes.len();
+            let position = usize::arbitrary(gen) % bytes.len();
             match u8::arbitrary(gen) % 3 {
-                0 => _ = bytes.remove(at),
-                1 => bytes.insert(at, bytes[at]),
-                _ => bytes[at] = u8::arbitrary(gen) % 128,
+                0 => _ = bytes.remove(position),
+                1 => bytes.insert(position, bytes[position]),
+                _ => bytes[position] = u8::arbitrary(gen) % 128,
             }
         }
         MutatedLine(String::from_utf8_lossy(&bytes).into_owned())
@@ -184,8 +184,8 @@
         authenticate_collectors(&mut rig);
         let chunks = chunks();
         for order in chunk_orders {
-            for at in order {
-                let (from, mut reports) = chunks[*at].clone();
+            for chunk in order {
+                let (from, mut reports) = chunks[*chunk].clone();
                 reports.iter_mut().for_each(|report| report.at = rig.now);
                 rig.apply(Event::Reports { from, reports });
             }
@@ -199,7 +199,7 @@
         let shuffled = |seed: u64| {
             let mut random = whinwall_policy::random::Random::from_seed(seed);
             let mut order: Vec<_> = (0..chunk_count).collect();
-            (1..chunk_count).for_each(|at| order.swap(at, (random.draw() * (at + 1) as f64) as usize));
+            (1..chunk_count).for_each(|n| order.swap(n, (random.draw() * (n + 1) as f64) as usize));
             order
         };
         let recorded_orders: Vec<Vec<_>> =
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -76,7 +76,7 @@
         let unhealthy_fraction = (unhealthy_ms as f64 / self.window_ms as f64).min(1.0);
         let mut lines = Vec::new();
         let replicas: Vec<_> = rig.replicas.iter().filter(|(_, state)| **state == "active").collect();
-        for (_, (replica, _)) in replicas.iter().enumerate().filter(|(at, _)| self.is_due(at_ms, *at)) {
+        for (_, (replica, _)) in replicas.iter().enumerate().filter(|(index, _)| self.is_due(at_ms, *index)) {
             let is_owner =
                 |table: &&BTreeMap<String, f64>| table.get(*replica).is_some_and(|weight| *weight >= 1.0);
             let attempts = rig.store.values().filter(is_owner).count() as f64 * REQUESTS_PER_SECOND * seconds;
@@ -155,11 +155,11 @@
     /// Asserts that the load of each active replica equals its demand within the relative `tolerance`.
     #[track_caller]
     fn assert_loads(&self, tolerance: f64) {
-        for (at, load) in self.loads().iter().enumerate() {
+        for (index, load) in self.loads().iter().enumerate() {
             let expected = 2.0 * REQUESTS_PER_SECOND;
             assert!(
                 (load / expected - 1.0).abs() <= tolerance,
-                "replica {at}: load {load}, expected {expected}, at {} ms",
+                "active replica {index}: load {load}, expected {expected}, at {} ms",
                 self.at_ms
             );
         }
@@ -210,15 +210,15 @@
     }
 }
 
-fn at(ms: u64) -> Moment {
+fn moment_at_ms(ms: u64) -> Moment {
     Moment::default() + Span::ms(1_000_000 + ms)
 }
 
-fn line(from: u64, at_ms: u64, window_ms: u64) -> ReportLine {
+fn report_line(from: u64, at_ms: u64, window_ms: u64) -> ReportLine {
     ReportLine {
         subject: Subject::Replica(7),
         from,
-        at: at(at_ms),
+        at: moment_at_ms(at_ms),
         window: Span::ms(window_ms),
         line_count: 1.0,
     }
@@ -227,22 +227,26 @@
 #[test]
 fn time_covered_by_another_connection_does_not_count() {
     let mut coverage = ReportCoverage::default();
-    let first = coverage.count_line(&line(1, 1000, 1000)).unwrap();
+    let first = coverage.count_line(&report_line(1, 1000, 1000)).unwrap();
     assert_eq!((first.fraction, first.continuity), (1.0, Continuity::Unknown));
-    let second = coverage.count_line(&line(2, 1250, 1000)).unwrap();
+    let second = coverage.count_line(&report_line(2, 1250, 1000)).unwrap();
     assert_eq!(
         (second.fraction, second.window, second.continuity),
         (0.25, Span::ms(250), Continuity::Continuous)
     );
-    assert_eq!(coverage.count_line(&line(1, 1250, 1000)), None, "the window is completely covered");
-    assert_eq!(coverage.count_line(&line(1, 1200, 1000)), None, "the line is older than the covered time");
-    let next = coverage.count_line(&line(2, 2150, 1000)).unwrap();
+    assert_eq!(coverage.count_line(&report_line(1, 1250, 1000)), None, "the window is completely covered");
+    assert_eq!(
+        coverage.count_line(&report_line(1, 1200, 1000)),
+        None,
+        "the line is older than the covered time"
+    );
+    let next = coverage.count_line(&report_line(2, 2150, 1000)).unwrap();
     assert_eq!(
         (next.fraction, next.window),
         (1.0, Span::ms(1000)),
         "the lines of one connection do not overlap"
     );
-    let third = coverage.count_line(&line(1, 2500, 1000)).unwrap();
+    let third = coverage.count_line(&report_line(1, 2500, 1000)).unwrap();
     assert_eq!((third.fraction, third.window), (0.25, Span::ms(250)));
     assert_eq!(coverage.len(), 1);
 }
@@ -250,19 +254,19 @@
 #[test]
 fn gap_is_detected_and_filled_at_the_rate_of_the_line_that_ends_it() {
     let mut coverage = ReportCoverage::default();
-    coverage.count_line(&line(1, 1000, 1000));
-    let jitter = coverage.count_line(&line(2, 2250, 1000)).unwrap();
+    coverage.count_line(&report_line(1, 1000, 1000));
+    let jitter = coverage.count_line(&report_line(2, 2250, 1000)).unwrap();
     assert_eq!((jitter.fraction, jitter.continuity), (1.25, Continuity::Continuous));
-    let gap = coverage.count_line(&line(1, 6250, 1000)).unwrap();
+    let gap = coverage.count_line(&report_line(1, 6250, 1000)).unwrap();
     assert_eq!(
         (gap.fraction, gap.window, gap.continuity),
         (4.0, Span::ms(4000), Continuity::Gap(Span::ms(3000)))
     );
-    let long = coverage.count_line(&line(2, 60_000, 1000)).unwrap();
+    let long = coverage.count_line(&report_line(2, 60_000, 1000)).unwrap();
     assert_eq!((long.fraction, long.window, long.continuity), (1.0, Span::ms(1000), Continuity::Unknown));
-    let same = coverage.count_line(&line(2, 90_000, 1000)).unwrap();
+    let same = coverage.count_line(&report_line(2, 90_000, 1000)).unwrap();
     assert_eq!((same.fraction, same.continuity), (1.0, Continuity::Gap(Span::ms(29_000))));
-    let slice = |from, at_ms| ReportLine { subject: Subject::Slice(3, 0), ..line(from, at_ms, 1000) };
+    let slice = |from, at_ms| ReportLine { subject: Subject::Slice(3, 0), ..report_line(from, at_ms, 1000) };
     coverage.count_line(&slice(1, 1000));
     let same = coverage.count_line(&slice(1, 90_000)).unwrap();
     assert_eq!(same.continuity, Continuity::Continuous, "a slice without requests is not reported");
@@ -282,7 +286,7 @@
                 let sent_ms = second as u64 * window + connection * 400 + u64::from(*delay) % jitter;
                 // At least one connection reports.
                 if lost % 3 != connection as u8 {
-                    lines.push(line(connection, sent_ms, window));
+                    lines.push(report_line(connection, sent_ms, window));
                 }
             }
         }
@@ -290,7 +294,7 @@
         let (Some(first), Some(last)) = (lines.first(), lines.last()) else { return true };
         let covered_time = (last.at - first.at).seconds() + 1.0;
         let counted: f64 =
-            lines.iter().filter_map(|line| coverage.count_line(line)).map(|c| c.fraction).sum();
+            lines.iter().filter_map(|line| coverage.count_line(line)).map(|counted| counted.fraction).sum();
         (counted - covered_time).abs() <= 0.2 + 1e-6
     }
     quickcheck::QuickCheck::new().tests(2000).quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
@@ -299,30 +303,35 @@
 #[test]
 fn two_aggregators_at_once_count_as_one() {
     for window in [1000, 4000] {
-        let (mut one, mut two) = (TestController::new(), TestController::new());
+        let (mut with_one, mut with_two) = (TestController::new(), TestController::new());
         let feeds = [Feed::of(1, window), Feed::of(2, window)];
-        one.run(30, &feeds[..1], healthy);
-        two.run(10, &feeds[..1], healthy);
-        let requests = two.rig.requests.len();
+        with_one.run(30, &feeds[..1], healthy);
+        with_two.run(10, &feeds[..1], healthy);
+        let requests = with_two.rig.requests.len();
         for _ in 0..20 {
-            two.run(1, &feeds, healthy);
-            two.assert_loads(0.07);
+            with_two.run(1, &feeds, healthy);
+            with_two.assert_loads(0.07);
         }
-        two.run(20, &feeds[1..], healthy);
-        two.assert_loads(0.07);
-        assert_eq!((two.ejections(), two.rig.requests.len()), (0, requests), "windows of {window} ms");
-        let sums = |controller: &TestController| controller.loads().iter().sum::<f64>();
-        assert!((sums(&one) / sums(&two) - 1.0).abs() < 0.03, "{} and {}", sums(&one), sums(&two));
+        with_two.run(20, &feeds[1..], healthy);
+        with_two.assert_loads(0.07);
+        assert_eq!(
+            (with_two.ejections(), with_two.rig.requests.len()),
+            (0, requests),
+            "windows of {window} ms"
+        );
+        let total_load = |controller: &TestController| controller.loads().iter().sum::<f64>();
+        let (load_with_one, load_with_two) = (total_load(&with_one), total_load(&with_two));
+        assert!((load_with_one / load_with_two - 1.0).abs() < 0.03, "{load_with_one} and {load_with_two}");
     }
 }
 
-/// Without report coverage the same lines count twice. Shows that the previous test depends on it.
+/// Without report coverage the same lines count twice: `two_aggregators_at_once_count_as_one` depends on coverage.
 #[test]
 fn two_aggregators_count_twice_without_coverage() {
-    let mut two = TestController::new();
-    two.rig.apply(Event::SubsettingConfigured(None));
-    two.run(20, &[Feed::of(1, 1000), Feed::of(2, 1000)], healthy);
-    two.loads().iter().for_each(|load| assert!(*load > 3.8 * REQUESTS_PER_SECOND, "{load}"));
+    let mut controller = TestController::new();
+    controller.rig.apply(Event::SubsettingConfigured(None));
+    controller.run(20, &[Feed::of(1, 1000), Feed::of(2, 1000)], healthy);
+    controller.loads().iter().for_each(|load| assert!(*load > 3.8 * REQUESTS_PER_SECOND, "{load}"));
 }
 
 #[test]
@@ -503,9 +512,9 @@
 /// High latency reduces the admission rates. They change only with reports.
 #[test]
 fn admission_rates_stay_while_no_reports_arrive() {
-    let late = Feed { mean_latency_ms: 900.0, ..Feed::of(1, 1000) };
+    let slow = Feed { mean_latency_ms: 900.0, ..Feed::of(1, 1000) };
     let mut controller = TestController::new();
-    controller.run(20, &[late], healthy);
+    controller.run(20, &[slow], healthy);
     let admission_requests = |controller: &TestController| {
         controller.rig.requests.iter().filter(|request| request.contains("LIMIT")).count()
     };
@@ -598,7 +607,7 @@
     controller.rig.send_list();
     controller.run(30, &[feed], healthy);
     assert_eq!(controller.rig.reducer.covered_subjects(), 5 + 10);
-    // A report of a reader that does not know yet that the replica left makes no entry.
+    // A report that a reader decoded with names from before the replica left adds no entry.
     let names = report_names();
     let line = r#"{"@type":"LOAD","az":"north","host":"s-2","n":9,"bad":0,"avg":41.7,"window":1000.0}"#;
     let report_body = names.resolve(&collector::decode_report(line).unwrap()).unwrap();
@@ -641,8 +650,8 @@
             sums.rig.apply(Event::Reports { from: feed.connection, reports: chunk.into_reports() });
         }
         sums.rig.advance_ms(0);
-        for (one, other) in lines.loads().iter().zip(sums.loads()) {
-            assert!((one - other).abs() < 1e-6, "{one} and {other}");
+        for (line_load, sum_load) in lines.loads().iter().zip(sums.loads()) {
+            assert!((line_load - sum_load).abs() < 1e-6, "{line_load} and {sum_load}");
         }
     }
     sums.assert_loads(0.05);
@@ -652,13 +661,13 @@
 fn simultaneous_lines_count_the_same_one_by_one_and_summed() {
     let (mut one_by_one, mut summed) = (ReportCoverage::default(), ReportCoverage::default());
     for coverage in [&mut one_by_one, &mut summed] {
-        coverage.count_line(&line(1, 1000, 1000));
+        coverage.count_line(&report_line(1, 1000, 1000));
     }
-    let late = line(2, 1300, 1000);
-    let shares: f64 =
+    let late = report_line(2, 1300, 1000);
+    let fractions: f64 =
         (0..3).filter_map(|_| one_by_one.count_line(&late)).map(|counted| counted.fraction).sum();
     let counted = summed.count_line(&ReportLine { line_count: 3.0, ..late }).unwrap();
-    assert!((3.0 * counted.fraction - shares).abs() < 1e-9, "{counted:?} and {shares}");
+    assert!((3.0 * counted.fraction - fractions).abs() < 1e-9, "{counted:?} and {fractions}");
 }
 
 /// Lines with missing zones are not summed and reach the reducer as individual messages.
--- a/crates/controller/tests/shutdown.rs
+++ b/crates/controller/tests/shutdown.rs
@@ -1,10 +1,10 @@
-//! Tests of the shutdown by signals, as clients see it. The process is paused while requests and signals are sent, so
-//! that it finds all of them at once, in the least favourable order, in each run.
+//! Tests of the responses that clients receive when signals shut the controller down. The process is paused while
+//! requests and signals are sent, so that it finds all of them at once, in the least favourable order, in each run.
 //!
 //! They guard against connections that are closed without a response. Four faults caused that: the graceful shutdown
 //! accepted no management requests, a second signal ended it at once, the management server cancelled its connections
-//! when it was dropped, and requests that had been read were not told apart from those that had not. In 12 runs with 24
-//! clients, 8 complete requests, 280 requests of which 20 bytes had been sent, and 198 complete pings to the
+//! when it was dropped, and requests that had been read were not distinguished from those that had not. In 12 runs with
+//! 24 clients, 8 complete requests, 280 requests of which 20 bytes had been sent, and 198 complete pings to the
 //! collectors' listener got no response.
 
 mod support;
@@ -62,10 +62,10 @@
 /// Sends the signals to the paused process and resumes it. Asserts that it exits successfully before SIGKILL is due.
 fn send_signals_and_wait_for_exit(program: &mut ControllerProcess, signals: &[Signal]) {
     signals.iter().for_each(|signal| program.signal(*signal));
-    let began = Instant::now();
+    let started_at = Instant::now();
     program.resume();
     assert!(program.wait_for_exit().success(), "{signals:?}");
-    assert!(began.elapsed() < KILL_DELAY, "{signals:?}: {:?}", began.elapsed());
+    assert!(started_at.elapsed() < KILL_DELAY, "{signals:?}: {:?}", started_at.elapsed());
 }
 
 fn restart_with_debug_log(managed: &mut ManagedController) {
@@ -76,10 +76,10 @@
     managed.wait_for_log("relay snapshot complete");
 }
 
-/// Returns the number of requests that the program handled after it had noticed the signal, from the log of the process
-/// that has exited. A request that is handled just before that, although the signal has been sent, gets a response
-/// without `connection: close`: on a loaded machine the management thread can reply before the event loop receives the
-/// signal.
+/// Returns the number of requests that the program handled after it had received the signal, from the log of the
+/// process that has exited. A request that is handled just before that, although the signal has been sent, gets a
+/// response without `connection: close`: on a loaded machine the management thread can reply before the event loop
+/// receives the signal.
 fn requests_after_the_signal(program: &mut ControllerProcess) -> usize {
     program.wait_for_log("shutdown complete");
     let lines = program.log.skipped.iter().map(String::as_str);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn pings_received_before_the_shutdown_get_answers() {
+fn pings_received_before_the_shutdown_get_replies() {
     for cores in [1.0, 4.0] {
         for signals in SIGNAL_SEQUENCES {
             let (mut relay, mut discovery) = (FakeRelay::start(), FakeDiscovery::start());
@@ -230,11 +230,8 @@
                 );
             }
             for (connection, peer) in [("partial line", partial_line), ("partial source", partial_source)] {
-                let answer = read_to_end(peer.reader, connection);
-                assert!(
-                    answer.contains("NACK") && answer.contains("shutting down"),
-                    "{connection}: {answer:?}"
-                );
+                let reply = read_to_end(peer.reader, connection);
+                assert!(reply.contains("NACK") && reply.contains("shutting down"), "{connection}: {reply:?}");
             }
             drop(watch);
         }
@@ -265,9 +262,9 @@
         partial_line.stream.write_all(&PING.as_bytes()[..9]).unwrap();
         program.connect().ping();
         program.signal(Signal::TERM);
-        let began = Instant::now();
+        let started_at = Instant::now();
         assert!(program.wait_for_exit().success());
-        exit_times.push(began.elapsed());
+        exit_times.push(started_at.elapsed());
         assert!(read_to_end(partial_line.reader, "partial line").contains("shutting down"));
         let (_, _, next) = start_with_fakes();
         program = next;
--- a/crates/controller/tests/sockets.rs
+++ b/crates/controller/tests/sockets.rs
@@ -142,7 +142,7 @@
     drop(watch); // a truncated list is ignored
     let watch = discovery.accept_watch(43);
     watch.lines.send("\nno list\n".into()).unwrap();
-    let watch = discovery.accept_watch(0); // after a malformed list earlier lists are not trusted either
+    let watch = discovery.accept_watch(0); // after a malformed list the complete list is requested
     watch.send_list(45, true, &["active"]);
     let silent = discovery.accept_watch(45); // no data
     program.connect().ping();
@@ -160,7 +160,7 @@
     drop(watch);
     _ = relay_watch.shutdown(std::net::Shutdown::Both);
     _ = pending.stream.shutdown(std::net::Shutdown::Both);
-    let _strangers: Vec<_> = (0..40).map(|_| program.connect()).collect();
+    let _unauthenticated: Vec<_> = (0..40).map(|_| program.connect()).collect();
     // All peers are back and the list has changed. The pending request is applied first, then the new commands.
     let watch = discovery.accept_watch(42);
     watch.send_list(43, false, &["leaving", "leaving"]);
@@ -207,13 +207,13 @@
     ] {
         let mut peer = program.connect();
         peer.send_line(line);
-        let mut answer = String::new();
-        _ = peer.reader.read_line(&mut answer);
-        assert!(answer.starts_with(r#"{"@type":"NACK""#), "{line}: {answer}");
+        let mut reply = String::new();
+        _ = peer.reader.read_line(&mut reply);
+        assert!(reply.starts_with(r#"{"@type":"NACK""#), "{line}: {reply}");
         assert!(peer.is_disconnected());
     }
     // No data, a partial line, an endless line and repeated pings: none of them extends the authentication time-out.
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut unauthenticated: Vec<_> = (0..4).map(|_| program.connect()).collect();
     unauthenticated[1].stream.write_all(b"{\"@type\":\"SOU").unwrap();
     while unauthenticated[2].stream.write_all(&[b'x'; 4096]).is_ok() {}
@@ -221,7 +221,7 @@
         thread::sleep(Duration::from_millis(20));
     }
     assert!(unauthenticated.iter_mut().all(|peer| peer.is_disconnected_within(Duration::from_millis(10))));
-    assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(3), "{:?}", started_at.elapsed());
     collector.ping();
     // An invalid report is ignored. A line that is not JSON closes the connection, so that the collector reconnects.
     collector.send_line(
@@ -284,9 +284,10 @@
     assert!(program.wait_for_exit().success());
 }
 
-/// Settings with other number formats, and an invalid endpoint list of an earlier run.
+/// Numbers in other formats are accepted, negative and fractional counts are rejected, and an invalid endpoint list of
+/// an earlier run is ignored.
 #[test]
-fn settings_in_other_number_formats_are_accepted() {
+fn check_accepts_numbers_in_other_formats_and_names_invalid_keys() {
     type Change = fn(&mut Value);
     let cases: [(Change, &str); 8] = [
         (|file| file["settings"]["classes"][0]["targetNs"] = json!(1.2e9), "are valid"),
--- a/crates/controller/tests/start_configuration.rs
+++ b/crates/controller/tests/start_configuration.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Loads the files. Returns errors as the text that the operator sees.
+/// Loads the files. Returns errors as the text that is shown to the operator.
 fn load_config(environment: ProcessEnvironment) -> Result<ControllerConfig, String> {
     load(environment).map_err(|error| error.to_string())
 }
--- a/crates/controller/tests/subsets.rs
+++ b/crates/controller/tests/subsets.rs
@@ -285,8 +285,8 @@
             fleet_names[1 + change % (CONTROLLERS - 1)] = format!("replacement-{change}");
             rig.apply(Event::SubsettingConfigured(Some(fleet(&fleet_names))));
         } else {
-            let at = change * 7 % registry.len();
-            registry[at].id = format!("s-{}", REPLICAS + change);
+            let replaced = change * 7 % registry.len();
+            registry[replaced].id = format!("s-{}", REPLICAS + change);
             apply_list(&mut rig, 42 + change as u64, true, &registry);
         }
         rig.advance_ms(1000);
@@ -321,7 +321,7 @@
 }
 
 /// Returns the size of this controller's subset as the subsetting package computes it, for the registry of the fake
-/// discovery.
+/// discovery agent.
 fn own_subset_size(names: &[&str]) -> usize {
     let membership = Membership::new(names.iter().map(std::string::ToString::to_string))
         .expect("duplicate controller names");
--- a/crates/controller/tests/support/fake_fleet.rs
+++ b/crates/controller/tests/support/fake_fleet.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum RelayBehaviour {
     Responds,
-    /// Applies requests and does not respond: the controller does not know their outcome.
+    /// Applies requests and does not respond, so that their outcome is unknown to the controller.
     Silent,
     /// Closes connections and does not apply requests.
     Unreachable,
@@ -173,8 +173,8 @@
         // A request with a malformed command is rejected as a whole, as by the real relay.
         let is_valid = |command: &str| match command.split(',').collect::<Vec<_>>()[..] {
             ["SET", slice, replica, weight] => {
-                let known = replica.strip_prefix("s-").is_some_and(|number| number.parse::<usize>().is_ok());
-                slice.parse::<usize>().is_ok() && weight.parse::<f64>().is_ok() && known
+                let is_id = replica.strip_prefix("s-").is_some_and(|number| number.parse::<usize>().is_ok());
+                slice.parse::<usize>().is_ok() && weight.parse::<f64>().is_ok() && is_id
             }
             ["OUT" | "IN", _] | ["LIMIT", _, _, _, _] | ["SYNC", _, _] => true,
             _ => false,
--- a/crates/controller/tests/support/rig.rs
+++ b/crates/controller/tests/support/rig.rs
@@ -242,7 +242,8 @@
     pub fn owners(&self) -> BTreeSet<&str> {
         let owner =
             |(replica, weight): (&'_ String, &f64)| (*weight >= 1.0).then_some(replica.as_str().to_owned());
-        let all: Vec<String> = self.store.values().flat_map(|table| table.iter().filter_map(owner)).collect();
-        self.replicas.keys().map(String::as_str).filter(|replica| all.iter().any(|s| s == replica)).collect()
+        let owners: Vec<String> =
+            self.store.values().flat_map(|table| table.iter().filter_map(owner)).collect();
+        self.replicas.keys().map(String::as_str).filter(|id| owners.iter().any(|owner| owner == id)).collect()
     }
 }
--- a/crates/controller/tests/transport.rs
+++ b/crates/controller/tests/transport.rs
@@ -44,7 +44,7 @@
 
 /// A refused attempt fails at once. After an attempt that gets no response the next one succeeds.
 #[test]
-fn refused_and_lost_connect_attempts_cost_no_time() {
+fn refused_connect_fails_at_once_and_a_hanging_one_is_retried() {
     let refused = async || Err::<(), _>(StreamError::Unreachable("refused".into()));
     let long_interval = Duration::from_secs(60);
     assert_eq!(
@@ -52,14 +52,14 @@
         Err(StreamError::Unreachable("refused".into()))
     );
     let attempts = Cell::new(0);
-    let first_is_lost = async || {
+    let first_hangs = async || {
         attempts.set(attempts.get() + 1);
         match attempts.get() {
             1 => std::future::pending().await,
             attempt => Ok(attempt),
         }
     };
-    assert_eq!(run(first_success(Duration::from_millis(5), 8, first_is_lost)), Ok(2));
+    assert_eq!(run(first_success(Duration::from_millis(5), 8, first_hangs)), Ok(2));
 }
 
 /// Returns a listener with a full backlog that accepts no connections, so that a connect attempt to its address is
