--- a/crates/controller/src/program/reader_pool.rs
+++ b/crates/controller/src/program/reader_pool.rs
@@ -242,7 +242,7 @@
         for reader in 0..self.readers.len() {
             let heartbeat = self.readers[reader].heartbeat.load(Ordering::Relaxed);
             let is_running = !self.readers[reader].thread.is_finished();
-            match self.liveness.check(now, reader, heartbeat, is_running) {
+            match self.liveness.check_reader(now, reader, heartbeat, is_running) {
                 None => {}
                 Some(ReaderEvent::RestartDue) => events.extend(self.restart_reader(now, reader)),
                 Some(stopped) => events.extend(self.stop_reader(reader, stopped)),
--- a/crates/controller/tests/reducer_reports.rs
+++ b/crates/controller/tests/reducer_reports.rs
@@ -145,7 +145,7 @@
 /// Reports of three zones on all replicas and slices, in chunks as the readers make them. All attempts at s-3 fail.
 fn chunks() -> Vec<(u64, Vec<Report>)> {
     let covered = Span::ms(1000);
-    let report = |report_body| Report { at: Moment::default(), line_count: 1.0, body: report_body };
+    let report = |report_body| Report { window_end: Moment::default(), line_count: 1.0, body: report_body };
     let endpoint = |zone, replica: u32| {
         let failed = if replica == 3 { 9.0 } else { 0.0 };
         let mean_latency = Span::ms(40);
@@ -186,7 +186,7 @@
         for order in chunk_orders {
             for at in order {
                 let (from, mut reports) = chunks[*at].clone();
-                reports.iter_mut().for_each(|report| report.at = rig.now);
+                reports.iter_mut().for_each(|report| report.window_end = rig.now);
                 rig.apply(Event::Reports { from, reports });
             }
             rig.drain_input();
@@ -220,7 +220,7 @@
     let failed_reports = |slice| {
         let demand = DemandReport { request_class: 0, window: Span::ms(1000), requests: 1e6, failed: 1e6 };
         vec![Report {
-            at: Moment::default(),
+            window_end: Moment::default(),
             line_count: 1.0,
             body: ReportBody::Demand { slice, report: demand },
         }]
--- a/crates/controller/tests/report_coverage.rs
+++ b/crates/controller/tests/report_coverage.rs
@@ -604,7 +604,7 @@
     let report_body = names.resolve(&collector::decode_report(line).unwrap()).unwrap();
     controller.rig.apply(Event::Reports {
         from: 1,
-        reports: vec![Report { at: controller.rig.now, line_count: 1.0, body: report_body }],
+        reports: vec![Report { window_end: controller.rig.now, line_count: 1.0, body: report_body }],
     });
     assert_eq!(controller.rig.reducer.covered_subjects(), 5 + 10);
     controller.rig.apply(Event::SubsettingConfigured(None));
--- a/crates/ingest/src/aggregate.rs
+++ b/crates/ingest/src/aggregate.rs
@@ -41,7 +41,7 @@
                     sum.line_count += 1.0;
                     add_report(&mut sum.body, body);
                 }
-                None => reports.push(Report { at: self.arrived_at, line_count: 1.0, body }),
+                None => reports.push(Report { window_end: self.arrived_at, line_count: 1.0, body }),
             }
         }
         reports
--- a/crates/ingest/src/liveness.rs
+++ b/crates/ingest/src/liveness.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Begins a round of checks. Call [`LivenessMonitor::check`] for each reader after it.
+    /// Begins a round of checks. Call [`LivenessMonitor::check_reader`] for each reader after it.
     pub fn begin_check(&mut self, now: Moment) {
         if now - self.last_check > MAX_CHECK_GAP {
             for reader in &mut self.readers {
@@ -76,7 +76,7 @@
 
     /// Checks one reader and returns what changed since the last check. A reader whose restart is due counts as
     /// running from then on.
-    pub fn check(
+    pub fn check_reader(
         &mut self,
         now: Moment,
         reader: ReaderId,
--- a/crates/ingest/tests/ingest.rs
+++ b/crates/ingest/tests/ingest.rs
@@ -191,7 +191,7 @@
         let mut aggregator = ReportAggregator::new(at(7));
         lines.0.iter().for_each(|line| aggregator.add(*line));
         let summed = aggregator.into_reports();
-        assert!(summed.iter().all(|report| report.at == at(7)));
+        assert!(summed.iter().all(|report| report.window_end == at(7)));
         let (single, summed_totals) = (
             totals(lines.0.iter().map(|line| (1.0, *line))),
             totals(summed.iter().map(|report| (report.line_count, report.body))),
@@ -257,8 +257,8 @@
     for ms in (0..60_000).step_by(100) {
         heartbeat += 1;
         monitor.begin_check(at(ms));
-        assert_eq!(monitor.check(at(ms), 1, heartbeat, true), None, "the reader makes progress");
-        match monitor.check(at(ms), 0, 7, true) {
+        assert_eq!(monitor.check_reader(at(ms), 1, heartbeat, true), None, "the reader makes progress");
+        match monitor.check_reader(at(ms), 0, 7, true) {
             Some(ReaderEvent::Stalled) => stopped = Some(ms),
             Some(ReaderEvent::RestartDue) => backoffs.push(ms - stopped.take().unwrap()),
             Some(ReaderEvent::Died) => panic!("a running thread was reported as dead"),
@@ -273,11 +273,11 @@
 fn dead_reader_is_detected_at_once_and_a_pause_of_the_machine_is_not_a_stall() {
     let mut monitor = LivenessMonitor::new(2, at(0));
     monitor.begin_check(at(100));
-    assert_eq!(monitor.check(at(100), 0, 0, false), Some(ReaderEvent::Died));
-    assert_eq!(monitor.check(at(100), 1, 5, true), None);
+    assert_eq!(monitor.check_reader(at(100), 0, 0, false), Some(ReaderEvent::Died));
+    assert_eq!(monitor.check_reader(at(100), 1, 5, true), None);
     // No check ran for a minute, because the whole machine was paused.
     monitor.begin_check(at(60_000));
-    assert_eq!(monitor.check(at(60_000), 1, 5, true), None);
+    assert_eq!(monitor.check_reader(at(60_000), 1, 5, true), None);
     monitor.begin_check(at(60_200));
-    assert_eq!(monitor.check(at(60_200), 1, 5, true), None);
+    assert_eq!(monitor.check_reader(at(60_200), 1, 5, true), None);
 }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -160,8 +160,8 @@
 /// included because a line that arrives late counts for the time that it covers.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
-    /// The time at which the report was sent, which is the end of its time window.
-    pub at: Moment,
+    /// The end of its time window, which is the time at which the report was sent.
+    pub window_end: Moment,
     /// The number of lines that were added up.
     pub line_count: f64,
     /// The subject and the figures of the report.
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -127,20 +127,20 @@
 /// Load reports.
 impl ControllerState {
     pub(crate) fn record_reports(&mut self, reports: &[Report]) {
-        for Report { at, line_count, body } in reports {
+        for Report { window_end, line_count, body } in reports {
             let window = match body {
                 ReportBody::Endpoint { replica, report, latest_latency } => {
-                    self.record_endpoint(*at, *replica, report, *latest_latency);
+                    self.record_endpoint(*window_end, *replica, report, *latest_latency);
                     report.window
                 }
                 ReportBody::Demand { slice, report } => {
-                    self.record_demand(*at, *slice, report);
+                    self.record_demand(*window_end, *slice, report);
                     report.window
                 }
             };
             if window > Span::default() {
-                self.reporting.covered_seconds.add(*at, window.seconds() * line_count);
-                self.reporting.lines.add(*at, *line_count);
+                self.reporting.covered_seconds.add(*window_end, window.seconds() * line_count);
+                self.reporting.lines.add(*window_end, *line_count);
             }
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -228,13 +228,13 @@
     /// Handles a report on a replica whose time window ends at `now`.
     pub fn endpoint_reported(&mut self, now: Moment, replica: ReplicaId, report: EndpointReport) {
         let body = ReportBody::Endpoint { replica, report, latest_latency: report.mean_latency };
-        self.load_reported(now, &[Report { at: now, line_count: 1.0, body }]);
+        self.load_reported(now, &[Report { window_end: now, line_count: 1.0, body }]);
     }
 
     /// Handles a report on a slice whose time window ends at `now`.
     pub fn demand_reported(&mut self, now: Moment, slice: SliceId, report: DemandReport) {
         let body = ReportBody::Demand { slice, report };
-        self.load_reported(now, &[Report { at: now, line_count: 1.0, body }]);
+        self.load_reported(now, &[Report { window_end: now, line_count: 1.0, body }]);
     }
 
     /// Handles several reports at once, each with its own time.
--- a/crates/routing/src/reducer/reports.rs
+++ b/crates/routing/src/reducer/reports.rs
@@ -117,7 +117,7 @@
     }
 
     fn report_received(&mut self, now: Moment, from: ConnectionId, body: ReportBody, missing_zones: u32) {
-        let mut report = Report { at: now, line_count: 1.0, body };
+        let mut report = Report { window_end: now, line_count: 1.0, body };
         if self.count_report(from, &mut report, missing_zones) {
             self.policy.load_reported(now, &[report]);
         }
@@ -197,13 +197,13 @@
                 (Subject::Slice(slice, report.request_class), ReportSubject::Slice(slice), report.window)
             }
         };
-        if self.stream.record_line(report.at, window) {
+        if self.stream.record_line(report.window_end, window) {
             self.coverage.forget_connections();
         }
-        let line = ReportLine { subject, from, at: report.at, window, line_count: report.line_count };
+        let line = ReportLine { subject, from, at: report.window_end, window, line_count: report.line_count };
         let Some(counted) = self.coverage.count_line(&line) else { return false };
         if counted.continuity == Continuity::Unknown {
-            policy.observed_since(report_subject, report.at - window);
+            policy.observed_since(report_subject, report.window_end - window);
         }
         let is_incomplete = match counted.continuity {
             Continuity::Continuous => false,
@@ -211,7 +211,7 @@
             Continuity::Unknown => matches!(report_subject, ReportSubject::Replica(_)),
         };
         if is_incomplete || missing_zones > 0 {
-            policy.report_incomplete(report.at, report_subject);
+            policy.report_incomplete(report.window_end, report_subject);
         }
         reduce_to_counted(report, &counted);
         true
--- a/crates/scale-tests/src/many/simulated/effects.rs
+++ b/crates/scale-tests/src/many/simulated/effects.rs
@@ -132,7 +132,7 @@
         });
         let lines =
             endpoint_reports.chain(demand_reports).filter_map(|line| self.report_names.resolve(&line));
-        let reports = lines.map(|body| Report { at: now, line_count: 1.0, body }).collect();
+        let reports = lines.map(|body| Report { window_end: now, line_count: 1.0, body }).collect();
         Event::Reports { from: COLLECTOR_CONNECTION, reports }
     }
 }
