--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -63,6 +63,15 @@
     pub subset: SubsetMembership,
 }
 
+/// What the replica list last said about a replica's process.
+#[derive(Clone, Copy, Debug)]
+pub struct ListedState {
+    /// The last listed state.
+    pub state: ReplicaState,
+    /// The start time of the process, if known.
+    pub started: Option<Moment>,
+}
+
 /// The part of the replica list that an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -51,9 +51,9 @@
 pub mod windowed_counter;
 
 use crate::api::{
-    Action, ChannelLoad, DemandReport, EndpointReport, ListScope, OverrideNumber, OverrideSpec,
-    OverrideStatus, ProxyId, ProxyTables, ReplicaId, ReplicaListing, ReplicaState, Report, ReportBody,
-    ReportFlow, ReportSubject, SliceId, SubsetMembership,
+    Action, ChannelLoad, DemandReport, EndpointReport, ListScope, ListedState, OverrideNumber, OverrideSpec,
+    OverrideStatus, ProxyId, ProxyTables, ReplicaId, ReplicaListing, Report, ReportBody, ReportFlow,
+    ReportSubject, SliceId, SubsetMembership,
 };
 use crate::deployment::Deployment;
 use crate::state::controller::ControllerState;
@@ -290,8 +290,9 @@
     }
 
     /// Returns a replica's last listed state and the start time of that process.
-    pub fn replica_state(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
-        self.state.replicas.get(&replica).map(|known| (known.state, known.started))
+    pub fn replica_state(&self, replica: ReplicaId) -> Option<ListedState> {
+        let known = self.state.replicas.get(&replica)?;
+        Some(ListedState { state: known.state, started: known.started })
     }
 
     /// Returns a replica if it is listed and not gone.
--- a/crates/routing/src/reducer/endpoint_list.rs
+++ b/crates/routing/src/reducer/endpoint_list.rs
@@ -79,7 +79,7 @@
         let known = self.policy.replica_state(listing.replica);
         listing.state == ReplicaState::Ready
             && known
-                .is_some_and(|(state, started)| state != ReplicaState::Ready && started == listing.started)
+                .is_some_and(|known| known.state != ReplicaState::Ready && known.started == listing.started)
     }
 
     /// Converts the list to the policy's types, and assigns ids to new replicas.
