--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -3,10 +3,10 @@
 use super::catalog::Catalog;
 use super::cost::{self, Cost};
 use super::error::ManyError;
+use super::fakes::{self, Addresses, FakePeersState, Link};
 use super::plan::{ControllerId, Plan, DRAINED_DURING_PARTITION, DRAINED_WHILE_IDLE, PARTITIONED_REGION};
 use super::process::Process;
 use super::simulated::Environment;
-use super::stand_ins::{self, Addresses, FakePeersState, Link};
 use super::tracker::{Condition, EventProgress, Site, Tracker};
 use super::workers::Workers;
 use crate::process::machine_load;
@@ -147,7 +147,7 @@
             workers: Workers::default(),
             folder: tempfile::tempdir().map_err(ManyError::io("temporary folder"))?,
         };
-        let load = stand_ins::load_reports(plan);
+        let load = fakes::load_reports(plan);
         for controller in 0..plan.real {
             let is_partitioned = plan.region(controller) == PARTITIONED_REGION;
             let link =
@@ -162,13 +162,12 @@
             let state = Arc::new(state);
             let mut sites = BTreeMap::new();
             for site in [Site::First, Site::Second] {
-                sites
-                    .insert(site, stand_ins::open_site(&state, site).await.map_err(ManyError::io("listen"))?);
+                sites.insert(site, fakes::open_site(&state, site).await.map_err(ManyError::io("listen"))?);
             }
             let process = Process::new(controller, fleet.folder.path());
             for (zone, load) in load.iter().enumerate() {
                 let (plan, state) = (fleet.plan.clone(), state.clone());
-                tokio::spawn(stand_ins::run_collector(plan, state, zone, load.clone(), process.address()));
+                tokio::spawn(fakes::run_collector(plan, state, zone, load.clone(), process.address()));
             }
             fleet.fake_peers_states.push(state);
             fleet.sites.push(sites);
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -2,8 +2,8 @@
 
 use super::cost::{self, Cost};
 use super::error::ManyError;
+use super::fakes::Addresses;
 use super::plan::{ControllerId, Plan};
-use super::stand_ins::Addresses;
 use super::tracker::{Condition, Tracker};
 use crate::process::listening_address;
 use rustix::process::{kill_process, Pid, Signal};
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -4,12 +4,12 @@
 use super::error::MeasureError;
 use super::steady::Times;
 use super::test_bed::Setup;
+use crate::fakes::collectors::Collectors;
+use crate::fakes::counting_proxy::CountingProxy;
+use crate::fakes::discovery::Discovery;
+use crate::fakes::relay::Relay;
+use crate::fakes::Traffic;
 use crate::process::{machine_load, Controller, Launch, ProcessError, RunningProgram, Usage};
-use crate::stand_ins::collectors::Collectors;
-use crate::stand_ins::counting_proxy::CountingProxy;
-use crate::stand_ins::discovery::Discovery;
-use crate::stand_ins::relay::Relay;
-use crate::stand_ins::Traffic;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -4,11 +4,11 @@
 use super::error::MeasureError;
 use super::steady::Times;
 use super::test_bed::{Setup, TestBed};
+use crate::fakes::collectors;
+use crate::fakes::fleet::{EntryState, ReplicaState};
+use crate::fakes::relay::RelayRequest;
+use crate::fakes::TrafficCount;
 use crate::process::{machine_load, Usage};
-use crate::stand_ins::collectors;
-use crate::stand_ins::fleet::{EntryState, ReplicaState};
-use crate::stand_ins::relay::RelayRequest;
-use crate::stand_ins::TrafficCount;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/scale-tests/src/one/mod.rs
+++ b/crates/scale-tests/src/one/mod.rs
@@ -12,9 +12,9 @@
 
 pub use error::MeasureError;
 
+use crate::fakes::fleet::FleetSize;
 use crate::process::controller_program;
 use crate::results::Folder;
-use crate::stand_ins::fleet::FleetSize;
 use aggregated::Subsetting;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -2,9 +2,9 @@
 
 use super::error::MeasureError;
 use super::test_bed::{Setup, TestBed};
+use crate::fakes::fleet::{EntryState, FleetSize, Random, ReplicaState, ReportShape};
+use crate::fakes::TrafficCount;
 use crate::process::{current_thread_processor_time, machine_load, Usage};
-use crate::stand_ins::fleet::{EntryState, FleetSize, Random, ReplicaState, ReportShape};
-use crate::stand_ins::TrafficCount;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -4,7 +4,7 @@
 use super::events::{self, Event, FloodCost, Outcome};
 use super::steady::{Case, Times};
 use super::test_bed::Setup;
-use crate::stand_ins::fleet::{FleetSize, ReportShape};
+use crate::fakes::fleet::{FleetSize, ReportShape};
 use std::path::Path;
 
 /// Sizes of the endpoint list, in replicas.
--- a/crates/scale-tests/src/one/test_bed.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -1,12 +1,12 @@
 //! A controller with its fake peers, set up for one case.
 
 use super::error::MeasureError;
+use crate::fakes::collectors::{Collectors, ReportSchedule};
+use crate::fakes::discovery::Discovery;
+use crate::fakes::fleet::{FleetSize, ReportShape};
+use crate::fakes::relay::Relay;
+use crate::fakes::Traffic;
 use crate::process::{Controller, Launch};
-use crate::stand_ins::collectors::{Collectors, ReportSchedule};
-use crate::stand_ins::discovery::Discovery;
-use crate::stand_ins::fleet::{FleetSize, ReportShape};
-use crate::stand_ins::relay::Relay;
-use crate::stand_ins::Traffic;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/scale-tests/tests/aggregated.rs
+++ b/crates/scale-tests/tests/aggregated.rs
@@ -2,11 +2,11 @@
 //! subset only, within the budget, in lines that it accepts. No check depends on the speed of the machine.
 
 use std::time::Duration;
+use whinwall_scale_tests::fakes::fleet::FleetSize;
 use whinwall_scale_tests::one::aggregated::{measure, Subsetting};
 use whinwall_scale_tests::one::steady::Times;
 use whinwall_scale_tests::one::test_bed::Setup;
 use whinwall_scale_tests::process::{controller_program, program};
-use whinwall_scale_tests::stand_ins::fleet::FleetSize;
 
 const MEMORY_LIMIT_BYTES: u64 = 64 << 20;
 const TIMES: Times = Times { warm_up: Duration::from_secs(2), measured: Duration::from_secs(4) };
--- a/crates/scale-tests/tests/stand_ins.rs
+++ b/crates/scale-tests/tests/fakes.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 use whinwall_protocol::{collector, discovery as discovery_protocol, relay as relay_protocol};
-use whinwall_scale_tests::stand_ins::collectors::{Collectors, ReportSchedule};
-use whinwall_scale_tests::stand_ins::counting_proxy::CountingProxy;
-use whinwall_scale_tests::stand_ins::discovery::Discovery;
-use whinwall_scale_tests::stand_ins::fleet::{EntryState, FleetSize, Random, ReplicaState, ReportShape};
-use whinwall_scale_tests::stand_ins::relay::Relay;
-use whinwall_scale_tests::stand_ins::{Counter, Traffic};
+use whinwall_scale_tests::fakes::collectors::{Collectors, ReportSchedule};
+use whinwall_scale_tests::fakes::counting_proxy::CountingProxy;
+use whinwall_scale_tests::fakes::discovery::Discovery;
+use whinwall_scale_tests::fakes::fleet::{EntryState, FleetSize, Random, ReplicaState, ReportShape};
+use whinwall_scale_tests::fakes::relay::Relay;
+use whinwall_scale_tests::fakes::{Counter, Traffic};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -69,7 +69,7 @@
     let lines = |writes| {
         let schedule = ReportSchedule::for_zone(&size, &ReportShape::full(&size), 0, writes);
         let blocks = |period: &Vec<_>| {
-            period.iter().map(|b: &whinwall_scale_tests::stand_ins::collectors::ReportBlock| b.lines).sum()
+            period.iter().map(|b: &whinwall_scale_tests::fakes::collectors::ReportBlock| b.lines).sum()
         };
         schedule.periods.iter().map(blocks).collect::<Vec<usize>>()
     };
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -5,6 +5,8 @@
 use std::path::PathBuf;
 use std::sync::OnceLock;
 use std::time::Duration;
+use whinwall_scale_tests::fakes::collectors::{connect_collector, flood};
+use whinwall_scale_tests::fakes::fleet::{FleetSize, Random, ReportShape};
 use whinwall_scale_tests::fit::{LinearFit, Point};
 use whinwall_scale_tests::one::events::{self, Event};
 use whinwall_scale_tests::one::report;
@@ -12,8 +14,6 @@
 use whinwall_scale_tests::one::test_bed::{Setup, TestBed};
 use whinwall_scale_tests::process::{controller_program, Usage};
 use whinwall_scale_tests::results::Folder;
-use whinwall_scale_tests::stand_ins::collectors::{connect_collector, flood};
-use whinwall_scale_tests::stand_ins::fleet::{FleetSize, Random, ReportShape};
 
 /// Limit of the resident memory of a controller with a small fleet. It leaves a wide margin for debug builds.
 const MEMORY_LIMIT_BYTES: u64 = 64 << 20;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -13,11 +13,11 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use whinwall_scale_tests::stand_ins::collectors::{Collectors, ReportSchedule};
-use whinwall_scale_tests::stand_ins::discovery::Discovery;
-use whinwall_scale_tests::stand_ins::fleet::{FleetSize, ReportShape};
-use whinwall_scale_tests::stand_ins::relay::Relay;
-use whinwall_scale_tests::stand_ins::Traffic;
+use whinwall_scale_tests::fakes::collectors::{Collectors, ReportSchedule};
+use whinwall_scale_tests::fakes::discovery::Discovery;
+use whinwall_scale_tests::fakes::fleet::{FleetSize, ReportShape};
+use whinwall_scale_tests::fakes::relay::Relay;
+use whinwall_scale_tests::fakes::Traffic;
 
 /// The time from the first signal that ends the program to the kill.
 const KILL_DELAY: Duration = Duration::from_millis(700);
