--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -63,6 +63,15 @@
     pub subset: SubsetMembership,
 }
 
+/// What the replica list last said about a replica's process.
+#[derive(Clone, Copy, Debug)]
+pub struct ListedState {
+    /// The last listed state.
+    pub state: ReplicaState,
+    /// The start time of the process, if known.
+    pub started: Option<Moment>,
+}
+
 /// The part of the replica list that an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
@@ -160,8 +169,8 @@
 /// included because a line that arrives late counts for the time that it covers.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
-    /// The time at which the report was sent, which is the end of its time window.
-    pub at: Moment,
+    /// The end of its time window, which is the time at which the report was sent.
+    pub window_end: Moment,
     /// The number of lines that were added up.
     pub line_count: f64,
     /// The subject and the figures of the report.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -51,9 +51,9 @@
 pub mod windowed_counter;
 
 use crate::api::{
-    Action, ChannelLoad, DemandReport, EndpointReport, ListScope, OverrideNumber, OverrideSpec,
-    OverrideStatus, ProxyId, ProxyTables, ReplicaId, ReplicaListing, ReplicaState, Report, ReportBody,
-    ReportFlow, ReportSubject, SliceId, SubsetMembership,
+    Action, ChannelLoad, DemandReport, EndpointReport, ListScope, ListedState, OverrideNumber, OverrideSpec,
+    OverrideStatus, ProxyId, ProxyTables, ReplicaId, ReplicaListing, Report, ReportBody, ReportFlow,
+    ReportSubject, SliceId, SubsetMembership,
 };
 use crate::deployment::Deployment;
 use crate::state::controller::ControllerState;
@@ -228,13 +228,13 @@
     /// Handles a report on a replica whose time window ends at `now`.
     pub fn endpoint_reported(&mut self, now: Moment, replica: ReplicaId, report: EndpointReport) {
         let body = ReportBody::Endpoint { replica, report, latest_latency: report.mean_latency };
-        self.load_reported(now, &[Report { at: now, line_count: 1.0, body }]);
+        self.load_reported(now, &[Report { window_end: now, line_count: 1.0, body }]);
     }
 
     /// Handles a report on a slice whose time window ends at `now`.
     pub fn demand_reported(&mut self, now: Moment, slice: SliceId, report: DemandReport) {
         let body = ReportBody::Demand { slice, report };
-        self.load_reported(now, &[Report { at: now, line_count: 1.0, body }]);
+        self.load_reported(now, &[Report { window_end: now, line_count: 1.0, body }]);
     }
 
     /// Handles several reports at once, each with its own time.
@@ -290,8 +290,9 @@
     }
 
     /// Returns a replica's last listed state and the start time of that process.
-    pub fn replica_state(&self, replica: ReplicaId) -> Option<(ReplicaState, Option<Moment>)> {
-        self.state.replicas.get(&replica).map(|known| (known.state, known.started))
+    pub fn replica_state(&self, replica: ReplicaId) -> Option<ListedState> {
+        let known = self.state.replicas.get(&replica)?;
+        Some(ListedState { state: known.state, started: known.started })
     }
 
     /// Returns a replica if it is listed and not gone.
