--- a/crates/transport/src/bounds.rs
+++ b/crates/transport/src/bounds.rs
@@ -26,9 +26,8 @@
         }
     }
 
-    /// Waits until memory for a queued line is available, and reserves it. Returns `None` if the program
-    /// is ending.
-    pub(crate) async fn reserve_queued(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
+    /// Waits until memory for queued lines is available, and reserves it. Returns `None` if the program is ending.
+    pub(crate) async fn reserve_queue_memory(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let bytes = bytes.clamp(1, limits::MAX_LINE_BYTES) as u32;
         self.queued_bytes.clone().acquire_many_owned(bytes).await.ok()
     }
--- a/crates/transport/src/closing.rs
+++ b/crates/transport/src/closing.rs
@@ -1,4 +1,4 @@
-//! Notification of a connection that it must close, because of the shutdown or an eviction by the listener.
+//! The signal on which a connection must close, because of the shutdown or an eviction by the listener.
 
 use super::limits;
 use std::sync::Arc;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,5 +1,5 @@
-//! A connection to the program's listening address. It is read line by line. If there are chunk readers, it is read in
-//! chunks of complete lines after its peer is authenticated.
+//! A connection to the program's listening address. It is read line by line until its peer is authenticated. After that
+//! it is read in chunks of complete lines if there are chunk readers, and line by line otherwise.
 
 mod chunks;
 mod lines;
@@ -86,7 +86,7 @@
     Rejected,
     #[error("not authenticated within {} ms", limits::AUTHENTICATION_TIMEOUT.as_millis())]
     AuthenticationTimeout,
-    #[error("idle")]
+    #[error("idle for {} s", limits::PEER_IDLE_TIMEOUT.as_secs())]
     Idle,
     #[error("closed by peer")]
     ClosedByPeer,
@@ -94,8 +94,8 @@
     ReplyTimeout,
     #[error("line longer than {} bytes", limits::MAX_LINE_BYTES)]
     LineTooLong,
-    #[error("memory limit for incomplete lines exceeded")]
-    LineMemoryExhausted,
+    #[error("incomplete lines of all connections exceed the memory limit of {max_bytes} bytes")]
+    LineMemoryExhausted { max_bytes: usize },
     #[error("shutting down")]
     ShuttingDown,
     #[error("evicted: too many open connections")]
@@ -155,7 +155,7 @@
 
 impl Session<'_> {
     /// Writes the outstanding replies, shuts down the write side and closes the connection. The replies are complete
-    /// when all clones of the command sender are dropped; one clone is passed on with each line.
+    /// when all clones of the command sender are dropped; one clone is sent with each line or chunk.
     async fn answer_and_close(self, mut io: TcpStream, closing: Option<Closing>) -> CloseReason {
         let Session { command_sender, mut commands, .. } = self;
         drop(command_sender);
@@ -180,7 +180,7 @@
 
     /// Sends a line to the input queue. Returns false if the queue is closed.
     async fn send_line(&self, inputs: &InputSender, line: String) -> bool {
-        let Some(memory_permit) = self.bounds.reserve_queued(line.len()).await else { return false };
+        let Some(memory_permit) = self.bounds.reserve_queue_memory(line.len()).await else { return false };
         let line = Input::Line {
             from: self.id,
             line,
@@ -195,7 +195,7 @@
         // Taken before waiting for memory, so that it is the time of arrival.
         let received_at = std::time::Instant::now();
         let info = ChunkInfo { from: self.id, number: *self.chunks_sent, received_at, bytes: lines.len() };
-        let Some(memory_permit) = self.bounds.reserve_queued(lines.len()).await else { return false };
+        let Some(memory_permit) = self.bounds.reserve_queue_memory(lines.len()).await else { return false };
         *self.chunks_sent += 1;
         let chunk = Chunk { info, lines, commands: self.command_sender.clone(), memory_permit };
         chunk_sender.chunks.send(chunk).await.is_ok()
@@ -221,7 +221,7 @@
 
 /// Sends the line with the close reason, if any, and closes the connection. Closing a socket with unread input resets
 /// the connection, and the peer may lose the reason; therefore further input is read and discarded, within limits.
-async fn close(mut framed: LineStream, line: Option<String>, deadline: Instant) -> CloseReason {
+async fn close_with_reason(mut framed: LineStream, line: Option<String>, deadline: Instant) -> CloseReason {
     let Some(line) = line else { return CloseReason::Rejected };
     if let Err(reason) = send_with_timeout(framed.send(line)).await {
         return reason;
--- a/crates/transport/src/connection/chunks.rs
+++ b/crates/transport/src/connection/chunks.rs
@@ -28,7 +28,7 @@
                     return CloseReason::ShuttingDown;
                 }
             }
-            if let Err(reason) = check_partial_line(bytes, &mut partial_line) {
+            if let Err(reason) = prepare_read(bytes, &mut partial_line) {
                 return reason;
             }
             if closing.is_some_and(|closing| Instant::now() >= closing.deadline) {
@@ -51,22 +51,19 @@
                 () = sleep(limits::CLOSE_READ_TIMEOUT), if closing.is_some() => {
                     return self.answer_and_close(parts.io, closing).await;
                 }
-                at = self.closing.closing(), if closing.is_none() => closing = Some(at),
+                begun = self.closing.closing(), if closing.is_none() => closing = Some(begun),
             }
         }
     }
 }
 
-/// Checks the limits of an incomplete line, and reserves buffer space for the next read.
-fn check_partial_line(
-    bytes: &mut BytesMut,
-    partial_line: &mut PartialLineReservation,
-) -> Result<(), CloseReason> {
+/// Applies the limits on the incomplete line in the buffer, and reserves buffer space for the next read.
+fn prepare_read(bytes: &mut BytesMut, partial_line: &mut PartialLineReservation) -> Result<(), CloseReason> {
     if bytes.len() > limits::MAX_LINE_BYTES {
         return Err(CloseReason::LineTooLong);
     }
     if !partial_line.resize(bytes.len()) {
-        return Err(CloseReason::LineMemoryExhausted);
+        return Err(CloseReason::LineMemoryExhausted { max_bytes: partial_line.budget_bytes() });
     }
     if bytes.is_empty() && bytes.capacity() > limits::MAX_IDLE_BUFFER_BYTES {
         *bytes = BytesMut::new();
--- a/crates/transport/src/connection/lines.rs
+++ b/crates/transport/src/connection/lines.rs
@@ -1,6 +1,6 @@
 //! Reads a connection line by line: before its peer is authenticated, and afterwards if there are no chunk readers.
 
-use super::{close, send_with_timeout, ChunkSender, CloseReason, LineStream, Session};
+use super::{close_with_reason, send_with_timeout, ChunkSender, CloseReason, LineStream, Session};
 use crate::closing::Closing;
 use crate::{limits, ConnectionCommand, InputSender};
 use futures_util::{SinkExt, StreamExt};
@@ -46,7 +46,7 @@
 
 impl Session<'_> {
     /// Serves a connection line by line. Until the peer is authenticated, the size of its lines and the lifetime of
-    /// its connection are limited; sending an endless line, or single bytes, does not extend the lifetime.
+    /// its connection are limited. Sending an endless line, or one byte at a time, does not extend the lifetime.
     pub(super) async fn serve_lines(
         mut self,
         mut framed: LineStream,
@@ -76,7 +76,7 @@
                     }
                 }
                 LineEvent::Command(ConnectionCommand::Close(line)) => {
-                    return close(framed, line, state.deadline).await;
+                    return close_with_reason(framed, line, state.deadline).await;
                 }
                 LineEvent::Line(Ok(line)) => {
                     self.record_line(&mut state);
@@ -155,6 +155,6 @@
         let line = (!notice.is_empty()).then(|| notice.to_string());
         // Further input of the peer is irrelevant, and the shutdown waits for this connection, so the deadline is
         // short.
-        close(framed, line, Instant::now() + limits::CLOSE_READ_TIMEOUT).await
+        close_with_reason(framed, line, Instant::now() + limits::CLOSE_READ_TIMEOUT).await
     }
 }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 /// The memory budget for incomplete lines, shared by all connections that hold a clone. If it is exceeded, connections
-/// that use more than an even share are disconnected. Unauthenticated peers with long lines therefore cannot cause
-/// collectors to be disconnected.
+/// that use more than an even share are disconnected. Therefore, long lines of unauthenticated peers cannot cause
+/// collectors with short lines to be disconnected.
 #[derive(Clone)]
 pub struct PartialLineBudget {
     reserved_bytes: Arc<AtomicUsize>,
@@ -52,6 +52,11 @@
         self.bytes = bytes;
         bytes <= self.budget.even_share_bytes || total_bytes <= self.budget.max_bytes
     }
+
+    /// The size of the budget that the reservation belongs to.
+    pub fn budget_bytes(&self) -> usize {
+        self.budget.max_bytes
+    }
 }
 
 impl Drop for PartialLineReservation {
@@ -65,8 +70,8 @@
 enum LineError {
     #[error("line longer than {max_bytes} bytes")]
     TooLong { max_bytes: usize },
-    #[error("memory limit for incomplete lines exceeded")]
-    BudgetExceeded,
+    #[error("incomplete lines of all connections exceed the memory limit of {max_bytes} bytes")]
+    BudgetExceeded { max_bytes: usize },
     #[error("line is not valid UTF-8")]
     NotUtf8,
 }
@@ -117,15 +122,17 @@
 
     fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<String>, Error> {
         let unsearched = &bytes[self.searched_bytes..];
-        let end = memchr::memchr(b'\n', unsearched).map(|at| at + self.searched_bytes);
+        let end = memchr::memchr(b'\n', unsearched).map(|position| position + self.searched_bytes);
         if end.unwrap_or(bytes.len()) > self.max_line_bytes {
             return Err(LineError::TooLong { max_bytes: self.max_line_bytes }.into());
         }
         let Some(end) = end else {
             self.searched_bytes = bytes.len();
-            let is_within_budget =
-                self.reservation.as_mut().is_none_or(|reservation| reservation.resize(bytes.len()));
-            return if is_within_budget { Ok(None) } else { Err(LineError::BudgetExceeded.into()) };
+            let Some(reservation) = &mut self.reservation else { return Ok(None) };
+            if reservation.resize(bytes.len()) {
+                return Ok(None);
+            }
+            return Err(LineError::BudgetExceeded { max_bytes: reservation.budget_bytes() }.into());
         };
         self.searched_bytes = 0;
         let line = bytes.split_to(end);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,6 @@
 //! Line-oriented connections: the listener of the program's own address, relay requests, and the watches of relay and
-//! registry. Lines are not interpreted here; everything that is read goes into one input queue.
+//! registry. Lines are not interpreted here. They go into the input queue of the program, except for chunks of lines,
+//! which go to the chunk readers.
 
 #![warn(clippy::unwrap_used)]
 
@@ -99,7 +100,7 @@
 pub enum ConnectionCommand {
     /// Send a line.
     Send(String),
-    /// Send a line with the close reason, if any, and close the connection.
+    /// Send the line with the close reason, if there is one, and close the connection.
     Close(Option<String>),
     /// Mark the peer as authenticated and keep the connection open.
     MarkAuthenticated,
@@ -117,9 +118,8 @@
     actix_rt::time::timeout(timeout, work).await.map_err(|_| StreamError::TimedOut)
 }
 
-/// Returns the result of the first successful one of several concurrent attempts. Another attempt starts after each
-/// interval while earlier attempts continue, so that a lost attempt is replaced quickly and a slow one can still
-/// succeed.
+/// Makes several concurrent attempts and returns the first successful result. Another attempt starts after each interval
+/// while the earlier ones continue, so that a lost attempt is replaced quickly and a slow one can still succeed.
 ///
 /// # Errors
 ///
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -1,11 +1,11 @@
-//! Time limits and size limits of network connections. They limit the resources that other parties can consume; policy
-//! decisions do not depend on them.
+//! Time limits and size limits of network connections. They limit the resources that peers can consume; policy decisions
+//! do not depend on them.
 
 use std::time::Duration;
 use whinwall_policy::time::Span;
 
-/// The time between two attempts to connect. All parties are on the same network, a few milliseconds away, so an
-/// attempt that takes longer may be lost. As it may also be just slow, earlier attempts continue.
+/// The time between two attempts to connect. All peers are on the same network, a few milliseconds away, so an attempt
+/// that takes longer is probably lost. As it may also be just slow, earlier attempts continue.
 pub const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// The maximum number of concurrent attempts to connect or to request the endpoint list. With this number, the first
 /// attempt has more than two seconds.
@@ -32,7 +32,7 @@
 pub const SHUTDOWN_QUIET_PERIOD: Duration = Duration::from_millis(50);
 /// The time limit for a closing connection to answer the lines that were read.
 pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(150);
-/// The time that a closing connection waits for the rest of an incomplete line. It is either already on its way or
+/// The time that a closing connection waits for the rest of an incomplete line, which is either already in transit or
 /// does not arrive.
 pub const PARTIAL_LINE_TIMEOUT: Duration = Duration::from_millis(20);
 /// The part of the closing time that is reserved for sending the close reason.
@@ -57,8 +57,8 @@
 /// A peer that does not authenticate within this time is disconnected. Authentication may take up to one second, and
 /// an unauthenticated peer may be kept waiting for at most three seconds.
 pub const AUTHENTICATION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The time for which an unauthenticated peer is not evicted to release file descriptors after it has connected or
-/// sent a line. The first line of a peer arrives within a few milliseconds.
+/// An unauthenticated peer is not evicted to release file descriptors until this time has passed since it connected or
+/// last sent a line. The first line of a peer arrives within a few milliseconds.
 pub const EVICTION_GRACE_PERIOD: Duration = Duration::from_millis(100);
 /// A peer that does not read a reply within this time is disconnected.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -82,8 +82,8 @@
 /// The maximum number of inputs that wait for the event loop. If it is reached, connections are not read, and TCP flow
 /// control slows down the peers.
 pub const MAX_QUEUED_INPUTS: usize = 1024;
-/// The fraction of the program's memory, as a divisor, that incomplete lines may use in total; queued lines may use
-/// the same amount in addition.
+/// Incomplete lines may use at most the program's memory divided by this number. Queued lines may use the same amount
+/// in addition.
 pub const LINE_MEMORY_DIVISOR: usize = 8;
 /// The number of file descriptors reserved for everything except connections to the program's listening address.
 pub const RESERVED_DESCRIPTORS: usize = 64;
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -52,14 +52,14 @@
     }
 }
 
-/// Accepts connections without end. At most half of the allowed connections may be unauthenticated.
+/// Accepts connections until the future is dropped. At most half of the allowed connections may be unauthenticated.
 pub async fn listen(listener: Rc<TcpListener>, bounds: Bounds, readers: impl Readers) {
     listen_until(listener, bounds, readers, ConnectionShutdown::never()).await;
 }
 
 /// Accepts connections like [`listen`], until the shutdown enters its closing phase. Connections made by then are
-/// still handed to readers. They answer the lines that were read, and hold the shutdown signal until they have
-/// closed.
+/// still handed to readers. A connection holds the shutdown signal until it has answered the lines that were read and
+/// has closed.
 pub async fn listen_until(
     listener: Rc<TcpListener>,
     bounds: Bounds,
--- a/crates/transport/src/relay_requests.rs
+++ b/crates/transport/src/relay_requests.rs
@@ -42,7 +42,8 @@
             Some(OpenConnection { framed, .. }) => tokio::select! {
                 biased;
                 line = framed.next() => {
-                    open = None; // closed by the relay, or an unsolicited response
+                    // The relay has closed the connection, or sent an unsolicited response.
+                    open = None;
                     if matches!(line, Some(Ok(_))) && inputs.send(Input::UnsolicitedResponse).await.is_err() {
                         return;
                     }
@@ -56,7 +57,8 @@
         let outcome = catch_panic(send_request(relay, &mut open, &mut target, line)).await;
         let outcome = outcome.unwrap_or_else(|panicked| Err(RequestError::OutcomeUnknown(panicked)));
         if outcome.is_err() {
-            open = None; // a late response must not be attributed to the next request
+            // A late response must not be attributed to the next request.
+            open = None;
         }
         if inputs.send(Input::RelayResponse(outcome)).await.is_err() {
             return;
--- a/crates/transport/src/relay_watch.rs
+++ b/crates/transport/src/relay_watch.rs
@@ -1,4 +1,4 @@
-//! The connection of the relay watch. It ends with the first error, which is sent to the input queue last.
+//! The connection of the relay watch. It ends with the first error, which is its last input to the queue.
 
 use super::framing::LineCodec;
 use super::{catch_panic, connect, limits, with_timeout, Input, InputSender, StreamError, WatchId};
