--- a/crates/controller/tests/large_fleet.rs
+++ b/crates/controller/tests/large_fleet.rs
@@ -50,6 +50,14 @@
         file["settings"]["zones"] = (0..ZONES).map(zone).collect();
         file["settings"]["peersTotal"] = json!(FLEET_SIZE);
     });
+    // Served before the collectors connect, which can take longer than the controller waits for the snapshot.
+    let mut relay_watch = relay.serve_fleet_snapshot(FLEET_SIZE, 2 * FLEET_SIZE, 3);
+    // Heartbeats until the watch is closed.
+    std::thread::spawn(move || {
+        while relay_watch.write_all(b"*\r\n").is_ok() {
+            std::thread::sleep(Duration::from_millis(500));
+        }
+    });
     let watch = discovery.accept_watch(1);
     let send_list = |list: Value| watch.lines.send(format!("{list}\n")).unwrap();
     send_list(list(1, (0..FLEET_SIZE).map(|n| (n, "active"))));
@@ -60,13 +68,6 @@
         collector
     };
     let mut collectors: Vec<_> = (0..ZONES).map(connect_collector).collect();
-    let mut relay_watch = relay.serve_fleet_snapshot(FLEET_SIZE, 2 * FLEET_SIZE, 3);
-    // Heartbeats until the watch is closed.
-    std::thread::spawn(move || {
-        while relay_watch.write_all(b"*\r\n").is_ok() {
-            std::thread::sleep(Duration::from_millis(500));
-        }
-    });
     relay.accept_requests_until("SYNC").accept();
     send_list(list(2, [(FLEET_SIZE - 1, "leaving")].into_iter()));
     relay.accept_requests_until(&format!("OUT,s-{};", FLEET_SIZE - 1)).accept();
