--- a/crates/experiments/src/columns.rs
+++ b/crates/experiments/src/columns.rs
@@ -15,9 +15,9 @@
     /// UTF-8 text.
     Text(Vec<String>),
     /// Integers.
-    Whole(Vec<i64>),
+    Integers(Vec<i64>),
     /// Floating-point numbers.
-    Real(Vec<f64>),
+    Floats(Vec<f64>),
 }
 
 /// A named column.
@@ -36,36 +36,36 @@
     }
 
     /// Creates a column of integers.
-    pub fn whole(name: &'static str, values: impl IntoIterator<Item = i64>) -> Self {
-        Column { name, values: Values::Whole(values.into_iter().collect()) }
+    pub fn integers(name: &'static str, values: impl IntoIterator<Item = i64>) -> Self {
+        Column { name, values: Values::Integers(values.into_iter().collect()) }
     }
 
     /// Creates a column of floating-point numbers.
-    pub fn real(name: &'static str, values: impl IntoIterator<Item = f64>) -> Self {
-        Column { name, values: Values::Real(values.into_iter().collect()) }
+    pub fn floats(name: &'static str, values: impl IntoIterator<Item = f64>) -> Self {
+        Column { name, values: Values::Floats(values.into_iter().collect()) }
     }
 
     fn schema(&self) -> String {
         match self.values {
             Values::Text(_) => format!("required binary {} (UTF8);", self.name),
-            Values::Whole(_) => format!("required int64 {};", self.name),
-            Values::Real(_) => format!("required double {};", self.name),
+            Values::Integers(_) => format!("required int64 {};", self.name),
+            Values::Floats(_) => format!("required double {};", self.name),
         }
     }
 
     fn len(&self) -> usize {
         match &self.values {
             Values::Text(values) => values.len(),
-            Values::Whole(values) => values.len(),
-            Values::Real(values) => values.len(),
+            Values::Integers(values) => values.len(),
+            Values::Floats(values) => values.len(),
         }
     }
 
     fn cell(&self, row: usize) -> String {
         match &self.values {
             Values::Text(values) => values[row].clone(),
-            Values::Whole(values) => values[row].to_string(),
-            Values::Real(values) => format_rounded(values[row]),
+            Values::Integers(values) => values[row].to_string(),
+            Values::Floats(values) => format_rounded(values[row]),
         }
     }
 }
@@ -109,8 +109,8 @@
             let values: Vec<ByteArray> = values.iter().map(|value| value.as_str().into()).collect();
             writer.typed::<ByteArrayType>().write_batch(&values, None, None)?;
         }
-        Values::Whole(values) => _ = writer.typed::<Int64Type>().write_batch(values, None, None)?,
-        Values::Real(values) => _ = writer.typed::<DoubleType>().write_batch(values, None, None)?,
+        Values::Integers(values) => _ = writer.typed::<Int64Type>().write_batch(values, None, None)?,
+        Values::Floats(values) => _ = writer.typed::<DoubleType>().write_batch(values, None, None)?,
     }
     writer.close()
 }
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -32,7 +32,7 @@
             let rows = by_policy.get(*policy).into_iter().flatten();
             let service_levels: Vec<_> = rows.map(|row| row.service_level).collect();
             match mean(&service_levels) {
-                Some(mean) => _ = write!(text, " {} ({:.3}) |", format_mean(&mean), mean.least),
+                Some(mean) => _ = write!(text, " {} ({:.3}) |", format_mean(&mean), mean.min),
                 None => text.push_str(" - |"),
             }
         }
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -94,8 +94,8 @@
 fn columns(rows: &[ResultRow]) -> Vec<Column> {
     let text =
         |name, value: fn(&ResultRow) -> &str| Column::text(name, rows.iter().map(|row| value(row).into()));
-    let whole = |name, value: fn(&ResultRow) -> i64| Column::whole(name, rows.iter().map(value));
-    let real = |name, value: fn(&ResultRow) -> f64| Column::real(name, rows.iter().map(value));
+    let whole = |name, value: fn(&ResultRow) -> i64| Column::integers(name, rows.iter().map(value));
+    let real = |name, value: fn(&ResultRow) -> f64| Column::floats(name, rows.iter().map(value));
     vec![
         text("experiment", |row| &row.experiment),
         text("commit", |row| &row.commit),
--- a/crates/experiments/src/statistics.rs
+++ b/crates/experiments/src/statistics.rs
@@ -13,7 +13,7 @@
     /// The number of values.
     pub count: usize,
     /// The lowest value.
-    pub least: f64,
+    pub min: f64,
 }
 
 /// Student's 97.5% quantiles for 1 to 30 degrees of freedom.
@@ -38,7 +38,7 @@
         let quantile = STUDENT_QUANTILES.get(count - 2).copied().unwrap_or(NORMAL_QUANTILE);
         quantile * (squared_deviations / (count - 1) as f64 / count as f64).sqrt()
     };
-    Some(Mean { mean, half_width, count, least: values.iter().copied().fold(f64::INFINITY, f64::min) })
+    Some(Mean { mean, half_width, count, min: values.iter().copied().fold(f64::INFINITY, f64::min) })
 }
 
 /// A case and a value of the varied parameter.
--- a/crates/experiments/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -106,7 +106,7 @@
 #[test]
 fn confidence_intervals_and_significance_are_computed() {
     let three = mean(&[1.0, 2.0, 3.0]).unwrap();
-    assert!((three.half_width - 4.303 / 3f64.sqrt()).abs() < 1e-3 && three.mean == 2.0 && three.least == 1.0);
+    assert!((three.half_width - 4.303 / 3f64.sqrt()).abs() < 1e-3 && three.mean == 2.0 && three.min == 1.0);
     assert!(mean(&[5.0]).unwrap().half_width.is_infinite() && mean(&[]).is_none());
     let noise = |seed: i64| 0.01 * ((seed * 7) % 5) as f64;
     let before: Vec<_> = (0..10).map(|seed| row(seed, 0.5 + noise(seed))).collect();
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -150,7 +150,7 @@
         let Some(figure) = mean(&differences) else { continue };
         let greatest = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
         let (label, difference, within, least) =
-            (decision_label(subset), figure.mean, figure.half_width, figure.least);
+            (decision_label(subset), figure.mean, figure.half_width, figure.min);
         _ = writeln!(
             text,
             "| {kind} | {label} | {controllers} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -39,9 +39,10 @@
 }
 
 fn columns(points: &[SteadyMeasurement]) -> Vec<Column> {
-    let whole =
-        |name, of: fn(&SteadyMeasurement) -> usize| Column::whole(name, points.iter().map(|p| of(p) as i64));
-    let real = |name, of: fn(&SteadyMeasurement) -> f64| Column::real(name, points.iter().map(of));
+    let whole = |name, of: fn(&SteadyMeasurement) -> usize| {
+        Column::integers(name, points.iter().map(|p| of(p) as i64))
+    };
+    let real = |name, of: fn(&SteadyMeasurement) -> f64| Column::floats(name, points.iter().map(of));
     vec![
         Column::text("sweep", points.iter().map(|point| point.case.sweep.to_string())),
         whole("replicas", |p| p.case.setup.size.replicas),
@@ -277,7 +278,7 @@
 ///
 /// When a file of the results cannot be written.
 pub fn write_events(folder: &Folder, outcomes: &[Outcome]) -> Result<(), ResultsError> {
-    let real = |name, of: fn(&Outcome) -> f64| Column::real(name, outcomes.iter().map(of));
+    let real = |name, of: fn(&Outcome) -> f64| Column::floats(name, outcomes.iter().map(of));
     let ms = |name, of: fn(&Outcome) -> Option<Duration>| {
         let shown =
             |outcome| of(outcome).map_or("-".into(), |took| format!("{:.1}", took.as_secs_f64() * 1e3));
@@ -291,7 +292,7 @@
         real("news_kb", |o| o.traffic.relay_events.bytes as f64 / KILOBYTE),
         real("reports_kb", |o| o.traffic.reports.bytes as f64 / KILOBYTE),
         real("calls_kb", |o| o.traffic.relay_requests.bytes as f64 / KILOBYTE),
-        Column::whole("orders", outcomes.iter().map(|outcome| outcome.commands as i64)),
+        Column::integers("orders", outcomes.iter().map(|outcome| outcome.commands as i64)),
         real("processor_ms", |o| o.processor_time.as_secs_f64() * 1e3),
         real("over_s", |o| o.measured_for.as_secs_f64()),
         real("peak_mb", |o| o.resident_peak as f64 / MEGABYTE),
@@ -307,7 +308,7 @@
 ///
 /// When a file of the results cannot be written.
 pub fn write_floods(folder: &Folder, floods: &[Flood]) -> Result<(), ResultsError> {
-    let real = |name, of: fn(&Flood) -> f64| Column::real(name, floods.iter().map(of));
+    let real = |name, of: fn(&Flood) -> f64| Column::floats(name, floods.iter().map(of));
     let columns = [
         Column::text("flood", floods.iter().map(|flood| flood.name.clone())),
         real("lines_a_second", |f| f.cost.lines_per_second),
@@ -326,9 +327,9 @@
 /// When a file of the results cannot be written.
 pub fn write_aggregated(folder: &Folder, measured: &[AggregatedMeasurement]) -> Result<(), ResultsError> {
     let whole = |name, of: fn(&AggregatedMeasurement) -> u64| {
-        Column::whole(name, measured.iter().map(|m| of(m) as i64))
+        Column::integers(name, measured.iter().map(|m| of(m) as i64))
     };
-    let real = |name, of: fn(&AggregatedMeasurement) -> f64| Column::real(name, measured.iter().map(of));
+    let real = |name, of: fn(&AggregatedMeasurement) -> f64| Column::floats(name, measured.iter().map(of));
     let columns = [
         whole("subset", |m| m.subsetting.subset as u64),
         whole("budget", |m| m.subsetting.bytes_per_second),
