--- a/crates/subsetting/examples/subset_costs.rs
+++ b/crates/subsetting/examples/subset_costs.rs
@@ -39,7 +39,7 @@
 
 fn membership(leaving: Option<usize>) -> Membership {
     let members = (0..CONTROLLERS).filter(|number| Some(*number) != leaving);
-    Membership::new(members.map(|number| format!("governor-{number}"))).expect("names differ")
+    Membership::new(members.map(|number| format!("governor-{number}"))).expect("invalid controller names")
 }
 
 /// Prints the median and the maximum duration of the runs.
@@ -76,8 +76,9 @@
 }
 
 fn main() {
-    let subset_size = std::env::args().nth(1).map_or(48, |text| text.parse().expect("a number"));
-    let parameters = Parameters::new(subset_size).expect("not 0");
+    let subset_size =
+        std::env::args().nth(1).map_or(48, |text| text.parse().expect("the subset size is not a number"));
+    let parameters = Parameters::new(subset_size).expect("the subset size is 0");
     let entries = registry();
     let all = borrow_all(&entries);
 
@@ -88,7 +89,7 @@
     let base = planner.assign(&all);
     print_shape(&base);
 
-    let (mut times, mut gained, mut most) = (Vec::new(), 0, 0);
+    let (mut times, mut total_moved, mut max_moved) = (Vec::new(), 0, 0);
     let mut latest = base.clone();
     let mut entries = entries.clone();
     for change in 0..CHANGES {
@@ -97,14 +98,14 @@
         let replicas = borrow_all(&entries);
         let (time, next) = timed(|| planner.assign(&replicas));
         let moved = next.added_pair_count(&latest);
-        (gained, most, latest) = (gained + moved, most.max(moved), next);
+        (total_moved, max_moved, latest) = (total_moved + moved, max_moved.max(moved), next);
         times.push(time);
     }
     print_durations("a replica replaced", times);
     println!(
         "{CHANGES} replacements: {:.3}% of the pairs each on average, {:.3}% at the most",
-        percentage(gained, &base) / CHANGES as f64,
-        percentage(most, &base)
+        percentage(total_moved, &base) / CHANGES as f64,
+        percentage(max_moved, &base)
     );
 
     let rest: Vec<_> = all.iter().filter(|replica| replica.zone != "zone-0").copied().collect();
@@ -119,17 +120,17 @@
         back == base,
     );
 
-    let (mut times, mut gained, mut most) = (Vec::new(), 0, 0);
+    let (mut times, mut total_moved, mut max_moved) = (Vec::new(), 0, 0);
     for leaving in 0..RUNS {
         let (time, without) = timed(|| Assignment::compute(&membership(Some(leaving)), &all, &parameters));
         let moved = without.added_pair_count(&base);
-        (gained, most) = (gained + moved, most.max(moved));
+        (total_moved, max_moved) = (total_moved + moved, max_moved.max(moved));
         times.push(time);
     }
     print_durations("a governor gone, computed anew", times);
     println!(
         "a governor gone: {:.3}% of the pairs are new on average, {:.3}% at the most, of {RUNS}",
-        percentage(gained, &base) / RUNS as f64,
-        percentage(most, &base)
+        percentage(total_moved, &base) / RUNS as f64,
+        percentage(max_moved, &base)
     );
 }
--- a/crates/subsetting/src/draft.rs
+++ b/crates/subsetting/src/draft.rs
@@ -1,4 +1,5 @@
-//! An intermediate assignment. After the matching, controllers are added until all floors are met.
+//! An intermediate assignment. After the matching, controllers are added until all floors (minimum numbers of replicas
+//! of a zone or group in a subset) are met or the controllers are full.
 
 use crate::hashing::score;
 use crate::parameters::{Replica, MIN_CONTROLLERS_PER_REPLICA};
@@ -36,11 +37,11 @@
 
     /// Raises each controller to its floor in each stratum. Adds the replicas with the highest scores for the
     /// controller, up to its capacity.
-    pub fn fill_to_floors(&mut self, strata: &[Stratum], floor: fn(&Stratum, f64) -> usize) {
+    pub fn fill_to_floors(&mut self, strata: &[Stratum], floor_of: fn(&Stratum, f64) -> usize) {
         let mut sizes = self.subset_sizes();
         for stratum in strata {
             for (controller, count) in self.count_members(stratum).into_iter().enumerate() {
-                let floor = floor(stratum, self.fractions[controller]);
+                let floor = floor_of(stratum, self.fractions[controller]);
                 if count < floor {
                     self.add_replicas(controller, stratum, floor - count, &mut sizes);
                 }
--- a/crates/subsetting/src/hashing.rs
+++ b/crates/subsetting/src/hashing.rs
@@ -12,7 +12,7 @@
     xxh3_64(controller.as_bytes())
 }
 
-/// Returns the rendezvous score of a (replica, controller) pair. Both sides rank each other by it.
+/// Returns the rendezvous score of a (replica, controller) pair. Replicas and controllers rank each other by it.
 pub(crate) fn score(replica: &str, controller_seed: u64) -> u64 {
     xxh3_64_with_seed(replica.as_bytes(), controller_seed)
 }
--- a/crates/subsetting/tests/changes.rs
+++ b/crates/subsetting/tests/changes.rs
@@ -37,8 +37,10 @@
         let mut rest = all.clone();
         rest.remove(leaving);
         let without = planner.assign(&borrow_all(&rest));
-        assert!(moves_per_member(&without, &with, REPLICAS) < MAX_MOVES_PER_MEMBER);
-        assert!(moves_per_member(&with, &without, REPLICAS) < MAX_MOVES_PER_MEMBER);
+        let removed = moves_per_member(&without, &with, REPLICAS);
+        assert!(removed < MAX_MOVES_PER_MEMBER, "replica {leaving} removed: {removed}");
+        let added = moves_per_member(&with, &without, REPLICAS);
+        assert!(added < MAX_MOVES_PER_MEMBER, "replica {leaving} added: {added}");
     }
 }
 
@@ -50,8 +52,10 @@
         let rest = names(CONTROLLERS).into_iter().filter(|name| name != leaving);
         let rest = Membership::new(rest).expect("names differ");
         let without = Assignment::compute(&rest, &borrow_all(&all), &planner(1).parameters());
-        assert!(moves_per_member(&without, &with, CONTROLLERS) < MAX_MOVES_PER_MEMBER);
-        assert!(moves_per_member(&with, &without, CONTROLLERS) < MAX_MOVES_PER_MEMBER);
+        let removed = moves_per_member(&without, &with, CONTROLLERS);
+        assert!(removed < MAX_MOVES_PER_MEMBER, "{leaving} removed: {removed}");
+        let added = moves_per_member(&with, &without, CONTROLLERS);
+        assert!(added < MAX_MOVES_PER_MEMBER, "{leaving} added: {added}");
     }
 }
 
--- a/crates/subsetting/tests/membership.rs
+++ b/crates/subsetting/tests/membership.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn names_are_sorted_and_found_by_position() {
-    let membership = named(&["c", "a", "b"]).expect("a fleet");
+    let membership = named(&["c", "a", "b"]).expect("valid names");
     assert_eq!(membership.names().collect::<Vec<_>>(), ["a", "b", "c"]);
     assert_eq!(membership.index("b"), Some(1));
     assert!(membership.contains("c") && !membership.contains("d"));
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn invalid_names_are_rejected_by_name() {
+fn invalid_name_lists_are_rejected_with_the_name_or_count() {
     assert_eq!(named(&[]), Err(MembershipError::Empty));
     assert_eq!(named(&["b", "a", "b"]), Err(MembershipError::Duplicate("b".into())));
-    let absent = named(&["a"]).expect("a fleet").require("b").expect_err("not there");
+    let absent = named(&["a"]).expect("valid names").require("b").expect_err("\"b\" is not a member");
     assert_eq!(absent.to_string(), "this governor's own name, \"b\", is not among the governors");
     let many = (0..=MAX_CONTROLLERS).map(|number| number.to_string());
     assert_eq!(Membership::new(many), Err(MembershipError::TooMany(MAX_CONTROLLERS + 1)));
--- a/crates/subsetting/tests/properties.rs
+++ b/crates/subsetting/tests/properties.rs
@@ -19,7 +19,7 @@
 
 impl Arbitrary for Fleet {
     fn arbitrary(gen: &mut Gen) -> Self {
-        let up_to = |gen: &mut Gen, most: usize| 1 + usize::arbitrary(gen) % most;
+        let up_to = |gen: &mut Gen, max: usize| 1 + usize::arbitrary(gen) % max;
         let (controllers, zones, groups) = (up_to(gen, 40), up_to(gen, 9), up_to(gen, 5));
         let replica = |number: usize, gen: &mut Gen| OwnedReplica {
             id: format!("replica-{number}"),
@@ -59,7 +59,7 @@
     }
 }
 
-fn check(property: fn(Fleet) -> bool) {
+fn assert_property(property: fn(Fleet) -> bool) {
     QuickCheck::new().tests(TRIALS).quickcheck(property as fn(Fleet) -> bool);
 }
 
@@ -73,11 +73,11 @@
         replicas.rotate_left(middle);
         fleet.assignment() == Assignment::compute(&reversed, &replicas, &fleet.parameters())
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
-fn planner_with_history_agrees_with_a_new_one() {
+fn planner_with_cached_preferences_agrees_with_a_new_one() {
     fn property(fleet: Fleet) -> bool {
         let mut planner = Planner::new(membership(fleet.controllers), fleet.parameters());
         let all = borrow_all(&fleet.replicas);
@@ -85,11 +85,11 @@
         planner.assign(&all[..all.len() / 3]);
         planner.assign(&all) == fleet.assignment()
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
-fn every_replica_has_controllers_and_two_where_the_fleet_has_them() {
+fn every_replica_has_at_least_two_controllers_if_the_fleet_has_two() {
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
         let min_controllers = fleet.controllers.min(MIN_CONTROLLERS_PER_REPLICA);
@@ -103,7 +103,7 @@
                 controllers.len() >= min_controllers && distinct(controllers) && known(controllers)
             })
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
@@ -113,11 +113,11 @@
         let largest = fleet.subset_sizes(&assignment).into_iter().max().unwrap_or(0);
         fleet.controllers < STRICT_BOUND_MIN_CONTROLLERS || largest <= assignment.size_bound()
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
-fn bound_is_an_eighth_and_two_replicas_a_zone_above_the_average() {
+fn size_bound_is_at_most_an_eighth_plus_two_replicas_per_zone_above_the_average() {
     fn property(fleet: Fleet) -> bool {
         let zones: BTreeSet<_> = fleet.replicas.iter().map(|replica| &replica.zone).collect();
         let min_controllers = fleet.controllers.min(MIN_CONTROLLERS_PER_REPLICA) * fleet.replicas.len();
@@ -127,7 +127,7 @@
         let average = pairs as f64 / fleet.controllers as f64;
         fleet.assignment().size_bound() as f64 <= 1.125 * average + 2.0 * zones.len() as f64
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
@@ -148,21 +148,21 @@
             !enough || names(fleet.controllers).iter().all(has)
         })
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
-fn subset_as_large_as_the_registry_is_the_registry() {
+fn subset_size_of_the_whole_registry_assigns_every_replica_to_every_controller() {
     fn property(fleet: Fleet) -> bool {
         let fleet = Fleet { subset_size: fleet.replicas.len(), ..fleet };
         let assignment = fleet.assignment();
         fleet.subset_sizes(&assignment).iter().all(|size| *size == fleet.replicas.len())
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
-fn positions_are_the_rendezvous_order() {
+fn positions_follow_the_rendezvous_order() {
     fn property(fleet: Fleet) -> bool {
         let assignment = fleet.assignment();
         let ordered = |(replica, controllers): (&str, &[u32])| {
@@ -180,7 +180,7 @@
         let all = assignment.replicas().all(ordered);
         all
     }
-    check(property);
+    assert_property(property);
 }
 
 #[test]
@@ -194,5 +194,5 @@
             before == Some(all[0].as_str()) || before == after
         })
     }
-    check(property);
+    assert_property(property);
 }
