--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -31,7 +31,7 @@
     registry: Registry,
     feeds: BTreeMap<String, Feed>,
     counters: Counters,
-    /// Time of the last call.
+    /// Time of the last call of [`Aggregator::apply`].
     last_call: Moment,
     /// Time from which controllers are served.
     serve_from: Option<Moment>,
@@ -122,7 +122,7 @@
         self.counters
     }
 
-    /// Returns the current values.
+    /// Returns the current state for metrics.
     pub fn status(&self) -> Status {
         let connected = self.feeds.values().filter(|feed| feed.link == Link::Connected).count();
         Status {
@@ -144,7 +144,7 @@
     }
 
     /// Iterates over the controllers that this aggregator serves.
-    pub fn owned(&self) -> impl Iterator<Item = &str> {
+    pub fn owned_controllers(&self) -> impl Iterator<Item = &str> {
         self.feeds.iter().filter(|(_, feed)| feed.is_owned).map(|(name, _)| name.as_str())
     }
 
@@ -166,13 +166,13 @@
         self.planner = Planner::new(configuration.membership.clone(), configuration.parameters);
         self.configuration = configuration;
         let members: BTreeMap<_, _> =
-            self.configuration.controllers.iter().map(|one| (&one.name, one)).collect();
+            self.configuration.controllers.iter().map(|member| (&member.name, member)).collect();
         self.feeds.retain(|name, feed| {
-            let stays = members.get(name).is_some_and(|member| member.address == feed.address);
-            if !stays && feed.link != Link::Idle {
+            let is_unchanged = members.get(name).is_some_and(|member| member.address == feed.address);
+            if !is_unchanged && feed.link != Link::Idle {
                 effects.push(Effect::Disconnect { controller: name.clone() });
             }
-            stays
+            is_unchanged
         });
         self.apply_members(now);
     }
@@ -218,8 +218,8 @@
             return;
         }
         match self.coverage.record_report(now, connection) {
-            Ok(note) => {
-                effects.extend(note.map(Effect::Log));
+            Ok(log_event) => {
+                effects.extend(log_event.map(Effect::Log));
                 self.serve_from.get_or_insert(now + limits::START_HOLD_TIME);
             }
             Err(_) => {
@@ -272,8 +272,8 @@
     }
 }
 
-/// Returns true if the report names missing zones. Only aggregators send such reports, and a sum of another aggregator
-/// would be counted twice.
+/// Returns true if the report is marked with missing zones. Only aggregators send such reports. They are not added,
+/// because the collectors' reports in the sum of another aggregator would be counted twice.
 fn is_partial(report: &Report) -> bool {
     match report {
         Report::EndpointReport { missing, .. } | Report::DemandReport { missing, .. } => *missing > 0,
--- a/crates/aggregation/src/aggregator/serving.rs
+++ b/crates/aggregation/src/aggregator/serving.rs
@@ -12,7 +12,8 @@
     pub(super) fn controller_connected(&mut self, now: Moment, controller: &str, effects: &mut Vec<Effect>) {
         let index = self.configuration.membership.index(controller).unwrap_or_default();
         let phase = limits::REPORT_PERIOD.times(index as f64 / self.configuration.membership.len() as f64);
-        let Some(zone) = self.zone.clone().or_else(|| self.coverage.first_known().map(str::to_string)) else {
+        let Some(zone) = self.zone.clone().or_else(|| self.coverage.first_known_zone().map(str::to_string))
+        else {
             effects.push(Effect::Disconnect { controller: controller.into() });
             return self.controller_lost(now, controller, effects);
         };
--- a/crates/aggregation/src/bin/aggregation-bench/error.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/error.rs
@@ -19,8 +19,8 @@
     #[error("invalid endpoint list: {0}")]
     InvalidList(#[from] DecodeError),
     /// The generated endpoint list is decoded as a heartbeat.
-    #[error("endpoint list is empty")]
-    EmptyList,
+    #[error("generated endpoint list is decoded as a heartbeat")]
+    ListIsHeartbeat,
     /// A socket, file or process operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -33,7 +33,7 @@
         source: io::Error,
     },
     /// A status file lacks a field or its value is not a number.
-    #[error("{path} has no {field}")]
+    #[error("{path}: field {field:?} is missing or not a number")]
     MissingField {
         /// Path of the file.
         path: String,
--- a/crates/aggregation/src/bin/aggregation-bench/in_process.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/in_process.rs
@@ -88,7 +88,7 @@
     let aggregator = Aggregator::new(now, configuration, None);
     let (busy, longest_tick) = Default::default();
     let mut bench = Bench { aggregator, now, busy, longest_tick, bytes_in: 0 };
-    let list = discovery::decode(&size.list())?.ok_or(BenchError::EmptyList)?;
+    let list = discovery::decode(&size.list())?.ok_or(BenchError::ListIsHeartbeat)?;
     bench.apply(Event::RegistryListed(list));
     for zone in 0..size.zones {
         let name = size.zone(zone);
@@ -96,26 +96,27 @@
     }
     simulate(&mut bench, size, WARM_UP_S);
     let start_tick = bench.longest_tick;
-    let before = (bench.busy, bench.bytes_in, bench.aggregator.counters());
+    let (busy_before, bytes_in_before) = (bench.busy, bench.bytes_in);
+    let counters_before = bench.aggregator.counters();
     bench.longest_tick = Duration::ZERO;
     simulate(&mut bench, size, seconds);
     let (counters, status) = (bench.aggregator.counters(), bench.aggregator.status());
     let seconds_measured = seconds as f64;
-    let bytes_out = (counters.bytes_sent - before.2.bytes_sent) as f64 / seconds_measured / 1000.0;
+    let kb_out = (counters.bytes_sent - counters_before.bytes_sent) as f64 / seconds_measured / 1000.0;
     Ok(Figures {
         size: *size,
         way: "in process, virtual time: decoding and the reducer, no sockets",
         seconds: seconds_measured,
-        cores: (bench.busy - before.0).as_secs_f64() / seconds_measured,
+        cores: (bench.busy - busy_before).as_secs_f64() / seconds_measured,
         memory_mb: memory_mb("self", "VmRSS")?,
         memory_peak_mb: memory_mb("self", "VmHWM")?,
-        lines_in_per_second: (counters.reports - before.2.reports) as f64 / seconds_measured,
-        kb_in_per_second: (bench.bytes_in - before.1) as f64 / seconds_measured / 1000.0,
+        lines_in_per_second: (counters.reports - counters_before.reports) as f64 / seconds_measured,
+        kb_in_per_second: (bench.bytes_in - bytes_in_before) as f64 / seconds_measured / 1000.0,
         controllers_served: status.controllers_connected,
-        lines_out_per_second: (counters.lines_sent - before.2.lines_sent) as f64 / seconds_measured,
-        kb_out_per_second: bytes_out,
-        kb_out_per_second_each: bytes_out / status.controllers_connected.max(1) as f64,
-        budget_stretches: counters.over_budget_batches - before.2.over_budget_batches,
+        lines_out_per_second: (counters.lines_sent - counters_before.lines_sent) as f64 / seconds_measured,
+        kb_out_per_second: kb_out,
+        kb_out_per_second_each: kb_out / status.controllers_connected.max(1) as f64,
+        budget_stretches: counters.over_budget_batches - counters_before.over_budget_batches,
         longest_tick_ms: Some(bench.longest_tick.as_secs_f64() * 1000.0),
         longest_start_tick_ms: Some(start_tick.as_secs_f64() * 1000.0),
     })
--- a/crates/aggregation/src/bin/aggregation-bench/main.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/main.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What is measured.
+/// Kind of measurement.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Way {
     /// Decoding and the reducer, in virtual time, in this process.
@@ -23,7 +23,7 @@
     Sockets,
 }
 
-/// What the command line says; the defaults are the target's size.
+/// Command-line arguments. The defaults are the size of the target fleet.
 #[derive(Parser)]
 #[command(name = "aggregation-bench", about = "What one aggregator costs at a given size")]
 struct Arguments {
--- a/crates/aggregation/src/bin/aggregation-bench/sockets.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/sockets.rs
@@ -69,9 +69,9 @@
     );
     let path = std::env::temp_dir().join(format!("aggregation-bench-{}.xml", std::process::id()));
     std::fs::write(&path, file)?;
-    let list = TcpListener::bind("127.0.0.1:0").await?;
-    let discovery = list.local_addr()?;
-    actix_rt::spawn(discovery_agent(list, size.list()));
+    let discovery_listener = TcpListener::bind("127.0.0.1:0").await?;
+    let discovery = discovery_listener.local_addr()?;
+    actix_rt::spawn(discovery_agent(discovery_listener, size.list()));
     let (program, address) = start_program(program, &path, discovery).await?;
     let process = program.0.id().to_string();
     for zone in 0..size.zones {
@@ -82,11 +82,13 @@
         actix_rt::spawn(peer(address, wire::encode_heartbeat(&heartbeat)));
     }
     sleep(WARM_UP).await;
-    let before = (cpu_seconds(&process)?, received.bytes.get(), received.lines.get(), Instant::now());
+    let cpu_before = cpu_seconds(&process)?;
+    let (bytes_before, lines_before) = (received.bytes.get(), received.lines.get());
+    let began = Instant::now();
     sleep(Duration::from_secs(seconds)).await;
-    let elapsed = before.3.elapsed().as_secs_f64();
-    let cores = (cpu_seconds(&process)? - before.0) / elapsed;
-    let kb_out = (received.bytes.get() - before.1) as f64 / elapsed / 1000.0;
+    let elapsed = began.elapsed().as_secs_f64();
+    let cores = (cpu_seconds(&process)? - cpu_before) / elapsed;
+    let kb_out = (received.bytes.get() - bytes_before) as f64 / elapsed / 1000.0;
     let seconds_of_lines: Vec<_> = (0..size.zones).map(|zone| size.collector_lines(zone, 0)).collect();
     std::fs::remove_file(&path)?;
     Ok(Figures {
@@ -99,7 +101,7 @@
         lines_in_per_second: seconds_of_lines.iter().map(|text| text.lines().count()).sum::<usize>() as f64,
         kb_in_per_second: seconds_of_lines.iter().map(String::len).sum::<usize>() as f64 / 1000.0,
         controllers_served: received.connections.get(),
-        lines_out_per_second: (received.lines.get() - before.2) as f64 / elapsed,
+        lines_out_per_second: (received.lines.get() - lines_before) as f64 / elapsed,
         kb_out_per_second: kb_out,
         kb_out_per_second_each: kb_out / received.connections.get().max(1) as f64,
         budget_stretches: 0,
--- a/crates/aggregation/src/coverage.rs
+++ b/crates/aggregation/src/coverage.rs
@@ -15,9 +15,11 @@
 struct Zone {
     /// Number of connected collectors.
     collectors: usize,
-    /// True if the zone has reported to this aggregator or to a peer. Zones invented by unauthenticated peers never do.
+    /// True if the zone has reported to this aggregator or to a peer. False for a zone that connections have only named,
+    /// such as one made up by an unauthenticated peer.
     is_known: bool,
-    last_heard: Moment,
+    /// Time of the last report, or of the creation of the entry if there has been none.
+    last_report_at: Moment,
     missing_since: Option<Moment>,
     /// End of the last time that the zone was missing.
     was_missing_until: Option<Moment>,
@@ -34,8 +36,8 @@
     /// Registers a collector for a zone. Returns false if the zone exceeds a limit.
     pub fn join(&mut self, now: Moment, connection: ConnectionId, zone: &str) -> bool {
         self.end_connection(connection);
-        let Some(known) = self.zone_or_insert(now, zone) else { return false };
-        known.collectors += 1;
+        let Some(entry) = self.zone_or_insert(now, zone) else { return false };
+        entry.collectors += 1;
         self.collectors.insert(connection, zone.into());
         true
     }
@@ -43,8 +45,8 @@
     /// Registers a zone that reports to a peer. It is missing until it reports to this aggregator. Returns false if the
     /// zone exceeds a limit.
     pub fn expect_zone(&mut self, now: Moment, zone: &str) -> bool {
-        let Some(known) = self.zone_or_insert(now, zone) else { return false };
-        known.is_known = true;
+        let Some(entry) = self.zone_or_insert(now, zone) else { return false };
+        entry.is_known = true;
         true
     }
 
@@ -52,8 +54,13 @@
         let has_room = self.zones.len() < limits::MAX_ZONES && name.len() <= limits::MAX_NAME_BYTES;
         if !self.zones.contains_key(name) && has_room {
             let (missing_since, was_missing_until) = (Some(now), None);
-            let new =
-                Zone { collectors: 0, is_known: false, last_heard: now, missing_since, was_missing_until };
+            let new = Zone {
+                collectors: 0,
+                is_known: false,
+                last_report_at: now,
+                missing_since,
+                was_missing_until,
+            };
             self.zones.insert(name.into(), new);
         }
         self.zones.get_mut(name)
@@ -71,7 +78,7 @@
     ) -> Result<Option<LogEvent>, UnknownCollector> {
         let name = self.collectors.get(&connection).ok_or(UnknownCollector)?;
         let Some(zone) = self.zones.get_mut(name) else { return Ok(None) };
-        zone.last_heard = now;
+        zone.last_report_at = now;
         let was_known = std::mem::replace(&mut zone.is_known, true);
         if zone.missing_since.take().is_none() {
             return Ok(None);
@@ -92,16 +99,17 @@
         if zone.collectors > 0 || zone.missing_since.is_some() {
             return None;
         }
-        zone.missing_since = Some(zone.last_heard);
+        zone.missing_since = Some(zone.last_report_at);
         Some(LogEvent::ZoneMissing(name))
     }
 
-    /// Marks silent zones as missing, and removes zones that have been missing for too long.
+    /// Marks zones as missing that have not reported for [`limits::ZONE_TIMEOUT`]. Removes zones that have been missing
+    /// for [`limits::ZONE_RETENTION`] and have no connected collector.
     pub fn tick(&mut self, now: Moment) -> Vec<LogEvent> {
         let mut events = Vec::new();
         for (name, zone) in &mut self.zones {
-            if zone.missing_since.is_none() && now - zone.last_heard > limits::ZONE_TIMEOUT {
-                zone.missing_since = Some(zone.last_heard);
+            if zone.missing_since.is_none() && now - zone.last_report_at > limits::ZONE_TIMEOUT {
+                zone.missing_since = Some(zone.last_report_at);
                 events.push(LogEvent::ZoneMissing(name.clone()));
             }
         }
@@ -120,7 +128,7 @@
     /// Marks all zones as missing until they report again.
     pub fn restart(&mut self, now: Moment) {
         for zone in self.zones.values_mut() {
-            zone.missing_since.get_or_insert(zone.last_heard.min(now));
+            zone.missing_since.get_or_insert(zone.last_report_at.min(now));
         }
     }
 
@@ -129,20 +137,20 @@
         let was_missing = |zone: &&Zone| {
             zone.missing_since.is_some() || zone.was_missing_until.is_some_and(|until| until > window_start)
         };
-        self.known().filter(was_missing).count()
+        self.known_zones().filter(was_missing).count()
     }
 
     /// Returns the number of zones that are missing now.
     pub fn missing_count(&self) -> usize {
-        self.known().filter(|zone| zone.missing_since.is_some()).count()
+        self.known_zones().filter(|zone| zone.missing_since.is_some()).count()
     }
 
-    fn known(&self) -> impl Iterator<Item = &Zone> {
+    fn known_zones(&self) -> impl Iterator<Item = &Zone> {
         self.zones.values().filter(|zone| zone.is_known)
     }
 
     /// Returns the first zone by name among those that have reported.
-    pub fn first_known(&self) -> Option<&str> {
+    pub fn first_known_zone(&self) -> Option<&str> {
         self.zones.iter().find(|(_, zone)| zone.is_known).map(|(name, _)| name.as_str())
     }
 
@@ -152,7 +160,7 @@
         present.map(|(name, _)| name.as_str())
     }
 
-    /// Returns the number of zones.
+    /// Returns the number of zones, including those that have not reported.
     pub fn len(&self) -> usize {
         self.zones.len()
     }
--- a/crates/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -1,4 +1,5 @@
-//! The reports sent to one controller: its keys, how far each has been read, and the time of the next batch.
+//! The batches of report lines for one controller: the keys of the lines, the position up to which the reports of each
+//! key have been sent, and the time of the next batch.
 
 use crate::budget::{self, Candidate};
 use crate::configuration::ControllerMember;
@@ -11,8 +12,8 @@
 use std::sync::Arc;
 use whinwall_policy::time::{Moment, Span};
 
-/// Number of report periods within which each key is sent. One less than fits into the maximum window, to allow for
-/// the rounding of a batch.
+/// Number of report periods within which each key is sent. One less than fits into the maximum window, because a batch
+/// contains only complete lines and may be smaller than its share.
 const MAX_WAIT_PERIODS: usize = (limits::MAX_WINDOW.as_ns() / limits::REPORT_PERIOD.as_ns()) as usize - 1;
 /// Change of the failed share that weighs as much as a doubled rate or a doubled mean latency.
 const FAILED_SHARE_PER_DOUBLING: f64 = 0.2;
@@ -21,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Replica(Arc<str>),
-    Shard(u32, Arc<str>),
+    SliceClass(u32, Arc<str>),
 }
 
 /// The values of the last line of a key, for comparison with the next.
@@ -40,14 +41,14 @@
     }
 
     fn difference_to(&self, other: &LineValues) -> f64 {
-        let ratio = |a: f64, b: f64| ((a + 1.0) / (b + 1.0)).log2().abs();
-        ratio(self.per_second, other.per_second)
-            + ratio(self.mean_latency_ms, other.mean_latency_ms)
+        let doublings = |a: f64, b: f64| ((a + 1.0) / (b + 1.0)).log2().abs();
+        doublings(self.per_second, other.per_second)
+            + doublings(self.mean_latency_ms, other.mean_latency_ms)
             + (self.failed_share - other.failed_share).abs() / FAILED_SHARE_PER_DOUBLING
     }
 }
 
-/// What has been sent to the controller for a key.
+/// The position up to which the reports of a key have been sent, and the values of its last line.
 #[derive(Clone, Copy, Debug)]
 struct KeyState {
     cursor: Cursor,
@@ -89,7 +90,8 @@
 }
 
 /// The feed of one controller. The aggregator owns one for each configured controller. The number of key states is
-/// bounded by the subset and the classes of the slices, plus those recently removed; they end with the connection.
+/// bounded by the subset and the classes of the slices, plus those recently removed; they are dropped with the
+/// connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Feed {
     pub address: Option<SocketAddr>,
@@ -126,8 +128,8 @@
 
     /// Handles an established connection. Reports are sent from the earliest checkpoints on. One batch is sent per
     /// report period, at the offset `phase` from the start of the period. The phase does not depend on the aggregator
-    /// that serves the controller, so the batches of the previous and of the new one are a whole number of periods
-    /// apart.
+    /// that serves the controller, so the last batch of the previous aggregator and the first of the new one are a
+    /// whole number of periods apart.
     pub fn connection_established(&mut self, now: Moment, phase: Span) {
         (self.link, self.retry_delay) = (Link::Connected, limits::RETRY_DELAY);
         self.last_answer = now;
@@ -214,7 +216,7 @@
                 ReportValues { sum, window, missing: coverage.missing_count_since(window_start) };
             let text = match &key {
                 Key::Replica(replica) => wire::encode_endpoint_report(zone, replica, &report_values),
-                Key::Shard(slice, class) => wire::encode_demand_report(*slice, class, &report_values),
+                Key::SliceClass(slice, class) => wire::encode_demand_report(*slice, class, &report_values),
             };
             let values = LineValues::new(&sum, window);
             let change = values.difference_to(&key_state.last_sent);
@@ -232,7 +234,7 @@
         }
         for slice in self.slices.iter().flat_map(|(first, last)| *first..=*last) {
             for (class, series) in sums.classes(slice) {
-                add_candidate(Key::Shard(slice, class.clone()), series);
+                add_candidate(Key::SliceClass(slice, class.clone()), series);
             }
         }
         // A key that returns within the maximum initial window continues at its previous cursor.
--- a/crates/aggregation/src/limits.rs
+++ b/crates/aggregation/src/limits.rs
@@ -23,7 +23,8 @@
 /// Time after a start or a stall during which no controller is served. Collectors reconnect at different times, so the
 /// first sums would contain only a part of the traffic.
 pub const START_HOLD_TIME: Span = Span::ms(3000);
-/// A gap of this length between calls means that the process was stopped or starved of CPU; its sums are partial.
+/// A longer time between calls of the reducer means that the process was stopped or starved of CPU; its sums are
+/// partial.
 pub const STALL_THRESHOLD: Span = Span::ms(2000);
 /// A zone is missing after this time without reports: two missed reports and some delay.
 pub const ZONE_TIMEOUT: Span = Span::ms(2500);
@@ -32,8 +33,8 @@
 /// The endpoint list is stale after this time without a message from discovery, whose watch sends a heartbeat every
 /// two seconds.
 pub const REGISTRY_STALE_AFTER: Span = Span::ms(6000);
-/// Lists below the known version are attributed to a lagging agent for this time. After that the version numbering is
-/// taken to have been restarted, and the list is accepted.
+/// Endpoint lists with a version below the current one are attributed to a lagging discovery agent and ignored for this
+/// time. After that the version numbering is taken to have been restarted, and a complete list is accepted.
 pub const REGISTRY_LAG_TIMEOUT: Span = Span::ms(6000);
 /// A watch without a change for this time is requested again, because it may have missed a change.
 pub const REGISTRY_RENEWAL_PERIOD: Span = Span::ms(30_000);
--- a/crates/aggregation/src/program/mod.rs
+++ b/crates/aggregation/src/program/mod.rs
@@ -20,7 +20,7 @@
 /// Maximum number of log lines of the same kind per second.
 const MAX_LOG_LINES_PER_SECOND: u32 = 20;
 
-/// What the command line says.
+/// Command-line arguments.
 #[derive(Clone, Debug, Parser)]
 #[command(
     name = "whinwall-aggregator",
--- a/crates/aggregation/src/registry.rs
+++ b/crates/aggregation/src/registry.rs
@@ -11,8 +11,8 @@
     version: u64,
     replicas: BTreeMap<String, Entry>,
     /// Time since which received lists have been older than the current one.
-    behind_since: Option<Moment>,
-    last_heard: Option<Moment>,
+    outdated_since: Option<Moment>,
+    last_message_at: Option<Moment>,
     is_known: bool,
 }
 
@@ -30,22 +30,22 @@
 impl Registry {
     /// Applies a complete list or a list of changes.
     pub fn apply(&mut self, now: Moment, list: List) -> ListOutcome {
-        self.last_heard = Some(now);
+        self.last_message_at = Some(now);
         if list.version < self.version {
-            let since = *self.behind_since.get_or_insert(now);
+            let since = *self.outdated_since.get_or_insert(now);
             if now - since < limits::REGISTRY_LAG_TIMEOUT || !list.is_complete {
                 return ListOutcome { is_outdated: true, ..ListOutcome::default() };
             }
         }
-        self.behind_since = None;
+        self.outdated_since = None;
         self.version = list.version;
         self.is_known |= list.is_complete;
-        let before = list.is_complete.then(|| std::mem::take(&mut self.replicas));
+        let previous = list.is_complete.then(|| std::mem::take(&mut self.replicas));
         let mut outcome = ListOutcome::default();
         for entry in list.entries {
             outcome.has_skipped |= !self.insert_or_remove(entry, &mut outcome.changed);
         }
-        outcome.changed |= before.is_some_and(|before| before != self.replicas);
+        outcome.changed |= previous.is_some_and(|previous| previous != self.replicas);
         outcome
     }
 
@@ -68,12 +68,12 @@
 
     /// Records a heartbeat of discovery.
     pub fn record_heartbeat(&mut self, now: Moment) {
-        self.last_heard = Some(now);
+        self.last_message_at = Some(now);
     }
 
     /// Returns the time since the last message from discovery.
     pub fn age(&self, now: Moment) -> Span {
-        now - self.last_heard.unwrap_or_default()
+        now - self.last_message_at.unwrap_or_default()
     }
 
     /// Returns true if the watch is alive, so that the list is current.
--- a/crates/aggregation/src/status.rs
+++ b/crates/aggregation/src/status.rs
@@ -21,7 +21,7 @@
     pub assignments: u64,
 }
 
-/// Current values.
+/// Current values, exported as gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
     /// True if this aggregator is ready to serve controllers.
@@ -32,9 +32,9 @@
     pub controllers_connected: usize,
     /// Other aggregators that are alive.
     pub peers_alive: usize,
-    /// Known zones.
+    /// Zones that collectors or peers have named.
     pub zones: usize,
-    /// Known zones whose collectors do not report.
+    /// Zones whose collectors have reported, to this aggregator or a peer, and do not report now.
     pub zones_missing: usize,
     /// Replicas in the endpoint list.
     pub replicas: usize,
--- a/crates/aggregation/src/sums.rs
+++ b/crates/aggregation/src/sums.rs
@@ -30,14 +30,14 @@
     /// Total latency of the answered attempts in milliseconds.
     pub answered_ms: f64,
     /// Number of collector reports.
-    pub lines: u64,
+    pub reports: u64,
 }
 
 impl Sum {
     /// Creates the sum of one report.
     pub fn from_report(attempts: f64, failed: f64, mean_latency_ms: f64) -> Self {
         let answered = (attempts - failed).max(0.0);
-        Sum { attempts, failed, answered_ms: answered * mean_latency_ms, lines: 1 }
+        Sum { attempts, failed, answered_ms: answered * mean_latency_ms, reports: 1 }
     }
 
     /// Returns the mean latency of the answered attempts, or 0 if there were none.
@@ -53,7 +53,7 @@
         self.attempts += other.attempts;
         self.failed += other.failed;
         self.answered_ms += other.answered_ms;
-        self.lines += other.lines;
+        self.reports += other.reports;
     }
 
     fn minus(&self, earlier: &Sum) -> Sum {
@@ -61,15 +61,15 @@
             attempts: self.attempts - earlier.attempts,
             failed: self.failed - earlier.failed,
             answered_ms: self.answered_ms - earlier.answered_ms,
-            lines: self.lines - earlier.lines,
+            reports: self.reports - earlier.reports,
         }
     }
 }
 
-/// The total of all reports before `at`.
+/// The total of all reports before a point in time.
 #[derive(Clone, Copy, Debug)]
 struct Checkpoint {
-    at: Moment,
+    taken_at: Moment,
     total: Sum,
 }
 
@@ -113,7 +113,7 @@
     /// Creates a series of all reports from `continuous_since` on.
     fn new(id: u64, continuous_since: Moment) -> Self {
         let total = Sum::default();
-        let checkpoints = VecDeque::from([Checkpoint { at: continuous_since, total }]);
+        let checkpoints = VecDeque::from([Checkpoint { taken_at: continuous_since, total }]);
         Series { id, total, checkpoints, continuous_since, last_report: continuous_since }
     }
 
@@ -124,7 +124,7 @@
         } else if self
             .checkpoints
             .back()
-            .is_some_and(|checkpoint| now - checkpoint.at >= limits::REPORT_PERIOD)
+            .is_some_and(|checkpoint| now - checkpoint.taken_at >= limits::REPORT_PERIOD)
         {
             self.add_checkpoint(now);
         }
@@ -132,20 +132,20 @@
         self.total.add(sum);
     }
 
-    fn add_checkpoint(&mut self, at: Moment) {
+    fn add_checkpoint(&mut self, taken_at: Moment) {
         if self.checkpoints.len() == MAX_CHECKPOINTS {
             self.checkpoints.pop_front();
         }
-        self.checkpoints.push_back(Checkpoint { at, total: self.total });
+        self.checkpoints.push_back(Checkpoint { taken_at, total: self.total });
     }
 
     /// Returns a cursor for a new reader, at the earliest checkpoint within [`limits::MAX_INITIAL_WINDOW`].
     pub fn initial_cursor(&self, now: Moment) -> Cursor {
         let earliest = now - limits::MAX_INITIAL_WINDOW;
-        let checkpoint = self.checkpoints.iter().find(|checkpoint| checkpoint.at >= earliest);
-        let Checkpoint { at, total } =
-            checkpoint.copied().unwrap_or(Checkpoint { at: now, total: self.total });
-        Cursor { series: self.id, since: at, read: total }
+        let checkpoint = self.checkpoints.iter().find(|checkpoint| checkpoint.taken_at >= earliest);
+        let Checkpoint { taken_at, total } =
+            checkpoint.copied().unwrap_or(Checkpoint { taken_at: now, total: self.total });
+        Cursor { series: self.id, since: taken_at, read: total }
     }
 
     /// Returns true if the cursor belongs to this series.
@@ -158,7 +158,7 @@
     pub fn sum_since(&self, cursor: &Cursor, now: Moment) -> Option<WindowSum> {
         let sum = self.total.minus(&cursor.read);
         let is_complete = now - self.continuous_since >= limits::REPORT_PERIOD;
-        (sum.lines > 0 && is_complete)
+        (sum.reports > 0 && is_complete)
             .then_some(WindowSum { window_start: cursor.since.max(self.continuous_since), sum })
     }
 
@@ -166,7 +166,7 @@
     pub fn idle_window_since(&self, cursor: &Cursor, now: Moment) -> Option<WindowSum> {
         let (window_start, sum) = (cursor.since.max(self.continuous_since), Sum::default());
         let is_idle =
-            self.total.lines == cursor.read.lines && now - window_start >= limits::REPLICA_IDLE_TIMEOUT;
+            self.total.reports == cursor.read.reports && now - window_start >= limits::REPLICA_IDLE_TIMEOUT;
         is_idle.then_some(WindowSum { window_start, sum })
     }
 
--- a/crates/aggregation/tests/bounds.rs
+++ b/crates/aggregation/tests/bounds.rs
@@ -26,7 +26,7 @@
     aggregator
 }
 
-fn shard(slice: u32, class: &str) -> Report<'_> {
+fn demand_report(slice: u32, class: &str) -> Report<'_> {
     Report::DemandReport {
         slice,
         request_class: class,
@@ -42,17 +42,17 @@
 }
 
 #[test]
-fn request_classes_are_bounded_and_idle_ones_are_forgotten() {
+fn request_classes_are_bounded_and_idle_ones_are_removed() {
     let mut aggregator = aggregator();
     let mut now = moment(START_MS + 100.0);
     for class in 0..1000 {
-        report(&mut aggregator, now, shard(0, &format!("class-{class}")));
+        report(&mut aggregator, now, demand_report(0, &format!("class-{class}")));
     }
-    report(&mut aggregator, now, shard(1, &"x".repeat(MAX_NAME_BYTES + 1)));
+    report(&mut aggregator, now, demand_report(1, &"x".repeat(MAX_NAME_BYTES + 1)));
     assert_eq!(aggregator.status().series, 2 + MAX_CLASSES_PER_SLICE);
     assert_eq!(aggregator.counters().reports_dropped, 1000 - MAX_CLASSES_PER_SLICE as u64 + 1);
     // A slice that no controller has is not summed.
-    report(&mut aggregator, now, shard(77, "lookup"));
+    report(&mut aggregator, now, demand_report(77, "lookup"));
     assert_eq!(
         (aggregator.status().series, aggregator.counters().reports_unknown),
         (2 + MAX_CLASSES_PER_SLICE, 1)
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn zones_are_bounded() {
+fn collectors_of_zones_above_the_limit_are_refused() {
     let mut aggregator = aggregator();
     let now = moment(START_MS + 100.0);
     for zone in 0..1000 {
@@ -101,7 +101,7 @@
 #[test]
 fn report_without_a_zone_closes_the_connection() {
     let mut aggregator = aggregator();
-    let event = Event::ReportReceived { connection: 9, report: shard(0, "lookup") };
+    let event = Event::ReportReceived { connection: 9, report: demand_report(0, "lookup") };
     let effects = aggregator.apply(moment(START_MS + 100.0), event);
     assert_eq!(effects, vec![Effect::RefuseCollector(9)]);
     assert_eq!(aggregator.counters().reports, 0);
@@ -118,13 +118,13 @@
 #[test]
 fn older_list_version_is_accepted_only_after_the_lag_timeout() {
     let mut registry = Registry::default();
-    let at = |ms| moment(START_MS + ms);
-    registry.apply(at(0.0), list(41, true, vec![replica("s-0", 0), replica("s-1", 0)]));
-    let outcome = registry.apply(at(1000.0), list(3, true, vec![replica("s-9", 0)]));
+    let after_start = |ms| moment(START_MS + ms);
+    registry.apply(after_start(0.0), list(41, true, vec![replica("s-0", 0), replica("s-1", 0)]));
+    let outcome = registry.apply(after_start(1000.0), list(3, true, vec![replica("s-9", 0)]));
     assert!(outcome.is_outdated && !outcome.changed);
     assert_eq!((entries(&registry), registry.version()), (vec!["s-0", "s-1"], 41));
     // The version numbering has been restarted, and the new list is accepted.
-    let outcome = registry.apply(at(7500.0), list(3, true, vec![replica("s-9", 0)]));
+    let outcome = registry.apply(after_start(7500.0), list(3, true, vec![replica("s-9", 0)]));
     assert!(!outcome.is_outdated && outcome.changed);
     assert_eq!((entries(&registry), registry.version()), (vec!["s-9"], 3));
 }
@@ -149,11 +149,11 @@
 #[test]
 fn controller_without_answers_is_reconnected() {
     let mut aggregator = aggregator();
-    let (mut attempts, mut disconnects, mut at) = (0, 0, 100.0);
-    while at < 30_000.0 {
-        let now = moment(START_MS + at);
-        if at % 1000.0 == 0.0 {
-            report(&mut aggregator, now, shard(0, "lookup"));
+    let (mut attempts, mut disconnects, mut elapsed_ms) = (0, 0, 100.0);
+    while elapsed_ms < 30_000.0 {
+        let now = moment(START_MS + elapsed_ms);
+        if elapsed_ms % 1000.0 == 0.0 {
+            report(&mut aggregator, now, demand_report(0, "lookup"));
         }
         for effect in aggregator.apply(now, Event::Tick) {
             match effect {
@@ -169,7 +169,7 @@
                 _ => {}
             }
         }
-        at += 100.0;
+        elapsed_ms += 100.0;
     }
     // Each cycle takes 5 s without an answer and at least 1 s until the next attempt to connect.
     assert!(
--- a/crates/aggregation/tests/budget.rs
+++ b/crates/aggregation/tests/budget.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn members_are_checked() {
+fn invalid_members_are_rejected() {
     let absent = configured("m7", 27_000, vec![member("g0", &[(0, 1)])]);
     assert_eq!(absent, Err(ConfigurationError::OwnNameAbsent("m7".into())));
     let slices = configured("m0", 27_000, vec![member("g0", &[])]);
--- a/crates/aggregation/tests/configuration_text.rs
+++ b/crates/aggregation/tests/configuration_text.rs
@@ -10,13 +10,13 @@
 const FILE: &str = include_str!("fixtures/operators.xml");
 
 /// Runs the program with `--check` on this file.
-fn check(file: &str, name: &str) -> Output {
+fn run_check(file: &str, name: &str) -> Output {
     let written = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(written.path(), file).unwrap();
-    check_path(written.path(), name)
+    run_check_on_path(written.path(), name)
 }
 
-fn check_path(path: &Path, name: &str) -> Output {
+fn run_check_on_path(path: &Path, name: &str) -> Output {
     Command::new(env!("CARGO_BIN_EXE_whinwall-aggregator"))
         .args(["--operators", path.to_str().unwrap(), "--name", name])
         .args(["--listen", "127.0.0.1:7201", "--discovery", "127.0.0.1:7102"])
@@ -27,7 +27,7 @@
 
 /// Asserts that the file is rejected and that the log ends with this reason.
 fn assert_rejected(file: &str, name: &str, reason: &str) {
-    let output = check(file, name);
+    let output = run_check(file, name);
     let log = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{log}");
     assert!(log.trim_end().ends_with(&format!("cannot load configuration: {reason}")), "{log}\nnot {reason}");
@@ -37,7 +37,7 @@
 fn assert_rejected_without(name: &str) {
     let changed = FILE.replace(name, "renamed");
     assert_ne!(changed, FILE, "{name}");
-    assert_eq!(check(&changed, "m0").status.code(), Some(2), "{name}");
+    assert_eq!(run_check(&changed, "m0").status.code(), Some(2), "{name}");
 }
 
 fn controller(address: Option<&str>, slices: &[(u32, u32)]) -> ControllerMember {
@@ -60,7 +60,7 @@
 
 #[test]
 fn file_with_every_name_is_valid() {
-    let output = check(FILE, "m0");
+    let output = run_check(FILE, "m0");
     let log = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(0), "{log}");
     assert_eq!(String::from_utf8(output.stdout).unwrap(), "the file is fine\n");
--- a/crates/aggregation/tests/failures.rs
+++ b/crates/aggregation/tests/failures.rs
@@ -23,22 +23,23 @@
     println!("recovery: {what}: {ms:.0} ms (virtual time)");
 }
 
-fn assert_exact(fleet: &Fleet) {
+fn assert_all_counts_exact(fleet: &Fleet) {
     let zones = fleet.all_zones();
     fleet.assert_counts_exact(|_| zones.clone());
 }
 
 fn assert_budget(fleet: &Fleet) {
-    assert!(fleet.most_bytes_within(1000.0) <= BUDGET as usize);
+    let bytes = fleet.max_bytes_within(1000.0);
+    assert!(bytes <= BUDGET as usize, "{bytes} bytes within 1 s, budget {BUDGET}");
 }
 
 /// Returns the controllers that a machine serves.
 fn served_by(fleet: &Fleet, machine: usize) -> BTreeSet<String> {
-    fleet.aggregator(machine).owned().map(str::to_string).collect()
+    fleet.aggregator(machine).owned_controllers().map(str::to_string).collect()
 }
 
 #[test]
-fn one_of_four_aggregators_crashes() {
+fn controllers_of_a_crashed_aggregator_are_taken_over_without_gaps() {
     let mut fleet = fleet();
     let (from, lost) = (fleet.now_ms, served_by(&fleet, 2));
     assert!(!lost.is_empty());
@@ -49,7 +50,7 @@
     assert!(recovered <= MAX_TAKEOVER_MS, "{recovered} ms");
     let (gap, _) = fleet.gaps_and_overlaps_ms(from - 2_000);
     assert!(gap < 0.01, "{gap} ms are not covered by any line");
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
     // Only the controllers of the crashed aggregator were reassigned.
     let others = fleet.controllers.iter().filter(|controller| !lost.contains(&controller.name));
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn one_of_four_aggregators_hangs_and_resumes() {
+fn hung_aggregator_is_replaced_and_resumes_without_gaps() {
     let mut fleet = fleet();
     let from = fleet.now_ms;
     fleet.set_health(1, Health::Hung);
@@ -84,13 +85,13 @@
     assert!(fleet.log_events(1).iter().any(|event| matches!(event, LogEvent::Stalled(_))));
     let (gap, _) = fleet.gaps_and_overlaps_ms(from - 2_000);
     assert!(gap < 0.01, "{gap} ms are not covered by any line");
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
     assert_eq!(fleet.last_undercount_ms(), None);
 }
 
 #[test]
-fn one_of_four_aggregators_restarts() {
+fn restarted_aggregator_serves_the_same_controllers_without_gaps() {
     let mut fleet = fleet();
     let from = fleet.now_ms;
     let before = served_by(&fleet, 3);
@@ -104,13 +105,13 @@
     assert_eq!(served_by(&fleet, 3), before);
     let (gap, _) = fleet.gaps_and_overlaps_ms(from - 2_000);
     assert!(gap < 0.01, "{gap} ms are not covered by any line");
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
     assert_eq!(fleet.last_undercount_ms(), None);
 }
 
 #[test]
-fn one_of_four_aggregators_is_slow() {
+fn slow_aggregator_leaves_no_gaps_and_keeps_the_budget() {
     let mut fleet = fleet();
     let from = fleet.now_ms;
     fleet.set_health(0, Health::Slow(15));
@@ -118,7 +119,7 @@
     // Its lines are late but have longer windows, so that all time is covered.
     let (gap, _) = fleet.gaps_and_overlaps_ms(from - 2_000);
     assert!(gap < 0.01, "{gap} ms are not covered by any line");
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
     assert_eq!(fleet.last_undercount_ms(), None);
     let healthy = fleet.now_ms;
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn one_of_four_aggregators_has_an_outdated_list() {
+fn aggregator_with_an_outdated_list_serves_no_controllers_until_it_is_fresh() {
     let mut fleet = fleet();
     let from = fleet.now_ms;
     assert!(!served_by(&fleet, 1).is_empty());
@@ -154,12 +155,12 @@
     fleet.run(8_000);
     assert!(!served_by(&fleet, 1).is_empty());
     print_recovery("its list is fresh again", fleet.single_owner_at_ms(back) - back as f64);
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
 }
 
 #[test]
-fn one_of_four_aggregators_misses_a_change_on_a_live_watch() {
+fn change_missed_on_a_live_watch_is_recovered() {
     let mut fleet = fleet();
     let from = fleet.now_ms as f64;
     fleet.change_registry(|replicas| _ = replicas.insert("s-new".into(), replica("s-new", 0)));
@@ -181,7 +182,7 @@
         recovered,
     );
     assert!(recovered <= 9_500.0, "{recovered} ms");
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
 }
 
 #[test]
@@ -199,7 +200,7 @@
 }
 
 #[test]
-fn all_aggregators_serve_where_all_lists_are_outdated() {
+fn all_aggregators_keep_serving_if_all_lists_are_outdated() {
     let mut fleet = fleet();
     (0..4).for_each(|machine| fleet.silence_list(machine, true));
     fleet.run(20_000);
@@ -220,7 +221,7 @@
     let twice = fleet.controllers.iter().filter(|controller| fleet.owners(&controller.name).len() == 2);
     assert!(twice.count() > 0);
     // The lines of each connection are exact and complete. Only the windows of different connections overlap.
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_eq!(fleet.last_undercount_ms(), None);
     let (gap, overlap) = fleet.gaps_and_overlaps_ms(20_000);
     assert!(gap < 0.01, "{gap} ms are not covered by any line");
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn all_four_aggregators_start_at_once() {
+fn aggregators_that_start_together_serve_all_controllers_with_exact_counts() {
     let mut fleet = Fleet::new(12, 60, 3, 10, BUDGET);
     let from = fleet.now_ms;
     for machine in 0..4 {
@@ -239,13 +240,13 @@
     let recovered = fleet.single_owner_at_ms(from) - from as f64;
     print_recovery("all four start cold within 1 s", recovered);
     assert!(recovered <= 7_000.0, "{recovered} ms");
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
     assert_eq!(fleet.last_undercount_ms(), None);
 }
 
 #[test]
-fn zone_is_partitioned_for_an_hour_and_returns() {
+fn zone_partitioned_for_an_hour_is_marked_missing_until_it_returns() {
     const HOUR_MS: u64 = 3_600_000;
     let mut fleet = Fleet::settled(3, 9, 3, 4, BUDGET);
     let cut = fleet.now_ms;
@@ -273,7 +274,7 @@
     let recovered = last_marked.fold(0.0, f64::max) - back as f64;
     print_recovery("a zone's collectors are silent for an hour, until no line is marked", recovered);
     assert!(recovered <= 3_000.0, "{recovered} ms");
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
 }
 
 /// Partitions the fleet into two regions, or reconnects them. The first region has half of the machines, zone 0 and
@@ -301,7 +302,7 @@
 }
 
 #[test]
-fn regions_are_partitioned_for_an_hour() {
+fn partitioned_regions_serve_their_own_controllers_and_recover() {
     let mut fleet = Fleet::settled(4, 9, 3, 4, BUDGET);
     let cut = fleet.now_ms as f64;
     set_regions_partitioned(&mut fleet, true);
@@ -379,7 +380,7 @@
 }
 
 #[test]
-fn controller_is_partitioned_and_returns() {
+fn partitioned_controller_gets_reports_again_with_bounded_windows() {
     let mut fleet = fleet();
     let cut = fleet.now_ms as f64;
     fleet.set_reachable("g3", false);
@@ -394,11 +395,11 @@
     assert!(recovered <= 6_500.0, "{recovered} ms");
     // The first line covers only the maximum initial window, not the whole minute.
     assert!(first.1.window <= 5_000.0, "{} ms", first.1.window);
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
 }
 
 #[test]
-fn registry_changes_470_times_and_loses_a_zone_at_once() {
+fn reports_match_the_registry_after_470_changes_and_the_loss_of_a_zone() {
     let mut fleet = fleet();
     for change in 0..470 {
         let (old, new) = (format!("s-{}", change % 60), format!("s-{}", (change + 7) % 60));
@@ -418,7 +419,7 @@
         (0..20).map(|n| format!("s-b{n}")).for_each(|id| _ = replicas.insert(id.clone(), replica(&id, 1)));
     });
     fleet.run(10_000);
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
     for machine in 0..4 {
         let status = fleet.aggregator(machine).status();
@@ -433,7 +434,7 @@
 }
 
 #[test]
-fn controllers_are_added_and_removed() {
+fn added_and_removed_controllers_leave_counts_exact_and_one_owner_each() {
     let mut fleet = fleet();
     for round in 0..40 {
         match round % 2 {
@@ -447,7 +448,7 @@
         fleet.run(1_500);
     }
     fleet.run(5_000);
-    assert_exact(&fleet);
+    assert_all_counts_exact(&fleet);
     assert_budget(&fleet);
     for controller in &fleet.controllers {
         assert_eq!(fleet.owners(&controller.name).len(), 1);
--- a/crates/aggregation/tests/line_bytes.rs
+++ b/crates/aggregation/tests/line_bytes.rs
@@ -15,7 +15,7 @@
 }
 
 fn values(attempts: f64, failed: f64, missing: usize) -> ReportValues {
-    let sum = Sum { attempts, failed, answered_ms: (attempts - failed) * 41.7, lines: 9 };
+    let sum = Sum { attempts, failed, answered_ms: (attempts - failed) * 41.7, reports: 9 };
     ReportValues { sum, window: Span::ms(1500), missing }
 }
 
--- a/crates/aggregation/tests/metrics_text.rs
+++ b/crates/aggregation/tests/metrics_text.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn metrics_are_named_and_described_to_the_letter() {
+fn metrics_have_exact_names_help_texts_and_types() {
     let discovery = Discovery::start(LIST);
     let file = include_str!("fixtures/operators.xml");
     let mut program = Program::start("m0", file, &discovery, &["--metrics", "127.0.0.1:0"]);
--- a/crates/aggregation/tests/program.rs
+++ b/crates/aggregation/tests/program.rs
@@ -132,16 +132,16 @@
         program.wait_for_log("as one of 4 aggregators");
     }
     programs[1].signal(Signal::STOP);
-    for one in [0, 2, 3] {
-        programs[one].wait_for_log("aggregator m1 is not responding");
+    for number in [0, 2, 3] {
+        programs[number].wait_for_log("aggregator m1 is not responding");
     }
     wait_for_reports_to_all(&mut controllers);
     programs[1].signal(Signal::CONT);
     programs[1].wait_for_log("was not running for");
     programs[0].wait_for_log("as one of 4 aggregators");
     programs[2].kill();
-    for one in [0, 1, 3] {
-        programs[one].wait_for_log("aggregator m2 is not responding");
+    for number in [0, 1, 3] {
+        programs[number].wait_for_log("aggregator m2 is not responding");
     }
     wait_for_reports_to_all(&mut controllers);
 }
@@ -224,9 +224,9 @@
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
-/// Guards against an exit without graceful shutdown: pings, incomplete lines and requests for metrics that had been
-/// read were closed without a reply, and SIGUSR1 ended the program by its default action. The program is stopped while
-/// the inputs are sent, so that it processes them together with the signals.
+/// Guards against an exit without graceful shutdown, in which connections with pings, incomplete lines and requests for
+/// metrics were closed without a reply, and against the default action of SIGUSR1, which ends the program. The
+/// program is stopped while the inputs are sent, so that it processes them together with the signals.
 #[test]
 fn received_lines_and_requests_are_answered_before_shutdown() {
     let discovery = discovery();
--- a/crates/aggregation/tests/steady.rs
+++ b/crates/aggregation/tests/steady.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn line_has_the_fixed_zone_and_one_window() {
+fn lines_have_the_same_zone_and_a_window_of_one_period() {
     let fleet = Fleet::settled(4, 20, 3, 8, BUDGET);
     for (line, report) in fleet.reports("g0").filter(|(line, _)| line.at_ms > 20_000.0) {
         assert!(report.az.as_ref().is_none_or(|zone| zone == "z0"));
@@ -100,13 +100,13 @@
     let mut fleet = Fleet::settled(6, 60, 3, 30, budget);
     fleet.run(30_000);
     let over_budget_batches: u64 =
-        (0..4).map(|one| fleet.aggregator(one).counters().over_budget_batches).sum();
+        (0..4).map(|machine| fleet.aggregator(machine).counters().over_budget_batches).sum();
     assert!(over_budget_batches > 0, "all lines fitted into the budget");
     for seconds in 1..=10 {
-        let most = fleet.most_bytes_within(seconds as f64 * 1000.0);
-        assert!(most <= seconds * budget as usize, "{most} bytes in {seconds} s");
+        let bytes = fleet.max_bytes_within(seconds as f64 * 1000.0);
+        assert!(bytes <= seconds * budget as usize, "{bytes} bytes in {seconds} s");
     }
-    let longest = (0..6).map(|one| format!("g{one}")).flat_map(|controller| {
+    let longest = (0..6).map(|number| format!("g{number}")).flat_map(|controller| {
         let windows = fleet.reports(&controller).filter(|(line, _)| line.at_ms > 22_000.0);
         windows.map(|(_, report)| report.window).collect::<Vec<_>>()
     });
@@ -122,7 +122,8 @@
     let budget = 900;
     let mut fleet = Fleet::settled(2, 60, 3, 30, budget);
     fleet.run(30_000);
-    assert!(fleet.most_bytes_within(1000.0) <= budget as usize);
+    let bytes = fleet.max_bytes_within(1000.0);
+    assert!(bytes <= budget as usize, "{bytes} bytes within 1 s, budget {budget}");
     let events = (0..4).flat_map(|machine| fleet.log_events(machine));
     assert!(events.into_iter().any(|event| matches!(event, LogEvent::BudgetTooSmall { .. })));
     let zones = fleet.all_zones();
--- a/crates/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -352,14 +352,14 @@
     pub fn owners(&self, controller: &str) -> Vec<usize> {
         let owns = |index: &usize| {
             let aggregator = self.machines[*index].aggregator.as_ref();
-            aggregator.is_some_and(|aggregator| aggregator.owned().any(|name| name == controller))
+            aggregator.is_some_and(|aggregator| aggregator.owned_controllers().any(|name| name == controller))
         };
         (0..self.machines.len()).filter(owns).collect()
     }
 
     /// Returns the expected subset of a controller.
     pub fn subset(&self, controller: &str) -> BTreeSet<String> {
-        let membership = self.controllers.iter().map(|one| one.name.clone());
+        let membership = self.controllers.iter().map(|controller| controller.name.clone());
         let membership = whinwall_subsetting::Membership::new(membership).unwrap();
         let replicas: Vec<_> = self
             .replicas
@@ -398,12 +398,12 @@
     /// Sends the reports of collectors that are due before the next tick.
     fn send_due_reports(&mut self) {
         for zone in 0..self.zones {
-            let at = (self.now_ms / PERIOD_MS) * PERIOD_MS + zone_offset_ms(zone);
+            let report_at_ms = (self.now_ms / PERIOD_MS) * PERIOD_MS + zone_offset_ms(zone);
             if !self.reporting || self.silent_zones.contains(&zone) {
                 continue;
             }
-            if (self.now_ms..self.now_ms + STEP_MS).contains(&at) {
-                self.send_zone_reports(zone, at as f64);
+            if (self.now_ms..self.now_ms + STEP_MS).contains(&report_at_ms) {
+                self.send_zone_reports(zone, report_at_ms as f64);
             }
         }
     }
@@ -428,7 +428,7 @@
             };
             self.send_to_all(zone, at_ms, report);
         }
-        for (slice, class) in self.shards() {
+        for (slice, class) in self.slice_classes() {
             let (n, bad) = (self.random_below(300) as f64, self.random_below(10) as f64);
             let sent = CollectorReport { at_ms, zone, n, bad, avg: 0.0 };
             self.sent_reports.entry(format!("{slice}/{class}")).or_default().push(sent);
@@ -446,8 +446,8 @@
     }
 
     /// Returns all combinations of the controllers' slices and the request classes.
-    fn shards(&self) -> Vec<(u32, &'static str)> {
-        let ranges = self.controllers.iter().flat_map(|one| one.slices.iter());
+    fn slice_classes(&self) -> Vec<(u32, &'static str)> {
+        let ranges = self.controllers.iter().flat_map(|controller| controller.slices.iter());
         let slices = ranges.flat_map(|(first, last)| *first..=*last);
         slices.flat_map(|slice| self.classes.iter().map(move |class| (slice, *class))).collect()
     }
@@ -588,8 +588,8 @@
     }
 
     /// Returns the maximum number of bytes that any controller received within any half-open interval of this length.
-    pub fn most_bytes_within(&self, length_ms: f64) -> usize {
-        let mut most = 0;
+    pub fn max_bytes_within(&self, length_ms: f64) -> usize {
+        let mut max_bytes = 0;
         for lines in self.received.values() {
             let (mut sum, mut first) = (0, 0);
             for line in lines {
@@ -598,10 +598,10 @@
                     sum -= lines[first].bytes;
                     first += 1;
                 }
-                most = most.max(sum);
+                max_bytes = max_bytes.max(sum);
             }
         }
-        most
+        max_bytes
     }
 
     /// Asserts that each line has exactly the counts that collectors reported within its window, and that the windows
@@ -615,20 +615,21 @@
                 let zones = zones_of(line.aggregator);
                 let sent = self.sent_within(&key, window_start - TIME_TOLERANCE_MS, line.at_ms);
                 let sent = sent.iter().filter(|sent| zones.contains(&sent.zone));
-                let (mut n, mut bad, mut busy) = (0.0, 0.0, 0.0);
-                for one in sent {
-                    (n, bad, busy) = (n + one.n, bad + one.bad, busy + (one.n - one.bad) * one.avg);
+                let (mut n, mut bad, mut answered_ms) = (0.0, 0.0, 0.0);
+                for report in sent {
+                    (n, bad) = (n + report.n, bad + report.bad);
+                    answered_ms += (report.n - report.bad) * report.avg;
                 }
                 assert_eq!((report.n, report.bad), (n, bad), "counts in {context}");
                 let reported_ms = (report.n - report.bad) * report.avg;
-                let is_close = (reported_ms - busy).abs() <= 1e-3 * busy.max(1.0);
+                let is_close = (reported_ms - answered_ms).abs() <= 1e-3 * answered_ms.max(1.0);
                 assert!(
                     is_close || report.host.is_none(),
-                    "{reported_ms} ms instead of {busy} ms in {context}"
+                    "{reported_ms} ms instead of {answered_ms} ms in {context}"
                 );
-                let before = covered.insert((line.connection, key), line.at_ms);
+                let previous_end = covered.insert((line.connection, key), line.at_ms);
                 assert!(
-                    before.is_none_or(|before| window_start >= before - TIME_TOLERANCE_MS),
+                    previous_end.is_none_or(|end| window_start >= end - TIME_TOLERANCE_MS),
                     "overlapping windows in {context}"
                 );
             }
@@ -643,8 +644,8 @@
         &sent[first..last.max(first)]
     }
 
-    /// Returns the time of the last line that names no missing zone although it lacks reports that collectors sent
-    /// within its window, or `None` if there is no such line.
+    /// Returns the time of the last line that is not marked with missing zones although it lacks reports that collectors
+    /// sent within its window, or `None` if there is no such line.
     pub fn last_undercount_ms(&self) -> Option<f64> {
         let mut last = None;
         for controller in &self.controllers {
--- a/crates/aggregation/tests/wire.rs
+++ b/crates/aggregation/tests/wire.rs
@@ -7,7 +7,7 @@
 use whinwall_protocol::collector::{decode, decode_report, Message, Report};
 
 fn values(missing: usize) -> ReportValues {
-    let sum = Sum { attempts: 212.0, failed: 3.0, answered_ms: 209.0 * 41.7, lines: 9 };
+    let sum = Sum { attempts: 212.0, failed: 3.0, answered_ms: 209.0 * 41.7, reports: 9 };
     ReportValues { sum, window: Span::ms(1000), missing }
 }
 
