--- a/crates/aggregation/src/aggregator.rs
+++ b/crates/aggregation/src/aggregator.rs
@@ -53,8 +53,8 @@
 
 impl Aggregator {
     /// Creates an aggregator that has just started. `zone` is the zone named in its lines. It must be one of the zones
-    /// in the settings, because controllers ignore others. Without it, the first zone by name that has reported is
-    /// used when the first controller connects.
+    /// in the controllers' settings, because controllers ignore other zones. Without it, the first zone by name that
+    /// has reported is used when the first controller connects.
     pub fn new(now: Moment, configuration: Configuration, zone: Option<String>) -> Self {
         let planner = Planner::new(configuration.membership.clone(), configuration.parameters);
         let mut aggregator = Aggregator {
@@ -251,7 +251,7 @@
         }
         effects.extend(self.coverage.tick(now).into_iter().map(Effect::Log));
         effects.extend(self.peers.tick(now).into_iter().map(Effect::Log));
-        self.check_registry(now, effects);
+        self.monitor_registry(now, effects);
         self.compute_subsets(now);
         self.reassign_controllers(now, effects);
         if now >= self.next_heartbeat {
--- a/crates/aggregation/src/aggregator/fleet.rs
+++ b/crates/aggregation/src/aggregator/fleet.rs
@@ -33,12 +33,14 @@
         effects.extend(self.peers.receive(now, heartbeat).map(Effect::Log));
     }
 
-    pub(super) fn check_registry(&mut self, now: Moment, effects: &mut Vec<Effect>) {
-        let fresh = self.registry.is_fresh(now) || !self.registry.is_known();
-        if fresh != self.was_registry_fresh {
-            effects.push(Effect::Log(LogEvent::RegistryStale(!fresh)));
+    /// Logs when the endpoint list becomes stale, fresh or older than that of a peer. Requests a new watch of discovery
+    /// if the list has been older for [`limits::REGISTRY_LAG_TIMEOUT`], or if the renewal of the watch is due.
+    pub(super) fn monitor_registry(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+        let is_fresh = self.registry.is_fresh(now) || !self.registry.is_known();
+        if is_fresh != self.was_registry_fresh {
+            effects.push(Effect::Log(LogEvent::RegistryStale(!is_fresh)));
         }
-        self.was_registry_fresh = fresh;
+        self.was_registry_fresh = is_fresh;
         let (own, peer) = (self.registry.version(), self.peers.latest_version());
         if own >= peer || !self.registry.is_known() {
             self.behind_since = None;
--- a/crates/aggregation/src/bin/aggregation-bench/load.rs
+++ b/crates/aggregation/src/bin/aggregation-bench/load.rs
@@ -4,6 +4,9 @@
 use serde::Serialize;
 use whinwall_aggregation::heartbeat::Heartbeat;
 
+/// Number of kinds of replicas. Subsets contain replicas of each kind that has enough for all controllers.
+const REPLICA_KINDS: usize = 69;
+
 /// Size of the fleet.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Size {
@@ -64,7 +67,7 @@
     /// Returns the endpoint list in the format of discovery.
     pub fn list(&self) -> String {
         let entry = |n: usize| {
-            let (zone, kind) = (self.zone(n % self.zones), n % 69);
+            let (zone, kind) = (self.zone(n % self.zones), n % REPLICA_KINDS);
             format!(
                 "{{\"id\":\"{}\",\"addr\":\"10.0.0.1:1\",\"zone\":\"{zone}\",\"kind\":\"k{kind}\",\"cell\":1,\
                  \"state\":\"active\",\"weight\":1.0,\"started_ms\":0}}",
--- a/crates/aggregation/src/budget.rs
+++ b/crates/aggregation/src/budget.rs
@@ -12,7 +12,7 @@
     pub bytes: usize,
     /// Start of the window that the line covers.
     pub window_start: Moment,
-    /// Difference from the previous line of the same key.
+    /// Weighted difference from the values of the previous line of the same key.
     pub change: f64,
 }
 
--- a/crates/aggregation/src/feed.rs
+++ b/crates/aggregation/src/feed.rs
@@ -97,14 +97,17 @@
     pub address: Option<SocketAddr>,
     pub slices: Vec<(u32, u32)>,
     pub subset: Vec<Arc<str>>,
+    /// True if this aggregator serves the controller.
     pub is_owned: bool,
     pub link: Link,
     /// Delay before the next attempt to connect.
     pub retry_delay: Span,
+    /// The value of [`Batch::is_overdue`] of the latest batch.
     pub is_overdue: bool,
     /// Time of the last answer to a ping.
     pub last_answer: Moment,
     key_states: BTreeMap<Key, KeyState>,
+    /// Offset of the batches from the start of a report period.
     phase: Span,
     next_batch_at: Moment,
 }
--- a/crates/aggregation/src/program/event_loop.rs
+++ b/crates/aggregation/src/program/event_loop.rs
@@ -7,7 +7,7 @@
 use super::error::ServeError;
 use super::metrics::{self, Metrics, SharedMetrics, Traffic};
 use super::peer_connections::PeerConnections;
-use lines::Sender;
+use lines::LineSender;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -231,7 +231,7 @@
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Line { from, line, commands, .. } => {
-                self.handle_line(&Sender { connection: from, commands: &commands }, &line);
+                self.handle_line(&LineSender { connection: from, commands: &commands }, &line);
             }
             Input::Disconnected(connection, _) => {
                 self.authenticated.remove(&connection);
@@ -265,13 +265,13 @@
     }
 
     /// Applies an event. `sender` is the connection that caused it, if any.
-    fn apply_for(&mut self, event: Event, sender: Option<&Sender>) {
+    fn apply_for(&mut self, event: Event, sender: Option<&LineSender>) {
         for effect in self.aggregator.apply(self.clock.now(), event) {
             self.execute(effect, sender);
         }
     }
 
-    fn execute(&mut self, effect: Effect, sender: Option<&Sender>) {
+    fn execute(&mut self, effect: Effect, sender: Option<&LineSender>) {
         match effect {
             Effect::Connect { controller, address } => self.controllers.connect(&controller, address),
             Effect::Disconnect { controller } => self.controllers.disconnect(&controller),
@@ -282,7 +282,7 @@
             }
             Effect::SendHeartbeat(heartbeat) => self.peers.send(wire::encode_heartbeat(&heartbeat)),
             // This effect results only from events of that connection.
-            Effect::RefuseCollector(_) => sender.into_iter().for_each(Sender::refuse),
+            Effect::RefuseCollector(_) => sender.into_iter().for_each(LineSender::refuse),
             Effect::FollowRegistry { since } => self.watch_registry(since),
             Effect::Log(event) if event.is_warning() => tracing::warn!("{event}"),
             Effect::Log(event) => tracing::info!("{event}"),
--- a/crates/aggregation/src/program/event_loop/lines.rs
+++ b/crates/aggregation/src/program/event_loop/lines.rs
@@ -10,13 +10,13 @@
 use whinwall_protocol::InvalidMessage;
 use whinwall_transport::ConnectionCommand;
 
-/// The connection that a line arrived on, and the sender of commands to it.
-pub(super) struct Sender<'a> {
+/// The sender of a line: its connection, and the queue of commands to the connection.
+pub(super) struct LineSender<'a> {
     pub connection: ConnectionId,
     pub commands: &'a mpsc::Sender<ConnectionCommand>,
 }
 
-impl Sender<'_> {
+impl LineSender<'_> {
     /// Sends a command to the connection. If the queue is full, the peer does not read its replies and the command is
     /// dropped.
     fn send_command(&self, command: ConnectionCommand) {
@@ -31,7 +31,7 @@
 }
 
 impl EventLoop {
-    pub(super) fn handle_line(&mut self, sender: &Sender, line: &str) {
+    pub(super) fn handle_line(&mut self, sender: &LineSender, line: &str) {
         self.traffic.lines_in += 1;
         self.traffic.bytes_in += line.len() as u64 + 1;
         if let Some(report) = collector::decode_report(line) {
@@ -47,7 +47,7 @@
         }
     }
 
-    fn handle_message(&mut self, sender: &Sender, message: &Message, line: &str) {
+    fn handle_message(&mut self, sender: &LineSender, message: &Message, line: &str) {
         match message {
             Message::Ping => sender.send_command(ConnectionCommand::Send(collector::encode(Reply::Pong))),
             Message::Source { zone } => {
@@ -67,18 +67,18 @@
         }
     }
 
-    fn handle_report(&mut self, sender: &Sender, report: Report) {
+    fn handle_report(&mut self, sender: &LineSender, report: Report) {
         self.apply_for(Event::ReportReceived { connection: sender.connection, report }, Some(sender));
     }
 
-    fn authenticate(&mut self, sender: &Sender) {
+    fn authenticate(&mut self, sender: &LineSender) {
         if self.authenticated.insert(sender.connection) {
             sender.send_command(ConnectionCommand::MarkAuthenticated);
         }
     }
 
     /// Counts an invalid line, and disconnects the peer if it is unauthenticated.
-    fn reject_line(&mut self, sender: &Sender) {
+    fn reject_line(&mut self, sender: &LineSender) {
         self.traffic.rejected_lines += 1;
         if !self.authenticated.contains(&sender.connection) {
             sender.refuse();
--- a/crates/aggregation/src/sums.rs
+++ b/crates/aggregation/src/sums.rs
@@ -76,8 +76,10 @@
 /// The position of a reader in a series.
 #[derive(Clone, Copy, Debug)]
 pub struct Cursor {
-    series: u64,
+    series_id: u64,
+    /// Time up to which the series has been read.
     since: Moment,
+    /// Total of the reports that have been read.
     read: Sum,
 }
 
@@ -145,12 +147,12 @@
         let checkpoint = self.checkpoints.iter().find(|checkpoint| checkpoint.taken_at >= earliest);
         let Checkpoint { taken_at, total } =
             checkpoint.copied().unwrap_or(Checkpoint { taken_at: now, total: self.total });
-        Cursor { series: self.id, since: taken_at, read: total }
+        Cursor { series_id: self.id, since: taken_at, read: total }
     }
 
     /// Returns true if the cursor belongs to this series.
     pub fn owns(&self, cursor: &Cursor) -> bool {
-        self.id == cursor.series
+        self.id == cursor.series_id
     }
 
     /// Returns the sum of the reports since the cursor, if there are any. The window does not cover a gap without
@@ -172,7 +174,7 @@
 
     /// Returns the cursor of a reader that has read all reports.
     pub fn end_cursor(&self, now: Moment) -> Cursor {
-        Cursor { series: self.id, since: now, read: self.total }
+        Cursor { series_id: self.id, since: now, read: self.total }
     }
 }
 
--- a/crates/aggregation/src/wire.rs
+++ b/crates/aggregation/src/wire.rs
@@ -85,10 +85,10 @@
     (ms * 1e4).round() / 1e4
 }
 
-fn append_line(message: &impl Serialize, into: &mut String) {
+fn append_line(message: &impl Serialize, text: &mut String) {
     // Structs of strings and finite numbers can always be serialized to JSON.
-    into.push_str(&serde_json::to_string(message).unwrap_or_default());
-    into.push('\n');
+    text.push_str(&serde_json::to_string(message).unwrap_or_default());
+    text.push('\n');
 }
 
 /// Encodes the `SOURCE` line, which names the zone of a connection.
--- a/crates/aggregation/tests/failures.rs
+++ b/crates/aggregation/tests/failures.rs
@@ -252,7 +252,7 @@
     let cut = fleet.now_ms;
     fleet.silent_zones.insert(2);
     fleet.run(HOUR_MS);
-    let during = |fleet: &Fleet, missing: usize, from: f64, to: f64| {
+    let all_lines_have_missing = |fleet: &Fleet, missing: usize, from: f64, to: f64| {
         let controllers = fleet.controllers.iter().map(|controller| controller.name.clone());
         let mut lines = controllers.flat_map(|controller| {
             let lines = fleet.reports(&controller).filter(|(line, _)| (from..to).contains(&line.at_ms));
@@ -260,8 +260,9 @@
         });
         lines.all(|marked| marked == missing)
     };
-    let noticed = cut as f64 + 3_700.0;
-    assert!(during(&fleet, 1, noticed, fleet.now_ms as f64 + 1.0));
+    // Each line is marked after the zone timeout, one report period and two simulation steps.
+    let marked_from = cut as f64 + 3_700.0;
+    assert!(all_lines_have_missing(&fleet, 1, marked_from, fleet.now_ms as f64 + 1.0));
     assert!(fleet.log_events(0).contains(&LogEvent::ZoneMissing("z2".into())));
     let back = fleet.now_ms;
     fleet.silent_zones.remove(&2);
--- a/crates/aggregation/tests/virtual_fleet/mod.rs
+++ b/crates/aggregation/tests/virtual_fleet/mod.rs
@@ -131,7 +131,8 @@
     pub received: BTreeMap<String, Vec<ReceivedLine>>,
     pub sent_reports: BTreeMap<String, Vec<CollectorReport>>,
     next_connection: u64,
-    random: u64,
+    /// State of the random number generator.
+    random_state: u64,
     /// True if collectors send reports.
     pub reporting: bool,
     /// Replicas without attempts, which collectors do not report.
@@ -197,7 +198,7 @@
             received: BTreeMap::new(),
             sent_reports: BTreeMap::new(),
             next_connection: 0,
-            random: 0x9E37_79B9_7F4A_7C15,
+            random_state: 0x9E37_79B9_7F4A_7C15,
             reporting: true,
             idle_replicas: BTreeSet::new(),
             classes: vec!["lookup", "write"],
@@ -389,10 +390,10 @@
 
     fn random_below(&mut self, bound: u64) -> u64 {
         // Marsaglia's xorshift generator.
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random % bound
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        self.random_state % bound
     }
 
     /// Sends the reports of collectors that are due before the next tick.
--- a/crates/subsetting/examples/subset_costs.rs
+++ b/crates/subsetting/examples/subset_costs.rs
@@ -8,7 +8,9 @@
 const REPLICAS: usize = 2200;
 const ZONES: usize = 9;
 const GROUPS: usize = 69;
+/// Repetitions of each measurement of a complete computation.
 const RUNS: usize = 20;
+/// Replicas replaced, one at a time.
 const CHANGES: usize = 470;
 
 #[derive(Clone)]
--- a/crates/subsetting/src/hashing.rs
+++ b/crates/subsetting/src/hashing.rs
@@ -4,7 +4,7 @@
 
 /// Seed of [`stable_fraction`]. It makes the fractions independent of the rendezvous scores.
 const FRACTION_SEED: u64 = 0x006c_6f74;
-/// 2^53; every non-negative integer below it is exact as an `f64`.
+/// Number of distinct stable fractions: 2^53, because every non-negative integer below it is exact as an `f64`.
 const FRACTION_STEPS: f64 = 9_007_199_254_740_992.0;
 
 /// Returns the seed of a controller for [`score`].
