--- a/crates/emulator/src/channel.rs
+++ b/crates/emulator/src/channel.rs
@@ -1,4 +1,5 @@
-//! The relay's channel from one controller to its proxies: a rate-limited queue of messages whose limits are checked.
+//! The relay's channel from one controller to its proxies: a rate-limited queue of messages. The channel describes each
+//! exceeded limit on messages and queued lines.
 
 use crate::command::{CommandBatch, ProxyCommand};
 use crate::config::ScenarioConfig;
@@ -22,7 +23,7 @@
 
 /// A message in the channel that has not been delivered.
 struct QueuedMessage {
-    delivered_at: Moment,
+    deliver_at: Moment,
     message: Message,
 }
 
@@ -67,24 +68,28 @@
             let rate = config.lines_per_second * self.rate_factor;
             self.free_at = self.free_at.max(now) + Span::ms(1000).times(lines / rate);
             let message = Message { proxy, commands: commands.clone(), version, lines };
-            self.queue.push_back(QueuedMessage { delivered_at: self.free_at, message });
+            self.queue.push_back(QueuedMessage { deliver_at: self.free_at, message });
             self.queued_lines += lines;
-            let sent = self.count_message(now, proxy, config.message_window);
+            let sent = self.record_message(now, proxy, config.message_window);
             if config.max_messages_per_window > 0 && sent > config.max_messages_per_window as usize {
-                violations.push(format!("{sent} messages sent to proxy {proxy} within the window"));
+                let (limit, seconds) = (config.max_messages_per_window, config.message_window.seconds());
+                violations.push(format!(
+                    "{sent} messages sent to proxy {proxy} within {seconds:.1} s; limit {limit}"
+                ));
             }
         }
         if self.queued_lines > config.max_queued_lines {
-            violations.push(format!("{} lines queued in the channel", self.queued_lines));
+            let (queued, limit) = (self.queued_lines, config.max_queued_lines);
+            violations.push(format!("{queued} lines queued in the channel; limit {limit}"));
         }
         violations
     }
 
     /// Records a message to a proxy and returns the number of messages to it within the window.
-    fn count_message(&mut self, now: Moment, proxy: ProxyIndex, window: Span) -> usize {
+    fn record_message(&mut self, now: Moment, proxy: ProxyIndex, window: Span) -> usize {
         let sent = self.recent_messages.entry(proxy).or_default();
         sent.push_back(now);
-        while sent.front().is_some_and(|at| now - *at > window) {
+        while sent.front().is_some_and(|sent_at| now - *sent_at > window) {
             sent.pop_front();
         }
         sent.len()
@@ -92,12 +97,12 @@
 
     /// Returns the delivery time of the next message.
     pub fn next_delivery_at(&self) -> Option<Moment> {
-        self.queue.front().map(|queued| queued.delivered_at)
+        self.queue.front().map(|queued| queued.deliver_at)
     }
 
     /// Removes and returns the next message if its delivery time is not after `now`.
-    pub fn pop_delivered(&mut self, now: Moment) -> Option<Message> {
-        let QueuedMessage { message, .. } = self.queue.pop_front_if(|queued| queued.delivered_at <= now)?;
+    pub fn pop_due(&mut self, now: Moment) -> Option<Message> {
+        let QueuedMessage { message, .. } = self.queue.pop_front_if(|queued| queued.deliver_at <= now)?;
         self.queued_lines -= message.lines;
         Some(message)
     }
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -14,7 +14,7 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClassSpec {
-    /// The name.
+    /// The name in commands and reports.
     pub name: &'static str,
     /// The weight of a request relative to requests of other classes.
     pub priority_weight: f64,
@@ -152,7 +152,7 @@
         self.cores as f64 / self.service_time.seconds()
     }
 
-    /// Returns the request rate of the whole fleet per second.
+    /// Returns the total request rate of all clients in requests per second, without the demand that faults add.
     pub fn offered_rate(&self) -> f64 {
         self.capacity() * self.replicas as f64 * self.load
     }
@@ -164,13 +164,13 @@
 
     /// Returns the settings of the controller with this index, with the keys of its configuration file.
     pub fn settings(&self, controller: usize) -> serde_json::Value {
-        let class = |class: &RequestClassSpec| {
+        let class_settings = |class: &RequestClassSpec| {
             serde_json::json!({
                 "name": class.name, "value": class.priority_weight, "targetNs": class.latency_objective.as_ns()
             })
         };
         serde_json::json!({
-            "classes": self.request_classes.iter().map(class).collect::<Vec<_>>(),
+            "classes": self.request_classes.iter().map(class_settings).collect::<Vec<_>>(),
             "familyInfo": {
                 "periodNs": 1_000_000_000u64, "levelKind": "fraction", "singleWriter": false, "partitionsN": self.slices,
                 "tenureNs": 4_000_000_000u64, "writeLifeNs": 20_000_000u64, "fixedCost": self.lines_per_message,
--- a/crates/emulator/src/fault.rs
+++ b/crates/emulator/src/fault.rs
@@ -5,7 +5,7 @@
 
 /// The kind of a fault. Ranges include `from` and exclude `to`.
 #[derive(Clone, Debug, PartialEq)]
-#[expect(missing_docs, reason = "the fields say what the variant's own comment names")]
+#[expect(missing_docs, reason = "the comment of each variant explains its fields")]
 pub enum FaultKind {
     /// The process of a replica ends. A new, cold process starts when the fault ends.
     Crash { replica: ReplicaIndex },
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,9 +2,10 @@
 //!
 //! It models clients whose requests arrive at random, proxies that route by their routing tables, replicas with
 //! cores, queues and key caches, a relay with a store and a rate-limited channel, discovery and collectors. The
-//! controllers are the real reducers. [`scenario`] runs a scenario, [`fault`] defines the faults that can be injected,
-//! [`rules`] checks the behaviour of proxies and replicas, and [`real_time`] runs a scenario against controllers in
-//! separate processes.
+//! controllers are not modelled: they run the production reducer of `whinwall-routing`.
+//!
+//! [`scenario`] runs a scenario, [`fault`] defines the faults that can be injected, [`rules`] checks the behaviour of
+//! proxies and replicas, and [`real_time`] runs a scenario against controllers in separate processes.
 #![warn(clippy::unwrap_used)]
 
 pub mod channel;
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,4 +1,4 @@
-//! Routing policies: the routing tables of the real controllers, and simple policies for comparison.
+//! Routing policies: the routing tables of the production controllers, and simple policies for comparison.
 
 use crate::replica::{Replica, ReplicaState};
 use crate::ReplicaIndex;
@@ -7,7 +7,7 @@
 /// A routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Routing tables that the real controllers maintain.
+    /// Routing tables that the production controllers maintain.
     Controlled,
     /// The initial routing tables, which never change.
     StaticTables,
@@ -15,8 +15,8 @@
     Hashing,
     /// Of two listed replicas drawn at random, the one with fewer outstanding requests of the proxy.
     TwoChoices,
-    /// The replica with the least outstanding work. Proxies can't know this in practice, so this is an upper bound
-    /// except for the effect of key caches.
+    /// The healthy listed replica with the least outstanding work. This value is not available to proxies in
+    /// production, so the policy is an upper bound for the others, except that it makes no use of key caches.
     LeastLoaded,
 }
 
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -14,7 +14,7 @@
 
 /// Number of consecutive failures after which a proxy avoids a replica.
 const FAILURES_BEFORE_AVOIDANCE: u32 = 5;
-/// The time after its last failure for which a proxy avoids a replica.
+/// The time for which a proxy avoids a replica after the last of these failures.
 const AVOIDANCE_PERIOD: Span = Span::ms(3000);
 /// Maximum number of retries of a rejected attempt if no command sets another limit.
 const DEFAULT_RETRIES: u8 = 1;
@@ -56,7 +56,7 @@
     /// Shared until changed (copy on write), because thousands of proxies hold the same tables.
     tables: BTreeMap<SliceIndex, Arc<RoutingTable>>,
     /// Withdrawn replicas. A withdrawal applies to the slices of the controller that issued it.
-    withdrawn: BTreeSet<(ControllerIndex, ReplicaIndex)>,
+    withdrawn_replicas: BTreeSet<(ControllerIndex, ReplicaIndex)>,
     /// By slice and request class; the slice is `None` for the rate of all slices.
     admission_rates: BTreeMap<(Option<SliceIndex>, RequestClassIndex), f64>,
     retries: BTreeMap<Option<SliceIndex>, u8>,
@@ -64,7 +64,7 @@
 }
 
 impl Proxy {
-    /// Replaces all tables with those of the relay's store, as on connecting.
+    /// Replaces all tables with those of the relay's store. This happens each time a stream is opened.
     pub fn load_tables(&mut self, tables: &BTreeMap<SliceIndex, Arc<RoutingTable>>) {
         self.tables = tables.clone();
     }
@@ -80,8 +80,10 @@
             ProxyCommand::SetEndpoint { slice, replica, weight } => {
                 set_endpoint(self.tables.entry(*slice).or_default(), *replica, *weight);
             }
-            ProxyCommand::Withdraw { replica } => _ = self.withdrawn.insert((controller, *replica)),
-            ProxyCommand::Reinstate { replica } => _ = self.withdrawn.remove(&(controller, *replica)),
+            ProxyCommand::Withdraw { replica } => _ = self.withdrawn_replicas.insert((controller, *replica)),
+            ProxyCommand::Reinstate { replica } => {
+                _ = self.withdrawn_replicas.remove(&(controller, *replica));
+            }
             ProxyCommand::SetAdmissionRate { slice, request_classes, admission_rate, retries } => {
                 for class in request_classes {
                     self.admission_rates.insert((*slice, *class), *admission_rate);
@@ -95,7 +97,7 @@
     pub fn endpoints(&self, target: ControlledSlice) -> impl Iterator<Item = (ReplicaIndex, f64)> + '_ {
         let endpoints = self.tables.get(&target.slice).into_iter().flat_map(|table| table.iter());
         endpoints
-            .filter(move |(replica, _)| !self.withdrawn.contains(&(target.controller, **replica)))
+            .filter(move |(replica, _)| !self.withdrawn_replicas.contains(&(target.controller, **replica)))
             .map(|(replica, weight)| (*replica, *weight))
     }
 
@@ -116,7 +118,7 @@
         configured.into_iter().flatten().min().copied().unwrap_or(DEFAULT_RETRIES)
     }
 
-    /// Draws an endpoint by weight. Never returns `tried`, and returns an avoided endpoint only if there is no other.
+    /// Draws an endpoint by weight. Never returns `tried`, and returns an avoided endpoint only if all are avoided.
     pub fn pick(
         &self,
         now: Moment,
@@ -126,16 +128,16 @@
     ) -> Option<ReplicaIndex> {
         let endpoints: Vec<_> =
             self.endpoints(target).filter(|(replica, _)| Some(*replica) != tried).collect();
-        let healthy: Vec<_> =
+        let not_avoided: Vec<_> =
             endpoints.iter().copied().filter(|(replica, _)| !self.is_avoided(*replica, now)).collect();
-        let candidates = if healthy.is_empty() { endpoints } else { healthy };
+        let candidates = if not_avoided.is_empty() { endpoints } else { not_avoided };
         let total_weight: f64 = candidates.iter().map(|(_, weight)| weight).sum();
         let mut remaining = random.draw() * total_weight;
-        let hit = candidates.iter().find(|(_, weight)| {
+        let drawn = candidates.iter().find(|(_, weight)| {
             remaining -= weight;
             remaining < 0.0
         });
-        hit.or(candidates.last()).map(|(replica, _)| *replica)
+        drawn.or(candidates.last()).map(|(replica, _)| *replica)
     }
 
     fn is_avoided(&self, replica: ReplicaIndex, now: Moment) -> bool {
--- a/crates/emulator/src/random_faults.rs
+++ b/crates/emulator/src/random_faults.rs
@@ -10,7 +10,7 @@
 /// The minimum duration of a fault.
 const MIN_DURATION_MS: usize = 1000;
 
-/// Draws `count` faults that start between a quarter and seven twelfths of the scenario.
+/// Draws `count` faults that start after a quarter to seven twelfths of the scenario's duration.
 pub fn random_faults(seed: u64, count: usize, config: &ScenarioConfig) -> Vec<Fault> {
     let mut generator = FaultGenerator { random: Random::from_seed(seed), config };
     (0..count).map(|_| generator.draw_fault()).collect()
--- a/crates/emulator/src/real_time/connection.rs
+++ b/crates/emulator/src/real_time/connection.rs
@@ -49,11 +49,11 @@
     }
 
     fn send_list(&mut self, line: &str) {
-        write_or_drop(&self.services.registry_watch, |stream| write_chunk(stream, &format!("{line}\n")));
+        write_or_drop(&self.services.discovery_watch, |stream| write_chunk(stream, &format!("{line}\n")));
     }
 
-    fn close_registry_watch(&mut self) {
-        close(&self.services.registry_watch);
+    fn close_discovery_watch(&mut self) {
+        close(&self.services.discovery_watch);
     }
 
     fn send_report(&mut self, zone: usize, line: &str) {
--- a/crates/emulator/src/real_time/mod.rs
+++ b/crates/emulator/src/real_time/mod.rs
@@ -77,19 +77,20 @@
 
 /// Processes scheduled events and input from the controllers until the scenario ends.
 fn process_events(scenario: &mut Scenario, inputs: &Receiver<ReceivedInput>, duration: Span) {
-    let epoch = scenario.start_now() - duration;
-    let started = Instant::now();
+    let scenario_start = scenario.start_now() - duration;
+    let started_at = Instant::now();
     let mut wait = Duration::ZERO;
-    while started.elapsed().as_nanos() < u128::from(duration.as_ns()) {
+    while started_at.elapsed().as_nanos() < u128::from(duration.as_ns()) {
         let input = inputs.recv_timeout(wait);
-        let now = || epoch + Span::ns(started.elapsed().as_nanos() as u64);
+        let now = || scenario_start + Span::ns(started_at.elapsed().as_nanos() as u64);
         scenario.run_until(now());
         match input {
             Ok(ReceivedInput { controller, input }) => scenario.receive(controller, &input),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => break,
         }
-        let next = scenario.run_until(now());
-        wait = next.map_or(MAX_WAIT, |at| Duration::from_nanos((at - now()).as_ns()).min(MAX_WAIT));
+        let next_event_at = scenario.run_until(now());
+        wait =
+            next_event_at.map_or(MAX_WAIT, |due| Duration::from_nanos((due - now()).as_ns()).min(MAX_WAIT));
     }
 }
--- a/crates/emulator/src/real_time/services.rs
+++ b/crates/emulator/src/real_time/services.rs
@@ -34,7 +34,7 @@
     /// The addresses on which the services listen.
     pub addresses: FakeServiceAddresses,
     pub(super) relay_watch: SharedStream,
-    pub(super) registry_watch: SharedStream,
+    pub(super) discovery_watch: SharedStream,
     pub(super) relay_requests: SharedStream,
 }
 
@@ -44,7 +44,7 @@
     controller: ControllerIndex,
     inputs: Sender<ReceivedInput>,
     relay_watch: SharedStream,
-    registry_watch: SharedStream,
+    discovery_watch: SharedStream,
     relay_requests: SharedStream,
 }
 
@@ -64,13 +64,13 @@
             controller,
             inputs: inputs.clone(),
             relay_watch: SharedStream::default(),
-            registry_watch: SharedStream::default(),
+            discovery_watch: SharedStream::default(),
             relay_requests: SharedStream::default(),
         };
         accept_connections(relay, context.clone(), serve_relay);
         accept_connections(discovery, context.clone(), serve_discovery);
-        let ConnectionContext { relay_watch, registry_watch, relay_requests, .. } = context;
-        Ok(FakeServices { addresses, relay_watch, registry_watch, relay_requests })
+        let ConnectionContext { relay_watch, discovery_watch, relay_requests, .. } = context;
+        Ok(FakeServices { addresses, relay_watch, discovery_watch, relay_requests })
     }
 }
 
@@ -114,9 +114,9 @@
     if head.count() == 0 || stream.write_all(RESPONSE_HEAD).is_err() {
         return;
     }
-    let shared = &context.registry_watch;
+    let shared = &context.discovery_watch;
     shared.lock().into_iter().for_each(|mut open| *open = stream.try_clone().ok());
-    if context.send(ControllerInput::WatchRegistry) {
+    if context.send(ControllerInput::WatchDiscovery) {
         send_keepalives(&stream, shared);
     }
 }
--- a/crates/emulator/src/replica.rs
+++ b/crates/emulator/src/replica.rs
@@ -25,7 +25,7 @@
     /// The key that the request reads or writes.
     pub key: u32,
     /// The sending proxy.
-    pub from: ProxyIndex,
+    pub proxy: ProxyIndex,
 }
 
 /// A job that a core has started.
@@ -77,10 +77,10 @@
     pub slowdown: f64,
     /// The share of jobs, from 0 to 1, that fail immediately.
     pub error_share: f64,
-    running: usize,
+    running_jobs: usize,
     queue: VecDeque<Job>,
     /// By key, the time of its last use.
-    keys: BTreeMap<u32, Moment>,
+    key_last_used: BTreeMap<u32, Moment>,
     /// By proxy with a connection, the time at which the connection was last used.
     connections: BTreeMap<ProxyIndex, Moment>,
     arrivals: WindowedCounter,
@@ -94,9 +94,9 @@
             incarnation: 0,
             slowdown: 1.0,
             error_share: 0.0,
-            running: 0,
+            running_jobs: 0,
             queue: VecDeque::new(),
-            keys: BTreeMap::new(),
+            key_last_used: BTreeMap::new(),
             connections: BTreeMap::new(),
             arrivals: WindowedCounter::new(ARRIVAL_SLOT, ARRIVAL_SLOTS),
         }
@@ -113,7 +113,7 @@
     /// Ends the process and drops its jobs.
     pub fn crash(&mut self) {
         self.state = ReplicaState::Down;
-        self.running = 0;
+        self.running_jobs = 0;
         self.incarnation += 1;
         self.queue.clear();
         self.connections.clear();
@@ -144,7 +144,7 @@
         config: &ScenarioConfig,
         random: &mut Random,
     ) -> Admission {
-        if self.state == ReplicaState::Down || !self.acquire_connection(now, job.from, config) {
+        if self.state == ReplicaState::Down || !self.acquire_connection(now, job.proxy, config) {
             return Admission::Rejected;
         }
         self.arrivals.add(now, 1.0);
@@ -158,26 +158,26 @@
         if self.queue.len() >= config.queue_capacity {
             return Admission::Rejected;
         }
-        if self.state == ReplicaState::Hung || self.running >= config.cores {
+        if self.state == ReplicaState::Hung || self.running_jobs >= config.cores {
             self.queue.push_back(job);
             return Admission::Queued;
         }
-        self.running += 1;
+        self.running_jobs += 1;
         Admission::Running(self.draw_service_time(now, job.key, config, random))
     }
 
     /// Reuses the proxy's connection or opens one, closing idle connections if the limit is reached. Returns false if
     /// no connection is available.
-    fn acquire_connection(&mut self, now: Moment, from: ProxyIndex, config: &ScenarioConfig) -> bool {
+    fn acquire_connection(&mut self, now: Moment, proxy: ProxyIndex, config: &ScenarioConfig) -> bool {
         let is_full =
-            self.connections.len() >= config.max_connections && !self.connections.contains_key(&from);
+            self.connections.len() >= config.max_connections && !self.connections.contains_key(&proxy);
         if is_full {
             self.connections.retain(|_, used_at| now - *used_at < config.idle_connection_timeout);
             if self.connections.len() >= config.max_connections {
                 return false;
             }
         }
-        self.connections.insert(from, now);
+        self.connections.insert(proxy, now);
         true
     }
 
@@ -189,7 +189,7 @@
         random: &mut Random,
     ) -> Span {
         let is_cached =
-            self.keys.insert(key, now).is_some_and(|used_at| now - used_at < config.key_cache_ttl);
+            self.key_last_used.insert(key, now).is_some_and(|used_at| now - used_at < config.key_cache_ttl);
         let cache_factor = if is_cached { 1.0 } else { config.uncached_factor };
         let spread = 0.5 + random.draw();
         config.service_time.times(cache_factor * spread * self.slowdown / self.warmth(now, config))
@@ -197,7 +197,7 @@
 
     /// Returns the number of running and queued jobs multiplied by the slowdown.
     pub fn outstanding_work(&self) -> usize {
-        ((self.running + self.queue.len()) as f64 * self.slowdown) as usize
+        ((self.running_jobs + self.queue.len()) as f64 * self.slowdown) as usize
     }
 
     /// Finishes a job and starts the next queued job, if any.
@@ -207,21 +207,21 @@
         config: &ScenarioConfig,
         random: &mut Random,
     ) -> Option<StartedJob> {
-        self.running = self.running.saturating_sub(1);
+        self.running_jobs = self.running_jobs.saturating_sub(1);
         if matches!(self.state, ReplicaState::Hung | ReplicaState::Down) {
             return None;
         }
         let job = self.queue.pop_front()?;
-        self.running += 1;
+        self.running_jobs += 1;
         Some(StartedJob { job, service_time: self.draw_service_time(now, job.key, config, random) })
     }
 
     /// Resumes after a hang and starts a queued job on each free core.
     pub fn resume(&mut self, now: Moment, config: &ScenarioConfig, random: &mut Random) -> Vec<StartedJob> {
         self.state = ReplicaState::Up;
-        let free_cores = config.cores.saturating_sub(self.running);
+        let free_cores = config.cores.saturating_sub(self.running_jobs);
         let jobs: Vec<_> = (0..free_cores).filter_map(|_| self.queue.pop_front()).collect();
-        self.running += jobs.len();
+        self.running_jobs += jobs.len();
         let start =
             |job: Job| StartedJob { job, service_time: self.draw_service_time(now, job.key, config, random) };
         jobs.into_iter().map(start).collect()
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -29,7 +29,7 @@
     /// The number of the rule, from 1 to 5.
     pub rule: u8,
     /// The time of the detection.
-    pub at: Moment,
+    pub detected_at: Moment,
     /// The description of the violation.
     pub description: String,
     /// The latest commands that name the slice or replica concerned.
@@ -69,16 +69,16 @@
     }
 
     /// Records a violation with the latest commands that name `subject`, a slice or replica.
-    pub fn record_violation(&mut self, rule: u8, at: Moment, description: String, subject: &str) {
+    pub fn record_violation(&mut self, rule: u8, detected_at: Moment, description: String, subject: &str) {
         *self.counts.entry(rule).or_default() += 1;
         if self.counts[&rule] > MAX_VIOLATIONS_PER_RULE {
             return;
         }
         let latest_first = self.commands.iter().rev();
-        let naming = latest_first.filter(|command| command.split(',').any(|part| part == subject));
-        let mut commands: Vec<_> = naming.take(MAX_COMMANDS_PER_VIOLATION).cloned().collect();
+        let matching = latest_first.filter(|command| command.split(',').any(|part| part == subject));
+        let mut commands: Vec<_> = matching.take(MAX_COMMANDS_PER_VIOLATION).cloned().collect();
         commands.reverse();
-        self.violations.push(Violation { rule, at, description, commands });
+        self.violations.push(Violation { rule, detected_at, description, commands });
     }
 
     /// Rule 2: records an execution of a request that may run at most once.
@@ -86,7 +86,7 @@
         let executions = self.executions.entry(request).or_default();
         *executions += 1;
         if *executions == 2 {
-            self.record_violation(AT_MOST_ONCE, now, format!("request {request} ran twice"), "");
+            self.record_violation(AT_MOST_ONCE, now, format!("request {request} ran twice; limit 1"), "");
         }
     }
 
@@ -102,9 +102,11 @@
         if now - since > grace {
             self.empty_since.insert(table, now);
             let TableId { proxy, slice } = table;
-            let seconds = (now - since).seconds();
-            let description =
-                format!("proxy {proxy} has had no endpoint for slice {slice} for {seconds:.1} s");
+            let (empty_seconds, grace_seconds) = ((now - since).seconds(), grace.seconds());
+            let description = format!(
+                "proxy {proxy} has had no endpoint for slice {slice} for {empty_seconds:.1} s; grace period \
+                {grace_seconds:.1} s"
+            );
             self.record_violation(NO_EMPTY_TABLE, now, description, &slice.to_string());
         }
     }
--- a/crates/emulator/src/scenario/arrivals.rs
+++ b/crates/emulator/src/scenario/arrivals.rs
@@ -8,11 +8,11 @@
 /// Returns the position at which the running sum of the weights exceeds `remaining`, or the first position if none
 /// does.
 fn weighted_position(mut remaining: f64, mut weights: impl Iterator<Item = f64>) -> usize {
-    let hit = weights.position(|weight| {
+    let position = weights.position(|weight| {
         remaining -= weight;
         remaining < 0.0
     });
-    hit.unwrap_or(0)
+    position.unwrap_or(0)
 }
 
 fn draw_below(random: &mut Random, limit: f64) -> f64 {
@@ -23,8 +23,8 @@
     /// Sends the first attempt of a new request, and schedules the next arrival of the Poisson process.
     pub(super) fn handle_arrival(&mut self) {
         let rate = self.config.offered_rate() * self.demand_factor;
-        let pause_seconds = -(1.0 - self.random.draw()).ln() / rate;
-        self.schedule_after(Span::ms(1000).times(pause_seconds), ScheduledEvent::RequestArrives);
+        let interval_seconds = -(1.0 - self.random.draw()).ln() / rate;
+        self.schedule_after(Span::ms(1000).times(interval_seconds), ScheduledEvent::RequestArrives);
         let request = self.draw_request();
         let priority_weight = self.config.request_classes[request.class].priority_weight;
         let id = self.next_request;
--- a/crates/emulator/src/scenario/attempts.rs
+++ b/crates/emulator/src/scenario/attempts.rs
@@ -21,7 +21,7 @@
         request.attempt += 1;
         request.replica = None;
         let (slice, class, proxy) = (request.slice, request.class, request.proxy);
-        let job = Job { request: id, attempt: request.attempt, key: request.key, from: proxy };
+        let job = Job { request: id, attempt: request.attempt, key: request.key, proxy };
         if tried.is_none() {
             self.demand_counts.entry((slice, class)).or_default().requests += 1.0;
         }
@@ -35,7 +35,7 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.replica = Some(replica);
         }
-        *self.outstanding.entry((proxy, replica)).or_default() += 1;
+        *self.outstanding_attempts.entry((proxy, replica)).or_default() += 1;
         let is_same_zone = proxy % self.config.zones == replica % self.config.zones;
         let delay = if is_same_zone { NETWORK_DELAY } else { CROSS_ZONE_DELAY };
         self.schedule_after(delay, ScheduledEvent::JobReachesReplica { replica, job });
@@ -53,14 +53,15 @@
             let target = self.controlled_slice(slice);
             return self.proxies[proxy].pick(self.now, target, tried, &mut self.random);
         }
-        let is_listed: Vec<_> = self.listed.iter().map(|state| *state == ListedState::Active).collect();
-        let outstanding = |replica| self.outstanding.get(&(proxy, replica)).copied().unwrap_or(0);
+        let is_listed: Vec<_> =
+            self.listed_states.iter().map(|state| *state == ListedState::Active).collect();
+        let outstanding = |replica| self.outstanding_attempts.get(&(proxy, replica)).copied().unwrap_or(0);
         policy::pick(self.policy, slice, &is_listed, &self.replicas, &outstanding, &mut self.random)
     }
 
     /// Handles the arrival of an attempt at its replica.
-    pub(super) fn handle_job(&mut self, replica: ReplicaIndex, job: Job) {
-        self.check_drain(replica, job.request);
+    pub(super) fn handle_job_arrival(&mut self, replica: ReplicaIndex, job: Job) {
+        self.check_drain_rule(replica, job.request);
         let was_cold = self.replicas[replica].is_cold(self.now, &self.config);
         let load_factor = self.replicas[replica].load_factor(self.now, &self.config);
         match self.replicas[replica].admit(self.now, job, &self.config, &mut self.random) {
@@ -89,7 +90,10 @@
     fn record_cold_overload(&mut self, replica: ReplicaIndex, load_factor: f64) {
         if self.policy == Policy::Controlled && self.now > self.exempt_until {
             let name = replica_name(replica);
-            let description = format!("cold replica {name} crashes at {load_factor:.1} times its capacity");
+            let limit = self.config.cold_overload_factor;
+            let description = format!(
+                "cold replica {name} crashed at {load_factor:.1} times its capacity; limit {limit:.1} times"
+            );
             self.rules.record_violation(NO_COLD_OVERLOAD, self.now, description, &name);
         }
     }
--- a/crates/emulator/src/scenario/connection.rs
+++ b/crates/emulator/src/scenario/connection.rs
@@ -13,7 +13,7 @@
     /// Sends a snapshot of the endpoint list.
     fn send_list(&mut self, line: &str);
     /// Closes discovery's stream.
-    fn close_registry_watch(&mut self);
+    fn close_discovery_watch(&mut self);
     /// Sends a line as the collector of a zone.
     fn send_report(&mut self, zone: usize, line: &str);
     /// Answers the outstanding relay request; `None` closes the connection without an answer.
@@ -26,7 +26,7 @@
     /// A request for the relay's watch stream.
     WatchRelay,
     /// A request for the endpoint list of discovery.
-    WatchRegistry,
+    WatchDiscovery,
     /// A relay request, as its line.
     RelayRequest(String),
 }
@@ -43,7 +43,7 @@
         }
         Event::RelayResponse(Err(_)) => connection.respond(None),
         Event::RelayWatchLost(_) => connection.close_relay_watch(),
-        Event::EndpointListWatchLost(_) => connection.close_registry_watch(),
+        Event::EndpointListWatchLost(_) => connection.close_discovery_watch(),
         _ => {}
     }
 }
--- a/crates/emulator/src/scenario/controllers.rs
+++ b/crates/emulator/src/scenario/controllers.rs
@@ -23,15 +23,15 @@
 
 impl Scenario {
     /// Starts a new incarnation of a controller.
-    pub(super) fn start_controller(&mut self, at: ControllerIndex) {
-        let settings = self.config.settings(at);
+    pub(super) fn start_controller(&mut self, controller_index: ControllerIndex) {
+        let settings = self.config.settings(controller_index);
         let settings =
             whinwall_settings::parse_settings(&settings).expect("the emulator's own settings are valid");
-        let local = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
-        let targets = Targets { discovery: local(DISCOVERY_PORT), relay: local(RELAY_PORT) };
+        let loopback = |port| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
+        let targets = Targets { discovery: loopback(DISCOVERY_PORT), relay: loopback(RELAY_PORT) };
         let seed = (self.random.draw() * SEED_RANGE) as u64;
         let reducer = Reducer::new(settings, targets, seed, &discovery::List::default(), self.now);
-        let controller = &mut self.controllers[at];
+        let controller = &mut self.controllers[controller_index];
         controller.incarnation += 1;
         controller.reducer = Some(reducer);
         controller.is_watching = false;
@@ -39,25 +39,28 @@
         controller.started_at = self.now;
         controller.draining_since = BTreeMap::new();
         controller.channel.clear();
-        self.deliver_start_events(at);
+        self.deliver_start_events(controller_index);
     }
 
-    fn deliver_start_events(&mut self, at: ControllerIndex) {
-        self.deliver_event(at, Event::Started);
-        self.deliver_event(at, Event::SubsettingConfigured(subsets::fleet(&self.config, at)));
+    fn deliver_start_events(&mut self, controller_index: ControllerIndex) {
+        self.deliver_event(controller_index, Event::Started);
+        self.deliver_event(
+            controller_index,
+            Event::SubsettingConfigured(subsets::fleet(&self.config, controller_index)),
+        );
         let overrides =
             OverrideConfig { limits: OverrideLimits::default(), configured: Vec::new(), has_store: false };
         let reading = ClockReading { boot_id: String::new(), uptime: Span::default(), wall_time: self.now };
-        self.deliver_event(at, Event::OperatorConfigChanged(overrides, reading));
+        self.deliver_event(controller_index, Event::OperatorConfigChanged(overrides, reading));
         for zone in 0..self.config.zones {
             let message = Message::Source { zone: self.config.zone(zone) };
-            self.deliver_event(at, Event::Message { from: zone as u64, message });
+            self.deliver_event(controller_index, Event::Message { from: zone as u64, message });
         }
     }
 
     /// Kills a controller.
-    pub(super) fn kill_controller(&mut self, at: ControllerIndex) {
-        let controller = &mut self.controllers[at];
+    pub(super) fn kill_controller(&mut self, controller_index: ControllerIndex) {
+        let controller = &mut self.controllers[controller_index];
         controller.reducer = None;
         controller.is_watching = false;
         controller.incarnation += 1;
@@ -67,64 +70,64 @@
     /// Returns those of the first `count` controllers that run within this process, which the scenario can kill and
     /// start.
     pub(super) fn restartable_controllers(&self, count: usize) -> Vec<ControllerIndex> {
-        (0..count).filter(|at| self.controllers[*at].connection.is_none()).collect()
+        (0..count).filter(|index| self.controllers[*index].connection.is_none()).collect()
     }
 
     /// Delivers an event immediately, and schedules `InputDrained` after all other events of the same time.
-    pub(super) fn deliver_event(&mut self, at: ControllerIndex, event: Event) {
-        if self.controllers[at].connection.is_some() {
-            return self.write_to_connection(at, &event);
+    pub(super) fn deliver_event(&mut self, controller_index: ControllerIndex, event: Event) {
+        if self.controllers[controller_index].connection.is_some() {
+            return self.write_to_connection(controller_index, &event);
         }
-        let drains_input = matches!(event, Event::InputDrained);
-        let Some(reducer) = &mut self.controllers[at].reducer else { return };
+        let is_input_drained = matches!(event, Event::InputDrained);
+        let Some(reducer) = &mut self.controllers[controller_index].reducer else { return };
         let effects = reducer.apply(self.now, event);
         for effect in effects {
-            self.perform_effect(at, effect);
+            self.perform_effect(controller_index, effect);
         }
-        if !drains_input {
-            self.schedule_input_drain(at, self.now);
+        if !is_input_drained {
+            self.schedule_input_drain(controller_index, self.now);
         }
     }
 
-    fn write_to_connection(&mut self, at: ControllerIndex, event: &Event) {
-        if let Some(connection) = &mut self.controllers[at].connection {
+    fn write_to_connection(&mut self, controller_index: ControllerIndex, event: &Event) {
+        if let Some(connection) = &mut self.controllers[controller_index].connection {
             write_event(connection.as_mut(), event);
         }
         if matches!(event, Event::EndpointListReceived(_)) {
-            self.send_list_text(at);
+            self.send_list_text(controller_index);
         }
     }
 
-    fn perform_effect(&mut self, at: ControllerIndex, effect: Effect) {
+    fn perform_effect(&mut self, controller_index: ControllerIndex, effect: Effect) {
         match effect {
             Effect::RelayRequest { line, .. } => {
-                self.deliver_after(NETWORK_DELAY, at, Delivery::RelayRequest(line));
+                self.deliver_after(NETWORK_DELAY, controller_index, Delivery::RelayRequest(line));
             }
-            Effect::WatchRelay { .. } => self.start_relay_watch(at),
+            Effect::WatchRelay { .. } => self.start_relay_watch(controller_index),
             Effect::WatchRegistry { .. } => {
                 let delivery = if self.is_discovery_unreachable {
                     Delivery::Event(Box::new(Event::EndpointListWatchLost(StreamError::TimedOut)))
                 } else {
-                    Delivery::List(Box::new(self.registry_snapshot()))
+                    Delivery::List(Box::new(self.list_snapshot()))
                 };
-                self.deliver_after(NETWORK_DELAY, at, delivery);
+                self.deliver_after(NETWORK_DELAY, controller_index, delivery);
             }
-            Effect::WakeAt(due) => self.schedule_input_drain(at, due),
+            Effect::WakeAt(due) => self.schedule_input_drain(controller_index, due),
             Effect::Log(event) => {
                 let is_ejection = matches!(event, LogEvent::ReplicaEjected { .. });
                 self.outcome.ejections += u64::from(is_ejection);
                 let text = event.to_string();
-                self.record_in_timeline(&text, || format!("controller {at}: {text}"));
+                self.record_in_timeline(&text, || format!("controller {controller_index}: {text}"));
             }
             _ => {}
         }
     }
 
-    fn schedule_input_drain(&mut self, at: ControllerIndex, due: Moment) {
-        let controller = &mut self.controllers[at];
-        if controller.drain_input_at.is_none_or(|known| due < known) {
+    fn schedule_input_drain(&mut self, controller_index: ControllerIndex, due: Moment) {
+        let controller = &mut self.controllers[controller_index];
+        if controller.drain_input_at.is_none_or(|scheduled| due < scheduled) {
             controller.drain_input_at = Some(due);
-            self.deliver_after(due - self.now, at, Delivery::InputDrained);
+            self.deliver_after(due - self.now, controller_index, Delivery::InputDrained);
         }
     }
 }
--- a/crates/emulator/src/scenario/discovery.rs
+++ b/crates/emulator/src/scenario/discovery.rs
@@ -10,7 +10,7 @@
 use whinwall_routing::Event;
 
 impl Scenario {
-    pub(super) fn registry_snapshot(&self) -> discovery::List {
+    pub(super) fn list_snapshot(&self) -> discovery::List {
         let list = discovery::decode(&self.list_text()).ok().flatten();
         list.expect("the emulator's own list is readable and complete")
     }
@@ -20,9 +20,9 @@
             let started_at = self.replicas[replica].started_at;
             let started_ms = started_at.map_or(0, |at| (at - Moment::default()).as_ns() / 1_000_000);
             serde_json::json!({"id": replica_name(replica), "zone": self.config.zone(replica),
-                "state": self.listed[replica].wire_name(), "started_ms": started_ms})
+                "state": self.listed_states[replica].wire_name(), "started_ms": started_ms})
         };
-        let is_listed = |replica: &ReplicaIndex| self.listed[*replica] != ListedState::Removed;
+        let is_listed = |replica: &ReplicaIndex| self.listed_states[*replica] != ListedState::Removed;
         let entries: Vec<_> = (0..self.replicas.len()).filter(is_listed).map(entry).collect();
         serde_json::json!({"version": self.list_version, "full": true, "servers": entries}).to_string()
     }
@@ -48,7 +48,7 @@
         replicas: impl IntoIterator<Item = ReplicaIndex>,
         state: ListedState,
     ) {
-        replicas.into_iter().for_each(|replica| self.listed[replica] = state);
+        replicas.into_iter().for_each(|replica| self.listed_states[replica] = state);
         self.list_version += 1;
         self.publish_list();
     }
@@ -58,7 +58,7 @@
         if self.is_discovery_unreachable {
             return;
         }
-        let list = self.registry_snapshot();
+        let list = self.list_snapshot();
         let previous = self.previous_list.replace(list.clone()).unwrap_or_else(|| list.clone());
         let lists = match self.list_anomaly {
             None | Some(ListAnomaly::Delayed(_)) => vec![list],
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Returns the list without every entry for which the sum of the list's version and the entry's position from 1 is
-    /// a multiple of `interval`.
+    /// Returns the list without every `interval`-th entry. The list's version shifts the positions of the omitted
+    /// entries, so that successive lists omit different ones.
     fn partial_list(&self, list: &discovery::List, interval: usize) -> discovery::List {
         let mut partial = list.clone();
         let mut position = self.list_version as usize;
@@ -93,7 +93,7 @@
         partial
     }
 
-    /// Delivers a list and records when the controller first learned of each drain, which may be after its start.
+    /// Delivers a list, and records the time at which each drain was first delivered to the controller.
     pub(super) fn deliver_list(&mut self, controller: ControllerIndex, list: discovery::List) {
         let draining = list.entries.iter().filter(|entry| entry.state == discovery::State::Draining);
         let draining: BTreeSet<_> =
--- a/crates/emulator/src/scenario/end_faults.rs
+++ b/crates/emulator/src/scenario/end_faults.rs
@@ -14,8 +14,8 @@
 
 impl Scenario {
     /// Ends the fault with this index.
-    pub(super) fn end_fault(&mut self, position: usize) {
-        let kind = self.faults[position].kind.clone();
+    pub(super) fn end_fault(&mut self, fault_index: usize) {
+        let kind = self.faults[fault_index].kind.clone();
         let subject = self.timeline_subject.clone().unwrap_or_default();
         self.record_in_timeline(&subject, || format!("fault ends: {kind:?}"));
         match kind {
--- a/crates/emulator/src/scenario/event.rs
+++ b/crates/emulator/src/scenario/event.rs
@@ -74,7 +74,8 @@
     FaultStarts(usize),
     /// The fault with this index ends.
     FaultEnds(usize),
-    /// A stage of the release of `replica`. The release continues with the next replicas and excludes `to`.
+    /// The release of `replica` reaches a stage. The following replicas are released afterwards, up to `to`, which is
+    /// excluded.
     ReleaseReplica {
         replica: ReplicaIndex,
         to: ReplicaIndex,
--- a/crates/emulator/src/scenario/real_time.rs
+++ b/crates/emulator/src/scenario/real_time.rs
@@ -37,10 +37,10 @@
     pub fn receive(&mut self, controller: ControllerIndex, input: &ControllerInput) {
         match input {
             ControllerInput::WatchRelay => self.start_relay_watch(controller),
-            ControllerInput::WatchRegistry if self.is_discovery_unreachable => {
+            ControllerInput::WatchDiscovery if self.is_discovery_unreachable => {
                 self.deliver_event(controller, Event::EndpointListWatchLost(StreamError::TimedOut));
             }
-            ControllerInput::WatchRegistry => self.send_list_text(controller),
+            ControllerInput::WatchDiscovery => self.send_list_text(controller),
             ControllerInput::RelayRequest(line) => self.handle_relay_request(controller, line),
         }
     }
--- a/crates/emulator/src/scenario/relay.rs
+++ b/crates/emulator/src/scenario/relay.rs
@@ -102,7 +102,7 @@
 
     /// Applies the delivered messages at their proxies, which acknowledge the versions.
     pub(super) fn deliver_channel_messages(&mut self, controller: ControllerIndex) {
-        while let Some(message) = self.controllers[controller].channel.pop_delivered(self.now) {
+        while let Some(message) = self.controllers[controller].channel.pop_due(self.now) {
             let proxy = &mut self.proxies[message.proxy];
             if !proxy.has_stream(controller) {
                 continue;
--- a/crates/emulator/src/scenario/responses.rs
+++ b/crates/emulator/src/scenario/responses.rs
@@ -53,7 +53,7 @@
             }
         };
         self.proxies[proxy].record_result(self.now, replica, result);
-        let outstanding = self.outstanding.entry((proxy, replica)).or_default();
+        let outstanding = self.outstanding_attempts.entry((proxy, replica)).or_default();
         *outstanding = outstanding.saturating_sub(1);
     }
 
@@ -90,14 +90,14 @@
             self.demand_counts.entry((request.slice, request.class)).or_default().failed += 1.0;
         }
         let retry_safety = self.config.request_classes[request.class].retry_safety;
-        let is_safe = outcome == RequestOutcome::Rejected || retry_safety == RetrySafety::Idempotent;
-        if is_safe && request.client_retries < MAX_CLIENT_RETRIES {
+        let is_safe_to_retry = outcome == RequestOutcome::Rejected || retry_safety == RetrySafety::Idempotent;
+        if is_safe_to_retry && request.client_retries < MAX_CLIENT_RETRIES {
             request.client_retries += 1;
             request.proxy_retries = 0;
             request.attempt += 1;
             request.replica = None;
-            let pause = CLIENT_RETRY_BACKOFF.times(0.5 + self.random.draw());
-            return self.schedule_after(pause, ScheduledEvent::ClientRetries { request: id });
+            let backoff = CLIENT_RETRY_BACKOFF.times(0.5 + self.random.draw());
+            return self.schedule_after(backoff, ScheduledEvent::ClientRetries { request: id });
         }
         let arrived_at = request.arrived_at;
         self.requests.remove(&id);
--- a/crates/emulator/src/scenario/rule_checks.rs
+++ b/crates/emulator/src/scenario/rule_checks.rs
@@ -11,8 +11,8 @@
 
 /// The time after the start of a controller in which rule 3 is not enforced for it.
 const CONTROLLER_STARTUP_GRACE: Span = Span::ms(1000);
-/// Replicas with a smaller slowdown count as healthy.
-const HEALTHY_SLOWDOWN: f64 = 2.0;
+/// The minimum slowdown with which a replica does not count as healthy.
+const UNHEALTHY_SLOWDOWN: f64 = 2.0;
 
 impl Scenario {
     /// Rule 1: checks all connected proxies for slices without an endpoint.
@@ -41,33 +41,35 @@
             replica.state == ReplicaState::Up
                 && !replica.is_cold(self.now, &self.config)
                 && replica.error_share == 0.0
-                && replica.slowdown < HEALTHY_SLOWDOWN
+                && replica.slowdown < UNHEALTHY_SLOWDOWN
         };
-        let mut replicas = self.replicas.iter().zip(&self.listed);
+        let mut replicas = self.replicas.iter().zip(&self.listed_states);
         replicas.any(|(replica, listed)| is_healthy(replica) && *listed == ListedState::Active)
     }
 
     /// Rule 3: checks a request on its arrival at a replica.
-    pub(super) fn check_drain(&mut self, replica: ReplicaIndex, request: u64) {
+    pub(super) fn check_drain_rule(&mut self, replica: ReplicaIndex, request: u64) {
         let Some(request) = self.requests.get(&request) else { return };
         let (slice, proxy) = (request.slice, request.proxy);
         let controller = self.slice_controllers[slice];
         let Some(since) = self.drain_enforced_since(replica, slice, controller, proxy) else { return };
-        let late = self.now - since;
+        let drained_for = self.now - since;
         let grace = self.config.drain_grace;
         let is_enforced = self.policy == Policy::Controlled && self.now > self.exempt_until + grace;
-        if is_enforced && late > grace && self.proxies[proxy].has_stream(controller) {
-            let (name, seconds) = (replica_name(replica), late.seconds());
+        if is_enforced && drained_for > grace && self.proxies[proxy].has_stream(controller) {
+            let name = replica_name(replica);
+            let (drained_seconds, grace_seconds) = (drained_for.seconds(), grace.seconds());
             let description = format!(
-                "proxy {proxy} sends to {name}, draining for {seconds:.1} s, for slice {slice} of {controller}"
+                "proxy {proxy} sent a request for slice {slice} of controller {controller} to {name}, which has been \
+                draining for {drained_seconds:.1} s; grace period {grace_seconds:.1} s"
             );
             self.rules.record_violation(DRAIN, self.now, description, &name);
         }
     }
 
-    /// Returns the time from which rule 3 is enforced for requests of this proxy and slice: the controller has known of
-    /// the drain since then, has been running, and has had the slice and the proxy. Returns `None` if the controller
-    /// knows of no drain.
+    /// Returns the time from which rule 3 is enforced for requests of this proxy and slice: the latest of the delivery
+    /// of the drain to the controller, the end of the controller's startup grace, the assignment of the slice to it and
+    /// the connection of the proxy. Returns `None` if no drain of the replica has been delivered to the controller.
     fn drain_enforced_since(
         &self,
         replica: ReplicaIndex,
--- a/crates/emulator/src/scenario/run.rs
+++ b/crates/emulator/src/scenario/run.rs
@@ -19,8 +19,8 @@
 impl Scenario {
     pub(super) fn run(&mut self) {
         let end = self.schedule_initial_events();
-        while let Some(at) = self.next_event_at().filter(|at| *at <= end) {
-            self.now = at;
+        while let Some(due) = self.next_event_at().filter(|due| *due <= end) {
+            self.now = due;
             self.process_next_event();
         }
         self.finish();
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn next_event_at(&self) -> Option<Moment> {
-        self.schedule.first_key_value().map(|((at, _), _)| *at)
+        self.schedule.first_key_value().map(|((due, _), _)| *due)
     }
 
     pub(super) fn process_next_event(&mut self) {
@@ -67,7 +67,7 @@
     fn handle_event(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::RequestArrives => self.handle_arrival(),
-            ScheduledEvent::JobReachesReplica { replica, job } => self.handle_job(replica, job),
+            ScheduledEvent::JobReachesReplica { replica, job } => self.handle_job_arrival(replica, job),
             ScheduledEvent::JobFinished { replica, incarnation, job } => {
                 self.finish_job(replica, incarnation, job);
             }
--- a/crates/emulator/src/scenario/start_faults.rs
+++ b/crates/emulator/src/scenario/start_faults.rs
@@ -38,8 +38,8 @@
     }
 
     /// Starts the fault with this index.
-    pub(super) fn start_fault(&mut self, position: usize) {
-        let Fault { duration, kind, .. } = self.faults[position].clone();
+    pub(super) fn start_fault(&mut self, fault_index: usize) {
+        let Fault { duration, kind, .. } = self.faults[fault_index].clone();
         let subject = self.timeline_subject.clone().unwrap_or_default();
         self.record_in_timeline(&subject, || format!("fault starts: {kind:?}"));
         if is_exempt(&kind) {
@@ -68,7 +68,7 @@
                 }
             }
             FaultKind::GarbledRelay { share } => self.garbled_share = share,
-            FaultKind::OutOfService { replica } => self.take_out_of_service(replica, position, duration),
+            FaultKind::OutOfService { replica } => self.take_out_of_service(replica, fault_index, duration),
             replica_fault => self.start_replica_fault(&replica_fault),
         }
     }
@@ -156,9 +156,9 @@
     }
 
     /// Sets an operator's override at each controller.
-    fn take_out_of_service(&mut self, replica: ReplicaIndex, fault: usize, duration: Span) {
+    fn take_out_of_service(&mut self, replica: ReplicaIndex, fault_index: usize, duration: Span) {
         let new_override = NewOverride {
-            id: format!("t{fault}"),
+            id: format!("t{fault_index}"),
             kind: OverrideKind::Out { replica: replica_name(replica) },
             author: "day".to_string(),
             reason: "trouble".to_string(),
--- a/crates/emulator/src/scenario/state.rs
+++ b/crates/emulator/src/scenario/state.rs
@@ -29,7 +29,8 @@
 /// enforced.
 pub(super) const WARM_UP_PERIOD: Span = Span::ms(5000);
 
-/// Replaces a command on its way to the proxies with other commands, without the knowledge of the controllers.
+/// Replaces a command of a controller with other commands before the relay applies them. The controller receives
+/// the response to its original request.
 pub type CommandInterceptor = fn(&str) -> Vec<String>;
 
 /// An unfinished request.
@@ -79,7 +80,7 @@
     /// The time of the next `InputDrained` event.
     pub(super) drain_input_at: Option<Moment>,
     pub(super) started_at: Moment,
-    /// By draining replica, the time since which the controller has known of the drain.
+    /// By draining replica, the time at which the drain was first delivered to the controller.
     pub(super) draining_since: BTreeMap<ReplicaIndex, Moment>,
 }
 
@@ -103,7 +104,7 @@
     pub(super) reassigned_at: Vec<Moment>,
     /// The share of malformed responses and keepalives of the relay.
     pub(super) garbled_share: f64,
-    pub(super) listed: Vec<ListedState>,
+    pub(super) listed_states: Vec<ListedState>,
     pub(super) list_version: u64,
     pub(super) list_anomaly: Option<ListAnomaly>,
     pub(super) previous_list: Option<discovery::List>,
@@ -117,14 +118,15 @@
     pub(super) is_relay_unreachable: bool,
     pub(super) is_relay_unresponsive: bool,
     pub(super) is_discovery_unreachable: bool,
-    /// The rules are not enforced until this time, because a controller, the relay or discovery may not work.
+    /// The rules are not enforced until this time: the end of the warm-up period, or the end of the recovery from
+    /// a fault that suspends them.
     pub(super) exempt_until: Moment,
     pub(super) endpoint_counts: EndpointCountsByZone,
     pub(super) demand_counts: DemandCountsBySlice,
     /// The number of seconds for which reports have been sent.
     pub(super) reported_seconds: u32,
     /// By proxy and replica, the number of attempts without a result.
-    pub(super) outstanding: BTreeMap<(ProxyIndex, ReplicaIndex), u32>,
+    pub(super) outstanding_attempts: BTreeMap<(ProxyIndex, ReplicaIndex), u32>,
     pub(super) command_interceptor: Option<CommandInterceptor>,
     /// The replica or slice whose timeline is recorded.
     pub(super) timeline_subject: Option<String>,
@@ -194,7 +196,7 @@
             slice_controllers,
             reassigned_at: vec![now; config.slices],
             garbled_share: 0.0,
-            listed: vec![ListedState::Active; config.replicas],
+            listed_states: vec![ListedState::Active; config.replicas],
             list_version: 1,
             list_anomaly: None,
             previous_list: None,
@@ -210,7 +212,7 @@
             endpoint_counts: BTreeMap::new(),
             demand_counts: BTreeMap::new(),
             reported_seconds: 0,
-            outstanding: BTreeMap::new(),
+            outstanding_attempts: BTreeMap::new(),
             command_interceptor: None,
             timeline_subject: None,
             timeline: Vec::new(),
--- a/crates/emulator/src/scenario/timeline.rs
+++ b/crates/emulator/src/scenario/timeline.rs
@@ -39,8 +39,8 @@
 
     fn describe_replica_counts(&self, replica: ReplicaIndex, endpoints: &EndpointCountsByZone) -> String {
         let mut sum = EndpointCounts::default();
-        let zones = endpoints.iter().filter(|((_, counted), _)| *counted == replica);
-        zones.for_each(|(_, counts)| sum.add(counts));
+        let counts_by_zone = endpoints.iter().filter(|((_, counted), _)| *counted == replica);
+        counts_by_zone.for_each(|(_, counts)| sum.add(counts));
         let EndpointCounts { attempts, failed, latency_seconds } = sum;
         let mean_ms = latency_seconds * 1000.0 / (attempts - failed).max(1.0);
         let outstanding = self.replicas[replica].outstanding_work();
--- a/crates/emulator/src/subsets.rs
+++ b/crates/emulator/src/subsets.rs
@@ -8,7 +8,8 @@
 use whinwall_routing::subset::Fleet;
 use whinwall_subsetting::{Assignment, Parameters, Replica};
 
-/// The configuration requires a value, but the emulator selects reports by replica and does not limit their bytes.
+/// The report bandwidth, which the configuration requires. It has no effect: the emulator selects reports by replica
+/// and does not limit their bytes.
 const BYTES_PER_SECOND: u64 = 27_000;
 
 fn controller_name(controller: ControllerIndex) -> String {
@@ -51,10 +52,10 @@
     let mut tables = BTreeMap::new();
     for (slice, controller) in slice_controllers.iter().enumerate() {
         let subset = subsets.as_ref().and_then(|subsets| subsets.get(*controller));
-        let fewest = subset.and_then(|subset| {
+        let least_assigned = subset.and_then(|subset| {
             subset.iter().copied().min_by_key(|replica| (slice_counts[*replica], *replica))
         });
-        let replica = fewest.unwrap_or(slice % replica_names.len());
+        let replica = least_assigned.unwrap_or(slice % replica_names.len());
         slice_counts[replica] += 1;
         tables.insert(slice, RoutingTable::from([(replica, 1.0)]));
     }
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Scenarios of the emulator. Outcomes are deterministic for a seed, the real controllers violate no rule under any
-//! of the faults, and each checker detects intentional violations of its rule.
+//! Scenarios of the emulator. Outcomes are deterministic for a seed, the production controllers violate no rule under
+//! any of the faults, and each checker detects intentional violations of its rule.
 
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_emulator::fault::{Fault, FaultKind, ListAnomaly};
@@ -82,7 +82,7 @@
 
 /// Slices are reassigned between controllers while a replica drains and responses are garbled.
 #[test]
-fn reassigned_slices_lose_no_requests() {
+fn reassigned_slices_are_served_and_violate_no_rule() {
     let config = ScenarioConfig { controllers: 3, ..short_config() };
     let faults = [
         Fault::new(8000, 6000, FaultKind::SlicesReassigned { from: 0, to: 30 }),
@@ -145,9 +145,9 @@
     }
 }
 
-/// Scenarios as in the operators' large fleets, for controllers that do not know each other: a release during list
-/// anomalies of discovery; a lost zone whose replicas restart cold; replacement of six of ten replicas within
-/// seconds, during which other replicas are outliers.
+/// Scenarios as in the operators' large fleets, for controllers that do not communicate with each other: a release
+/// during list anomalies of discovery; a lost zone whose replicas restart cold; replacement of six of ten replicas
+/// within seconds, during which other replicas are outliers.
 #[test]
 fn large_scenarios_of_several_controllers_violate_no_rule() {
     let config = ScenarioConfig {
@@ -184,9 +184,9 @@
     }
 }
 
-/// A controller withdraws the replicas that a wrong list drops, and is then killed. Its next incarnation learns of
-/// these replicas again only after the proxies have reconnected, and has to reinstate them. (Found by a search over
-/// 1,000 random scenarios.)
+/// A controller withdraws the replicas that a wrong list drops, and is then killed. The list contains these
+/// replicas again only after the proxies have reconnected to its next incarnation, which has to reinstate them. A
+/// search over 1,000 random scenarios found this failure.
 #[test]
 fn replicas_withdrawn_by_a_previous_incarnation_for_a_wrong_list_are_reinstated() {
     let config = ScenarioConfig {
@@ -256,11 +256,11 @@
     let faults = [Fault::new(10_000, 10_000, FaultKind::OutOfService { replica: 3 })];
     let (outcome, baseline) = (run_controlled(&faults, 2), run_controlled(&[], 2));
     assert!(outcome.commands > baseline.commands + 8, "{} against {}", outcome.commands, baseline.commands);
-    assert!(outcome.service_level > 0.98);
+    assert!(outcome.service_level > 0.98, "{}", outcome.service_level);
 }
 
 #[test]
-fn timeline_of_an_ejected_replica_names_its_ejection() {
+fn timeline_of_a_replica_contains_each_of_its_ejections() {
     let faults = [Fault::new(12_000, 12_000, FaultKind::FastErrors { replica: 3, share: 0.9 })];
     let (outcome, timeline) = run_with_timeline(&short_config(), &faults, 3, "s-3");
     let ejections = timeline.iter().filter(|entry| entry.text.contains("ejected")).count();
@@ -280,7 +280,7 @@
         outcome.violation_counts
     );
     let violation = outcome.violations.iter().find(|violation| violation.rule == rule).unwrap();
-    assert!(!violation.description.is_empty() && violation.at > Default::default());
+    assert!(!violation.description.is_empty() && violation.detected_at > Default::default());
 }
 
 /// New endpoints do not arrive at proxies but previous ones are removed, so tables become empty.
@@ -361,7 +361,7 @@
 /// the mean wait agrees with the Pollaczek-Khinchine formula. With one and two cores, the utilization agrees with the
 /// load.
 #[test]
-fn queueing_agrees_with_closed_forms() {
+fn waits_and_utilization_agree_with_closed_forms() {
     use std::collections::BTreeMap;
     use whinwall_emulator::replica::{Admission, Job, Replica, StartedJob};
     use whinwall_policy::random::Random;
@@ -374,38 +374,38 @@
             ..ScenarioConfig::small()
         };
         let (mut replica, mut random) = (Replica::default(), Random::from_seed(11));
-        let (mut now, mut next) = (Moment::at_ns(1 << 60), Moment::at_ns(1 << 60));
+        let (mut now, mut next_arrival) = (Moment::at_ns(1 << 60), Moment::at_ns(1 << 60));
         let started = now;
         let mut finishes: BTreeMap<(Moment, u64), ()> = BTreeMap::new();
         let mut queued_at: BTreeMap<u64, Moment> = BTreeMap::new();
-        let (mut waited, mut served, mut busy) = (0.0, 0u64, 0.0);
+        let (mut wait_seconds, mut started_jobs, mut busy_seconds) = (0.0, 0u64, 0.0);
         for request in 0..200_000u64 {
             let pause = -(1.0 - random.draw()).ln() / (config.capacity() * load);
-            next = next + Span::ns((pause * 1e9) as u64);
+            next_arrival = next_arrival + Span::ns((pause * 1e9) as u64);
             while let Some(((at, _), ())) =
-                finishes.first_key_value().filter(|((at, _), ())| *at <= next).map(|(k, ())| (*k, ()))
+                finishes.first_key_value().filter(|((at, _), ())| *at <= next_arrival).map(|(k, ())| (*k, ()))
             {
                 finishes.pop_first();
                 now = at;
                 if let Some(StartedJob { job, service_time }) = replica.finish_job(now, &config, &mut random)
                 {
-                    waited += (now - queued_at.remove(&job.request).unwrap()).seconds();
-                    (served, busy) = (served + 1, busy + service_time.seconds());
+                    wait_seconds += (now - queued_at.remove(&job.request).unwrap()).seconds();
+                    (started_jobs, busy_seconds) = (started_jobs + 1, busy_seconds + service_time.seconds());
                     finishes.insert((now + service_time, job.request), ());
                 }
             }
-            now = next;
-            let job = Job { request, attempt: 1, key: 1, from: 0 };
+            now = next_arrival;
+            let job = Job { request, attempt: 1, key: 1, proxy: 0 };
             match replica.admit(now, job, &config, &mut random) {
                 Admission::Running(service_time) => {
-                    (served, busy) = (served + 1, busy + service_time.seconds());
+                    (started_jobs, busy_seconds) = (started_jobs + 1, busy_seconds + service_time.seconds());
                     finishes.insert((now + service_time, request), ());
                 }
                 Admission::Queued => _ = queued_at.insert(request, now),
-                other => panic!("{other:?}"),
+                other => panic!("request {request} was not admitted: {other:?}"),
             }
         }
-        (waited / served as f64, busy / (now - started).seconds() / cores as f64)
+        (wait_seconds / started_jobs as f64, busy_seconds / (now - started).seconds() / cores as f64)
     };
     for load in [0.3, 0.6, 0.8] {
         let (wait, utilization) = run(1, load);
--- a/crates/emulator/tests/subsets.rs
+++ b/crates/emulator/tests/subsets.rs
@@ -6,14 +6,14 @@
 use whinwall_emulator::scenario::{run_scenario, Outcome};
 use whinwall_policy::time::Span;
 
-fn config(controllers: usize, subset: usize) -> ScenarioConfig {
+fn config(controllers: usize, subset_size: usize) -> ScenarioConfig {
     let duration = Span::ms(30_000);
     ScenarioConfig {
         replicas: 24,
         slices: 132,
         proxies: 40,
         controllers,
-        subset_size: subset,
+        subset_size,
         load: 0.5,
         duration,
         ..ScenarioConfig::small()
@@ -31,23 +31,30 @@
     outcome
 }
 
-fn replacement() -> Fault {
+fn batch_replacement() -> Fault {
     Fault::new(10_000, 10_000, FaultKind::BatchReplacement { from: 0, to: 14 })
 }
 
-/// Without subsets, the service level drops as the number of controllers grows, because each one sees only its own
-/// slices. With subsets it stays nearly the same.
+/// Without subsets, the service level drops as the number of controllers grows, because each one has data on
+/// its own slices only. With subsets it stays nearly the same.
 #[test]
 fn many_controllers_with_subsets_serve_nearly_as_well_as_few_without() {
-    let mean = |controllers, subset| {
+    let mean = |controllers, subset_size| {
         let seeds = 1..=2;
-        let served = seeds
-            .map(|seed| run_controlled(&config(controllers, subset), &[replacement()], seed).service_level);
+        let served = seeds.map(|seed| {
+            run_controlled(&config(controllers, subset_size), &[batch_replacement()], seed).service_level
+        });
         served.sum::<f64>() / 2.0
     };
-    let (few, many, shared) = (mean(5, 0), mean(24, 0), mean(24, 8));
-    assert!(shared > many + 0.02, "{shared} with subsets, {many} without");
-    assert!(shared > few - 0.03, "{shared} with subsets, {few} with five controllers");
+    let (few_controllers, many_controllers, with_subsets) = (mean(5, 0), mean(24, 0), mean(24, 8));
+    assert!(
+        with_subsets > many_controllers + 0.02,
+        "service level {with_subsets} with subsets, {many_controllers} without"
+    );
+    assert!(
+        with_subsets > few_controllers - 0.03,
+        "service level {with_subsets} with subsets, {few_controllers} with five controllers"
+    );
 }
 
 #[test]
@@ -68,7 +75,7 @@
 
 /// An aggregator may lengthen its windows to several seconds. No replica is ejected while its report is pending.
 #[test]
-fn reports_of_several_seconds_eject_no_replica() {
+fn replicas_with_pending_reports_are_not_ejected() {
     let config = ScenarioConfig { report_window_seconds: 3, ..config(24, 8) };
     let outcome = run_controlled(&config, &[], 1);
     assert_eq!(outcome.ejections, 0);
@@ -78,12 +85,12 @@
 /// Subsets larger than the fleet, and more controllers than slices.
 #[test]
 fn extreme_subset_sizes_are_served() {
-    for (controllers, subset) in [(2, 500), (150, 1), (1, 3)] {
-        let config = ScenarioConfig { duration: Span::ms(15_000), ..config(controllers, subset) };
+    for (controllers, subset_size) in [(2, 500), (150, 1), (1, 3)] {
+        let config = ScenarioConfig { duration: Span::ms(15_000), ..config(controllers, subset_size) };
         let outcome = run_controlled(&config, &[], 1);
         assert!(
             outcome.service_level > 0.95,
-            "{controllers} controllers, subsets of {subset} replicas: {}",
+            "{controllers} controllers, subsets of {subset_size} replicas: {}",
             outcome.service_level
         );
     }
