--- a/crates/fault-injection/src/injector.rs
+++ b/crates/fault-injection/src/injector.rs
@@ -9,7 +9,7 @@
 use whinwall_policy::random::Random;
 use whinwall_policy::time::Span;
 
-/// The limit of an incomplete line that is held back for a rule that needs the whole line.
+/// The size from which an incomplete line is no longer held back for a rule that needs the whole line.
 const MAX_HELD_LINE_BYTES: usize = 1 << 20;
 
 /// A step to carry out. Steps are carried out in order.
@@ -23,7 +23,7 @@
     Cut,
     /// Close both sides of the connection gracefully.
     End,
-    /// Close this direction gracefully; the other one stays open.
+    /// Close this direction gracefully; the opposite direction stays open.
     HalfClose,
     /// Discard all further bytes of this direction and keep the connection open.
     Silence,
@@ -50,31 +50,33 @@
 pub struct Injector {
     connection: ConnectionNumber,
     direction: Direction,
+    /// The rules with the number of times that each still applies; `None` for `always`.
     rules: Vec<(Rule, Option<u32>)>,
     /// Recorded faults to inject in this order, used without rules.
-    replay: Option<VecDeque<InjectedFault>>,
+    recorded_faults: Option<VecDeque<InjectedFault>>,
     random: Random,
-    /// The number of bytes received and of lines begun.
+    /// The number of bytes received.
     offset: u64,
-    lines: u64,
+    /// The number of lines of which at least one byte has been received.
+    lines_begun: u64,
     is_at_line_start: bool,
     /// An incomplete line that is held back for a rule that needs the whole line.
-    held: BytesMut,
-    /// The offset at which `held` begins in the received bytes.
-    held_offset: u64,
+    held_line: BytesMut,
+    /// The offset at which `held_line` begins in the received bytes.
+    held_line_offset: u64,
     /// A line to be sent after the next one, with its offset. The line is empty until it has been received.
     swapped_line: Option<(u64, Bytes)>,
     /// Corruptions of bytes that have not been forwarded, by offset in the received bytes.
     pending_garbles: BTreeMap<u64, (Garble, u8)>,
     /// The offset at which the current line began.
     line_start: u64,
-    rate: Option<u64>,
+    bytes_per_second: Option<u64>,
     chunk_bytes: Option<u64>,
     /// The faults injected since the caller last took them.
     pub injected: Vec<InjectedFault>,
     is_finished: bool,
-    /// True while rules are matched with a line that has been received and not forwarded.
-    is_line_under_decision: bool,
+    /// True while rules are matched against a line that has been received and not yet forwarded.
+    is_matching_line: bool,
 }
 
 impl Injector {
@@ -91,42 +93,42 @@
             connection,
             direction,
             rules,
-            replay: None,
+            recorded_faults: None,
             random: Random::from_seed(seed),
             offset: 0,
-            lines: 0,
+            lines_begun: 0,
             is_at_line_start: true,
-            held: BytesMut::new(),
-            held_offset: 0,
+            held_line: BytesMut::new(),
+            held_line_offset: 0,
             swapped_line: None,
             pending_garbles: BTreeMap::new(),
             line_start: 0,
-            rate: None,
+            bytes_per_second: None,
             chunk_bytes: None,
             injected: Vec::new(),
             is_finished: false,
-            is_line_under_decision: false,
+            is_matching_line: false,
         }
     }
 
     /// Creates an injector for recorded faults, which have to be sorted by offset.
     pub fn replaying(connection: ConnectionNumber, direction: Direction, faults: Vec<InjectedFault>) -> Self {
         let mut injector = Injector::new(&Schedule::default(), connection, direction);
-        injector.replay = Some(faults.into());
+        injector.recorded_faults = Some(faults.into());
         injector
     }
 
     /// Returns the steps before the first byte.
     pub fn on_connect(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
-        self.fire_rules(&mut steps, |trigger, _| *trigger == Trigger::Start, &[]);
+        self.apply_rules(&mut steps, |trigger, _| *trigger == Trigger::Start, &[]);
         steps
     }
 
-    /// Returns the steps of `after` rules that are due at `elapsed` after the connection was accepted.
+    /// Returns the steps of `after` rules that are due at `elapsed` after the connection was opened to the target.
     pub fn on_time(&mut self, elapsed: Span) -> Vec<Step> {
         let mut steps = Vec::new();
-        self.fire_rules(
+        self.apply_rules(
             &mut steps,
             |trigger, _| matches!(trigger, Trigger::After(span) if *span <= elapsed),
             &[],
@@ -134,13 +136,14 @@
         steps
     }
 
-    /// Returns the time of the next [`Injector::on_time`] call, counted from the acceptance of the connection.
+    /// Returns the time of the next [`Injector::on_time`] call, counted from the opening of the connection to the
+    /// target.
     pub fn next_deadline(&self) -> Option<Span> {
-        let after = |(rule, left): &(Rule, Option<u32>)| match rule.trigger {
-            Trigger::After(span) if *left != Some(0) => Some(span),
+        let pending_span = |(rule, remaining_times): &(Rule, Option<u32>)| match rule.trigger {
+            Trigger::After(span) if *remaining_times != Some(0) => Some(span),
             _ => None,
         };
-        self.rules.iter().filter_map(after).min()
+        self.rules.iter().filter_map(pending_span).min()
     }
 
     /// Processes received bytes.
@@ -150,53 +153,56 @@
         while !rest.is_empty() && !self.is_finished {
             // Processes bytes up to the end of a line or the next offset with a fault, so that the result does not
             // depend on how the bytes were split into reads.
-            let line_end = rest.iter().position(|byte| *byte == b'\n').map_or(rest.len(), |at| at + 1);
-            let due = self.next_offset().map_or(rest.len(), |at| (at - self.offset) as usize);
-            if due == 0 {
+            let line_end =
+                rest.iter().position(|byte| *byte == b'\n').map_or(rest.len(), |position| position + 1);
+            let bytes_until_fault =
+                self.next_offset().map_or(rest.len(), |next| (next - self.offset) as usize);
+            if bytes_until_fault == 0 {
                 let offset = self.offset;
-                self.fire_rules(
+                self.apply_rules(
                     &mut steps,
-                    |trigger, _| matches!(trigger, Trigger::Offset(at) if *at == offset),
+                    |trigger, _| matches!(trigger, Trigger::Offset(trigger_offset) if *trigger_offset == offset),
                     &[],
                 );
                 // A rule that applies several times does not apply twice at the same offset.
-                self.mark_offset_rules_spent(offset);
-                self.fire_replayed(&mut steps);
+                self.disable_offset_rules(offset);
+                self.inject_recorded(&mut steps);
                 continue;
             }
-            let (current, remaining) = rest.split_at(line_end.min(due).min(rest.len()));
+            let (current, remaining) = rest.split_at(line_end.min(bytes_until_fault).min(rest.len()));
             rest = remaining;
             self.process_line_part(current, &mut steps);
         }
         if !self.is_finished {
-            self.fire_replayed(&mut steps);
+            self.inject_recorded(&mut steps);
         }
         steps
     }
 
-    /// Handles the end of this direction: forwards the bytes held back.
+    /// Handles the end of this direction: returns steps that forward the bytes held back.
     pub fn on_end(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
-        let (held, swapped_line) = (self.held.split().freeze(), self.swapped_line.take());
-        for (from, rest) in [(self.held_offset, held), swapped_line.unwrap_or_default()] {
+        let (held, swapped_line) = (self.held_line.split().freeze(), self.swapped_line.take());
+        for (from, rest) in [(self.held_line_offset, held), swapped_line.unwrap_or_default()] {
             self.emit(from, rest, &mut steps);
         }
         steps
     }
 
     fn next_offset(&self) -> Option<u64> {
-        let at = |(rule, left): &(Rule, Option<u32>)| match rule.trigger {
-            Trigger::Offset(at) if *left != Some(0) && at >= self.offset => Some(at),
+        let pending_offset = |(rule, remaining_times): &(Rule, Option<u32>)| match rule.trigger {
+            Trigger::Offset(offset) if *remaining_times != Some(0) && offset >= self.offset => Some(offset),
             _ => None,
         };
-        let replayed = self.replay.iter().flatten().next().map(|fault| fault.offset.max(self.offset));
-        self.rules.iter().filter_map(at).chain(replayed).min()
+        let replayed =
+            self.recorded_faults.iter().flatten().next().map(|fault| fault.offset.max(self.offset));
+        self.rules.iter().filter_map(pending_offset).chain(replayed).min()
     }
 
-    fn mark_offset_rules_spent(&mut self, offset: u64) {
-        for (rule, left) in &mut self.rules {
+    fn disable_offset_rules(&mut self, offset: u64) {
+        for (rule, remaining_times) in &mut self.rules {
             if rule.trigger == Trigger::Offset(offset) {
-                *left = Some(0);
+                *remaining_times = Some(0);
             }
         }
     }
@@ -204,44 +210,43 @@
     /// Processes a part of a line, which may include its end.
     fn process_line_part(&mut self, bytes: &[u8], steps: &mut Vec<Step>) {
         if self.is_at_line_start {
-            self.lines += 1;
+            self.lines_begun += 1;
             self.line_start = self.offset;
-            let line = self.lines;
-            self.fire_rules(steps, |trigger, _| *trigger == Trigger::Line(line), &[]);
+            let line = self.lines_begun;
+            self.apply_rules(steps, |trigger, _| *trigger == Trigger::Line(line), &[]);
             if self.is_finished {
                 return;
             }
         }
-        if self.held.is_empty() {
-            self.held_offset = self.offset;
+        if self.held_line.is_empty() {
+            self.held_line_offset = self.offset;
         }
         self.offset += bytes.len() as u64;
         self.is_at_line_start = bytes.ends_with(b"\n");
-        self.held.extend_from_slice(bytes);
+        self.held_line.extend_from_slice(bytes);
         // A rule that matches text in lines needs the whole line.
-        let needs_whole_line = self
-            .rules
-            .iter()
-            .any(|(rule, left)| matches!(rule.trigger, Trigger::Matches(_)) && *left != Some(0));
+        let needs_whole_line = self.rules.iter().any(|(rule, remaining_times)| {
+            matches!(rule.trigger, Trigger::Matches(_)) && *remaining_times != Some(0)
+        });
         if (needs_whole_line || self.swapped_line.is_some())
             && !self.is_at_line_start
-            && self.held.len() < MAX_HELD_LINE_BYTES
+            && self.held_line.len() < MAX_HELD_LINE_BYTES
         {
             return;
         }
-        let line = self.held.split().freeze();
+        let line = self.held_line.split().freeze();
         let text = line.clone();
-        self.is_line_under_decision = true;
-        self.fire_rules(
+        self.is_matching_line = true;
+        self.apply_rules(
             steps,
             |trigger, line| matches!(trigger, Trigger::Matches(text) if contains(line, text.as_bytes())),
             &text,
         );
-        self.is_line_under_decision = false;
+        self.is_matching_line = false;
         if self.is_finished {
             return;
         }
-        self.emit(self.held_offset, line, steps);
+        self.emit(self.held_line_offset, line, steps);
     }
 
     fn emit(&mut self, from: u64, bytes: Bytes, steps: &mut Vec<Step>) {
@@ -253,27 +258,28 @@
             self.swapped_line = Some((from, bytes));
             return;
         }
-        let mut all = vec![(from, bytes)];
-        all.extend(self.swapped_line.take_if(|(_, line)| !line.is_empty()));
-        for (from, bytes) in all {
+        let mut forwarded = vec![(from, bytes)];
+        forwarded.extend(self.swapped_line.take_if(|(_, line)| !line.is_empty()));
+        for (from, bytes) in forwarded {
             let size = self.chunk_bytes.map_or(bytes.len(), |size| size as usize).max(1);
             let bytes = self.apply_garbles(from, bytes);
             for chunk in (0..bytes.len()).step_by(size) {
                 let chunk = bytes.slice(chunk..(chunk + size).min(bytes.len()));
-                let wait = self.rate.map(|rate| Span::ms(chunk.len() as u64 * 1000 / rate.max(1)));
+                let wait =
+                    self.bytes_per_second.map(|rate| Span::ms(chunk.len() as u64 * 1000 / rate.max(1)));
                 steps.push(Step::Pass(chunk));
                 steps.extend(wait.map(Step::Wait));
             }
         }
     }
 
-    fn fire_rules(&mut self, steps: &mut Vec<Step>, due: impl Fn(&Trigger, &[u8]) -> bool, line: &[u8]) {
-        for at in 0..self.rules.len() {
-            let (rule, left) = &mut self.rules[at];
-            if self.is_finished || *left == Some(0) || !due(&rule.trigger, line) {
+    fn apply_rules(&mut self, steps: &mut Vec<Step>, matches: impl Fn(&Trigger, &[u8]) -> bool, line: &[u8]) {
+        for index in 0..self.rules.len() {
+            let (rule, remaining_times) = &mut self.rules[index];
+            if self.is_finished || *remaining_times == Some(0) || !matches(&rule.trigger, line) {
                 continue;
             }
-            *left = left.map(|left| left - 1);
+            *remaining_times = remaining_times.map(|times| times - 1);
             let kind = rule.kind;
             let (wait, bytes) = self.draw_parameters(kind);
             self.inject(kind, wait, bytes, steps);
@@ -281,12 +287,12 @@
     }
 
     /// Injects the recorded faults up to the current offset.
-    fn fire_replayed(&mut self, steps: &mut Vec<Step>) {
+    fn inject_recorded(&mut self, steps: &mut Vec<Step>) {
         let offset = self.offset;
         while let Some(fault) =
-            self.replay.iter_mut().flatten().next().filter(|fault| fault.offset <= offset).cloned()
+            self.recorded_faults.iter_mut().flatten().next().filter(|fault| fault.offset <= offset).cloned()
         {
-            self.replay.iter_mut().for_each(|faults| _ = faults.pop_front());
+            self.recorded_faults.iter_mut().for_each(|faults| _ = faults.pop_front());
             self.inject(fault.kind, fault.wait, fault.bytes, steps);
             if self.is_finished {
                 return;
@@ -297,7 +303,7 @@
     /// Returns the steps of recorded faults that were injected before the first byte.
     pub fn replay_on_connect(&mut self) -> Vec<Step> {
         let mut steps = Vec::new();
-        self.fire_replayed(&mut steps);
+        self.inject_recorded(&mut steps);
         steps
     }
 
@@ -315,19 +321,19 @@
 
     fn inject(&mut self, kind: FaultKind, wait: Span, bytes: Vec<u8>, steps: &mut Vec<Step>) {
         // A fault that is caused by the content of a line applies at the beginning of the line.
-        let offset = if self.is_line_under_decision { self.line_start } else { self.offset };
+        let offset = if self.is_matching_line { self.line_start } else { self.offset };
         let (connection, direction) = (self.connection, self.direction);
         let drawn_bytes = bytes.clone();
         self.injected.push(InjectedFault { connection, direction, offset, kind, wait, bytes });
         match kind {
             FaultKind::Delay(..) | FaultKind::Stall(_) => steps.push(Step::Wait(wait)),
-            FaultKind::Rate(rate) => self.rate = Some(rate),
+            FaultKind::Rate(rate) => self.bytes_per_second = Some(rate),
             FaultKind::Pieces(size) => self.chunk_bytes = Some(size),
             FaultKind::Silence | FaultKind::Mute => self.end_with(Step::Silence, steps),
             FaultKind::Cut | FaultKind::Refuse => self.end_with(Step::Cut, steps),
             FaultKind::End => self.end_with(Step::End, steps),
             FaultKind::HalfClose => self.end_with(Step::HalfClose, steps),
-            // A line that already waits to be swapped stays in place.
+            // If a line is already held back for a swap, this fault has no effect.
             FaultKind::Swap => _ = self.swapped_line.get_or_insert_default(),
             FaultKind::Garble(kind, _) => {
                 let garbles = (offset..).zip(drawn_bytes);
@@ -337,7 +343,7 @@
     }
 
     fn end_with(&mut self, step: Step, steps: &mut Vec<Step>) {
-        let held = self.held.split().freeze();
+        let held = self.held_line.split().freeze();
         if !held.is_empty() {
             steps.push(Step::Pass(held));
         }
@@ -350,18 +356,18 @@
         if self.pending_garbles.is_empty() {
             return bytes;
         }
-        let mut out = BytesMut::with_capacity(bytes.len() + self.pending_garbles.len());
+        let mut garbled = BytesMut::with_capacity(bytes.len() + self.pending_garbles.len());
         for (at, byte) in (from..).zip(bytes) {
             match self.pending_garbles.remove(&at) {
                 // A mask of 0 would leave the byte unchanged.
-                Some((Garble::Flip, mask)) => out.extend([byte ^ mask.max(1)]),
+                Some((Garble::Flip, mask)) => garbled.extend([byte ^ mask.max(1)]),
                 Some((Garble::Drop, _)) => {}
-                Some((Garble::Repeat, _)) => out.extend([byte, byte]),
-                Some((Garble::Insert, new)) => out.extend([new, byte]),
-                None => out.extend([byte]),
+                Some((Garble::Repeat, _)) => garbled.extend([byte, byte]),
+                Some((Garble::Insert, inserted)) => garbled.extend([inserted, byte]),
+                None => garbled.extend([byte]),
             }
         }
-        out.freeze()
+        garbled.freeze()
     }
 }
 
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -66,7 +66,7 @@
             String::from_utf8(read_file(path)?).map_err(|error| format!("{}: {error}", path.display()))?;
         schedule::read(&text).map_err(|error| format!("{}: {error}", path.display()))
     };
-    let (source, addresses, out) = match Arguments::parse().command {
+    let (source, addresses, record_path) = match Arguments::parse().command {
         Command::Check { schedule } => {
             return match read_schedule(&schedule) {
                 Ok(schedule) => {
@@ -90,7 +90,7 @@
             }
         }
     };
-    match serve(source, &addresses, out.as_deref()) {
+    match serve(source, &addresses, record_path.as_deref()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("whinwall-fault-proxy: {error}");
@@ -99,18 +99,18 @@
     }
 }
 
-fn serve(source: FaultSource, addresses: &Addresses, out: Option<&Path>) -> std::io::Result<()> {
+fn serve(source: FaultSource, addresses: &Addresses, record_path: Option<&Path>) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let log = InjectionLog::default();
     runtime.block_on(async {
         let listener = TcpListener::bind(addresses.listen).await?;
         println!("{} forwards to {}", listener.local_addr()?, addresses.target);
         tokio::select! {
-            failed = forward(listener, addresses.target, source, log.clone()) => failed,
-            ended = tokio::signal::ctrl_c() => ended,
+            result = forward(listener, addresses.target, source, log.clone()) => result,
+            result = tokio::signal::ctrl_c() => result,
         }
     })?;
     let injected = log.lock().map(|log| log.clone()).unwrap_or_default();
     println!("{} faults injected", injected.len());
-    out.map_or(Ok(()), |path| std::fs::write(path, record::write(&injected)))
+    record_path.map_or(Ok(()), |path| std::fs::write(path, record::write(&injected)))
 }
--- a/crates/fault-injection/src/proxy.rs
+++ b/crates/fault-injection/src/proxy.rs
@@ -14,9 +14,10 @@
 use tokio::sync::{watch, Semaphore};
 use whinwall_policy::time::Span;
 
-/// The limit of open connections; further ones wait to be accepted.
+/// The maximum number of open connections. Further connections are accepted when an earlier one has ended.
 const MAX_CONNECTIONS: usize = 256;
-/// The size of the read buffer. A direction buffers no more than that, except for a line that a rule needs whole.
+/// The size of the read buffer. A direction buffers no more bytes than that, except for a line that is held
+/// back for a rule that needs the whole line.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// The source of the faults.
@@ -33,8 +34,8 @@
         match self {
             FaultSource::Schedule(schedule) => Injector::new(schedule, connection, direction),
             FaultSource::Replay(faults) => {
-                let own = faults.get(&(connection, direction)).cloned().unwrap_or_default();
-                Injector::replaying(connection, direction, own)
+                let direction_faults = faults.get(&(connection, direction)).cloned().unwrap_or_default();
+                Injector::replaying(connection, direction, direction_faults)
             }
         }
     }
@@ -55,7 +56,10 @@
     log: InjectionLog,
 ) -> io::Result<()> {
     if !target.ip().is_loopback() || !listener.local_addr()?.ip().is_loopback() {
-        return Err(io::Error::other("listen and target address must be loopback addresses"));
+        return Err(io::Error::other(format!(
+            "listen and target address must be loopback addresses: got {} and {target}",
+            listener.local_addr()?
+        )));
     }
     let capacity = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     for number in 1.. {
@@ -102,14 +106,14 @@
     let _ = target_stream.set_nodelay(true);
     let down_steps = first_steps(&mut down, log);
     let state = watch::channel(ConnectionState::Open).0;
-    let began = Instant::now();
+    let opened_at = Instant::now();
     let (client_read, client_write) = stream.into_split();
     let (target_read, target_write) = target_stream.into_split();
     let upward = DirectionForwarder {
         read: client_read,
         write: target_write,
         injector: up,
-        began,
+        opened_at,
         state: &state,
         log,
     };
@@ -117,7 +121,7 @@
         read: target_read,
         write: client_write,
         injector: down,
-        began,
+        opened_at,
         state: &state,
         log,
     };
@@ -139,7 +143,8 @@
 }
 
 fn reset_on_close(stream: &TcpStream) {
-    #[allow(deprecated)] // deprecated since a linger time may block; a linger time of zero does not
+    // Deprecated because a positive linger time may block the thread on close. A linger time of zero does not block.
+    #[allow(deprecated)]
     let _ = stream.set_linger(Some(Duration::ZERO));
 }
 
@@ -149,10 +154,10 @@
     while matches!(stream.read(&mut buffer).await, Ok(1..)) {}
 }
 
-/// Completes when the connection is to end in both directions.
+/// Completes when both directions of the connection are to be reset or closed.
 async fn connection_ended(state: &mut watch::Receiver<ConnectionState>) {
-    let has_changed = state.wait_for(|state| *state != ConnectionState::Open).await.is_ok();
-    if !has_changed {
+    let is_ended = state.wait_for(|state| *state != ConnectionState::Open).await.is_ok();
+    if !is_ended {
         std::future::pending::<()>().await;
     }
 }
@@ -168,8 +173,8 @@
     read: OwnedReadHalf,
     write: OwnedWriteHalf,
     injector: Injector,
-    /// When the connection was accepted.
-    began: Instant,
+    /// The time at which the connection was open on both sides. The durations of `after` rules count from it.
+    opened_at: Instant,
     state: &'a watch::Sender<ConnectionState>,
     log: &'a InjectionLog,
 }
@@ -180,12 +185,12 @@
         let mut state = self.state.subscribe();
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut steps = first_steps;
-        // This direction is closed or silent: received bytes are discarded.
+        // True if this direction is closed or silent. Received bytes are then discarded.
         let mut is_closed = false;
         loop {
             for step in std::mem::take(&mut steps) {
                 tokio::select! {
-                    // On a write error the receiver is closed; the other direction ends by itself.
+                    // On a write error the receiver is closed; the opposite direction detects the close and ends.
                     outcome = self.carry_out(step, &mut is_closed) => if outcome.is_err() {
                         return (self.read, self.write);
                     },
@@ -195,8 +200,8 @@
             if *state.borrow() != ConnectionState::Open {
                 return (self.read, self.write);
             }
-            let deadline = self.injector.next_deadline().map(|at| at - self.elapsed());
-            let wait = deadline.map(|span| Duration::from_nanos(span.as_ns()));
+            let remaining = self.injector.next_deadline().map(|deadline| deadline - self.elapsed());
+            let wait = remaining.map(|span| Duration::from_nanos(span.as_ns()));
             tokio::select! {
                 _ = connection_ended(&mut state) => return (self.read, self.write),
                 _ = tokio::time::sleep(wait.unwrap_or_default()), if wait.is_some() => {
@@ -212,7 +217,7 @@
     }
 
     fn elapsed(&self) -> Span {
-        Span::ns(self.began.elapsed().as_nanos() as u64)
+        Span::ns(self.opened_at.elapsed().as_nanos() as u64)
     }
 
     async fn carry_out(&mut self, step: Step, is_closed: &mut bool) -> io::Result<()> {
--- a/crates/fault-injection/src/record.rs
+++ b/crates/fault-injection/src/record.rs
@@ -11,6 +11,8 @@
 
 /// The header of a record, which includes the version.
 const MAGIC: &[u8; 8] = b"wwfault1";
+/// The size of the checksum at the end of a record.
+const CHECKSUM_BYTES: usize = 4;
 
 #[derive(Clone, PartialEq, Message)]
 struct Entry {
@@ -103,20 +105,25 @@
 #[derive(Debug, Error)]
 pub enum RecordError {
     /// The file is shorter than a checksum.
-    #[error("fault record is truncated")]
-    Truncated,
+    #[error("fault record is truncated: got {0} bytes, expected at least {CHECKSUM_BYTES}")]
+    Truncated(usize),
     /// The header is not that of a record of this version.
     #[error("not a fault record, or a fault record of another version")]
     UnknownFormat,
     /// The checksum does not match the content.
-    #[error("checksum of the fault record does not match")]
-    Checksum,
+    #[error("checksum of the fault record does not match: stored {stored:08x}, computed {computed:08x}")]
+    Checksum {
+        /// The checksum at the end of the file.
+        stored: u32,
+        /// The checksum of the preceding bytes.
+        computed: u32,
+    },
     /// A message cannot be decoded.
     #[error("malformed entry in the fault record: {0}")]
     Message(#[from] prost::DecodeError),
     /// A fault of an unknown kind.
-    #[error("fault of a kind unknown to this version")]
-    UnknownFault,
+    #[error("fault of kind {0}, which is unknown to this version")]
+    UnknownFault(u32),
 }
 
 /// Decodes a record.
@@ -125,15 +132,17 @@
 ///
 /// Fails if the bytes are not a complete record of this version.
 pub fn read(bytes: &[u8]) -> Result<RecordedFaults, RecordError> {
-    let (body, checksum) = bytes.split_last_chunk::<4>().ok_or(RecordError::Truncated)?;
+    let (body, checksum) =
+        bytes.split_last_chunk::<CHECKSUM_BYTES>().ok_or(RecordError::Truncated(bytes.len()))?;
     let mut rest = body.strip_prefix(MAGIC).ok_or(RecordError::UnknownFormat)?;
-    if crc32fast::hash(body).to_be_bytes() != *checksum {
-        return Err(RecordError::Checksum);
+    let (stored, computed) = (u32::from_be_bytes(*checksum), crc32fast::hash(body));
+    if stored != computed {
+        return Err(RecordError::Checksum { stored, computed });
     }
     let mut faults = RecordedFaults::new();
     while !rest.is_empty() {
         let entry = Entry::decode_length_delimited(&mut rest)?;
-        let kind = decode_kind(&entry).ok_or(RecordError::UnknownFault)?;
+        let kind = decode_kind(&entry).ok_or(RecordError::UnknownFault(entry.kind))?;
         let direction = if entry.down { Direction::Down } else { Direction::Up };
         let Entry { connection, offset, wait, bytes, .. } = entry;
         let fault = InjectedFault { connection, direction, offset, kind, wait: Span::ns(wait), bytes };
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -34,15 +34,15 @@
 /// A rule: injects a fault each time its trigger matches, up to a number of times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// The connection to which the rule applies, or none for all.
+    /// The connection to which the rule applies, or `None` for all.
     pub connection: Option<ConnectionNumber>,
-    /// The direction to which the rule applies, or none for both.
+    /// The direction to which the rule applies, or `None` for both.
     pub direction: Option<Direction>,
     /// When the fault is injected.
     pub trigger: Trigger,
     /// The fault.
     pub kind: FaultKind,
-    /// The maximum number of times for each connection and direction; none for `always`.
+    /// The maximum number of times for each connection and direction; `None` for `always`.
     pub times: Option<u32>,
 }
 
@@ -57,7 +57,7 @@
     Line(u64),
     /// At the beginning of a line that contains this text.
     Matches(String),
-    /// This duration after the connection was accepted.
+    /// This duration after the connection was opened to the target.
     After(Span),
 }
 
@@ -77,21 +77,21 @@
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Delays the bytes by a duration drawn from this range; later bytes wait too.
+    /// Waits for a duration drawn from this range, which delays all following bytes of the direction.
     Delay(Span, Span),
-    /// From here on limits the rate to this number of bytes per second.
+    /// Limits the rate of all following bytes to this number of bytes per second.
     Rate(u64),
-    /// From here on splits writes into chunks of at most this number of bytes.
+    /// Splits all following writes into chunks of at most this number of bytes.
     Pieces(u64),
     /// Passes nothing for this duration, then all pending bytes.
     Stall(Span),
-    /// From here on discards all bytes and keeps the connection open.
+    /// Discards all following bytes and keeps the connection open.
     Silence,
     /// Resets both sides of the connection.
     Cut,
     /// Closes both directions gracefully.
     End,
-    /// Closes this direction gracefully; the other one stays open.
+    /// Closes this direction gracefully; the opposite direction stays open.
     HalfClose,
     /// Corrupts this number of bytes.
     Garble(Garble, u64),
@@ -115,6 +115,11 @@
     pub expectation: String,
 }
 
+/// The maximum parameter of `rate`, `pieces` and `garble`, in bytes.
+const MAX_FAULT_BYTES: u64 = 1 << 20;
+/// The exclusive upper bound of a duration in milliseconds.
+const DURATION_LIMIT_MS: u64 = 1 << 40;
+
 enum Statement {
     Seed(u64),
     Rule(Rule),
@@ -127,14 +132,14 @@
 /// Fails at the first line that is not a valid statement; the error names its line and column.
 pub fn read(text: &str) -> Result<Schedule, ScheduleError> {
     let mut schedule = Schedule::default();
-    for (at, full_line) in text.lines().enumerate() {
+    for (line_index, full_line) in text.lines().enumerate() {
         // A comment extends to the end of the line; a `#` in quotes does not begin one.
-        let mut quoted = false;
-        let comment = full_line.find(|c| {
-            quoted ^= c == '"';
-            c == '#' && !quoted
+        let mut is_quoted = false;
+        let comment_start = full_line.find(|c| {
+            is_quoted ^= c == '"';
+            c == '#' && !is_quoted
         });
-        let line = full_line[..comment.unwrap_or(full_line.len())].trim_end();
+        let line = full_line[..comment_start.unwrap_or(full_line.len())].trim_end();
         if line.trim().is_empty() {
             continue;
         }
@@ -148,7 +153,7 @@
                 let expectation = error.inner().to_string().replace('\n', ", ");
                 let expectation =
                     if expectation.is_empty() { "invalid statement".into() } else { expectation };
-                return Err(ScheduleError { line: at + 1, column, expectation });
+                return Err(ScheduleError { line: line_index + 1, column, expectation });
             }
         }
     }
@@ -159,83 +164,85 @@
     StrContext::Expected(StrContextValue::Description(kind))
 }
 
-fn word<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ContextError> {
+fn keyword<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ContextError> {
     terminated(text, space0)
 }
 
-fn number(input: &mut &str) -> ModalFree<u64> {
+fn number(input: &mut &str) -> ParseResult<u64> {
     terminated(dec_uint, space0).context(expected("a number")).parse_next(input)
 }
 
-type ModalFree<T> = Result<T, ContextError>;
+type ParseResult<T> = Result<T, ContextError>;
 
-fn span(input: &mut &str) -> ModalFree<Span> {
+fn span(input: &mut &str) -> ParseResult<Span> {
     let unit = alt(("ms".value(1u64), "s".value(1000), "m".value(60_000)));
     let span = (dec_uint::<_, u64, _>, unit)
-        .verify_map(|(count, unit)| count.checked_mul(unit).filter(|ms| *ms < 1 << 40));
+        .verify_map(|(count, unit)| count.checked_mul(unit).filter(|ms| *ms < DURATION_LIMIT_MS));
     terminated(span, space0)
         .map(Span::ms)
         .context(expected("a duration such as 50ms, 2s or 1m"))
         .parse_next(input)
 }
 
-fn statement(input: &mut &str) -> ModalFree<Statement> {
+fn statement(input: &mut &str) -> ParseResult<Statement> {
     alt((preceded(("seed", space1), number).map(Statement::Seed), rule.map(Statement::Rule)))
         .context(expected("`seed` or `on`"))
         .parse_next(input)
 }
 
-fn rule(input: &mut &str) -> ModalFree<Rule> {
+fn rule(input: &mut &str) -> ParseResult<Rule> {
     let mut connection = opt(preceded(("conn", space1), number));
-    let mut direction = opt(alt((word("up").value(Direction::Up), word("down").value(Direction::Down))));
+    let mut direction =
+        opt(alt((keyword("up").value(Direction::Up), keyword("down").value(Direction::Down))));
     seq! {Rule {
         _: ("on", space1),
         connection: connection,
         direction: direction,
         trigger: trigger,
-        _: word(":").context(expected("`:` and a fault")),
+        _: keyword(":").context(expected("`:` and a fault")),
         kind: kind,
         times: times,
     }}
     .parse_next(input)
 }
 
-fn trigger(input: &mut &str) -> ModalFree<Trigger> {
+fn trigger(input: &mut &str) -> ParseResult<Trigger> {
     let quoted = delimited('"', take_till(1.., '"'), ('"', space0)).context(expected("a text in quotes"));
     alt((
-        word("start").value(Trigger::Start),
+        keyword("start").value(Trigger::Start),
         preceded(("offset", space1), number).map(Trigger::Offset),
         preceded(("line", space0, '~', space0), quoted).map(|text: &str| Trigger::Matches(text.into())),
-        preceded(("line", space1), number.verify(|n| *n > 0)).map(Trigger::Line),
+        preceded(("line", space1), number.verify(|line| *line > 0)).map(Trigger::Line),
         preceded(("after", space1), span).map(Trigger::After),
     ))
     .context(expected("`conn`, `up`, `down`, `start`, `offset`, `line` or `after`"))
     .parse_next(input)
 }
 
-fn kind(input: &mut &str) -> ModalFree<FaultKind> {
-    let drawn = alt((separated_pair(span, word(".."), span), span.map(|span| (span, span))));
-    let kind = alt((
-        word("flip").value(Garble::Flip),
-        word("drop").value(Garble::Drop),
-        word("insert").value(Garble::Insert),
-        word("repeat").value(Garble::Repeat),
+fn kind(input: &mut &str) -> ParseResult<FaultKind> {
+    let duration_range = alt((separated_pair(span, keyword(".."), span), span.map(|span| (span, span))));
+    let garble = alt((
+        keyword("flip").value(Garble::Flip),
+        keyword("drop").value(Garble::Drop),
+        keyword("insert").value(Garble::Insert),
+        keyword("repeat").value(Garble::Repeat),
     ));
-    let bytes = || number.verify(|n| (1..=1 << 20).contains(n));
+    let byte_count = || number.verify(|count| (1..=MAX_FAULT_BYTES).contains(count));
     alt((
-        preceded(("delay", space1), drawn.verify(|(from, to)| from <= to))
+        preceded(("delay", space1), duration_range.verify(|(from, to)| from <= to))
             .map(|(from, to)| FaultKind::Delay(from, to)),
-        preceded(("rate", space1), bytes()).map(FaultKind::Rate),
-        preceded(("pieces", space1), bytes()).map(FaultKind::Pieces),
+        preceded(("rate", space1), byte_count()).map(FaultKind::Rate),
+        preceded(("pieces", space1), byte_count()).map(FaultKind::Pieces),
         preceded(("stall", space1), span).map(FaultKind::Stall),
-        preceded(("garble", space1), (kind, bytes())).map(|(kind, count)| FaultKind::Garble(kind, count)),
-        word("silence").value(FaultKind::Silence),
-        word("half-close").value(FaultKind::HalfClose),
-        word("cut").value(FaultKind::Cut),
-        word("end").value(FaultKind::End),
-        word("swap").value(FaultKind::Swap),
-        word("refuse").value(FaultKind::Refuse),
-        word("mute").value(FaultKind::Mute),
+        preceded(("garble", space1), (garble, byte_count()))
+            .map(|(garble, count)| FaultKind::Garble(garble, count)),
+        keyword("silence").value(FaultKind::Silence),
+        keyword("half-close").value(FaultKind::HalfClose),
+        keyword("cut").value(FaultKind::Cut),
+        keyword("end").value(FaultKind::End),
+        keyword("swap").value(FaultKind::Swap),
+        keyword("refuse").value(FaultKind::Refuse),
+        keyword("mute").value(FaultKind::Mute),
     ))
     .context(expected(
         "a fault: delay, rate, pieces, stall, silence, cut, end, half-close, garble, swap, refuse or mute",
@@ -243,10 +250,10 @@
     .parse_next(input)
 }
 
-fn times(input: &mut &str) -> ModalFree<Option<u32>> {
+fn times(input: &mut &str) -> ParseResult<Option<u32>> {
     let times = alt((
-        word("always").value(None),
+        keyword("always").value(None),
         terminated(dec_uint::<_, u32, _>, (space1, "times", space0)).map(Some),
     ));
-    alt((preceded(word(","), times), empty.value(Some(1)))).parse_next(input)
+    alt((preceded(keyword(","), times), empty.value(Some(1)))).parse_next(input)
 }
--- a/crates/fault-injection/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -51,13 +51,13 @@
 }
 
 /// Returns the forwarded text, with each wait as `~` and each step that ends the stream as `!`.
-fn passed(steps: Vec<Step>) -> String {
-    let one = |step| match step {
+fn format_steps(steps: Vec<Step>) -> String {
+    let format_step = |step| match step {
         Step::Pass(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
         Step::Wait(_) => "~".into(),
         _ => "!".into(),
     };
-    steps.into_iter().map(one).collect()
+    steps.into_iter().map(format_step).collect()
 }
 
 fn injector(text: &str) -> Injector {
@@ -83,10 +83,10 @@
         let mut steps = injector.on_connect();
         steps.extend(injector.on_bytes(text));
         steps.extend(injector.on_end());
-        assert_eq!(passed(steps), expected, "{rules}");
+        assert_eq!(format_steps(steps), expected, "{rules}");
     }
     let mut garbled = injector("on offset 1: garble flip 1");
-    let out = passed(garbled.on_bytes(b"abc\n"));
+    let out = format_steps(garbled.on_bytes(b"abc\n"));
     assert!(out.len() >= 3 && out != "abc\n" && out.starts_with('a'));
 }
 
@@ -127,15 +127,15 @@
 /// The forwarded bytes and the recorded faults do not depend on how the bytes are split into reads. A replay of the
 /// record gives the same bytes and faults.
 #[test]
-fn faults_depend_on_bytes_and_not_on_reads_and_replays_are_the_same() {
-    fn gives_same_faults(sizes_of_reads: ReadSizes, others: ReadSizes) -> bool {
+fn faults_do_not_depend_on_read_sizes_and_replays_repeat_them() {
+    fn gives_same_faults(sizes_of_reads: ReadSizes, other_sizes: ReadSizes) -> bool {
         let (out, injected) = run_through(injector(ALL_RULES), &sizes_of_reads.0, false);
-        assert_eq!((out.clone(), injected.clone()), run_through(injector(ALL_RULES), &others.0, false));
+        assert_eq!((out.clone(), injected.clone()), run_through(injector(ALL_RULES), &other_sizes.0, false));
         let recorded = record::read(&record::write(&injected)).unwrap();
-        let again = || Injector::replaying(1, Up, recorded[&(1, Up)].clone());
-        let (replayed, same) = run_through(again(), &others.0, true);
+        let replaying_injector = || Injector::replaying(1, Up, recorded[&(1, Up)].clone());
+        let (replayed, replayed_faults) = run_through(replaying_injector(), &other_sizes.0, true);
         assert_eq!(String::from_utf8_lossy(&replayed), String::from_utf8_lossy(&out));
-        record::write(&same) == record::write(&injected)
+        record::write(&replayed_faults) == record::write(&injected)
     }
     quickcheck::QuickCheck::new()
         .tests(300)
@@ -172,8 +172,8 @@
                         return;
                     }
                 }
-                // A client that has half-closed its connection still receives this.
-                _ = stream.write_all(b"heard the end\n");
+                // A client that has half-closed its connection still receives this line.
+                _ = stream.write_all(b"end of stream\n");
             });
         }
     });
@@ -202,12 +202,12 @@
         stream
     }
 
-    /// Sends the text, closes the sending side if `on_end` is set, and reads until the connection ends.
-    fn exchange(&self, text: &[u8], on_end: bool) -> (Vec<u8>, std::io::Result<()>) {
+    /// Sends the text, closes the sending side if `half_closes` is set, and reads until the connection ends.
+    fn exchange(&self, text: &[u8], half_closes: bool) -> (Vec<u8>, std::io::Result<()>) {
         let mut stream = self.connect();
         // A reset is reported once, by the next operation. That is the write if the reset came before it.
         let write_result = stream.write_all(text);
-        if on_end {
+        if half_closes {
             _ = stream.shutdown(Shutdown::Write);
         }
         let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
@@ -221,7 +221,7 @@
     }
 }
 
-fn text(received: (Vec<u8>, std::io::Result<()>)) -> String {
+fn received_text(received: (Vec<u8>, std::io::Result<()>)) -> String {
     received.1.unwrap();
     String::from_utf8_lossy(&received.0).into_owned()
 }
@@ -234,17 +234,23 @@
     // The target has received the end; its reply still arrives, and the client's sending side is open.
     let mut received = [0; 18];
     stream.read_exact(&mut received).unwrap();
-    assert_eq!(&received, b"one\nheard the end\n");
-    stream.write_all(b"nobody hears this\n").unwrap();
+    assert_eq!(&received, b"one\nend of stream\n");
+    stream.write_all(b"discarded\n").unwrap();
     assert_eq!(stream.read(&mut received).unwrap(), 0);
 }
 
 #[test]
-fn cut_end_refuse_mute_and_silence_act_as_documented() {
-    assert_eq!(text(start_with_schedule("").exchange(b"one\ntwo\n", true)), "one\ntwo\nheard the end\n");
+fn cut_and_refuse_reset_end_closes_and_mute_and_silence_keep_the_connection_open() {
+    assert_eq!(
+        received_text(start_with_schedule("").exchange(b"one\ntwo\n", true)),
+        "one\ntwo\nend of stream\n"
+    );
     let cut = start_with_schedule("on down line 2: cut").exchange(b"one\ntwo\nthree\n", false);
     assert!(cut.1.is_err() && cut.0.len() <= 4, "expected a reset, not a graceful close: {cut:?}");
-    assert_eq!(text(start_with_schedule("on down line 2: end").exchange(b"one\ntwo\n", false)), "one\n");
+    assert_eq!(
+        received_text(start_with_schedule("on down line 2: end").exchange(b"one\ntwo\n", false)),
+        "one\n"
+    );
     assert!(start_with_schedule("on start: refuse").exchange(b"one\n", false).1.is_err());
     for rules in ["on start: mute", "on up line 1: silence"] {
         let mut stream = start_with_schedule(rules).connect();
@@ -257,21 +263,24 @@
         );
     }
     // A rule for one connection does not affect the others.
-    let second = start_with_schedule("on conn 2 up line 1: end");
-    assert_eq!(text(second.exchange(b"one\n", true)), "one\nheard the end\n");
-    assert!(!text(second.exchange(b"one\n", true)).contains("one"));
-    assert_eq!(text(second.exchange(b"one\n", true)), "one\nheard the end\n");
+    let second_only = start_with_schedule("on conn 2 up line 1: end");
+    assert_eq!(received_text(second_only.exchange(b"one\n", true)), "one\nend of stream\n");
+    assert!(!received_text(second_only.exchange(b"one\n", true)).contains("one"));
+    assert_eq!(received_text(second_only.exchange(b"one\n", true)), "one\nend of stream\n");
 }
 
 #[test]
 fn delays_keep_the_order_and_after_rules_apply_without_traffic() {
     let began = Instant::now();
     let received =
-        text(start_with_schedule("on up line 2: delay 300ms").exchange(b"one\ntwo\nthree\n", true));
-    assert_eq!(received, "one\ntwo\nthree\nheard the end\n");
+        received_text(start_with_schedule("on up line 2: delay 300ms").exchange(b"one\ntwo\nthree\n", true));
+    assert_eq!(received, "one\ntwo\nthree\nend of stream\n");
     assert!(began.elapsed() >= Duration::from_millis(300));
     let began = Instant::now();
-    assert_eq!(text(start_with_schedule("on up after 200ms: end").exchange(b"one\n", false)), "one\n");
+    assert_eq!(
+        received_text(start_with_schedule("on up after 200ms: end").exchange(b"one\n", false)),
+        "one\n"
+    );
     assert!(began.elapsed() >= Duration::from_millis(200) && began.elapsed() < Duration::from_secs(5));
 }
 
@@ -285,9 +294,9 @@
     let recorded = record::write(&first.log.lock().unwrap());
     let faults: Arc<RecordedFaults> = Arc::new(record::read(&recorded).unwrap());
     for round in 0..2 {
-        let again = start_proxy(FaultSource::Replay(faults.clone()));
-        assert_eq!(run(&again), received, "round {round}");
-        assert_eq!(record::write(&again.log.lock().unwrap()), recorded, "round {round}");
+        let replaying_proxy = start_proxy(FaultSource::Replay(faults.clone()));
+        assert_eq!(run(&replaying_proxy), received, "round {round}");
+        assert_eq!(record::write(&replaying_proxy.log.lock().unwrap()), recorded, "round {round}");
     }
     assert!(faults.keys().any(|(_, direction)| *direction == Down));
 }
