--- a/crates/experiments/src/charts.rs
+++ b/crates/experiments/src/charts.rs
@@ -10,6 +10,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
+/// The colours of the policies, in the order of [`POLICIES`].
 const POLICY_COLOURS: [RGBColor; 5] = [
     RGBColor(31, 119, 180),
     RGBColor(127, 127, 127),
@@ -34,16 +35,16 @@
     /// The folder could not be created.
     #[error("{}: {source}", folder.display())]
     Folder {
-        /// The folder.
+        /// The folder for the charts.
         folder: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
     /// A chart could not be drawn or written.
-    #[error("{}: {source}", folder.display())]
+    #[error("{}: {source}", file.display())]
     Draw {
-        /// The folder.
-        folder: PathBuf,
+        /// The chart's file.
+        file: PathBuf,
         /// The cause.
         source: DrawError,
     },
@@ -60,8 +61,8 @@
     let charts = if varied.is_empty() { vec![chart_of_cases(rows)] } else { charts_of_values(rows, varied) };
     let mut names = Vec::new();
     for chart in charts {
-        let drawn = chart.draw(&folder.join(&chart.file_name));
-        drawn.map_err(|source| ChartError::Draw { folder: folder.into(), source })?;
+        let file = folder.join(&chart.file_name);
+        chart.draw(&file).map_err(|source| ChartError::Draw { file, source })?;
         names.push(chart.file_name);
     }
     Ok(names)
@@ -121,7 +122,7 @@
         let low = rows.iter().map(|row| row.value).fold(f64::INFINITY, f64::min);
         let high = rows.iter().map(|row| row.value).fold(f64::NEG_INFINITY, f64::max);
         let margin = ((high - low) * 0.05).max(0.01);
-        let file_part = case.replace(|letter: char| !letter.is_ascii_alphanumeric(), "-");
+        let file_part = case.replace(|character: char| !character.is_ascii_alphanumeric(), "-");
         Chart {
             file_name: format!("service-{file_part}.svg"),
             title: format!("service, {case}"),
@@ -134,30 +135,32 @@
     case_names(rows).into_iter().map(chart).collect()
 }
 
+/// Groups the rows by policy and by their position on the horizontal axis, and averages the service level of each group.
 fn series(rows: &[ResultRow], x_of: impl Fn(&ResultRow) -> f64) -> Series {
-    let mut values: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
+    // By policy, then by the bits of the position: the service levels.
+    let mut service_levels: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     for row in rows {
-        let points = values.entry(row.policy.clone()).or_default();
-        points.entry(x_of(row).to_bits()).or_default().push(row.service_level);
+        let by_position = service_levels.entry(row.policy.clone()).or_default();
+        by_position.entry(x_of(row).to_bits()).or_default().push(row.service_level);
     }
-    let points = |points: BTreeMap<u64, Vec<f64>>| {
+    let sorted_points = |by_position: BTreeMap<u64, Vec<f64>>| {
         let point =
-            |(bits, values): (u64, Vec<f64>)| Some(Point { x: f64::from_bits(bits), mean: mean(&values)? });
-        let mut points: Vec<_> = points.into_iter().filter_map(point).collect();
+            |(bits, levels): (u64, Vec<f64>)| Some(Point { x: f64::from_bits(bits), mean: mean(&levels)? });
+        let mut points: Vec<_> = by_position.into_iter().filter_map(point).collect();
         points.sort_by(|left, right| left.x.total_cmp(&right.x));
         points
     };
-    values.into_iter().map(|(policy, by_value)| (policy, points(by_value))).collect()
+    service_levels.into_iter().map(|(policy, by_position)| (policy, sorted_points(by_position))).collect()
 }
 
 impl Chart {
     /// Returns the axis label at a position: the value of the varied parameter or the name of the case.
-    fn label(&self, at: f64) -> String {
+    fn label(&self, position: f64) -> String {
         if !self.varied.is_empty() {
-            return format!("{at:.2}");
+            return format!("{position:.2}");
         }
-        let is_near_case = at.fract().abs() < 0.01 && at >= 0.0;
-        self.cases.get(at.round() as usize).filter(|_| is_near_case).cloned().unwrap_or_default()
+        let is_near_case = position.fract().abs() < 0.01 && position >= 0.0;
+        self.cases.get(position.round() as usize).filter(|_| is_near_case).cloned().unwrap_or_default()
     }
 
     fn draw(&self, path: &Path) -> Result<(), DrawError> {
@@ -174,11 +177,11 @@
                 self.x_range.clone(),
                 (lowest - SERVICE_AXIS_MARGIN).max(0.0)..SERVICE_AXIS_MAX,
             )?;
-        let labels = if self.varied.is_empty() { self.cases.len() } else { VALUE_LABEL_COUNT };
+        let label_count = if self.varied.is_empty() { self.cases.len() } else { VALUE_LABEL_COUNT };
         chart
             .configure_mesh()
-            .x_labels(labels.max(2) * 2 + 1)
-            .x_label_formatter(&|at| self.label(*at))
+            .x_labels(label_count.max(2) * 2 + 1)
+            .x_label_formatter(&|position| self.label(*position))
             .x_desc(&self.varied)
             .y_desc("service")
             .draw()?;
--- a/crates/experiments/src/columns.rs
+++ b/crates/experiments/src/columns.rs
@@ -70,12 +70,12 @@
     }
 }
 
-/// Formats a number with about four significant digits.
+/// Formats a number with fewer decimals the larger it is: from four below 1 to none from 1000 up; 0 has none.
 fn format_rounded(value: f64) -> String {
     let decimals = match value.abs() {
-        size if size >= 1000.0 || size == 0.0 => 0,
-        size if size >= 10.0 => 1,
-        size if size >= 1.0 => 2,
+        magnitude if magnitude >= 1000.0 || magnitude == 0.0 => 0,
+        magnitude if magnitude >= 10.0 => 1,
+        magnitude if magnitude >= 1.0 => 2,
         _ => 4,
     };
     format!("{value:.decimals$}")
@@ -86,16 +86,16 @@
 /// # Errors
 /// Returns an error if the file cannot be written or renamed. An existing file at `path` is then unchanged.
 pub fn write_parquet(path: &Path, columns: &[Column]) -> parquet::errors::Result<()> {
-    let draft = path.with_extension("draft");
+    let temporary_path = path.with_extension("draft");
     let fields: String = columns.iter().map(Column::schema).collect();
     let schema = Arc::new(parse_message_type(&format!("message row {{ {fields} }}"))?);
     let properties = Arc::new(WriterProperties::builder().build());
-    let mut file = SerializedFileWriter::new(File::create(&draft)?, schema, properties)?;
+    let mut file = SerializedFileWriter::new(File::create(&temporary_path)?, schema, properties)?;
     let mut group = file.next_row_group()?;
     columns.iter().try_for_each(|column| write_column(&mut group, column))?;
     group.close()?;
     file.close()?;
-    std::fs::rename(&draft, path)?;
+    std::fs::rename(&temporary_path, path)?;
     Ok(())
 }
 
--- a/crates/experiments/src/commands.rs
+++ b/crates/experiments/src/commands.rs
@@ -9,7 +9,7 @@
 use whinwall_emulator::scenario::{run_scenario, run_with_timeline, Outcome};
 use whinwall_experiments::charts;
 use whinwall_experiments::experiment::{self, Case, CaseFaults, Experiment, Run};
-use whinwall_experiments::report::{comparison, table};
+use whinwall_experiments::report::{comparison_table, service_table};
 use whinwall_experiments::results::{self, ResultRow, RunKey};
 use whinwall_experiments::search::{self, RatedScenario, SearchSpace};
 use whinwall_experiments::statistics;
@@ -21,29 +21,30 @@
 /// The fraction of the badness above the fault-free baseline that a reduced scenario must keep.
 const KEPT_BADNESS_FRACTION: f64 = 0.8;
 
-/// The result of a subcommand, from which the exit code follows.
+/// The conclusion of a subcommand that completed, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Conclusion {
-    Good,
+    Passed,
     /// A rule was violated, or the second results are significantly worse.
-    Bad,
+    Failed,
 }
 
 impl Conclusion {
-    fn good_if(is_good: bool) -> Self {
-        if is_good {
-            Conclusion::Good
+    fn passed_if(condition: bool) -> Self {
+        if condition {
+            Conclusion::Passed
         } else {
-            Conclusion::Bad
+            Conclusion::Failed
         }
     }
 
-    fn of(outcome: &Outcome) -> Self {
-        Conclusion::good_if(outcome.violation_counts.is_empty())
+    fn of_run(outcome: &Outcome) -> Self {
+        Conclusion::passed_if(outcome.violation_counts.is_empty())
     }
 }
 
-/// Selects the run of an experiment to explain: the first one that matches.
+/// Selects the run of an experiment to explain: the first run with the controlled policy that has this case and this
+/// seed. `None` matches every case or seed.
 pub(crate) struct RunFilter {
     pub(crate) case: Option<String>,
     pub(crate) seed: Option<u64>,
@@ -74,16 +75,16 @@
     bar
 }
 
-/// Returns the rows that an earlier, interrupted command left in the folder. They must belong to the same experiment
+/// Returns the rows that an earlier, interrupted command wrote to the folder. They must belong to the same experiment
 /// and build.
-fn known_rows(out: &Path, experiment: &str, commit: &str) -> Result<Vec<ResultRow>, CommandError> {
-    let known = if out.exists() { results::read(out)? } else { Vec::new() };
-    match known.iter().find(|row| row.experiment != experiment || row.commit != commit) {
-        None => Ok(known),
+fn existing_rows(out: &Path, experiment: &str, commit: &str) -> Result<Vec<ResultRow>, CommandError> {
+    let rows = if out.exists() { results::read(out)? } else { Vec::new() };
+    match rows.iter().find(|row| row.experiment != experiment || row.commit != commit) {
+        None => Ok(rows),
         Some(other) => Err(CommandError::OtherResults {
             folder: out.into(),
-            held: other.experiment.clone(),
-            held_commit: other.commit.clone(),
+            found_experiment: other.experiment.clone(),
+            found_commit: other.commit.clone(),
             experiment: experiment.into(),
             commit: commit.into(),
         }),
@@ -93,12 +94,12 @@
 pub(crate) fn run(path: &Path, out: &Path, commit: &str) -> Result<Conclusion, CommandError> {
     let experiment = read_experiment(path)?;
     let name = format!("{}-{:08x}", experiment.name, experiment.hash());
-    let known = known_rows(out, &name, commit)?;
-    let done: BTreeSet<_> = known.iter().map(ResultRow::key).collect();
-    let is_pending = |run: &Run| !done.contains(&RunKey::of_run(run));
+    let existing_rows = existing_rows(out, &name, commit)?;
+    let existing_keys: BTreeSet<_> = existing_rows.iter().map(ResultRow::key).collect();
+    let is_pending = |run: &Run| !existing_keys.contains(&RunKey::of_run(run));
     let pending: Vec<_> = experiment.runs().into_iter().filter(is_pending).collect();
     let bar = progress_bar(pending.len());
-    let mut violations: i64 = known.iter().map(|row| row.violations).sum();
+    let mut violations: i64 = existing_rows.iter().map(|row| row.violations).sum();
     for batch in pending.chunks(RUNS_PER_FILE) {
         let row = |run: &Run| {
             let outcome = run_scenario(&run.config, run.policy, &run.faults, run.seed);
@@ -110,16 +111,16 @@
         results::append(out, &rows)?;
     }
     bar.finish_and_clear();
-    let (completed, known) = (pending.len(), done.len());
-    println!("{name}: {completed} runs completed, {known} already present; {violations} rule violations");
-    Ok(Conclusion::good_if(violations == 0))
+    let (completed, existing) = (pending.len(), existing_keys.len());
+    println!("{name}: {completed} runs completed, {existing} already present; {violations} rule violations");
+    Ok(Conclusion::passed_if(violations == 0))
 }
 
 pub(crate) fn report(path: &Path, results: &Path, out: &Path) -> Result<Conclusion, CommandError> {
     let experiment = read_experiment(path)?;
     let rows = results::read(results)?;
     let charts = charts::write_charts(&rows, experiment.varied_name(), out)?;
-    let table = table(&rows, experiment.varied_name());
+    let table = service_table(&rows, experiment.varied_name());
     let images: Vec<_> = charts.iter().map(|name| format!("![{name}]({name})")).collect();
     let commit = rows.first().map_or("", |row| &row.commit);
     let text = format!(
@@ -129,24 +130,25 @@
     );
     write_file(&out.join("report.md"), &text)?;
     print!("{table}");
-    Ok(Conclusion::Good)
+    Ok(Conclusion::Passed)
 }
 
 pub(crate) fn compare(first: &Path, second: &Path) -> Result<Conclusion, CommandError> {
-    let result = statistics::compare(&results::read(first)?, &results::read(second)?);
-    print!("{}", comparison(&result));
-    let is_worse = result.pairs.iter().any(|pair| pair.is_significant() && pair.difference.mean < 0.0);
-    Ok(Conclusion::good_if(!is_worse))
+    let comparison = statistics::compare(&results::read(first)?, &results::read(second)?);
+    print!("{}", comparison_table(&comparison));
+    let is_worse =
+        comparison.differences.iter().any(|paired| paired.is_significant() && paired.difference.mean < 0.0);
+    Ok(Conclusion::passed_if(!is_worse))
 }
 
-pub(crate) fn run_against(path: &Path, other: &Path, out: &Path) -> Result<Conclusion, CommandError> {
+pub(crate) fn run_against(path: &Path, other_program: &Path, out: &Path) -> Result<Conclusion, CommandError> {
     let (other_rows, own_rows) = (out.join("other"), out.join("own"));
     let status =
-        std::process::Command::new(other).arg("run").arg(path).arg("--out").arg(&other_rows).status();
-    let status = status.map_err(|source| CommandError::File { path: other.into(), source })?;
+        std::process::Command::new(other_program).arg("run").arg(path).arg("--out").arg(&other_rows).status();
+    let status = status.map_err(|source| CommandError::File { path: other_program.into(), source })?;
     // Exit code 1 means that a rule was violated; the rows have been written.
     if !matches!(status.code(), Some(0 | 1)) {
-        return Err(CommandError::OtherBuild { program: other.into(), status });
+        return Err(CommandError::OtherBuild { program: other_program.into(), status });
     }
     run(path, &own_rows, UNNAMED_COMMIT)?;
     compare(&other_rows, &own_rows)
@@ -183,12 +185,18 @@
         ..experiment
     };
     write_file(out, &reproduction.to_xml())?;
-    Ok(Conclusion::of(&smallest.outcome))
+    Ok(Conclusion::of_run(&smallest.outcome))
 }
 
+/// Prints the timeline of one run for `subject`, which is the name of a replica or the number of a slice.
 pub(crate) fn explain(path: &Path, filter: &RunFilter, subject: &str) -> Result<Conclusion, CommandError> {
     let runs = read_experiment(path)?.runs();
-    let run = runs.iter().find(|run| filter.matches(run)).ok_or(CommandError::NoMatchingRun)?;
+    let no_matching_run = || CommandError::NoMatchingRun {
+        path: path.into(),
+        case: filter.case.clone().unwrap_or_else(|| "(any)".into()),
+        seed: filter.seed.map_or("(any)".into(), |seed| seed.to_string()),
+    };
+    let run = runs.iter().find(|run| filter.matches(run)).ok_or_else(no_matching_run)?;
     let (outcome, timeline) = run_with_timeline(&run.config, &run.faults, run.seed, subject);
     println!(
         "case {}, seed {}: service {:.3}, rule violations {:?}",
@@ -197,5 +205,5 @@
     for entry in timeline {
         println!("{:8.2} s  {}", entry.at.seconds(), entry.text);
     }
-    Ok(Conclusion::of(&outcome))
+    Ok(Conclusion::of_run(&outcome))
 }
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -17,12 +17,18 @@
     Results(#[from] ResultsError),
     #[error(transparent)]
     Charts(#[from] ChartError),
-    #[error("{}: contains results of experiment {held} at commit {held_commit}, expected experiment {experiment} at commit {commit}", folder.display())]
-    OtherResults { folder: PathBuf, held: String, held_commit: String, experiment: String, commit: String },
+    #[error("{}: contains results of experiment {found_experiment} at commit {found_commit}, expected experiment {experiment} at commit {commit}", folder.display())]
+    OtherResults {
+        folder: PathBuf,
+        found_experiment: String,
+        found_commit: String,
+        experiment: String,
+        commit: String,
+    },
     #[error("{}: run failed: {status}", program.display())]
     OtherBuild { program: PathBuf, status: ExitStatus },
     #[error("no scenario was run: --days must be at least 1")]
     NoScenarios,
-    #[error("no run with policy governed matches --case and --seed")]
-    NoMatchingRun,
+    #[error("{}: no run with policy governed has case {case} and seed {seed}", path.display())]
+    NoMatchingRun { path: PathBuf, case: String, seed: String },
 }
--- a/crates/experiments/src/experiment/attributes.rs
+++ b/crates/experiments/src/experiment/attributes.rs
@@ -21,8 +21,8 @@
     TooLarge { number: usize, limit: usize },
     #[error("unsupported version {text:?}, expected {supported:?}")]
     UnsupportedVersion { text: String, supported: &'static str },
-    #[error("must be one or more letters, digits and dashes")]
-    InvalidName,
+    #[error("invalid name {0:?}, expected one or more letters, digits and dashes")]
+    InvalidName(String),
     #[error("{0}")]
     InvalidDuration(String),
 }
--- a/crates/experiments/src/experiment/fault_xml.rs
+++ b/crates/experiments/src/experiment/fault_xml.rs
@@ -74,10 +74,11 @@
         self.index("place", self.config.zones)
     }
 
+    /// Parses the attributes `from` and `to` as a range that is not empty and ends at `limit` or before.
     fn range(&self, limit: usize) -> Result<Range<usize>, ConfigError> {
         let (from, to) = (self.index("from", limit)?, self.index("to", limit + 1)?);
         if to <= from {
-            return Err(self.element.error("to: must be greater than from"));
+            return Err(self.element.error(format!("to: {to} must be greater than from, which is {from}")));
         }
         Ok(from..to)
     }
@@ -119,6 +120,7 @@
         Ok(kind)
     }
 
+    /// Parses the anomalies of discovery's list.
     fn list_anomaly(&self) -> Result<ListAnomaly, ConfigError> {
         let anomaly = match self.element.attribute("kind").unwrap_or_default() {
             "list-late" => ListAnomaly::Delayed(self.element.required("by", parse_duration)?),
@@ -127,7 +129,9 @@
             _ => {
                 let interval = self.index("each", self.config.replicas)?;
                 if interval < MIN_PARTIAL_INTERVAL {
-                    let reason = "each: must be at least 2, otherwise the list would contain no server";
+                    let reason = format!(
+                        "each: {interval} is out of range: must be at least {MIN_PARTIAL_INTERVAL}, otherwise the list would contain no server"
+                    );
                     return Err(self.element.error(reason));
                 }
                 ListAnomaly::Partial(interval)
@@ -136,6 +140,7 @@
         Ok(anomaly)
     }
 
+    /// Parses the kinds that affect a range of replicas.
     fn replica_range_kind(&self) -> Result<FaultKind, ConfigError> {
         let Range { start: from, end: to } = self.range(self.config.replicas)?;
         let kind = match self.element.attribute("kind").unwrap_or_default() {
@@ -146,6 +151,7 @@
         Ok(kind)
     }
 
+    /// Parses the kinds that affect a single replica.
     fn replica_kind(&self) -> Result<FaultKind, ConfigError> {
         let replica = self.replica()?;
         let kind = match self.element.attribute("kind").unwrap_or_default() {
--- a/crates/experiments/src/experiment/mod.rs
+++ b/crates/experiments/src/experiment/mod.rs
@@ -1,6 +1,6 @@
 //! The definition of an experiment: a fleet, cases with their faults, policies, seeds and a varied parameter. It is
-//! read from XML with the same error type as the operators' file. The search for the worst scenario writes its result
-//! in the same format.
+//! read from XML; errors in the file are reported as `ConfigError`, the type that the operators' file also uses. The
+//! search for the worst scenario writes its result in the same format.
 
 mod attributes;
 mod fault_xml;
@@ -25,7 +25,7 @@
     pub config: ScenarioConfig,
     /// The fleet size that provides the defaults of `config`.
     pub size: FleetSize,
-    /// The seeds: consecutive numbers.
+    /// The seeds of the simulation's random numbers: consecutive numbers.
     pub seeds: Vec<u64>,
     /// The policies to compare.
     pub policies: Vec<Policy>,
--- a/crates/experiments/src/experiment/names.rs
+++ b/crates/experiments/src/experiment/names.rs
@@ -28,7 +28,7 @@
 pub enum FleetSize {
     /// A small fleet with one controller.
     Small,
-    /// A fleet as large as that of a large partner.
+    /// A large production fleet with three controllers.
     Large,
 }
 
@@ -63,5 +63,5 @@
 }
 
 fn name_of<T: PartialEq>(value: T, names: &[(&'static str, T)]) -> &'static str {
-    names.iter().find(|(_, named)| *named == value).map_or("", |(name, _)| name)
+    names.iter().find(|(_, candidate)| *candidate == value).map_or("", |(name, _)| name)
 }
--- a/crates/experiments/src/experiment/parse.rs
+++ b/crates/experiments/src/experiment/parse.rs
@@ -12,7 +12,8 @@
 use whinwall_operator_config::ConfigError;
 use whinwall_overrides::text;
 
-/// The maximum number of runs of an experiment, so that a typing error does not cause days of computation.
+/// The maximum number of runs of an experiment and of its seeds, so that a typing error does not cause days of
+/// computation.
 const MAX_RUNS: usize = 100_000;
 /// The maximum number of replicas, of slices, of proxies and of controllers.
 const MAX_FLEET_COUNT: usize = 100_000;
@@ -64,16 +65,17 @@
 }
 
 fn parse_name(text: &str) -> Result<String, AttributeError> {
-    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || letter == '-';
+    let is_allowed = |character: char| character.is_ascii_alphanumeric() || character == '-';
     let is_valid = !text.is_empty() && text.chars().all(is_allowed);
-    is_valid.then(|| text.to_string()).ok_or(AttributeError::InvalidName)
+    is_valid.then(|| text.to_string()).ok_or_else(|| AttributeError::InvalidName(text.to_string()))
 }
 
 fn parse_variation(element: Option<&Element>) -> Result<Variation, ConfigError> {
     let Some(element) = element else { return Ok(Variation { parameter: None, values: vec![0.0] }) };
     element.allow_only(&["what", "values"], &[])?;
-    let values = |text: &str| text.split_whitespace().map(parse_positive).collect::<Result<Vec<_>, _>>();
-    let values = element.required("values", values)?;
+    let parse_values =
+        |text: &str| text.split_whitespace().map(parse_positive).collect::<Result<Vec<_>, _>>();
+    let values = element.required("values", parse_values)?;
     if values.is_empty() {
         return Err(element.error("values: must contain at least one number"));
     }
@@ -121,9 +123,12 @@
     config.replicas = world.optional("servers", parse_number)?.unwrap_or(config.replicas);
     config.slices = world.optional("slices", parse_number)?.unwrap_or(config.slices);
     config.proxies = world.optional("proxies", parse_number)?.unwrap_or(config.proxies);
-    let counts = [config.controllers, config.replicas, config.slices, config.proxies];
+    let ScenarioConfig { controllers, replicas, slices, proxies, .. } = config;
+    let counts = [controllers, replicas, slices, proxies];
     if counts.iter().any(|count| *count == 0 || *count > MAX_FLEET_COUNT) {
-        return Err(world.error("governors, servers, slices and proxies must each be between 1 and 100,000"));
+        return Err(world.error(format!(
+            "{controllers} governors, {replicas} servers, {slices} slices, {proxies} proxies: each must be between 1 and {MAX_FLEET_COUNT}"
+        )));
     }
     Ok(Fleet { config, size })
 }
@@ -133,7 +138,9 @@
     let (from, to) =
         (seeds.required("from", parse_number::<u64>)?, seeds.required("to", parse_number::<u64>)?);
     if to < from || to - from >= MAX_RUNS as u64 {
-        return Err(seeds.error("to: must not be less than from, and at most 100,000 seeds are allowed"));
+        return Err(seeds.error(format!(
+            "to: {to} must not be less than from, which is {from}, and at most {MAX_RUNS} seeds are allowed"
+        )));
     }
     Ok((from..=to).collect())
 }
--- a/crates/experiments/src/experiment/write.rs
+++ b/crates/experiments/src/experiment/write.rs
@@ -11,8 +11,8 @@
 pub(super) const VERSION: &str = "1";
 
 impl Experiment {
-    /// Formats the experiment in its canonical form, whose hash does not depend on the white space of the original
-    /// file.
+    /// Formats the experiment as XML in a canonical form, so that its hash does not depend on the white space of the
+    /// file that it was read from.
     pub fn to_xml(&self) -> String {
         let mut text = format!("<experiment name=\"{}\" version=\"{VERSION}\">\n", self.name);
         let ScenarioConfig { controllers, load, duration, replicas, slices, proxies, .. } = &self.config;
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -12,7 +12,7 @@
 use whinwall_experiments::search::SearchSpace;
 
 /// The exit code if a rule was violated or the second results are significantly worse.
-const EXIT_BAD_RESULT: u8 = 1;
+const EXIT_FAILED: u8 = 1;
 /// The exit code if a file or an argument is invalid.
 const EXIT_ERROR: u8 = 2;
 
@@ -32,8 +32,8 @@
         }
     };
     match result {
-        Ok(Conclusion::Good) => ExitCode::SUCCESS,
-        Ok(Conclusion::Bad) => ExitCode::from(EXIT_BAD_RESULT),
+        Ok(Conclusion::Passed) => ExitCode::SUCCESS,
+        Ok(Conclusion::Failed) => ExitCode::from(EXIT_FAILED),
         Err(error) => {
             eprintln!("whinwall-experiments: {error}");
             ExitCode::from(EXIT_ERROR)
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -1,13 +1,13 @@
 //! Markdown tables of results and comparisons.
 
 use crate::results::ResultRow;
-use crate::statistics::{groups, mean, Comparison, Mean, Pair};
+use crate::statistics::{group_by_case, mean, Comparison, Mean, PairedDifference};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
 /// The name of the policy whose commands the table counts.
-const CONTROLLED: &str = "governed";
-/// The number of columns that are always there: the case, commands and violations.
+const CONTROLLED_POLICY: &str = "governed";
+/// The number of columns that every table has: the case, the commands and the rule violations.
 const FIXED_COLUMN_COUNT: usize = 3;
 
 fn format_mean(mean: &Mean) -> String {
@@ -18,12 +18,12 @@
     }
 }
 
-/// Formats a table with a row for each case and value and a column for each policy. A cell has the mean service level
-/// with its 95% confidence interval, and the lowest service level.
-pub fn table(rows: &[ResultRow], varied: &str) -> String {
+/// Formats a table with a row for each case and value and a column for each policy. A cell contains the mean service
+/// level with its 95% confidence interval, and the lowest service level in parentheses.
+pub fn service_table(rows: &[ResultRow], varied: &str) -> String {
     let policies: BTreeSet<_> = rows.iter().map(|row| row.policy.as_str()).collect();
     let mut text = table_head(&policies, varied);
-    for (key, by_policy) in groups(rows) {
+    for (key, by_policy) in group_by_case(rows) {
         _ = write!(text, "| {} |", key.case);
         if !varied.is_empty() {
             _ = write!(text, " {} |", key.value());
@@ -36,11 +36,11 @@
                 None => text.push_str(" - |"),
             }
         }
-        let all = || by_policy.values().flatten();
-        let controlled = all().filter(|row| row.policy == CONTROLLED);
+        let all_rows = || by_policy.values().flatten();
+        let controlled = all_rows().filter(|row| row.policy == CONTROLLED_POLICY);
         let commands: Vec<_> = controlled.map(|row| row.commands as f64).collect();
         let commands = mean(&commands).map_or("-".into(), |mean| format!("{:.0}", mean.mean));
-        _ = writeln!(text, " {commands} | {} |", all().map(|row| row.violations).sum::<i64>());
+        _ = writeln!(text, " {commands} | {} |", all_rows().map(|row| row.violations).sum::<i64>());
     }
     text
 }
@@ -58,22 +58,22 @@
     text
 }
 
-/// Formats a table with a row for each pair, which states whether the difference is significant.
-pub fn comparison(Comparison { pairs, unpaired }: &Comparison) -> String {
+/// Formats a table with a row for each paired difference, which states whether the difference is significant.
+pub fn comparison_table(Comparison { differences, unpaired_runs }: &Comparison) -> String {
     let mut text =
         String::from("| case | way | value | second minus first | |\n| --- | --- | --- | --- | --- |\n");
-    for pair in pairs {
-        let rating = match pair.is_significant() {
-            true if pair.difference.mean > 0.0 => "better",
+    for paired in differences {
+        let rating = match paired.is_significant() {
+            true if paired.difference.mean > 0.0 => "better",
             true => "worse",
             false => "not significant",
         };
-        let Pair { case, policy, value, difference } = pair;
+        let PairedDifference { case, policy, value, difference } = paired;
         let (mean, count) = (format_mean(difference), difference.count);
         _ = writeln!(text, "| {case} | {policy} | {value} | {mean} of {count} | {rating} |");
     }
-    if *unpaired > 0 {
-        _ = writeln!(text, "\n{unpaired} runs of the first results have no counterpart in the second.");
+    if *unpaired_runs > 0 {
+        _ = writeln!(text, "\n{unpaired_runs} runs of the first results have no counterpart in the second.");
     }
     text
 }
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -47,21 +47,22 @@
     pub value: f64,
     /// The seed.
     pub seed: i64,
-    /// The priority weight of timely requests, as a share of all, 0 to 1.
+    /// The priority weight of requests served within their latency objective, as a share of the priority weight of all
+    /// requests, from 0 to 1.
     pub service_level: f64,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub requests: i64,
-    /// Requests that succeeded.
+    /// Number of requests that succeeded, timely or late.
     pub succeeded: i64,
-    /// Requests that succeeded after their latency objective.
+    /// Number of requests that succeeded after their latency objective.
     pub late: i64,
-    /// Unsuccessful requests whose last attempt provably did not run.
+    /// Number of unsuccessful requests whose last attempt provably did not run.
     pub rejected: i64,
-    /// Other unsuccessful requests.
+    /// Number of requests that failed otherwise.
     pub failed: i64,
-    /// Commands that the relay applied.
+    /// Number of commands that the relay applied.
     pub commands: i64,
-    /// Replicas that were ejected as outliers.
+    /// Number of outlier ejections by the controllers.
     pub ejections: i64,
     /// The maximum number of lines queued on one command channel.
     pub peak_queued_lines: f64,
@@ -94,25 +95,25 @@
 fn columns(rows: &[ResultRow]) -> Vec<Column> {
     let text =
         |name, value: fn(&ResultRow) -> &str| Column::text(name, rows.iter().map(|row| value(row).into()));
-    let whole = |name, value: fn(&ResultRow) -> i64| Column::integers(name, rows.iter().map(value));
-    let real = |name, value: fn(&ResultRow) -> f64| Column::floats(name, rows.iter().map(value));
+    let integer = |name, value: fn(&ResultRow) -> i64| Column::integers(name, rows.iter().map(value));
+    let float = |name, value: fn(&ResultRow) -> f64| Column::floats(name, rows.iter().map(value));
     vec![
         text("experiment", |row| &row.experiment),
         text("commit", |row| &row.commit),
         text("case", |row| &row.case),
         text("way", |row| &row.policy),
-        real("value", |row| row.value),
-        whole("seed", |row| row.seed),
-        real("service", |row| row.service_level),
-        whole("ops", |row| row.requests),
-        whole("acked", |row| row.succeeded),
-        whole("late", |row| row.late),
-        whole("rejected", |row| row.rejected),
-        whole("aborted", |row| row.failed),
-        whole("orders", |row| row.commands),
-        whole("verdicts", |row| row.ejections),
-        real("most_lines", |row| row.peak_queued_lines),
-        whole("broken", |row| row.violations),
+        float("value", |row| row.value),
+        integer("seed", |row| row.seed),
+        float("service", |row| row.service_level),
+        integer("ops", |row| row.requests),
+        integer("acked", |row| row.succeeded),
+        integer("late", |row| row.late),
+        integer("rejected", |row| row.rejected),
+        integer("aborted", |row| row.failed),
+        integer("orders", |row| row.commands),
+        integer("verdicts", |row| row.ejections),
+        float("most_lines", |row| row.peak_queued_lines),
+        integer("broken", |row| row.violations),
     ]
 }
 
@@ -184,6 +185,7 @@
     Ok(paths.filter(|path| path.extension().is_some_and(|extension| extension == "parquet")).collect())
 }
 
+/// Reads the rows of a file. The indices follow the order of the columns in [`columns`].
 fn read_file(path: &Path, rows: &mut Vec<ResultRow>) -> parquet::errors::Result<()> {
     let reader = SerializedFileReader::new(File::open(path)?)?;
     for row in reader.get_row_iter(None)? {
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -20,7 +20,7 @@
     pub seed: u64,
     /// The injected faults.
     pub faults: Vec<Fault>,
-    /// The loss of service level, plus a fixed amount if any rule was violated.
+    /// The rating: the loss of service level, plus a fixed amount if any rule was violated.
     pub badness: f64,
     /// The results of the run.
     pub outcome: Outcome,
@@ -68,29 +68,29 @@
 pub fn shrink(config: &ScenarioConfig, worst: &RatedScenario, kept_fraction: f64) -> RatedScenario {
     let baseline = rate(config, worst.seed, Vec::new()).badness;
     let min_badness = baseline + (worst.badness - baseline) * kept_fraction;
-    let mut best = worst.clone();
+    let mut smallest = worst.clone();
     loop {
-        let candidates = smaller_candidates(&best.faults);
-        let rated = candidates.into_par_iter().map(|faults| rate(config, best.seed, faults));
+        let candidates = smaller_candidates(&smallest.faults);
+        let rated = candidates.into_par_iter().map(|faults| rate(config, smallest.seed, faults));
         match rated.find_first(|rated| rated.badness >= min_badness) {
-            Some(smaller) => best = smaller,
-            None => return best,
+            Some(smaller) => smallest = smaller,
+            None => return smallest,
         }
     }
 }
 
 /// Returns the next smaller sets of faults: those with one fault removed, then those with one fault half as long.
 fn smaller_candidates(faults: &[Fault]) -> Vec<Vec<Fault>> {
-    let without = (0..faults.len()).map(|index| {
-        let mut fewer = faults.to_vec();
-        fewer.remove(index);
-        fewer
+    let with_fault_removed = (0..faults.len()).map(|index| {
+        let mut remaining = faults.to_vec();
+        remaining.remove(index);
+        remaining
     });
-    let is_long = |index: &usize| faults[*index].duration > MIN_SHORTENED_DURATION;
-    let shorter = (0..faults.len()).filter(is_long).map(|index| {
-        let mut shorter = faults.to_vec();
-        shorter[index].duration = Span::ms(faults[index].duration.as_ns() / 2_000_000);
-        shorter
+    let can_be_shortened = |index: &usize| faults[*index].duration > MIN_SHORTENED_DURATION;
+    let with_fault_shortened = (0..faults.len()).filter(can_be_shortened).map(|index| {
+        let mut shortened = faults.to_vec();
+        shortened[index].duration = Span::ms(faults[index].duration.as_ns() / 2_000_000);
+        shortened
     });
-    without.chain(shorter).collect()
+    with_fault_removed.chain(with_fault_shortened).collect()
 }
--- a/crates/experiments/src/statistics.rs
+++ b/crates/experiments/src/statistics.rs
@@ -16,12 +16,13 @@
     pub min: f64,
 }
 
-/// Student's 97.5% quantiles for 1 to 30 degrees of freedom.
+/// The 97.5% quantiles of Student's t-distribution for 1 to 30 degrees of freedom.
 const STUDENT_QUANTILES: [f64; 30] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 ];
-/// The 97.5% quantile of the normal distribution, an approximation for more than 30 degrees of freedom.
+/// The 97.5% quantile of the normal distribution, which approximates Student's t-distribution for more than 30 degrees
+/// of freedom.
 const NORMAL_QUANTILE: f64 = 1.96;
 
 /// Returns the mean of the values, or `None` if there are none.
@@ -61,7 +62,7 @@
 pub type Groups<'a> = BTreeMap<CaseKey, BTreeMap<String, Vec<&'a ResultRow>>>;
 
 /// Groups rows by case and value, then by policy.
-pub fn groups(rows: &[ResultRow]) -> Groups<'_> {
+pub fn group_by_case(rows: &[ResultRow]) -> Groups<'_> {
     let mut groups = Groups::new();
     for row in rows {
         let key = CaseKey { case: row.case.clone(), value_bits: row.value.to_bits() };
@@ -72,7 +73,7 @@
 
 /// The difference in service level between two sets of results, for one case, policy and value.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pair {
+pub struct PairedDifference {
     /// The name of the case.
     pub case: String,
     /// The policy's name.
@@ -83,7 +84,7 @@
     pub difference: Mean,
 }
 
-impl Pair {
+impl PairedDifference {
     /// Returns true if zero is outside the confidence interval of the difference.
     pub fn is_significant(&self) -> bool {
         self.difference.mean.abs() > self.difference.half_width
@@ -94,28 +95,34 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
     /// The differences, by case, policy and value.
-    pub pairs: Vec<Pair>,
+    pub differences: Vec<PairedDifference>,
     /// The number of runs in the first results that the second results do not have.
-    pub unpaired: usize,
+    pub unpaired_runs: usize,
 }
 
-/// Pairs each run of the first results with the same run of the second.
+/// Pairs each run of the first results with the same run of the second, and averages the differences in service level
+/// by case, policy and value.
 pub fn compare(first: &[ResultRow], second: &[ResultRow]) -> Comparison {
     let second_levels: BTreeMap<RunKey, f64> =
         second.iter().map(|row| (row.key(), row.service_level)).collect();
     let mut differences: BTreeMap<(String, String, u64), Vec<f64>> = BTreeMap::new();
-    let mut unpaired = 0;
+    let mut unpaired_runs = 0;
     for row in first {
         match second_levels.get(&row.key()) {
-            None => unpaired += 1,
+            None => unpaired_runs += 1,
             Some(second_level) => {
                 let key = (row.case.clone(), row.policy.clone(), row.value.to_bits());
                 differences.entry(key).or_default().push(second_level - row.service_level);
             }
         }
     }
-    let pair = |((case, policy, value_bits), differences): ((String, String, u64), Vec<f64>)| {
-        Some(Pair { case, policy, value: f64::from_bits(value_bits), difference: mean(&differences)? })
+    let paired_difference = |((case, policy, value_bits), differences): ((String, String, u64), Vec<f64>)| {
+        Some(PairedDifference {
+            case,
+            policy,
+            value: f64::from_bits(value_bits),
+            difference: mean(&differences)?,
+        })
     };
-    Comparison { pairs: differences.into_iter().filter_map(pair).collect(), unpaired }
+    Comparison { differences: differences.into_iter().filter_map(paired_difference).collect(), unpaired_runs }
 }
--- a/crates/experiments/tests/help.rs
+++ b/crates/experiments/tests/help.rs
@@ -6,36 +6,36 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_whinwall-experiments");
 
 #[test]
-fn help_of_the_program() {
-    assert_eq!(help_text(PROGRAM, ""), include_str!("fixtures/help/lab.txt"));
+fn program_help_matches_fixture() {
+    assert_eq!(help_text(PROGRAM, ""), include_str!("fixtures/help/program.txt"));
 }
 
 #[test]
-fn help_of_the_subcommand_run() {
+fn run_help_matches_fixture() {
     assert_eq!(help_text(PROGRAM, "run"), include_str!("fixtures/help/run.txt"));
 }
 
 #[test]
-fn help_of_the_subcommand_report() {
+fn report_help_matches_fixture() {
     assert_eq!(help_text(PROGRAM, "report"), include_str!("fixtures/help/report.txt"));
 }
 
 #[test]
-fn help_of_the_subcommand_compare() {
+fn compare_help_matches_fixture() {
     assert_eq!(help_text(PROGRAM, "compare"), include_str!("fixtures/help/compare.txt"));
 }
 
 #[test]
-fn help_of_the_subcommand_against() {
+fn against_help_matches_fixture() {
     assert_eq!(help_text(PROGRAM, "against"), include_str!("fixtures/help/against.txt"));
 }
 
 #[test]
-fn help_of_the_subcommand_worst() {
+fn worst_help_matches_fixture() {
     assert_eq!(help_text(PROGRAM, "worst"), include_str!("fixtures/help/worst.txt"));
 }
 
 #[test]
-fn help_of_the_subcommand_explain() {
+fn explain_help_matches_fixture() {
     assert_eq!(help_text(PROGRAM, "explain"), include_str!("fixtures/help/explain.txt"));
 }
--- a/crates/experiments/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -1,5 +1,4 @@
-//! Experiment files, result files, statistics, resumed experiments, reports and comparisons, and the search for the
-//! worst scenario with its explanation.
+//! Tests of experiment files, result files and statistics, and of the program's subcommands.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -7,7 +6,7 @@
 use whinwall_experiments::results::{append, read, ResultRow};
 use whinwall_experiments::statistics::{compare, mean, Comparison};
 
-const SMALL: &str = r#"<experiment name="small" version="1">
+const SMALL_EXPERIMENT: &str = r#"<experiment name="small" version="1">
   <world size="small" lasts="15s" load="0.4"/>
   <seeds from="1" to="3"/>
   <way policy="governed"/>
@@ -51,7 +50,7 @@
 
 #[test]
 fn experiment_round_trips_through_xml_and_errors_name_the_position() {
-    let experiment = experiment::parse(SMALL).unwrap();
+    let experiment = experiment::parse(SMALL_EXPERIMENT).unwrap();
     assert_eq!(experiment.runs().len(), 2 * 2 * 3);
     let again = experiment::parse(&experiment.to_xml()).unwrap();
     assert_eq!((again.to_xml(), again.hash()), (experiment.to_xml(), experiment.hash()));
@@ -75,16 +74,37 @@
         ("server=\"3\"", "server=\"12\"", "12 is out of range: must be less than 12"),
         ("server=\"3\"", "slice=\"3\"", "unknown attribute \"slice\""),
         ("governed", "guided", "line 4, column 3: <way>"),
-        ("from=\"1\" to=\"3\"", "from=\"3\" to=\"1\"", "<seeds>"),
+        (
+            "from=\"1\" to=\"3\"",
+            "from=\"3\" to=\"1\"",
+            "<seeds>: to: 1 must not be less than from, which is 3",
+        ),
         (
             "drawn=\"2\"/>",
             "drawn=\"2\"><trouble/></case>",
             "drawn: a case with this attribute must not have <trouble> elements",
         ),
         ("name=\"drawn\"", "name=\"crash\"", "duplicate case name \"crash\""),
+        (
+            "name=\"small\"",
+            "name=\"a b\"",
+            "invalid name \"a b\", expected one or more letters, digits and dashes",
+        ),
+        ("load=\"0.4\"", "servers=\"0\"", "0 servers, 60 slices"),
+        ("load=\"0.4\"", "proxies=\"100001\"", "100001 proxies: each must be between 1 and 100000"),
+        (
+            "kind=\"crash\" server=\"3\"",
+            "kind=\"release\" from=\"3\" to=\"3\"",
+            "to: 3 must be greater than from, which is 3",
+        ),
+        (
+            "kind=\"crash\" server=\"3\"",
+            "kind=\"list-lossy\" each=\"1\"",
+            "each: 1 is out of range: must be at least 2",
+        ),
         ("5.5s", "soon", "lasts"),
     ] {
-        let error = experiment::parse(&SMALL.replace(from, to)).unwrap_err().to_string();
+        let error = experiment::parse(&SMALL_EXPERIMENT.replace(from, to)).unwrap_err().to_string();
         assert!(error.contains(expected), "{error:?} does not contain {expected:?}");
     }
 }
@@ -104,26 +124,30 @@
 /// The three values have a mean of 2 and a standard deviation of 1. Student's 97.5% quantile for two degrees of freedom
 /// is 4.303.
 #[test]
-fn confidence_intervals_and_significance_are_computed() {
-    let three = mean(&[1.0, 2.0, 3.0]).unwrap();
-    assert!((three.half_width - 4.303 / 3f64.sqrt()).abs() < 1e-3 && three.mean == 2.0 && three.min == 1.0);
+fn confidence_interval_uses_student_quantile_and_noise_is_not_significant() {
+    let estimate = mean(&[1.0, 2.0, 3.0]).unwrap();
+    assert!(
+        (estimate.half_width - 4.303 / 3f64.sqrt()).abs() < 1e-3
+            && estimate.mean == 2.0
+            && estimate.min == 1.0
+    );
     assert!(mean(&[5.0]).unwrap().half_width.is_infinite() && mean(&[]).is_none());
     let noise = |seed: i64| 0.01 * ((seed * 7) % 5) as f64;
     let before: Vec<_> = (0..10).map(|seed| row(seed, 0.5 + noise(seed))).collect();
     let better: Vec<_> =
         (0..9).map(|seed| row(seed, 0.6 + noise(seed) + 0.001 * (seed % 2) as f64)).collect();
-    let Comparison { pairs, unpaired } = compare(&before, &better);
-    assert!(unpaired == 1 && pairs[0].is_significant() && pairs[0].difference.count == 9);
-    let same: Vec<_> =
+    let Comparison { differences, unpaired_runs } = compare(&before, &better);
+    assert!(unpaired_runs == 1 && differences[0].is_significant() && differences[0].difference.count == 9);
+    let unchanged_on_average: Vec<_> =
         (0..10).map(|seed| row(seed, 0.5 + noise(seed) + 0.01 * (seed % 2 * 2 - 1) as f64)).collect();
-    assert!(!compare(&before, &same).pairs[0].is_significant());
+    assert!(!compare(&before, &unchanged_on_average).differences[0].is_significant());
 }
 
 #[test]
 fn experiment_is_run_resumed_reported_and_compared() {
     let folder = tempfile::tempdir().unwrap();
     let (file, out) = (path(folder.path(), "e.xml"), path(folder.path(), "rows"));
-    std::fs::write(&file, SMALL).unwrap();
+    std::fs::write(&file, SMALL_EXPERIMENT).unwrap();
     let first = run_program(&["run", &file, "--out", &out, "--commit", "abc"]);
     assert!(
         first.status.success() && output_text(&first).contains("12 runs completed"),
@@ -188,11 +212,11 @@
 fn worst_scenario_is_shrunk_and_explained() {
     let folder = tempfile::tempdir().unwrap();
     let (file, out) = (path(folder.path(), "e.xml"), path(folder.path(), "worst.xml"));
-    std::fs::write(&file, SMALL.replace("0.4", "0.7")).unwrap();
+    std::fs::write(&file, SMALL_EXPERIMENT.replace("0.4", "0.7")).unwrap();
     let found = run_program(&["worst", &file, "--days", "12", "--many", "4", "--out", &out]);
     assert!(output_text(&found).contains("smallest scenario that reproduces it"), "{}", output_text(&found));
-    let shown = experiment::parse(&std::fs::read_to_string(&out).unwrap()).unwrap();
-    let experiment::CaseFaults::Given(faults) = &shown.cases[0].faults else {
+    let reproduction = experiment::parse(&std::fs::read_to_string(&out).unwrap()).unwrap();
+    let experiment::CaseFaults::Given(faults) = &reproduction.cases[0].faults else {
         panic!("the faults must be listed")
     };
     assert!((1..=4).contains(&faults.len()));
@@ -209,4 +233,11 @@
     );
     assert!(output_text(&run_program(&["explain", &out, "--slice", "7"])).contains("requests, "));
     assert_eq!(run_program(&["explain", &out]).status.code(), Some(2));
+    let no_match = run_program(&["explain", &out, "--seed", "999", "--server", "3"]);
+    assert!(
+        no_match.status.code() == Some(2)
+            && output_text(&no_match).contains("no run with policy governed has case (any) and seed 999"),
+        "{}",
+        output_text(&no_match)
+    );
 }
