--- a/crates/experiments/src/columns.rs
+++ b/crates/experiments/src/columns.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Formats a number with fewer decimals the larger it is: from four below 1 to none from 1000 up; 0 has none.
+/// Formats a number with four decimals below 1, two below 10, one below 1000 and none from 1000. Zero has no decimals.
 fn format_rounded(value: f64) -> String {
     let decimals = match value.abs() {
         magnitude if magnitude >= 1000.0 || magnitude == 0.0 => 0,
--- a/crates/experiments/src/experiment/fault_xml.rs
+++ b/crates/experiments/src/experiment/fault_xml.rs
@@ -120,7 +120,7 @@
         Ok(kind)
     }
 
-    /// Parses the anomalies of discovery's list.
+    /// Parses the kinds that affect how discovery delivers updates of the endpoint list.
     fn list_anomaly(&self) -> Result<ListAnomaly, ConfigError> {
         let anomaly = match self.element.attribute("kind").unwrap_or_default() {
             "list-late" => ListAnomaly::Delayed(self.element.required("by", parse_duration)?),
--- a/crates/experiments/src/experiment/parse.rs
+++ b/crates/experiments/src/experiment/parse.rs
@@ -12,8 +12,8 @@
 use whinwall_operator_config::ConfigError;
 use whinwall_overrides::text;
 
-/// The maximum number of runs of an experiment and of its seeds, so that a typing error does not cause days of
-/// computation.
+/// The maximum number of runs of an experiment, and also the maximum number of its seeds, so that a typing error does
+/// not cause days of computation.
 const MAX_RUNS: usize = 100_000;
 /// The maximum number of replicas, of slices, of proxies and of controllers.
 const MAX_FLEET_COUNT: usize = 100_000;
--- a/crates/experiments/tests/lab.rs
+++ b/crates/experiments/tests/lab.rs
@@ -63,7 +63,7 @@
     assert_eq!(
         experiment::parse(&all.to_xml()).unwrap().cases,
         all.cases,
-        "each kind of fault round-trips through XML"
+        "the 40 random faults round-trip through XML"
     );
     for (from, to, expected) in [
         (
@@ -109,6 +109,51 @@
     }
 }
 
+/// The attributes of each kind of fault, besides `begins` and `lasts`.
+const FAULT_ATTRIBUTES: [&str; 27] = [
+    r#"kind="crash" server="3""#,
+    r#"kind="hang" server="3""#,
+    r#"kind="silence" server="3""#,
+    r#"kind="slow" server="3" factor="2.5""#,
+    r#"kind="fast-errors" server="3" share="0.4""#,
+    r#"kind="drain" server="3""#,
+    r#"kind="release" from="3" to="5""#,
+    r#"kind="replaced" from="3" to="5""#,
+    r#"kind="place-lost" place="1""#,
+    r#"kind="wrong-list" from="3" to="5""#,
+    r#"kind="list-late" by="0.2s""#,
+    r#"kind="list-again""#,
+    r#"kind="list-back""#,
+    r#"kind="list-lossy" each="2""#,
+    r#"kind="hot-slice" slice="3" factor="2.5""#,
+    r#"kind="burst" factor="2.5""#,
+    r#"kind="place-cut" place="1""#,
+    r#"kind="relay-away""#,
+    r#"kind="relay-mute""#,
+    r#"kind="discovery-away""#,
+    r#"kind="governor-killed" governor="1""#,
+    r#"kind="herd" governors="2""#,
+    r#"kind="slow-channel" share="0.4""#,
+    r#"kind="proxies-leave" many="2""#,
+    r#"kind="hand-over" from="3" to="5""#,
+    r#"kind="garbled" share="0.4""#,
+    r#"kind="out-of-service" server="3""#,
+];
+
+#[test]
+fn every_kind_of_fault_is_written_as_it_was_read() {
+    for attributes in FAULT_ATTRIBUTES {
+        let fault = format!("<trouble {attributes} begins=\"6s\" lasts=\"5.5s\"/>");
+        let text = SMALL_EXPERIMENT
+            .replace("<trouble kind=\"crash\" server=\"3\" begins=\"6s\" lasts=\"5.5s\"/>", &fault)
+            .replace("size=\"small\"", "size=\"small\" governors=\"3\"");
+        let experiment = experiment::parse(&text).unwrap();
+        assert!(experiment.to_xml().contains(&fault), "{fault} is missing in {}", experiment.to_xml());
+        let again = experiment::parse(&experiment.to_xml()).unwrap();
+        assert_eq!(again.cases, experiment.cases, "{fault}");
+    }
+}
+
 #[test]
 fn rows_are_read_as_written_and_draft_files_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
