--- a/crates/scale-tests/src/decisions/mod.rs
+++ b/crates/scale-tests/src/decisions/mod.rs
@@ -28,9 +28,9 @@
     let scenarios = plan.scenarios();
     let run_planned = |scenario: &PlannedScenario| {
         let outcome = run_scenario(&scenario.fleet, Policy::Controlled, &scenario.faults, scenario.seed);
-        if let Ok(mut done) = progress.lock() {
-            *done += 1;
-            eprintln!("{}", table::progress_line(*done, scenarios.len(), scenario, &outcome));
+        if let Ok(mut completed) = progress.lock() {
+            *completed += 1;
+            eprintln!("{}", table::progress_line(*completed, scenarios.len(), scenario, &outcome));
         }
         ScenarioRun { scenario: scenario.clone(), outcome }
     };
--- a/crates/scale-tests/src/decisions/plan.rs
+++ b/crates/scale-tests/src/decisions/plan.rs
@@ -91,7 +91,7 @@
 /// One scenario of the plan.
 #[derive(Clone, Debug)]
 pub struct PlannedScenario {
-    /// The kind.
+    /// The kind of scenario.
     pub kind: ScenarioKind,
     /// The subset size; 0 means without subsets.
     pub subset: usize,
--- a/crates/scale-tests/src/decisions/table.rs
+++ b/crates/scale-tests/src/decisions/table.rs
@@ -83,7 +83,7 @@
 
 /// Returns the line of progress output for a finished scenario.
 pub(super) fn progress_line(
-    done: usize,
+    completed: usize,
     total: usize,
     scenario: &PlannedScenario,
     outcome: &Outcome,
@@ -92,7 +92,7 @@
     let (label, rules) = (decision_label(*subset), format_violated_rules(&[outcome]));
     let Outcome { service_level, migrations, commands, .. } = outcome;
     let controllers = fleet.controllers;
-    format!("{done}/{total} {kind}, {controllers} controllers, {label}, seed {seed}: service level {service_level:.3}, {migrations} migrations, {commands} commands, violated rules: {rules}")
+    format!("{completed}/{total} {kind}, {controllers} controllers, {label}, seed {seed}: service level {service_level:.3}, {migrations} migrations, {commands} commands, violated rules: {rules}")
 }
 
 fn group_runs(runs: &[ScenarioRun]) -> BTreeMap<Group, Vec<&ScenarioRun>> {
@@ -109,20 +109,21 @@
         "| scenario | decisions | controllers | seeds | service level | minimum | migrations | commands | ejections | violated rules |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for (Group { kind, subset, controllers }, all) in group_runs(runs) {
-        let outcomes: Vec<_> = all.iter().map(|run| &run.outcome).collect();
-        let average = |figure: fn(&Outcome) -> f64| {
-            outcomes.iter().map(|outcome| figure(outcome)).sum::<f64>() / outcomes.len() as f64
+    for (Group { kind, subset, controllers }, runs_of_group) in group_runs(runs) {
+        let outcomes: Vec<_> = runs_of_group.iter().map(|run| &run.outcome).collect();
+        let average = |value_of: fn(&Outcome) -> f64| {
+            outcomes.iter().map(|outcome| value_of(outcome)).sum::<f64>() / outcomes.len() as f64
         };
-        let least = outcomes.iter().map(|outcome| outcome.service_level).fold(f64::INFINITY, f64::min);
-        let (label, seeds, rules) = (decision_label(subset), all.len(), format_violated_rules(&outcomes));
+        let minimum = outcomes.iter().map(|outcome| outcome.service_level).fold(f64::INFINITY, f64::min);
+        let (label, seeds, rules) =
+            (decision_label(subset), runs_of_group.len(), format_violated_rules(&outcomes));
         let service = average(|outcome| outcome.service_level);
         let migrations = average(|outcome| outcome.migrations as f64);
         let commands = average(|outcome| outcome.commands as f64);
         let ejections = average(|outcome| outcome.ejections as f64);
         _ = writeln!(
             text,
-            "| {kind} | {label} | {controllers} | {seeds} | {service:.3} | {least:.3} | {migrations:.0} | {commands:.0} | {ejections:.1} | {rules} |"
+            "| {kind} | {label} | {controllers} | {seeds} | {service:.3} | {minimum:.3} | {migrations:.0} | {commands:.0} | {ejections:.1} | {rules} |"
         );
     }
     text
@@ -137,23 +138,26 @@
         "| scenario | decisions | controllers | service level minus that of {reference} controllers | 95% interval, +/- | minimum | maximum |\n\
          | --- | --- | --- | --- | --- | --- | --- |\n"
     );
-    for (group, all) in &groups {
+    for (group, runs_of_group) in &groups {
         let Group { kind, subset, controllers } = *group;
         let reference_group = |subset: usize| groups.get(&Group { kind, subset, controllers: reference });
-        let others = reference_group(0).or_else(|| reference_group(subset));
-        let Some(others) = others.filter(|_| (subset, controllers) != (0, reference)) else { continue };
-        let service: BTreeMap<_, _> =
-            others.iter().map(|other| (other.scenario.seed, other.outcome.service_level)).collect();
-        let paired =
-            all.iter().filter_map(|run| Some(run.outcome.service_level - service.get(&run.scenario.seed)?));
+        let reference_runs = reference_group(0).or_else(|| reference_group(subset));
+        let Some(reference_runs) = reference_runs.filter(|_| (subset, controllers) != (0, reference)) else {
+            continue;
+        };
+        let reference_levels: BTreeMap<_, _> =
+            reference_runs.iter().map(|run| (run.scenario.seed, run.outcome.service_level)).collect();
+        let paired = runs_of_group
+            .iter()
+            .filter_map(|run| Some(run.outcome.service_level - reference_levels.get(&run.scenario.seed)?));
         let differences: Vec<f64> = paired.collect();
-        let Some(figure) = mean(&differences) else { continue };
-        let greatest = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        let (label, difference, within, least) =
-            (decision_label(subset), figure.mean, figure.half_width, figure.least);
+        let Some(statistics) = mean(&differences) else { continue };
+        let maximum = differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        let (label, difference, half_width, minimum) =
+            (decision_label(subset), statistics.mean, statistics.half_width, statistics.least);
         _ = writeln!(
             text,
-            "| {kind} | {label} | {controllers} | {difference:+.3} | {within:.3} | {least:+.3} | {greatest:+.3} |"
+            "| {kind} | {label} | {controllers} | {difference:+.3} | {half_width:.3} | {minimum:+.3} | {maximum:+.3} |"
         );
     }
     text
--- a/crates/scale-tests/src/fakes/collectors.rs
+++ b/crates/scale-tests/src/fakes/collectors.rs
@@ -58,8 +58,8 @@
         let generate = |period_index: u64| {
             let mut random = Random::new(zone as u64 * GENERATED_PERIODS + period_index);
             let lines = shape.lines(size, zone, &mut random);
-            let part = lines.len().div_ceil(writes).max(1);
-            lines.chunks(part).map(ReportBlock::from_lines).collect()
+            let lines_per_write = lines.len().div_ceil(writes).max(1);
+            lines.chunks(lines_per_write).map(ReportBlock::from_lines).collect()
         };
         ReportSchedule {
             zone: size.zone(zone),
@@ -136,13 +136,13 @@
 ) {
     let mut due = start + schedule.offset;
     for blocks in schedule.periods.iter().cycle() {
-        let gap = schedule.period / blocks.len().max(1) as u32;
+        let write_interval = schedule.period / blocks.len().max(1) as u32;
         for block in blocks {
             if !wait_until(due, stop) || stream.write_all(&block.bytes).is_err() {
                 return;
             }
             traffic.reports.add(block.bytes.len(), block.lines);
-            due += gap;
+            due += write_interval;
         }
         if blocks.is_empty() {
             due += schedule.period;
@@ -188,18 +188,18 @@
     periods: usize,
     traffic: &Arc<Traffic>,
 ) -> Result<FloodOutcome, ProcessError> {
-    let failed = |source| ProcessError::Io { operation: "flood".into(), source };
+    let flood_error = |source| ProcessError::Io { operation: "connection of a flood".into(), source };
     let streams: Vec<_> = schedules
         .iter()
         .map(|schedule| connect_collector(controller, &schedule.zone, traffic))
         .collect::<Result<_, _>>()
-        .map_err(failed)?;
+        .map_err(flood_error)?;
     let (before, start) = (traffic.reports.read(), Instant::now());
     let outcome: Result<(), ProcessError> = thread::scope(|scope| {
         let write = |stream: &TcpStream, schedule: &ReportSchedule| -> Result<(), ProcessError> {
             for blocks in schedule.periods.iter().cycle().take(periods) {
                 for block in blocks {
-                    (&mut &*stream).write_all(&block.bytes).map_err(failed)?;
+                    (&mut &*stream).write_all(&block.bytes).map_err(flood_error)?;
                     traffic.reports.add(block.bytes.len(), block.lines);
                 }
             }
@@ -210,9 +210,9 @@
             .zip(schedules)
             .map(|(stream, schedule)| scope.spawn(move || write(stream, schedule)))
             .collect();
-        let mut ended = writers.into_iter().map(ScopedJoinHandle::join);
-        ended.try_for_each(|outcome| {
-            outcome.unwrap_or(Err(ProcessError::NoPong("panic of a writer thread".into())))
+        let mut results = writers.into_iter().map(ScopedJoinHandle::join);
+        results.try_for_each(|result| {
+            result.unwrap_or(Err(ProcessError::NoPong("panic of a writer thread".into())))
         })
     });
     outcome.map(|()| FloodOutcome {
--- a/crates/scale-tests/src/fakes/counting_proxy.rs
+++ b/crates/scale-tests/src/fakes/counting_proxy.rs
@@ -36,11 +36,11 @@
     pub fn start() -> std::io::Result<CountingProxy> {
         let target: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         let traffic: Arc<ProxyTraffic> = Arc::default();
-        let (at, counts) = (target.clone(), traffic.clone());
+        let (current_target, counters) = (target.clone(), traffic.clone());
         let server = LoopbackServer::start(move |stream| {
-            let target = *at.lock().unwrap_or_else(PoisonError::into_inner);
-            let Some(Ok(onward)) = target.map(TcpStream::connect) else { return };
-            forward_both_ways(&stream, &onward, &counts);
+            let target = *current_target.lock().unwrap_or_else(PoisonError::into_inner);
+            let Some(Ok(controller)) = target.map(TcpStream::connect) else { return };
+            forward_both_ways(&stream, &controller, &counters);
         })?;
         Ok(CountingProxy { server, target, traffic })
     }
@@ -56,11 +56,11 @@
     }
 }
 
-fn forward_both_ways(near: &TcpStream, far: &TcpStream, traffic: &ProxyTraffic) {
-    _ = far.set_nodelay(true);
+fn forward_both_ways(peer: &TcpStream, controller: &TcpStream, traffic: &ProxyTraffic) {
+    _ = controller.set_nodelay(true);
     thread::scope(|scope| {
-        scope.spawn(|| forward(near, far, &traffic.to_controller));
-        forward(far, near, &traffic.from_controller);
+        scope.spawn(|| forward(peer, controller, &traffic.to_controller));
+        forward(controller, peer, &traffic.from_controller);
     });
 }
 
--- a/crates/scale-tests/src/fakes/discovery.rs
+++ b/crates/scale-tests/src/fakes/discovery.rs
@@ -34,7 +34,8 @@
     entries: BTreeMap<usize, VersionedEntry>,
     /// A watch whose last sent version is lower receives the complete list.
     full_list_since: u64,
-    ended: bool,
+    /// True once the agent is dropped.
+    is_ended: bool,
 }
 
 impl Registry {
@@ -77,11 +78,12 @@
         let state = EntryState { state: ReplicaState::Active, started_ms: 0 };
         let entry = |number| (number, VersionedEntry { state, changed_in_version: 1 });
         let entries = (0..size.replicas).map(entry).collect();
-        let registry = Registry { size: size.clone(), version: 1, entries, full_list_since: 1, ended: false };
+        let registry =
+            Registry { size: size.clone(), version: 1, entries, full_list_since: 1, is_ended: false };
         let shared = Shared(Arc::new((Mutex::new(registry), Condvar::new())));
-        let (serving, traffic) = (shared.clone(), traffic.clone());
+        let (server_shared, traffic) = (shared.clone(), traffic.clone());
         let server = LoopbackServer::start(move |stream| {
-            _ = serve(stream, &serving, &traffic);
+            _ = serve(stream, &server_shared, &traffic);
         })?;
         Ok(Discovery { server, shared })
     }
@@ -122,7 +124,7 @@
 
 impl Drop for Discovery {
     fn drop(&mut self) {
-        self.shared.lock().ended = true;
+        self.shared.lock().is_ended = true;
         self.shared.0 .1.notify_all();
     }
 }
@@ -139,7 +141,7 @@
         traffic.discovery_requests.add(head.len(), head.iter().filter(|byte| **byte == b'\n').count());
         let head = String::from_utf8_lossy(&head);
         let path = head.split_whitespace().nth(1).unwrap_or_default().to_string();
-        match since(&path) {
+        match watch_start_version(&path) {
             Some(since) => return serve_watch(&stream, since, shared, traffic),
             None => serve_list(&stream, &path, shared, traffic)?,
         }
@@ -147,7 +149,7 @@
 }
 
 /// Returns the version that a watch request starts from; `None` if the request is not for a watch.
-fn since(path: &str) -> Option<u64> {
+fn watch_start_version(path: &str) -> Option<u64> {
     let query = path.strip_prefix("/registry/instances?")?;
     let value = |key: &str| query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
     (value("follow") == Some("1")).then(|| value("since").and_then(|since| since.parse().ok()).unwrap_or(0))
@@ -184,11 +186,11 @@
     let mut sent_version = (since > 0).then_some(since);
     loop {
         let mut registry = shared.lock();
-        if sent_version.is_some_and(|sent_version| sent_version >= registry.version) && !registry.ended {
+        if sent_version.is_some_and(|sent_version| sent_version >= registry.version) && !registry.is_ended {
             let waited = shared.0 .1.wait_timeout(registry, KEEP_ALIVE_INTERVAL);
             registry = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
-        if registry.ended {
+        if registry.is_ended {
             return Ok(());
         }
         let line = match sent_version {
--- a/crates/scale-tests/src/fakes/fleet.rs
+++ b/crates/scale-tests/src/fakes/fleet.rs
@@ -43,7 +43,7 @@
     pub started_ms: u64,
 }
 
-/// The size of the fleet as one controller sees it.
+/// The size of the fleet, and of one controller's share of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSize {
     /// Replicas in the list.
@@ -78,13 +78,13 @@
     }
 
     /// Returns the name of a replica.
-    pub fn replica(&self, at: usize) -> String {
-        format!("s-{:08x}", (at as u32).wrapping_mul(0x9e37_79b1))
+    pub fn replica(&self, index: usize) -> String {
+        format!("s-{:08x}", (index as u32).wrapping_mul(0x9e37_79b1))
     }
 
     /// Returns the name of a zone.
-    pub fn zone(&self, at: usize) -> String {
-        format!("z{}", at % self.zones)
+    pub fn zone(&self, index: usize) -> String {
+        format!("z{}", index % self.zones)
     }
 
     /// Returns the index of the replica that owns a slice initially.
@@ -94,9 +94,9 @@
     }
 
     /// Returns the registry's entry of a replica in the given state.
-    pub fn entry(&self, at: usize, entry: EntryState) -> Value {
-        json!({"id": self.replica(at), "addr": format!("10.1.{}.{}:8443", at / 256, at % 256),
-            "zone": self.zone(at), "kind": "m2", "cell": at % 16, "state": entry.state.as_str(), "weight": 1.0,
+    pub fn entry(&self, index: usize, entry: EntryState) -> Value {
+        json!({"id": self.replica(index), "addr": format!("10.1.{}.{}:8443", index / 256, index % 256),
+            "zone": self.zone(index), "kind": "m2", "cell": index % 16, "state": entry.state.as_str(), "weight": 1.0,
             "started_ms": entry.started_ms})
     }
 
@@ -119,7 +119,7 @@
             "peersTotal": self.controllers,
             "membershipMode": "push",
             "weights": "rough",
-            "zones": (0..self.zones).map(|at| self.zone(at)).collect::<Vec<_>>()
+            "zones": (0..self.zones).map(|index| self.zone(index)).collect::<Vec<_>>()
         })
     }
 
@@ -181,7 +181,7 @@
     /// Generates the lines of one period.
     pub fn lines(&self, size: &FleetSize, zone: usize, random: &mut Random) -> Vec<String> {
         let mut lines: Vec<String> =
-            self.replicas.clone().map(|at| self.endpoint_line(size, zone, at, random)).collect();
+            self.replicas.clone().map(|replica| self.endpoint_line(size, zone, replica, random)).collect();
         if self.includes_slices {
             let slice_classes =
                 (0..size.slices).flat_map(|slice| (0..size.classes).map(move |class| (slice, class)));
@@ -195,7 +195,7 @@
         size.requests * self.window_ms / 1000.0 * self.zones_summed as f64 / size.zones as f64
     }
 
-    fn endpoint_line(&self, size: &FleetSize, zone: usize, at: usize, random: &mut Random) -> String {
+    fn endpoint_line(&self, size: &FleetSize, zone: usize, replica: usize, random: &mut Random) -> String {
         let attempts = random.integer_near(self.expected_requests(size) / size.replicas as f64);
         let latency = MIN_LATENCY_MS + LATENCY_RANGE_MS * random.uniform();
         let (in_flight, utilisation) = (random.integer_near(MEAN_IN_FLIGHT), random.uniform());
@@ -203,7 +203,7 @@
             "{{\"@type\":\"LOAD\",\"az\":\"{}\",\"host\":\"{}\",\"n\":{attempts},\"bad\":0,\"avg\":{latency:.1},\
              \"window\":{:.1},\"report\":{{\"inflight\":{in_flight},\"util\":{utilisation:.2}}}}}",
             size.zone(zone),
-            size.replica(at),
+            size.replica(replica),
             self.window_ms
         )
     }
--- a/crates/scale-tests/src/fakes/mod.rs
+++ b/crates/scale-tests/src/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes of a controller's peers, on loopback sockets. They speak the real protocols, send at a configured rate and
+//! Fakes of a controller's peers, on loopback sockets. They implement the real protocols, send at a configured rate and
 //! count the bytes and lines in each direction. A fake ends when it is dropped.
 
 pub mod collectors;
--- a/crates/scale-tests/src/fakes/relay.rs
+++ b/crates/scale-tests/src/fakes/relay.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct RelayRequest {
     /// The time at which the request was read.
-    pub at: Instant,
+    pub read_at: Instant,
     /// The commands of the request.
     pub commands: Vec<String>,
 }
@@ -119,16 +119,17 @@
         };
         let shared = Shared(Arc::new(Mutex::new(state)));
         let (sender, relay_requests) = channel();
-        let (serving, counting) = (shared.clone(), traffic.clone());
+        let (server_shared, server_traffic) = (shared.clone(), traffic.clone());
         let server = LoopbackServer::start(move |stream| {
-            _ = serve(stream, &serving, &counting, &sender);
+            _ = serve(stream, &server_shared, &server_traffic, &sender);
         })?;
         let stop = Arc::new(AtomicBool::new(false));
-        let (keep_alive, counting, ended) = (shared.clone(), traffic.clone(), stop.clone());
+        let (keep_alive_shared, keep_alive_traffic, thread_stop) =
+            (shared.clone(), traffic.clone(), stop.clone());
         thread::spawn(move || {
-            while !ended.load(Ordering::Relaxed) {
+            while !thread_stop.load(Ordering::Relaxed) {
                 thread::sleep(KEEP_ALIVE_INTERVAL);
-                keep_alive.lock().broadcast("*\r\n", 1, &counting);
+                keep_alive_shared.lock().broadcast("*\r\n", 1, &keep_alive_traffic);
             }
         });
         Ok(Relay { server, shared, relay_requests, stop })
@@ -212,6 +213,6 @@
         state.broadcast(&acks, lines, traffic);
     }
     // The send fails if the receiver was dropped, which is expected at the end of a test.
-    _ = sender.send(RelayRequest { at: Instant::now(), commands });
+    _ = sender.send(RelayRequest { read_at: Instant::now(), commands });
     format!("OK {accepted}\r\n")
 }
--- a/crates/scale-tests/src/fit.rs
+++ b/crates/scale-tests/src/fit.rs
@@ -37,8 +37,13 @@
         coefficients: usize,
     },
     /// The points differ in their number of regressors.
-    #[error("points with different numbers of regressors")]
-    RegressorCountMismatch,
+    #[error("point with {found} regressors, expected {expected} as in the first point")]
+    RegressorCountMismatch {
+        /// The number of regressors of the first point.
+        expected: usize,
+        /// The number of regressors of the first point that differs.
+        found: usize,
+    },
     /// A regressor does not vary, or depends linearly on others.
     #[error("regressors are constant or linearly dependent over the points")]
     DependentRegressors,
@@ -55,8 +60,9 @@
     /// When the points are too few, differ in their number of regressors, or do not determine the coefficients.
     pub fn least_squares(points: &[Point]) -> Result<LinearFit, FitError> {
         let regressor_count = points.first().map_or(0, |point| point.regressors.len());
-        if points.iter().any(|point| point.regressors.len() != regressor_count) {
-            return Err(FitError::RegressorCountMismatch);
+        let mut counts = points.iter().map(|point| point.regressors.len());
+        if let Some(found) = counts.find(|count| *count != regressor_count) {
+            return Err(FitError::RegressorCountMismatch { expected: regressor_count, found });
         }
         let coefficients = regressor_count + 1;
         if points.len() < coefficients {
@@ -83,8 +89,8 @@
 
     /// Returns true if each regressor lies within the range of the measured points.
     pub fn covers(&self, regressors: &[f64]) -> bool {
-        let within = |(low, high): &(f64, f64), at: &f64| (*low..=*high).contains(at);
-        self.range.iter().zip(regressors).all(|(range, at)| within(range, at))
+        let within = |(low, high): &(f64, f64), value: &f64| (*low..=*high).contains(value);
+        self.range.iter().zip(regressors).all(|(range, value)| within(range, value))
     }
 
     /// Returns the largest absolute residual.
@@ -94,9 +100,10 @@
 }
 
 fn regressor_scales(points: &[Point], regressor_count: usize) -> Vec<f64> {
-    let greatest =
+    let max_absolute =
         |index: usize| points.iter().map(|point| point.regressors[index].abs()).fold(0.0, f64::max);
-    (0..regressor_count).map(|index| if greatest(index) > 0.0 { greatest(index) } else { 1.0 }).collect()
+    let scale = |max_absolute: f64| if max_absolute > 0.0 { max_absolute } else { 1.0 };
+    (0..regressor_count).map(|index| scale(max_absolute(index))).collect()
 }
 
 fn regressor_range(points: &[Point], index: usize) -> (f64, f64) {
@@ -136,9 +143,9 @@
     for column in 0..size {
         let pivot =
             (column..size).max_by(|a, b| rows[*a][column].abs().total_cmp(&rows[*b][column].abs()))?;
-        let greatest =
-            rows.iter().flat_map(|row| &row[..size]).fold(0.0_f64, |most, cell| most.max(cell.abs()));
-        if rows[pivot][column].abs() <= greatest * SINGULAR_PIVOT_RATIO {
+        let max_absolute =
+            rows.iter().flat_map(|row| &row[..size]).fold(0.0_f64, |max, cell| max.max(cell.abs()));
+        if rows[pivot][column].abs() <= max_absolute * SINGULAR_PIVOT_RATIO {
             return None;
         }
         rows.swap(column, pivot);
@@ -150,7 +157,7 @@
     }
     let mut solution = vec![0.0; size];
     for column in (0..size).rev() {
-        let known: f64 = (column + 1..size).map(|at| rows[column][at] * solution[at]).sum();
+        let known: f64 = (column + 1..size).map(|index| rows[column][index] * solution[index]).sum();
         solution[column] = (rows[column][size] - known) / rows[column][column];
     }
     Some(solution)
--- a/crates/scale-tests/src/many/catalog.rs
+++ b/crates/scale-tests/src/many/catalog.rs
@@ -31,6 +31,7 @@
 
 struct State {
     version: u64,
+    /// The replicas, by their number in the plan.
     replicas: Vec<Replica>,
     /// Updates to the current version, by the version that they start from.
     cached_updates: BTreeMap<u64, Arc<ListUpdate>>,
@@ -41,7 +42,7 @@
     zone: String,
     state: &'static str,
     started_ms: u64,
-    changed_at: u64,
+    changed_in_version: u64,
 }
 
 impl Replica {
@@ -60,7 +61,7 @@
             zone: plan.zone(plan.zone_of(number)),
             state: STATE_ACTIVE,
             started_ms: 0,
-            changed_at: 1,
+            changed_in_version: 1,
         };
         let replicas = (0..plan.replicas).map(replica).collect();
         let state = State { version: 1, replicas, cached_updates: BTreeMap::new() };
@@ -89,9 +90,9 @@
         state.cached_updates.clear();
         for (number, replica) in state.replicas.iter_mut().enumerate() {
             if number == drained {
-                (replica.state, replica.changed_at) = (STATE_LEAVING, version);
+                (replica.state, replica.changed_in_version) = (STATE_LEAVING, version);
             } else if restarted.contains(&number) {
-                (replica.started_ms, replica.changed_at) = (started_ms, version);
+                (replica.started_ms, replica.changed_in_version) = (started_ms, version);
             }
         }
         drop(state);
@@ -108,7 +109,7 @@
         }
         let (version, is_complete) = (state.version, since == 0 || since > state.version);
         let replicas = state.replicas.iter().enumerate();
-        let included = replicas.filter(|(_, replica)| is_complete || replica.changed_at > since);
+        let included = replicas.filter(|(_, replica)| is_complete || replica.changed_in_version > since);
         let replicas: Vec<_> = included.map(|(number, replica)| replica.entry(number)).collect();
         let line = format!("{}\n", json!({"version": version, "full": is_complete, "servers": replicas}));
         let list = discovery::decode(&line).ok().flatten().unwrap_or_default();
--- a/crates/scale-tests/src/many/cost.rs
+++ b/crates/scale-tests/src/many/cost.rs
@@ -17,10 +17,10 @@
 }
 
 impl AddAssign for Cost {
-    fn add_assign(&mut self, more: Cost) {
-        self.processor_time += more.processor_time;
-        self.memory_kb += more.memory_kb;
-        self.threads += more.threads;
+    fn add_assign(&mut self, added: Cost) {
+        self.processor_time += added.processor_time;
+        self.memory_kb += added.memory_kb;
+        self.threads += added.threads;
     }
 }
 
@@ -44,15 +44,15 @@
     // The process name in parentheses may contain spaces. User and system time are the 12th and 13th fields after it.
     let fields: Vec<_> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
-    let figure = |key: &str| -> Option<u64> {
+    let field = |key: &str| -> Option<u64> {
         let line = status.lines().find_map(|line| line.strip_prefix(key))?;
         line.split_whitespace().next()?.parse().ok()
     };
     // A process that has exited but has not been waited for has no memory fields.
     Some(Cost {
         processor_time: Duration::from_secs_f64(ticks as f64 / clock_ticks_per_second() as f64),
-        memory_kb: figure("VmRSS:").unwrap_or(0),
-        threads: figure("Threads:").unwrap_or(0),
+        memory_kb: field("VmRSS:").unwrap_or(0),
+        threads: field("Threads:").unwrap_or(0),
     })
 }
 
--- a/crates/scale-tests/src/many/error.rs
+++ b/crates/scale-tests/src/many/error.rs
@@ -1,5 +1,6 @@
 //! Errors of a run of many controllers.
 
+use super::MAX_PROCESSES;
 use std::path::PathBuf;
 use std::time::TryFromFloatSecsError;
 use thiserror::Error;
@@ -72,14 +73,29 @@
 #[derive(Clone, Debug, Error)]
 pub enum SizesError {
     /// The number of processes is 0 or above the limit.
-    #[error("--real must be from 1 to 290")]
-    Processes,
+    #[error("--real must be from 1 to {MAX_PROCESSES}, got {processes}")]
+    Processes {
+        /// The number of processes.
+        processes: usize,
+    },
     /// The number of controllers is lower than the number of processes.
-    #[error("--governors must be at least --real")]
-    Controllers,
+    #[error("--governors must be at least --real, got --governors {controllers} and --real {processes}")]
+    Controllers {
+        /// The number of controllers.
+        controllers: usize,
+        /// The number of processes.
+        processes: usize,
+    },
     /// A size is below its minimum.
-    #[error("minimum values: --replicas 4, --slices 2, --zones 1, --proxies 1, --workers 1")]
-    TooSmall,
+    #[error("{argument} must be at least {minimum}, got {value}")]
+    TooSmall {
+        /// The name of the argument.
+        argument: &'static str,
+        /// The value of the argument.
+        value: usize,
+        /// The minimum.
+        minimum: usize,
+    },
     /// A number of seconds does not convert to a duration.
     #[error("invalid duration of {seconds} s: {error}")]
     Duration {
--- a/crates/scale-tests/src/many/events.rs
+++ b/crates/scale-tests/src/many/events.rs
@@ -64,8 +64,7 @@
     pub bare_harness: Cost,
     /// Size of the complete endpoint list, in bytes.
     pub list_bytes: usize,
-    /// Number of real controllers that had a slice on the replica that was drained while idle, just before it was
-    /// drained.
+    /// Number of real controllers that had a slice on the replica of the event "replica drained" just before the event.
     pub controllers_on_drained_replica: usize,
     /// The machine's load average over one minute, before and after the run.
     pub machine_load: [f64; 2],
@@ -231,13 +230,13 @@
             });
         }
         let mut processes = BTreeMap::new();
-        let mut failed = None;
+        let mut first_error = None;
         while let Some(Ok((controller, process, served))) = serving.join_next().await {
-            failed = failed.or(served.err());
+            first_error = first_error.or(served.err());
             processes.insert(controller, process);
         }
         self.processes = processes.into_values().collect();
-        failed.map_or(Ok(()), Err)
+        first_error.map_or(Ok(()), Err)
     }
 
     /// Changes the configuration of all controllers to other addresses of relay and discovery.
@@ -275,8 +274,8 @@
         let before = self.costs();
         let (began, plan) = (Instant::now(), self.plan.clone());
         let restarted = |controller| plan.is_restarted(controller);
-        let ending = || self.processes.iter().enumerate().filter(|(controller, _)| restarted(*controller));
-        ending().for_each(|(_, process)| process.signal(Signal::TERM));
+        let ended = self.processes.iter().enumerate().filter(|(controller, _)| restarted(*controller));
+        ended.for_each(|(_, process)| process.signal(Signal::TERM));
         for (controller, process) in self.processes.iter_mut().enumerate() {
             if restarted(controller) {
                 process.wait_for_exit().await;
--- a/crates/scale-tests/src/many/fakes.rs
+++ b/crates/scale-tests/src/many/fakes.rs
@@ -285,10 +285,10 @@
     mut address: watch::Receiver<Option<SocketAddr>>,
 ) {
     loop {
-        let Ok(at) = address.wait_for(Option::is_some).await.map(|at| *at) else { return };
-        if let Some(at) = at.filter(|_| !state.is_partitioned()) {
+        let Ok(controller) = address.wait_for(Option::is_some).await.map(|address| *address) else { return };
+        if let Some(controller) = controller.filter(|_| !state.is_partitioned()) {
             // A failure is not handled, because the loop reconnects.
-            _ = send_reports(&plan, &state, zone, &load, at).await;
+            _ = send_reports(&plan, &state, zone, &load, controller).await;
         }
         sleep(RECONNECT_DELAY).await;
     }
@@ -299,17 +299,17 @@
     state: &FakePeersState,
     zone: usize,
     load: &str,
-    at: SocketAddr,
+    controller: SocketAddr,
 ) -> io::Result<()> {
-    let mut stream = TcpStream::connect(at).await?;
+    let mut stream = TcpStream::connect(controller).await?;
     let source = json!({"@type": "SOURCE", "az": plan.zone(zone)});
     stream.write_all(format!("{source}\n").as_bytes()).await?;
     let slices = if zone == 0 { slice_reports(plan, state) } else { String::new() };
     let mut link = state.link.clone();
-    let mut due = interval(plan.report_period);
-    due.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut periods = interval(plan.report_period);
+    periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        due.tick().await;
+        periods.tick().await;
         if *link.borrow() == Link::Partitioned {
             // Sends nothing during the partition, and closes the connection after it.
             _ = link.wait_for(|link| *link == Link::Up).await;
--- a/crates/scale-tests/src/many/mod.rs
+++ b/crates/scale-tests/src/many/mod.rs
@@ -88,16 +88,26 @@
     type Error = ManyError;
 
     fn try_from(args: &Args) -> Result<Plan, ManyError> {
-        if args.real == 0 || args.real > MAX_PROCESSES {
-            return Err(SizesError::Processes.into());
+        let (controllers, processes) = (args.controllers, args.real);
+        if processes == 0 || processes > MAX_PROCESSES {
+            return Err(SizesError::Processes { processes }.into());
         }
-        if args.controllers < args.real {
-            return Err(SizesError::Controllers.into());
+        if controllers < processes {
+            return Err(SizesError::Controllers { controllers, processes }.into());
         }
-        if args.replicas < 4 || args.slices < 2 || args.zones == 0 || args.proxies == 0 || args.workers == 0 {
-            return Err(SizesError::TooSmall.into());
+        let sizes = [
+            ("--replicas", args.replicas, 4),
+            ("--slices", args.slices, 2),
+            ("--zones", args.zones, 1),
+            ("--proxies", args.proxies, 1),
+            ("--workers", args.workers, 1),
+        ];
+        if let Some((argument, value, minimum)) =
+            sizes.into_iter().find(|(_, value, minimum)| value < minimum)
+        {
+            return Err(SizesError::TooSmall { argument, value, minimum }.into());
         }
-        let time = |seconds: f64| {
+        let duration = |seconds: f64| {
             Duration::try_from_secs_f64(seconds).map_err(|error| SizesError::Duration { seconds, error })
         };
         let program = args.program.clone().map_or_else(find_program, Ok)?;
@@ -110,12 +120,12 @@
             slices: args.slices,
             proxies: args.proxies,
             workers: args.workers,
-            report_period: time(args.report_seconds)?,
-            simulated_report_period: time(args.simulated_report_seconds)?,
-            idle: time(args.idle_seconds)?,
-            partition_duration: time(args.partition_seconds)?,
-            virtual_partition_duration: time(args.virtual_partition_seconds)?,
-            event_timeout: time(args.event_timeout_seconds)?,
+            report_period: duration(args.report_seconds)?,
+            simulated_report_period: duration(args.simulated_report_seconds)?,
+            idle: duration(args.idle_seconds)?,
+            partition_duration: duration(args.partition_seconds)?,
+            virtual_partition_duration: duration(args.virtual_partition_seconds)?,
+            event_timeout: duration(args.event_timeout_seconds)?,
             memory_limit_kb: cost::half_of_memory_kb(),
             program,
         })
--- a/crates/scale-tests/src/many/plan.rs
+++ b/crates/scale-tests/src/many/plan.rs
@@ -74,7 +74,7 @@
         controller % self.regions.max(1)
     }
 
-    /// Returns true if the controller is restarted in a release that restarts nine in ten controllers at the same time.
+    /// Returns true if the controller is one of the nine in ten that are restarted at the same time.
     pub fn is_restarted(&self, controller: ControllerId) -> bool {
         !controller.is_multiple_of(UNRESTARTED_INTERVAL)
     }
@@ -97,14 +97,14 @@
     /// Returns the initial routing tables of a controller in the relay's store. Its first two slices are on the
     /// replicas that the events drain; the others are distributed over the remaining replicas.
     pub fn tables(&self, controller: ControllerId) -> BTreeMap<u32, BTreeMap<String, f64>> {
-        let first = controller * self.slices;
-        let spread = self.replicas.saturating_sub(2).max(1);
-        let replica_number = |at: usize| match at {
-            DRAINED_WHILE_IDLE | DRAINED_DURING_PARTITION => at,
-            _ => 2 + (first + at) % spread,
+        let first_slice = controller * self.slices;
+        let undrained_replicas = self.replicas.saturating_sub(2).max(1);
+        let replica_number = |index: usize| match index {
+            DRAINED_WHILE_IDLE | DRAINED_DURING_PARTITION => index,
+            _ => 2 + (first_slice + index) % undrained_replicas,
         };
-        let table = |at: usize| BTreeMap::from([(self.replica(replica_number(at)), 1.0)]);
-        (0..self.slices).map(|at| ((first + at) as u32, table(at))).collect()
+        let table = |index: usize| BTreeMap::from([(self.replica(replica_number(index)), 1.0)]);
+        (0..self.slices).map(|index| ((first_slice + index) as u32, table(index))).collect()
     }
 
     /// Returns the content of a controller's configuration file, without the addresses of relay and discovery.
--- a/crates/scale-tests/src/many/process.rs
+++ b/crates/scale-tests/src/many/process.rs
@@ -152,14 +152,14 @@
 ///
 /// When no controller program is found.
 pub fn find_program() -> Result<PathBuf, ManyError> {
-    let this = std::env::current_exe().map_err(|_| ManyError::NoProgram)?;
-    let folders = this.ancestors().skip(1).take(3);
+    let executable = std::env::current_exe().map_err(|_| ManyError::NoProgram)?;
+    let folders = executable.ancestors().skip(1).take(3);
     let candidates = folders.flat_map(|folder| {
         ["", "debug", "release"].map(|profile| folder.join(profile).join(CONTROLLER_PROGRAM))
     });
-    let built = candidates.filter_map(|path| {
+    let programs = candidates.filter_map(|path| {
         let time = std::fs::metadata(&path).ok().filter(std::fs::Metadata::is_file)?.modified().ok()?;
         Some((time, path))
     });
-    built.max().map(|(_, path)| path).ok_or(ManyError::NoProgram)
+    programs.max().map(|(_, path)| path).ok_or(ManyError::NoProgram)
 }
--- a/crates/scale-tests/src/many/report.rs
+++ b/crates/scale-tests/src/many/report.rs
@@ -44,7 +44,7 @@
         results.machine_load[1],
     )?;
     write_times(text, plan, &results.outcomes)?;
-    write_demand(text, &results.outcomes)?;
+    write_sent_bytes(text, &results.outcomes)?;
     write_costs(text, plan, results)
 }
 
@@ -89,7 +89,7 @@
     time.as_secs_f64() * 1e3
 }
 
-fn write_demand(text: &mut String, outcomes: &[Outcome]) -> std::fmt::Result {
+fn write_sent_bytes(text: &mut String, outcomes: &[Outcome]) -> std::fmt::Result {
     writeln!(text, "| event | controllers | endpoint lists KB | peak KB/s | relay events KB | peak KB/s |")?;
     writeln!(text, "| --- | --- | --- | --- | --- | --- |")?;
     for outcome in outcomes {
@@ -128,14 +128,14 @@
         write_cost(text, plan, name, costs)?;
     }
     let bare_kb = results.bare_harness.memory_kb;
-    let each_kb =
+    let kb_per_controller =
         results.idle.harness.memory_kb.saturating_sub(bare_kb) as f64 / plan.simulated.max(1) as f64;
     writeln!(
         text,
         "\nMemory of the harness without in-process controllers: {:.1} MB; each in-process controller adds {:.2} MB \
          while idle.",
         bare_kb as f64 / 1e3,
-        each_kb / 1e3,
+        kb_per_controller / 1e3,
     )
 }
 
--- a/crates/scale-tests/src/many/simulated/effects.rs
+++ b/crates/scale-tests/src/many/simulated/effects.rs
@@ -25,7 +25,7 @@
         let time_after = |delay: Duration| now + to_span(delay);
         match effect {
             Effect::Pong { .. } => conditions.push(Condition::PingAnswered),
-            Effect::WakeAt(at) => self.wake_at = self.wake_at.min(at),
+            Effect::WakeAt(time) => self.wake_at = self.wake_at.min(time),
             Effect::WatchRelay { .. } if self.is_partitioned() => {
                 let event = Event::RelayWatchLost(StreamError::TimedOut);
                 self.relay_watch_failure =
@@ -104,7 +104,7 @@
         self.record_condition(Condition::ListVersion(self.list_version));
     }
 
-    /// Returns the reports of one period, with names resolved as by a reader of the ingest pool.
+    /// Returns the reports of one period, with names resolved as by the reader threads of the controller program.
     pub(super) fn load_report_event(&mut self, now: Moment) -> Event {
         let plan = self.environment.plan.clone();
         if let Some(report_names) = self.reducer.report_names(Some(self.report_names.version)) {
--- a/crates/scale-tests/src/many/simulated/mod.rs
+++ b/crates/scale-tests/src/many/simulated/mod.rs
@@ -26,8 +26,8 @@
 const COLLECTOR_CONNECTION: ConnectionId = 1;
 /// Step by which the clock of a partitioned controller is advanced.
 const PARTITION_CLOCK_STEP: Duration = Duration::from_secs(60);
-/// Minimum time between two turns of a controller that is not involved in an event. Each rebalancing round processes
-/// all replicas, and hundreds of controllers share a few threads.
+/// Minimum time between two turns of the event loop of a controller that is not involved in an event. Each rebalancing
+/// round processes all replicas, and hundreds of controllers share a few threads.
 const IDLE_TURN_INTERVAL: Duration = Duration::from_secs(10);
 /// Maximum time without a turn, the same as in the event loop of the controller program.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
@@ -249,11 +249,11 @@
         self.connectivity = Connectivity::Partitioned { remaining: remaining - step };
         let now = self.now();
         let mut events = Vec::new();
-        for slot in
+        for failure in
             [&mut self.relay_watch_failure, &mut self.registry_watch_failure, &mut self.relay_request_failure]
         {
-            if slot.as_ref().is_some_and(|failure| failure.due_at <= now) {
-                events.extend(slot.take().map(|failure| failure.event));
+            if failure.as_ref().is_some_and(|failure| failure.due_at <= now) {
+                events.extend(failure.take().map(|failure| failure.event));
             }
         }
         self.process_events(now, events);
--- a/crates/scale-tests/src/many/store.rs
+++ b/crates/scale-tests/src/many/store.rs
@@ -37,8 +37,8 @@
         lines
     }
 
-    /// Applies a relay request, which all proxies acknowledge immediately. Returns `None` at the first invalid command,
-    /// or if the line is not a request.
+    /// Applies a relay request, which all proxies acknowledge immediately. Returns `None` if the line is not a request,
+    /// or at the first invalid command; the commands before that stay applied.
     pub fn apply(&mut self, line: &str) -> Option<Applied> {
         let commands: Vec<_> = line.strip_prefix("APPLY ")?.split(';').collect();
         let mut acks = Vec::new();
--- a/crates/scale-tests/src/many/tracker.rs
+++ b/crates/scale-tests/src/many/tracker.rs
@@ -96,7 +96,8 @@
     real: usize,
     created: Instant,
     current_event: Mutex<CurrentEvent>,
-    done: Notify,
+    /// Notified when a controller has completed the event.
+    controller_completed: Notify,
 }
 
 impl Tracker {
@@ -108,7 +109,7 @@
             real,
             created: Instant::now(),
             current_event: Mutex::new(current_event),
-            done: Notify::new(),
+            controller_completed: Notify::new(),
         }
     }
 
@@ -143,16 +144,16 @@
     /// Records that a controller has reached a condition; returns true if it was the controller's last open condition.
     pub fn record_condition(&self, controller: ControllerId, condition: Condition) -> bool {
         let mut current_event = self.current_event();
-        let took = current_event.began.elapsed();
-        let Some(awaited) = current_event.progress.missing.get_mut(&controller) else { return false };
-        awaited.retain(|awaited| match (*awaited, condition) {
+        let elapsed = current_event.began.elapsed();
+        let Some(open_conditions) = current_event.progress.missing.get_mut(&controller) else { return false };
+        open_conditions.retain(|awaited| match (*awaited, condition) {
             (Condition::ListVersion(awaited), Condition::ListVersion(version)) => version < awaited,
             (awaited, condition) => awaited != condition,
         });
-        if awaited.is_empty() {
+        if open_conditions.is_empty() {
             current_event.progress.missing.remove(&controller);
-            current_event.progress.times.insert(controller, took);
-            self.done.notify_one();
+            current_event.progress.times.insert(controller, elapsed);
+            self.controller_completed.notify_one();
             return true;
         }
         false
@@ -184,9 +185,9 @@
 
     /// Waits until all controllers have completed the event, for up to `event_timeout`, and returns the progress.
     pub async fn wait_for_completion(&self, event_timeout: Duration) -> EventProgress {
-        let end = tokio::time::Instant::now() + event_timeout;
+        let deadline = tokio::time::Instant::now() + event_timeout;
         while !self.current_event().progress.missing.is_empty() {
-            if tokio::time::timeout_at(end, self.done.notified()).await.is_err() {
+            if tokio::time::timeout_at(deadline, self.controller_completed.notified()).await.is_err() {
                 break;
             }
         }
--- a/crates/scale-tests/src/many/workers.rs
+++ b/crates/scale-tests/src/many/workers.rs
@@ -44,12 +44,12 @@
             (&environment.plan, Vec::new(), Arc::new(AtomicU64::new(0)));
         for worker in 0..plan.workers {
             let simulated = plan.real..plan.controllers();
-            let own: Vec<ControllerId> = simulated.skip(worker).step_by(plan.workers).collect();
-            let (commands, received) = channel();
+            let controller_ids: Vec<ControllerId> = simulated.skip(worker).step_by(plan.workers).collect();
+            let (commands, receiver) = channel();
             let (environment, total_processor_time) = (environment.clone(), total_processor_time.clone());
-            let thread = std::thread::Builder::new().name(format!("simulated-{worker}"));
-            let thread = thread
-                .spawn(move || run(&own, &environment, &total_processor_time, &received))
+            let thread = std::thread::Builder::new()
+                .name(format!("simulated-{worker}"))
+                .spawn(move || run(&controller_ids, &environment, &total_processor_time, &receiver))
                 .map_err(ManyError::Thread)?;
             workers.push(Worker { commands, thread });
         }
@@ -97,7 +97,7 @@
 }
 
 fn run(
-    own: &[ControllerId],
+    controller_ids: &[ControllerId],
     environment: &Arc<Environment>,
     total_processor_time: &Arc<AtomicU64>,
     commands: &Receiver<Command>,
@@ -105,7 +105,7 @@
     let start = |controller: &ControllerId| {
         SimulatedController::start(*controller, environment.clone(), total_processor_time.clone())
     };
-    let Ok(mut controllers) = own.iter().map(start).collect::<Result<Vec<_>, _>>() else { return };
+    let Ok(mut controllers) = controller_ids.iter().map(start).collect::<Result<Vec<_>, _>>() else { return };
     loop {
         let has_more_work = controllers
             .iter_mut()
@@ -130,10 +130,10 @@
             restarted.for_each(SimulatedController::restart);
         }
         Command::Partition => {
-            let partition = controllers
+            let partitioned = controllers
                 .iter_mut()
                 .filter(|controller| plan.region(controller.controller()) == PARTITIONED_REGION);
-            partition.for_each(SimulatedController::partition);
+            partitioned.for_each(SimulatedController::partition);
         }
         Command::Reconnect => {
             controllers
--- a/crates/scale-tests/src/one/aggregated.rs
+++ b/crates/scale-tests/src/one/aggregated.rs
@@ -106,8 +106,8 @@
     counting_proxy: SocketAddr,
     aggregators: &[SocketAddr],
 ) -> String {
-    let last = setup.size.slices.saturating_sub(1);
-    let served = format!("<governor name=\"n0\" address=\"{counting_proxy}\" slices=\"0-{last}\"/>");
+    let last_slice = setup.size.slices.saturating_sub(1);
+    let served = format!("<governor name=\"n0\" address=\"{counting_proxy}\" slices=\"0-{last_slice}\"/>");
     let members: String =
         (1..setup.size.controllers).map(|index| format!("<governor name=\"n{index}\"/>")).collect();
     let aggregators: String = aggregators
@@ -162,12 +162,12 @@
     }
 }
 
-/// Waits until more than two lines have been sent to the controller, because the first line of a connection is not a
-/// report. Returns the time since `since`, or `None` after the time limit.
-fn wait_for_reports(counting_proxy: &CountingProxy, since: Instant) -> Option<Duration> {
-    while since.elapsed() < FIRST_REPORT_TIMEOUT {
+/// Waits until more than two lines have been sent to the controller: the first line of a connection is not a report.
+/// Returns the time since `started`, or `None` after the time limit.
+fn wait_for_reports(counting_proxy: &CountingProxy, started: Instant) -> Option<Duration> {
+    while started.elapsed() < FIRST_REPORT_TIMEOUT {
         if counting_proxy.traffic.to_controller.read().lines > 2 {
-            return Some(since.elapsed());
+            return Some(started.elapsed());
         }
         thread::sleep(POLL_INTERVAL);
     }
@@ -211,20 +211,21 @@
     let first_report = wait_for_reports(&counting_proxy, aggregators_started);
     thread::sleep(times.warm_up);
 
-    let (usage, aggregators_before, began) = (controller.usage()?, aggregators.usages()?, Instant::now());
-    let (fake_peer_traffic, to_controller, all_sent_to_aggregators) =
+    let (usage_before, aggregators_before, began) =
+        (controller.usage()?, aggregators.usages()?, Instant::now());
+    let (fake_peers_before, to_controller_before, sent_to_aggregators_before) =
         (traffic.read(), counting_proxy.traffic.to_controller.read(), sent_to_aggregators.read());
-    let from_controller = counting_proxy.traffic.from_controller.read();
+    let from_controller_before = counting_proxy.traffic.from_controller.read();
     thread::sleep(times.measured);
     let measured_for = began.elapsed();
     let (usage_after, aggregators_after) = (controller.usage()?, aggregators.usages()?);
     let (fake_peer_traffic, to_controller) = (
-        traffic.read().since(fake_peer_traffic),
-        counting_proxy.traffic.to_controller.read().since(to_controller),
+        traffic.read().since(fake_peers_before),
+        counting_proxy.traffic.to_controller.read().since(to_controller_before),
     );
-    let from_controller = counting_proxy.traffic.from_controller.read().since(from_controller);
+    let from_controller = counting_proxy.traffic.from_controller.read().since(from_controller_before);
     drop(collectors);
-    let used = |(at_end, before): (Usage, Usage)| AggregatorUsage {
+    let aggregator_usage = |(at_end, before): (Usage, Usage)| AggregatorUsage {
         processor_time: at_end.processor_time - before.processor_time,
         at_end,
     };
@@ -237,10 +238,10 @@
         report_lines: to_controller.lines,
         bytes_in: to_controller.bytes + fake_peer_traffic.bytes_in(),
         bytes_out: from_controller.bytes + fake_peer_traffic.bytes_out(),
-        processor_time: usage_after.processor_time - usage.processor_time,
+        processor_time: usage_after.processor_time - usage_before.processor_time,
         usage: usage_after,
-        aggregators: aggregators_after.into_iter().zip(aggregators_before).map(used).collect(),
-        bytes_to_aggregators: sent_to_aggregators.read().since(all_sent_to_aggregators).reports.bytes,
+        aggregators: aggregators_after.into_iter().zip(aggregators_before).map(aggregator_usage).collect(),
+        bytes_to_aggregators: sent_to_aggregators.read().since(sent_to_aggregators_before).reports.bytes,
         log: controller.take_log_lines(),
         machine_load: machine_load(),
     })
--- a/crates/scale-tests/src/one/events.rs
+++ b/crates/scale-tests/src/one/events.rs
@@ -22,7 +22,7 @@
 /// An event that a controller has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// No event: measures the cost of the same time while idle.
+    /// No event, to measure the cost of the same time while idle.
     Nothing,
     /// The configuration file is reloaded on SIGHUP.
     ConfigurationReload,
@@ -115,7 +115,7 @@
     test_bed: &TestBed,
     setup: &Setup,
     event: Event,
-    settling: Duration,
+    min_duration: Duration,
 ) -> Result<Outcome, MeasureError> {
     test_bed.relay.take_requests();
     test_bed.controller.take_log_lines();
@@ -138,15 +138,16 @@
     let names: Vec<String> = change.replicas.iter().map(|replica| setup.size.replica(*replica)).collect();
     let is_drain = !names.is_empty() && change.entry_state.state == ReplicaState::Leaving;
     let (mut relay_requests, mut last_command) = (Vec::new(), None);
-    while began.elapsed() < settling
+    while began.elapsed() < min_duration
         || (is_drain && last_command.is_none() && began.elapsed() < ACTION_TIMEOUT)
     {
         relay_requests.extend(test_bed.relay.next_request(Duration::from_millis(20)));
-        let is_left = is_drain && !test_bed.relay.owners().values().any(|owner| names.contains(owner));
-        last_command = last_command.or(is_left.then(|| began.elapsed()));
+        let has_lost_slices =
+            is_drain && !test_bed.relay.owners().values().any(|owner| names.contains(owner));
+        last_command = last_command.or(has_lost_slices.then(|| began.elapsed()));
     }
     if is_drain {
-        first_command = first_withdrawal(&relay_requests, &names).map(|request| request.at - began);
+        first_command = first_withdrawal(&relay_requests, &names).map(|request| request.read_at - began);
     }
     let after = test_bed.controller.usage()?;
     Ok(Outcome {
@@ -205,11 +206,12 @@
 
 /// Returns the indices of the replicas that change.
 fn replicas_to_change(test_bed: &TestBed, setup: &Setup, count: usize, selection: Selection) -> Vec<usize> {
-    let owned = test_bed.relay.owners();
-    let owned = |at: &usize| owned.values().any(|owner| *owner == setup.size.replica(*at));
-    let first = (0..setup.size.replicas).find(|at| selection == Selection::OwnerFirst && owned(at));
-    let rest = (0..setup.size.replicas).filter(|at| Some(*at) != first);
-    first.into_iter().chain(rest).take(count).collect()
+    let owners = test_bed.relay.owners();
+    let owns_slice = |index: &usize| owners.values().any(|owner| *owner == setup.size.replica(*index));
+    let first =
+        (0..setup.size.replicas).find(|index| selection == Selection::OwnerFirst && owns_slice(index));
+    let others = (0..setup.size.replicas).filter(|index| Some(*index) != first);
+    first.into_iter().chain(others).take(count).collect()
 }
 
 fn first_withdrawal<'a>(relay_requests: &'a [RelayRequest], names: &[String]) -> Option<&'a RelayRequest> {
@@ -237,7 +239,7 @@
 /// When the test bed cannot be started or observed, or a collector fails.
 pub fn flood(program: &Path, setup: &Setup, periods: usize) -> Result<FloodCost, MeasureError> {
     let test_bed = TestBed::start(program, setup)?;
-    // The controller ignores reports on replicas that it does not know from the endpoint list yet.
+    // The controller ignores reports on replicas that are not in its endpoint list yet.
     test_bed.wait_for_first_table_command(ACTION_TIMEOUT);
     let schedules = setup.schedules();
     // A first flood, which is not measured, fills the controller's name tables, windows and buffers.
--- a/crates/scale-tests/src/one/report.rs
+++ b/crates/scale-tests/src/one/report.rs
@@ -39,9 +39,11 @@
 }
 
 fn columns(points: &[SteadyMeasurement]) -> Vec<Column> {
-    let whole =
-        |name, of: fn(&SteadyMeasurement) -> usize| Column::whole(name, points.iter().map(|p| of(p) as i64));
-    let real = |name, of: fn(&SteadyMeasurement) -> f64| Column::real(name, points.iter().map(of));
+    let whole = |name, value_of: fn(&SteadyMeasurement) -> usize| {
+        Column::whole(name, points.iter().map(|p| value_of(p) as i64))
+    };
+    let real =
+        |name, value_of: fn(&SteadyMeasurement) -> f64| Column::real(name, points.iter().map(value_of));
     vec![
         Column::text("sweep", points.iter().map(|point| point.case.sweep.to_string())),
         whole("replicas", |p| p.case.setup.size.replicas),
@@ -66,7 +68,7 @@
         real("harness_cores", SteadyMeasurement::harness_share),
         real("measured_s", |p| p.measured_for.as_secs_f64()),
         real("machine_load", |p| p.machine_load),
-        real("decoding_us_a_line", |p| p.decoding.map_or(f64::NAN, |took| took.as_secs_f64() * 1e6)),
+        real("decoding_us_a_line", |p| p.decoding.map_or(f64::NAN, |time| time.as_secs_f64() * 1e6)),
     ]
 }
 
@@ -254,12 +256,14 @@
     zones.dedup();
     let series = zones.into_iter().map(|zones| {
         let of_zones = points_of(points, &["size"]).filter(|p| p.case.setup.size.zones == zones);
-        let at: Vec<_> = of_zones.map(|p| (p.case.setup.size.replicas as f64, measured(p))).collect();
-        let fitted = at.iter().map(|(x, y)| Point { regressors: vec![*x], measured: *y }).collect::<Vec<_>>();
+        let coordinates: Vec<_> =
+            of_zones.map(|p| (p.case.setup.size.replicas as f64, measured(p))).collect();
+        let fit_points: Vec<_> =
+            coordinates.iter().map(|(x, y)| Point { regressors: vec![*x], measured: *y }).collect();
         let name = format!("{zones} zones");
-        match LinearFit::least_squares(&fitted) {
-            Ok(fit) => Series::fitted(&name, at, &fit),
-            Err(_) => Series { name, points: at, line: None },
+        match LinearFit::least_squares(&fit_points) {
+            Ok(fit) => Series::fitted(&name, coordinates, &fit),
+            Err(_) => Series { name, points: coordinates, line: None },
         }
     });
     Chart {
@@ -277,10 +281,10 @@
 ///
 /// When a file of the results cannot be written.
 pub fn write_events(folder: &Folder, outcomes: &[Outcome]) -> Result<(), ResultsError> {
-    let real = |name, of: fn(&Outcome) -> f64| Column::real(name, outcomes.iter().map(of));
-    let ms = |name, of: fn(&Outcome) -> Option<Duration>| {
+    let real = |name, value_of: fn(&Outcome) -> f64| Column::real(name, outcomes.iter().map(value_of));
+    let ms = |name, value_of: fn(&Outcome) -> Option<Duration>| {
         let shown =
-            |outcome| of(outcome).map_or("-".into(), |took| format!("{:.1}", took.as_secs_f64() * 1e3));
+            |outcome| value_of(outcome).map_or("-".into(), |time| format!("{:.1}", time.as_secs_f64() * 1e3));
         Column::text(name, outcomes.iter().map(shown))
     };
     let columns = [
@@ -307,7 +311,7 @@
 ///
 /// When a file of the results cannot be written.
 pub fn write_floods(folder: &Folder, floods: &[Flood]) -> Result<(), ResultsError> {
-    let real = |name, of: fn(&Flood) -> f64| Column::real(name, floods.iter().map(of));
+    let real = |name, value_of: fn(&Flood) -> f64| Column::real(name, floods.iter().map(value_of));
     let columns = [
         Column::text("flood", floods.iter().map(|flood| flood.name.clone())),
         real("lines_a_second", |f| f.cost.lines_per_second),
@@ -325,10 +329,11 @@
 ///
 /// When a file of the results cannot be written.
 pub fn write_aggregated(folder: &Folder, measured: &[AggregatedMeasurement]) -> Result<(), ResultsError> {
-    let whole = |name, of: fn(&AggregatedMeasurement) -> u64| {
-        Column::whole(name, measured.iter().map(|m| of(m) as i64))
+    let whole = |name, value_of: fn(&AggregatedMeasurement) -> u64| {
+        Column::whole(name, measured.iter().map(|m| value_of(m) as i64))
     };
-    let real = |name, of: fn(&AggregatedMeasurement) -> f64| Column::real(name, measured.iter().map(of));
+    let real =
+        |name, value_of: fn(&AggregatedMeasurement) -> f64| Column::real(name, measured.iter().map(value_of));
     let columns = [
         whole("subset", |m| m.subsetting.subset as u64),
         whole("budget", |m| m.subsetting.bytes_per_second),
@@ -341,7 +346,7 @@
         real("resident_mb", |m| m.usage.resident as f64 / MEGABYTE),
         real("peak_mb", |m| m.usage.resident_peak as f64 / MEGABYTE),
         real("ready_ms", |m| m.time_to_ready.as_secs_f64() * 1e3),
-        real("first_report_s", |m| m.first_report.map_or(f64::NAN, |took| took.as_secs_f64())),
+        real("first_report_s", |m| m.first_report.map_or(f64::NAN, |time| time.as_secs_f64())),
         real("aggregator_cores", AggregatedMeasurement::aggregator_share),
         real("aggregator_peak_mb", |m| m.aggregator_peak() as f64 / MEGABYTE),
         real("told_to_aggregators_kb_a_second", |m| m.rate(m.bytes_to_aggregators) / KILOBYTE),
@@ -370,10 +375,12 @@
 fn fit_subset(
     name: &str,
     measured: &[AggregatedMeasurement],
-    of: fn(&AggregatedMeasurement) -> f64,
+    value_of: fn(&AggregatedMeasurement) -> f64,
 ) -> Option<String> {
-    let point =
-        |m: &AggregatedMeasurement| Point { regressors: vec![m.subsetting.subset as f64], measured: of(m) };
+    let point = |m: &AggregatedMeasurement| Point {
+        regressors: vec![m.subsetting.subset as f64],
+        measured: value_of(m),
+    };
     let fit = LinearFit::least_squares(&measured.iter().map(point).collect::<Vec<_>>()).ok()?;
     let residuals: Vec<_> = fit.residuals.iter().map(|residual| format!("{residual:.2e}")).collect();
     Some(format!(
--- a/crates/scale-tests/src/one/steady.rs
+++ b/crates/scale-tests/src/one/steady.rs
@@ -83,8 +83,8 @@
     test_bed.start_collectors(&case.setup)?;
     thread::sleep(times.warm_up);
     test_bed.relay.take_requests();
-    let (usage, harness) = (test_bed.controller.usage()?, Usage::of_self()?);
-    let (traffic, began) = (test_bed.traffic.read(), Instant::now());
+    let (usage_before, harness_before) = (test_bed.controller.usage()?, Usage::of_self()?);
+    let (traffic_before, began) = (test_bed.traffic.read(), Instant::now());
     run_churn(&test_bed, case, began + times.measured);
     let measured_for = began.elapsed();
     let (usage_after, harness_after) = (test_bed.controller.usage()?, Usage::of_self()?);
@@ -92,12 +92,12 @@
         case: case.clone(),
         time_to_ready: test_bed.time_to_ready,
         measured_for,
-        traffic: test_bed.traffic.read().since(traffic),
-        processor_time: usage_after.processor_time - usage.processor_time,
+        traffic: test_bed.traffic.read().since(traffic_before),
+        processor_time: usage_after.processor_time - usage_before.processor_time,
         usage: usage_after,
         // Saturating, because the later reading lacks the CPU time of harness threads that ended during the
         // measurement.
-        harness: harness_after.processor_time.saturating_sub(harness.processor_time),
+        harness: harness_after.processor_time.saturating_sub(harness_before.processor_time),
         commands: test_bed.relay.take_requests().iter().map(|request| request.commands.len()).sum(),
         machine_load: machine_load(),
         decoding: decoding_time_per_line(),
@@ -107,17 +107,18 @@
 /// Changes entries of the endpoint list at the case's rate until `end`: one replica after another drains and becomes
 /// active again.
 fn run_churn(test_bed: &TestBed, case: &Case, end: Instant) {
-    let pause = if case.churn > 0.0 { Duration::from_secs_f64(1.0 / case.churn) } else { Duration::MAX };
-    let mut next = Instant::now();
+    let change_interval =
+        if case.churn > 0.0 { Duration::from_secs_f64(1.0 / case.churn) } else { Duration::MAX };
+    let mut next_change_at = Instant::now();
     for step in 0.. {
-        if case.churn == 0.0 || next >= end {
+        if case.churn == 0.0 || next_change_at >= end {
             break;
         }
-        thread::sleep(next.saturating_duration_since(Instant::now()));
+        thread::sleep(next_change_at.saturating_duration_since(Instant::now()));
         let replica = step / 2 % case.setup.size.replicas;
         let state = if step % 2 == 0 { ReplicaState::Leaving } else { ReplicaState::Active };
         test_bed.discovery.change([(replica, EntryState { state, started_ms: 0 })]);
-        next += pause;
+        next_change_at += change_interval;
     }
     thread::sleep(end.saturating_duration_since(Instant::now()));
 }
--- a/crates/scale-tests/src/one/sweep.rs
+++ b/crates/scale-tests/src/one/sweep.rs
@@ -45,33 +45,34 @@
     cases.extend(PROXY_COUNTS.map(|proxies| case("proxies", FleetSize { proxies, ..target.clone() })));
     cases.extend(CHURN_RATES.map(|churn| Case { churn, ..case("churn", target.clone()) }));
     for writes in WRITES_PER_PERIOD {
-        let mut spread = case("writes", target.clone());
-        spread.setup.writes = writes;
-        cases.push(spread);
+        let mut case = case("writes", target.clone());
+        case.setup.writes = writes;
+        cases.push(case);
     }
     cases.extend(
-        AGGREGATED_SHAPES.map(|(replica_count, window_ms)| summed(&target, replica_count, window_ms)),
+        AGGREGATED_SHAPES
+            .map(|(replica_count, window_ms)| aggregated_case(&target, replica_count, window_ms)),
     );
     cases.extend(REPLICA_COUNTS.map(|replicas| {
-        let mut silent = case("silent", FleetSize { replicas, ..target.clone() });
-        silent.setup.reports = None;
-        silent
+        let mut case = case("silent", FleetSize { replicas, ..target.clone() });
+        case.setup.reports = None;
+        case
     }));
     cases
 }
 
 /// Returns a case with one connection, which reports on `replica_count` replicas with sums over all zones.
-fn summed(size: &FleetSize, replica_count: usize, window_ms: f64) -> Case {
-    let mut summed = case("summed", size.clone());
+fn aggregated_case(size: &FleetSize, replica_count: usize, window_ms: f64) -> Case {
+    let mut case = case("summed", size.clone());
     let shape = ReportShape {
         replicas: 0..replica_count,
         window_ms,
         zones_summed: size.zones,
         includes_slices: true,
     };
-    summed.setup.reports = Some(shape);
-    summed.setup.collectors = 1;
-    summed
+    case.setup.reports = Some(shape);
+    case.setup.collectors = 1;
+    case
 }
 
 /// Runs a start at each size, the events at the target's size, and a full endpoint list at each size.
@@ -87,16 +88,16 @@
         outcomes.push(Outcome { name: format!("{}, {replicas} replicas", outcome.name), ..outcome });
     }
     let target = FleetSize::target();
-    let (rack, zone) = (40, target.replicas / target.zones);
+    let (replicas_per_rack, replicas_per_zone) = (40, target.replicas / target.zones);
     let target_events = [
         Event::Nothing,
         Event::ConfigurationReload,
         Event::Drain(1),
         Event::Return(1),
-        Event::Drain(rack),
-        Event::Return(rack),
-        Event::Drain(zone),
-        Event::Return(zone),
+        Event::Drain(replicas_per_rack),
+        Event::Return(replicas_per_rack),
+        Event::Drain(replicas_per_zone),
+        Event::Return(replicas_per_zone),
     ];
     let reported = Setup::reported(target.clone());
     // Without reports, the measured cost is that of the event alone.
--- a/crates/scale-tests/src/one/test_bed.rs
+++ b/crates/scale-tests/src/one/test_bed.rs
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time limit for one receive of a relay request.
+/// Time limit of one wait for a relay request.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The set-up of a controller, and the reports that it receives.
+/// The setup of a controller, and the reports that it receives.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The fleet.
@@ -30,7 +30,7 @@
 }
 
 impl Setup {
-    /// Creates a set-up in which every zone's collector reports on every replica and slice each second, in one write.
+    /// Creates a setup in which every zone's collector reports on every replica and slice each second, in one write.
     pub fn reported(size: FleetSize) -> Self {
         let reports = Some(ReportShape::full(&size));
         Setup { collectors: size.zones, size, reports, writes: 1, operators: None }
@@ -99,7 +99,7 @@
             let Some(request) = self.relay.next_request(POLL_INTERVAL) else { continue };
             commands += request.commands.len();
             if request.commands.iter().any(|command| command.starts_with("SET,")) {
-                return FirstTableCommand { latency: Some(request.at - started), commands };
+                return FirstTableCommand { latency: Some(request.read_at - started), commands };
             }
         }
         FirstTableCommand { latency: None, commands }
--- a/crates/scale-tests/src/process.rs
+++ b/crates/scale-tests/src/process.rs
@@ -74,8 +74,8 @@
 ///
 /// When the path of this executable is unknown, cargo fails to build the program, or the program is missing.
 pub fn program(package: &str, name: &str) -> Result<PathBuf, ProcessError> {
-    let own = std::env::current_exe().map_err(io_error("own executable"))?;
-    let folder = own.parent().unwrap_or(Path::new("."));
+    let executable = std::env::current_exe().map_err(io_error("path of the running executable"))?;
+    let folder = executable.parent().unwrap_or(Path::new("."));
     // Test executables are in the subfolder `deps`.
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     let program = folder.join(name);
@@ -119,7 +119,7 @@
     pub fn of(id: u32) -> Result<Usage, ProcessError> {
         let path = format!("/proc/{id}/status");
         let status = std::fs::read_to_string(&path).map_err(io_error(&path))?;
-        let figure = |key: &'static str| {
+        let field = |key: &'static str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key));
             let number = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
             number.ok_or(ProcessError::MalformedProcFile(path.clone(), key))
@@ -130,9 +130,9 @@
         };
         Ok(Usage {
             processor_time,
-            resident: figure("VmRSS:")? << 10,
-            resident_peak: figure("VmHWM:")? << 10,
-            threads: figure("Threads:")?,
+            resident: field("VmRSS:")? << 10,
+            resident_peak: field("VmHWM:")? << 10,
+            threads: field("Threads:")?,
         })
     }
 
@@ -172,10 +172,10 @@
     let stat = std::fs::read_to_string(&path).map_err(io_error(&path))?;
     // The process name in parentheses may contain spaces, so fields are counted from the closing parenthesis.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-    let field = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok());
-    let count = field(USER_TIME_FIELD).zip(field(SYSTEM_TIME_FIELD)).map(|(user, system)| user + system);
-    let count = count.ok_or(ProcessError::MalformedProcFile(path, "utime or stime"))?;
-    Ok(Duration::from_secs_f64(count as f64 / rustix::param::clock_ticks_per_second() as f64))
+    let field = |index: usize| fields.get(index).and_then(|field| field.parse::<u64>().ok());
+    let ticks = field(USER_TIME_FIELD).zip(field(SYSTEM_TIME_FIELD)).map(|(user, system)| user + system);
+    let ticks = ticks.ok_or(ProcessError::MalformedProcFile(path, "utime or stime"))?;
+    Ok(Duration::from_secs_f64(ticks as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
 /// Returns the machine's load average over one minute, including unrelated processes; NaN if the kernel does not offer
@@ -216,8 +216,8 @@
         let started = Instant::now();
         let mut child = command.spawn().map_err(io_error(command.get_program().display().to_string()))?;
         let (sender, log) = channel();
-        if let Some(errors) = child.stderr.take() {
-            let lines = BufReader::new(errors).lines();
+        if let Some(stderr) = child.stderr.take() {
+            let lines = BufReader::new(stderr).lines();
             thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         }
         Ok(RunningProgram { child, log, started })
@@ -229,15 +229,15 @@
     ///
     /// When the program exits, or does not log its address within 30 s of its start.
     pub fn address(&self) -> Result<SocketAddr, ProcessError> {
-        let end = self.started + START_TIMEOUT;
-        let mut last = String::new();
-        while let Ok(line) = self.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
+        let deadline = self.started + START_TIMEOUT;
+        let mut last_line = String::new();
+        while let Ok(line) = self.log.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
             if let Some(address) = listening_address(&line) {
                 return Ok(address);
             }
-            last = line;
+            last_line = line;
         }
-        Err(ProcessError::NoStart(last))
+        Err(ProcessError::NoStart(last_line))
     }
 
     /// Returns the time at which the program was started.
@@ -266,8 +266,8 @@
 
     /// Waits until the program logs a line that contains `text`; returns false if it does not within the given time.
     pub fn wait_for_log_line(&self, text: &str, within: Duration) -> bool {
-        let end = Instant::now() + within;
-        let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now())).ok();
+        let deadline = Instant::now() + within;
+        let next = || self.log.recv_timeout(deadline.saturating_duration_since(Instant::now())).ok();
         std::iter::from_fn(next).any(|line| line.contains(text))
     }
 
@@ -296,10 +296,10 @@
     ///
     /// When the status of the process cannot be read.
     pub fn wait_for_exit(&mut self, within: Duration) -> Result<Option<ExitStatus>, ProcessError> {
-        let end = Instant::now() + within;
+        let deadline = Instant::now() + within;
         loop {
-            let status = self.child.try_wait().map_err(io_error("wait"))?;
-            if status.is_some() || Instant::now() >= end {
+            let status = self.child.try_wait().map_err(io_error("wait for exit"))?;
+            if status.is_some() || Instant::now() >= deadline {
                 return Ok(status);
             }
             thread::sleep(EXIT_POLL_INTERVAL);
@@ -329,16 +329,16 @@
     ///
     /// When its files cannot be written, the program cannot be started, or it does not listen in time.
     pub fn start(launch: &Launch) -> Result<Controller, ProcessError> {
-        let folder = tempfile::tempdir().map_err(io_error("temporary folder"))?;
+        let folder = tempfile::tempdir().map_err(io_error("create temporary folder"))?;
         let mut configuration = launch.configuration.clone();
         configuration["listen"] = "127.0.0.1:0".into();
         let path = folder.path().join("configuration.json");
-        std::fs::write(&path, configuration.to_string()).map_err(io_error("configuration"))?;
+        std::fs::write(&path, configuration.to_string()).map_err(io_error("write configuration file"))?;
         let mut command = Command::new(&launch.program);
         command.env_clear().env("PROXY_CONFIG", &path).env("PROXY_DISCOVERY", launch.discovery.to_string());
         if let Some(text) = &launch.operators {
             let path = folder.path().join("operators.xml");
-            std::fs::write(&path, text).map_err(io_error("operators' file"))?;
+            std::fs::write(&path, text).map_err(io_error("write operators' file"))?;
             command.arg("--operators").arg(path);
         }
         let process = RunningProgram::start(command)?;
--- a/crates/scale-tests/src/results.rs
+++ b/crates/scale-tests/src/results.rs
@@ -145,7 +145,7 @@
             let key = move |(x, y)| Circle::new((x + 8, y), 4, colour.filled());
             chart.draw_series(points)?.label(&series.name).legend(key);
             if let Some(Line { intercept, slope }) = series.line {
-                let ends = [0.0, right].map(|at| (at, intercept + slope * at));
+                let ends = [0.0, right].map(|x| (x, intercept + slope * x));
                 chart.draw_series(LineSeries::new(ends, &colour))?;
             }
         }
--- a/crates/scale-tests/tests/decisions.rs
+++ b/crates/scale-tests/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 use whinwall_emulator::config::ScenarioConfig;
 use whinwall_policy::time::Span;
-use whinwall_scale_tests::decisions::{paired_differences, run_all, table, Plan, ScenarioKind};
+use whinwall_scale_tests::decisions::{paired_differences, run_all, table, Plan, ScenarioKind, ScenarioRun};
 
 fn plan(kinds: Vec<ScenarioKind>) -> Plan {
     let fleet = ScenarioConfig {
@@ -36,11 +36,9 @@
 #[test]
 fn sweep_is_deterministic_and_violates_no_rule() {
     let plan = plan(vec![ScenarioKind::Replaced, ScenarioKind::Zone]);
-    let (first, again) = (run_all(&plan, 2).unwrap(), run_all(&plan, 1).unwrap());
-    let outcomes = |runs: &[whinwall_scale_tests::decisions::ScenarioRun]| {
-        runs.iter().map(|run| run.outcome.clone()).collect::<Vec<_>>()
-    };
-    assert!(outcomes(&first) == outcomes(&again), "two runs of the same plan differ");
+    let (first, second) = (run_all(&plan, 2).unwrap(), run_all(&plan, 1).unwrap());
+    let outcomes = |runs: &[ScenarioRun]| runs.iter().map(|run| run.outcome.clone()).collect::<Vec<_>>();
+    assert!(outcomes(&first) == outcomes(&second), "two runs of the same plan differ");
     for run in &first {
         assert!(
             run.outcome.violation_counts.is_empty(),
--- a/crates/scale-tests/tests/fakes.rs
+++ b/crates/scale-tests/tests/fakes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use whinwall_protocol::{collector, discovery as discovery_protocol, relay as relay_protocol};
-use whinwall_scale_tests::fakes::collectors::{Collectors, ReportSchedule};
+use whinwall_scale_tests::fakes::collectors::{Collectors, ReportBlock, ReportSchedule};
 use whinwall_scale_tests::fakes::counting_proxy::CountingProxy;
 use whinwall_scale_tests::fakes::discovery::Discovery;
 use whinwall_scale_tests::fakes::fleet::{EntryState, FleetSize, Random, ReplicaState, ReportShape};
@@ -15,13 +15,13 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn small() -> FleetSize {
+fn small_fleet() -> FleetSize {
     FleetSize { replicas: 30, zones: 3, slices: 4, proxies: 5, ..FleetSize::target() }
 }
 
 struct Peer {
     reader: BufReader<TcpStream>,
-    read: usize,
+    bytes_read: usize,
 }
 
 impl Peer {
@@ -29,19 +29,19 @@
         let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
-        Peer { reader: BufReader::new(stream), read: 0 }
+        Peer { reader: BufReader::new(stream), bytes_read: 0 }
     }
 
     fn line(&mut self) -> String {
         let mut line = String::new();
-        self.read += self.reader.read_line(&mut line).unwrap();
+        self.bytes_read += self.reader.read_line(&mut line).unwrap();
         line.trim_end().to_string()
     }
 }
 
 #[test]
 fn each_report_line_is_valid() {
-    let size = small();
+    let size = small_fleet();
     let lines = ReportShape::full(&size).lines(&size, 1, &mut Random::new(7));
     assert_eq!(lines.len(), size.replicas + size.slices * size.classes);
     for line in &lines {
@@ -65,12 +65,10 @@
 
 #[test]
 fn schedule_holds_each_line_once_for_any_number_of_writes() {
-    let size = small();
+    let size = small_fleet();
     let lines = |writes| {
         let schedule = ReportSchedule::for_zone(&size, &ReportShape::full(&size), 0, writes);
-        let blocks = |period: &Vec<_>| {
-            period.iter().map(|b: &whinwall_scale_tests::fakes::collectors::ReportBlock| b.lines).sum()
-        };
+        let blocks = |period: &Vec<_>| period.iter().map(|block: &ReportBlock| block.lines).sum();
         schedule.periods.iter().map(blocks).collect::<Vec<usize>>()
     };
     assert_eq!(lines(1), lines(7));
@@ -79,7 +77,7 @@
 
 #[test]
 fn relay_sends_a_snapshot_and_applies_commands_up_to_the_first_invalid_one() {
-    let (size, traffic) = (small(), Arc::new(Traffic::default()));
+    let (size, traffic) = (small_fleet(), Arc::new(Traffic::default()));
     let relay = Relay::start(&size, &traffic).unwrap();
     let mut watcher = Peer::connect(relay.address(), "WATCH\r\n");
     let snapshot: Vec<String> = (0..1 + size.proxies + 2 * size.slices + 1).map(|_| watcher.line()).collect();
@@ -97,14 +95,14 @@
     while acks < size.proxies {
         acks += usize::from(watcher.line().starts_with("* ACK "));
     }
-    assert_eq!(traffic.read().relay_responses.bytes, client.read as u64);
+    assert_eq!(traffic.read().relay_responses.bytes, client.bytes_read as u64);
     // Keep-alive lines may have been sent after the lines read here.
-    assert!(traffic.read().relay_events.bytes >= watcher.read as u64);
+    assert!(traffic.read().relay_events.bytes >= watcher.bytes_read as u64);
 }
 
 #[test]
 fn watch_sends_the_full_list_then_changes_then_the_full_list_on_demand() {
-    let (size, traffic) = (small(), Arc::new(Traffic::default()));
+    let (size, traffic) = (small_fleet(), Arc::new(Traffic::default()));
     let discovery = Discovery::start(&size, &traffic).unwrap();
     let request = "GET /registry/instances?follow=1&since=0 HTTP/1.1\r\nhost: x\r\n\r\n";
     let mut watch = Peer::connect(discovery.address(), request);
@@ -127,14 +125,18 @@
     let (changes, _) = next();
     assert!(!changes.is_complete && changes.entries.len() == 2 && changes.version == 2);
     discovery.change_and_send_full_list([(5, leaving)]);
-    let (again, _) = next();
-    assert!(again.is_complete && again.entries.len() == size.replicas && again.version == 3);
+    let (second_full_list, _) = next();
+    assert!(
+        second_full_list.is_complete
+            && second_full_list.entries.len() == size.replicas
+            && second_full_list.version == 3
+    );
     assert_eq!(traffic.read().discovery_requests.bytes, request.len() as u64);
 }
 
 #[test]
 fn discovery_answers_a_request_for_the_full_list() {
-    let (size, traffic) = (small(), Arc::new(Traffic::default()));
+    let (size, traffic) = (small_fleet(), Arc::new(Traffic::default()));
     let discovery = Discovery::start(&size, &traffic).unwrap();
     let mut peer = Peer::connect(discovery.address(), "GET /registry/instances HTTP/1.1\r\nhost: x\r\n\r\n");
     while !peer.line().is_empty() {}
@@ -146,7 +148,7 @@
 
 #[test]
 fn counting_proxy_counts_each_direction() {
-    let (size, traffic) = (small(), Arc::new(Traffic::default()));
+    let (size, traffic) = (small_fleet(), Arc::new(Traffic::default()));
     let relay = Relay::start(&size, &traffic).unwrap();
     let counting_proxy = CountingProxy::start().unwrap();
     counting_proxy.set_target(relay.address());
@@ -155,7 +157,7 @@
     assert_eq!(client.line(), "OK 1");
     let counts = |counter: &Counter| (counter.read().bytes, counter.read().lines);
     assert_eq!(counts(&counting_proxy.traffic.to_controller), (request.len() as u64, 1));
-    assert_eq!(counts(&counting_proxy.traffic.from_controller), (client.read as u64, 1));
+    assert_eq!(counts(&counting_proxy.traffic.from_controller), (client.bytes_read as u64, 1));
 }
 
 /// Guards against collectors that keep running after another one failed to connect: they would continue to send reports
@@ -170,7 +172,7 @@
         drop(listener);
         stream
     });
-    let size = small();
+    let size = small_fleet();
     let schedule = ReportSchedule::for_zone(&size, &ReportShape::full(&size), 0, 10);
     let schedules = vec![schedule; 200];
     let traffic = Arc::new(Traffic::default());
--- a/crates/scale-tests/tests/fit.rs
+++ b/crates/scale-tests/tests/fit.rs
@@ -35,11 +35,11 @@
 
 #[test]
 fn undetermined_fit_is_an_error() {
-    let few = LinearFit::least_squares(&[point(&[1.0], 1.0)]);
-    assert_eq!(few, Err(FitError::TooFewPoints { points: 1, coefficients: 2 }));
+    let too_few = LinearFit::least_squares(&[point(&[1.0], 1.0)]);
+    assert_eq!(too_few, Err(FitError::TooFewPoints { points: 1, coefficients: 2 }));
     let mismatched = LinearFit::least_squares(&[point(&[1.0], 1.0), point(&[1.0, 2.0], 1.0)]);
-    assert_eq!(mismatched, Err(FitError::RegressorCountMismatch));
-    let same = [point(&[1.0, 2.0], 1.0), point(&[2.0, 4.0], 2.0), point(&[3.0, 6.0], 3.0)];
-    assert_eq!(LinearFit::least_squares(&same), Err(FitError::DependentRegressors));
+    assert_eq!(mismatched, Err(FitError::RegressorCountMismatch { expected: 1, found: 2 }));
+    let dependent = [point(&[1.0, 2.0], 1.0), point(&[2.0, 4.0], 2.0), point(&[3.0, 6.0], 3.0)];
+    assert_eq!(LinearFit::least_squares(&dependent), Err(FitError::DependentRegressors));
     assert_eq!(LinearFit::least_squares(&[]), Err(FitError::TooFewPoints { points: 0, coefficients: 1 }));
 }
--- a/crates/scale-tests/tests/many.rs
+++ b/crates/scale-tests/tests/many.rs
@@ -58,14 +58,14 @@
 #[test]
 fn missing_program_is_named_in_the_error() {
     let plan = Plan { program: "/nowhere/whinwall-controller".into(), ..plan() };
-    let failure = run_events(&plan).unwrap_err().to_string();
-    assert!(failure.contains("/nowhere/whinwall-controller"), "{failure}");
+    let error = run_events(&plan).unwrap_err().to_string();
+    assert!(error.contains("/nowhere/whinwall-controller"), "{error}");
 }
 
 #[test]
 fn controller_that_does_not_serve_ends_the_run() {
     // The program exits immediately without logging an address.
     let plan = Plan { program: "/bin/true".into(), ..plan() };
-    let failure = run_events(&plan).unwrap_err().to_string();
-    assert!(failure.contains("did not start serving"), "{failure}");
+    let error = run_events(&plan).unwrap_err().to_string();
+    assert!(error.contains("did not start serving"), "{error}");
 }
--- a/crates/scale-tests/tests/one.rs
+++ b/crates/scale-tests/tests/one.rs
@@ -40,7 +40,7 @@
     for (replicas, zones) in [(20, 1), (20, 3), (60, 1), (60, 3), (180, 3)] {
         let setup = setup(replicas, zones);
         let test_bed = TestBed::start(program(), &setup).unwrap();
-        // The controller ignores reports on replicas that it does not know from the endpoint list yet.
+        // The controller ignores reports on replicas that are not in its endpoint list yet.
         assert!(test_bed.wait_for_first_table_command(TIMEOUT).latency.is_some());
         let schedules = setup.schedules();
         let before = test_bed.traffic.read().reports;
