--- a/crates/soak/src/clients/collector.rs
+++ b/crates/soak/src/clients/collector.rs
@@ -37,7 +37,7 @@
 fn run(shared: &Shared, mut random: Random, kind: PeerKind) {
     while !shared.is_stopped() {
         let incarnation = shared.incarnation();
-        // A peer that may be evicted cannot know whether its ping was read.
+        // The controller may evict an unauthenticated peer before it reads the ping, so an answer cannot be required.
         let may_connect = |incarnation: &Arc<Incarnation>| {
             incarnation.is_serving() && (kind == PeerKind::Authenticated || !incarnation.may_evict)
         };
@@ -67,7 +67,7 @@
         }
         PeerKind::Unauthenticated => UNAUTHENTICATED_CONNECTION_TIME,
     };
-    let mut is_first = true;
+    let mut is_first_answer = true;
     while began.elapsed() < connection_time && !shared.is_stopped() {
         let sent_at = send_ping(&mut stream, random, kind)?;
         let mut answer = String::new();
@@ -80,24 +80,24 @@
                 return Ok(());
             }
             result => {
-                note_unanswered(shared, kind, incarnation, sent_at, result);
+                record_unanswered(shared, kind, incarnation, sent_at, result);
                 return Ok(());
             }
         }
         let took = began.elapsed();
-        if is_first
+        if is_first_answer
             && took > MAX_FIRST_ANSWER_DELAY
             && incarnation.is_serving()
             && !incarnation.has_stop_fault
         {
             let since_start = incarnation.started_at.elapsed();
             let round = &incarnation.round;
-            let who = format!(
+            let delay = format!(
                 "first answer to a new peer after {took:?}, {since_start:?} after start-up, in {round}"
             );
-            shared.violations.record(Violation::SlowFirstAnswer { who });
+            shared.violations.record(Violation::SlowFirstAnswer { delay });
         }
-        is_first = false;
+        is_first_answer = false;
     }
     Ok(())
 }
@@ -106,23 +106,23 @@
 /// unauthenticated peer, the last part for an authenticated one.
 fn send_ping(stream: &mut TcpStream, random: &mut Random, kind: PeerKind) -> std::io::Result<Instant> {
     let bytes = PING.as_bytes();
-    let Some((at, delay)) = draw_split(random, bytes.len()) else {
+    let Some((position, delay)) = draw_split(random, bytes.len()) else {
         stream.write_all(bytes)?;
         return Ok(Instant::now());
     };
-    stream.write_all(&bytes[..at])?;
-    let first_at = Instant::now();
+    stream.write_all(&bytes[..position])?;
+    let first_sent_at = Instant::now();
     std::thread::sleep(delay);
-    let is_whole = stream.write_all(&bytes[at..]).is_ok();
-    let last_at = Instant::now();
+    let is_completely_sent = stream.write_all(&bytes[position..]).is_ok();
+    let last_sent_at = Instant::now();
     match kind {
-        PeerKind::Unauthenticated => Ok(first_at),
-        PeerKind::Authenticated if is_whole => Ok(last_at),
+        PeerKind::Unauthenticated => Ok(first_sent_at),
+        PeerKind::Authenticated if is_completely_sent => Ok(last_sent_at),
         PeerKind::Authenticated => Err(ErrorKind::BrokenPipe.into()),
     }
 }
 
-fn note_unanswered(
+fn record_unanswered(
     shared: &Shared,
     kind: PeerKind,
     incarnation: &Incarnation,
@@ -130,8 +130,8 @@
     result: std::io::Result<usize>,
 ) {
     if incarnation.requires_answer(sent_at) {
-        let who = if kind == PeerKind::Authenticated { "collector" } else { "peer" };
-        let request = format!("ping of a {who}: {result:?}, in {}", incarnation.round);
+        let sender = if kind == PeerKind::Authenticated { "collector" } else { "peer" };
+        let request = format!("ping of a {sender}: {result:?}, in {}", incarnation.round);
         shared.violations.record(Violation::Unanswered { request });
     }
 }
--- a/crates/soak/src/clients/http.rs
+++ b/crates/soak/src/clients/http.rs
@@ -18,8 +18,8 @@
     Ended {
         /// When the first bytes were sent.
         sent_at: Instant,
-        /// The error.
-        how: String,
+        /// The read error.
+        error: String,
     },
     /// No response was received within `ANSWER_TIMEOUT`.
     TimedOut,
@@ -28,6 +28,7 @@
 #[derive(Debug)]
 pub(super) struct Response {
     pub status: u16,
+    /// True if the server closes the connection after this response.
     pub is_last: bool,
     pub body: String,
 }
@@ -47,7 +48,7 @@
 pub(super) fn exchange(stream: &mut UnixStream, text: &str, random: &mut Random) -> Outcome {
     let bytes = text.as_bytes();
     let (first, rest, delay) = match draw_split(random, bytes.len()) {
-        Some((at, delay)) => (&bytes[..at], &bytes[at..], delay),
+        Some((position, delay)) => (&bytes[..position], &bytes[position..], delay),
         None => (bytes, &bytes[..0], std::time::Duration::ZERO),
     };
     if stream.write_all(first).is_err() {
@@ -64,7 +65,7 @@
         Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
             Outcome::TimedOut
         }
-        Err(error) => Outcome::Ended { sent_at, how: error.to_string() },
+        Err(error) => Outcome::Ended { sent_at, error: error.to_string() },
     }
 }
 
--- a/crates/soak/src/clients/management.rs
+++ b/crates/soak/src/clients/management.rs
@@ -68,7 +68,7 @@
         random,
         next_id: 0,
         active: Vec::new(),
-        // The last ends of the other clients may not be recorded yet, one for each client.
+        // Each client may have one clear that has ended its override but is not yet in the ledger.
         unconfirmed_clears: UnconfirmedClears::new(MAX_LISTED_ENDED - MANAGEMENT_CLIENTS as usize),
         connection: None,
     };
@@ -85,25 +85,25 @@
             return;
         };
         let call = self.draw_call();
-        let ended_before = self.shared.ledger.possibly_ended();
+        let ended_before = self.shared.ledger.possibly_ended_count();
         match exchange(&mut stream, &call.text(), &mut self.random) {
             Outcome::Response(response) => {
                 self.shared.count_answer();
-                self.note_response(&call, &response, ended_before);
+                self.check_response(&call, &response, ended_before);
                 if !response.is_last {
                     self.connection = Some((stream, incarnation));
                 }
             }
             Outcome::NotSent => self.restore_unsent_clear(&call),
-            Outcome::Ended { sent_at, how } => {
-                self.note_unknown(&call);
+            Outcome::Ended { sent_at, error } => {
+                self.record_unknown(&call);
                 if incarnation.requires_answer(sent_at) {
-                    let request = format!("{}: {how}, in {}", call.name(), incarnation.round);
+                    let request = format!("{}: {error}, in {}", call.name(), incarnation.round);
                     self.shared.violations.record(Violation::Unanswered { request });
                 }
             }
             Outcome::TimedOut => {
-                self.note_unknown(&call);
+                self.record_unknown(&call);
                 if incarnation.is_serving() {
                     let request =
                         format!("{}: no answer before the time-out, in {}", call.name(), incarnation.round);
@@ -128,28 +128,29 @@
         }
         let is_full = self.active.len() >= MAX_OWN_ACTIVE;
         if !self.active.is_empty() && (is_full || draw > 0.75) {
-            let at = (self.random.draw() * self.active.len() as f64) as usize % self.active.len();
-            return Call::Clear(self.active.swap_remove(at));
+            let index = (self.random.draw() * self.active.len() as f64) as usize % self.active.len();
+            return Call::Clear(self.active.swap_remove(index));
         }
         self.next_id += 1;
         Call::Set(format!("{}{}", self.prefix, self.next_id))
     }
 
-    /// Records and checks a response. `ended_before` is [`Ledger::possibly_ended`] from before the request was sent.
+    /// Records and checks a response. `ended_before` is [`Ledger::possibly_ended_count`] from before the request was
+    /// sent.
     ///
-    /// [`Ledger::possibly_ended`]: crate::ledger::Ledger::possibly_ended
-    fn note_response(&mut self, call: &Call, response: &Response, ended_before: usize) {
-        let is_on_disk = response.body.contains("\"kept\":\"on disk\"");
+    /// [`Ledger::possibly_ended_count`]: crate::ledger::Ledger::possibly_ended_count
+    fn check_response(&mut self, call: &Call, response: &Response, ended_before: usize) {
+        let is_persisted = response.body.contains("\"kept\":\"on disk\"");
         let record = |id: &String, expected| self.shared.ledger.record(id, expected);
         match (call, response.status) {
             (Call::Status, 200) => {}
             (Call::List, 200) => self.check_list(&response.body),
-            (Call::Set(id), 200 | 201) if is_on_disk => {
+            (Call::Set(id), 200 | 201) if is_persisted => {
                 record(id, ExpectedState::Active);
                 self.active.push(id.clone());
             }
             (Call::Set(id), 503 | 507) => record(id, ExpectedState::Refused),
-            (Call::Clear(id), 200) if is_on_disk => record(id, ExpectedState::Ended),
+            (Call::Clear(id), 200) if is_persisted => record(id, ExpectedState::Ended),
             // The override stays in force until the clear is persisted; the clear may have to be repeated.
             (Call::Clear(id), 202) => {
                 record(id, ExpectedState::Unknown);
@@ -161,7 +162,7 @@
                 record(id, ExpectedState::Ended);
             }
             (_, 503) => {}
-            (Call::Set(_) | Call::Clear(_), 408 | 504) => self.note_unknown(call),
+            (Call::Set(_) | Call::Clear(_), 408 | 504) => self.record_unknown(call),
             (_, 408 | 504) => {}
             (_, status) => {
                 let exchange = format!("{}: {status} {}", call.name(), response.body);
@@ -171,12 +172,12 @@
     }
 
     fn may_be_pruned(&self, id: &str) -> bool {
-        self.unconfirmed_clears.may_be_pruned(id, self.shared.ledger.possibly_ended())
+        self.unconfirmed_clears.may_be_pruned(id, self.shared.ledger.possibly_ended_count())
     }
 
     fn check_list(&self, body: &str) {
         match serde_json::from_str(body) {
-            Ok(list) => self.shared.ledger.check(&self.prefix, &list, &self.shared.violations),
+            Ok(list) => self.shared.ledger.check_list(&self.prefix, &list, &self.shared.violations),
             Err(error) => {
                 let exchange = format!("list: {error}");
                 self.shared.violations.record(Violation::WrongAnswer { exchange });
@@ -190,7 +191,7 @@
         }
     }
 
-    fn note_unknown(&self, call: &Call) {
+    fn record_unknown(&self, call: &Call) {
         if let Call::Set(id) | Call::Clear(id) = call {
             self.shared.ledger.record(id, ExpectedState::Unknown);
         }
--- a/crates/soak/src/clients/mod.rs
+++ b/crates/soak/src/clients/mod.rs
@@ -93,6 +93,6 @@
     if length < 2 || random.draw() >= SPLIT_REQUEST_SHARE {
         return None;
     }
-    let at = 1 + (random.draw() * (length - 1) as f64) as usize;
-    Some((at.min(length - 1), Duration::from_secs_f64(random.draw() * MAX_PART_DELAY_MS / 1000.0)))
+    let position = 1 + (random.draw() * (length - 1) as f64) as usize;
+    Some((position.min(length - 1), Duration::from_secs_f64(random.draw() * MAX_PART_DELAY_MS / 1000.0)))
 }
--- a/crates/soak/src/flood.rs
+++ b/crates/soak/src/flood.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Connections of the flood.
+/// The number of connections that are open at the same time.
 const CONNECTIONS: usize = 300;
 /// The interval at which all connections are closed and opened again.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
@@ -23,11 +23,11 @@
 impl ConnectionFlood {
     pub fn start(incarnation: Arc<Incarnation>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = stop.clone();
+        let thread_stop = stop.clone();
         let thread = std::thread::spawn(move || {
-            while !stopped.load(Ordering::Relaxed) {
+            while !thread_stop.load(Ordering::Relaxed) {
                 let connections: Vec<_> =
-                    (0..CONNECTIONS).map_while(|n| open_connection(&incarnation, n)).collect();
+                    (0..CONNECTIONS).map_while(|number| open_connection(&incarnation, number)).collect();
                 std::thread::sleep(RENEWAL_INTERVAL);
                 drop(connections);
             }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the number of overrides that were acknowledged as set or ended.
-    pub fn acknowledged(&self) -> usize {
+    pub fn acknowledged_count(&self) -> usize {
         self.lock()
             .values()
             .filter(|expected| matches!(expected, ExpectedState::Active | ExpectedState::Ended))
@@ -40,7 +40,7 @@
     }
 
     /// Returns the number of overrides that have ended or may have ended.
-    pub fn possibly_ended(&self) -> usize {
+    pub fn possibly_ended_count(&self) -> usize {
         self.lock()
             .values()
             .filter(|expected| matches!(expected, ExpectedState::Ended | ExpectedState::Unknown))
@@ -49,16 +49,16 @@
 
     /// Compares an override list with the expected states of the ids that begin with `prefix`. No request that changes
     /// these overrides may be in flight.
-    pub fn check(&self, prefix: &str, list: &Value, violations: &Violations) {
+    pub fn check_list(&self, prefix: &str, list: &Value, violations: &Violations) {
         let empty = Vec::new();
         let items = list["overrides"].as_array().unwrap_or(&empty);
-        let mut states: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+        let mut listed_states: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for item in items {
             let (id, state) = (item["id"].as_str().unwrap_or_default(), item["state"].as_str());
-            states.entry(id).or_default().push(state.unwrap_or_default());
+            listed_states.entry(id).or_default().push(state.unwrap_or_default());
         }
         for (id, expected) in self.lock().iter().filter(|(id, _)| id.starts_with(prefix)) {
-            let listed = states.get(id.as_str()).map_or(&[][..], Vec::as_slice);
+            let listed = listed_states.get(id.as_str()).map_or(&[][..], Vec::as_slice);
             let active = listed.iter().filter(|state| **state != "ended").count();
             let is_as_expected = match expected {
                 ExpectedState::Active => active == 1,
@@ -66,8 +66,8 @@
                 ExpectedState::Unknown => active <= 1,
             };
             if !is_as_expected || listed.len() > 1 {
-                let what = format!("{id}: expected {expected:?}, listed {listed:?}");
-                violations.record(Violation::UnexpectedOverrideState { what });
+                let states = format!("{id}: expected {expected:?}, listed {listed:?}");
+                violations.record(Violation::UnexpectedOverrideState { states });
             }
         }
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,14 @@
 //! A soak test of the controller. A real controller process runs between a fake relay, a fake discovery and fake
-//! collectors. Each round ends it by a series of signals or a kill, and the next one restarts it on the same store.
-//! During a round file writes may fail, descriptors may be exhausted, or the process may be stopped temporarily.
-//! Clients keep their connections open, send requests continuously and record the override states that the answers
-//! confirm. The rounds of a run are drawn from a seed ([`plan`]). A run reports [`violations`](violation).
+//! collectors. Each round starts the process on the same override store and ends it by a series of signals or by
+//! SIGKILL. During a round file writes may fail, descriptors may be exhausted, or the process may be stopped
+//! temporarily. Clients keep their connections open, send requests continuously and record the override states that the
+//! answers confirm. The rounds of a run are drawn from a seed ([`plan`]). A run reports [`violations`](violation).
 //!
-//! Checked throughout: each request that had partly arrived before the shutdown is answered; acknowledged changes are
-//! present after a restart, refused ones are absent, and no override is listed twice; the program exits within its time
-//! limit without a kill, and releases descriptors, threads and memory.
+//! A run checks that the program
+//! - answers each request of which at least a part arrived before the shutdown;
+//! - lists acknowledged changes after a restart, lists no refused ones, and lists no override twice;
+//! - exits within the time limit after the first signal that ends it, so that no kill is needed;
+//! - releases descriptors, threads and memory after load.
 #![warn(clippy::unwrap_used)]
 
 mod clients;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -31,7 +31,7 @@
 }
 
 fn main() -> ExitCode {
-    match soak(Arguments::parse()) {
+    match run_seeds(Arguments::parse()) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::from(EXIT_VIOLATIONS),
         Err(error) => {
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns the number of violations.
-fn soak(arguments: Arguments) -> Result<usize, SoakError> {
+/// Runs all seeds and returns the number of violations.
+fn run_seeds(arguments: Arguments) -> Result<usize, SoakError> {
     let program = match arguments.program {
         Some(program) => program,
         None => controller_program()?,
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -85,8 +85,8 @@
         Plan { random: Random::from_seed(seed) }
     }
 
-    fn milliseconds(&mut self, min: f64, max: f64) -> Duration {
-        Duration::from_secs_f64((min + (max - min) * self.random.draw()) / 1000.0)
+    fn draw_duration(&mut self, min_ms: f64, max_ms: f64) -> Duration {
+        Duration::from_secs_f64((min_ms + (max_ms - min_ms) * self.random.draw()) / 1000.0)
     }
 
     fn draw_bool(&mut self, share: f64) -> bool {
@@ -99,7 +99,7 @@
 
     /// Draws the next round.
     pub fn draw_round(&mut self) -> Round {
-        let uptime = self.milliseconds(MIN_UPTIME_MS, MAX_UPTIME_MS);
+        let uptime = self.draw_duration(MIN_UPTIME_MS, MAX_UPTIME_MS);
         let has_flood = self.draw_bool(FLOOD_SHARE);
         let faults =
             FaultKind::ALL.into_iter().filter_map(|kind| self.draw_fault(kind, uptime)).take(2).collect();
@@ -113,7 +113,7 @@
             return None;
         }
         let from = uptime.mul_f64(self.random.draw());
-        let until = from + self.milliseconds(MIN_FAULT_MS, MAX_FAULT_MS);
+        let until = from + self.draw_duration(MIN_FAULT_MS, MAX_FAULT_MS);
         // A process that is still stopped at the end of the round could not exit in time.
         let until = if kind == FaultKind::Stopped { until.min(uptime) } else { until };
         Some(Fault { kind, from, until })
@@ -127,11 +127,11 @@
         let count_after = self.pick(&[0, 0, 1, 2, 5]);
         let mut signals = Vec::new();
         for _ in 0..count_before {
-            signals.push((self.milliseconds(0.0, MAX_SIGNAL_GAP_MS / 4.0), self.pick(&before)));
+            signals.push((self.draw_duration(0.0, MAX_SIGNAL_GAP_MS / 4.0), self.pick(&before)));
         }
         signals.push((Duration::ZERO, self.pick(&[Signal::TERM, Signal::TERM, Signal::INT])));
         for _ in 0..count_after {
-            signals.push((self.milliseconds(0.0, MAX_SIGNAL_GAP_MS), self.pick(&after)));
+            signals.push((self.draw_duration(0.0, MAX_SIGNAL_GAP_MS), self.pick(&after)));
         }
         signals
     }
--- a/crates/soak/src/program.rs
+++ b/crates/soak/src/program.rs
@@ -23,18 +23,18 @@
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// A fake service could not be started, or a file not written.
-    #[error("{what}: {source}")]
+    #[error("{resource}: {source}")]
     Io {
         /// The service or file.
-        what: &'static str,
+        resource: &'static str,
         /// The cause.
         source: std::io::Error,
     },
 }
 
 impl SoakError {
-    pub(crate) fn io(what: &'static str) -> impl FnOnce(std::io::Error) -> SoakError {
-        move |source| SoakError::Io { what, source }
+    pub(crate) fn io(resource: &'static str) -> impl FnOnce(std::io::Error) -> SoakError {
+        move |source| SoakError::Io { resource, source }
     }
 }
 
@@ -132,24 +132,26 @@
 
     pub fn begin_fault(&self, kind: FaultKind) {
         match kind {
-            FaultKind::DiskFull => self.limit(Resource::Fsize, Some(0)),
-            FaultKind::DescriptorsShort => self.limit(Resource::Nofile, Some(self.descriptors() as u64)),
+            FaultKind::DiskFull => self.set_soft_limit(Resource::Fsize, Some(0)),
+            FaultKind::DescriptorsShort => {
+                self.set_soft_limit(Resource::Nofile, Some(self.descriptors() as u64));
+            }
             FaultKind::Stopped => self.signal(Signal::STOP),
         }
     }
 
     pub fn end_fault(&self, kind: FaultKind) {
         match kind {
-            FaultKind::DiskFull => self.limit(Resource::Fsize, getrlimit(Resource::Fsize).current),
+            FaultKind::DiskFull => self.set_soft_limit(Resource::Fsize, getrlimit(Resource::Fsize).current),
             FaultKind::DescriptorsShort => {
-                self.limit(Resource::Nofile, getrlimit(Resource::Nofile).current);
+                self.set_soft_limit(Resource::Nofile, getrlimit(Resource::Nofile).current);
             }
             FaultKind::Stopped => self.signal(Signal::CONT),
         }
     }
 
-    /// Sets the soft limit of the process. The hard limit stays, so that the soft one can be raised again.
-    fn limit(&self, resource: Resource, current: Option<u64>) {
+    /// Sets a soft resource limit of the process. The hard limit stays, so that the soft one can be raised again.
+    fn set_soft_limit(&self, resource: Resource, current: Option<u64>) {
         let maximum = getrlimit(resource).maximum;
         // The process may have exited already.
         _ = prlimit(self.pid(), resource, Rlimit { current, maximum });
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -100,7 +100,7 @@
         seed,
         rounds,
         answered: shared.answered.load(Ordering::Relaxed),
-        acknowledged: shared.ledger.acknowledged(),
+        acknowledged: shared.ledger.acknowledged_count(),
         violations: shared.violations.all(),
     })
 }
@@ -120,12 +120,12 @@
     shared.set_incarnation(Some(incarnation.clone()));
     let schedules =
         (0..size.zones).map(|zone| ReportSchedule::for_zone(size, &ReportShape::full(size), zone, 10));
-    // These collectors may fail to connect while descriptors are exhausted; only the clients are checked.
+    // These collectors only generate load: a failure to connect while descriptors are exhausted is no violation.
     let _collectors = Collectors::start(controller.address, schedules.collect(), traffic);
     let _flood = round.has_flood.then(|| ConnectionFlood::start(incarnation.clone()));
     run_with_faults(&controller, round);
     if let Some(status) = controller.wait_for_exit(Duration::ZERO)? {
-        note_crash(shared, &controller, &format!("{status} before the end of {round}"));
+        record_crash(shared, &controller, &format!("{status} before the end of {round}"));
         return Ok(());
     }
     match &round.ending {
@@ -138,7 +138,7 @@
     }
     let panics: Vec<_> = controller.log_lines().into_iter().filter(|line| line.contains("panic")).collect();
     if !panics.is_empty() {
-        shared.violations.record(Violation::Crashed { how: panics.join("; ") });
+        shared.violations.record(Violation::Crashed { cause: panics.join("; ") });
     }
     Ok(())
 }
@@ -182,21 +182,21 @@
     let kill_at = kill_at.unwrap_or_else(Instant::now);
     match controller.wait_for_exit(kill_at.saturating_duration_since(Instant::now()))? {
         Some(status) if status.success() => {}
-        Some(status) => note_crash(shared, controller, &format!("{status} at the end of {round}")),
+        Some(status) => record_crash(shared, controller, &format!("{status} at the end of {round}")),
         None => {
             incarnation.note_kill();
             controller.signal(Signal::KILL);
             controller.wait_for_exit(REAP_TIMEOUT)?;
-            shared.violations.record(Violation::SlowShutdown { signals: round.to_string() });
+            shared.violations.record(Violation::SlowShutdown { round: round.to_string() });
         }
     }
     Ok(())
 }
 
-fn note_crash(shared: &Shared, controller: &RunningController, how: &str) {
+fn record_crash(shared: &Shared, controller: &RunningController, cause: &str) {
     let log = controller.log_lines();
     let last = log.last().map_or("", String::as_str);
-    shared.violations.record(Violation::Crashed { how: format!("{how}; last log line: {last:?}") });
+    shared.violations.record(Violation::Crashed { cause: format!("{cause}; last log line: {last:?}") });
 }
 
 /// Starts the program once more, and compares its resource usage before and after traffic with a connection flood. Each
@@ -209,7 +209,8 @@
     let controller = installation.start()?;
     std::thread::sleep(IDLE_PERIOD);
     let before = controller.resource_usage()?;
-    let incarnation = Arc::new(Incarnation::new(controller.address, "rest".into(), true, false));
+    let incarnation =
+        Arc::new(Incarnation::new(controller.address, "the resource usage check".into(), true, false));
     shared.set_incarnation(Some(incarnation.clone()));
     let flood = ConnectionFlood::start(incarnation);
     std::thread::sleep(IDLE_PERIOD);
@@ -221,8 +222,8 @@
         || after.threads > before.threads
         || after.resident_bytes > MAX_RESIDENT_BYTES;
     if has_leak {
-        let what = format!("{before:?} before, {after:?} after");
-        shared.violations.record(Violation::Leak { what });
+        let usage = format!("{before:?} before, {after:?} after");
+        shared.violations.record(Violation::Leak { usage });
     }
     Ok(())
 }
--- a/crates/soak/src/violation.rs
+++ b/crates/soak/src/violation.rs
@@ -6,7 +6,7 @@
 /// A violation of the behaviour that is required of the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A request that had at least partly arrived in time was not answered: its connection was closed, or timed out.
+    /// A request of which at least a part arrived in time was not answered: its connection was closed, or timed out.
     Unanswered {
         /// The request, and how its connection ended.
         request: String,
@@ -19,27 +19,27 @@
     /// The listed state of an override contradicts earlier answers.
     UnexpectedOverrideState {
         /// The override, its expected state and its listed states.
-        what: String,
+        states: String,
     },
     /// The first answer to a new peer took too long.
     SlowFirstAnswer {
-        /// The peer, and the delay.
-        who: String,
+        /// The delay, and the round.
+        delay: String,
     },
     /// The program had not exited at the kill deadline.
     SlowShutdown {
         /// The round with its signals.
-        signals: String,
+        round: String,
     },
     /// The program exited unexpectedly or with an error, or panicked.
     Crashed {
-        /// Exit status and last log line, or the panics.
-        how: String,
+        /// The exit status and the last log line, or the log lines that report panics.
+        cause: String,
     },
     /// The program uses more resources than at its start.
     Leak {
         /// The resource usage before and after.
-        what: String,
+        usage: String,
     },
 }
 
@@ -48,11 +48,11 @@
         match self {
             Violation::Unanswered { request } => write!(f, "unanswered: {request}"),
             Violation::WrongAnswer { exchange } => write!(f, "wrong answer: {exchange}"),
-            Violation::UnexpectedOverrideState { what } => write!(f, "unexpected override state: {what}"),
-            Violation::SlowFirstAnswer { who } => write!(f, "slow first answer: {who}"),
-            Violation::SlowShutdown { signals } => write!(f, "shutdown too slow: {signals}"),
-            Violation::Crashed { how } => write!(f, "crashed: {how}"),
-            Violation::Leak { what } => write!(f, "leak: {what}"),
+            Violation::UnexpectedOverrideState { states } => write!(f, "unexpected override state: {states}"),
+            Violation::SlowFirstAnswer { delay } => write!(f, "slow first answer: {delay}"),
+            Violation::SlowShutdown { round } => write!(f, "shutdown too slow: {round}"),
+            Violation::Crashed { cause } => write!(f, "crashed: {cause}"),
+            Violation::Leak { usage } => write!(f, "leak: {usage}"),
         }
     }
 }
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -23,12 +23,12 @@
 #[test]
 fn unknown_override_is_expected_only_after_an_unconfirmed_clear_and_enough_later_ends() {
     let mut clears = UnconfirmedClears::new(1000);
-    assert!(!clears.may_be_pruned("a", 5000), "never cleared");
+    assert!(!clears.may_be_pruned("a", 5000), "no clear was recorded");
     clears.note("a", 200);
     clears.note("a", 700);
-    assert!(!clears.may_be_pruned("a", 1199), "the list still has room for it");
+    assert!(!clears.may_be_pruned("a", 1199), "fewer than 1000 overrides have ended since the first clear");
     assert!(clears.may_be_pruned("a", 1200));
-    assert!(!clears.may_be_pruned("b", 1200), "another override");
+    assert!(!clears.may_be_pruned("b", 1200), "no clear of this override was recorded");
 }
 
 #[test]
@@ -38,6 +38,9 @@
         let report = run_seed(&program, seed, DURATION).unwrap();
         println!("{report}");
         assert!(report.violations.is_empty(), "{report}");
-        assert!(report.answered > 1000 && report.acknowledged > 10, "nothing was tested: {report}");
+        assert!(
+            report.answered > 1000 && report.acknowledged > 10,
+            "too few answers or acknowledged overrides: {report}"
+        );
     }
 }
