--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -6,7 +6,7 @@
 
 use super::bounds::Bounds;
 use super::closing::{Closing, ClosingSignal, ConnectionShutdown};
-use super::framing::LineCodec;
+use super::framing::{LineCodec, LineError};
 use super::{limits, Chunk, ChunkInfo, ConnectionCommand, ConnectionId, Input, InputSender, StreamError};
 use actix_codec::Framed;
 use actix_rt::net::TcpStream;
@@ -92,10 +92,8 @@
     ClosedByPeer,
     #[error("peer did not read a reply within {} ms", limits::REPLY_TIMEOUT.as_millis())]
     ReplyTimeout,
-    #[error("line longer than {} bytes", limits::MAX_LINE_BYTES)]
-    LineTooLong,
-    #[error("incomplete lines of all connections exceed the memory limit of {max_bytes} bytes")]
-    LineMemoryExhausted { max_bytes: usize },
+    #[error(transparent)]
+    Line(#[from] LineError),
     #[error("shutting down")]
     ShuttingDown,
     #[error("evicted: too many open connections")]
--- a/crates/transport/src/connection/chunks.rs
+++ b/crates/transport/src/connection/chunks.rs
@@ -2,7 +2,7 @@
 
 use super::{execute_command, ChunkSender, CloseReason, IsLast, LineStream, Session};
 use crate::closing::Closing;
-use crate::framing::PartialLineReservation;
+use crate::framing::{LineError, PartialLineReservation};
 use crate::limits;
 use bytes::BytesMut;
 use tokio::io::AsyncReadExt;
@@ -60,11 +60,9 @@
 /// Applies the limits on the incomplete line in the buffer, and reserves buffer space for the next read.
 fn prepare_read(bytes: &mut BytesMut, partial_line: &mut PartialLineReservation) -> Result<(), CloseReason> {
     if bytes.len() > limits::MAX_LINE_BYTES {
-        return Err(CloseReason::LineTooLong);
-    }
-    if !partial_line.resize(bytes.len()) {
-        return Err(CloseReason::LineMemoryExhausted { max_bytes: partial_line.budget_bytes() });
+        return Err(LineError::TooLong { max_bytes: limits::MAX_LINE_BYTES }.into());
     }
+    partial_line.resize(bytes.len())?;
     if bytes.is_empty() && bytes.capacity() > limits::MAX_IDLE_BUFFER_BYTES {
         *bytes = BytesMut::new();
     }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -26,7 +26,7 @@
 }
 
 /// The part of the budget that one connection has reserved; released when dropped.
-pub struct PartialLineReservation {
+pub(crate) struct PartialLineReservation {
     budget: PartialLineBudget,
     bytes: usize,
 }
@@ -37,9 +37,11 @@
         PartialLineReservation { budget: budget.clone(), bytes: 0 }
     }
 
-    /// Grows or shrinks the reservation. Returns false if the budget is exceeded and the reservation is larger than an
-    /// even share.
-    pub fn resize(&mut self, bytes: usize) -> bool {
+    /// Grows or shrinks the reservation.
+    ///
+    /// # Errors
+    /// [`LineError::BudgetExceeded`] if the budget is exceeded and the reservation is larger than an even share.
+    pub fn resize(&mut self, bytes: usize) -> Result<(), LineError> {
         // Relaxed ordering suffices: concurrent reservations of other connections may or may not be in the sum.
         let reserved = &self.budget.reserved_bytes;
         let total_bytes = match bytes.checked_sub(self.bytes) {
@@ -50,24 +52,24 @@
             }
         };
         self.bytes = bytes;
-        bytes <= self.budget.even_share_bytes || total_bytes <= self.budget.max_bytes
-    }
-
-    /// The size of the budget that the reservation belongs to.
-    pub fn budget_bytes(&self) -> usize {
-        self.budget.max_bytes
+        let PartialLineBudget { max_bytes, even_share_bytes, .. } = self.budget;
+        if bytes <= even_share_bytes || total_bytes <= max_bytes {
+            Ok(())
+        } else {
+            Err(LineError::BudgetExceeded { max_bytes })
+        }
     }
 }
 
 impl Drop for PartialLineReservation {
     fn drop(&mut self) {
-        self.resize(0);
+        _ = self.resize(0);
     }
 }
 
 /// The reason why received bytes cannot be decoded as a line.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-enum LineError {
+pub(crate) enum LineError {
     #[error("line longer than {max_bytes} bytes")]
     TooLong { max_bytes: usize },
     #[error("incomplete lines of all connections exceed the memory limit of {max_bytes} bytes")]
@@ -128,11 +130,10 @@
         }
         let Some(end) = end else {
             self.searched_bytes = bytes.len();
-            let Some(reservation) = &mut self.reservation else { return Ok(None) };
-            if reservation.resize(bytes.len()) {
-                return Ok(None);
+            if let Some(reservation) = &mut self.reservation {
+                reservation.resize(bytes.len())?;
             }
-            return Err(LineError::BudgetExceeded { max_bytes: reservation.budget_bytes() }.into());
+            return Ok(None);
         };
         self.searched_bytes = 0;
         let line = bytes.split_to(end);
