--- a/crates/management-api/src/client.rs
+++ b/crates/management-api/src/client.rs
@@ -64,10 +64,10 @@
 pub enum ClientError {
     /// The request was not sent.
     #[error("request not sent: {0}")]
-    NotSent(NotSentCause),
+    NotSent(#[from] NotSentCause),
     /// The request may have been carried out.
     #[error("outcome unknown: {0}")]
-    OutcomeUnknown(UnknownOutcomeCause),
+    OutcomeUnknown(#[from] UnknownOutcomeCause),
     /// The controller cannot carry out the request at the moment; nothing was carried out.
     #[error("request cannot be carried out now: {}", body.error)]
     Unavailable {
@@ -148,18 +148,6 @@
     }
 }
 
-impl From<NotSentCause> for ClientError {
-    fn from(cause: NotSentCause) -> Self {
-        ClientError::NotSent(cause)
-    }
-}
-
-impl From<UnknownOutcomeCause> for ClientError {
-    fn from(cause: UnknownOutcomeCause) -> Self {
-        ClientError::OutcomeUnknown(cause)
-    }
-}
-
 impl From<SendRequestError> for ClientError {
     fn from(error: SendRequestError) -> Self {
         let text = error.to_string();
--- a/crates/management-api/tests/client_errors.rs
+++ b/crates/management-api/tests/client_errors.rs
@@ -1,47 +1,17 @@
 //! The client's errors: which variant each failure results in, and the text that is printed for it.
 
+mod support;
+
 use actix_rt::System;
 use awc::error::{ConnectError, InvalidUrl, PayloadError, SendRequestError};
-use std::io::{self, ErrorKind, Read, Write};
-use std::net::TcpListener;
-use whinwall_management_api::client::{
-    Client, ClientError, ManagementAddress, NotSentCause, UnknownOutcomeCause,
-};
+use std::io::{self, ErrorKind};
+use support::{http_response, start_server_for_one_request};
+use whinwall_management_api::client::{Client, ClientError, NotSentCause, UnknownOutcomeCause};
 use whinwall_management_api::wire::ErrorBody;
 
-fn not_sent(cause: NotSentCause) -> ClientError {
-    ClientError::NotSent(cause)
-}
-
-fn outcome_unknown(cause: UnknownOutcomeCause) -> ClientError {
-    ClientError::OutcomeUnknown(cause)
-}
-
-/// Starts a server that sends this response to one request, which has no body.
-fn start_server(response: Vec<u8>) -> ManagementAddress {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().unwrap();
-        let mut request = Vec::new();
-        let mut byte = [0];
-        while !request.ends_with(b"\r\n\r\n") {
-            stream.read_exact(&mut byte).unwrap();
-            request.push(byte[0]);
-        }
-        stream.write_all(&response).unwrap();
-    });
-    ManagementAddress::Address(address)
-}
-
-fn http_response(code: u16, body: &[u8]) -> Vec<u8> {
-    let head = format!("HTTP/1.1 {code} Text\r\ncontent-length: {}\r\n\r\n", body.len());
-    [head.as_bytes(), body].concat()
-}
-
 /// Returns the error of a status request to which a server sends this response.
 fn status_error(response: Vec<u8>) -> ClientError {
-    let address = start_server(response);
+    let (address, _) = start_server_for_one_request(response);
     System::new().block_on(async { Client::new(address, None).status().await }).unwrap_err()
 }
 
@@ -51,17 +21,19 @@
     for (error, variant) in [
         (
             SendRequestError::Connect(ConnectError::Timeout),
-            not_sent(NotSentCause::ConnectFailed(
+            ClientError::NotSent(NotSentCause::ConnectFailed(
                 "Failed to connect to host: Timeout while establishing connection".into(),
             )),
         ),
         (
             SendRequestError::Connect(refused()),
-            not_sent(NotSentCause::ConnectFailed("Failed to connect to host: connection refused".into())),
+            ClientError::NotSent(NotSentCause::ConnectFailed(
+                "Failed to connect to host: connection refused".into(),
+            )),
         ),
         (
             SendRequestError::Url(InvalidUrl::MissingHost),
-            not_sent(NotSentCause::InvalidUrl("Invalid URL: Missing host name".into())),
+            ClientError::NotSent(NotSentCause::InvalidUrl("Invalid URL: Missing host name".into())),
         ),
     ] {
         let text = format!("request not sent: {error}");
@@ -83,16 +55,16 @@
     ] {
         let text = format!("outcome unknown: {error}");
         let error = ClientError::from(error);
-        assert_eq!((error.to_string(), error), (text, outcome_unknown(variant)));
+        assert_eq!((error.to_string(), error), (text, ClientError::OutcomeUnknown(variant)));
     }
     let overflow = UnknownOutcomeCause::ExchangeFailed("payload reached size limit".into());
-    assert_eq!(ClientError::from(PayloadError::Overflow), outcome_unknown(overflow));
+    assert_eq!(ClientError::from(PayloadError::Overflow), ClientError::OutcomeUnknown(overflow));
 }
 
 #[test]
 fn connection_closed_without_a_response_is_an_unknown_outcome() {
     let error = status_error(Vec::new());
-    assert_eq!(error, outcome_unknown(UnknownOutcomeCause::ConnectionClosed));
+    assert_eq!(error, ClientError::OutcomeUnknown(UnknownOutcomeCause::ConnectionClosed));
     assert_eq!(error.to_string(), "outcome unknown: connection closed before a response was received");
 }
 
@@ -100,16 +72,16 @@
 fn successful_response_with_unexpected_json_is_an_unknown_outcome() {
     let cause = "invalid type: integer `1`, expected struct State at line 1 column 1";
     let error = status_error(http_response(200, b"1"));
-    assert_eq!(error, outcome_unknown(UnknownOutcomeCause::UnexpectedJson(cause.into())));
+    assert_eq!(error, ClientError::OutcomeUnknown(UnknownOutcomeCause::UnexpectedJson(cause.into())));
     assert_eq!(error.to_string(), format!("outcome unknown: {cause}"));
 }
 
 #[test]
 fn metrics_that_are_not_utf8_are_an_unknown_outcome() {
-    let address = start_server(http_response(200, b"# \xff"));
+    let (address, _) = start_server_for_one_request(http_response(200, b"# \xff"));
     let error = System::new().block_on(async { Client::new(address, None).metrics().await }).unwrap_err();
     let cause = String::from_utf8(b"# \xff".to_vec()).unwrap_err();
-    assert_eq!(error, outcome_unknown(UnknownOutcomeCause::InvalidUtf8(cause.utf8_error())));
+    assert_eq!(error, ClientError::OutcomeUnknown(UnknownOutcomeCause::InvalidUtf8(cause.utf8_error())));
     assert_eq!(error.to_string(), format!("outcome unknown: {cause}"));
 }
 
@@ -123,7 +95,10 @@
     }
     for code in [408, 500, 504] {
         let error = status_error(http_response(code, br#"{"error":"why"}"#));
-        assert_eq!(error, outcome_unknown(UnknownOutcomeCause::ErrorResponse { code, body: body() }));
+        assert_eq!(
+            error,
+            ClientError::OutcomeUnknown(UnknownOutcomeCause::ErrorResponse { code, body: body() })
+        );
         assert_eq!(error.to_string(), "outcome unknown: why");
     }
     for code in [400, 401, 404, 409, 413] {
--- a/crates/management-api/tests/http_text.rs
+++ b/crates/management-api/tests/http_text.rs
@@ -1,11 +1,12 @@
 //! The management API as HTTP text: the methods, paths and headers that the client sends, and the status codes, headers
 //! and bodies of the server's responses.
 
+mod support;
+
 use actix_rt::System;
-use std::io::{Read, Write};
-use std::net::{TcpListener, TcpStream};
-use std::thread::JoinHandle;
-use std::time::Duration;
+use std::io::Write;
+use std::net::TcpStream;
+use support::{http_response, read_message, start_server_for_one_request};
 use tokio::sync::mpsc;
 use whinwall_management_api::client::{Client, ClientError, ManagementAddress};
 use whinwall_management_api::messages::{Reply, Request};
@@ -16,22 +17,6 @@
 
 const TOKEN: &str = "a-token-of-some-length";
 const SET_OUT: &str = r#"{"kind":"out","server":"s-3","author":"mb","reason":"disk","for":"30m"}"#;
-const READ_TIMEOUT: Duration = Duration::from_secs(20);
-
-/// Reads a request or response up to the end of the body, whose length is in the `content-length` header.
-fn read_message(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
-    let mut text = String::new();
-    let mut byte = [0];
-    while !text.ends_with("\r\n\r\n") {
-        stream.read_exact(&mut byte).unwrap();
-        text.push(char::from(byte[0]));
-    }
-    let length = text.lines().find_map(|line| line.strip_prefix("content-length: "));
-    let mut body = vec![0; length.map_or(0, |length| length.parse().unwrap())];
-    stream.read_exact(&mut body).unwrap();
-    text + &String::from_utf8(body).unwrap()
-}
 
 /// Headers whose values vary: the first with the time, the second with the features with which awc was built.
 const VARYING_HEADERS: [&str; 2] = ["date: ", "accept-encoding: "];
@@ -47,31 +32,18 @@
     [vec![first], headers, vec![body.to_string()]].concat()
 }
 
-/// Starts a server that rejects one request. Its thread returns the lines of that request.
-fn start_rejecting_server() -> (ManagementAddress, JoinHandle<Vec<String>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    let received = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().unwrap();
-        let request = read_message(&mut stream);
-        let body = r#"{"error":"no","part":"for"}"#;
-        let length = body.len();
-        let response = format!("HTTP/1.1 400 Bad Request\r\ncontent-length: {length}\r\n\r\n{body}");
-        stream.write_all(response.as_bytes()).unwrap();
-        normalized_lines(&request, &address.to_string())
-    });
-    (ManagementAddress::Address(address), received)
-}
-
 /// Returns the lines of the request that the client sends for the call.
 fn request_lines<T: std::fmt::Debug + PartialEq>(
     call: impl AsyncFn(&Client) -> Result<T, ClientError>,
 ) -> Vec<String> {
-    let (address, received) = start_rejecting_server();
-    let response = System::new().block_on(async { call(&Client::new(address, Some(TOKEN.into()))).await });
+    let (address, request) =
+        start_server_for_one_request(http_response(400, br#"{"error":"no","part":"for"}"#));
+    let client_address = address.clone();
+    let response =
+        System::new().block_on(async { call(&Client::new(client_address, Some(TOKEN.into()))).await });
     let body = ErrorBody { error: "no".into(), field: Some("for".into()) };
     assert_eq!(response, Err(ClientError::Rejected { code: 400, body }));
-    received.join().unwrap()
+    normalized_lines(&request.join().unwrap(), &address.to_string())
 }
 
 #[test]
