--- a/crates/soak/src/clients/management.rs
+++ b/crates/soak/src/clients/management.rs
@@ -19,7 +19,12 @@
     Status,
     List,
     Set(String),
-    Clear(String),
+    Clear {
+        id: String,
+        /// The value of [`Ledger::possibly_ended_count`](crate::ledger::Ledger::possibly_ended_count) before the request
+        /// is sent.
+        ended_before: usize,
+    },
 }
 
 impl Call {
@@ -35,7 +40,7 @@
                 );
                 request_text("PUT", &format!("/v1/overrides/{id}"), &body)
             }
-            Call::Clear(id) => {
+            Call::Clear { id, .. } => {
                 request_text("POST", &format!("/v1/overrides/{id}/clear"), "{\"by\":\"soak\"}")
             }
         }
@@ -46,7 +51,7 @@
             Call::Status => "status".into(),
             Call::List => "list".into(),
             Call::Set(id) => format!("set {id}"),
-            Call::Clear(id) => format!("clear {id}"),
+            Call::Clear { id, .. } => format!("clear {id}"),
         }
     }
 }
@@ -85,11 +90,10 @@
             return;
         };
         let call = self.draw_call();
-        let ended_before = self.shared.ledger.possibly_ended_count();
         match exchange(&mut stream, &call.text(), &mut self.random) {
             Outcome::Response(response) => {
                 self.shared.count_answer();
-                self.check_response(&call, &response, ended_before);
+                self.check_response(&call, &response);
                 if !response.is_last {
                     self.connection = Some((stream, incarnation));
                 }
@@ -129,17 +133,14 @@
         let is_full = self.active.len() >= MAX_OWN_ACTIVE;
         if !self.active.is_empty() && (is_full || draw > 0.75) {
             let index = (self.random.draw() * self.active.len() as f64) as usize % self.active.len();
-            return Call::Clear(self.active.swap_remove(index));
+            let ended_before = self.shared.ledger.possibly_ended_count();
+            return Call::Clear { id: self.active.swap_remove(index), ended_before };
         }
         self.next_id += 1;
         Call::Set(format!("{}{}", self.prefix, self.next_id))
     }
 
-    /// Records and checks a response. `ended_before` is [`Ledger::possibly_ended_count`] from before the request was
-    /// sent.
-    ///
-    /// [`Ledger::possibly_ended_count`]: crate::ledger::Ledger::possibly_ended_count
-    fn check_response(&mut self, call: &Call, response: &Response, ended_before: usize) {
+    fn check_response(&mut self, call: &Call, response: &Response) {
         let is_persisted = response.body.contains("\"kept\":\"on disk\"");
         let record = |id: &String, expected| self.shared.ledger.record(id, expected);
         match (call, response.status) {
@@ -150,19 +151,17 @@
                 self.active.push(id.clone());
             }
             (Call::Set(id), 503 | 507) => record(id, ExpectedState::Refused),
-            (Call::Clear(id), 200) if is_persisted => record(id, ExpectedState::Ended),
-            // The override stays in force until the clear is persisted; the clear may have to be repeated.
-            (Call::Clear(id), 202) => {
+            (Call::Clear { id, .. }, 200) if is_persisted => record(id, ExpectedState::Ended),
+            // A restart before the clear is persisted makes the override active again, so the clear may have to be repeated.
+            (Call::Clear { id, ended_before }, 202) => {
                 record(id, ExpectedState::Unknown);
-                self.unconfirmed_clears.note(id, ended_before);
+                self.unconfirmed_clears.note(id, *ended_before);
                 self.active.push(id.clone());
             }
-            (Call::Clear(id), 503 | 507) => self.active.push(id.clone()),
-            (Call::Clear(id), 404) if self.may_be_pruned(id) => {
-                record(id, ExpectedState::Ended);
-            }
+            (Call::Clear { id, .. }, 503 | 507) => self.active.push(id.clone()),
+            (Call::Clear { id, .. }, 404) if self.may_be_pruned(id) => record(id, ExpectedState::Ended),
             (_, 503) => {}
-            (Call::Set(_) | Call::Clear(_), 408 | 504) => self.record_unknown(call),
+            (Call::Set(_) | Call::Clear { .. }, 408 | 504) => self.record_unknown(call),
             (_, 408 | 504) => {}
             (_, status) => {
                 let exchange = format!("{}: {status} {}", call.name(), response.body);
@@ -186,13 +185,13 @@
     }
 
     fn restore_unsent_clear(&mut self, call: &Call) {
-        if let Call::Clear(id) = call {
+        if let Call::Clear { id, .. } = call {
             self.active.push(id.clone());
         }
     }
 
     fn record_unknown(&self, call: &Call) {
-        if let Call::Set(id) | Call::Clear(id) = call {
+        if let Call::Set(id) | Call::Clear { id, .. } = call {
             self.shared.ledger.record(id, ExpectedState::Unknown);
         }
     }
