--- a/crates/controller/src/program/configuration.rs
+++ b/crates/controller/src/program/configuration.rs
@@ -345,12 +345,11 @@
     // With a reader pool, the event loop holds a second file descriptor of each connection.
     let descriptors_per_connection = if cores > 1 { 2 } else { 1 };
     let sockets = file.limits.sockets;
-    let max_connections =
-        (sockets as usize).saturating_sub(limits::RESERVED_DESCRIPTORS) / descriptors_per_connection;
-    if max_connections == 0 {
-        let minimum = limits::RESERVED_DESCRIPTORS + descriptors_per_connection;
+    let minimum = limits::RESERVED_DESCRIPTORS + descriptors_per_connection;
+    if (sockets as usize) < minimum {
         return Err(ConfigError::TooFewSockets { sockets, minimum });
     }
+    let max_connections = (sockets as usize - limits::RESERVED_DESCRIPTORS) / descriptors_per_connection;
     let name = required_value(environment.name.as_ref(), file.name, "name")?;
     let fleet = build_fleet(operators.as_ref(), &name)?;
     let listen = required_value(environment.listen.as_ref(), file.listen, "listen")?;
--- a/crates/experiments/src/experiment/attributes.rs
+++ b/crates/experiments/src/experiment/attributes.rs
@@ -15,7 +15,7 @@
     UnknownName { text: String, names: Vec<&'static str> },
     #[error("invalid number {0:?}")]
     InvalidNumber(String),
-    #[error("{0:?} is out of range: must be greater than 0 and less than 1000000")]
+    #[error("{0:?} is out of range: must be greater than 0 and less than {NUMBER_LIMIT}")]
     OutOfRange(String),
     #[error("{number} is out of range: must be less than {limit}")]
     TooLarge { number: usize, limit: usize },
